--- a/src/main/java/larchridge/enginelink/CompletionsLink.java
+++ b/src/main/java/larchridge/enginelink/CompletionsLink.java
@@ -23,9 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Engines over the OpenAI-compatible completions API with reading and writing apart, as vLLM and others publish it:
- * a read attempt asks for one token with {@code do_remote_decode}, a write attempt gives the handle of that state with
- * {@code do_remote_prefill} and is streamed as server-sent events. An attempt is called off by closing its connection.
+ * Engines over the OpenAI-compatible completions API with reading and writing apart, as vLLM and
+ * others publish it: a read attempt asks for one token with {@code do_remote_decode}, a write
+ * attempt gives the handle of that state with {@code do_remote_prefill} and is streamed as
+ * server-sent events. An attempt is called off by closing its connection.
  */
 public final class CompletionsLink implements EngineLink {
     private static final Logger LOG = LoggerFactory.getLogger(CompletionsLink.class);
@@ -41,23 +42,25 @@
     private final Limit limit;
     private int releases;
 
-    private record Handle(JsonNode json) implements StateHandle { }
+    private record Handle(JsonNode json) implements StateHandle {}
 
     /** To be made on the loop that is to own it. */
     public CompletionsLink(Vertx vertx, Limit limit) {
         this.vertx = vertx;
         this.limit = limit;
         loop = vertx.getOrCreateContext();
-        HttpClientOptions options = new HttpClientOptions()
-                .setConnectTimeout((int) limit.connectMs)
-                .setKeepAlive(true)
-                .setKeepAliveTimeout((int) Math.max(1, limit.keepAliveMs / 1000))
-                .setTcpNoDelay(true)
-                .setMaxHeaderSize(32_768);
-        PoolOptions pool = new PoolOptions()
-                .setHttp1MaxSize(limit.connectionsPerEngine)
-                .setMaxWaitQueueSize(limit.connectionWaits)
-                .setCleanerPeriod(1000);
+        HttpClientOptions options =
+                new HttpClientOptions()
+                        .setConnectTimeout((int) limit.connectMs)
+                        .setKeepAlive(true)
+                        .setKeepAliveTimeout((int) Math.max(1, limit.keepAliveMs / 1000))
+                        .setTcpNoDelay(true)
+                        .setMaxHeaderSize(32_768);
+        PoolOptions pool =
+                new PoolOptions()
+                        .setHttp1MaxSize(limit.connectionsPerEngine)
+                        .setMaxWaitQueueSize(limit.connectionWaits)
+                        .setCleanerPeriod(1000);
         client = vertx.createHttpClient(options, pool);
     }
 
@@ -66,7 +69,9 @@
         ObjectNode body = body(order);
         body.put("max_tokens", 1);
         body.put("stream", false);
-        body.putObject("kv_transfer_params").put("do_remote_decode", true).put("do_remote_prefill", false);
+        body.putObject("kv_transfer_params")
+                .put("do_remote_decode", true)
+                .put("do_remote_prefill", false);
         Out out = new Out(order, hearing, true);
         out.start(body);
         return out;
@@ -109,13 +114,17 @@
     }
 
     /**
-     * Tries a few times, since a state that nobody lets go pins memory there; after that the engine's own lapse
-     * frees it. At most {@value #MOST_RELEASES} at once; what comes beyond is logged and left to that lapse too.
+     * Tries a few times, since a state that nobody lets go pins memory there; after that the
+     * engine's own lapse frees it. At most {@value #MOST_RELEASES} at once; what comes beyond is
+     * logged and left to that lapse too.
      */
     @Override
     public void release(Spot spot, String rid) {
         if (releases >= MOST_RELEASES) {
-            LOG.atWarn().addKeyValue("engine", spot).addKeyValue("attempt", rid).log("too many releases at once");
+            LOG.atWarn()
+                    .addKeyValue("engine", spot)
+                    .addKeyValue("attempt", rid)
+                    .log("too many releases at once");
             return;
         }
         releases++;
@@ -123,32 +132,52 @@
     }
 
     private void release(Spot spot, String rid, int tries) {
-        RequestOptions options = options(spot, HttpMethod.POST, "/abort_request").setTimeout((long) limit.probeMs);
+        RequestOptions options =
+                options(spot, HttpMethod.POST, "/abort_request").setTimeout((long) limit.probeMs);
         Buffer body = Buffer.buffer(MAPPER.createObjectNode().put("rid", rid).toString());
-        client.request(options).compose(request -> request.putHeader("content-type", "application/json").send(body))
+        client.request(options)
+                .compose(
+                        request -> request.putHeader("content-type", "application/json").send(body))
                 .compose(response -> response.body().map(response.statusCode()))
-                .onComplete(done -> {
-                    if (done.succeeded() && done.result() < 500 && done.result() != 429) {
-                        releases--;
-                    } else if (tries > 1) {
-                        vertx.setTimer(RELEASE_AGAIN_MS * (1 + RELEASE_TRIES - tries),
-                                timer -> release(spot, rid, tries - 1));
-                    } else {
-                        releases--;
-                        LOG.atWarn().addKeyValue("engine", spot).addKeyValue("attempt", rid)
-                                .log("state not released; the engine's own lapse must free it");
-                    }
-                });
+                .onComplete(
+                        done -> {
+                            if (done.succeeded() && done.result() < 500 && done.result() != 429) {
+                                releases--;
+                            } else if (tries > 1) {
+                                vertx.setTimer(
+                                        RELEASE_AGAIN_MS * (1 + RELEASE_TRIES - tries),
+                                        timer -> release(spot, rid, tries - 1));
+                            } else {
+                                releases--;
+                                LOG.atWarn()
+                                        .addKeyValue("engine", spot)
+                                        .addKeyValue("attempt", rid)
+                                        .log(
+                                                "state not released; the engine's own lapse must free it");
+                            }
+                        });
     }
 
     @Override
     public void probe(Spot spot, Told told) {
-        RequestOptions options = options(spot, HttpMethod.GET, "/metrics").setTimeout((long) limit.probeMs);
-        client.request(options).compose(HttpClientRequest::send)
-                .compose(response -> response.body().map(body -> response.statusCode() != 200 ? null
-                        : LoadReport.ofPage(body.toString())))
-                .onComplete(done -> told.told(done.succeeded() && done.result() != null,
-                        done.succeeded() ? done.result() : null));
+        RequestOptions options =
+                options(spot, HttpMethod.GET, "/metrics").setTimeout((long) limit.probeMs);
+        client.request(options)
+                .compose(HttpClientRequest::send)
+                .compose(
+                        response ->
+                                response.body()
+                                        .map(
+                                                body ->
+                                                        response.statusCode() != 200
+                                                                ? null
+                                                                : LoadReport.ofPage(
+                                                                        body.toString())))
+                .onComplete(
+                        done ->
+                                told.told(
+                                        done.succeeded() && done.result() != null,
+                                        done.succeeded() ? done.result() : null));
     }
 
     @Override
@@ -157,7 +186,11 @@
     }
 
     private RequestOptions options(Spot spot, HttpMethod method, String path) {
-        return new RequestOptions().setMethod(method).setHost(spot.host()).setPort(spot.port()).setURI(path)
+        return new RequestOptions()
+                .setMethod(method)
+                .setHost(spot.host())
+                .setPort(spot.port())
+                .setURI(path)
                 .setConnectTimeout((long) limit.connectMs);
     }
 
@@ -189,41 +222,52 @@
 
         void start(ObjectNode body) {
             RequestOptions options = options(order.spot(), HttpMethod.POST, "/v1/completions");
-            options.putHeader("content-type", "application/json").putHeader("x-request-id", order.rid());
+            options.putHeader("content-type", "application/json")
+                    .putHeader("x-request-id", order.rid());
             if (order.repeatKey() != null) {
                 options.putHeader("idempotency-key", order.repeatKey());
             }
-            client.request(options).onComplete(connected -> {
-                if (done) {
-                    // Called off while it waited for a connection: nothing was written.
-                    if (connected.succeeded()) {
-                        connected.result().reset();
-                    }
-                    return;
-                }
-                if (connected.failed()) {
-                    later(Verdict.noConnection(connected.cause() instanceof ConnectionPoolTooBusyException));
-                    return;
-                }
-                request = connected.result();
-                // Danger: an attempt that waited for a connection would reach an engine that has begun to drain since.
-                if (order.check().refusal() != null) {
-                    verdict.unfit();
-                    request.reset();
-                    later(verdict.outcome());
-                    return;
-                }
-                request.exceptionHandler(e -> broken());
-                request.response().onComplete(got -> {
-                    if (got.succeeded()) {
-                        hear(got.result());
-                    } else {
-                        broken();
-                    }
-                });
-                verdict.written();
-                request.end(Buffer.buffer(body.toString()));
-            });
+            client.request(options)
+                    .onComplete(
+                            connected -> {
+                                if (done) {
+                                    // Called off while it waited for a connection: nothing was
+                                    // written.
+                                    if (connected.succeeded()) {
+                                        connected.result().reset();
+                                    }
+                                    return;
+                                }
+                                if (connected.failed()) {
+                                    later(
+                                            Verdict.noConnection(
+                                                    connected.cause()
+                                                            instanceof
+                                                            ConnectionPoolTooBusyException));
+                                    return;
+                                }
+                                request = connected.result();
+                                // Danger: an attempt that waited for a connection would reach an
+                                // engine that has begun to drain since.
+                                if (order.check().refusal() != null) {
+                                    verdict.unfit();
+                                    request.reset();
+                                    later(verdict.outcome());
+                                    return;
+                                }
+                                request.exceptionHandler(e -> broken());
+                                request.response()
+                                        .onComplete(
+                                                got -> {
+                                                    if (got.succeeded()) {
+                                                        hear(got.result());
+                                                    } else {
+                                                        broken();
+                                                    }
+                                                });
+                                verdict.written();
+                                request.end(Buffer.buffer(body.toString()));
+                            });
         }
 
         private void hear(HttpClientResponse got) {
@@ -236,45 +280,52 @@
             got.exceptionHandler(e -> broken());
             if (reads || got.statusCode() != 200) {
                 whole = Buffer.buffer();
-                got.handler(part -> {
-                    whole.appendBuffer(part);
-                    if (whole.length() > MOST_LINE_BYTES) {
-                        garbled();
-                    }
-                });
+                got.handler(
+                        part -> {
+                            whole.appendBuffer(part);
+                            if (whole.length() > MOST_LINE_BYTES) {
+                                garbled();
+                            }
+                        });
                 got.endHandler(end -> whole());
                 return;
             }
             RecordParser lines = RecordParser.newDelimited("\n", line -> line(line.toString()));
             lines.maxRecordSize(MOST_LINE_BYTES);
             lines.exceptionHandler(e -> garbled());
-            got.handler(part -> {
-                if (!done) {
-                    lines.handle(part);
-                    soFar();
-                }
-            });
-            got.endHandler(end -> {
-                if (!done) {
-                    verdict.clean();
-                    finish(verdict.outcome());
-                }
-            });
+            got.handler(
+                    part -> {
+                        if (!done) {
+                            lines.handle(part);
+                            soFar();
+                        }
+                    });
+            got.endHandler(
+                    end -> {
+                        if (!done) {
+                            verdict.clean();
+                            finish(verdict.outcome());
+                        }
+                    });
             if (paused) {
                 got.pause();
             }
         }
 
-        /** An engine's tokens come as chunks of their own, many in one go: told when the loop has read them all. */
+        /**
+         * An engine's tokens come as chunks of their own, many in one go: told when the loop has
+         * read them all.
+         */
         private void soFar() {
             if (begun && !done && !tellsSoFar) {
                 tellsSoFar = true;
-                loop.runOnContext(v -> {
-                    tellsSoFar = false;
-                    if (!done) {
-                        hearing.soFar();
-                    }
-                });
+                loop.runOnContext(
+                        v -> {
+                            tellsSoFar = false;
+                            if (!done) {
+                                hearing.soFar();
+                            }
+                        });
             }
         }
 
@@ -285,7 +336,8 @@
             verdict.clean();
             JsonNode json = parsed(whole.toString());
             if (response.statusCode() != 200) {
-                verdict.errorCode(json == null ? null : json.path("error").path("code").asText(null));
+                verdict.errorCode(
+                        json == null ? null : json.path("error").path("code").asText(null));
                 finish(verdict.outcome());
                 return;
             }
@@ -297,8 +349,11 @@
             }
             done = true;
             JsonNode usage = json.path("usage");
-            hearing.read(new Handle(params), usage.path("prompt_tokens_details").path("cached_tokens").asInt(0),
-                    usage.path("prompt_tokens").asInt(-1), report);
+            hearing.read(
+                    new Handle(params),
+                    usage.path("prompt_tokens_details").path("cached_tokens").asInt(0),
+                    usage.path("prompt_tokens").asInt(-1),
+                    report);
         }
 
         private void line(String line) {
@@ -334,9 +389,14 @@
                 hearing.piece(text);
             }
             if (!reason.isEmpty() && !reason.equals("null")) {
-                stop = choice.path("stop_reason").isTextual() ? choice.path("stop_reason").asText() : null;
-                why = reason.equals("length") ? Ending.Why.MOST_TOKENS
-                        : stop != null ? Ending.Why.STOP_TEXT : Ending.Why.END_OF_TURN;
+                stop =
+                        choice.path("stop_reason").isTextual()
+                                ? choice.path("stop_reason").asText()
+                                : null;
+                why =
+                        reason.equals("length")
+                                ? Ending.Why.MOST_TOKENS
+                                : stop != null ? Ending.Why.STOP_TEXT : Ending.Why.END_OF_TURN;
                 verdict.finished();
             }
         }
@@ -366,8 +426,10 @@
 
         private void finish(Outcome outcome) {
             done = true;
-            Ending ending = outcome == Outcome.STREAMED
-                    ? new Ending(why, stop, promptToks, outToks >= 0 ? outToks : pieces) : null;
+            Ending ending =
+                    outcome == Outcome.STREAMED
+                            ? new Ending(why, stop, promptToks, outToks >= 0 ? outToks : pieces)
+                            : null;
             hearing.ended(outcome, report, ending);
         }
 
@@ -393,7 +455,9 @@
             later(verdict.outcome());
         }
 
-        /** Never from inside the call that sends or cancels: the module is in the middle of a step. */
+        /**
+         * Never from inside the call that sends or cancels: the module is in the middle of a step.
+         */
         private void later(Outcome outcome) {
             done = true;
             loop.runOnContext(v -> finish(outcome));
--- a/src/main/java/larchridge/enginelink/EngineLink.java
+++ b/src/main/java/larchridge/enginelink/EngineLink.java
@@ -18,7 +18,10 @@
 
     /** Hears what an engine answered to a probe. */
     interface Told {
-        /** Whether it answered in time, and the load that it told, or null: an engine may answer without knowing it yet. */
+        /**
+         * Whether it answered in time, and the load that it told, or null: an engine may answer
+         * without knowing it yet.
+         */
         void told(boolean answered, Report report);
     }
 
--- a/src/main/java/larchridge/enginelink/Hearing.java
+++ b/src/main/java/larchridge/enginelink/Hearing.java
@@ -3,7 +3,10 @@
 import larchridge.state.Outcome;
 import larchridge.state.Report;
 
-/** What an attempt tells its sender, on the sender's loop and never from inside the call that sent or cancelled it. */
+/**
+ * What an attempt tells its sender, on the sender's loop and never from inside the call that sent
+ * or cancelled it.
+ */
 public interface Hearing {
     /** The prompt is read and its state waits; the last call for this attempt. */
     void read(StateHandle state, int keptToks, int promptToks, Report report);
@@ -14,7 +17,9 @@
     /** A piece of the answer. */
     void piece(String text);
 
-    /** Whole events of the answer that go on as they came; only from links that pass requests on. */
+    /**
+     * Whole events of the answer that go on as they came; only from links that pass requests on.
+     */
     default void events(byte[] whole) {
         throw new UnsupportedOperationException("nobody here passes events on");
     }
@@ -22,14 +27,18 @@
     /** All that came in one go is told; what was gathered of it may go on now, in one write. */
     void soFar();
 
-    /** The engine says that the request itself can't be used, by whomever; the end of the attempt follows. */
+    /**
+     * The engine says that the request itself can't be used, by whomever; the end of the attempt
+     * follows.
+     */
     default void unusable() {
         return;
     }
 
     /**
-     * The state that it is to fetch has been released, since the time for that is all but over and nothing was heard of the
-     * attempt. Where it waits in its engine's queue it goes on; no other attempt can fetch that state.
+     * The state that it is to fetch has been released, since the time for that is all but over and
+     * nothing was heard of the attempt. Where it waits in its engine's queue it goes on; no other
+     * attempt can fetch that state.
      */
     default void stateReleased() {
         return;
--- a/src/main/java/larchridge/enginelink/LoadReport.java
+++ b/src/main/java/larchridge/enginelink/LoadReport.java
@@ -8,14 +8,15 @@
 import larchridge.state.Report;
 
 /**
- * Reads what engines tell of their load: the ORCA header {@code endpoint-load-metrics} of answers in its text and
- * JSON forms, and the page that a probe gets (Prometheus text). Unknown figures are NaN; what can't be read is null.
+ * Reads what engines tell of their load: the ORCA header {@code endpoint-load-metrics} of answers
+ * in its text and JSON forms, and the page that a probe gets (Prometheus text). Unknown figures are
+ * NaN; what can't be read is null.
  */
 final class LoadReport {
     static final String HEADER = "endpoint-load-metrics";
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     static Report ofHeader(String header) {
         if (header == null) {
@@ -26,7 +27,10 @@
             for (String pair : header.substring(5).split(",")) {
                 int equals = pair.indexOf('=');
                 if (equals > 0) {
-                    put(named, pair.substring(0, equals).strip(), pair.substring(equals + 1).strip());
+                    put(
+                            named,
+                            pair.substring(0, equals).strip(),
+                            pair.substring(equals + 1).strip());
                 }
             }
         } else if (header.startsWith("JSON ")) {
@@ -40,7 +44,10 @@
         }
         double running = named.getOrDefault("named_metrics.num_requests_running", Double.NaN);
         double waiting = named.getOrDefault("named_metrics.num_requests_waiting", Double.NaN);
-        return report(running, waiting, named.getOrDefault("named_metrics.kv_cache_usage_perc", Double.NaN),
+        return report(
+                running,
+                waiting,
+                named.getOrDefault("named_metrics.kv_cache_usage_perc", Double.NaN),
                 named.getOrDefault("named_metrics.prompt_tokens_waiting", Double.NaN));
     }
 
@@ -53,14 +60,20 @@
             int space = line.lastIndexOf(' ');
             int brace = line.indexOf('{');
             if (space > 0) {
-                put(named, line.substring(0, brace >= 0 && brace < space ? brace : space),
+                put(
+                        named,
+                        line.substring(0, brace >= 0 && brace < space ? brace : space),
                         line.substring(space + 1));
             }
         }
-        double share = named.getOrDefault("vllm:kv_cache_usage_perc",
-                named.getOrDefault("vllm:gpu_cache_usage_perc", Double.NaN));
-        return report(named.getOrDefault("vllm:num_requests_running", Double.NaN),
-                named.getOrDefault("vllm:num_requests_waiting", Double.NaN), share,
+        double share =
+                named.getOrDefault(
+                        "vllm:kv_cache_usage_perc",
+                        named.getOrDefault("vllm:gpu_cache_usage_perc", Double.NaN));
+        return report(
+                named.getOrDefault("vllm:num_requests_running", Double.NaN),
+                named.getOrDefault("vllm:num_requests_waiting", Double.NaN),
+                share,
                 named.getOrDefault("vllm:prompt_tokens_waiting", Double.NaN));
     }
 
@@ -84,12 +97,14 @@
     }
 
     private static void flatten(Map<String, Double> named, String path, JsonNode node) {
-        node.fields().forEachRemaining(field -> {
-            if (field.getValue().isObject()) {
-                flatten(named, path + field.getKey() + ".", field.getValue());
-            } else if (field.getValue().isNumber()) {
-                put(named, path + field.getKey(), field.getValue().asText());
-            }
-        });
+        node.fields()
+                .forEachRemaining(
+                        field -> {
+                            if (field.getValue().isObject()) {
+                                flatten(named, path + field.getKey() + ".", field.getValue());
+                            } else if (field.getValue().isNumber()) {
+                                put(named, path + field.getKey(), field.getValue().asText());
+                            }
+                        });
     }
 }
--- a/src/main/java/larchridge/enginelink/StateHandle.java
+++ b/src/main/java/larchridge/enginelink/StateHandle.java
@@ -1,4 +1,4 @@
 package larchridge.enginelink;
 
 /** Names a read state that waits at a reader; only the link that gave it can read it. */
-public interface StateHandle { }
+public interface StateHandle {}
--- a/src/main/java/larchridge/enginelink/Verdict.java
+++ b/src/main/java/larchridge/enginelink/Verdict.java
@@ -3,8 +3,9 @@
 import larchridge.state.Outcome;
 
 /**
- * What became of an attempt, judged from what was seen of it. Rule 2 rests on this: an outcome that proves an attempt never
- * ran is only given where the engine could not have seen it or says so itself.
+ * What became of an attempt, judged from what was seen of it. Rule 2 rests on this: an outcome that
+ * proves an attempt never ran is only given where the engine could not have seen it or says so
+ * itself.
  */
 public final class Verdict {
     /** The engine's own word that it knows no such state. */
@@ -69,7 +70,8 @@
     /** The outcome, once nothing more can come. */
     Outcome outcome() {
         if (finished && !garbled && status == 200) {
-            // Danger: an engine that dies between the last token and the end of its stream has answered in full.
+            // Danger: an engine that dies between the last token and the end of its stream has
+            // answered in full.
             return Outcome.STREAMED;
         }
         if (!written) {
@@ -81,7 +83,8 @@
         if (garbled) {
             return Outcome.FAULT;
         }
-        // Danger: a connection that was kept and closes before any byte looks as if nothing was sent; the engine
+        // Danger: a connection that was kept and closes before any byte looks as if nothing was
+        // sent; the engine
         // may have read it and died. It proves nothing.
         if (status == 0 || !clean) {
             return Outcome.CUT;
--- a/src/main/java/larchridge/experiment/Plan.java
+++ b/src/main/java/larchridge/experiment/Plan.java
@@ -14,8 +14,9 @@
 import larchridge.drill.ScriptReader;
 
 /**
- * What an experiment varies: policies, rates (times the script's), engines (times the script's counts), fronts, and seeds.
- * What is left out is as in the script. Policies are choice, the module of this program, and the plain ones.
+ * What an experiment varies: policies, rates (times the script's), engines (times the script's
+ * counts), fronts, and seeds. What is left out is as in the script. Policies are choice, the module
+ * of this program, and the plain ones.
  */
 public final class Plan {
     /** One run of a plan. */
@@ -35,9 +36,13 @@
         }
     }
 
-    private record Form(@JsonProperty("script") String script, @JsonProperty("seeds") List<Long> seeds,
-                        @JsonProperty("policies") List<String> policies, @JsonProperty("rates") List<Double> rates,
-                        @JsonProperty("engines") List<Double> engines, @JsonProperty("fronts") List<Integer> fronts) { }
+    private record Form(
+            @JsonProperty("script") String script,
+            @JsonProperty("seeds") List<Long> seeds,
+            @JsonProperty("policies") List<String> policies,
+            @JsonProperty("rates") List<Double> rates,
+            @JsonProperty("engines") List<Double> engines,
+            @JsonProperty("fronts") List<Integer> fronts) {}
 
     static final String CHOICE = "choice";
     public final Script script;
@@ -52,7 +57,8 @@
         for (String policy : policies) {
             for (double rate : rates) {
                 for (double engines : form.engines == null ? List.of(1.0) : form.engines) {
-                    for (int fronts : form.fronts == null ? List.of(script.fronts()) : form.fronts) {
+                    for (int fronts :
+                            form.fronts == null ? List.of(script.fronts()) : form.fronts) {
                         for (long seed : form.seeds == null ? List.of(1L, 2L, 3L) : form.seeds) {
                             points.add(new Point(policy, rate, engines, fronts, seed));
                         }
@@ -66,7 +72,9 @@
     public static Plan read(Path file) throws BadPlan {
         Form form;
         try {
-            form = new ObjectMapper(new YAMLFactory()).readValue(Files.readString(file), Form.class);
+            form =
+                    new ObjectMapper(new YAMLFactory())
+                            .readValue(Files.readString(file), Form.class);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
             throw new BadPlan(file + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
@@ -78,12 +86,17 @@
         }
         for (String policy : form.policies == null ? List.<String>of() : form.policies) {
             if (!policy.equals(CHOICE) && kind(policy) == null) {
-                throw new BadPlan(file + ": policies: '" + policy + "' is not choice, random, round_robin, least_open, "
-                        + "power_of_two or prefix_hash");
+                throw new BadPlan(
+                        file
+                                + ": policies: '"
+                                + policy
+                                + "' is not choice, random, round_robin, least_open, "
+                                + "power_of_two or prefix_hash");
             }
         }
         try {
-            return new Plan(ScriptReader.read(file.toAbsolutePath().resolveSibling(form.script)), form);
+            return new Plan(
+                    ScriptReader.read(file.toAbsolutePath().resolveSibling(form.script)), form);
         } catch (ScriptReader.BadScript e) {
             throw new BadPlan(e.getMessage());
         }
--- a/src/main/java/larchridge/experiment/Runs.java
+++ b/src/main/java/larchridge/experiment/Runs.java
@@ -19,35 +19,52 @@
 import larchridge.front.Decider;
 import larchridge.virtual.Day;
 
-/** Runs a plan in virtual time, so many runs side by side; each row is written as its run ends, so that a plan goes on where it was. */
+/**
+ * Runs a plan in virtual time, so many runs side by side; each row is written as its run ends, so
+ * that a plan goes on where it was.
+ */
 public final class Runs {
-    static final String HEAD = "policy,rate,engines,fronts,seed,service,asked,streamed,throttled,terminated,p50_ms,p99_ms,"
-            + "read_toks,kept_toks,out_toks,preemptions,evictions,breaches,virtual_per_real,digest";
+    static final String HEAD =
+            "policy,rate,engines,fronts,seed,service,asked,streamed,throttled,terminated,p50_ms,p99_ms,"
+                    + "read_toks,kept_toks,out_toks,preemptions,evictions,breaches,virtual_per_real,digest";
 
     /** One row of the results. */
-    public record Row(Plan.Point point, double service, double p50, double p99, int breaches, String digest, String text) { }
+    public record Row(
+            Plan.Point point,
+            double service,
+            double p50,
+            double p99,
+            int breaches,
+            String digest,
+            String text) {}
 
-    private Runs() { }
+    private Runs() {}
 
     /** Runs what the table does not hold yet; returns all rows in the plan's order. */
-    public static List<Row> run(Plan plan, Path table, int sideBySide) throws IOException, InterruptedException {
+    public static List<Row> run(Plan plan, Path table, int sideBySide)
+            throws IOException, InterruptedException {
         Map<String, Row> known = read(plan, table);
         ExecutorService threads = Executors.newFixedThreadPool(sideBySide);
-        try (BufferedWriter out = Files.newBufferedWriter(table, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+        try (BufferedWriter out =
+                Files.newBufferedWriter(
+                        table, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             if (known.isEmpty() && Files.size(table) == 0) {
                 out.write(HEAD + "\n");
             }
             Map<Plan.Point, Future<Row>> running = new LinkedHashMap<>();
             for (Plan.Point point : plan.points) {
                 if (!known.containsKey(point.key())) {
-                    running.put(point, threads.submit(() -> {
-                        Row row = one(plan, point);
-                        synchronized (out) {
-                            out.write(row.text + "\n");
-                            out.flush();
-                        }
-                        return row;
-                    }));
+                    running.put(
+                            point,
+                            threads.submit(
+                                    () -> {
+                                        Row row = one(plan, point);
+                                        synchronized (out) {
+                                            out.write(row.text + "\n");
+                                            out.flush();
+                                        }
+                                        return row;
+                                    }));
                 }
             }
             for (Map.Entry<Plan.Point, Future<Row>> entry : running.entrySet()) {
@@ -62,10 +79,16 @@
     }
 
     private static Row one(Plan plan, Plan.Point point) {
-        Decider.Maker module = point.policy().equals(Plan.CHOICE) ? Decider::choice
-                : (terms, host) -> new Plain(Plan.kind(point.policy()), terms, host);
-        Day.Result result = Day.play(plan.script.scaled(point.rate(), point.engines(), point.fronts())
-                .withSeed(point.seed()), module);
+        Decider.Maker module =
+                point.policy().equals(Plan.CHOICE)
+                        ? Decider::choice
+                        : (terms, host) -> new Plain(Plan.kind(point.policy()), terms, host);
+        Day.Result result =
+                Day.play(
+                        plan.script
+                                .scaled(point.rate(), point.engines(), point.fronts())
+                                .withSeed(point.seed()),
+                        module);
         long read = 0;
         long kept = 0;
         long out = 0;
@@ -78,18 +101,39 @@
             preempted += sums.preemptions();
             evicted += sums.evictions();
         }
-        String text = String.format(Locale.ROOT, "%s,%.6f,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%.1f,%s", point.key(),
-                result.all().service(), result.all().asked, result.all().streamed, result.all().throttled,
-                result.all().terminated, result.all().firstToken.getValueAtPercentile(50),
-                result.all().firstToken.getValueAtPercentile(99), read, kept, out, preempted, evicted,
-                result.breaches().size(), result.virtualMs() / result.realMs(), result.digest());
+        String text =
+                String.format(
+                        Locale.ROOT,
+                        "%s,%.6f,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%.1f,%s",
+                        point.key(),
+                        result.all().service(),
+                        result.all().asked,
+                        result.all().streamed,
+                        result.all().throttled,
+                        result.all().terminated,
+                        result.all().firstToken.getValueAtPercentile(50),
+                        result.all().firstToken.getValueAtPercentile(99),
+                        read,
+                        kept,
+                        out,
+                        preempted,
+                        evicted,
+                        result.breaches().size(),
+                        result.virtualMs() / result.realMs(),
+                        result.digest());
         return row(point, text);
     }
 
     private static Row row(Plan.Point point, String text) {
         String[] cells = text.split(",");
-        return new Row(point, Double.parseDouble(cells[5]), Double.parseDouble(cells[10]), Double.parseDouble(cells[11]),
-                Integer.parseInt(cells[17]), cells[19], text);
+        return new Row(
+                point,
+                Double.parseDouble(cells[5]),
+                Double.parseDouble(cells[10]),
+                Double.parseDouble(cells[11]),
+                Integer.parseInt(cells[17]),
+                cells[19],
+                text);
     }
 
     /** Rows of runs that ended; a last line that was cut short is run again. */
@@ -103,7 +147,8 @@
         for (String line : all.substring(0, all.lastIndexOf('\n') + 1).split("\n")) {
             whole.add(line);
             for (Plan.Point point : plan.points) {
-                if (line.startsWith(point.key() + ",") && line.split(",").length == HEAD.split(",").length) {
+                if (line.startsWith(point.key() + ",")
+                        && line.split(",").length == HEAD.split(",").length) {
                     rows.put(point.key(), row(point, line));
                 }
             }
--- a/src/main/java/larchridge/experiment/Search.java
+++ b/src/main/java/larchridge/experiment/Search.java
@@ -21,21 +21,39 @@
 import larchridge.virtual.Day;
 
 /**
- * Looks for the troubles under which the module does worst: those that break a rule, else those under which a plain policy
- * serves most more than it does. A bounded random search that goes on from the worst so far, then makes it small: every trouble,
- * engine and length that is not needed goes. From a seed; the same seed finds the same.
+ * Looks for the troubles under which the module does worst: those that break a rule, else those
+ * under which a plain policy serves most more than it does. A bounded random search that goes on
+ * from the worst so far, then makes it small: every trouble, engine and length that is not needed
+ * goes. From a seed; the same seed finds the same.
  */
 public final class Search {
-    private static final List<String> KINDS = List.of("crash", "pause", "slow", "lost", "full", "faulty", "broken", "forgetful",
-            "flush", "stall", "drain", "remove", "burst");
+    private static final List<String> KINDS =
+            List.of(
+                    "crash",
+                    "pause",
+                    "slow",
+                    "lost",
+                    "full",
+                    "faulty",
+                    "broken",
+                    "forgetful",
+                    "flush",
+                    "stall",
+                    "drain",
+                    "remove",
+                    "burst");
     private static final int MOST_TROUBLES = 5;
     private static final int KEPT = 4;
     private static final double KEEPS = 0.8;
     private static final double BREACH = 10;
-    private static final List<Plain.Kind> BESIDE = List.of(Plain.Kind.LEAST_OPEN, Plain.Kind.PREFIX_HASH);
+    private static final List<Plain.Kind> BESIDE =
+            List.of(Plain.Kind.LEAST_OPEN, Plain.Kind.PREFIX_HASH);
 
-    /** A script with how bad it is: {@value #BREACH} and more for a broken rule, else what a plain policy serves more. */
-    public record Found(Script script, double badness, double service, int breaches) { }
+    /**
+     * A script with how bad it is: {@value #BREACH} and more for a broken rule, else what a plain
+     * policy serves more.
+     */
+    public record Found(Script script, double badness, double service, int breaches) {}
 
     private final Script base;
     private final Random random;
@@ -50,7 +68,8 @@
     }
 
     /** Tries so many scripts, then shrinks the worst. */
-    public static Found run(Script base, long seed, int tries, int sideBySide) throws InterruptedException {
+    public static Found run(Script base, long seed, int tries, int sideBySide)
+            throws InterruptedException {
         Search search = new Search(base, seed, sideBySide);
         try {
             return search.shrink(search.worst(tries, sideBySide));
@@ -65,7 +84,14 @@
             List<Script> next = new ArrayList<>();
             for (int i = 0; i < atATime; i++) {
                 boolean fresh = best.isEmpty() || random.nextInt(3) == 0;
-                next.add(fresh ? with(fresh()) : with(changed(best.get(random.nextInt(best.size())).script.troubles())));
+                next.add(
+                        fresh
+                                ? with(fresh())
+                                : with(
+                                        changed(
+                                                best.get(random.nextInt(best.size()))
+                                                        .script
+                                                        .troubles())));
             }
             best.addAll(all(next));
             // Ties by the order found: the same seed finds the same.
@@ -76,7 +102,10 @@
     }
 
     private Script with(List<Script.Trouble> troubles) {
-        return base.withTroubles(troubles.stream().sorted(Comparator.comparingDouble(Script.Trouble::atMs)).toList());
+        return base.withTroubles(
+                troubles.stream()
+                        .sorted(Comparator.comparingDouble(Script.Trouble::atMs))
+                        .toList());
     }
 
     private List<Script.Trouble> fresh() {
@@ -101,16 +130,21 @@
         String kind = KINDS.get(random.nextInt(KINDS.size()));
         double at = Math.round(base.durationMs() * (0.1 + 0.6 * random.nextDouble()));
         double length = Math.round(base.durationMs() * (0.03 + 0.3 * random.nextDouble()));
-        double size = switch (kind) {
-            case "slow" -> 2 + random.nextInt(20);
-            case "stall" -> 1 + random.nextInt(20);
-            case "burst" -> 1.5 + random.nextInt(4) * 0.5;
-            default -> 0.2 + 0.8 * random.nextDouble();
-        };
-        return new Script.Trouble(at, length, kind, kind.equals("burst") ? List.of() : some(), size);
+        double size =
+                switch (kind) {
+                    case "slow" -> 2 + random.nextInt(20);
+                    case "stall" -> 1 + random.nextInt(20);
+                    case "burst" -> 1.5 + random.nextInt(4) * 0.5;
+                    default -> 0.2 + 0.8 * random.nextDouble();
+                };
+        return new Script.Trouble(
+                at, length, kind, kind.equals("burst") ? List.of() : some(), size);
     }
 
-    /** Engines that fail together: some by chance, or a rack, or all of one role in a zone; never more than half. */
+    /**
+     * Engines that fail together: some by chance, or a rack, or all of one role in a zone; never
+     * more than half.
+     */
     private List<Long> some() {
         Make one = makes.get(random.nextInt(makes.size()));
         int how = random.nextInt(3);
@@ -118,8 +152,12 @@
         ids.add(one.id());
         int most = Math.max(1, makes.size() / 2);
         for (Make make : makes) {
-            boolean with = how == 0 ? random.nextInt(6) == 0 : how == 1 ? make.zone().equals(one.zone())
-                    && make.rack() == one.rack() : make.zone().equals(one.zone()) && make.role() == one.role();
+            boolean with =
+                    how == 0
+                            ? random.nextInt(6) == 0
+                            : how == 1
+                                    ? make.zone().equals(one.zone()) && make.rack() == one.rack()
+                                    : make.zone().equals(one.zone()) && make.role() == one.role();
             if (with && ids.size() < most) {
                 ids.add(make.id());
             }
@@ -143,16 +181,24 @@
         return found;
     }
 
-    /** Plays a script with the module, and where it breaks no rule with plain policies beside it. */
+    /**
+     * Plays a script with the module, and where it breaks no rule with plain policies beside it.
+     */
     static Found judge(Script script) {
         Day.Result ours = Day.play(script);
         double service = ours.all().service();
         if (!ours.breaches().isEmpty()) {
-            return new Found(script, BREACH + ours.breaches().size(), service, ours.breaches().size());
+            return new Found(
+                    script, BREACH + ours.breaches().size(), service, ours.breaches().size());
         }
         double other = 0;
         for (Plain.Kind kind : BESIDE) {
-            other = Math.max(other, Day.play(script, (terms, host) -> new Plain(kind, terms, host)).all().service());
+            other =
+                    Math.max(
+                            other,
+                            Day.play(script, (terms, host) -> new Plain(kind, terms, host))
+                                    .all()
+                                    .service());
         }
         return new Found(script, other - service, service, 0);
     }
@@ -170,13 +216,34 @@
                 if (troubles.size() > 1) {
                     tries.add(with(changed(troubles, i, null)));
                 }
-                for (Long engine : trouble.engines().size() > 1 ? trouble.engines() : List.<Long>of()) {
-                    tries.add(with(changed(troubles, i, new Script.Trouble(trouble.atMs(), trouble.forMs(), trouble.kind(),
-                            trouble.engines().stream().filter(id -> !id.equals(engine)).toList(), trouble.size()))));
+                for (Long engine :
+                        trouble.engines().size() > 1 ? trouble.engines() : List.<Long>of()) {
+                    tries.add(
+                            with(
+                                    changed(
+                                            troubles,
+                                            i,
+                                            new Script.Trouble(
+                                                    trouble.atMs(),
+                                                    trouble.forMs(),
+                                                    trouble.kind(),
+                                                    trouble.engines().stream()
+                                                            .filter(id -> !id.equals(engine))
+                                                            .toList(),
+                                                    trouble.size()))));
                 }
                 if (trouble.forMs() > 400) {
-                    tries.add(with(changed(troubles, i, new Script.Trouble(trouble.atMs(), Math.round(trouble.forMs() / 2),
-                            trouble.kind(), trouble.engines(), trouble.size()))));
+                    tries.add(
+                            with(
+                                    changed(
+                                            troubles,
+                                            i,
+                                            new Script.Trouble(
+                                                    trouble.atMs(),
+                                                    Math.round(trouble.forMs() / 2),
+                                                    trouble.kind(),
+                                                    trouble.engines(),
+                                                    trouble.size()))));
                 }
             }
             for (Found one : all(tries)) {
@@ -190,7 +257,8 @@
         return least;
     }
 
-    private static List<Script.Trouble> changed(List<Script.Trouble> troubles, int at, Script.Trouble other) {
+    private static List<Script.Trouble> changed(
+            List<Script.Trouble> troubles, int at, Script.Trouble other) {
         List<Script.Trouble> all = new ArrayList<>(troubles);
         if (other == null) {
             all.remove(at);
@@ -202,6 +270,8 @@
 
     /** A script as a file that can be played again. */
     public static String yaml(Script script) throws IOException {
-        return new ObjectMapper(new YAMLFactory().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER)).writeValueAsString(script);
+        return new ObjectMapper(
+                        new YAMLFactory().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER))
+                .writeValueAsString(script);
     }
 }
--- a/src/main/java/larchridge/faults/FaultRig.java
+++ b/src/main/java/larchridge/faults/FaultRig.java
@@ -22,7 +22,10 @@
 import larchridge.standin.Make;
 import larchridge.state.Role;
 
-/** Plays one script over real node processes and judges it. Bounded in time, processes and requests; ends by itself. */
+/**
+ * Plays one script over real node processes and judges it. Bounded in time, processes and requests;
+ * ends by itself.
+ */
 public final class FaultRig {
     private static final int RACK_ENGINES = 4;
     private static final double LOOK_MS = 20;
@@ -36,15 +39,18 @@
     final FaultScript script;
     final Plant plant;
     final Path folder;
-    final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = (EventLoop) group.next();
     final ScheduledExecutorService signals = Executors.newSingleThreadScheduledExecutor();
     final TrafficLog log = new TrafficLog();
     final RigStates states = new RigStates(log);
     final List<RigEngine> engines = new ArrayList<>();
     final List<RigNode> nodes = new ArrayList<>();
+
     /** By node, then engine. */
     final List<List<RigLink>> links = new ArrayList<>();
+
     final RigLists lists;
     final List<String> faults = new ArrayList<>();
     RigClients clients;
@@ -54,7 +60,9 @@
     private double startMs;
     private boolean over;
 
-    /** Plant is what goes wrong outside the nodes on purpose, so that the judgement can be judged. */
+    /**
+     * Plant is what goes wrong outside the nodes on purpose, so that the judgement can be judged.
+     */
     public FaultRig(FaultScript script, Plant plant, Path folder) {
         this.script = script;
         this.plant = plant;
@@ -86,11 +94,12 @@
             endNodes();
             return judge();
         } finally {
-            nodes.forEach(node -> {
-                if (node.isAlive()) {
-                    node.kill();
-                }
-            });
+            nodes.forEach(
+                    node -> {
+                        if (node.isAlive()) {
+                            node.kill();
+                        }
+                    });
             signals.shutdownNow();
             group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).await(2000);
         }
@@ -99,7 +108,12 @@
     private void build() throws IOException, InterruptedException {
         Path library = Shim.build(folder);
         for (int i = 0; i < script.readers() + script.writers(); i++) {
-            Make make = Make.of(i, i < script.readers() ? Role.READER : Role.WRITER, i % 2 == 0 ? "a" : "b", i / RACK_ENGINES);
+            Make make =
+                    Make.of(
+                            i,
+                            i < script.readers() ? Role.READER : Role.WRITER,
+                            i % 2 == 0 ? "a" : "b",
+                            i / RACK_ENGINES);
             RigEngine engine = new RigEngine(make, group, log, states, script.seed() * 1000 + i);
             engine.ignoresReleases = plant == Plant.RELEASES_IGNORED;
             engine.runsTwice = plant == Plant.RUNS_TWICE;
@@ -111,7 +125,11 @@
             int number = i;
             List<RigLink> own = new ArrayList<>();
             for (RigEngine engine : engines) {
-                own.add(new RigLink(group, engine.port(), script.seed() * 7919 + i * 100L + engine.number));
+                own.add(
+                        new RigLink(
+                                group,
+                                engine.port(),
+                                script.seed() * 7919 + i * 100L + engine.number));
             }
             links.add(own);
             RigAgent agent = new RigAgent(group, lists::index, () -> lists.text(number));
@@ -121,7 +139,9 @@
         }
         // Only now, so that no listener of the rig is given a node's address.
         for (int i = 0; i < script.nodes(); i++) {
-            nodes.add(new RigNode(i, nodePort(i), agents.get(i), shims.get(i), folder, RigSettings.JSON));
+            nodes.add(
+                    new RigNode(
+                            i, nodePort(i), agents.get(i), shims.get(i), folder, RigSettings.JSON));
         }
         clients = new RigClients(group, log, nodes, RigSettings.CLASSES, script.seed() + 17);
         clients.dropsAnswers(plant == Plant.ANSWERS_DROPPED);
@@ -132,10 +152,14 @@
         }
     }
 
-    /** A free port below those that the system gives to outgoing connections, which would take it while its node is down. */
+    /**
+     * A free port below those that the system gives to outgoing connections, which would take it
+     * while its node is down.
+     */
     private static int nodePort(int node) throws IOException {
         for (int port = FIRST_PORT + node; port < LAST_PORT; port += STEP_PORTS) {
-            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
+            try (ServerSocket socket =
+                    new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
                 return socket.getLocalPort();
             } catch (IOException e) {
                 continue;
@@ -146,32 +170,46 @@
 
     private boolean awaitReady() throws InterruptedException {
         CountDownLatch ready = new CountDownLatch(nodes.size());
-        nodes.forEach(node -> loop.execute(() -> awaitUp(node, log.now() + START_MS, ready::countDown)));
+        nodes.forEach(
+                node -> loop.execute(() -> awaitUp(node, log.now() + START_MS, ready::countDown)));
         return ready.await((long) START_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Asks a node until it can serve, or its time is up. */
     private void awaitUp(RigNode node, double untilMs, Runnable then) {
-        new RigProbe(group).isUp(node.port, up -> {
-            if (up) {
-                node.state = RigNode.State.UP;
-                then.run();
-            } else if (log.now() < untilMs && node.state == RigNode.State.STARTING && !over) {
-                in(100, () -> awaitUp(node, untilMs, then));
-            } else if (!over && node.state == RigNode.State.STARTING) {
-                faults.add("node " + node.number + ": not ready " + Math.round(START_MS) + " ms after its start");
-            }
-        });
+        new RigProbe(group)
+                .isUp(
+                        node.port,
+                        up -> {
+                            if (up) {
+                                node.state = RigNode.State.UP;
+                                then.run();
+                            } else if (log.now() < untilMs
+                                    && node.state == RigNode.State.STARTING
+                                    && !over) {
+                                in(100, () -> awaitUp(node, untilMs, then));
+                            } else if (!over && node.state == RigNode.State.STARTING) {
+                                faults.add(
+                                        "node "
+                                                + node.number
+                                                + ": not ready "
+                                                + Math.round(START_MS)
+                                                + " ms after its start");
+                            }
+                        });
     }
 
     void in(double ms, Runnable step) {
-        loop.schedule(() -> {
-            try {
-                step.run();
-            } catch (RuntimeException e) {
-                faults.add("the rig itself failed: " + e);
-            }
-        }, (long) (Math.max(0, ms) * 1e6), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    try {
+                        step.run();
+                    } catch (RuntimeException e) {
+                        faults.add("the rig itself failed: " + e);
+                    }
+                },
+                (long) (Math.max(0, ms) * 1e6),
+                TimeUnit.NANOSECONDS);
     }
 
     private void begin() {
@@ -197,7 +235,12 @@
                 continue;
             }
             if (node.state == RigNode.State.UP || node.state == RigNode.State.STARTING) {
-                faults.add("node " + node.number + ": the process ended by itself at " + Math.round(now - startMs) + " ms");
+                faults.add(
+                        "node "
+                                + node.number
+                                + ": the process ended by itself at "
+                                + Math.round(now - startMs)
+                                + " ms");
             }
             if (node.state != RigNode.State.DOWN) {
                 node.state = RigNode.State.DOWN;
@@ -218,14 +261,15 @@
             return;
         }
         try {
-            node.configure(random.nextBoolean() ? lists.text(node.number) : lists.older(node.number));
+            node.configure(
+                    random.nextBoolean() ? lists.text(node.number) : lists.older(node.number));
             node.start();
         } catch (IOException e) {
             faults.add("node " + node.number + ": can't be started: " + e.getMessage());
             return;
         }
         lists.started(node);
-        in(200, () -> awaitUp(node, log.now() + START_MS, () -> { }));
+        in(200, () -> awaitUp(node, log.now() + START_MS, () -> {}));
     }
 
     /** Open loop: the next request comes whether or not the last one was answered. */
@@ -238,27 +282,50 @@
     }
 
     private void endNodes() throws InterruptedException, ExecutionException {
-        loop.submit(() -> nodes.stream().filter(RigNode::isAlive).forEach(node -> node.terminate(log.now()))).get();
+        loop.submit(
+                        () ->
+                                nodes.stream()
+                                        .filter(RigNode::isAlive)
+                                        .forEach(node -> node.terminate(log.now())))
+                .get();
         for (RigNode node : nodes) {
             if (!node.awaitEnd((long) END_MS)) {
-                faults.add("node " + node.number + ": still there " + Math.round(END_MS) + " ms after the word to end");
+                faults.add(
+                        "node "
+                                + node.number
+                                + ": still there "
+                                + Math.round(END_MS)
+                                + " ms after the word to end");
             }
         }
     }
 
     private Judgement judge() throws IOException, InterruptedException, ExecutionException {
-        loop.submit(() -> { }).get();
+        loop.submit(() -> {}).get();
         Map<Long, Make> makes = new HashMap<>();
         engines.forEach(engine -> makes.put(engine.number, engine.judgedMake(plant)));
         TrafficLog.write(log.all(), folder.resolve("traffic.jsonl"));
         faults.addAll(clients == null ? List.of() : clients.stoppedTooLong());
-        faults.addAll(RigJudge.judge(log.all(), lists.told(), script.nodes(), RigJudge.figures(RigSettings.DRAIN_GRACE_MS,
-                RigSettings.RELEASE_MS, RigSettings.products(), makes), lateMs));
+        faults.addAll(
+                RigJudge.judge(
+                        log.all(),
+                        lists.told(),
+                        script.nodes(),
+                        RigJudge.figures(
+                                RigSettings.DRAIN_GRACE_MS,
+                                RigSettings.RELEASE_MS,
+                                RigSettings.products(),
+                                makes),
+                        lateMs));
         for (RigNode node : nodes) {
             faults.addAll(node.faults());
         }
         Files.write(folder.resolve("faults.txt"), faults);
         List<String> kept = List.copyOf(faults.subList(0, Math.min(KEPT_LINES, faults.size())));
-        return new Judgement(kept, clients == null ? 0 : clients.requests(), clients == null ? 0 : clients.answeredWhole, lateMs);
+        return new Judgement(
+                kept,
+                clients == null ? 0 : clients.requests(),
+                clients == null ? 0 : clients.answeredWhole,
+                lateMs);
     }
 }
--- a/src/main/java/larchridge/faults/FaultScript.java
+++ b/src/main/java/larchridge/faults/FaultScript.java
@@ -16,24 +16,40 @@
 import org.yaml.snakeyaml.constructor.SafeConstructor;
 
 /**
- * What one run plays: sizes, traffic and troubles. Drawn from a seed, written as YAML, and read again to be played again.
+ * What one run plays: sizes, traffic and troubles. Drawn from a seed, written as YAML, and read
+ * again to be played again.
  *
- * @param seconds   the run's length; the last {@value #CALM_S} s have no trouble
+ * @param seconds the run's length; the last {@value #CALM_S} s have no trouble
  * @param perSecond requests a second over all nodes
  */
-public record FaultScript(long seed, int nodes, int readers, int writers, double seconds, double perSecond,
-                          List<Trouble> troubles) {
+public record FaultScript(
+        long seed,
+        int nodes,
+        int readers,
+        int writers,
+        double seconds,
+        double perSecond,
+        List<Trouble> troubles) {
     /** Nothing begins before, and everything is over for so long at the end. */
     static final double CALM_S = 10;
+
     private static final double FIRST_MS = 2500;
+
     /** On average so many troubles run at a time. */
     private static final double AT_ONCE = 2.5;
+
     private static final double SHORTEST_MS = 1000;
     private static final double LONGEST_MS = 6000;
 
     /** A script of a seed, with kinds out of those given. */
-    public static FaultScript draw(long seed, int nodes, int readers, int writers, double seconds, double perSecond,
-                                   List<TroubleKind> kinds) {
+    public static FaultScript draw(
+            long seed,
+            int nodes,
+            int readers,
+            int writers,
+            double seconds,
+            double perSecond,
+            List<TroubleKind> kinds) {
         Random random = new Random(seed);
         double spanMs = Math.max(0, (seconds - CALM_S) * 1000 - FIRST_MS);
         List<Trouble> troubles = new ArrayList<>();
@@ -43,13 +59,21 @@
             TroubleKind kind = kinds.get(random.nextInt(kinds.size()));
             double length = SHORTEST_MS + random.nextDouble() * (LONGEST_MS - SHORTEST_MS);
             double at = FIRST_MS + random.nextDouble() * Math.max(0, spanMs - length);
-            troubles.add(new Trouble(kind, Math.round(at), Math.round(Math.min(length, spanMs)),
-                    some(random, readers + writers, 1 + random.nextInt(Math.max(1, (readers + writers) / 3))),
-                    some(random, nodes, 1 + random.nextInt(Math.max(1, nodes / 3))),
-                    Math.round(random.nextDouble() * 1000) / 1000.0));
+            troubles.add(
+                    new Trouble(
+                            kind,
+                            Math.round(at),
+                            Math.round(Math.min(length, spanMs)),
+                            some(
+                                    random,
+                                    readers + writers,
+                                    1 + random.nextInt(Math.max(1, (readers + writers) / 3))),
+                            some(random, nodes, 1 + random.nextInt(Math.max(1, nodes / 3))),
+                            Math.round(random.nextDouble() * 1000) / 1000.0));
         }
         troubles.sort(Comparator.comparingDouble(Trouble::atMs));
-        return new FaultScript(seed, nodes, readers, writers, seconds, perSecond, List.copyOf(troubles));
+        return new FaultScript(
+                seed, nodes, readers, writers, seconds, perSecond, List.copyOf(troubles));
     }
 
     private static List<Integer> some(Random random, int of, int count) {
@@ -100,9 +124,14 @@
             for (Object one : list) {
                 troubles.add(trouble(file, troubles.size(), one));
             }
-            return new FaultScript((long) number(file, map, "seed"), (int) number(file, map, "nodes"),
-                    (int) number(file, map, "readers"), (int) number(file, map, "writers"), number(file, map, "seconds"),
-                    number(file, map, "per_second"), List.copyOf(troubles));
+            return new FaultScript(
+                    (long) number(file, map, "seed"),
+                    (int) number(file, map, "nodes"),
+                    (int) number(file, map, "readers"),
+                    (int) number(file, map, "writers"),
+                    number(file, map, "seconds"),
+                    number(file, map, "per_second"),
+                    List.copyOf(troubles));
         }
     }
 
@@ -115,26 +144,39 @@
         try {
             kind = TroubleKind.valueOf(String.valueOf(map.get("kind")));
         } catch (IllegalArgumentException e) {
-            throw new IOException(where + ".kind is '" + map.get("kind") + "'; expected one of "
-                    + List.of(TroubleKind.values()), e);
+            throw new IOException(
+                    where
+                            + ".kind is '"
+                            + map.get("kind")
+                            + "'; expected one of "
+                            + List.of(TroubleKind.values()),
+                    e);
         }
-        return new Trouble(kind, number(file, map, "at_ms"), number(file, map, "length_ms"), numbers(where, map, "engines"),
-                numbers(where, map, "nodes"), number(file, map, "size"));
+        return new Trouble(
+                kind,
+                number(file, map, "at_ms"),
+                number(file, map, "length_ms"),
+                numbers(where, map, "engines"),
+                numbers(where, map, "nodes"),
+                number(file, map, "size"));
     }
 
     private static double number(Path file, Map<?, ?> map, String member) throws IOException {
         if (map.get(member) instanceof Number value) {
             return value.doubleValue();
         }
-        throw new IOException(file + ": " + member + " is " + map.get(member) + "; expected a number");
+        throw new IOException(
+                file + ": " + member + " is " + map.get(member) + "; expected a number");
     }
 
-    private static List<Integer> numbers(String where, Map<?, ?> map, String member) throws IOException {
+    private static List<Integer> numbers(String where, Map<?, ?> map, String member)
+            throws IOException {
         List<Integer> numbers = new ArrayList<>();
         if (map.get(member) instanceof List<?> list) {
             for (Object one : list) {
                 if (!(one instanceof Integer value)) {
-                    throw new IOException(where + "." + member + " holds " + one + "; expected whole numbers");
+                    throw new IOException(
+                            where + "." + member + " holds " + one + "; expected whole numbers");
                 }
                 numbers.add(value);
             }
--- a/src/main/java/larchridge/faults/FaultScripts.java
+++ b/src/main/java/larchridge/faults/FaultScripts.java
@@ -5,13 +5,17 @@
 
 /** Which troubles a machine can play. */
 public final class FaultScripts {
-    private FaultScripts() { }
+    private FaultScripts() {}
 
-    /** The kinds asked for, all where none is, without those that need a C compiler where there is none; says what is left out. */
+    /**
+     * The kinds asked for, all where none is, without those that need a C compiler where there is
+     * none; says what is left out.
+     */
     public static List<TroubleKind> playable(List<TroubleKind> asked, boolean shim) {
         List<TroubleKind> kinds = asked.isEmpty() ? Arrays.asList(TroubleKind.values()) : asked;
         if (!shim) {
-            System.out.println("no C compiler: system calls don't fail and clocks don't step in this run");
+            System.out.println(
+                    "no C compiler: system calls don't fail and clocks don't step in this run");
         }
         return kinds.stream().filter(kind -> shim || !kind.needsShim()).toList();
     }
--- a/src/main/java/larchridge/faults/Plant.java
+++ b/src/main/java/larchridge/faults/Plant.java
@@ -1,6 +1,9 @@
 package larchridge.faults;
 
-/** Faults that the rig plants outside the nodes, to show that its judgement sees what each trouble could bring about. */
+/**
+ * Faults that the rig plants outside the nodes, to show that its judgement sees what each trouble
+ * could bring about.
+ */
 public enum Plant {
     NONE,
     /** Engines answer releases and release nothing: seen as rule 5. */
@@ -9,9 +12,15 @@
     ANSWERS_DROPPED,
     /** Engines run each request twice: seen as rule 2. */
     RUNS_TWICE,
-    /** Agents tell of drains a second late, and are judged as though they had told at once: seen as rule 3. */
+    /**
+     * Agents tell of drains a second late, and are judged as though they had told at once: seen as
+     * rule 3.
+     */
     DRAINS_TOLD_LATE,
-    /** Engines that start anew bear hardly anything, and no list tells of their start: seen as rule 4. */
+    /**
+     * Engines that start anew bear hardly anything, and no list tells of their start: seen as rule
+     * 4.
+     */
     COLD_STARTS_HIDDEN,
     /** Nodes are killed where they should be told to end: seen as rule 1. */
     KILLED_FOR_TERM,
--- a/src/main/java/larchridge/faults/RigAgent.java
+++ b/src/main/java/larchridge/faults/RigAgent.java
@@ -25,7 +25,12 @@
 /** One node's discovery agent: whole lists and watches. All methods run on the rig's loop. */
 final class RigAgent {
     /** How the agent answers. */
-    enum Mood { GOOD, SILENT, RESETS, PIECES }
+    enum Mood {
+        GOOD,
+        SILENT,
+        RESETS,
+        PIECES
+    }
 
     private static final double MOVED_CLOSES_MS = 1500;
     private static final int PIECES = 12;
@@ -40,9 +45,10 @@
     private Mood mood = Mood.GOOD;
     private int calls;
 
-    private record Watch(Channel channel, int after) { }
+    private record Watch(Channel channel, int after) {}
 
-    RigAgent(EventLoopGroup loop, IntSupplier index, Supplier<String> list) throws InterruptedException {
+    RigAgent(EventLoopGroup loop, IntSupplier index, Supplier<String> list)
+            throws InterruptedException {
         this.loop = loop;
         this.index = index;
         this.list = list;
@@ -50,14 +56,23 @@
     }
 
     private io.netty.channel.ChannelFuture listen() {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 256).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpRequestDecoder(), new HttpObjectAggregator(1 << 16), new Handler());
-                    }
-                }).bind("127.0.0.1", 0);
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 256)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpRequestDecoder(),
+                                                new HttpObjectAggregator(1 << 16),
+                                                new Handler());
+                            }
+                        })
+                .bind("127.0.0.1", 0);
     }
 
     int port() {
@@ -84,12 +99,17 @@
     void move(Runnable moved) {
         Channel old = listener;
         Set<Channel> before = Set.copyOf(connections);
-        listen().addListener((io.netty.channel.ChannelFuture done) -> {
-            listener = done.channel();
-            old.close();
-            loop.next().schedule(() -> before.forEach(Channel::close), (long) MOVED_CLOSES_MS, TimeUnit.MILLISECONDS);
-            moved.run();
-        });
+        listen().addListener(
+                        (io.netty.channel.ChannelFuture done) -> {
+                            listener = done.channel();
+                            old.close();
+                            loop.next()
+                                    .schedule(
+                                            () -> before.forEach(Channel::close),
+                                            (long) MOVED_CLOSES_MS,
+                                            TimeUnit.MILLISECONDS);
+                            moved.run();
+                        });
     }
 
     /** The list has changed: open watches are answered. */
@@ -131,11 +151,19 @@
             Watch watch = new Watch(context.channel(), Integer.parseInt(after.get(0)));
             watches.add(watch);
             long waitMs = Long.parseLong(query.parameters().get("wait_ms").get(0));
-            loop.next().schedule(() -> {
-                if (watches.remove(watch) && mood != Mood.SILENT) {
-                    write(watch.channel, "{\"index\":" + index.getAsInt() + ",\"snapshot\":false,\"endpoints\":[]}");
-                }
-            }, waitMs, TimeUnit.MILLISECONDS);
+            loop.next()
+                    .schedule(
+                            () -> {
+                                if (watches.remove(watch) && mood != Mood.SILENT) {
+                                    write(
+                                            watch.channel,
+                                            "{\"index\":"
+                                                    + index.getAsInt()
+                                                    + ",\"snapshot\":false,\"endpoints\":[]}");
+                                }
+                            },
+                            waitMs,
+                            TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -155,8 +183,13 @@
     }
 
     private void write(Channel channel, String body) {
-        ByteBuf all = Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body, StandardCharsets.ISO_8859_1);
+        ByteBuf all =
+                Unpooled.copiedBuffer(
+                        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+                                + body.length()
+                                + "\r\n\r\n"
+                                + body,
+                        StandardCharsets.ISO_8859_1);
         if (mood != Mood.PIECES) {
             channel.writeAndFlush(all);
             return;
@@ -164,7 +197,11 @@
         int piece = Math.max(1, all.readableBytes() / PIECES);
         for (int i = 0; all.isReadable(); i++) {
             ByteBuf part = all.readRetainedSlice(Math.min(piece, all.readableBytes()));
-            loop.next().schedule(() -> channel.writeAndFlush(part), (long) (i * PIECE_MS * 1e6), TimeUnit.NANOSECONDS);
+            loop.next()
+                    .schedule(
+                            () -> channel.writeAndFlush(part),
+                            (long) (i * PIECE_MS * 1e6),
+                            TimeUnit.NANOSECONDS);
         }
         all.release();
     }
--- a/src/main/java/larchridge/faults/RigChannels.java
+++ b/src/main/java/larchridge/faults/RigChannels.java
@@ -6,7 +6,7 @@
 
 /** What the rig's listeners and proxies do to connections. */
 final class RigChannels {
-    private RigChannels() { }
+    private RigChannels() {}
 
     /** Ends a connection with a reset. */
     static void reset(Channel channel) {
--- a/src/main/java/larchridge/faults/RigClients.java
+++ b/src/main/java/larchridge/faults/RigClients.java
@@ -27,22 +27,30 @@
 import larchridge.drill.TrafficLog;
 
 /**
- * Clients of the nodes: an open loop of requests over kept connections, clients that leave, stop in the middle or only
- * connect. What they see goes into the traffic log. All methods run on the rig's loop.
+ * Clients of the nodes: an open loop of requests over kept connections, clients that leave, stop in
+ * the middle or only connect. What they see goes into the traffic log. All methods run on the rig's
+ * loop.
  */
 final class RigClients {
-    /** New connections go to a node for so long after it was told to end; kept ones are used as long as they stay. */
+    /**
+     * New connections go to a node for so long after it was told to end; kept ones are used as long
+     * as they stay.
+     */
     private static final double COMING_MS = 400;
+
     private static final int CROWD = 60;
     private static final int STOPPED = 5;
     private static final int LAST_REQUESTS = 3;
     private static final long LAST_WAIT_MS = 4500;
+
     /** A client that stops is owed its error or close in this time, and the rig's own lateness. */
     static final double STOPPED_OWED_MS = 3000;
-    private static final String BODY = "{\"model\":\"m\",\"stream\":true,\"max_tokens\":40,\"messages\":[]}";
+
+    private static final String BODY =
+            "{\"model\":\"m\",\"stream\":true,\"max_tokens\":40,\"messages\":[]}";
 
     /** A class of requests. */
-    record RequestClass(String name, int deadlineMs, double share) { }
+    record RequestClass(String name, int deadlineMs, double share) {}
 
     private final EventLoopGroup loop;
     private final TrafficLog log;
@@ -56,7 +64,12 @@
     private long requests;
     int answeredWhole;
 
-    RigClients(EventLoopGroup loop, TrafficLog log, List<RigNode> nodes, List<RequestClass> classes, long seed) {
+    RigClients(
+            EventLoopGroup loop,
+            TrafficLog log,
+            List<RigNode> nodes,
+            List<RequestClass> classes,
+            long seed) {
         this.loop = loop;
         this.log = log;
         this.nodes = nodes;
@@ -80,21 +93,27 @@
         int[] left = {LAST_REQUESTS};
         boolean[] served = new boolean[1];
         for (int i = 0; i < LAST_REQUESTS; i++) {
-            Exchange exchange = new Exchange(String.format("%016x", random.nextLong()), classes.get(0), node);
-            exchange.ended = whole -> {
-                served[0] |= whole;
-                if (--left[0] == 0) {
-                    told.accept(served[0]);
-                }
-            };
+            Exchange exchange =
+                    new Exchange(String.format("%016x", random.nextLong()), classes.get(0), node);
+            exchange.ended =
+                    whole -> {
+                        served[0] |= whole;
+                        if (--left[0] == 0) {
+                            told.accept(served[0]);
+                        }
+                    };
             requests++;
             exchange.begin();
         }
-        loop.next().schedule(() -> {
-            if (left[0] > 0) {
-                told.accept(served[0]);
-            }
-        }, LAST_WAIT_MS, TimeUnit.MILLISECONDS);
+        loop.next()
+                .schedule(
+                        () -> {
+                            if (left[0] > 0) {
+                                told.accept(served[0]);
+                            }
+                        },
+                        LAST_WAIT_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     List<String> stoppedTooLong() {
@@ -104,8 +123,12 @@
     /** Sends one request to some node that takes them. */
     void send() {
         double now = log.now();
-        Predicate<RigNode> takes = node -> node.state == RigNode.State.UP || node.state == RigNode.State.TERMINATING
-                && (now < node.terminatedMs + COMING_MS || !idle.get(node.number).isEmpty());
+        Predicate<RigNode> takes =
+                node ->
+                        node.state == RigNode.State.UP
+                                || node.state == RigNode.State.TERMINATING
+                                        && (now < node.terminatedMs + COMING_MS
+                                                || !idle.get(node.number).isEmpty());
         List<RigNode> up = nodes.stream().filter(takes).toList();
         if (!up.isEmpty()) {
             RigNode node = up.get(random.nextInt(up.size()));
@@ -133,7 +156,7 @@
         private boolean begun;
         private boolean over;
         private boolean second;
-        private java.util.function.Consumer<Boolean> ended = whole -> { };
+        private java.util.function.Consumer<Boolean> ended = whole -> {};
 
         Exchange(String id, RequestClass kind, RigNode node) {
             this.id = id;
@@ -148,15 +171,18 @@
                 return;
             }
             Connection fresh = new Connection(node);
-            fresh.open().addListener((ChannelFuture done) -> {
-                if (done.isSuccess()) {
-                    fresh.start(this);
-                } else if (asked) {
-                    // It was sent before on a kept connection that closed; nobody takes it now.
-                    saw(Seen.Kind.LEFT, null);
-                    over = true;
-                }
-            });
+            fresh.open()
+                    .addListener(
+                            (ChannelFuture done) -> {
+                                if (done.isSuccess()) {
+                                    fresh.start(this);
+                                } else if (asked) {
+                                    // It was sent before on a kept connection that closed; nobody
+                                    // takes it now.
+                                    saw(Seen.Kind.LEFT, null);
+                                    over = true;
+                                }
+                            });
         }
 
         void saw(Seen.Kind seen, String word) {
@@ -169,13 +195,17 @@
                 saw(Seen.Kind.ASKED, kind.name);
             }
             if (leaves) {
-                loop.next().schedule(() -> {
-                    if (!over) {
-                        over = true;
-                        saw(Seen.Kind.LEFT, null);
-                        connection.close();
-                    }
-                }, 5 + random.nextInt(400), TimeUnit.MILLISECONDS);
+                loop.next()
+                        .schedule(
+                                () -> {
+                                    if (!over) {
+                                        over = true;
+                                        saw(Seen.Kind.LEFT, null);
+                                        connection.close();
+                                    }
+                                },
+                                5 + random.nextInt(400),
+                                TimeUnit.MILLISECONDS);
             }
         }
 
@@ -203,7 +233,9 @@
             } else {
                 over = true;
                 // A node that ends may close a second, new connection unread.
-                saw(second && node.state != RigNode.State.UP ? Seen.Kind.LEFT : Seen.Kind.LOST, null);
+                saw(
+                        second && node.state != RigNode.State.UP ? Seen.Kind.LEFT : Seen.Kind.LOST,
+                        null);
             }
         }
     }
@@ -223,13 +255,22 @@
         }
 
         ChannelFuture open() {
-            ChannelFuture opening = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel own) {
-                            own.pipeline().addLast(new HttpResponseDecoder(), Connection.this);
-                        }
-                    }).connect("127.0.0.1", node.port);
+            ChannelFuture opening =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .handler(
+                                    new ChannelInitializer<Channel>() {
+                                        @Override
+                                        protected void initChannel(Channel own) {
+                                            own.pipeline()
+                                                    .addLast(
+                                                            new HttpResponseDecoder(),
+                                                            Connection.this);
+                                        }
+                                    })
+                            .connect("127.0.0.1", node.port);
             channel = opening.channel();
             return opening;
         }
@@ -238,15 +279,28 @@
             exchange = next;
             status = 0;
             tail.setLength(0);
-            String head = "POST /v1/chat/completions HTTP/1.1\r\nHost: service.internal\r\nReq-Id: " + next.id
-                    + "\r\nReq-Kind: " + next.kind.name + "\r\nReq-Key: k" + next.id.charAt(3) + "\r\nReq-Deadline-Ms: "
-                    + next.kind.deadlineMs + "\r\nReq-Extra: prefix=p" + next.id.charAt(5)
-                    + ",prompt_len=400,prefix_len=100,max_out=40\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY;
-            channel.writeAndFlush(Unpooled.copiedBuffer(head, StandardCharsets.ISO_8859_1)).addListener(done -> {
-                if (done.isSuccess()) {
-                    next.sent(this);
-                }
-            });
+            String head =
+                    "POST /v1/chat/completions HTTP/1.1\r\nHost: service.internal\r\nReq-Id: "
+                            + next.id
+                            + "\r\nReq-Kind: "
+                            + next.kind.name
+                            + "\r\nReq-Key: k"
+                            + next.id.charAt(3)
+                            + "\r\nReq-Deadline-Ms: "
+                            + next.kind.deadlineMs
+                            + "\r\nReq-Extra: prefix=p"
+                            + next.id.charAt(5)
+                            + ",prompt_len=400,prefix_len=100,max_out=40\r\nContent-Length: "
+                            + BODY.length()
+                            + "\r\n\r\n"
+                            + BODY;
+            channel.writeAndFlush(Unpooled.copiedBuffer(head, StandardCharsets.ISO_8859_1))
+                    .addListener(
+                            done -> {
+                                if (done.isSuccess()) {
+                                    next.sent(this);
+                                }
+                            });
         }
 
         void close() {
@@ -290,7 +344,8 @@
                     if (tail.toString().endsWith("data: [DONE]\n\n")) {
                         ended.finish("streamed");
                     } else {
-                        ended.saw(Seen.Kind.MALFORMED, "a stream that is not whole was ended as one");
+                        ended.saw(
+                                Seen.Kind.MALFORMED, "a stream that is not whole was ended as one");
                         ended.finish("terminated");
                     }
                 } else {
@@ -327,33 +382,58 @@
             return;
         }
         for (int i = 0; i < STOPPED; i++) {
-            String head = "POST /v1/chat/completions HTTP/1.1\r\nReq-Id: " + String.format("%016x", random.nextLong())
-                    + "\r\nReq-Kind: " + classes.get(0).name + "\r\nReq-Deadline-Ms: 4000\r\nContent-Length: 500\r\n\r\n{\"model\"";
+            String head =
+                    "POST /v1/chat/completions HTTP/1.1\r\nReq-Id: "
+                            + String.format("%016x", random.nextLong())
+                            + "\r\nReq-Kind: "
+                            + classes.get(0).name
+                            + "\r\nReq-Deadline-Ms: 4000\r\nContent-Length: 500\r\n\r\n{\"model\"";
             int first = random.nextInt(head.length());
             double from = log.now();
             boolean[] ended = new boolean[1];
             Bystander bystander = new Bystander(() -> ended[0] = true);
-            bystander.connect(node.port, channel -> {
-                channel.writeAndFlush(Unpooled.copiedBuffer(head.substring(0, first), StandardCharsets.ISO_8859_1));
-                loop.next().schedule(() -> channel.writeAndFlush(Unpooled.copiedBuffer(head.substring(first),
-                        StandardCharsets.ISO_8859_1)), 200 + random.nextInt(1700), TimeUnit.MILLISECONDS);
-            });
+            bystander.connect(
+                    node.port,
+                    channel -> {
+                        channel.writeAndFlush(
+                                Unpooled.copiedBuffer(
+                                        head.substring(0, first), StandardCharsets.ISO_8859_1));
+                        loop.next()
+                                .schedule(
+                                        () ->
+                                                channel.writeAndFlush(
+                                                        Unpooled.copiedBuffer(
+                                                                head.substring(first),
+                                                                StandardCharsets.ISO_8859_1)),
+                                        200 + random.nextInt(1700),
+                                        TimeUnit.MILLISECONDS);
+                    });
             int life = node.starts;
-            loop.next().schedule(() -> {
-                if (!ended[0] && node.state == RigNode.State.UP && node.starts == life) {
-                    stoppedTooLong.add("node " + node.number + ": a client that stopped at " + Math.round(from)
-                            + " ms has no error and no close 3.3 s later");
-                }
-                bystander.close();
-            }, (long) STOPPED_OWED_MS + 300, TimeUnit.MILLISECONDS);
+            loop.next()
+                    .schedule(
+                            () -> {
+                                if (!ended[0]
+                                        && node.state == RigNode.State.UP
+                                        && node.starts == life) {
+                                    stoppedTooLong.add(
+                                            "node "
+                                                    + node.number
+                                                    + ": a client that stopped at "
+                                                    + Math.round(from)
+                                                    + " ms has no error and no close 3.3 s later");
+                                }
+                                bystander.close();
+                            },
+                            (long) STOPPED_OWED_MS + 300,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
     /** Clients that connect at once and say nothing. */
     void crowd(RigNode node, double lengthMs) {
         for (int i = 0; i < CROWD; i++) {
-            Bystander bystander = new Bystander(() -> { });
-            bystander.connect(node.port, channel -> { });
+            Bystander bystander = new Bystander(() -> {});
+            bystander.connect(node.port, channel -> {});
             loop.next().schedule(bystander::close, (long) lengthMs, TimeUnit.MILLISECONDS);
         }
     }
@@ -368,16 +448,22 @@
         }
 
         void connect(int port, java.util.function.Consumer<Channel> connected) {
-            ChannelFuture opening = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true).handler(this).connect("127.0.0.1", port);
+            ChannelFuture opening =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .handler(this)
+                            .connect("127.0.0.1", port);
             channel = opening.channel();
-            opening.addListener(done -> {
-                if (done.isSuccess()) {
-                    connected.accept(channel);
-                } else {
-                    ended.run();
-                }
-            });
+            opening.addListener(
+                    done -> {
+                        if (done.isSuccess()) {
+                            connected.accept(channel);
+                        } else {
+                            ended.run();
+                        }
+                    });
         }
 
         void close() {
--- a/src/main/java/larchridge/faults/RigEngine.java
+++ b/src/main/java/larchridge/faults/RigEngine.java
@@ -35,17 +35,25 @@
 import larchridge.state.Role;
 
 /**
- * A simulated engine that speaks the platform's protocol: it reads prompts and holds their states, or fetches a state and
- * streams an answer. What its sockets see goes into the traffic log. All methods run on the rig's loop.
+ * A simulated engine that speaks the platform's protocol: it reads prompts and holds their states,
+ * or fetches a state and streams an answer. What its sockets see goes into the traffic log. All
+ * methods run on the rig's loop.
  */
 final class RigEngine {
     /** How an engine behaves. */
-    enum Mood { GOOD, HANGS, ERRS, DECLINES }
+    enum Mood {
+        GOOD,
+        HANGS,
+        ERRS,
+        DECLINES
+    }
 
     private static final int BODY_BYTES = 1 << 20;
     private static final int EVENTS = 6;
-    private static final String EVENT = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abcd\"},\"finish_reason\":null}]}\n\n";
-    private static final String END = "data: {\"choices\":[],\"usage\":{\"completion_tokens\":24}}\n\ndata: [DONE]\n\n";
+    private static final String EVENT =
+            "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abcd\"},\"finish_reason\":null}]}\n\n";
+    private static final String END =
+            "data: {\"choices\":[],\"usage\":{\"completion_tokens\":24}}\n\ndata: [DONE]\n\n";
 
     final long number;
     final Make make;
@@ -60,14 +68,19 @@
     private double startedMs = Double.NEGATIVE_INFINITY;
     private long life;
     Mood mood = Mood.GOOD;
+
     /** Planted: releases are answered and nothing is released. */
     boolean ignoresReleases;
+
     /** Planted: every request runs twice. */
     boolean runsTwice;
+
     /** Unix time of its last start, or 0 for long ago. */
     long sinceMs;
+
     /** The start that the list tells. */
     long toldSinceMs;
+
     String status = "SERVING";
 
     /** One request that has arrived and has not ended. */
@@ -84,21 +97,34 @@
         }
     }
 
-    RigEngine(Make make, EventLoopGroup loop, TrafficLog log, RigStates states, long seed) throws InterruptedException {
+    RigEngine(Make make, EventLoopGroup loop, TrafficLog log, RigStates states, long seed)
+            throws InterruptedException {
         number = make.id();
         this.make = make;
         this.loop = loop;
         this.log = log;
         this.states = states;
         random = new Random(seed);
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_BYTES), new Handler());
-                    }
-                }).bind("127.0.0.1", 0).sync().channel();
+        listener =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(BODY_BYTES),
+                                                        new Handler());
+                                    }
+                                })
+                        .bind("127.0.0.1", 0)
+                        .sync()
+                        .channel();
         log.add(Seen.Kind.STARTED, number, null, null, 0, null);
     }
 
@@ -125,7 +151,9 @@
 
     private double speed() {
         double age = log.now() - startedMs;
-        return age >= make.coldMs() ? 1 : make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
+        return age >= make.coldMs()
+                ? 1
+                : make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
     }
 
     private void in(double ms, Runnable step) {
@@ -178,7 +206,13 @@
 
     private void arrive(Job job) {
         boolean reads = make.role() == Role.READER;
-        log.add(reads ? Seen.Kind.READ_IN : Seen.Kind.WRITE_IN, number, job.id, tag(job.id), 400, null);
+        log.add(
+                reads ? Seen.Kind.READ_IN : Seen.Kind.WRITE_IN,
+                number,
+                job.id,
+                tag(job.id),
+                400,
+                null);
         if (mood == Mood.HANGS) {
             return;
         }
@@ -244,19 +278,23 @@
             leaveSlot(job);
             return;
         }
-        in(5, () -> {
-            if (job.over || job.life != life || mood == Mood.HANGS) {
-                leaveSlot(job);
-                return;
-            }
-            states.drop(job.id);
-            ran(job);
-            DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
-                    .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            job.channel.write(head);
-            stream(job, 0);
-        });
+        in(
+                5,
+                () -> {
+                    if (job.over || job.life != life || mood == Mood.HANGS) {
+                        leaveSlot(job);
+                        return;
+                    }
+                    states.drop(job.id);
+                    ran(job);
+                    DefaultHttpResponse head =
+                            new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+                    head.headers()
+                            .set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
+                            .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+                    job.channel.write(head);
+                    stream(job, 0);
+                });
     }
 
     private void ran(Job job) {
@@ -267,9 +305,23 @@
 
     /** What the engine is judged as. */
     Make judgedMake(Plant plant) {
-        return plant != Plant.COLD_STARTS_HIDDEN ? make : new Make(make.id(), make.role(), make.zone(), make.rack(),
-                make.readToksPerMs(), make.readsAtOnce(), make.streams(), make.queue(), make.memoryToks(), make.tokMs(),
-                make.moveToksPerMs(), 0, 1e9, make.lapseMs());
+        return plant != Plant.COLD_STARTS_HIDDEN
+                ? make
+                : new Make(
+                        make.id(),
+                        make.role(),
+                        make.zone(),
+                        make.rack(),
+                        make.readToksPerMs(),
+                        make.readsAtOnce(),
+                        make.streams(),
+                        make.queue(),
+                        make.memoryToks(),
+                        make.tokMs(),
+                        make.moveToksPerMs(),
+                        0,
+                        1e9,
+                        make.lapseMs());
     }
 
     private void stream(Job job, int event) {
@@ -302,10 +354,13 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private static void answer(Channel channel, HttpResponseStatus status, String body, boolean declined) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes(body));
+    private static void answer(
+            Channel channel, HttpResponseStatus status, String body, boolean declined) {
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes(body));
         if (status.code() != HttpResponseStatus.NO_CONTENT.code()) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         }
         if (declined) {
             response.headers().set("Srv-Declined", "1");
--- a/src/main/java/larchridge/faults/RigJudge.java
+++ b/src/main/java/larchridge/faults/RigJudge.java
@@ -11,23 +11,33 @@
 import larchridge.state.Product;
 
 /**
- * Judges a run from its traffic, by the rules of the drills. Each node is judged by the requests that it took and by what its
- * own agent had told; the budget of cold engines by what all nodes sent that had been told of the start. Pure functions.
+ * Judges a run from its traffic, by the rules of the drills. Each node is judged by the requests
+ * that it took and by what its own agent had told; the budget of cold engines by what all nodes
+ * sent that had been told of the start. Pure functions.
  */
 final class RigJudge {
-    /** Slack of a final answer, a send after a drain and a release: the platform's, and the way over slow links. */
+    /**
+     * Slack of a final answer, a send after a drain and a release: the platform's, and the way over
+     * slow links.
+     */
     private static final double ANSWER_SLACK_MS = 500;
+
     private static final double DRAIN_SLACK_MS = 200;
     private static final double RELEASE_SLACK_MS = 500;
-    /** An attempt may arrive so long after its client's close: 0.1 s by the platform, and the way over slow links. */
+
+    /**
+     * An attempt may arrive so long after its client's close: 0.1 s by the platform, and the way
+     * over slow links.
+     */
     private static final double CLOSE_SLACK_MS = 350;
 
     /** When a node was told that an engine serves, drains, or has started. */
-    record Told(double ms, int node, long engine, String word) { }
+    record Told(double ms, int node, long engine, String word) {}
 
-    private RigJudge() { }
+    private RigJudge() {}
 
-    static List<String> judge(List<Seen> log, List<Told> told, int nodes, Rules.Figures figures, double lateMs) {
+    static List<String> judge(
+            List<Seen> log, List<Told> told, int nodes, Rules.Figures figures, double lateMs) {
         Map<String, Integer> nodeOf = new HashMap<>();
         for (Seen seen : log) {
             if (seen.kind() == Seen.Kind.ASKED) {
@@ -44,11 +54,18 @@
     }
 
     private static Rules.Figures withSlack(Rules.Figures figures, double slackMs) {
-        return new Rules.Figures(figures.drainGraceMs(), figures.releaseMs(), figures.tipMultiple(), figures.tipMs(), slackMs,
-                figures.products(), figures.makes());
+        return new Rules.Figures(
+                figures.drainGraceMs(),
+                figures.releaseMs(),
+                figures.tipMultiple(),
+                figures.tipMs(),
+                slackMs,
+                figures.products(),
+                figures.makes());
     }
 
-    private static List<Seen> ofNode(List<Seen> log, List<Told> told, Map<String, Integer> nodeOf, int node) {
+    private static List<Seen> ofNode(
+            List<Seen> log, List<Told> told, Map<String, Integer> nodeOf, int node) {
         List<Seen> own = new ArrayList<>();
         for (Seen seen : log) {
             boolean killed = seen.kind() == Seen.Kind.FRONT_KILLED && seen.where() == node;
@@ -64,10 +81,12 @@
         return own;
     }
 
-    private static void judgeNode(int node, List<Seen> own, Rules.Figures figures, double lateMs, List<String> faults) {
+    private static void judgeNode(
+            int node, List<Seen> own, Rules.Figures figures, double lateMs, List<String> faults) {
         double[] slackOfRule = {0, ANSWER_SLACK_MS, 0, DRAIN_SLACK_MS, 0, RELEASE_SLACK_MS};
         for (int rule : new int[] {1, 2, 3, 5}) {
-            for (Rules.Breach breach : Rules.judge(own, withSlack(figures, slackOfRule[rule] + lateMs))) {
+            for (Rules.Breach breach :
+                    Rules.judge(own, withSlack(figures, slackOfRule[rule] + lateMs))) {
                 if (breach.rule() == rule) {
                     faults.add("node " + node + ": " + breach);
                 }
@@ -75,12 +94,18 @@
         }
     }
 
-    private static void judgeColdStarts(List<Seen> log, List<Told> told, Map<String, Integer> nodeOf, Rules.Figures figures,
-                                        double lateMs, List<String> faults) {
+    private static void judgeColdStarts(
+            List<Seen> log,
+            List<Told> told,
+            Map<String, Integer> nodeOf,
+            Rules.Figures figures,
+            double lateMs,
+            List<String> faults) {
         List<Seen> seenByTold = new ArrayList<>();
         for (Seen seen : log) {
             boolean attempt = seen.kind() == Seen.Kind.READ_IN || seen.kind() == Seen.Kind.WRITE_IN;
-            if (seen.kind() == Seen.Kind.STARTED || attempt && wasTold(told, nodeOf.getOrDefault(seen.tag(), -1), seen)) {
+            if (seen.kind() == Seen.Kind.STARTED
+                    || attempt && wasTold(told, nodeOf.getOrDefault(seen.tag(), -1), seen)) {
                 seenByTold.add(seen);
             }
         }
@@ -91,12 +116,16 @@
         }
     }
 
-    /** Whether a node had been told of the engine's newest start, or of none since there was none. */
+    /**
+     * Whether a node had been told of the engine's newest start, or of none since there was none.
+     */
     private static boolean wasTold(List<Told> told, int node, Seen attempt) {
         double newest = Double.NEGATIVE_INFINITY;
         double toldMs = Double.NEGATIVE_INFINITY;
         for (Told one : told) {
-            if (one.engine == attempt.where() && one.word.equals("started") && one.ms <= attempt.ms()) {
+            if (one.engine == attempt.where()
+                    && one.word.equals("started")
+                    && one.ms <= attempt.ms()) {
                 newest = Math.max(newest, one.ms);
                 toldMs = one.node == node ? Math.max(toldMs, one.ms) : toldMs;
             }
@@ -113,15 +142,24 @@
         }
         for (Seen seen : log) {
             Double leftMs = left.get(seen.tag());
-            if (leftMs != null && (seen.kind() == Seen.Kind.READ_IN || seen.kind() == Seen.Kind.WRITE_IN)
+            if (leftMs != null
+                    && (seen.kind() == Seen.Kind.READ_IN || seen.kind() == Seen.Kind.WRITE_IN)
                     && seen.ms() > leftMs + CLOSE_SLACK_MS + lateMs) {
-                faults.add(String.format(Locale.ROOT, "rule 1: %s: an attempt came %.0f ms after the client's close", seen.tag(),
-                        seen.ms() - leftMs));
+                faults.add(
+                        String.format(
+                                Locale.ROOT,
+                                "rule 1: %s: an attempt came %.0f ms after the client's close",
+                                seen.tag(),
+                                seen.ms() - leftMs));
             }
         }
     }
 
-    static Rules.Figures figures(double drainGraceMs, double releaseMs, Map<String, Product> products, Map<Long, Make> makes) {
+    static Rules.Figures figures(
+            double drainGraceMs,
+            double releaseMs,
+            Map<String, Product> products,
+            Map<Long, Make> makes) {
         return new Rules.Figures(drainGraceMs, releaseMs, 4, 1500, 0, products, makes);
     }
 }
--- a/src/main/java/larchridge/faults/RigLink.java
+++ b/src/main/java/larchridge/faults/RigLink.java
@@ -20,10 +20,21 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** A TCP proxy between one node and one engine, with faults that can be set. All methods run on the rig's loop. */
+/**
+ * A TCP proxy between one node and one engine, with faults that can be set. All methods run on the
+ * rig's loop.
+ */
 final class RigLink {
     /** What the link does with what it carries. */
-    enum Fault { NONE, SILENT, CUT, DRIBBLE, DELAY, RESET, CLOSE_CROSSING }
+    enum Fault {
+        NONE,
+        SILENT,
+        CUT,
+        DRIBBLE,
+        DELAY,
+        RESET,
+        CLOSE_CROSSING
+    }
 
     private static final double DRIBBLE_MS = 1;
     private static final int DRIBBLE_BYTES = 24;
@@ -34,6 +45,7 @@
     private final Channel listener;
     private final Set<Side> sides = new HashSet<>();
     private Fault fault = Fault.NONE;
+
     /** Milliseconds of a delay, or bytes after which connections are reset. */
     private double size;
 
@@ -41,15 +53,23 @@
         this.loop = loop;
         this.targetPort = targetPort;
         random = new Random(seed);
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.AUTO_READ, false)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Side(null));
-                    }
-                }).bind("127.0.0.1", 0).sync().channel();
+        listener =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childOption(ChannelOption.AUTO_READ, false)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline().addLast(new Side(null));
+                                    }
+                                })
+                        .bind("127.0.0.1", 0)
+                        .sync()
+                        .channel();
     }
 
     int port() {
@@ -94,15 +114,21 @@
             sides.add(this);
             Side far = new Side(this);
             other = far;
-            ChannelFuture opening = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true).handler(far).connect("127.0.0.1", targetPort);
-            opening.addListener(done -> {
-                if (done.isSuccess()) {
-                    own.config().setAutoRead(true);
-                } else {
-                    reset();
-                }
-            });
+            ChannelFuture opening =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .handler(far)
+                            .connect("127.0.0.1", targetPort);
+            opening.addListener(
+                    done -> {
+                        if (done.isSuccess()) {
+                            own.config().setAutoRead(true);
+                        } else {
+                            reset();
+                        }
+                    });
         }
 
         @Override
@@ -113,7 +139,10 @@
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            if (fault == Fault.CLOSE_CROSSING && fromNode && other.answered && random.nextDouble() < size) {
+            if (fault == Fault.CLOSE_CROSSING
+                    && fromNode
+                    && other.answered
+                    && random.nextDouble() < size) {
                 ReferenceCountUtil.release(bytes);
                 reset();
                 return;
@@ -148,14 +177,18 @@
                 return;
             }
             sending = true;
-            loop.next().schedule(() -> {
-                sending = false;
-                if (!waiting.isEmpty()) {
-                    other.own.writeAndFlush(waiting.poll());
-                }
-                finish();
-                send();
-            }, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
+            loop.next()
+                    .schedule(
+                            () -> {
+                                sending = false;
+                                if (!waiting.isEmpty()) {
+                                    other.own.writeAndFlush(waiting.poll());
+                                }
+                                finish();
+                                send();
+                            },
+                            (long) (ms * 1e6),
+                            TimeUnit.NANOSECONDS);
         }
 
         private void finish() {
--- a/src/main/java/larchridge/faults/RigLists.java
+++ b/src/main/java/larchridge/faults/RigLists.java
@@ -5,23 +5,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** The engine lists as discovery has them, and when each node counts as told of a change. On the rig's loop. */
+/**
+ * The engine lists as discovery has them, and when each node counts as told of a change. On the
+ * rig's loop.
+ */
 final class RigLists {
-    /** A new configuration counts so much later, and a watch that fell silent so much after that. */
+    /**
+     * A new configuration counts so much later, and a watch that fell silent so much after that.
+     */
     private static final double MOVED_MS = 4000;
+
     private static final double SILENT_WATCH_MS = 6000;
 
     private final FaultRig rig;
     private int index = 1;
     private final List<Change> changes = new ArrayList<>();
+
     /** Spans in which a node's agent learns nothing, or its changes count later. */
     private final List<Quiet> quiet = new ArrayList<>();
+
     private final Map<Integer, String> older = new HashMap<>();
 
-    private record Change(double ms, long engine, String word) { }
+    private record Change(double ms, long engine, String word) {}
 
     /** What changes in the span counts as told at its end. */
-    private record Quiet(int node, double fromMs, double toMs) { }
+    private record Quiet(int node, double fromMs, double toMs) {}
 
     RigLists(FaultRig rig) {
         this.rig = rig;
@@ -35,12 +43,25 @@
     String text(int node) {
         StringBuilder rows = new StringBuilder();
         for (RigEngine engine : rig.engines) {
-            rows.append(rows.length() == 0 ? "" : ",").append("{\"name\":\"e").append(engine.number)
-                    .append("\",\"address\":\"127.0.0.1:").append(rig.links.get(node).get((int) engine.number).port())
-                    .append("\",\"zone\":\"").append(engine.make.zone()).append("\",\"type\":\"")
-                    .append(engine.make.role() == larchridge.state.Role.READER ? "lectura" : "redaccion")
-                    .append("\",\"group\":").append(engine.make.rack()).append(",\"status\":\"").append(engine.status)
-                    .append("\",\"weight\":1.0,\"since_ms\":").append(engine.toldSinceMs).append('}');
+            rows.append(rows.length() == 0 ? "" : ",")
+                    .append("{\"name\":\"e")
+                    .append(engine.number)
+                    .append("\",\"address\":\"127.0.0.1:")
+                    .append(rig.links.get(node).get((int) engine.number).port())
+                    .append("\",\"zone\":\"")
+                    .append(engine.make.zone())
+                    .append("\",\"type\":\"")
+                    .append(
+                            engine.make.role() == larchridge.state.Role.READER
+                                    ? "lectura"
+                                    : "redaccion")
+                    .append("\",\"group\":")
+                    .append(engine.make.rack())
+                    .append(",\"status\":\"")
+                    .append(engine.status)
+                    .append("\",\"weight\":1.0,\"since_ms\":")
+                    .append(engine.toldSinceMs)
+                    .append('}');
         }
         return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + rows + "]}";
     }
@@ -77,8 +98,13 @@
 
     /** Whether the engine served again before a node counts as told of this change. */
     private boolean isOvertaken(Change change, double toldMs) {
-        return changes.stream().anyMatch(later -> later.engine == change.engine && later.ms > change.ms && later.ms <= toldMs
-                && later.word.equals("ready"));
+        return changes.stream()
+                .anyMatch(
+                        later ->
+                                later.engine == change.engine
+                                        && later.ms > change.ms
+                                        && later.ms <= toldMs
+                                        && later.word.equals("ready"));
     }
 
     /** When each node counts as told of each change. */
@@ -87,7 +113,8 @@
         for (RigNode node : rig.nodes) {
             for (Change change : changes) {
                 double ms = change.ms;
-                // Late news of an engine that serves again never stands against a node that uses it.
+                // Late news of an engine that serves again never stands against a node that uses
+                // it.
                 boolean moved = !change.word.equals("ready");
                 while (moved) {
                     moved = false;
--- a/src/main/java/larchridge/faults/RigNode.java
+++ b/src/main/java/larchridge/faults/RigNode.java
@@ -10,10 +10,18 @@
 import java.util.stream.Stream;
 import larchridge.audit.Violations;
 
-/** A real node process: its configuration, its signals, its log. All methods run on the rig's loop but those that say so. */
+/**
+ * A real node process: its configuration, its signals, its log. All methods run on the rig's loop
+ * but those that say so.
+ */
 final class RigNode {
     /** What the rig has done to the process. */
-    enum State { STARTING, UP, TERMINATING, DOWN }
+    enum State {
+        STARTING,
+        UP,
+        TERMINATING,
+        DOWN
+    }
 
     private static final int MEMORY_MB = 192;
     private static final int SOCKETS = 600;
@@ -22,8 +30,10 @@
     final int number;
     final int port;
     final RigAgent agent;
+
     /** Null where there is no C compiler. */
     final Shim shim;
+
     private final Path config;
     private final Path log;
     private final String settings;
@@ -31,6 +41,7 @@
     State state = State.DOWN;
     double terminatedMs = Double.NaN;
     int starts;
+
     /** It has ended, and will be started again. */
     boolean restarting;
 
@@ -46,10 +57,26 @@
 
     /** Writes the configuration with the agent's address as it is now. */
     void configure(String list) throws IOException {
-        Files.writeString(config, "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
-                + agent.port() + "\",\"seed\":\"" + Integer.toHexString(1000 * number + starts) + "\",\"limits\":{\"cores\":1.0,"
-                + "\"memory_mb\":" + MEMORY_MB + ",\"sockets\":" + SOCKETS + "},\"known\":" + list + ",\"settings\":" + settings
-                + "}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n"
+                        + number
+                        + "\",\"listen\":\"127.0.0.1:"
+                        + port
+                        + "\",\"discovery\":\"127.0.0.1:"
+                        + agent.port()
+                        + "\",\"seed\":\""
+                        + Integer.toHexString(1000 * number + starts)
+                        + "\",\"limits\":{\"cores\":1.0,"
+                        + "\"memory_mb\":"
+                        + MEMORY_MB
+                        + ",\"sockets\":"
+                        + SOCKETS
+                        + "},\"known\":"
+                        + list
+                        + ",\"settings\":"
+                        + settings
+                        + "}");
     }
 
     /** Leaves half a configuration in the place of the good one. */
@@ -63,17 +90,31 @@
         state = State.STARTING;
         terminatedMs = Double.NaN;
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder builder = new ProcessBuilder(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xss256k",
-                "-Xmx" + MEMORY_MB * 3 / 10 + "m", "-XX:MaxDirectMemorySize=" + MEMORY_MB / 10 + "m",
-                "-XX:ReservedCodeCacheSize=24m", "-XX:MaxMetaspaceSize=48m", "-Djava.net.preferIPv4Stack=true", "-cp",
-                System.getProperty("java.class.path"), "larchridge.cli.Main", "node");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        java,
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xss256k",
+                        "-Xmx" + MEMORY_MB * 3 / 10 + "m",
+                        "-XX:MaxDirectMemorySize=" + MEMORY_MB / 10 + "m",
+                        "-XX:ReservedCodeCacheSize=24m",
+                        "-XX:MaxMetaspaceSize=48m",
+                        "-Djava.net.preferIPv4Stack=true",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "larchridge.cli.Main",
+                        "node");
         Map<String, String> environment = builder.environment();
         environment.put("PROXY_CONFIG", config.toString());
         environment.putIfAbsent("LARCHRIDGE_LOG", "DEBUG");
         if (shim != null) {
             shim.addTo(environment);
         }
-        process = builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+        process =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                        .start();
     }
 
     boolean isAlive() {
@@ -97,7 +138,8 @@
             return;
         }
         try {
-            Process sender = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
+            Process sender =
+                    new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
             sender.waitFor(SIGNAL_SECONDS, TimeUnit.SECONDS);
         } catch (IOException e) {
             throw new IllegalStateException("signals can't be sent", e);
@@ -111,16 +153,24 @@
         return process == null || process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
-    /** Lines of the log that tell of a fault in the node: violated invariants, steps that failed. */
+    /**
+     * Lines of the log that tell of a fault in the node: violated invariants, steps that failed.
+     */
     List<String> faults() throws IOException {
         if (!Files.exists(log)) {
             return List.of();
         }
         List<String> faults = new ArrayList<>();
-        try (Stream<String> lines = Files.lines(log, java.nio.charset.StandardCharsets.ISO_8859_1)) {
-            lines.filter(line -> line.contains(Violations.MESSAGE) || line.contains("a step on the loop failed")
-                    || line.contains("the decision module failed") || line.contains("could not be taken")
-                    || line.contains("could not be handled") || line.contains("OutOfMemoryError"))
+        try (Stream<String> lines =
+                Files.lines(log, java.nio.charset.StandardCharsets.ISO_8859_1)) {
+            lines.filter(
+                            line ->
+                                    line.contains(Violations.MESSAGE)
+                                            || line.contains("a step on the loop failed")
+                                            || line.contains("the decision module failed")
+                                            || line.contains("could not be taken")
+                                            || line.contains("could not be handled")
+                                            || line.contains("OutOfMemoryError"))
                     .forEach(line -> faults.add("node " + number + ": " + line));
         }
         return faults;
--- a/src/main/java/larchridge/faults/RigProbe.java
+++ b/src/main/java/larchridge/faults/RigProbe.java
@@ -24,13 +24,18 @@
 
     void isUp(int port, Consumer<Boolean> then) {
         told = then;
-        ChannelFuture opening = new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(this)
-                .connect("127.0.0.1", port);
-        opening.addListener(done -> {
-            if (!done.isSuccess()) {
-                tell(false);
-            }
-        });
+        ChannelFuture opening =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .handler(this)
+                        .connect("127.0.0.1", port);
+        opening.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        tell(false);
+                    }
+                });
     }
 
     private void tell(boolean up) {
--- a/src/main/java/larchridge/faults/RigSettings.java
+++ b/src/main/java/larchridge/faults/RigSettings.java
@@ -7,33 +7,55 @@
 import larchridge.state.Product;
 import larchridge.state.Span;
 
-/** The settings that the rig's nodes get: three classes, one of each effect, with short windows and deadlines. */
+/**
+ * The settings that the rig's nodes get: three classes, one of each effect, with short windows and
+ * deadlines.
+ */
 final class RigSettings {
     static final double DRAIN_GRACE_MS = 250;
     static final double RELEASE_MS = 500;
     static final double REPEAT_WINDOW_MS = 1200;
     static final int LONGEST_DEADLINE_MS = 4000;
-    static final List<RigClients.RequestClass> CLASSES = List.of(new RigClients.RequestClass("consulta", LONGEST_DEADLINE_MS, 0.6),
-            new RigClients.RequestClass("registro", 3000, 0.25), new RigClients.RequestClass("pago", 3000, 0.15));
-    static final String JSON = "{\"az\":\"a\",\"family_info\":{\"aim_us_per_1000_prompt_tokens\":[40000,40000,40000],"
-            + "\"kv_tokens\":[200000,200000],\"release_within_s\":0.5,\"stage_of_kind\":[\"read\",\"write\"],"
-            + "\"token_aim_s\":[0.06,0.06,0.06]},\"host_types\":[\"lectura\",\"redaccion\"],"
-            + "\"invariants\":{\"cold_s\":3,\"cold_share\":0.3,\"stop_sending_within_s\":0.25,\"overload_factor\":4,"
-            + "\"tip_after_s\":1.5},\"limits\":{\"dial_timeout_s\":0.25,\"keepalive_s\":4.0,\"max_attempts\":5,"
-            + "\"max_retry_after_s\":2.0,\"may_cancel\":true,\"may_probe\":false,\"parallel_tries\":true,\"retry_after\":true},"
-            + "\"n_instances\":24,\"reporting\":{\"fields\":[],\"source\":\"off\"},\"request_classes\":["
-            + "{\"give_up_s\":4.0,\"late_worth\":0.2,\"name\":\"consulta\",\"repeat\":\"pure\",\"slo_s\":1.2,\"worth\":1.0},"
-            + "{\"give_up_s\":3.0,\"late_worth\":0.2,\"name\":\"registro\",\"repeat\":\"token\",\"group\":\"all\","
-            + "\"memory_span_s\":1.2,\"slo_s\":1.2,\"worth\":1.0},"
-            + "{\"give_up_s\":3.0,\"late_worth\":0.2,\"name\":\"pago\",\"repeat\":\"side_effect\",\"slo_s\":1.2,\"worth\":2.0}]}";
+    static final List<RigClients.RequestClass> CLASSES =
+            List.of(
+                    new RigClients.RequestClass("consulta", LONGEST_DEADLINE_MS, 0.6),
+                    new RigClients.RequestClass("registro", 3000, 0.25),
+                    new RigClients.RequestClass("pago", 3000, 0.15));
+    static final String JSON =
+            "{\"az\":\"a\",\"family_info\":{\"aim_us_per_1000_prompt_tokens\":[40000,40000,40000],"
+                    + "\"kv_tokens\":[200000,200000],\"release_within_s\":0.5,\"stage_of_kind\":[\"read\",\"write\"],"
+                    + "\"token_aim_s\":[0.06,0.06,0.06]},\"host_types\":[\"lectura\",\"redaccion\"],"
+                    + "\"invariants\":{\"cold_s\":3,\"cold_share\":0.3,\"stop_sending_within_s\":0.25,\"overload_factor\":4,"
+                    + "\"tip_after_s\":1.5},\"limits\":{\"dial_timeout_s\":0.25,\"keepalive_s\":4.0,\"max_attempts\":5,"
+                    + "\"max_retry_after_s\":2.0,\"may_cancel\":true,\"may_probe\":false,\"parallel_tries\":true,\"retry_after\":true},"
+                    + "\"n_instances\":24,\"reporting\":{\"fields\":[],\"source\":\"off\"},\"request_classes\":["
+                    + "{\"give_up_s\":4.0,\"late_worth\":0.2,\"name\":\"consulta\",\"repeat\":\"pure\",\"slo_s\":1.2,\"worth\":1.0},"
+                    + "{\"give_up_s\":3.0,\"late_worth\":0.2,\"name\":\"registro\",\"repeat\":\"token\",\"group\":\"all\","
+                    + "\"memory_span_s\":1.2,\"slo_s\":1.2,\"worth\":1.0},"
+                    + "{\"give_up_s\":3.0,\"late_worth\":0.2,\"name\":\"pago\",\"repeat\":\"side_effect\",\"slo_s\":1.2,\"worth\":2.0}]}";
 
-    private RigSettings() { }
+    private RigSettings() {}
 
     static Map<String, Product> products() {
         Map<String, Product> products = new LinkedHashMap<>();
-        products.put("consulta", new Product("consulta", Effect.IDEMPOTENT, Span.ALL, 0, 1, 0.2, 1200, 0, 60));
-        products.put("registro", new Product("registro", Effect.DEDUPLICATED, Span.ALL, REPEAT_WINDOW_MS, 1, 0.2, 1200, 0, 60));
-        products.put("pago", new Product("pago", Effect.SIDE_EFFECTING, Span.ALL, 0, 2, 0.2, 1200, 0, 60));
+        products.put(
+                "consulta",
+                new Product("consulta", Effect.IDEMPOTENT, Span.ALL, 0, 1, 0.2, 1200, 0, 60));
+        products.put(
+                "registro",
+                new Product(
+                        "registro",
+                        Effect.DEDUPLICATED,
+                        Span.ALL,
+                        REPEAT_WINDOW_MS,
+                        1,
+                        0.2,
+                        1200,
+                        0,
+                        60));
+        products.put(
+                "pago",
+                new Product("pago", Effect.SIDE_EFFECTING, Span.ALL, 0, 2, 0.2, 1200, 0, 60));
         return products;
     }
 }
--- a/src/main/java/larchridge/faults/RigStates.java
+++ b/src/main/java/larchridge/faults/RigStates.java
@@ -7,10 +7,14 @@
 import larchridge.drill.Seen;
 import larchridge.drill.TrafficLog;
 
-/** The read states that the simulated engines hold, by request; a state waits at its reader until it is fetched or released. */
+/**
+ * The read states that the simulated engines hold, by request; a state waits at its reader until it
+ * is fetched or released.
+ */
 final class RigStates {
     private final TrafficLog log;
     private final Map<String, Set<RigEngine>> holders = new HashMap<>();
+
     /** How many requests wait in writers' queues for a state. */
     private final Map<String, Integer> waiting = new HashMap<>();
 
@@ -32,7 +36,15 @@
     void drop(String id) {
         Set<RigEngine> all = holders.remove(id);
         if (all != null) {
-            all.forEach(engine -> log.add(Seen.Kind.STATE_GONE, engine.number, id, RigEngine.tag(id), 0, null));
+            all.forEach(
+                    engine ->
+                            log.add(
+                                    Seen.Kind.STATE_GONE,
+                                    engine.number,
+                                    id,
+                                    RigEngine.tag(id),
+                                    0,
+                                    null));
         }
     }
 
--- a/src/main/java/larchridge/faults/Shim.java
+++ b/src/main/java/larchridge/faults/Shim.java
@@ -10,10 +10,14 @@
 import java.nio.file.StandardOpenOption;
 import java.util.concurrent.TimeUnit;
 
-/** The preloaded library that makes a node's system calls fail and its wall clock step, and its control file. */
+/**
+ * The preloaded library that makes a node's system calls fail and its wall clock step, and its
+ * control file.
+ */
 final class Shim {
     /** Errors of accept, socket and connect that are this machine's and pass. */
     private static final int[] ACCEPT_ERRORS = {103, 23, 24, 105};
+
     private static final int[] SOCKET_ERRORS = {23, 24, 105};
     private static final int[] CONNECT_ERRORS = {99, 101, 105};
     private static final int BYTES = 40;
@@ -38,8 +42,19 @@
         }
         Path library = folder.resolve("shim.so");
         try {
-            Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-o", library.toString(), source.toString(),
-                    "-ldl").redirectErrorStream(true).redirectOutput(folder.resolve("shim.log").toFile()).start();
+            Process compiler =
+                    new ProcessBuilder(
+                                    "cc",
+                                    "-shared",
+                                    "-fPIC",
+                                    "-O2",
+                                    "-o",
+                                    library.toString(),
+                                    source.toString(),
+                                    "-ldl")
+                            .redirectErrorStream(true)
+                            .redirectOutput(folder.resolve("shim.log").toFile())
+                            .start();
             boolean done = compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS);
             return done && compiler.exitValue() == 0 ? library : null;
         } catch (IOException e) {
@@ -50,7 +65,8 @@
     /** A control file for one node. */
     static Shim forNode(Path library, Path file) throws IOException {
         Files.write(file, new byte[BYTES]);
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             MappedByteBuffer control = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
             control.order(ByteOrder.nativeOrder());
             return new Shim(library, file, control);
--- a/src/main/java/larchridge/faults/TroublePlayer.java
+++ b/src/main/java/larchridge/faults/TroublePlayer.java
@@ -12,14 +12,22 @@
     private static final double MOST_PAUSE_MS = 150;
     private static final double LONG_PAUSE_MS = 6000;
     private static final double PAUSE_EACH_MS = 500;
+
     /** A start is told so much later. */
     private static final double START_TOLD_MS = 300;
+
     private static final double HOUR_MS = 3_600_000;
+
     /** After the longest deadline and 0.7 s the platform kills a node that was told to end. */
     private static final double KILLED_MS = RigSettings.LONGEST_DEADLINE_MS + 700 + 100;
+
     private static final int CALLS_MOST = 700;
     private static final int SHORT_MOST = 500;
-    /** Of the last look: when its requests begin, and the part of a node's that has to be served whole. */
+
+    /**
+     * Of the last look: when its requests begin, and the part of a node's that has to be served
+     * whole.
+     */
     private static final double LAST_REQUESTS_MS = 2000;
 
     private final FaultRig rig;
@@ -49,38 +57,74 @@
             case LINK_SILENT -> links(trouble, RigLink.Fault.SILENT, 0);
             case LINK_CUT -> links(trouble, RigLink.Fault.CUT, 0);
             case LINK_DRIBBLE -> links(trouble, RigLink.Fault.DRIBBLE, 0);
-            case LINK_DELAY -> links(trouble, RigLink.Fault.DELAY, 1 + trouble.size() * MOST_DELAY_MS);
-            case LINK_RESET -> links(trouble, RigLink.Fault.RESET, trouble.size() * MOST_RESET_BYTES);
-            case LINK_CLOSE_CROSSING -> links(trouble, RigLink.Fault.CLOSE_CROSSING, 0.2 + 0.8 * trouble.size());
+            case LINK_DELAY ->
+                    links(trouble, RigLink.Fault.DELAY, 1 + trouble.size() * MOST_DELAY_MS);
+            case LINK_RESET ->
+                    links(trouble, RigLink.Fault.RESET, trouble.size() * MOST_RESET_BYTES);
+            case LINK_CLOSE_CROSSING ->
+                    links(trouble, RigLink.Fault.CLOSE_CROSSING, 0.2 + 0.8 * trouble.size());
             case ENGINE_RESTART -> engines(trouble, this::restart);
             case ENGINE_DRAIN -> engines(trouble, engine -> status(engine, "DRAINING", "draining"));
             case ENGINE_HANG -> engines(trouble, engine -> engine.mood = RigEngine.Mood.HANGS);
-            case ENGINE_ERRORS -> engines(trouble, engine -> engine.mood = trouble.size() < 0.5 ? RigEngine.Mood.ERRS
-                    : RigEngine.Mood.DECLINES);
-            case AGENT_SILENT -> nodes(trouble, node -> {
-                node.agent.mood(RigAgent.Mood.SILENT);
-                rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
-            });
-            case AGENT_RESET -> nodes(trouble, node -> {
-                node.agent.mood(RigAgent.Mood.RESETS);
-                rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
-            });
-            case AGENT_PIECES -> nodes(trouble, node -> {
-                node.agent.mood(RigAgent.Mood.PIECES);
-                rig.lists.watchesBroken(node.number, now, now + trouble.lengthMs());
-            });
+            case ENGINE_ERRORS ->
+                    engines(
+                            trouble,
+                            engine ->
+                                    engine.mood =
+                                            trouble.size() < 0.5
+                                                    ? RigEngine.Mood.ERRS
+                                                    : RigEngine.Mood.DECLINES);
+            case AGENT_SILENT ->
+                    nodes(
+                            trouble,
+                            node -> {
+                                node.agent.mood(RigAgent.Mood.SILENT);
+                                rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
+                            });
+            case AGENT_RESET ->
+                    nodes(
+                            trouble,
+                            node -> {
+                                node.agent.mood(RigAgent.Mood.RESETS);
+                                rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
+                            });
+            case AGENT_PIECES ->
+                    nodes(
+                            trouble,
+                            node -> {
+                                node.agent.mood(RigAgent.Mood.PIECES);
+                                rig.lists.watchesBroken(node.number, now, now + trouble.lengthMs());
+                            });
             case NODE_TERM -> nodes(trouble, this::terminate);
             case NODE_KILL -> nodes(trouble, this::kill);
-            case NODE_PAUSE -> nodes(trouble, node -> pause(node, trouble, now + trouble.lengthMs()));
+            case NODE_PAUSE ->
+                    nodes(trouble, node -> pause(node, trouble, now + trouble.lengthMs()));
             case CONFIG_MOVE -> nodes(trouble, node -> move(node, false));
             case CONFIG_BROKEN -> nodes(trouble, node -> move(node, true));
             case CLIENT_LEAVES -> rig.clients.leaving(true);
             case CLIENT_STOPS -> nodes(trouble, rig.clients::stopInTheMiddle);
-            case CLIENT_CROWD -> nodes(trouble, node -> rig.clients.crowd(node, trouble.lengthMs()));
-            case CALLS_FAIL -> shims(trouble, shim -> shim.failCalls(rig.plant == Plant.CALLS_STAY_BROKEN ? 1000
-                    : 50 + (int) (trouble.size() * (CALLS_MOST - 50)), (int) (trouble.size() * 1000)));
-            case CALLS_SHORT -> shims(trouble, shim -> shim.shorten((int) (trouble.size() * SHORT_MOST)));
-            case CLOCK_STEP -> shims(trouble, shim -> shim.stepWallClock((long) ((2 * trouble.size() - 1) * HOUR_MS)));
+            case CLIENT_CROWD ->
+                    nodes(trouble, node -> rig.clients.crowd(node, trouble.lengthMs()));
+            case CALLS_FAIL ->
+                    shims(
+                            trouble,
+                            shim ->
+                                    shim.failCalls(
+                                            rig.plant == Plant.CALLS_STAY_BROKEN
+                                                    ? 1000
+                                                    : 50
+                                                            + (int)
+                                                                    (trouble.size()
+                                                                            * (CALLS_MOST - 50)),
+                                            (int) (trouble.size() * 1000)));
+            case CALLS_SHORT ->
+                    shims(trouble, shim -> shim.shorten((int) (trouble.size() * SHORT_MOST)));
+            case CLOCK_STEP ->
+                    shims(
+                            trouble,
+                            shim ->
+                                    shim.stepWallClock(
+                                            (long) ((2 * trouble.size() - 1) * HOUR_MS)));
             default -> throw new IllegalStateException(trouble.kind().name());
         }
     }
@@ -90,11 +134,15 @@
             case LINK_SILENT, LINK_CUT, LINK_DRIBBLE, LINK_DELAY, LINK_RESET, LINK_CLOSE_CROSSING ->
                     links(trouble, RigLink.Fault.NONE, 0);
             case ENGINE_DRAIN -> engines(trouble, engine -> status(engine, "SERVING", "ready"));
-            case ENGINE_HANG, ENGINE_ERRORS -> engines(trouble, engine -> engine.mood = RigEngine.Mood.GOOD);
-            case AGENT_SILENT, AGENT_RESET, AGENT_PIECES -> nodes(trouble, node -> {
-                node.agent.mood(RigAgent.Mood.GOOD);
-                node.agent.changed();
-            });
+            case ENGINE_HANG, ENGINE_ERRORS ->
+                    engines(trouble, engine -> engine.mood = RigEngine.Mood.GOOD);
+            case AGENT_SILENT, AGENT_RESET, AGENT_PIECES ->
+                    nodes(
+                            trouble,
+                            node -> {
+                                node.agent.mood(RigAgent.Mood.GOOD);
+                                node.agent.changed();
+                            });
             case CLIENT_LEAVES -> rig.clients.leaving(false);
             case CALLS_FAIL -> {
                 if (rig.plant != Plant.CALLS_STAY_BROKEN) {
@@ -103,16 +151,18 @@
             }
             case CALLS_SHORT -> shims(trouble, shim -> shim.shorten(0));
             case CLOCK_STEP -> shims(trouble, shim -> shim.stepWallClock(0));
-            default -> { }
+            default -> {}
         }
     }
 
     private void shims(Trouble trouble, Consumer<Shim> step) {
-        nodes(trouble, node -> {
-            if (node.shim != null) {
-                step.accept(node.shim);
-            }
-        });
+        nodes(
+                trouble,
+                node -> {
+                    if (node.shim != null) {
+                        step.accept(node.shim);
+                    }
+                });
     }
 
     private void status(RigEngine engine, String status, String word) {
@@ -122,10 +172,12 @@
 
     private void restart(RigEngine engine) {
         engine.restart();
-        rig.in(START_TOLD_MS, () -> {
-            engine.toldSinceMs = rig.plant == Plant.COLD_STARTS_HIDDEN ? 0 : engine.sinceMs;
-            rig.lists.changed(engine, "started");
-        });
+        rig.in(
+                START_TOLD_MS,
+                () -> {
+                    engine.toldSinceMs = rig.plant == Plant.COLD_STARTS_HIDDEN ? 0 : engine.sinceMs;
+                    rig.lists.changed(engine, "started");
+                });
     }
 
     private void terminate(RigNode node) {
@@ -139,11 +191,13 @@
         }
         int life = node.starts;
         node.terminate(rig.log.now());
-        rig.in(KILLED_MS, () -> {
-            if (node.starts == life && node.isAlive()) {
-                node.kill();
-            }
-        });
+        rig.in(
+                KILLED_MS,
+                () -> {
+                    if (node.starts == life && node.isAlive()) {
+                        node.kill();
+                    }
+                });
     }
 
     private void kill(RigNode node) {
@@ -158,36 +212,42 @@
         }
     }
 
-    /** Stops the process for a moment, again and again. Signals are sent off the loop, one after the other. */
+    /**
+     * Stops the process for a moment, again and again. Signals are sent off the loop, one after the
+     * other.
+     */
     private void pause(RigNode node, Trouble trouble, double untilMs) {
         double ms = rig.plant == Plant.LONG_PAUSES ? LONG_PAUSE_MS : trouble.size() * MOST_PAUSE_MS;
         rig.signals.execute(() -> node.signal("STOP"));
         rig.signals.schedule(() -> node.signal("CONT"), (long) (ms * 1000), TimeUnit.MICROSECONDS);
-        rig.in(PAUSE_EACH_MS + ms, () -> {
-            if (rig.log.now() < untilMs) {
-                pause(node, trouble, untilMs);
-            }
-        });
+        rig.in(
+                PAUSE_EACH_MS + ms,
+                () -> {
+                    if (rig.log.now() < untilMs) {
+                        pause(node, trouble, untilMs);
+                    }
+                });
     }
 
     private void move(RigNode node, boolean broken) {
         rig.lists.moved(node.number, rig.log.now());
-        node.agent.move(() -> {
-            try {
-                node.configure(rig.lists.text(node.number));
-                if (rig.plant == Plant.NO_SIGNAL) {
-                    return;
-                }
-                if (broken) {
-                    node.breakConfiguration();
-                    rig.signals.execute(() -> node.signal("HUP"));
-                    rig.in(150, () -> repair(node));
-                }
-                rig.signals.execute(() -> node.signal("HUP"));
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        node.agent.move(
+                () -> {
+                    try {
+                        node.configure(rig.lists.text(node.number));
+                        if (rig.plant == Plant.NO_SIGNAL) {
+                            return;
+                        }
+                        if (broken) {
+                            node.breakConfiguration();
+                            rig.signals.execute(() -> node.signal("HUP"));
+                            rig.in(150, () -> repair(node));
+                        }
+                        rig.signals.execute(() -> node.signal("HUP"));
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
     }
 
     private void repair(RigNode node) {
@@ -201,26 +261,36 @@
     // ------------------------------------------------------------------ the last look
 
     /**
-     * All troubles are over: an engine drains, so that a node that follows no list is seen, and each node gets requests of
-     * its own, which it has to serve.
+     * All troubles are over: an engine drains, so that a node that follows no list is seen, and
+     * each node gets requests of its own, which it has to serve.
      */
     void lastLook() {
         for (RigEngine engine : rig.engines) {
             engine.mood = RigEngine.Mood.GOOD;
         }
         status(rig.engines.get(0), "DRAINING", "draining");
-        rig.in(LAST_REQUESTS_MS, () -> {
-            for (RigNode node : rig.nodes) {
-                if (node.state == RigNode.State.UP) {
-                    rig.clients.lastLook(node, served -> {
-                        if (!served) {
-                            rig.faults.add("node " + node.number + ": serves nothing after all troubles are over");
+        rig.in(
+                LAST_REQUESTS_MS,
+                () -> {
+                    for (RigNode node : rig.nodes) {
+                        if (node.state == RigNode.State.UP) {
+                            rig.clients.lastLook(
+                                    node,
+                                    served -> {
+                                        if (!served) {
+                                            rig.faults.add(
+                                                    "node "
+                                                            + node.number
+                                                            + ": serves nothing after all troubles are over");
+                                        }
+                                    });
+                        } else {
+                            rig.faults.add(
+                                    "node "
+                                            + node.number
+                                            + ": is not up after all troubles are over");
                         }
-                    });
-                } else {
-                    rig.faults.add("node " + node.number + ": is not up after all troubles are over");
-                }
-            }
-        });
+                    }
+                });
     }
 }
--- a/src/main/java/larchridge/front/Client.java
+++ b/src/main/java/larchridge/front/Client.java
@@ -3,15 +3,24 @@
 import larchridge.budget.Answer;
 import larchridge.enginelink.Ending;
 
-/** One client's exchange, as a dialect carries it; called on the front's loop. Exactly one final answer comes. */
+/**
+ * One client's exchange, as a dialect carries it; called on the front's loop. Exactly one final
+ * answer comes.
+ */
 public interface Client {
     /** The answer begins; this many prompt tokens were kept from before. */
     void begun(int keptToks);
 
-    /** A piece of the answer, to be kept until {@link #soFar} or a final answer; false if it can't go to the client. */
+    /**
+     * A piece of the answer, to be kept until {@link #soFar} or a final answer; false if it can't
+     * go to the client.
+     */
     boolean piece(String text);
 
-    /** Whole events that go on as they came, to be kept like pieces; only to clients whose requests were passed on. */
+    /**
+     * Whole events that go on as they came, to be kept like pieces; only to clients whose requests
+     * were passed on.
+     */
     default void events(byte[] whole) {
         throw new UnsupportedOperationException("events are not this dialect's");
     }
@@ -34,7 +43,10 @@
         return;
     }
 
-    /** Final: the tenant is beyond its budget; coming back after the time told is harmless and, if alone, let in. */
+    /**
+     * Final: the tenant is beyond its budget; coming back after the time told is harmless and, if
+     * alone, let in.
+     */
     void overBudget(Answer budget);
 
     /** Final: the answer is whole. */
@@ -50,5 +62,11 @@
     void cut();
 
     /** Why a generation was terminated. */
-    enum Cause { TIME_UP, BROKEN, STOPPING, INTERNAL, UNUSABLE }
+    enum Cause {
+        TIME_UP,
+        BROKEN,
+        STOPPING,
+        INTERNAL,
+        UNUSABLE
+    }
 }
--- a/src/main/java/larchridge/front/Decider.java
+++ b/src/main/java/larchridge/front/Decider.java
@@ -11,7 +11,10 @@
 import larchridge.state.Report;
 import larchridge.state.Terms;
 
-/** What a front tells its decision module; in service that is {@link Choice}, in experiments also plain policies beside it. */
+/**
+ * What a front tells its decision module; in service that is {@link Choice}, in experiments also
+ * plain policies beside it.
+ */
 public interface Decider {
     void arrived(Gen gen);
 
@@ -21,7 +24,10 @@
 
     void ended(Attempt attempt, Outcome outcome, Report report, boolean over);
 
-    /** The state that an attempt is to fetch has been released beside it; only an attempt that has arrived keeps it. */
+    /**
+     * The state that an attempt is to fetch has been released beside it; only an attempt that has
+     * arrived keeps it.
+     */
     default void stateReleased(Attempt attempt) {
         return;
     }
--- a/src/main/java/larchridge/front/Duty.java
+++ b/src/main/java/larchridge/front/Duty.java
@@ -1,12 +1,17 @@
 package larchridge.front;
 
 /**
- * What is still owed to one client: the one place at which a final answer can be given. Rule 1 rests on it; without
- * I/O, clock or threads.
+ * What is still owed to one client: the one place at which a final answer can be given. Rule 1
+ * rests on it; without I/O, clock or threads.
  */
 final class Duty {
     /** The three final answers, and the end of a client that wants none. */
-    enum Final { STREAMED, THROTTLED, TERMINATED, GONE }
+    enum Final {
+        STREAMED,
+        THROTTLED,
+        TERMINATED,
+        GONE
+    }
 
     private Final given;
     private boolean begun;
@@ -33,8 +38,8 @@
     }
 
     /**
-     * Whether this final answer may be given now: never a second one, and never that a repeat is harmless once the
-     * client has seen part of an answer.
+     * Whether this final answer may be given now: never a second one, and never that a repeat is
+     * harmless once the client has seen part of an answer.
      */
     boolean finish(Final answer) {
         if (given != null) {
--- a/src/main/java/larchridge/front/Front.java
+++ b/src/main/java/larchridge/front/Front.java
@@ -44,21 +44,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One front: one loop, one decision module, the generations it has taken. It tells the module what happens and carries
- * out what the module decides; every choice of engine, wait, repeat and refusal is the module's. All methods run on
- * the loop on which it was made.
+ * One front: one loop, one decision module, the generations it has taken. It tells the module what
+ * happens and carries out what the module decides; every choice of engine, wait, repeat and refusal
+ * is the module's. All methods run on the loop on which it was made.
  */
 public final class Front implements Host {
     private static final Logger LOG = LoggerFactory.getLogger(Front.class);
+
     /** Before the client's limit, and after the module's own last moment. */
     private static final double LAST_RESORT_MS = 8;
+
     private static final int LOOK_MS = 100;
-    /** At the end, releases have this long to leave; where they are still under way then, they are looked at this often. */
+
+    /**
+     * At the end, releases have this long to leave; where they are still under way then, they are
+     * looked at this often.
+     */
     private static final double LAST_RELEASES_MS = 200;
+
     private static final double RELEASE_LOOK_MS = 20;
 
     /** Null on other ground than a loop. */
     private final Vertx vertx;
+
     private final Context loop;
     private final Ground ground;
     private final Site site;
@@ -71,41 +79,69 @@
     private final Ledger ledger;
     private double nowMs;
 
-    /** Open generations in the order taken; those whose attempts are all home and that are answered leave. */
+    /**
+     * Open generations in the order taken; those whose attempts are all home and that are answered
+     * leave.
+     */
     private final Map<Gen, Open> open = new LinkedHashMap<>();
+
     private final Map<Long, Engine> engines = new HashMap<>();
     private final Map<Engine, Row> rows = new HashMap<>();
     private final Map<String, Account> accounts = new HashMap<>();
     private final Texts talks = new Texts();
     private final Texts prefixes = new Texts();
     private final String idStem;
+
     /** The first open generation of all that ask the same without a key. */
     private final Map<String, Open> same = new HashMap<>();
+
     /** Null where nothing is lent. */
     private Loans loans;
+
     private long taken;
     private int inside;
     private boolean stopping;
     private Runnable whenIdle;
+
     /** For readers on other threads. */
     private volatile int openSeen;
+
     private volatile int heldSeen;
+
     /** What those that are not batch work live through; handed over now and then. */
     private Feeling feeling = new Feeling();
+
     private double lookedMs;
 
     /** To be made on the loop that is to own it; ledger is null where usage is not written. */
-    public Front(Vertx vertx, Site site, int number, EngineLink link, Meters meters, Ledger ledger) {
+    public Front(
+            Vertx vertx, Site site, int number, EngineLink link, Meters meters, Ledger ledger) {
         this(vertx, new LoopGround(vertx), site, number, link, meters, ledger, Decider::choice);
     }
 
-    /** A front on other ground, with the module that is given; doors that need a loop can't be put before it. */
-    public Front(Ground ground, Site site, int number, EngineLink link, Meters meters, Decider.Maker module) {
+    /**
+     * A front on other ground, with the module that is given; doors that need a loop can't be put
+     * before it.
+     */
+    public Front(
+            Ground ground,
+            Site site,
+            int number,
+            EngineLink link,
+            Meters meters,
+            Decider.Maker module) {
         this(null, ground, site, number, link, meters, null, module);
     }
 
-    private Front(Vertx vertx, Ground ground, Site site, int number, EngineLink link, Meters meters, Ledger ledger,
-                  Decider.Maker module) {
+    private Front(
+            Vertx vertx,
+            Ground ground,
+            Site site,
+            int number,
+            EngineLink link,
+            Meters meters,
+            Ledger ledger,
+            Decider.Maker module) {
         this.vertx = vertx;
         this.ground = ground;
         this.site = site;
@@ -131,9 +167,12 @@
 
     // ------------------------------------------------------------------ the door
 
-    /** Whether one more exchange may come in; each that may must be followed by one {@link #leave}. */
+    /**
+     * Whether one more exchange may come in; each that may must be followed by one {@link #leave}.
+     */
     public boolean enter() {
-        // What is used and can't be written down would be given away; the ledger's own bound is told in time.
+        // What is used and can't be written down would be given away; the ledger's own bound is
+        // told in time.
         boolean behind = ledger != null && ledger.isBehind();
         if (stopping || behind || inside >= site.limit.openGenerations) {
             meters.turnedAway(number, stopping ? "stopping" : behind ? "ledger" : "too_many");
@@ -166,13 +205,15 @@
     }
 
     /**
-     * Takes a generation; its client may get the final answer before this returns. Told is given what it became, at once
-     * or as soon as the lender has answered. Nothing is told where the tenant's budget does not allow it, since the
-     * client has been answered then, nor where the client has left.
+     * Takes a generation; its client may get the final answer before this returns. Told is given
+     * what it became, at once or as soon as the lender has answered. Nothing is told where the
+     * tenant's budget does not allow it, since the client has been answered then, nor where the
+     * client has left.
      */
     public void take(Ask ask, Client client, Consumer<Open> told) {
         tick();
-        // Danger: a client whose body waited to be counted would wait that much longer than its time.
+        // Danger: a client whose body waited to be counted would wait that much longer than its
+        // time.
         double arrivedMs = nowMs - ask.waitedMs();
         double toks = Budgets.estimate(ask.promptToks(), ask.maxToks());
         String tenant = ask.tenant().name();
@@ -180,15 +221,23 @@
         Answer budget = budgets.ask(tenant, product, toks, nowMs);
         if (!budget.isIn() && budget.lacksRate() && loans != null) {
             Want want = budgets.want(tenant, product, toks, nowMs);
-            if (want != null && loans.ask(want, (lent, backMs) -> {
-                tick();
-                budgets.lender(loans.answers());
-                budgets.lent(want.purse(), lent, nowMs + site.lapseMs);
-                if (!client.isGone()) {
-                    Answer second = budgets.ask(tenant, product, toks, nowMs);
-                    admit(ask, client, second.isIn() ? second : second.notBefore(backMs), arrivedMs, told);
-                }
-            })) {
+            if (want != null
+                    && loans.ask(
+                            want,
+                            (lent, backMs) -> {
+                                tick();
+                                budgets.lender(loans.answers());
+                                budgets.lent(want.purse(), lent, nowMs + site.lapseMs);
+                                if (!client.isGone()) {
+                                    Answer second = budgets.ask(tenant, product, toks, nowMs);
+                                    admit(
+                                            ask,
+                                            client,
+                                            second.isIn() ? second : second.notBefore(backMs),
+                                            arrivedMs,
+                                            told);
+                                }
+                            })) {
                 return;
             }
             budgets.lender(loans.answers());
@@ -196,25 +245,46 @@
         admit(ask, client, budget, arrivedMs, told);
     }
 
-    private void admit(Ask ask, Client client, Answer budget, double arrivedMs, Consumer<Open> told) {
+    private void admit(
+            Ask ask, Client client, Answer budget, double arrivedMs, Consumer<Open> told) {
         String product = ask.offer().product.name;
         client.budget(budget);
         if (!budget.isIn()) {
             meters.answered(number, product, "over_budget", Double.NaN);
-            LOG.atDebug().addKeyValue("tenant", ask.tenant().name()).addKeyValue("why", budget.why()).log("over budget");
+            LOG.atDebug()
+                    .addKeyValue("tenant", ask.tenant().name())
+                    .addKeyValue("why", budget.why())
+                    .log("over budget");
             client.overBudget(budget);
             return;
         }
-        Patience patience = Patience.of(ask.offer(), ask.promptToks(), ask.maxToks(), ask.whole(), ask.patienceMs());
+        Patience patience =
+                Patience.of(
+                        ask.offer(),
+                        ask.promptToks(),
+                        ask.maxToks(),
+                        ask.whole(),
+                        ask.patienceMs());
         Open one = new Open(this, ask, client, patience);
         one.limitAtMs = arrivedMs + patience.firstTokMs;
         one.wholeAtMs = arrivedMs + patience.wholeMs;
         one.charge = budget.charge();
-        String label = ask.passage() != null ? ask.passage().id() : idStem + Long.toString(taken++, 36);
-        one.gen = new Gen(label,
-                budget.charge().isBorrowed() ? ask.offer().borrowed : ask.offer().product, account(ask.tenant()),
-                talk(ask), prefix(ask), ask.promptToks(), ask.sharedToks(), ask.maxToks(), Double.NaN,
-                ask.resent(), arrivedMs, one.limitAtMs);
+        String label =
+                ask.passage() != null ? ask.passage().id() : idStem + Long.toString(taken++, 36);
+        one.gen =
+                new Gen(
+                        label,
+                        budget.charge().isBorrowed() ? ask.offer().borrowed : ask.offer().product,
+                        account(ask.tenant()),
+                        talk(ask),
+                        prefix(ask),
+                        ask.promptToks(),
+                        ask.sharedToks(),
+                        ask.maxToks(),
+                        Double.NaN,
+                        ask.resent(),
+                        arrivedMs,
+                        one.limitAtMs);
         one.billId = billId(one);
         open.put(one.gen, one);
         one.limitTimer = ground.in(one.limitAtMs - nowMs - LAST_RESORT_MS, () -> limit(one));
@@ -224,14 +294,21 @@
     }
 
     /**
-     * One bill for all tries of a generation: by the client's key, or, where it gave none, by what it asks, as long as a
-     * first try of that is open here.
+     * One bill for all tries of a generation: by the client's key, or, where it gave none, by what
+     * it asks, as long as a first try of that is open here.
      */
     private String billId(Open one) {
         if (one.ask.repeatKey() != null) {
             return "key " + one.ask.repeatKey();
         }
-        one.sameAs = one.ask.tenant().name() + '\n' + one.ask.model() + '\n' + one.ask.talkNow() + '\n' + one.ask.maxToks();
+        one.sameAs =
+                one.ask.tenant().name()
+                        + '\n'
+                        + one.ask.model()
+                        + '\n'
+                        + one.ask.talkNow()
+                        + '\n'
+                        + one.ask.maxToks();
         Open first = same.putIfAbsent(one.sameAs, one);
         return first == null ? "gen " + one.gen.label : first.billId;
     }
@@ -291,15 +368,21 @@
             one.streaming.flight.pause();
         }
         double since = nowMs;
-        ground.in(site.limit.slowClientMs, () -> {
-            if (one.paused && one.pausedMs == since && one.duty.finish(Duty.Final.TERMINATED)) {
-                // Danger: a client that takes nothing would hold its writer's memory for ever.
-                tick();
-                meters.answered(number, one.ask.offer().product.name, "slow_client", Double.NaN);
-                one.client.cut();
-                abandon(one);
-            }
-        });
+        ground.in(
+                site.limit.slowClientMs,
+                () -> {
+                    if (one.paused
+                            && one.pausedMs == since
+                            && one.duty.finish(Duty.Final.TERMINATED)) {
+                        // Danger: a client that takes nothing would hold its writer's memory for
+                        // ever.
+                        tick();
+                        meters.answered(
+                                number, one.ask.offer().product.name, "slow_client", Double.NaN);
+                        one.client.cut();
+                        abandon(one);
+                    }
+                });
     }
 
     void resume(Open one) {
@@ -318,7 +401,8 @@
         tick();
         one.limitTimer = -1;
         if (!one.duty.isDone() && !one.duty.isBegun()) {
-            // The module gives up earlier than this; it is told, and its client answered, if ever it did not.
+            // The module gives up earlier than this; it is told, and its client answered, if ever
+            // it did not.
             terminate(one, Client.Cause.TIME_UP);
             abandon(one);
         }
@@ -328,14 +412,17 @@
             }
         }
         if (one.duty.isBegun() && !one.duty.isDone() && one.ask.whole()) {
-            one.limitTimer = ground.in(one.wholeAtMs - nowMs, () -> {
-                one.limitTimer = -1;
-                if (!one.duty.isDone()) {
-                    tick();
-                    terminate(one, Client.Cause.TIME_UP);
-                    abandon(one);
-                }
-            });
+            one.limitTimer =
+                    ground.in(
+                            one.wholeAtMs - nowMs,
+                            () -> {
+                                one.limitTimer = -1;
+                                if (!one.duty.isDone()) {
+                                    tick();
+                                    terminate(one, Client.Cause.TIME_UP);
+                                    abandon(one);
+                                }
+                            });
         }
     }
 
@@ -351,13 +438,24 @@
         Open one = open.get(attempt.gen);
         Row row = rows.get(attempt.engine);
         Spot spot = new Spot(row.host(), row.port());
-        Trip source = attempt.read || attempt.gen.state == null ? null : one.tripOf(attempt.gen.state);
+        Trip source =
+                attempt.read || attempt.gen.state == null ? null : one.tripOf(attempt.gen.state);
         Trip trip = new Trip(attempt, spot, attempt.gen.label + "." + attempt.number, source);
         one.trips.add(trip);
         Ask ask = one.ask;
-        Order order = new Order(trip.rid, spot, ask.model(), ask.prompt(), ask.maxToks(), ask.stops(),
-                ask.sampling(), source == null ? null : source.state, repeatKey(one), ask.passage(),
-                new SendGuard(attempt, one, ground, copiesAllowed));
+        Order order =
+                new Order(
+                        trip.rid,
+                        spot,
+                        ask.model(),
+                        ask.prompt(),
+                        ask.maxToks(),
+                        ask.stops(),
+                        ask.sampling(),
+                        source == null ? null : source.state,
+                        repeatKey(one),
+                        ask.passage(),
+                        new SendGuard(attempt, one, ground, copiesAllowed));
         Ears ears = new Ears(one, trip);
         trip.holds = attempt.read;
         noteSend(one, trip);
@@ -376,13 +474,23 @@
                 before = earlier;
             }
         }
-        String why = before == null ? "first" : before.attempt.out ? "beside"
-                : before.attempt.outcome == null ? "state_lost" : before.attempt.outcome.name().toLowerCase(Locale.ROOT);
+        String why =
+                before == null
+                        ? "first"
+                        : before.attempt.out
+                                ? "beside"
+                                : before.attempt.outcome == null
+                                        ? "state_lost"
+                                        : before.attempt.outcome.name().toLowerCase(Locale.ROOT);
         if (before != null) {
             meters.retried(number, stage, why);
         }
-        LOG.atDebug().addKeyValue("generation", one.gen.label).addKeyValue("attempt", trip.attempt.number)
-                .addKeyValue("engine", trip.attempt.engine.label).addKeyValue("stage", stage).addKeyValue("reason", why)
+        LOG.atDebug()
+                .addKeyValue("generation", one.gen.label)
+                .addKeyValue("attempt", trip.attempt.number)
+                .addKeyValue("engine", trip.attempt.engine.label)
+                .addKeyValue("stage", stage)
+                .addKeyValue("reason", why)
                 .log("SENT");
     }
 
@@ -390,7 +498,10 @@
         return trip.attempt.read ? "read" : "write";
     }
 
-    /** What engines drop repeats by: the client's own key, or the generation where the client gave none. */
+    /**
+     * What engines drop repeats by: the client's own key, or the generation where the client gave
+     * none.
+     */
     private static String repeatKey(Open one) {
         if (one.gen.product.effect != Effect.DEDUPLICATED) {
             return null;
@@ -405,15 +516,19 @@
 
     private void callOff(Trip trip, CallOffReason reason) {
         meters.calledOff(number, stage(trip), reason.tag());
-        LOG.atDebug().addKeyValue("generation", trip.attempt.gen.label).addKeyValue("attempt", trip.attempt.number)
-                .addKeyValue("reason", reason).log("called off");
+        LOG.atDebug()
+                .addKeyValue("generation", trip.attempt.gen.label)
+                .addKeyValue("attempt", trip.attempt.number)
+                .addKeyValue("reason", reason)
+                .log("called off");
         if (reason == CallOffReason.TIME_UP) {
             trip.flight.expire();
         } else {
             trip.flight.cancel();
         }
         if (trip.attempt.read && trip.holds) {
-            // Danger: a read that ended as it was called off has left a state that no outcome tells of.
+            // Danger: a read that ended as it was called off has left a state that no outcome tells
+            // of.
             trip.holds = false;
             link.release(trip.spot, trip.rid);
         }
@@ -426,7 +541,9 @@
             return;
         }
         for (Trip trip : one.trips) {
-            if (trip.holds && trip.ended && one.trips.stream().noneMatch(t -> t.source == trip && !t.ended)) {
+            if (trip.holds
+                    && trip.ended
+                    && one.trips.stream().noneMatch(t -> t.source == trip && !t.ended)) {
                 trip.holds = false;
                 link.release(trip.spot, trip.rid);
             }
@@ -456,8 +573,10 @@
                 turnedAway(one);
             }
             Effect effect = one.gen.product.effect;
-            one.client.terminated(cause, effect == Effect.IDEMPOTENT
-                    || effect == Effect.DEDUPLICATED && one.gen.product.span == Span.ALL);
+            one.client.terminated(
+                    cause,
+                    effect == Effect.IDEMPOTENT
+                            || effect == Effect.DEDUPLICATED && one.gen.product.span == Span.ALL);
         }
     }
 
@@ -467,7 +586,10 @@
         }
     }
 
-    /** What the generations that are not batch work lived through since this was asked last; on the loop. */
+    /**
+     * What the generations that are not batch work lived through since this was asked last; on the
+     * loop.
+     */
     public Feeling feeling() {
         tick();
         int hurried = 0;
@@ -476,7 +598,11 @@
             if (!one.ask.offer().isBatch && !one.duty.isDone()) {
                 hurried++;
                 if (one.gen.waiting) {
-                    longest = Math.max(longest, (nowMs - one.gen.arrivedMs) / (one.gen.sloAtMs() - one.gen.arrivedMs));
+                    longest =
+                            Math.max(
+                                    longest,
+                                    (nowMs - one.gen.arrivedMs)
+                                            / (one.gen.sloAtMs() - one.gen.arrivedMs));
                 }
             }
         }
@@ -488,31 +614,43 @@
 
     private void answered(Open one, String kind) {
         if (one.gen.givenUp != null) {
-            meters.givenUp(number, one.gen.product.name, one.gen.givenUp.name().toLowerCase(Locale.ROOT));
+            meters.givenUp(
+                    number, one.gen.product.name, one.gen.givenUp.name().toLowerCase(Locale.ROOT));
         }
         meters.answered(number, one.gen.product.name, kind, nowMs - one.gen.arrivedMs);
-        LOG.atDebug().addKeyValue("generation", one.gen.label).addKeyValue("front", number)
-                .addKeyValue("product", one.gen.product.name).addKeyValue("attempts", one.trips.size())
-                .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs)).addKeyValue("reason", one.gen.givenUp).log(kind);
+        LOG.atDebug()
+                .addKeyValue("generation", one.gen.label)
+                .addKeyValue("front", number)
+                .addKeyValue("product", one.gen.product.name)
+                .addKeyValue("attempts", one.trips.size())
+                .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs))
+                .addKeyValue("reason", one.gen.givenUp)
+                .log(kind);
     }
 
     @Override
     public void probe(Engine engine) {
         Row row = rows.get(engine);
-        link.probe(new Spot(row.host(), row.port()), (answered, report) -> ground.later(() -> {
-            tick();
-            guarded(null, () -> choice.probed(engine, answered, report));
-            settleAll();
-        }));
+        link.probe(
+                new Spot(row.host(), row.port()),
+                (answered, report) ->
+                        ground.later(
+                                () -> {
+                                    tick();
+                                    guarded(null, () -> choice.probed(engine, answered, report));
+                                    settleAll();
+                                }));
     }
 
     @Override
     public void wake(double atMs) {
-        ground.in(atMs - nowMs, () -> {
-            tick();
-            guarded(null, choice::woken);
-            settleAll();
-        });
+        ground.in(
+                atMs - nowMs,
+                () -> {
+                    tick();
+                    guarded(null, choice::woken);
+                    settleAll();
+                });
     }
 
     @Override
@@ -563,7 +701,8 @@
             traced("BEGUN");
             meters.firstToken(number, one.gen.product.name, nowMs - one.gen.arrivedMs);
             if (!one.ask.offer().isBatch) {
-                feeling.begun((nowMs - one.gen.arrivedMs) / (one.gen.sloAtMs() - one.gen.arrivedMs));
+                feeling.begun(
+                        (nowMs - one.gen.arrivedMs) / (one.gen.sloAtMs() - one.gen.arrivedMs));
             }
             if (trip.source != null) {
                 // It has been fetched: nothing of it is left at its reader.
@@ -593,11 +732,15 @@
         }
 
         private void traced(String what) {
-            LOG.atDebug().addKeyValue("generation", one.gen.label).addKeyValue("attempt", trip.attempt.number)
-                    .addKeyValue("engine", trip.attempt.engine.label).addKeyValue("toks", one.gen.promptToks)
+            LOG.atDebug()
+                    .addKeyValue("generation", one.gen.label)
+                    .addKeyValue("attempt", trip.attempt.number)
+                    .addKeyValue("engine", trip.attempt.engine.label)
+                    .addKeyValue("toks", one.gen.promptToks)
                     .addKeyValue("kept", trip.keptToks)
                     .addKeyValue("sent", Math.round(trip.attempt.sentMs - one.gen.arrivedMs))
-                    .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs)).log(what);
+                    .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs))
+                    .log(what);
         }
 
         @Override
@@ -626,14 +769,18 @@
         @Override
         public void notSent(SendRefusal reason) {
             meters.notSent(number, reason.tag());
-            LOG.atDebug().addKeyValue("generation", one.gen.label).addKeyValue("attempt", trip.attempt.number)
-                    .addKeyValue("reason", reason).log("not sent");
+            LOG.atDebug()
+                    .addKeyValue("generation", one.gen.label)
+                    .addKeyValue("attempt", trip.attempt.number)
+                    .addKeyValue("reason", reason)
+                    .log("not sent");
         }
 
         @Override
         public void unusable() {
             tick();
-            // Danger: sent on, it would use up its attempts and let every engine that rightly refuses it seem to fail.
+            // Danger: sent on, it would use up its attempts and let every engine that rightly
+            // refuses it seem to fail.
             trip.ended = true;
             terminate(one, Client.Cause.UNUSABLE);
             abandon(one);
@@ -657,13 +804,17 @@
                     answered(one, "streamed");
                     recorded(one, () -> one.client.streamed(ending));
                 } else {
-                    // A stream that breaks is lost: part of it has been seen, so no other attempt can go on with it.
+                    // A stream that breaks is lost: part of it has been seen, so no other attempt
+                    // can go on with it.
                     terminate(one, Client.Cause.BROKEN);
                 }
             }
             boolean over = one.duty.isDone();
-            LOG.atDebug().addKeyValue("generation", one.gen.label).addKeyValue("attempt", trip.attempt.number)
-                    .addKeyValue("engine", trip.attempt.engine.label).log(outcome.name());
+            LOG.atDebug()
+                    .addKeyValue("generation", one.gen.label)
+                    .addKeyValue("attempt", trip.attempt.number)
+                    .addKeyValue("engine", trip.attempt.engine.label)
+                    .log(outcome.name());
             guarded(one, () -> choice.ended(trip.attempt, outcome, report, over));
             settle(one);
         }
@@ -677,28 +828,41 @@
         tick();
         double left = one.lastPieceMs + site.limit.quietStreamMs - nowMs;
         if (one.paused || left > 1) {
-            one.quietTimer = ground.in(one.paused ? site.limit.quietStreamMs : left, () -> quiet(one));
+            one.quietTimer =
+                    ground.in(one.paused ? site.limit.quietStreamMs : left, () -> quiet(one));
         } else {
             meters.calledOff(number, stage(one.streaming), CallOffReason.SILENT_STREAM.tag());
             one.streaming.flight.expire();
         }
     }
 
-    /** A new complete list. An id at another address is another engine; the old one counts as gone. */
+    /**
+     * A new complete list. An id at another address is another engine; the old one counts as gone.
+     */
     public void listed(List<Row> list) {
         tick();
         List<Listing> entries = new ArrayList<>();
         for (Row row : list) {
             Engine engine = engines.computeIfAbsent(row.id(), Engine::new);
             Row before = rows.get(engine);
-            if (before != null && (before.port() != row.port() || !before.host().equals(row.host()))) {
-                // Danger: what is known of an address, and the attempts out there, are not those of the new one.
+            if (before != null
+                    && (before.port() != row.port() || !before.host().equals(row.host()))) {
+                // Danger: what is known of an address, and the attempts out there, are not those of
+                // the new one.
                 engine = new Engine(row.id());
                 engines.put(row.id(), engine);
             }
             rows.put(engine, row);
-            entries.add(new Listing(engine, row.mode(), row.startMs(), row.units(), row.zone(), row.rack(),
-                    row.role(), row.memoryToks()));
+            entries.add(
+                    new Listing(
+                            engine,
+                            row.mode(),
+                            row.startMs(),
+                            row.units(),
+                            row.zone(),
+                            row.rack(),
+                            row.role(),
+                            row.memoryToks()));
         }
         guarded(null, () -> choice.listed(entries, true));
         engines.values().removeIf(engine -> engine.mode == Mode.GONE && engine.attempts.isEmpty());
@@ -717,19 +881,24 @@
 
     // ------------------------------------------------------------------ stopping
 
-    /** Takes nothing new; what is open may end until the stop time, the rest is terminated. Then runs done. */
+    /**
+     * Takes nothing new; what is open may end until the stop time, the rest is terminated. Then
+     * runs done.
+     */
     public void stop(Runnable done) {
         stopping = true;
         whenIdle = done;
-        ground.in(site.limit.stopMs, () -> {
-            tick();
-            for (Open one : List.copyOf(open.values())) {
-                if (!one.duty.isDone()) {
-                    terminate(one, Client.Cause.STOPPING);
-                    abandon(one);
-                }
-            }
-        });
+        ground.in(
+                site.limit.stopMs,
+                () -> {
+                    tick();
+                    for (Open one : List.copyOf(open.values())) {
+                        if (!one.duty.isDone()) {
+                            terminate(one, Client.Cause.STOPPING);
+                            abandon(one);
+                        }
+                    }
+                });
         idle();
     }
 
@@ -737,11 +906,16 @@
         if (whenIdle != null && inside == 0 && open.isEmpty()) {
             Runnable done = whenIdle;
             whenIdle = null;
-            ground.in(Math.min(LAST_RELEASES_MS, site.releaseMs), () -> closeLink(nowMs + site.releaseMs, done));
+            ground.in(
+                    Math.min(LAST_RELEASES_MS, site.releaseMs),
+                    () -> closeLink(nowMs + site.releaseMs, done));
         }
     }
 
-    /** Closes the link once the last releases have been taken; after the time that a state may be held they are void. */
+    /**
+     * Closes the link once the last releases have been taken; after the time that a state may be
+     * held they are void.
+     */
     private void closeLink(double latestMs, Runnable done) {
         tick();
         if (link.isReleasing() && nowMs < latestMs) {
@@ -779,7 +953,10 @@
         return held;
     }
 
-    /** Danger: a fault of the module would lose the generation it was deciding on; that one is terminated. */
+    /**
+     * Danger: a fault of the module would lose the generation it was deciding on; that one is
+     * terminated.
+     */
     private void guarded(Open one, Runnable step) {
         try {
             step.run();
@@ -821,17 +998,39 @@
         }
         if (!one.recorded) {
             record(one, usage(one), null);
-        } else if (one.meter.wastedToks() > one.recordedWaste || one.trips.size() > one.recordedAttempts) {
-            // What a second attempt did that came home after the answer; its record is joined to the first.
-            record(one, new Usage(one.billId, one.ask.tenant().name(), one.gen.product.name, (long) nowMs, "waste",
-                    0, 0, 0, one.meter.wastedToks() - one.recordedWaste, one.trips.size() - one.recordedAttempts), null);
+        } else if (one.meter.wastedToks() > one.recordedWaste
+                || one.trips.size() > one.recordedAttempts) {
+            // What a second attempt did that came home after the answer; its record is joined to
+            // the first.
+            record(
+                    one,
+                    new Usage(
+                            one.billId,
+                            one.ask.tenant().name(),
+                            one.gen.product.name,
+                            (long) nowMs,
+                            "waste",
+                            0,
+                            0,
+                            0,
+                            one.meter.wastedToks() - one.recordedWaste,
+                            one.trips.size() - one.recordedAttempts),
+                    null);
         }
     }
 
     private Usage usage(Open one) {
-        return new Usage(one.billId, one.ask.tenant().name(), one.gen.product.name, (long) nowMs,
-                one.duty.given().name().toLowerCase(Locale.ROOT), one.meter.promptToks(), one.meter.keptToks(),
-                one.meter.outToks(), one.meter.wastedToks(), one.trips.size());
+        return new Usage(
+                one.billId,
+                one.ask.tenant().name(),
+                one.gen.product.name,
+                (long) nowMs,
+                one.duty.given().name().toLowerCase(Locale.ROOT),
+                one.meter.promptToks(),
+                one.meter.keptToks(),
+                one.meter.outToks(),
+                one.meter.wastedToks(),
+                one.trips.size());
     }
 
     private boolean record(Open one, Usage usage, Runnable onDisk) {
@@ -839,15 +1038,19 @@
             return true;
         }
         meters.unbilled(number);
-        LOG.atError().addKeyValue("generation", one.gen.label).addKeyValue("tenant", usage.tenant())
-                .addKeyValue("prompt", usage.promptToks()).addKeyValue("out", usage.outToks())
+        LOG.atError()
+                .addKeyValue("generation", one.gen.label)
+                .addKeyValue("tenant", usage.tenant())
+                .addKeyValue("prompt", usage.promptToks())
+                .addKeyValue("out", usage.outToks())
                 .log("not written: the ledger's queue is full");
         return false;
     }
 
     /**
-     * Where the site wants it, the end of a whole answer waits until its use is on disk, so that no kill in between
-     * leaves an answer that nobody is billed for. A slow disk holds it up no longer than the site says, nor than the client's time.
+     * Where the site wants it, the end of a whole answer waits until its use is on disk, so that no
+     * kill in between leaves an answer that nobody is billed for. A slow disk holds it up no longer
+     * than the site says, nor than the client's time.
      */
     private void recorded(Open one, Runnable end) {
         if (ledger == null || site.answerWaitsMs <= 0) {
@@ -856,12 +1059,13 @@
         }
         one.client.soFar();
         boolean[] told = new boolean[1];
-        Runnable once = () -> {
-            if (!told[0]) {
-                told[0] = true;
-                end.run();
-            }
-        };
+        Runnable once =
+                () -> {
+                    if (!told[0]) {
+                        told[0] = true;
+                        end.run();
+                    }
+                };
         one.recorded = record(one, usage(one), () -> ground.later(once));
         one.recordedWaste = one.meter.wastedToks();
         one.recordedAttempts = one.trips.size();
--- a/src/main/java/larchridge/front/Ground.java
+++ b/src/main/java/larchridge/front/Ground.java
@@ -1,6 +1,9 @@
 package larchridge.front;
 
-/** What a front stands on: its clock, its timers and its one loop. In service that is an event loop, in drills virtual time. */
+/**
+ * What a front stands on: its clock, its timers and its one loop. In service that is an event loop,
+ * in drills virtual time.
+ */
 public interface Ground {
     /** Milliseconds of Unix time at the start plus what has passed since; never goes back. */
     double nowMs();
--- a/src/main/java/larchridge/front/Loans.java
+++ b/src/main/java/larchridge/front/Loans.java
@@ -4,7 +4,10 @@
 
 /** Where a front may ask for what a budget lacks here. */
 public interface Loans {
-    /** Hears what was lent, 0 if nothing, and after how many milliseconds it could be; never from inside the asking. */
+    /**
+     * Hears what was lent, 0 if nothing, and after how many milliseconds it could be; never from
+     * inside the asking.
+     */
     interface Taker {
         void lent(double toks, double backInMs);
     }
--- a/src/main/java/larchridge/front/LoopGround.java
+++ b/src/main/java/larchridge/front/LoopGround.java
@@ -46,8 +46,10 @@
 
     @Override
     public String stem() {
-        // Danger: two fronts that start in one moment would name their attempts alike and let go of each other's states.
-        return Long.toString(System.currentTimeMillis(), 36) + Long.toString(new SecureRandom().nextLong() & 0xFFFFFFFFFL, 36)
+        // Danger: two fronts that start in one moment would name their attempts alike and let go of
+        // each other's states.
+        return Long.toString(System.currentTimeMillis(), 36)
+                + Long.toString(new SecureRandom().nextLong() & 0xFFFFFFFFFL, 36)
                 + "-";
     }
 }
--- a/src/main/java/larchridge/front/Open.java
+++ b/src/main/java/larchridge/front/Open.java
@@ -7,7 +7,9 @@
 import larchridge.state.Attempt;
 import larchridge.state.Gen;
 
-/** A generation that this front has taken, with its client and its trips; a dialect's handle on it. */
+/**
+ * A generation that this front has taken, with its client and its trips; a dialect's handle on it.
+ */
 public final class Open {
     final Front front;
     final Ask ask;
@@ -18,8 +20,10 @@
     final Meter meter;
     Charge charge;
     String billId;
+
     /** What it asks, where it has no key. */
     String sameAs;
+
     Gen gen;
     Trip streaming;
     boolean paused;
@@ -27,8 +31,10 @@
     double lastPieceMs;
     double limitAtMs;
     double wholeAtMs;
+
     /** Whether its use is in the ledger already, and the waste and attempts of that record. */
     boolean recorded;
+
     long recordedWaste;
     int recordedAttempts;
     long limitTimer = -1;
--- a/src/main/java/larchridge/front/Patience.java
+++ b/src/main/java/larchridge/front/Patience.java
@@ -3,14 +3,15 @@
 import larchridge.site.Offer;
 
 /**
- * How long a client's patience lasts: until the first token for a streamed answer, until the last for a whole one.
- * Times are milliseconds after arrival. Without I/O, clock or threads.
+ * How long a client's patience lasts: until the first token for a streamed answer, until the last
+ * for a whole one. Times are milliseconds after arrival. Without I/O, clock or threads.
  */
 final class Patience {
     /** Kept free before the client's own end, for the way of the final answer. */
     private static final double MARGIN_MS = 15;
 
     final double firstTokMs;
+
     /** When all must be answered; infinite where a stream, once begun, has no such time. */
     final double wholeMs;
 
@@ -22,9 +23,11 @@
     static Patience of(Offer offer, int promptToks, int maxToks, boolean whole, double clientMs) {
         double product = offer.patienceMs(promptToks);
         if (!whole) {
-            return new Patience(Math.max(0, Math.min(product, clientMs - MARGIN_MS)), Double.POSITIVE_INFINITY);
+            return new Patience(
+                    Math.max(0, Math.min(product, clientMs - MARGIN_MS)), Double.POSITIVE_INFINITY);
         }
-        // A whole answer is late when its last token is: the first is due before the writing has eaten the rest.
+        // A whole answer is late when its last token is: the first is due before the writing has
+        // eaten the rest.
         double all = Math.min(product + maxToks * offer.product.tokMs, clientMs) - MARGIN_MS;
         return new Patience(Math.max(0, Math.min(product, all)), Math.max(0, all));
     }
--- a/src/main/java/larchridge/front/SendGuard.java
+++ b/src/main/java/larchridge/front/SendGuard.java
@@ -7,8 +7,9 @@
 import larchridge.state.Mode;
 
 /**
- * The one guard through which every attempt goes when it is written. Between the decision and that moment a connection may
- * have had to come up: the engine may have been told to drain, the client may have closed, the window for repeats be over.
+ * The one guard through which every attempt goes when it is written. Between the decision and that
+ * moment a connection may have had to come up: the engine may have been told to drain, the client
+ * may have closed, the window for repeats be over.
  */
 final class SendGuard implements SendCheck {
     private final Attempt attempt;
