--- a/src/main/java/larchridge/tokens/VocabularyReader.java
+++ b/src/main/java/larchridge/tokens/VocabularyReader.java
@@ -17,17 +17,22 @@
 import java.util.regex.Pattern;
 import java.util.regex.PatternSyntaxException;
 
-/** Reads vocabularies: the library's by name, rank files of the tiktoken form, and {@code tokenizer.json}. */
+/**
+ * Reads vocabularies: the library's by name, rank files of the tiktoken form, and {@code
+ * tokenizer.json}.
+ */
 public final class VocabularyReader {
     private static final long MOST_BYTES = 200L << 20;
 
-    private VocabularyReader() { }
+    private VocabularyReader() {}
 
     public static Vocabulary named(String name, String encoding) throws BadVocabulary {
         return LibraryVocabulary.named(name, encoding);
     }
 
-    /** A file; split is needed for rank files, which do not tell it, and unused for the other form. */
+    /**
+     * A file; split is needed for rank files, which do not tell it, and unused for the other form.
+     */
     public static Vocabulary file(String name, Path file, Split split) throws BadVocabulary {
         byte[] bytes;
         try {
@@ -39,10 +44,13 @@
             throw new BadVocabulary(file + ": can't be read: " + e);
         }
         String text = new String(bytes, StandardCharsets.UTF_8);
-        return text.stripLeading().startsWith("{") ? merges(name, file, bytes) : ranks(name, file, text, split);
+        return text.stripLeading().startsWith("{")
+                ? merges(name, file, bytes)
+                : ranks(name, file, text, split);
     }
 
-    private static Vocabulary ranks(String name, Path file, String text, Split split) throws BadVocabulary {
+    private static Vocabulary ranks(String name, Path file, String text, Split split)
+            throws BadVocabulary {
         if (split == null) {
             throw new BadVocabulary(file + ": a rank file needs split: GPT2, CL100K or O200K");
         }
@@ -75,15 +83,18 @@
             }
             ranks.put(token, Integer.parseInt(parts[1]));
         }
-        // Danger: a file cut short would count far too many tokens; single bytes come first, the end is not marked.
+        // Danger: a file cut short would count far too many tokens; single bytes come first, the
+        // end is not marked.
         for (int i = 0; i < 256; i++) {
             if (!lines.containsKey(Base64.getEncoder().encodeToString(new byte[] {(byte) i}))) {
-                throw new BadVocabulary(file + ":" + number + ": byte " + i + " is no token; is the file whole?");
+                throw new BadVocabulary(
+                        file + ":" + number + ": byte " + i + " is no token; is the file whole?");
             }
         }
         int highest = used.stream().mapToInt(i -> i).max().orElse(0);
         if (!text.endsWith("\n") || highest > 2 * used.size()) {
-            throw new BadVocabulary(file + ":" + number + ": the last line has no end; is the file whole?");
+            throw new BadVocabulary(
+                    file + ":" + number + ": the last line has no end; is the file whole?");
         }
         return LibraryVocabulary.ranked(name, split, ranks);
     }
@@ -93,30 +104,41 @@
         try {
             root = new ObjectMapper().readTree(bytes);
         } catch (JsonProcessingException e) {
-            throw new BadVocabulary(file + ":" + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": "
-                    + e.getOriginalMessage());
+            throw new BadVocabulary(
+                    file
+                            + ":"
+                            + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
+                            + ": "
+                            + e.getOriginalMessage());
         } catch (IOException e) {
             throw new BadVocabulary(file + ": can't be read: " + e);
         }
         JsonNode model = root.path("model");
-        if (!model.path("type").asText("BPE").equals("BPE") || !model.path("vocab").isObject()
+        if (!model.path("type").asText("BPE").equals("BPE")
+                || !model.path("vocab").isObject()
                 || !model.path("merges").isArray()) {
             throw new BadVocabulary(file + ": model: expected type BPE with vocab and merges");
         }
         JsonNode normalizer = root.path("normalizer");
         boolean nfc = normalizer.path("type").asText().equals("NFC");
         if (normalizer.isObject() && !nfc) {
-            throw new BadVocabulary(file + ": normalizer.type: '" + normalizer.path("type").asText()
-                    + "' is not served; NFC or none is");
+            throw new BadVocabulary(
+                    file
+                            + ": normalizer.type: '"
+                            + normalizer.path("type").asText()
+                            + "' is not served; NFC or none is");
         }
         Set<String> tokens = new HashSet<>();
         model.path("vocab").fieldNames().forEachRemaining(tokens::add);
         List<String[]> pairs = new ArrayList<>();
         for (JsonNode merge : model.path("merges")) {
-            String[] pair = merge.isArray() ? new String[] {merge.path(0).asText(), merge.path(1).asText()}
-                    : merge.asText().split(" ");
+            String[] pair =
+                    merge.isArray()
+                            ? new String[] {merge.path(0).asText(), merge.path(1).asText()}
+                            : merge.asText().split(" ");
             if (pair.length != 2 || pair[0].isEmpty() || pair[1].isEmpty()) {
-                throw new BadVocabulary(file + ": model.merges[" + pairs.size() + "]: expected two tokens");
+                throw new BadVocabulary(
+                        file + ": model.merges[" + pairs.size() + "]: expected two tokens");
             }
             pairs.add(pair);
         }
@@ -127,8 +149,14 @@
             }
         }
         try {
-            return new MergesVocabulary(name, split(file, root.path("pre_tokenizer")), nfc,
-                    model.path("ignore_merges").asBoolean(false), tokens, pairs, specials);
+            return new MergesVocabulary(
+                    name,
+                    split(file, root.path("pre_tokenizer")),
+                    nfc,
+                    model.path("ignore_merges").asBoolean(false),
+                    tokens,
+                    pairs,
+                    specials);
         } catch (BadVocabulary e) {
             throw new BadVocabulary(file + ": model." + e.getMessage());
         }
@@ -145,24 +173,36 @@
         Pattern pattern = null;
         for (JsonNode step : steps) {
             String type = step.path("type").asText("none");
-            if (type.equals("Split") && pattern == null && step.path("pattern").path("Regex").isTextual()
-                    && step.path("behavior").asText().equals("Isolated") && !step.path("invert").asBoolean()) {
+            if (type.equals("Split")
+                    && pattern == null
+                    && step.path("pattern").path("Regex").isTextual()
+                    && step.path("behavior").asText().equals("Isolated")
+                    && !step.path("invert").asBoolean()) {
                 try {
-                    pattern = Pattern.compile(step.path("pattern").path("Regex").asText(),
-                            Pattern.UNICODE_CHARACTER_CLASS);
+                    pattern =
+                            Pattern.compile(
+                                    step.path("pattern").path("Regex").asText(),
+                                    Pattern.UNICODE_CHARACTER_CLASS);
                 } catch (PatternSyntaxException e) {
-                    throw new BadVocabulary(file + ": pre_tokenizer: pattern: " + e.getDescription());
+                    throw new BadVocabulary(
+                            file + ": pre_tokenizer: pattern: " + e.getDescription());
                 }
-            } else if (type.equals("ByteLevel") && !step.path("add_prefix_space").asBoolean(false)) {
+            } else if (type.equals("ByteLevel")
+                    && !step.path("add_prefix_space").asBoolean(false)) {
                 if (step.path("use_regex").asBoolean(true)) {
                     if (pattern != null) {
-                        throw new BadVocabulary(file + ": pre_tokenizer: two patterns one after the other");
+                        throw new BadVocabulary(
+                                file + ": pre_tokenizer: two patterns one after the other");
                     }
                     pattern = Split.GPT2.pattern;
                 }
             } else {
-                throw new BadVocabulary(file + ": pre_tokenizer: " + type + " as written is not served; one isolated "
-                        + "Split by a Regex and ByteLevel without add_prefix_space are");
+                throw new BadVocabulary(
+                        file
+                                + ": pre_tokenizer: "
+                                + type
+                                + " as written is not served; one isolated "
+                                + "Split by a Regex and ByteLevel without add_prefix_space are");
             }
         }
         if (pattern == null) {
--- a/src/main/java/larchridge/tokens/Workers.java
+++ b/src/main/java/larchridge/tokens/Workers.java
@@ -6,7 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A few threads for work that would hold up a loop; so much may wait, and what is beyond is not taken. */
+/**
+ * A few threads for work that would hold up a loop; so much may wait, and what is beyond is not
+ * taken.
+ */
 public final class Workers implements AutoCloseable {
     private final ThreadPoolExecutor threads;
     private final int count;
@@ -14,12 +17,18 @@
 
     public Workers(int count, int mostWaiting) {
         this.count = count;
-        threads = new ThreadPoolExecutor(count, count, 1, TimeUnit.SECONDS, new ArrayBlockingQueue<>(mostWaiting),
-                work -> {
-                    Thread thread = new Thread(work, "aside");
-                    thread.setDaemon(true);
-                    return thread;
-                });
+        threads =
+                new ThreadPoolExecutor(
+                        count,
+                        count,
+                        1,
+                        TimeUnit.SECONDS,
+                        new ArrayBlockingQueue<>(mostWaiting),
+                        work -> {
+                            Thread thread = new Thread(work, "aside");
+                            thread.setDaemon(true);
+                            return thread;
+                        });
     }
 
     /** Takes work that is expected to last so long; false if too much waits. */
@@ -27,13 +36,14 @@
         long us = (long) (expectedMs * 1000);
         waitingUs.addAndGet(us);
         try {
-            threads.execute(() -> {
-                try {
-                    work.run();
-                } finally {
-                    waitingUs.addAndGet(-us);
-                }
-            });
+            threads.execute(
+                    () -> {
+                        try {
+                            work.run();
+                        } finally {
+                            waitingUs.addAndGet(-us);
+                        }
+                    });
             return true;
         } catch (RejectedExecutionException e) {
             waitingUs.addAndGet(-us);
--- a/src/main/java/larchridge/virtual/Day.java
+++ b/src/main/java/larchridge/virtual/Day.java
@@ -26,9 +26,10 @@
 import larchridge.site.SiteReader;
 
 /**
- * Plays a drill script in virtual time: real fronts with their module over emulated engines, one seed one run, to the byte. The
- * rules are judged and service is counted from what both ends saw, as on sockets. Not played here: batches, processes that are
- * killed, and troubles of the wire itself (torn, garbled, lag, bad_list).
+ * Plays a drill script in virtual time: real fronts with their module over emulated engines, one
+ * seed one run, to the byte. The rules are judged and service is counted from what both ends saw,
+ * as on sockets. Not played here: batches, processes that are killed, and troubles of the wire
+ * itself (torn, garbled, lag, bad_list).
  */
 public final class Day {
     private static final double TAIL_MS = 15_000;
@@ -38,8 +39,15 @@
     private static final int STALL = 20;
 
     /** What a run gave; digest is of all that was seen. */
-    public record Result(List<Seen> log, List<Rules.Breach> breaches, List<Tally.Row> rows, List<EngineModel.Sums> sums,
-                         String digest, long steps, double virtualMs, double realMs) {
+    public record Result(
+            List<Seen> log,
+            List<Rules.Breach> breaches,
+            List<Tally.Row> rows,
+            List<EngineModel.Sums> sums,
+            String digest,
+            long steps,
+            double virtualMs,
+            double realMs) {
         public Tally.Row all() {
             return rows.get(0);
         }
@@ -81,16 +89,31 @@
         random = new Random(script.seed());
         town = new Town(world, log, Drill.makes(script), script.seed());
         try {
-            site = SiteReader.read("drill", "listen { host: \"127.0.0.1\" port: 0 }\nseed: " + Math.max(1, script.seed())
-                    + "\nfronts: 1\nfronts_of_service: " + script.fronts() + "\n" + Drill.site(script.withoutBatches()), null);
+            site =
+                    SiteReader.read(
+                            "drill",
+                            "listen { host: \"127.0.0.1\" port: 0 }\nseed: "
+                                    + Math.max(1, script.seed())
+                                    + "\nfronts: 1\nfronts_of_service: "
+                                    + script.fronts()
+                                    + "\n"
+                                    + Drill.site(script.withoutBatches()),
+                            null);
         } catch (BadSite e) {
-            throw new IllegalStateException("the drill's own site is not good: " + e.getMessage(), e);
+            throw new IllegalStateException(
+                    "the drill's own site is not good: " + e.getMessage(), e);
         }
         String zone = script.engines().get(0).zones().get(0);
         for (int i = 0; i < script.fronts(); i++) {
             // Figures of so many fronts are nobody's; what was seen is the witness.
-            fronts.add(new Front(world.ground(i, script.seed()), site, i, town.link(zone), new Meters(
-                    new CompositeMeterRegistry()), module));
+            fronts.add(
+                    new Front(
+                            world.ground(i, script.seed()),
+                            site,
+                            i,
+                            town.link(zone),
+                            new Meters(new CompositeMeterRegistry()),
+                            module));
         }
     }
 
@@ -115,8 +138,15 @@
         world.run(end);
         double realMs = (System.nanoTime() - start) / 1e6;
         List<Seen> all = log.all();
-        return new Result(all, Rules.judge(all, Drill.figures(script)), Tally.of(all, script), town.sums(), log.digest(),
-                world.ran(), end, realMs);
+        return new Result(
+                all,
+                Rules.judge(all, Drill.figures(script)),
+                Tally.of(all, script),
+                town.sums(),
+                log.digest(),
+                world.ran(),
+                end,
+                realMs);
     }
 
     private void tell() {
@@ -129,12 +159,14 @@
         if (world.sinceMs() >= script.durationMs()) {
             return;
         }
-        world.in(-Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rate), () -> {
-            if (world.sinceMs() < script.durationMs()) {
-                operation();
-                next();
-            }
-        });
+        world.in(
+                -Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rate),
+                () -> {
+                    if (world.sinceMs() < script.durationMs()) {
+                        operation();
+                        next();
+                    }
+                });
     }
 
     private void operation() {
@@ -142,7 +174,11 @@
         String name = "op" + ++operations;
         boolean whole = random.nextDouble() < script.clients().wholeShare();
         int out = 1 + (int) (session.mix.outToks() * (0.5 + random.nextDouble()));
-        int toks = Math.max(1, session.mix.promptToks() / 2 + random.nextInt(session.mix.promptToks() + 1));
+        int toks =
+                Math.max(
+                        1,
+                        session.mix.promptToks() / 2
+                                + random.nextInt(session.mix.promptToks() + 1));
         new Try(session, name, 0, ++texts, toks, whole, out, random.nextInt(fronts.size())).ask();
     }
 
@@ -158,7 +194,8 @@
             }
         }
         int turns = (int) Math.max(1, Math.round(mix.turns() * (0.5 + random.nextDouble())));
-        return new Session(mix, tenant.name(), random.nextInt(mix.prefixes()), turns, "s" + operations);
+        return new Session(
+                mix, tenant.name(), random.nextInt(mix.prefixes()), turns, "s" + operations);
     }
 
     /** One try of one operation: the client's side of it. */
@@ -178,7 +215,15 @@
         private boolean left;
         private int got;
 
-        Try(Session session, String operation, int number, long text, int toks, boolean whole, int out, int front) {
+        Try(
+                Session session,
+                String operation,
+                int number,
+                long text,
+                int toks,
+                boolean whole,
+                int out,
+                int front) {
             this.session = session;
             this.operation = operation;
             this.number = number;
@@ -217,16 +262,36 @@
             lengths.addAll(session.lengths);
             of.add(1L << 40 | text);
             lengths.add(toks);
-            Prompt prompt = Prompt.of(of.stream().mapToLong(Long::longValue).toArray(),
-                    lengths.stream().mapToInt(Integer::intValue).toArray(), Town.blockToks());
+            Prompt prompt =
+                    Prompt.of(
+                            of.stream().mapToLong(Long::longValue).toArray(),
+                            lengths.stream().mapToInt(Integer::intValue).toArray(),
+                            Town.blockToks());
             String body = tag;
             town.talk(body, new Town.Talk(prompt, out, tag));
             world.in(KEEP_TALK_MS, () -> town.forget(body));
-            Ask ask = new Ask(site.offersByModel.get(mix.name()), site.tenantNamed(session.tenant), mix.name(), body,
-                    prompt.toks, shared, 2 * mix.outToks() + 2, List.of(), new Order.Sampling(null, null, null),
-                    shared > 0 ? mix.name() + session.prefix : null, session.opening, session.last,
-                    session.opening + "/" + text, whole, number > 0, mix.limitMs() + (whole ? (2 * mix.outToks() + 2) * 60 : 0),
-                    operation, 0, ignored -> { }, null);
+            Ask ask =
+                    new Ask(
+                            site.offersByModel.get(mix.name()),
+                            site.tenantNamed(session.tenant),
+                            mix.name(),
+                            body,
+                            prompt.toks,
+                            shared,
+                            2 * mix.outToks() + 2,
+                            List.of(),
+                            new Order.Sampling(null, null, null),
+                            shared > 0 ? mix.name() + session.prefix : null,
+                            session.opening,
+                            session.last,
+                            session.opening + "/" + text,
+                            whole,
+                            number > 0,
+                            mix.limitMs() + (whole ? (2 * mix.outToks() + 2) * 60 : 0),
+                            operation,
+                            0,
+                            ignored -> {},
+                            null);
             at.take(ask, this, taken -> open = taken);
             if (left && open != null) {
                 open.gone();
@@ -237,13 +302,15 @@
             if (!finished && !left) {
                 left = true;
                 log.add(Seen.Kind.LEFT, front, session.tenant, tag, got, null);
-                world.in(WAY_MS, () -> {
-                    if (!finished && open != null) {
-                        finished = true;
-                        open.gone();
-                        fronts.get(front).leave();
-                    }
-                });
+                world.in(
+                        WAY_MS,
+                        () -> {
+                            if (!finished && open != null) {
+                                finished = true;
+                                open.gone();
+                                fronts.get(front).leave();
+                            }
+                        });
             }
         }
 
@@ -260,16 +327,31 @@
             if (left) {
                 return;
             }
-            world.in(WAY_MS, () -> {
-                if (whole && word.equals("streamed")) {
-                    log.add(Seen.Kind.BEGUN, front, null, tag, 0, null);
-                }
-                answer(word);
-                if (!word.equals("streamed") && mayRetry && number < script.clients().retries()) {
-                    world.in(Math.max(1, script.clients().retryMs() * (1 << number)), () -> new Try(session, operation,
-                            number + 1, text, toks, whole, out, random.nextInt(fronts.size())).ask());
-                }
-            });
+            world.in(
+                    WAY_MS,
+                    () -> {
+                        if (whole && word.equals("streamed")) {
+                            log.add(Seen.Kind.BEGUN, front, null, tag, 0, null);
+                        }
+                        answer(word);
+                        if (!word.equals("streamed")
+                                && mayRetry
+                                && number < script.clients().retries()) {
+                            world.in(
+                                    Math.max(1, script.clients().retryMs() * (1 << number)),
+                                    () ->
+                                            new Try(
+                                                            session,
+                                                            operation,
+                                                            number + 1,
+                                                            text,
+                                                            toks,
+                                                            whole,
+                                                            out,
+                                                            random.nextInt(fronts.size()))
+                                                    .ask());
+                        }
+                    });
         }
 
         private void answer(String word) {
@@ -353,24 +435,28 @@
                     log.add(Seen.Kind.LISTED, id, null, null, 0, drains ? "draining" : "gone");
                 }
                 tell();
-                world.in(trouble.forMs(), () -> {
-                    for (long id : trouble.engines()) {
-                        town.seat(id).drains = false;
-                        town.seat(id).listed = true;
-                        log.add(Seen.Kind.LISTED, id, null, null, 0, "ready");
-                    }
-                    tell();
-                });
+                world.in(
+                        trouble.forMs(),
+                        () -> {
+                            for (long id : trouble.engines()) {
+                                town.seat(id).drains = false;
+                                town.seat(id).listed = true;
+                                log.add(Seen.Kind.LISTED, id, null, null, 0, "ready");
+                            }
+                            tell();
+                        });
             }
             case "crash" -> trouble.engines().forEach(id -> crash(trouble, town.seat(id)));
             default -> {
                 for (long id : trouble.engines()) {
                     Town.Seat seat = town.seat(id);
                     ail(trouble, seat);
-                    world.in(trouble.forMs(), () -> {
-                        seat.clear();
-                        seat.kick();
-                    });
+                    world.in(
+                            trouble.forMs(),
+                            () -> {
+                                seat.clear();
+                                seat.kick();
+                            });
                 }
             }
         }
@@ -387,26 +473,32 @@
             case "faulty" -> seat.faulty = true;
             case "forgetful" -> seat.forgetful = true;
             case "flush" -> seat.model.flush();
-            default -> { }
+            default -> {}
         }
     }
 
     private void crash(Script.Trouble trouble, Town.Seat seat) {
         seat.crash();
-        world.in(script.listLagMs(), () -> {
-            seat.listed = false;
-            log.add(Seen.Kind.LISTED, seat.make.id(), null, null, 0, "gone");
-            tell();
-        });
-        world.in(Math.max(script.listLagMs() + 200, trouble.forMs()), () -> {
-            seat.start(true);
-            seat.clear();
-            world.in(50, () -> {
-                seat.listed = true;
-                seat.listedStartMs = seat.startedMs;
-                log.add(Seen.Kind.LISTED, seat.make.id(), null, null, 0, "ready");
-                tell();
-            });
-        });
+        world.in(
+                script.listLagMs(),
+                () -> {
+                    seat.listed = false;
+                    log.add(Seen.Kind.LISTED, seat.make.id(), null, null, 0, "gone");
+                    tell();
+                });
+        world.in(
+                Math.max(script.listLagMs() + 200, trouble.forMs()),
+                () -> {
+                    seat.start(true);
+                    seat.clear();
+                    world.in(
+                            50,
+                            () -> {
+                                seat.listed = true;
+                                seat.listedStartMs = seat.startedMs;
+                                log.add(Seen.Kind.LISTED, seat.make.id(), null, null, 0, "ready");
+                                tell();
+                            });
+                });
     }
 }
--- a/src/main/java/larchridge/virtual/Log.java
+++ b/src/main/java/larchridge/virtual/Log.java
@@ -9,7 +9,10 @@
 import larchridge.drill.Seen;
 import larchridge.front.World;
 
-/** What was seen in virtual time, in order, and a digest of all of it; at most so much is kept, beyond that only digested. */
+/**
+ * What was seen in virtual time, in order, and a digest of all of it; at most so much is kept,
+ * beyond that only digested.
+ */
 final class Log {
     static final int MOST = 20_000_000;
 
--- a/src/main/java/larchridge/virtual/Town.java
+++ b/src/main/java/larchridge/virtual/Town.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
+import larchridge.drill.Seen;
 import larchridge.emulator.EngineModel;
 import larchridge.emulator.Job;
 import larchridge.emulator.Links;
 import larchridge.emulator.Prompt;
 import larchridge.emulator.Silicon;
-import larchridge.drill.Seen;
-import larchridge.enginelink.EngineLink;
 import larchridge.enginelink.Ending;
+import larchridge.enginelink.EngineLink;
 import larchridge.enginelink.Hearing;
 import larchridge.enginelink.Order;
 import larchridge.enginelink.Spot;
@@ -26,13 +26,21 @@
 import larchridge.state.Report;
 import larchridge.state.Role;
 
-/** The emulated engines in virtual time, the links between them, and the way to them from fronts. */
+/**
+ * The emulated engines in virtual time, the links between them, and the way to them from fronts.
+ */
 final class Town {
     /** One way between a front and an engine, in its zone and out of it. */
     private static final double NEAR_MS = 0.3;
+
     private static final double FAR_MS = 1.2;
-    /** A rack's link to the others carries so many times what one engine sends, a zone's to another so many. */
+
+    /**
+     * A rack's link to the others carries so many times what one engine sends, a zone's to another
+     * so many.
+     */
     private static final double RACK_LINK = 3;
+
     private static final double ZONE_LINK = 2;
     private static final int BLOCK_TOKS = 32;
     private static final double LAPSE_LOOK_MS = 500;
@@ -47,10 +55,10 @@
     private final Map<String, Talk> talks = new HashMap<>();
 
     /** What a prompt's text stands for here. */
-    record Talk(Prompt prompt, int length, String tag) { }
+    record Talk(Prompt prompt, int length, String tag) {}
 
     /** Names a state: where it waits and under which name. */
-    private record Waiting(long engine, String rid) implements StateHandle { }
+    private record Waiting(long engine, String rid) implements StateHandle {}
 
     Town(World world, Log log, List<Make> makes, long seed) {
         this.world = world;
@@ -67,9 +75,21 @@
     static Silicon silicon(Make make) {
         boolean reads = make.role() == Role.READER;
         int batch = (int) Math.max(256, make.readToksPerMs() * 12);
-        return new Silicon(reads ? 0.5 : 0.6 * make.tokMs(), 1 / make.readToksPerMs(), 0.4 * make.tokMs() / make.streams(), 0,
-                0, BLOCK_TOKS, (int) (make.memoryToks() / BLOCK_TOKS), batch, reads ? make.readsAtOnce() : make.streams(),
-                make.queue() + make.readsAtOnce(), make.lapseMs(), make.coldShare(), make.coldMs(), false);
+        return new Silicon(
+                reads ? 0.5 : 0.6 * make.tokMs(),
+                1 / make.readToksPerMs(),
+                0.4 * make.tokMs() / make.streams(),
+                0,
+                0,
+                BLOCK_TOKS,
+                (int) (make.memoryToks() / BLOCK_TOKS),
+                batch,
+                reads ? make.readsAtOnce() : make.streams(),
+                make.queue() + make.readsAtOnce(),
+                make.lapseMs(),
+                make.coldShare(),
+                make.coldMs(),
+                false);
     }
 
     void talk(String text, Talk talk) {
@@ -94,8 +114,18 @@
         for (Seat seat : seats.values()) {
             if (seat.listed) {
                 Make make = seat.make;
-                rows.add(new Row(make.id(), "e", (int) make.id(), make.role(), make.zone(), make.rack(), 1,
-                        make.memoryToks(), seat.listedStartMs, seat.drains ? Mode.DRAINING : Mode.READY));
+                rows.add(
+                        new Row(
+                                make.id(),
+                                "e",
+                                (int) make.id(),
+                                make.role(),
+                                make.zone(),
+                                make.rack(),
+                                1,
+                                make.memoryToks(),
+                                seat.listedStartMs,
+                                seat.drains ? Mode.DRAINING : Mode.READY));
             }
         }
         return rows;
@@ -135,7 +165,9 @@
             up = true;
             stepping = false;
             startedMs = world.nowMs();
-            model = new EngineModel(silicon(make), cold ? startedMs : startedMs - make.coldMs(), this);
+            model =
+                    new EngineModel(
+                            silicon(make), cold ? startedMs : startedMs - make.coldMs(), this);
             log.add(Seen.Kind.STARTED, make.id(), null, null, cold ? 1 : 0, null);
             int mine = life;
             world.in(LAPSE_LOOK_MS, () -> lapse(mine));
@@ -150,11 +182,23 @@
             List<Visit> here = new ArrayList<>(visits);
             visits.clear();
             for (Visit visit : here) {
-                log.add(Seen.Kind.LEG_OUT, make.id(), visit.order.rid(), visit.talk.tag, visit.job.made(), null);
+                log.add(
+                        Seen.Kind.LEG_OUT,
+                        make.id(),
+                        visit.order.rid(),
+                        visit.talk.tag,
+                        visit.job.made(),
+                        null);
                 visit.back(() -> visit.over(Outcome.CUT));
             }
             for (Job state : states.values()) {
-                log.add(Seen.Kind.STATE_GONE, make.id(), state.rid, ((Visit) state.owner).talk.tag, state.prompt.toks, null);
+                log.add(
+                        Seen.Kind.STATE_GONE,
+                        make.id(),
+                        state.rid,
+                        ((Visit) state.owner).talk.tag,
+                        state.prompt.toks,
+                        null);
             }
             states.clear();
             log.add(Seen.Kind.STOPPED, make.id(), null, null, 0, null);
@@ -188,11 +232,13 @@
             double wait = pausedUntilMs - world.nowMs();
             if (wait > 0) {
                 int mine = life;
-                world.in(wait, () -> {
-                    if (mine == life) {
-                        kick();
-                    }
-                });
+                world.in(
+                        wait,
+                        () -> {
+                            if (mine == life) {
+                                kick();
+                            }
+                        });
                 return;
             }
             double ms = model.begin(world.nowMs());
@@ -218,7 +264,11 @@
         }
 
         Report report() {
-            return new Report(model.inflight(), model.queue(), Math.min(1, model.heldShare()), model.toRead());
+            return new Report(
+                    model.inflight(),
+                    model.queue(),
+                    Math.min(1, model.heldShare()),
+                    model.toRead());
         }
 
         void arrive(Visit visit) {
@@ -229,18 +279,27 @@
                 visit.back(() -> visit.over(Outcome.UNREACHABLE));
                 return;
             }
-            log.add(visit.job.kind == Job.Kind.READ ? Seen.Kind.READ_IN : Seen.Kind.WRITE_IN, make.id(), visit.order.rid(),
-                    visit.talk.tag, visit.talk.prompt.toks, null);
+            log.add(
+                    visit.job.kind == Job.Kind.READ ? Seen.Kind.READ_IN : Seen.Kind.WRITE_IN,
+                    make.id(),
+                    visit.order.rid(),
+                    visit.talk.tag,
+                    visit.talk.prompt.toks,
+                    null);
             visits.add(visit);
-            boolean wrong = visit.job.kind == Job.Kind.READ ? make.role() == Role.WRITER
-                    : make.role() == Role.READER || visit.job.kind == Job.Kind.BOTH && make.role() != Role.BOTH;
+            boolean wrong =
+                    visit.job.kind == Job.Kind.READ
+                            ? make.role() == Role.WRITER
+                            : make.role() == Role.READER
+                                    || visit.job.kind == Job.Kind.BOTH && make.role() != Role.BOTH;
             if (faulty || wrong) {
                 leave(visit, faulty ? Outcome.FAULT : Outcome.NO_STATE);
             } else if (full || !model.submit(visit.job)) {
                 leave(visit, Outcome.FULL);
             } else {
                 visit.lost = random.nextDouble() < lostShare;
-                visit.breakAfter = random.nextDouble() < brokenShare ? random.nextInt(12) : Integer.MAX_VALUE;
+                visit.breakAfter =
+                        random.nextDouble() < brokenShare ? random.nextInt(12) : Integer.MAX_VALUE;
                 kick();
             }
         }
@@ -251,7 +310,13 @@
                 if (!states.containsKey(visit.job.rid)) {
                     model.drop(visit.job);
                 }
-                log.add(Seen.Kind.LEG_OUT, make.id(), visit.order.rid(), visit.talk.tag, visit.job.made(), null);
+                log.add(
+                        Seen.Kind.LEG_OUT,
+                        make.id(),
+                        visit.order.rid(),
+                        visit.talk.tag,
+                        visit.job.made(),
+                        null);
                 if (outcome != null) {
                     Report report = report();
                     visit.back(() -> visit.over(outcome, report));
@@ -264,21 +329,42 @@
             Job state = states.remove(rid);
             if (state != null) {
                 model.release(rid);
-                log.add(Seen.Kind.STATE_GONE, make.id(), rid, ((Visit) state.owner).talk.tag, state.prompt.toks, null);
+                log.add(
+                        Seen.Kind.STATE_GONE,
+                        make.id(),
+                        rid,
+                        ((Visit) state.owner).talk.tag,
+                        state.prompt.toks,
+                        null);
                 kick();
             }
         }
 
-        /** An attempt ends with its answer. One whose answer is lost stays open until its front gives it up. */
+        /**
+         * An attempt ends with its answer. One whose answer is lost stays open until its front
+         * gives it up.
+         */
         private void answered(Visit visit) {
             visits.remove(visit);
-            log.add(Seen.Kind.LEG_OUT, make.id(), visit.order.rid(), visit.talk.tag, visit.job.made(), null);
+            log.add(
+                    Seen.Kind.LEG_OUT,
+                    make.id(),
+                    visit.order.rid(),
+                    visit.talk.tag,
+                    visit.job.made(),
+                    null);
         }
 
         @Override
         public void read(Job job) {
             Visit visit = (Visit) job.owner;
-            log.add(Seen.Kind.STATE_HELD, make.id(), job.rid, visit.talk.tag, job.prompt.toks, null);
+            log.add(
+                    Seen.Kind.STATE_HELD,
+                    make.id(),
+                    job.rid,
+                    visit.talk.tag,
+                    job.prompt.toks,
+                    null);
             if (!visit.lost) {
                 answered(visit);
             }
@@ -288,7 +374,13 @@
             }
             Report report = report();
             if (!visit.lost) {
-                visit.back(() -> visit.read(new Waiting(make.id(), job.rid), job.kept(), job.prompt.toks, report));
+                visit.back(
+                        () ->
+                                visit.read(
+                                        new Waiting(make.id(), job.rid),
+                                        job.kept(),
+                                        job.prompt.toks,
+                                        report));
             }
         }
 
@@ -301,20 +393,31 @@
                 return;
             }
             int mine = life;
-            visit.move = links.begin(world.nowMs(), job.prompt.toks, way(from.make, make), () -> {
-                visit.move = null;
-                if (mine != life || !visits.contains(visit)) {
-                    return;
-                }
-                if (!from.up || !from.model.holds(visit.from.rid)) {
-                    leave(visit, Outcome.NO_STATE);
-                    return;
-                }
-                from.release(visit.from.rid);
-                log.add(Seen.Kind.RAN, make.id(), job.rid, visit.talk.tag, job.prompt.toks, null);
-                model.fetched(job);
-                kick();
-            });
+            visit.move =
+                    links.begin(
+                            world.nowMs(),
+                            job.prompt.toks,
+                            way(from.make, make),
+                            () -> {
+                                visit.move = null;
+                                if (mine != life || !visits.contains(visit)) {
+                                    return;
+                                }
+                                if (!from.up || !from.model.holds(visit.from.rid)) {
+                                    leave(visit, Outcome.NO_STATE);
+                                    return;
+                                }
+                                from.release(visit.from.rid);
+                                log.add(
+                                        Seen.Kind.RAN,
+                                        make.id(),
+                                        job.rid,
+                                        visit.talk.tag,
+                                        job.prompt.toks,
+                                        null);
+                                model.fetched(job);
+                                kick();
+                            });
             wakeLinks();
         }
 
@@ -348,7 +451,13 @@
         @Override
         public void lost(Job job) {
             if (states.remove(job.rid) != null) {
-                log.add(Seen.Kind.STATE_GONE, make.id(), job.rid, ((Visit) job.owner).talk.tag, job.prompt.toks, null);
+                log.add(
+                        Seen.Kind.STATE_GONE,
+                        make.id(),
+                        job.rid,
+                        ((Visit) job.owner).talk.tag,
+                        job.prompt.toks,
+                        null);
             }
         }
     }
@@ -357,10 +466,15 @@
         List<Links.Link> way = new ArrayList<>();
         way.add(links.link("engine " + from.id(), from.moveToksPerMs()));
         if (!from.zone().equals(to.zone())) {
-            way.add(links.link("zone " + from.zone() + " to " + to.zone(), ZONE_LINK * from.moveToksPerMs()));
+            way.add(
+                    links.link(
+                            "zone " + from.zone() + " to " + to.zone(),
+                            ZONE_LINK * from.moveToksPerMs()));
         }
         if (from.rack() != to.rack() || !from.zone().equals(to.zone())) {
-            way.add(links.link("rack " + from.zone() + from.rack(), RACK_LINK * from.moveToksPerMs()));
+            way.add(
+                    links.link(
+                            "rack " + from.zone() + from.rack(), RACK_LINK * from.moveToksPerMs()));
         }
         return way;
     }
@@ -376,11 +490,14 @@
         }
         if (next < Double.POSITIVE_INFINITY) {
             linkWakeMs = next;
-            linkWake = world.in(next - world.nowMs(), () -> {
-                linkWake = -1;
-                links.advance(world.nowMs());
-                wakeLinks();
-            });
+            linkWake =
+                    world.in(
+                            next - world.nowMs(),
+                            () -> {
+                                linkWake = -1;
+                                links.advance(world.nowMs());
+                                wakeLinks();
+                            });
         }
     }
 
@@ -396,28 +513,41 @@
 
             @Override
             public Flight write(Order order, Hearing hearing) {
-                return new Visit(order, hearing, zone, order.state() == null ? Job.Kind.BOTH : Job.Kind.WRITE);
+                return new Visit(
+                        order,
+                        hearing,
+                        zone,
+                        order.state() == null ? Job.Kind.BOTH : Job.Kind.WRITE);
             }
 
             @Override
             public void release(Spot spot, String rid) {
                 Seat seat = seats.get((long) spot.port());
-                world.in(wayMs(zone, seat), () -> {
-                    if (seat.up) {
-                        seat.release(rid);
-                    }
-                });
+                world.in(
+                        wayMs(zone, seat),
+                        () -> {
+                            if (seat.up) {
+                                seat.release(rid);
+                            }
+                        });
             }
 
             @Override
             public void probe(Spot spot, Told told) {
                 Seat seat = seats.get((long) spot.port());
                 double ms = wayMs(zone, seat);
-                world.in(ms, () -> {
-                    Report report = seat.up ? seat.report() : null;
-                    double wait = Math.max(0, seat.pausedUntilMs - world.nowMs());
-                    world.in(wait + ms, () -> told.told(wait <= 500 && report != null, wait > 500 ? null : report));
-                });
+                world.in(
+                        ms,
+                        () -> {
+                            Report report = seat.up ? seat.report() : null;
+                            double wait = Math.max(0, seat.pausedUntilMs - world.nowMs());
+                            world.in(
+                                    wait + ms,
+                                    () ->
+                                            told.told(
+                                                    wait <= 500 && report != null,
+                                                    wait > 500 ? null : report));
+                        });
             }
 
             @Override
@@ -456,22 +586,26 @@
             ms = wayMs(zone, seat);
             job = new Job(order.rid(), kind, talk.prompt, Math.min(order.maxToks(), talk.length));
             job.owner = this;
-            world.in(0, () -> {
-                if (!isOver && order.check().refusal() != null) {
-                    over(Outcome.NOT_SENT);
-                } else {
-                    world.in(ms, () -> seat.arrive(this));
-                }
-            });
+            world.in(
+                    0,
+                    () -> {
+                        if (!isOver && order.check().refusal() != null) {
+                            over(Outcome.NOT_SENT);
+                        } else {
+                            world.in(ms, () -> seat.arrive(this));
+                        }
+                    });
         }
 
         /** Back to the front, if that still listens then. */
         void back(Runnable what) {
-            world.in(ms, () -> {
-                if (!isOver) {
-                    what.run();
-                }
-            });
+            world.in(
+                    ms,
+                    () -> {
+                        if (!isOver) {
+                            what.run();
+                        }
+                    });
         }
 
         void read(Waiting state, int kept, int toks, Report report) {
@@ -492,8 +626,16 @@
 
         void done(Job job, Report report) {
             isOver = true;
-            hearing.ended(Outcome.STREAMED, report, new Ending(job.length < order.maxToks() ? Ending.Why.END_OF_TURN
-                    : Ending.Why.MOST_TOKENS, null, talk.prompt.toks, job.made()));
+            hearing.ended(
+                    Outcome.STREAMED,
+                    report,
+                    new Ending(
+                            job.length < order.maxToks()
+                                    ? Ending.Why.END_OF_TURN
+                                    : Ending.Why.MOST_TOKENS,
+                            null,
+                            talk.prompt.toks,
+                            job.made()));
         }
 
         void over(Outcome outcome) {
@@ -521,14 +663,16 @@
             }
             isOver = true;
             world.in(0, () -> hearing.ended(outcome, null, null));
-            world.in(ms, () -> {
-                if (move != null) {
-                    links.stop(world.nowMs(), move);
-                    move = null;
-                    wakeLinks();
-                }
-                seat.leave(this, null);
-            });
+            world.in(
+                    ms,
+                    () -> {
+                        if (move != null) {
+                            links.stop(world.nowMs(), move);
+                            move = null;
+                            wakeLinks();
+                        }
+                        seat.leave(this, null);
+                    });
         }
 
         @Override
--- a/src/test/java/larchridge/ChoiceTest.java
+++ b/src/test/java/larchridge/ChoiceTest.java
@@ -94,9 +94,15 @@
             Engine[] fleet = stage.fleet(3, 1);
             for (int i = 0; i < 30; i++) {
                 stage.now += 1000;
-                stage.choice.readDone(new Attempt(stage.gen("w"), fleet[i % 2], true, stage.now, 9, 9), 0, null, true);
+                stage.choice.readDone(
+                        new Attempt(stage.gen("w"), fleet[i % 2], true, stage.now, 9, 9),
+                        0,
+                        null,
+                        true);
             }
-            stage.choice.listed(List.of(stage.listing(fleet[2], Role.READER, Mode.READY, stage.now - 500)), false);
+            stage.choice.listed(
+                    List.of(stage.listing(fleet[2], Role.READER, Mode.READY, stage.now - 500)),
+                    false);
             for (int i = 0; i < 4; i++) {
                 stage.now += 1000;
                 stage.choice.arrived(stage.gen("g" + i));
@@ -106,7 +112,10 @@
         assertTrue(attempts > 20 && attempts < 113, attempts + " attempts of 600");
     }
 
-    /** Each front has sent nothing yet and hears no report: to it, all writers of the rack are alike. */
+    /**
+     * Each front has sent nothing yet and hears no report: to it, all writers of the rack are
+     * alike.
+     */
     @Test
     void frontsThatSeeLittleSpreadTheirAnswersOverEqualWriters() {
         int fronts = 120;
@@ -124,7 +133,9 @@
             }
         }
         for (int taken : answers) {
-            assertTrue(taken > 15 && taken < 50, taken + " of " + fronts + " answers at one of four equal writers");
+            assertTrue(
+                    taken > 15 && taken < 50,
+                    taken + " of " + fronts + " answers at one of four equal writers");
         }
     }
 
@@ -214,8 +225,20 @@
     void retryIsReadByShortReadersOnly() {
         Engine[] fleet = stage.fleet(1, 1);
         fleet[0].unreadToks = 4000;
-        Gen retry = new Gen("r", Stage.product(Effect.IDEMPOTENT, Span.ALL), null, null, null, 1000, 0, 200,
-                Double.NaN, true, stage.now, stage.now + 5000);
+        Gen retry =
+                new Gen(
+                        "r",
+                        Stage.product(Effect.IDEMPOTENT, Span.ALL),
+                        null,
+                        null,
+                        null,
+                        1000,
+                        0,
+                        200,
+                        Double.NaN,
+                        true,
+                        stage.now,
+                        stage.now + 5000);
         choice.arrived(retry);
         assertTrue(stage.sent.isEmpty());
         fleet[0].unreadToks = 2000;
@@ -240,10 +263,23 @@
             stage.terms.seed = front;
             stage.start();
             stage.fleet(8, 2);
-            stage.choice.arrived(new Gen("g", Stage.product(Effect.IDEMPOTENT, Span.ALL), null, new Text("s"),
-                    prefix, 3000, 2000, 200, Double.NaN, false, stage.now, stage.now + 5000));
+            stage.choice.arrived(
+                    new Gen(
+                            "g",
+                            Stage.product(Effect.IDEMPOTENT, Span.ALL),
+                            null,
+                            new Text("s"),
+                            prefix,
+                            3000,
+                            2000,
+                            200,
+                            Double.NaN,
+                            false,
+                            stage.now,
+                            stage.now + 5000));
         }
-        assertEquals(1, stage.sent.stream().map(attempt -> attempt.engine.label).distinct().count());
+        assertEquals(
+                1, stage.sent.stream().map(attempt -> attempt.engine.label).distinct().count());
     }
 
     @Test
@@ -360,7 +396,8 @@
         Engine[] fleet = stage.fleet(1, 1);
         fleet[0].suspectUntilMs = stage.now + 60_000;
         choice.listed(List.of(stage.listing(fleet[0], Role.READER, Mode.GONE, 0)), false);
-        choice.listed(List.of(stage.listing(fleet[0], Role.READER, Mode.READY, stage.now - 1)), false);
+        choice.listed(
+                List.of(stage.listing(fleet[0], Role.READER, Mode.READY, stage.now - 1)), false);
         assertEquals(0, fleet[0].suspectUntilMs);
     }
 
@@ -466,9 +503,12 @@
         Engine reader = new Engine(1);
         Engine near = new Engine(2);
         Engine far = new Engine(3);
-        choice.listed(List.of(new Listing(reader, Mode.READY, 0, 1, "z", 0, Role.READER, 200_000),
-                new Listing(near, Mode.READY, 0, 1, "z", 0, Role.WRITER, 200_000),
-                new Listing(far, Mode.READY, 0, 1, "z", 7, Role.WRITER, 200_000)), true);
+        choice.listed(
+                List.of(
+                        new Listing(reader, Mode.READY, 0, 1, "z", 0, Role.READER, 200_000),
+                        new Listing(near, Mode.READY, 0, 1, "z", 0, Role.WRITER, 200_000),
+                        new Listing(far, Mode.READY, 0, 1, "z", 7, Role.WRITER, 200_000)),
+                true);
         // The near one holds more than Z, so that answers go out of the rack.
         for (int i = 0; i < 4; i++) {
             Gen gen = stage.gen("near" + i);
@@ -515,7 +555,9 @@
         assertEquals(fleet[1], stage.last().engine);
     }
 
-    /** It may wait in its writer's queue, which keeps the state; any other writer would find none. */
+    /**
+     * It may wait in its writer's queue, which keeps the state; any other writer would find none.
+     */
     @Test
     void answerWhoseStateWasReleasedBesideItStaysUntilItsPromptIsReadAnew() {
         stage.fleet(2, 2);
--- a/src/test/java/larchridge/RepeatRuleTest.java
+++ b/src/test/java/larchridge/RepeatRuleTest.java
@@ -27,7 +27,20 @@
 
     private Gen cutOnce(Effect effect) {
         Product product = new Product("p", effect, Span.ALL, WINDOW_MS, 1, 0, 1000, 0, 60);
-        Gen gen = new Gen("g", product, null, null, null, 100, 0, 10, Double.NaN, false, SENT_MS, SENT_MS + 9000);
+        Gen gen =
+                new Gen(
+                        "g",
+                        product,
+                        null,
+                        null,
+                        null,
+                        100,
+                        0,
+                        10,
+                        Double.NaN,
+                        false,
+                        SENT_MS,
+                        SENT_MS + 9000);
         Attempt first = attempt(gen, SENT_MS);
         first.outcome = Outcome.CUT;
         first.close();
@@ -50,7 +63,20 @@
         Gen gen = cutOnce(Effect.DEDUPLICATED);
         assertFalse(RepeatRule.mayWrite(attempt(gen, SENT_MS + 860), SENT_MS + 860, false));
         Product brief = new Product("b", Effect.DEDUPLICATED, Span.ALL, 400, 1, 0, 1000, 0, 60);
-        Gen other = new Gen("h", brief, null, null, null, 100, 0, 10, Double.NaN, false, SENT_MS, SENT_MS + 9000);
+        Gen other =
+                new Gen(
+                        "h",
+                        brief,
+                        null,
+                        null,
+                        null,
+                        100,
+                        0,
+                        10,
+                        Double.NaN,
+                        false,
+                        SENT_MS,
+                        SENT_MS + 9000);
         Attempt first = attempt(other, SENT_MS);
         first.outcome = Outcome.CUT;
         first.close();
--- a/src/test/java/larchridge/Stage.java
+++ b/src/test/java/larchridge/Stage.java
@@ -68,7 +68,18 @@
     }
 
     Gen gen(String label, Product product, Text session, int promptToks) {
-        return new Gen(label, product, null, session, null, promptToks, 0, 200, Double.NaN, false, now,
+        return new Gen(
+                label,
+                product,
+                null,
+                session,
+                null,
+                promptToks,
+                0,
+                200,
+                Double.NaN,
+                false,
+                now,
                 now + 5000);
     }
 
@@ -127,5 +138,5 @@
     }
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each invariant is broken once by events as the sockets would tell them, and counted; an orderly day breaks none. */
+/**
+ * Each invariant is broken once by events as the sockets would tell them, and counted; an orderly
+ * day breaks none.
+ */
 class RequestAuditTest {
     private static final String ID = "9b1f03aa5c7e2d41";
     private static final Spot READER = new Spot("10.0.0.1", 8443);
@@ -28,8 +31,12 @@
 
     private double nowMs = 1_000_000;
     private final Violations violations = new Violations(new SimpleMeterRegistry());
-    private final RequestAudit audit = new RequestAudit(new AuditTerms(GRACE_MS, RELEASE_MS, 8000, 0.3, 4, 1500, false),
-            () -> nowMs, violations, new CloseCounters(new SimpleMeterRegistry()));
+    private final RequestAudit audit =
+            new RequestAudit(
+                    new AuditTerms(GRACE_MS, RELEASE_MS, 8000, 0.3, 4, 1500, false),
+                    () -> nowMs,
+                    violations,
+                    new CloseCounters(new SimpleMeterRegistry()));
     private final Map<Spot, AuditedEngine> engines = new LinkedHashMap<>();
 
     RequestAuditTest() {
@@ -41,7 +48,8 @@
     }
 
     private void accept(String id, Effect effect, Span span) {
-        audit.accepted(id, new Product("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60), nowMs + TOLD_MS);
+        audit.accepted(
+                id, new Product("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60), nowMs + TOLD_MS);
     }
 
     private int write(String id, Spot spot, boolean reads) {
--- a/src/test/java/larchridge/batch/BatchStage.java
+++ b/src/test/java/larchridge/batch/BatchStage.java
@@ -33,14 +33,19 @@
 import larchridge.store.form.FileForm;
 import larchridge.tokens.Counters;
 
-/** A store with its batches in virtual time, over engines that do what the prompt says; it can be killed and come back. */
+/**
+ * A store with its batches in virtual time, over engines that do what the prompt says; it can be
+ * killed and come back.
+ */
 final class BatchStage implements AutoCloseable {
     static final ObjectMapper MAPPER = new ObjectMapper();
     final Path folder = Files.createTempDirectory("larchridge-batch");
     final Site site;
     final Counters counters = new Counters(1 << 20, 1, 10, 4);
+
     /** What the engines ran, by the line's custom id; it outlives the process. */
     final Map<String, Integer> ran = new TreeMap<>();
+
     VirtualLoop loop;
     Store store;
     Batches batches;
@@ -54,7 +59,10 @@
     }
 
     BatchStage() throws Exception {
-        site = SiteReader.read("site", """
+        site =
+                SiteReader.read(
+                        "site",
+                        """
                 listen { host: "127.0.0.1" port: 0 }
                 guest: "g"
                 inventory { file: "engines.yaml" }
@@ -63,7 +71,8 @@
                 product { name: "dedup" model: "dedup" effect: DEDUPLICATED dedup_span: ALL dedup_memory_ms: 9000
                   slo_ms: 800 time_limit_ms: 900 }
                 batch { listen { host: "127.0.0.1" port: 0 } folder: "store" line_bytes: 2000 open_lines: 8 }
-                """, folder);
+                """,
+                        folder);
         begin();
     }
 
@@ -72,8 +81,15 @@
         loop = new VirtualLoop();
         out = 0;
         store = Store.open(folder.resolve("store"), name -> points.at(name));
-        batches = new Batches(store, site, new Engines(), loop, new Planner(site.batch.openLines),
-                new Attempts(site.batch.attempts, new Random(1)), new Bodies(site, counters, loop));
+        batches =
+                new Batches(
+                        store,
+                        site,
+                        new Engines(),
+                        loop,
+                        new Planner(site.batch.openLines),
+                        new Attempts(site.batch.attempts, new Random(1)),
+                        new Bodies(site, counters, loop));
         batches.start();
     }
 
@@ -91,14 +107,27 @@
     }
 
     BatchForm make(FileForm input, double windowMs) throws IOException {
-        return batches.make(BatchForm.newBuilder().setTenant("g").setInput(input.getId()).setEndpoint("/v1/messages")
-                .setWindow("1h").setCreatedMs((long) loop.nowMs()).setExpiresMs((long) (loop.nowMs() + windowMs)));
+        return batches.make(
+                BatchForm.newBuilder()
+                        .setTenant("g")
+                        .setInput(input.getId())
+                        .setEndpoint("/v1/messages")
+                        .setWindow("1h")
+                        .setCreatedMs((long) loop.nowMs())
+                        .setExpiresMs((long) (loop.nowMs() + windowMs)));
     }
 
     /** A line whose engines do as its words say. */
     static String line(String id, String model, String words) {
-        return "{\"custom_id\":\"" + id + "\",\"method\":\"POST\",\"url\":\"/v1/messages\",\"body\":{\"model\":\"" + model
-                + "\",\"max_tokens\":10,\"messages\":[{\"role\":\"user\",\"content\":\"id=" + id + " " + words + "\"}]}}";
+        return "{\"custom_id\":\""
+                + id
+                + "\",\"method\":\"POST\",\"url\":\"/v1/messages\",\"body\":{\"model\":\""
+                + model
+                + "\",\"max_tokens\":10,\"messages\":[{\"role\":\"user\",\"content\":\"id="
+                + id
+                + " "
+                + words
+                + "\"}]}}";
     }
 
     static String file(int lines) {
@@ -116,7 +145,9 @@
             return records;
         }
         try (FileChannel from = store.content(store.file(fileId))) {
-            for (String text : new String(Channels.newInputStream(from).readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
+            for (String text :
+                    new String(Channels.newInputStream(from).readAllBytes(), StandardCharsets.UTF_8)
+                            .split("\n")) {
                 JsonNode record = MAPPER.readTree(text);
                 if (records.put(record.path("custom_id").asText(), record) != null) {
                     throw new AssertionError("twice: " + text);
@@ -129,11 +160,13 @@
     /** Both files' records; a line in both fails. */
     Map<String, JsonNode> records(BatchForm batch) throws IOException {
         Map<String, JsonNode> all = records(batch.getOutput());
-        records(batch.getErrors()).forEach((id, record) -> {
-            if (all.put(id, record) != null) {
-                throw new AssertionError("in both files: " + id);
-            }
-        });
+        records(batch.getErrors())
+                .forEach(
+                        (id, record) -> {
+                            if (all.put(id, record) != null) {
+                                throw new AssertionError("in both files: " + id);
+                            }
+                        });
         return all;
     }
 
@@ -148,7 +181,10 @@
         }
     }
 
-    /** Does what prompts say: ok, fail N (terminated N times), busy N (throttled N times), slow MS, never. */
+    /**
+     * Does what prompts say: ok, fail N (terminated N times), busy N (throttled N times), slow MS,
+     * never.
+     */
     private final class Engines implements Desk {
         private final Map<String, Integer> times = new HashMap<>();
 
@@ -164,19 +200,24 @@
                 ran.merge(id, 1, Integer::sum);
             }
             if (!prompt.contains(" never")) {
-                loop.in(Math.max(20, number(prompt, "slow")), () -> {
-                    if (off[0]) {
-                        return;
-                    }
-                    out--;
-                    if (busy) {
-                        told.throttled(0);
-                    } else if (time <= number(prompt, "fail")) {
-                        told.terminated();
-                    } else {
-                        told.streamed("w1 w2 ", 0, new Ending(Ending.Why.END_OF_TURN, null, 10, 2));
-                    }
-                });
+                loop.in(
+                        Math.max(20, number(prompt, "slow")),
+                        () -> {
+                            if (off[0]) {
+                                return;
+                            }
+                            out--;
+                            if (busy) {
+                                told.throttled(0);
+                            } else if (time <= number(prompt, "fail")) {
+                                told.terminated();
+                            } else {
+                                told.streamed(
+                                        "w1 w2 ",
+                                        0,
+                                        new Ending(Ending.Why.END_OF_TURN, null, 10, 2));
+                            }
+                        });
             }
             return () -> {
                 off[0] = true;
@@ -186,16 +227,22 @@
 
         private static int number(String prompt, String word) {
             int at = prompt.indexOf(" " + word + " ");
-            return at < 0 ? 0 : Integer.parseInt(prompt.substring(at + word.length() + 2).split("\\s")[0]);
+            return at < 0
+                    ? 0
+                    : Integer.parseInt(prompt.substring(at + word.length() + 2).split("\\s")[0]);
         }
     }
 
-    /** Virtual time: steps run in the order of their times, and in one moment in the order in which they came. */
+    /**
+     * Virtual time: steps run in the order of their times, and in one moment in the order in which
+     * they came.
+     */
     static final class VirtualLoop implements Loop {
-        private record Step(double ms, long number, Runnable run) { }
+        private record Step(double ms, long number, Runnable run) {}
 
-        private final PriorityQueue<Step> steps = new PriorityQueue<>(Comparator.comparingDouble(Step::ms)
-                .thenComparingLong(Step::number));
+        private final PriorityQueue<Step> steps =
+                new PriorityQueue<>(
+                        Comparator.comparingDouble(Step::ms).thenComparingLong(Step::number));
         private double nowMs = 1_800_000_000_000.0;
         private long number;
 
@@ -216,18 +263,19 @@
 
         @Override
         public <T> void aside(Callable<T> work, BiConsumer<T, Exception> done) {
-            execute(() -> {
-                T got = null;
-                Exception failed = null;
-                try {
-                    got = work.call();
-                } catch (Exception e) {
-                    failed = e;
-                }
-                T given = got;
-                Exception fault = failed;
-                execute(() -> done.accept(given, fault));
-            });
+            execute(
+                    () -> {
+                        T got = null;
+                        Exception failed = null;
+                        try {
+                            got = work.call();
+                        } catch (Exception e) {
+                            failed = e;
+                        }
+                        T given = got;
+                        Exception fault = failed;
+                        execute(() -> done.accept(given, fault));
+                    });
         }
 
         /** Runs for so long, virtually. */
@@ -259,5 +307,4 @@
             }
         }
     }
-
 }
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -16,7 +16,10 @@
 import larchridge.store.form.StateForm;
 import org.junit.jupiter.api.Test;
 
-/** Batches in virtual time: their ways, their ends, a disk that fails, and a process that ends at each place it writes. */
+/**
+ * Batches in virtual time: their ways, their ends, a disk that fails, and a process that ends at
+ * each place it writes.
+ */
 class BatchesTest {
     private static final double HOUR = 3_600_000;
 
@@ -37,13 +40,18 @@
             assertEquals(StateForm.COMPLETED, done.getState());
             assertEquals(ids(40), stage.records(done.getOutput()).keySet());
             assertEquals("", done.getErrors());
-            assertEquals("w1 w2 ", stage.records(done).get("c7").at("/response/body/content/0/text").asText());
+            assertEquals(
+                    "w1 w2 ",
+                    stage.records(done).get("c7").at("/response/body/content/0/text").asText());
             assertTrue(stage.mostOut <= 8, "out at a time: " + stage.mostOut);
             assertEquals(List.of(), stage.store.verify());
         }
     }
 
-    /** Danger: a line that is read again to be sent would move the place at which the rest of a large input is read. */
+    /**
+     * Danger: a line that is read again to be sent would move the place at which the rest of a
+     * large input is read.
+     */
     @Test
     void inputLargerThanAnyBufferIsReadWhole() throws Exception {
         StringBuilder text = new StringBuilder();
@@ -60,18 +68,38 @@
     @Test
     void brokenLinesFailTheBatchBeforeAnythingRuns() throws Exception {
         String good = BatchStage.line("a", "free", "ok");
-        String text = "\uFEFF" + good + "\r\n\n{\"custom_id\": \n" + good + "\n" + "x".repeat(5000) + "\n"
-                + good.replace("\"a\"", "\"b\"").replace("POST", "GET") + "\n"
-                + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
+        String text =
+                "\uFEFF"
+                        + good
+                        + "\r\n\n{\"custom_id\": \n"
+                        + good
+                        + "\n"
+                        + "x".repeat(5000)
+                        + "\n"
+                        + good.replace("\"a\"", "\"b\"").replace("POST", "GET")
+                        + "\n"
+                        + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
         try (BatchStage stage = new BatchStage()) {
             BatchForm batch = stage.make(stage.upload(text), HOUR);
             stage.loop.run(1000);
             BatchForm failed = stage.batches.batch(batch.getId());
             assertEquals(StateForm.FAILED, failed.getState());
-            assertEquals(List.of("3 invalid_json_line", "4 duplicate_custom_id custom_id", "5 line_too_long",
-                    "6 invalid_method method", "7 mismatched_endpoint url"), failed.getFaultList().stream()
-                    .map(f -> (f.getLine() + " " + f.getCode() + " " + f.getField()).strip()).toList());
-            assertTrue(failed.getFault(1).getMessage().endsWith("of line 1"), failed.getFault(1).getMessage());
+            assertEquals(
+                    List.of(
+                            "3 invalid_json_line",
+                            "4 duplicate_custom_id custom_id",
+                            "5 line_too_long",
+                            "6 invalid_method method",
+                            "7 mismatched_endpoint url"),
+                    failed.getFaultList().stream()
+                            .map(
+                                    f ->
+                                            (f.getLine() + " " + f.getCode() + " " + f.getField())
+                                                    .strip())
+                            .toList());
+            assertTrue(
+                    failed.getFault(1).getMessage().endsWith("of line 1"),
+                    failed.getFault(1).getMessage());
             assertTrue(stage.ran.isEmpty());
             assertTrue(stage.store.delete(stage.store.file(failed.getInput())));
         }
@@ -79,9 +107,18 @@
 
     @Test
     void linesThatFailGoAgainByTheirEffect() throws Exception {
-        String text = BatchStage.line("free2", "free", "fail 2") + "\n" + BatchStage.line("free9", "free", "fail 9") + "\n"
-                + BatchStage.line("once", "once", "fail 1") + "\n" + BatchStage.line("busy", "once", "busy 5") + "\n"
-                + BatchStage.line("dedup", "dedup", "fail 1") + "\n" + BatchStage.line("nobody", "unknown", "ok");
+        String text =
+                BatchStage.line("free2", "free", "fail 2")
+                        + "\n"
+                        + BatchStage.line("free9", "free", "fail 9")
+                        + "\n"
+                        + BatchStage.line("once", "once", "fail 1")
+                        + "\n"
+                        + BatchStage.line("busy", "once", "busy 5")
+                        + "\n"
+                        + BatchStage.line("dedup", "dedup", "fail 1")
+                        + "\n"
+                        + BatchStage.line("nobody", "unknown", "ok");
         try (BatchStage stage = new BatchStage()) {
             BatchForm batch = stage.make(stage.upload(text), HOUR);
             stage.loop.run(300_000);
@@ -93,7 +130,8 @@
             assertEquals("may_have_run", errors.get("once").at("/error/code").asText());
             assertEquals("may_have_run", errors.get("dedup").at("/error/code").asText());
             assertEquals(404, errors.get("nobody").at("/response/status_code").asInt());
-            assertEquals(Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1), stage.ran);
+            assertEquals(
+                    Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1), stage.ran);
             assertEquals(2, done.getDone());
             assertEquals(4, done.getFailed());
         }
@@ -110,7 +148,9 @@
             assertEquals(StateForm.CANCELLED, done.getState());
             assertEquals(ids(400), stage.records(done).keySet());
             assertTrue(done.getDone() > 0 && done.getFailed() > 0, done.toString());
-            assertEquals("batch_cancelled", stage.records(done.getErrors()).get("c399").at("/error/code").asText());
+            assertEquals(
+                    "batch_cancelled",
+                    stage.records(done.getErrors()).get("c399").at("/error/code").asText());
             assertNull(stage.batches.cancel(batch.getId()));
         }
     }
@@ -145,15 +185,22 @@
     /** Danger: a disk that is full for a while must cost no line its record. */
     @Test
     void diskThatFailsForAWhileLosesNothing() throws Exception {
-        for (String failing : List.of("record flight", "record answers", "sync incoming", "finish batch", "update batch")) {
+        for (String failing :
+                List.of(
+                        "record flight",
+                        "record answers",
+                        "sync incoming",
+                        "finish batch",
+                        "update batch")) {
             try (BatchStage stage = new BatchStage()) {
                 BatchForm batch = stage.make(stage.upload(BatchStage.file(30)), HOUR);
                 double from = stage.loop.nowMs();
-                stage.points = name -> {
-                    if (name.equals(failing) && stage.loop.nowMs() < from + 5000) {
-                        throw new IOException("No space left on device");
-                    }
-                };
+                stage.points =
+                        name -> {
+                            if (name.equals(failing) && stage.loop.nowMs() < from + 5000) {
+                                throw new IOException("No space left on device");
+                            }
+                        };
                 stage.loop.run(60_000);
                 BatchForm done = stage.batches.batch(batch.getId());
                 assertEquals(StateForm.COMPLETED, done.getState(), failing);
@@ -178,13 +225,28 @@
 
     // ------------------------------------------------------------------ ends of the process
 
-    private static final String MIXED = BatchStage.line("ok1", "free", "ok") + "\n\n" + BatchStage.line("once1", "once", "ok")
-            + "\n" + BatchStage.line("fail1", "free", "fail 1") + "\n" + BatchStage.line("busy1", "once", "busy 1") + "\n"
-            + BatchStage.line("bad", "unknown", "ok") + "\n" + BatchStage.line("once2", "once", "slow 300") + "\n"
-            + BatchStage.line("ok2", "free", "slow 200") + "\n";
-    private static final Set<String> MIXED_IDS = Set.of("ok1", "once1", "fail1", "busy1", "bad", "once2", "ok2");
+    private static final String MIXED =
+            BatchStage.line("ok1", "free", "ok")
+                    + "\n\n"
+                    + BatchStage.line("once1", "once", "ok")
+                    + "\n"
+                    + BatchStage.line("fail1", "free", "fail 1")
+                    + "\n"
+                    + BatchStage.line("busy1", "once", "busy 1")
+                    + "\n"
+                    + BatchStage.line("bad", "unknown", "ok")
+                    + "\n"
+                    + BatchStage.line("once2", "once", "slow 300")
+                    + "\n"
+                    + BatchStage.line("ok2", "free", "slow 200")
+                    + "\n";
+    private static final Set<String> MIXED_IDS =
+            Set.of("ok1", "once1", "fail1", "busy1", "bad", "once2", "ok2");
 
-    /** One client's day: it uploads, makes a batch, and after each end of the process looks for what it was promised. */
+    /**
+     * One client's day: it uploads, makes a batch, and after each end of the process looks for what
+     * it was promised.
+     */
     private static BatchForm play(BatchStage stage, boolean cancels, int atMost) throws Exception {
         FileForm input = null;
         BatchForm batch = null;
@@ -197,7 +259,10 @@
                 }
                 if (batch == null) {
                     List<String> kept = stage.store.page("g", 'b', -1, 10);
-                    batch = kept.isEmpty() ? stage.make(input, HOUR) : stage.batches.batch(kept.get(0));
+                    batch =
+                            kept.isEmpty()
+                                    ? stage.make(input, HOUR)
+                                    : stage.batches.batch(kept.get(0));
                 }
                 if (cancels && !asked) {
                     stage.loop.run(60);
@@ -230,7 +295,9 @@
         assertEquals(MIXED_IDS.size(), done.getDone() + done.getFailed(), about);
         assertEquals(List.of(), stage.store.verify(), about);
         for (String once : List.of("once1", "once2", "busy1")) {
-            assertTrue(stage.ran.getOrDefault(once, 0) <= 1, about + ": " + once + " ran " + stage.ran.get(once) + " times");
+            assertTrue(
+                    stage.ran.getOrDefault(once, 0) <= 1,
+                    about + ": " + once + " ran " + stage.ran.get(once) + " times");
         }
         assertTrue(stage.store.active().isEmpty(), about);
     }
@@ -248,8 +315,15 @@
                 try (BatchStage stage = new BatchStage()) {
                     BatchStage.HaltAt halt = new BatchStage.HaltAt(at);
                     stage.points = halt;
-                    whole(stage, play(stage, cancels, 3), "ended at write " + at + " (" + count.passed.get(at - 1) + "), cancels "
-                            + cancels);
+                    whole(
+                            stage,
+                            play(stage, cancels, 3),
+                            "ended at write "
+                                    + at
+                                    + " ("
+                                    + count.passed.get(at - 1)
+                                    + "), cancels "
+                                    + cancels);
                 }
             }
         }
@@ -262,12 +336,13 @@
             java.util.Random random = new java.util.Random(seed);
             try (BatchStage stage = new BatchStage()) {
                 int[] ends = new int[1];
-                stage.points = name -> {
-                    if (ends[0] < 25 && random.nextInt(6) == 0) {
-                        ends[0]++;
-                        throw new BatchStage.Halt();
-                    }
-                };
+                stage.points =
+                        name -> {
+                            if (ends[0] < 25 && random.nextInt(6) == 0) {
+                                ends[0]++;
+                                throw new BatchStage.Halt();
+                            }
+                        };
                 whole(stage, play(stage, false, 60), "seed " + seed);
                 all += ends[0];
             }
--- a/src/test/java/larchridge/batch/LinesTest.java
+++ b/src/test/java/larchridge/batch/LinesTest.java
@@ -17,9 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 class LinesTest {
-    private static List<Lines.Line> read(Path file, int mostBytes, long number, long offset) throws Exception {
+    private static List<Lines.Line> read(Path file, int mostBytes, long number, long offset)
+            throws Exception {
         List<Lines.Line> all = new ArrayList<>();
-        try (FileChannel channel = FileChannel.open(file); Lines lines = new Lines(channel, mostBytes, number, offset)) {
+        try (FileChannel channel = FileChannel.open(file);
+                Lines lines = new Lines(channel, mostBytes, number, offset)) {
             for (Lines.Line line = lines.next(); line != null; line = lines.next()) {
                 all.add(line);
             }
@@ -32,8 +34,11 @@
         Path file = Files.createTempFile("lines", "");
         Files.writeString(file, "\uFEFFa\r\n\n  \r\nb\nc\r\r\nlast");
         List<Lines.Line> lines = read(file, 100, 0, 0);
-        assertEquals(List.of("0 a", "3 b", "4 c\r", "5 last"), lines.stream()
-                .map(l -> l.number() + " " + new String(l.bytes(), StandardCharsets.UTF_8)).toList());
+        assertEquals(
+                List.of("0 a", "3 b", "4 c\r", "5 last"),
+                lines.stream()
+                        .map(l -> l.number() + " " + new String(l.bytes(), StandardCharsets.UTF_8))
+                        .toList());
         Files.write(file, new byte[0]);
         assertEquals(List.of(), read(file, 100, 0, 0));
         Files.delete(file);
@@ -50,13 +55,18 @@
         Files.delete(file);
     }
 
-    /** Danger: a batch goes on at a place in the middle of its input; that must give the same lines as from the start. */
+    /**
+     * Danger: a batch goes on at a place in the middle of its input; that must give the same lines
+     * as from the start.
+     */
     @Property(tries = 100, seed = "20261201")
-    void readingFromAnyLineGivesTheSame(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 70_000) Integer> lengths)
+    void readingFromAnyLineGivesTheSame(
+            @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 70_000) Integer> lengths)
             throws Exception {
         Path file = Files.createTempFile("lines", "");
         StringBuilder text = new StringBuilder();
-        lengths.forEach(length -> text.append("z".repeat(length)).append(length % 2 == 0 ? "\n" : "\r\n"));
+        lengths.forEach(
+                length -> text.append("z".repeat(length)).append(length % 2 == 0 ? "\n" : "\r\n"));
         Files.writeString(file, text);
         List<Lines.Line> all = read(file, 50_000, 0, 0);
         for (int i = 0; i < all.size(); i += 7) {
--- a/src/test/java/larchridge/batch/WordingTest.java
+++ b/src/test/java/larchridge/batch/WordingTest.java
@@ -14,24 +14,42 @@
 
     @Test
     void chatBecomesMessages() throws Exception {
-        assertEquals(json("{'model':'m','temperature':1.5,'max_tokens':7,'stop_sequences':['x'],'system':[{'type':'text',"
-                + "'text':'be brief'}],'messages':[{'role':'user','content':'a'},{'role':'assistant','content':'b'},"
-                + "{'role':'user','content':[{'type':'text','text':'c'}]}]}"), Wording.messages(json("{'model':'m',"
-                + "'temperature':1.5,'max_completion_tokens':7,'stop':'x','messages':[{'role':'system','content':'be brief'},"
-                + "{'role':'user','content':'a'},{'role':'assistant','content':'b'},{'role':'user','content':[{'type':"
-                + "'text','text':'c'}]}]}")));
+        assertEquals(
+                json(
+                        "{'model':'m','temperature':1.5,'max_tokens':7,'stop_sequences':['x'],'system':[{'type':'text',"
+                                + "'text':'be brief'}],'messages':[{'role':'user','content':'a'},{'role':'assistant','content':'b'},"
+                                + "{'role':'user','content':[{'type':'text','text':'c'}]}]}"),
+                Wording.messages(
+                        json(
+                                "{'model':'m',"
+                                        + "'temperature':1.5,'max_completion_tokens':7,'stop':'x','messages':[{'role':'system','content':'be brief'},"
+                                        + "{'role':'user','content':'a'},{'role':'assistant','content':'b'},{'role':'user','content':[{'type':"
+                                        + "'text','text':'c'}]}]}")));
     }
 
     @Test
     void whatChatCantHaveHereNamesItsField() throws Exception {
-        for (String[] bad : new String[][] {{"{'model':'m','messages':[]}", "max_completion_tokens: Field required"},
-            {"{'model':'m','max_tokens':1,'n':2,'messages':[]}", "n: only 1 is served"},
-            {"{'model':'m','max_tokens':1,'stream':true,'messages':[]}", "stream: a batch answers in one piece"},
-            {"{'model':'m','max_tokens':1,'messages':[{'role':'tool','content':'x'}]}",
-                "messages.0.role: 'tool' is not system, developer, user or assistant"},
-            {"{'model':'m','max_tokens':1,'messages':[{'role':'user','content':[{'type':'image_url'}]}]}",
-                "messages.0.content.0.type: only text is served here"}}) {
-            assertEquals(bad[1], assertThrows(ApiFault.class, () -> Wording.messages(json(bad[0]))).getMessage());
+        for (String[] bad :
+                new String[][] {
+                    {"{'model':'m','messages':[]}", "max_completion_tokens: Field required"},
+                    {"{'model':'m','max_tokens':1,'n':2,'messages':[]}", "n: only 1 is served"},
+                    {
+                        "{'model':'m','max_tokens':1,'stream':true,'messages':[]}",
+                        "stream: a batch answers in one piece"
+                    },
+                    {
+                        "{'model':'m','max_tokens':1,'messages':[{'role':'tool','content':'x'}]}",
+                        "messages.0.role: 'tool' is not system, developer, user or assistant"
+                    },
+                    {
+                        "{'model':'m','max_tokens':1,'messages':[{'role':'user','content':[{'type':'image_url'}]}]}",
+                        "messages.0.content.0.type: only text is served here"
+                    }
+                }) {
+            assertEquals(
+                    bad[1],
+                    assertThrows(ApiFault.class, () -> Wording.messages(json(bad[0])))
+                            .getMessage());
         }
     }
 }
--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -15,9 +15,10 @@
 
     /** One front: in any window the sum is at most rate x window + burst + one generation. */
     @Property(tries = 200, seed = "20261201")
-    void oneFrontNeverPassesItsBound(@ForAll @LongRange(min = 1, max = 1_000_000) long seed,
-                                     @ForAll @IntRange(min = 10, max = 3000) int burst,
-                                     @ForAll @IntRange(min = 1, max = 2000) int most) {
+    void oneFrontNeverPassesItsBound(
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
+            @ForAll @IntRange(min = 10, max = 3000) int burst,
+            @ForAll @IntRange(min = 1, max = 2000) int most) {
         Random random = new Random(seed);
         Budgets budgets = new Budgets(Grant.NONE, 1, 1, 500, new Random(seed));
         double now = 1e12;
@@ -41,12 +42,14 @@
     }
 
     /**
-     * Many fronts whose parts of the burst are less than a generation: the sum over a long time stays by its mean at the
-     * budget, within five deviations of the draws, whatever share of the fronts is asked.
+     * Many fronts whose parts of the burst are less than a generation: the sum over a long time
+     * stays by its mean at the budget, within five deviations of the draws, whatever share of the
+     * fronts is asked.
      */
     @Property(tries = 40, seed = "20261201")
-    void frontsTogetherKeepTheBudget(@ForAll @LongRange(min = 1, max = 1_000_000) long seed,
-                                     @ForAll @IntRange(min = 2, max = 170) int fronts) {
+    void frontsTogetherKeepTheBudget(
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
+            @ForAll @IntRange(min = 2, max = 170) int fronts) {
         Random random = new Random(seed);
         double rate = 2;
         double burst = 4000;
@@ -68,8 +71,11 @@
         }
         double budget = burst + rate * (now - start);
         double deviation = Math.sqrt(budget / gen) * gen;
-        assertTrue(sum <= budget + 5 * deviation + gen, sum + " over " + budget + " with " + fronts + " fronts");
-        assertTrue(sum >= 0.5 * Math.min(budget, 4000 * gen) - 5 * deviation, sum + " of " + budget);
+        assertTrue(
+                sum <= budget + 5 * deviation + gen,
+                sum + " over " + budget + " with " + fronts + " fronts");
+        assertTrue(
+                sum >= 0.5 * Math.min(budget, 4000 * gen) - 5 * deviation, sum + " of " + budget);
     }
 
     /** Asking more often never gets more in by its mean: the draws use up what has gathered. */
--- a/src/test/java/larchridge/budget/BudgetsTest.java
+++ b/src/test/java/larchridge/budget/BudgetsTest.java
@@ -10,7 +10,8 @@
 class BudgetsTest {
     private static final double INF = Double.POSITIVE_INFINITY;
     private double now = 1_780_000_000_000.0;
-    private final Budgets budgets = new Budgets(new Grant(1, 10_000, INF, INF), 1, 1, 500, new Random(1));
+    private final Budgets budgets =
+            new Budgets(new Grant(1, 10_000, INF, INF), 1, 1, 500, new Random(1));
 
     private static Grant rate(double perS, double burst) {
         return new Grant(perS / 1000, burst, INF, INF);
@@ -93,7 +94,8 @@
         budgets.tenant("a", null, rate(100, 1000), now);
         budgets.tenant("b", null, rate(800, 8000), now);
         assertTrue(ask("a", 1000).isIn());
-        // The service has 9000 left, of which b may ask for 8000 now and 400 within the give-back time.
+        // The service has 9000 left, of which b may ask for 8000 now and 400 within the give-back
+        // time.
         Answer borrowed = ask("a", 600);
         assertTrue(borrowed.isIn() && borrowed.charge().isBorrowed());
         assertFalse(ask("a", 600).isIn());
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * One tenant's budget held by many fronts in virtual time: fixed parts with a debt each, parts with chance draws, and a
- * fifth in parts with the rest lent. What comes in during the worst window stands beside the bound of each way.
+ * One tenant's budget held by many fronts in virtual time: fixed parts with a debt each, parts with
+ * chance draws, and a fifth in parts with the rest lent. What comes in during the worst window
+ * stands beside the bound of each way.
  */
 class SharingSimulationTest {
     private static final double INF = Double.POSITIVE_INFINITY;
@@ -28,17 +29,24 @@
     private static final double FIXED = 0.2;
     private static final StringBuilder TABLE = new StringBuilder();
 
-    private enum Way { DEBTS, DRAWS, LEASES }
+    private enum Way {
+        DEBTS,
+        DRAWS,
+        LEASES
+    }
 
-    /** What came of a run: tokens let in a millisecond of budget, and the worst window's excess over rate x window. */
-    private record Gain(double used, double excess) { }
+    /**
+     * What came of a run: tokens let in a millisecond of budget, and the worst window's excess over
+     * rate x window.
+     */
+    private record Gain(double used, double excess) {}
 
     private final Random random = new Random(42);
 
     /**
-     * Busy: how many of the fronts are asked, each turn by chance; each asking for one generation. Restarts: every so
-     * often a front forgets all, and the lender as well, the lender is away for a fifth of the time and some of its
-     * answers are lost.
+     * Busy: how many of the fronts are asked, each turn by chance; each asking for one generation.
+     * Restarts: every so often a front forgets all, and the lender as well, the lender is away for
+     * a fifth of the time and some of its answers are lost.
      */
     private Gain run(Way way, int fronts, int busy, double gensPerMs, boolean troubled) {
         List<Budgets> all = new ArrayList<>();
@@ -60,7 +68,11 @@
             double due = gensPerMs * STEP_MS;
             int comes = (int) due + (random.nextDouble() < due - (int) due ? 1 : 0);
             for (int i = 0; i < comes; i++) {
-                if (isIn(all.get(random.nextInt(busy)), way == Way.LEASES ? lender : null, troubled, now)) {
+                if (isIn(
+                        all.get(random.nextInt(busy)),
+                        way == Way.LEASES ? lender : null,
+                        troubled,
+                        now)) {
                     window.add(new double[] {now, GEN});
                     inWindow += GEN;
                     sum += GEN;
@@ -95,7 +107,13 @@
     private static Budgets front(Way way, int fronts, int seed, double nowMs) {
         // A debt each is what a front does that believes to be alone with its part.
         boolean debts = way == Way.DEBTS;
-        Budgets one = new Budgets(Grant.NONE, debts ? 1 : fronts, way == Way.LEASES ? FIXED : 1, 500, new Random(seed));
+        Budgets one =
+                new Budgets(
+                        Grant.NONE,
+                        debts ? 1 : fronts,
+                        way == Way.LEASES ? FIXED : 1,
+                        500,
+                        new Random(seed));
         double part = debts ? 1.0 / fronts : 1;
         one.tenant("a", null, new Grant(RATE * part, BURST * part, INF, INF), nowMs);
         return one;
@@ -128,15 +146,27 @@
             Gain storm = run(way, fronts, fronts, 0.05, false);
             Gain one = run(way, fronts, 1, 0.05, false);
             Gain modest = run(way, fronts, fronts, 0.8 * RATE / GEN, false);
-            TABLE.append(String.format(Locale.ROOT, "%d fronts, %s: storm used %.2f worst excess %.0f bound %.0f; "
-                    + "one busy front used %.2f; asked for 0.8 used %.2f%n", fronts, way, storm.used, storm.excess,
-                    bound(way, fronts), one.used, modest.used));
-            assertTrue(storm.excess <= bound(way, fronts), fronts + " " + way + ": " + storm.excess);
+            TABLE.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%d fronts, %s: storm used %.2f worst excess %.0f bound %.0f; "
+                                    + "one busy front used %.2f; asked for 0.8 used %.2f%n",
+                            fronts,
+                            way,
+                            storm.used,
+                            storm.excess,
+                            bound(way, fronts),
+                            one.used,
+                            modest.used));
+            assertTrue(
+                    storm.excess <= bound(way, fronts), fronts + " " + way + ": " + storm.excess);
             assertTrue(one.excess <= bound(way, fronts), fronts + " " + way + ": " + one.excess);
             if (way == Way.LEASES) {
                 assertTrue(one.used > 0.75, "one busy front of " + fronts + " uses " + one.used);
                 assertTrue(storm.used > 0.75, "a storm at " + fronts + " uses " + storm.used);
-                assertTrue(modest.used > 0.65, "of 0.8 asked at " + fronts + " " + modest.used + " came in");
+                assertTrue(
+                        modest.used > 0.65,
+                        "of 0.8 asked at " + fronts + " " + modest.used + " came in");
             }
         }
     }
@@ -145,10 +175,18 @@
     @ValueSource(ints = {10, 170})
     void restartsLossesAndAnAbsentLenderGiveNothingAwayButParts(int fronts) {
         Gain gain = run(Way.LEASES, fronts, fronts, 0.05, true);
-        // A front that restarts has its part of the burst anew: at most so many in a window, far from all.
+        // A front that restarts has its part of the burst anew: at most so many in a window, far
+        // from all.
         double anew = 6 * FIXED * BURST / fronts + GEN;
-        TABLE.append(String.format(Locale.ROOT, "%d fronts, LEASES in trouble: used %.2f worst excess %.0f bound "
-                + "%.0f%n", fronts, gain.used, gain.excess, bound(Way.LEASES, fronts) + anew));
+        TABLE.append(
+                String.format(
+                        Locale.ROOT,
+                        "%d fronts, LEASES in trouble: used %.2f worst excess %.0f bound "
+                                + "%.0f%n",
+                        fronts,
+                        gain.used,
+                        gain.excess,
+                        bound(Way.LEASES, fronts) + anew));
         assertTrue(gain.excess <= bound(Way.LEASES, fronts) + anew, "excess " + gain.excess);
     }
 
--- a/src/test/java/larchridge/drill/BadDayTest.java
+++ b/src/test/java/larchridge/drill/BadDayTest.java
@@ -23,7 +23,10 @@
         assertTrue(result.all().service() > 0.6, "service " + result.all().service());
     }
 
-    /** Batches over a service that is killed at a write and at any time; few kills here, hundreds by hand. */
+    /**
+     * Batches over a service that is killed at a write and at any time; few kills here, hundreds by
+     * hand.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void everyLineOfABatchHasOneRecordThoughTheServiceIsKilled(long seed) throws Exception {
@@ -35,7 +38,10 @@
     /** Fronts as processes, one killed outright; what is billed is what clients got. */
     @Test
     void billsAddUpThoughAFrontIsKilled() throws Exception {
-        Script script = ScriptReader.read("script", """
+        Script script =
+                ScriptReader.read(
+                        "script",
+                        """
                 seed: 4
                 fronts: 2
                 processes: true
@@ -68,15 +74,26 @@
     /** A tenant that asks for twenty times its share leaves another what it has without that. */
     @Test
     void stormOfOneTenantDoesNotStarveAnother() throws Exception {
-        double alone = quiet("- {name: quiet, share: 1, tokens_per_second: 6000, burst_tokens: 12000}", 10);
-        double beside = quiet("- {name: quiet, share: 1, tokens_per_second: 6000, burst_tokens: 12000}\n"
-                + "  - {name: storm, share: 20, tokens_per_second: 6000, burst_tokens: 12000}", 210);
-        System.out.println("service of the quiet tenant: alone " + alone + ", beside a storm " + beside);
+        double alone =
+                quiet(
+                        "- {name: quiet, share: 1, tokens_per_second: 6000, burst_tokens: 12000}",
+                        10);
+        double beside =
+                quiet(
+                        "- {name: quiet, share: 1, tokens_per_second: 6000, burst_tokens: 12000}\n"
+                                + "  - {name: storm, share: 20, tokens_per_second: 6000, burst_tokens: 12000}",
+                        210);
+        System.out.println(
+                "service of the quiet tenant: alone " + alone + ", beside a storm " + beside);
         assertTrue(beside >= alone - 0.1, alone + " and " + beside);
     }
 
     private static double quiet(String tenants, int rate) throws Exception {
-        Drill.Result result = Drill.play(ScriptReader.read("script", """
+        Drill.Result result =
+                Drill.play(
+                        ScriptReader.read(
+                                "script",
+                                """
                 seed: 8
                 duration_ms: 6000
                 rate_per_s: %d
@@ -87,9 +104,16 @@
                   %s
                 products:
                   - {name: consulta, slo_ms: 600, time_limit_ms: 2500, prompt_tokens: 250, output_tokens: 16}
-                """.formatted(rate, tenants)));
+                """
+                                        .formatted(rate, tenants)));
         assertEquals(List.of(), result.breaches());
-        return result.rows().stream().filter(row -> row.name.equals("tenant quiet") || rate == 10 && row.name.equals(
-                "all")).findFirst().orElseThrow().service();
+        return result.rows().stream()
+                .filter(
+                        row ->
+                                row.name.equals("tenant quiet")
+                                        || rate == 10 && row.name.equals("all"))
+                .findFirst()
+                .orElseThrow()
+                .service();
     }
 }
--- a/src/test/java/larchridge/drill/RulesTest.java
+++ b/src/test/java/larchridge/drill/RulesTest.java
@@ -15,16 +15,29 @@
 
 class RulesTest {
     private final List<Seen> log = new ArrayList<>();
-    private final Map<String, Product> products = Map.of("once", product(Effect.SIDE_EFFECTING, Span.RACK),
-            "zoned", product(Effect.DEDUPLICATED, Span.ZONE), "free", product(Effect.IDEMPOTENT, Span.ALL));
-    private final Map<Long, Make> makes = Map.of(1L, Make.of(1, Role.READER, "a", 1),
-            2L, Make.of(2, Role.WRITER, "a", 1), 3L, Make.of(3, Role.WRITER, "b", 2));
+    private final Map<String, Product> products =
+            Map.of(
+                    "once",
+                    product(Effect.SIDE_EFFECTING, Span.RACK),
+                    "zoned",
+                    product(Effect.DEDUPLICATED, Span.ZONE),
+                    "free",
+                    product(Effect.IDEMPOTENT, Span.ALL));
+    private final Map<Long, Make> makes =
+            Map.of(
+                    1L,
+                    Make.of(1, Role.READER, "a", 1),
+                    2L,
+                    Make.of(2, Role.WRITER, "a", 1),
+                    3L,
+                    Make.of(3, Role.WRITER, "b", 2));
 
     private static Product product(Effect effect, Span span) {
         return new Product("p", effect, span, 5000, 1, 0, 100, 0, 10);
     }
 
-    private void seen(double ms, Seen.Kind kind, long where, String rid, double amount, String word) {
+    private void seen(
+            double ms, Seen.Kind kind, long where, String rid, double amount, String word) {
         log.add(new Seen(ms, kind, where, rid, "op1#0", amount, word));
     }
 
@@ -37,8 +50,11 @@
     }
 
     private String broken() {
-        return Rules.judge(log, new Rules.Figures(250, 1000, 2.5, 1000, 0, products, makes)).stream()
-                .map(b -> Integer.toString(b.rule())).distinct().collect(Collectors.joining(","));
+        return Rules.judge(log, new Rules.Figures(250, 1000, 2.5, 1000, 0, products, makes))
+                .stream()
+                .map(b -> Integer.toString(b.rule()))
+                .distinct()
+                .collect(Collectors.joining(","));
     }
 
     @Test
@@ -133,7 +149,8 @@
         for (int i = 0; i < 20; i++) {
             log.add(new Seen(10 + i, Seen.Kind.READ_IN, 1, "r" + i, null, 3000, null));
         }
-        // 2.5 x 0.3 x 60 tokens a millisecond x 1000 ms / 3000 tokens: 15 attempts, and two for chance.
+        // 2.5 x 0.3 x 60 tokens a millisecond x 1000 ms / 3000 tokens: 15 attempts, and two for
+        // chance.
         assertEquals("4", broken());
         log.removeIf(s -> s.ms() > 20);
         assertEquals("", broken());
--- a/src/test/java/larchridge/drill/StreamOrderTest.java
+++ b/src/test/java/larchridge/drill/StreamOrderTest.java
@@ -11,7 +11,11 @@
     private final StreamOrder order = new StreamOrder();
 
     private static String event(String name) {
-        return "event: " + name + "\ndata: {\"type\":\"" + name + "\",\"delta\":{\"text\":\"a\"}}\n\n";
+        return "event: "
+                + name
+                + "\ndata: {\"type\":\""
+                + name
+                + "\",\"delta\":{\"text\":\"a\"}}\n\n";
     }
 
     private void take(String... names) {
@@ -22,8 +26,14 @@
 
     @Test
     void orderOfTheSpecificationIsGood() {
-        take("message_start", "content_block_start", "ping", "content_block_delta", "content_block_stop",
-                "message_delta", "message_stop");
+        take(
+                "message_start",
+                "content_block_start",
+                "ping",
+                "content_block_delta",
+                "content_block_stop",
+                "message_delta",
+                "message_stop");
         assertNull(order.fault());
         assertTrue(order.isStopped());
         assertEquals("a", order.text());
@@ -31,7 +41,10 @@
 
     @Test
     void eventsCutAnywhereAreTheSame() {
-        String all = event("message_start") + event("content_block_start") + event("content_block_delta");
+        String all =
+                event("message_start")
+                        + event("content_block_start")
+                        + event("content_block_delta");
         for (int i = 0; i < all.length(); i++) {
             order.take(all.substring(i, i + 1));
         }
--- a/src/test/java/larchridge/drill/WrongFront.java
+++ b/src/test/java/larchridge/drill/WrongFront.java
@@ -25,10 +25,22 @@
 import larchridge.site.Site;
 import larchridge.state.Role;
 
-/** A front that does one thing wrong, to see that the checkers notice it on the sockets. Made for tests only. */
+/**
+ * A front that does one thing wrong, to see that the checkers notice it on the sockets. Made for
+ * tests only.
+ */
 final class WrongFront implements Drill.Fronts {
     /** What it does wrong; NOTHING is the trial of the trial. */
-    enum Wrong { NOTHING, LOSES, ANSWERS_TWICE, TOO_LATE, FORGETS_DRAINS, PINS, RUNS_TWICE, THROTTLES_AFTER_RUN }
+    enum Wrong {
+        NOTHING,
+        LOSES,
+        ANSWERS_TWICE,
+        TOO_LATE,
+        FORGETS_DRAINS,
+        PINS,
+        RUNS_TWICE,
+        THROTTLES_AFTER_RUN
+    }
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -45,18 +57,25 @@
         list = site.inventory;
         look();
         if (wrong != Wrong.FORGETS_DRAINS) {
-            vertx.setPeriodic(30, timer -> {
-                try {
-                    look();
-                } catch (BadList e) {
-                    // The last good one stays.
-                    return;
-                }
-            });
+            vertx.setPeriodic(
+                    30,
+                    timer -> {
+                        try {
+                            look();
+                        } catch (BadList e) {
+                            // The last good one stays.
+                            return;
+                        }
+                    });
         }
-        server = vertx.createHttpServer().requestHandler(request -> request.body().onSuccess(b -> take(request, b)));
+        server =
+                vertx.createHttpServer()
+                        .requestHandler(request -> request.body().onSuccess(b -> take(request, b)));
         try {
-            server.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+            server.listen(0, "127.0.0.1")
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .get(5, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IllegalStateException(e);
         }
@@ -71,8 +90,10 @@
     }
 
     private Row pick(Role role, int place) {
-        List<Row> fit = rows.stream().filter(r -> r.role() == role
-                && r.mode() == larchridge.state.Mode.READY).toList();
+        List<Row> fit =
+                rows.stream()
+                        .filter(r -> r.role() == role && r.mode() == larchridge.state.Mode.READY)
+                        .toList();
         return fit.get(Math.floorMod(place, fit.size()));
     }
 
@@ -97,41 +118,62 @@
         String prompt = asked.path("messages").toString();
         String rid = "wrong" + place;
         Row reader = pick(Role.READER, place);
-        ObjectNode read = MAPPER.createObjectNode().put("model", "m").put("prompt", prompt).put("max_tokens", 1);
+        ObjectNode read =
+                MAPPER.createObjectNode()
+                        .put("model", "m")
+                        .put("prompt", prompt)
+                        .put("max_tokens", 1);
         read.putObject("kv_transfer_params").put("do_remote_decode", true);
         if (wrong == Wrong.PINS && place % 10 == 9) {
             send(reader, rid, read).onComplete(done -> fail(response, 500, "api_error"));
             return;
         }
-        send(reader, rid, read).onSuccess(got -> write(response, asked, place, rid, prompt, got))
+        send(reader, rid, read)
+                .onSuccess(got -> write(response, asked, place, rid, prompt, got))
                 .onFailure(e -> fail(response, 500, "api_error"));
     }
 
-    private void write(HttpServerResponse response, JsonNode asked, int place, String rid, String prompt,
-                       Buffer got) {
-        ObjectNode write = MAPPER.createObjectNode().put("model", "m").put("prompt", prompt)
-                .put("max_tokens", asked.path("max_tokens").asInt()).put("stream", true);
+    private void write(
+            HttpServerResponse response,
+            JsonNode asked,
+            int place,
+            String rid,
+            String prompt,
+            Buffer got) {
+        ObjectNode write =
+                MAPPER.createObjectNode()
+                        .put("model", "m")
+                        .put("prompt", prompt)
+                        .put("max_tokens", asked.path("max_tokens").asInt())
+                        .put("stream", true);
         try {
-            if (!(MAPPER.readTree(got.getBytes()).path("kv_transfer_params") instanceof ObjectNode params)) {
+            if (!(MAPPER.readTree(got.getBytes()).path("kv_transfer_params")
+                    instanceof ObjectNode params)) {
                 fail(response, 500, "api_error");
                 return;
             }
-            write.set("kv_transfer_params", params.put("do_remote_prefill", true).put("do_remote_decode", false));
+            write.set(
+                    "kv_transfer_params",
+                    params.put("do_remote_prefill", true).put("do_remote_decode", false));
         } catch (IOException e) {
             fail(response, 500, "api_error");
             return;
         }
         Row writer = pick(Role.WRITER, place);
-        send(writer, rid + "w", write).onFailure(e -> fail(response, 500, "api_error")).onSuccess(stream -> {
-            if (wrong == Wrong.THROTTLES_AFTER_RUN && place % 10 == 9) {
-                fail(response, 529, "overloaded_error");
-            } else if (wrong == Wrong.RUNS_TWICE && place % 10 == 9) {
-                write.remove("kv_transfer_params");
-                send(pick(Role.BOTH, place), rid + "x", write).onComplete(again -> answer(response, stream));
-            } else {
-                answer(response, stream);
-            }
-        });
+        send(writer, rid + "w", write)
+                .onFailure(e -> fail(response, 500, "api_error"))
+                .onSuccess(
+                        stream -> {
+                            if (wrong == Wrong.THROTTLES_AFTER_RUN && place % 10 == 9) {
+                                fail(response, 529, "overloaded_error");
+                            } else if (wrong == Wrong.RUNS_TWICE && place % 10 == 9) {
+                                write.remove("kv_transfer_params");
+                                send(pick(Role.BOTH, place), rid + "x", write)
+                                        .onComplete(again -> answer(response, stream));
+                            } else {
+                                answer(response, stream);
+                            }
+                        });
     }
 
     private void answer(HttpServerResponse response, Buffer stream) {
@@ -140,12 +182,19 @@
         for (int i = 1; i <= toks; i++) {
             text.append('w').append(i).append(' ');
         }
-        String events = event("message_start", "\"message\":{\"usage\":{\"input_tokens\":1}}")
-                + event("content_block_start", "\"index\":0")
-                + event("content_block_delta", "\"delta\":{\"type\":\"text_delta\",\"text\":\"" + text + "\"}")
-                + event("content_block_stop", "\"index\":0")
-                + event("message_delta", "\"delta\":{\"stop_reason\":\"end_turn\"},\"usage\":{\"output_tokens\":"
-                + toks + "}") + event("message_stop", "\"x\":1");
+        String events =
+                event("message_start", "\"message\":{\"usage\":{\"input_tokens\":1}}")
+                        + event("content_block_start", "\"index\":0")
+                        + event(
+                                "content_block_delta",
+                                "\"delta\":{\"type\":\"text_delta\",\"text\":\"" + text + "\"}")
+                        + event("content_block_stop", "\"index\":0")
+                        + event(
+                                "message_delta",
+                                "\"delta\":{\"stop_reason\":\"end_turn\"},\"usage\":{\"output_tokens\":"
+                                        + toks
+                                        + "}")
+                        + event("message_stop", "\"x\":1");
         if (wrong == Wrong.ANSWERS_TWICE) {
             events += event("message_stop", "\"x\":1");
         }
@@ -160,13 +209,19 @@
 
     private static void fail(HttpServerResponse response, int status, String type) {
         if (!response.closed() && !response.ended()) {
-            response.setStatusCode(status).end("{\"type\":\"error\",\"error\":{\"type\":\"" + type + "\"}}");
+            response.setStatusCode(status)
+                    .end("{\"type\":\"error\",\"error\":{\"type\":\"" + type + "\"}}");
         }
     }
 
     private io.vertx.core.Future<Buffer> send(Row row, String rid, ObjectNode body) {
-        return http.request(new RequestOptions().setMethod(HttpMethod.POST).setHost(row.host()).setPort(row.port())
-                        .setURI("/v1/completions").putHeader("x-request-id", rid))
+        return http.request(
+                        new RequestOptions()
+                                .setMethod(HttpMethod.POST)
+                                .setHost(row.host())
+                                .setPort(row.port())
+                                .setURI("/v1/completions")
+                                .putHeader("x-request-id", rid))
                 .compose(out -> out.send(Buffer.buffer(body.toString())))
                 .compose(answer -> answer.body());
     }
--- a/src/test/java/larchridge/drill/WrongFrontTest.java
+++ b/src/test/java/larchridge/drill/WrongFrontTest.java
@@ -10,7 +10,8 @@
 
 /** Each checker catches, over sockets, a front that breaks its rule, and nothing else. */
 class WrongFrontTest {
-    private static final String SCRIPT = """
+    private static final String SCRIPT =
+            """
             seed: 5
             duration_ms: 1500
             rate_per_s: 60
@@ -27,14 +28,24 @@
     private static String broken(WrongFront.Wrong wrong, String effect) throws Exception {
         Script script = ScriptReader.read("script", SCRIPT.formatted(effect));
         Drill.Result result = Drill.play(script, site -> new WrongFront(site, wrong));
-        return result.breaches().stream().map(b -> Integer.toString(b.rule())).distinct().sorted()
+        return result.breaches().stream()
+                .map(b -> Integer.toString(b.rule()))
+                .distinct()
+                .sorted()
                 .collect(Collectors.joining(","));
     }
 
     @ParameterizedTest
-    @CsvSource({"NOTHING,IDEMPOTENT,''", "LOSES,IDEMPOTENT,1", "ANSWERS_TWICE,IDEMPOTENT,1", "TOO_LATE,IDEMPOTENT,1",
-        "FORGETS_DRAINS,IDEMPOTENT,3", "PINS,IDEMPOTENT,5", "RUNS_TWICE,SIDE_EFFECTING,2",
-        "THROTTLES_AFTER_RUN,SIDE_EFFECTING,2"})
+    @CsvSource({
+        "NOTHING,IDEMPOTENT,''",
+        "LOSES,IDEMPOTENT,1",
+        "ANSWERS_TWICE,IDEMPOTENT,1",
+        "TOO_LATE,IDEMPOTENT,1",
+        "FORGETS_DRAINS,IDEMPOTENT,3",
+        "PINS,IDEMPOTENT,5",
+        "RUNS_TWICE,SIDE_EFFECTING,2",
+        "THROTTLES_AFTER_RUN,SIDE_EFFECTING,2"
+    })
     void wrongFrontIsCaught(WrongFront.Wrong wrong, String effect, String rules) throws Exception {
         assertEquals(rules, broken(wrong, effect));
     }
@@ -42,7 +53,10 @@
     @Test
     void herdAtAColdEngineIsCaught() throws Exception {
         // A front that takes its turns evenly sends a cold reader as much as a warm one.
-        Script script = ScriptReader.read("script", """
+        Script script =
+                ScriptReader.read(
+                        "script",
+                        """
                 seed: 6
                 duration_ms: 2600
                 rate_per_s: 400
@@ -55,7 +69,10 @@
                 troubles:
                   - {at_ms: 300, for_ms: 300, kind: crash, engines: [1]}
                 """);
-        Drill.Result result = Drill.play(script, site -> new WrongFront(site, WrongFront.Wrong.NOTHING));
-        assertTrue(result.breaches().stream().anyMatch(b -> b.rule() == 4), result.breaches().toString());
+        Drill.Result result =
+                Drill.play(script, site -> new WrongFront(site, WrongFront.Wrong.NOTHING));
+        assertTrue(
+                result.breaches().stream().anyMatch(b -> b.rule() == 4),
+                result.breaches().toString());
     }
 }
--- a/src/test/java/larchridge/emulator/EmulatorTest.java
+++ b/src/test/java/larchridge/emulator/EmulatorTest.java
@@ -17,7 +17,8 @@
 
 /** The emulated engine: memory, batches, preemption, and whether it answers load as engines do. */
 class EmulatorTest {
-    private static final Silicon SILICON = new Silicon(2, 0.02, 0.05, 0.00002, 0, 16, 2000, 512, 32, 1000, 5000, 1, 0, false);
+    private static final Silicon SILICON =
+            new Silicon(2, 0.02, 0.05, 0.00002, 0, 16, 2000, 512, 32, 1000, 5000, 1, 0, false);
 
     private static Prompt prompt(long text, int toks) {
         return Prompt.of(new long[] {text}, new int[] {toks}, 16);
@@ -90,7 +91,9 @@
         Bench bench = new Bench(SILICON.withBlocks(100));
         bench.submit(Job.Kind.BOTH, prompt(1, 800), 1);
         bench.run();
-        Job again = bench.submit(Job.Kind.BOTH, Prompt.of(new long[] {1, 2}, new int[] {640, 100}, 16), 1);
+        Job again =
+                bench.submit(
+                        Job.Kind.BOTH, Prompt.of(new long[] {1, 2}, new int[] {640, 100}, 16), 1);
         bench.run();
         assertEquals(640, again.kept());
         // Another text takes the room of what was unused for longest.
@@ -178,15 +181,22 @@
         assertEquals(List.of("slow", "fast"), come);
     }
 
-    /** Any row of attempts, some called off in between: memory comes back whole, and every answer that was not called off is. */
+    /**
+     * Any row of attempts, some called off in between: memory comes back whole, and every answer
+     * that was not called off is.
+     */
     @Property(tries = 60, seed = "20261201")
-    void memoryComesBackWhole(@ForAll @Size(max = 40) List<@IntRange(min = 0, max = 5000) Integer> lengths, @ForAll long seed) {
+    void memoryComesBackWhole(
+            @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 5000) Integer> lengths,
+            @ForAll long seed) {
         Random random = new Random(seed);
         Bench bench = new Bench(SILICON.withBlocks(400));
         List<Job> answers = new ArrayList<>();
         for (int length : lengths) {
             Job.Kind kind = Job.Kind.values()[random.nextInt(3)];
-            Job job = bench.submit(kind, prompt(random.nextInt(6), 1 + length), 1 + random.nextInt(60));
+            Job job =
+                    bench.submit(
+                            kind, prompt(random.nextInt(6), 1 + length), 1 + random.nextInt(60));
             for (int i = random.nextInt(4); i > 0; i--) {
                 bench.step();
             }
@@ -197,7 +207,8 @@
             }
         }
         bench.run();
-        // States that wait hold memory that others wait for; once they are let go of, all comes to its end.
+        // States that wait hold memory that others wait for; once they are let go of, all comes to
+        // its end.
         for (int i = 0; i < 50; i++) {
             bench.model.lapse(bench.now + 1e9);
             bench.run();
@@ -211,12 +222,20 @@
     // ------------------------------------------------------------------ sense
 
     /** What one engine did of an open-loop load. */
-    private record Load(double perS, double firstTokMs, double tokMs, double inMean, double awayMean, long evictions) { }
+    private record Load(
+            double perS,
+            double firstTokMs,
+            double tokMs,
+            double inMean,
+            double awayMean,
+            long evictions) {}
 
-    private static Load load(Silicon silicon, double perS, int promptToks, int length, int texts, long seed) {
+    private static Load load(
+            Silicon silicon, double perS, int promptToks, int length, int texts, long seed) {
         Random random = new Random(seed);
         Bench bench = new Bench(silicon);
-        PriorityQueue<double[]> arrivals = new PriorityQueue<>(Comparator.comparingDouble(a -> a[0]));
+        PriorityQueue<double[]> arrivals =
+                new PriorityQueue<>(Comparator.comparingDouble(a -> a[0]));
         double at = 0;
         double end = 60_000;
         while (at < end) {
@@ -234,8 +253,15 @@
         while (!arrivals.isEmpty() || !here.isEmpty()) {
             while (!arrivals.isEmpty() && arrivals.peek()[0] <= bench.now) {
                 double[] one = arrivals.poll();
-                Job job = new Job("j" + one[0], Job.Kind.BOTH, Prompt.of(new long[] {(long) one[1], (long) (1e6 + one[0] * 1000)},
-                        new int[] {promptToks / 2, promptToks / 2}, 16), length);
+                Job job =
+                        new Job(
+                                "j" + one[0],
+                                Job.Kind.BOTH,
+                                Prompt.of(
+                                        new long[] {(long) one[1], (long) (1e6 + one[0] * 1000)},
+                                        new int[] {promptToks / 2, promptToks / 2},
+                                        16),
+                                length);
                 if (bench.model.submit(job)) {
                     here.add(job);
                     came.add(one[0]);
@@ -263,8 +289,13 @@
                 }
             }
         }
-        return new Load(doneCount / bench.now * 1000, firstSum / doneCount, tokSum / doneCount, inSum / bench.now,
-                awaySum / doneCount, bench.model.sums().evictions());
+        return new Load(
+                doneCount / bench.now * 1000,
+                firstSum / doneCount,
+                tokSum / doneCount,
+                inSum / bench.now,
+                awaySum / doneCount,
+                bench.model.sums().evictions());
     }
 
     @Test
@@ -273,7 +304,8 @@
         Load busy = load(SILICON, 30, 800, 40, 4, 1);
         Load over = load(SILICON, 150, 800, 40, 4, 1);
         Load more = load(SILICON, 300, 800, 40, 4, 1);
-        System.out.println("by load (simulated): " + calm + "\n" + busy + "\n" + over + "\n" + more);
+        System.out.println(
+                "by load (simulated): " + calm + "\n" + busy + "\n" + over + "\n" + more);
         assertEquals(10, calm.perS, 1.5);
         assertEquals(30, busy.perS, 3);
         assertTrue(more.perS < 1.15 * over.perS, "goes on growing");
--- a/src/test/java/larchridge/enginelink/CompletionsLinkTest.java
+++ b/src/test/java/larchridge/enginelink/CompletionsLinkTest.java
@@ -34,21 +34,32 @@
 
     @Test
     void readLeavesAStateAndTellsWhatWasKept() throws Exception {
-        String body = "{\"kv_transfer_params\":{\"a\":1},\"usage\":{\"prompt_tokens\":9,"
-                + "\"prompt_tokens_details\":{\"cached_tokens\":5}}}";
-        answer("HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.num_requests_running=2\r\n"
-                + "content-length: " + body.length() + "\r\n\r\n" + body);
+        String body =
+                "{\"kv_transfer_params\":{\"a\":1},\"usage\":{\"prompt_tokens\":9,"
+                        + "\"prompt_tokens_details\":{\"cached_tokens\":5}}}";
+        answer(
+                "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.num_requests_running=2\r\n"
+                        + "content-length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body);
         wire.send(true, true);
         assertEquals("read 5", wire.next());
         assertEquals(2, wire.report.inflight());
         String asked = wire.asked.take();
-        assertTrue(asked.contains("\"do_remote_decode\":true") && asked.contains("\"max_tokens\":1"), asked);
+        assertTrue(
+                asked.contains("\"do_remote_decode\":true") && asked.contains("\"max_tokens\":1"),
+                asked);
     }
 
     @Test
     void streamIsToldPieceByPieceAlsoWhenTorn() throws Exception {
-        String whole = Wire.STREAM_HEAD + Wire.piece("a\u00e1", null)
-                + Wire.piece("b", "stop") + Wire.chunk("data: [DONE]\n\n") + "0\r\n\r\n";
+        String whole =
+                Wire.STREAM_HEAD
+                        + Wire.piece("a\u00e1", null)
+                        + Wire.piece("b", "stop")
+                        + Wire.chunk("data: [DONE]\n\n")
+                        + "0\r\n\r\n";
         wire.engine = (socket, request) -> tear(socket, Buffer.buffer(whole), 0);
         wire.send(false, true);
         assertEquals("begun", wire.next());
@@ -70,10 +81,11 @@
         wire.on(() -> null);
         int soFar = wire.on(wire.soFar::get);
         assertTrue(soFar >= 1 && soFar < 25, soFar + " times");
-        wire.on(() -> {
-            flight.cancel();
-            return null;
-        });
+        wire.on(
+                () -> {
+                    flight.cancel();
+                    return null;
+                });
         assertEquals("CANCELLED", wire.next());
     }
 
@@ -115,8 +127,10 @@
 
     @Test
     void refusalCutShortProvesNothing() throws Exception {
-        wire.engine = (socket, request) -> socket.write("HTTP/1.1 503 X\r\ncontent-length: 10\r\n\r\n{")
-                .onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) ->
+                        socket.write("HTTP/1.1 503 X\r\ncontent-length: 10\r\n\r\n{")
+                                .onSuccess(v -> socket.close());
         wire.send(true, true);
         assertEquals("CUT", wire.next());
     }
@@ -164,15 +178,18 @@
 
     @Test
     void streamBrokenBeforeItsFirstTokenIsCut() throws Exception {
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD).onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) -> socket.write(Wire.STREAM_HEAD).onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("CUT", wire.next());
     }
 
     @Test
     void streamBrokenInTheMiddleIsCut() throws Exception {
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD + Wire.piece("a", null))
-                .onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) ->
+                        socket.write(Wire.STREAM_HEAD + Wire.piece("a", null))
+                                .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("begun", wire.next());
         assertEquals("piece a", wire.next());
@@ -181,8 +198,10 @@
 
     @Test
     void streamBrokenAfterItsLastTokenIsWhole() throws Exception {
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD + Wire.piece("a", "length"))
-                .onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) ->
+                        socket.write(Wire.STREAM_HEAD + Wire.piece("a", "length"))
+                                .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("begun", wire.next());
         assertEquals("piece a", wire.next());
@@ -195,18 +214,20 @@
     void calledOffClosesTheConnectionAndTellsOnce() throws Exception {
         CompletableFuture<Void> closed = new CompletableFuture<>();
         CompletableFuture<Void> arrived = new CompletableFuture<>();
-        wire.engine = (socket, request) -> {
-            socket.closeHandler(v -> closed.complete(null));
-            arrived.complete(null);
-        };
+        wire.engine =
+                (socket, request) -> {
+                    socket.closeHandler(v -> closed.complete(null));
+                    arrived.complete(null);
+                };
         EngineLink.Flight flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
-        wire.on(() -> {
-            flight.cancel();
-            flight.cancel();
-            flight.expire();
-            return null;
-        });
+        wire.on(
+                () -> {
+                    flight.cancel();
+                    flight.cancel();
+                    flight.expire();
+                    return null;
+                });
         assertEquals("CANCELLED", wire.next());
         closed.get(5, TimeUnit.SECONDS);
         assertEquals(null, wire.told.poll(50, TimeUnit.MILLISECONDS));
@@ -218,10 +239,11 @@
         wire.engine = (socket, request) -> arrived.complete(null);
         EngineLink.Flight flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
-        wire.on(() -> {
-            flight.expire();
-            return null;
-        });
+        wire.on(
+                () -> {
+                    flight.expire();
+                    return null;
+                });
         assertEquals("TIMED_OUT", wire.next());
     }
 
@@ -229,31 +251,36 @@
     void calledOffWhileItWaitsForAConnectionWasNeverSent() throws Exception {
         wire.send(true, true);
         EngineLink.Flight waits = wire.send(true, true);
-        wire.on(() -> {
-            waits.cancel();
-            return null;
-        });
+        wire.on(
+                () -> {
+                    waits.cancel();
+                    return null;
+                });
         assertEquals("NOT_SENT", wire.next());
     }
 
     @Test
     void releaseIsTriedAgainUntilItIsHeard() throws Exception {
         AtomicInteger times = new AtomicInteger();
-        wire.engine = (socket, request) -> {
-            if (times.incrementAndGet() < 3) {
-                socket.close();
-            } else {
-                socket.write(Wire.status(200, "{}"));
-            }
-        };
-        wire.on(() -> {
-            wire.link().release(wire.spot, "g.0");
-            return null;
-        });
+        wire.engine =
+                (socket, request) -> {
+                    if (times.incrementAndGet() < 3) {
+                        socket.close();
+                    } else {
+                        socket.write(Wire.status(200, "{}"));
+                    }
+                };
+        wire.on(
+                () -> {
+                    wire.link().release(wire.spot, "g.0");
+                    return null;
+                });
         for (int i = 0; i < 3; i++) {
             String asked = wire.asked.poll(5, TimeUnit.SECONDS);
             assertNotNull(asked);
-            assertTrue(asked.startsWith("POST /abort_request") && asked.contains("\"rid\":\"g.0\""), asked);
+            assertTrue(
+                    asked.startsWith("POST /abort_request") && asked.contains("\"rid\":\"g.0\""),
+                    asked);
         }
     }
 
@@ -261,17 +288,19 @@
     void probeTellsTheLoadOrNothing() throws Exception {
         answer(Wire.status(200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
         CompletableFuture<Report> told = new CompletableFuture<>();
-        wire.on(() -> {
-            wire.link().probe(wire.spot, (answered, report) -> told.complete(report));
-            return null;
-        });
+        wire.on(
+                () -> {
+                    wire.link().probe(wire.spot, (answered, report) -> told.complete(report));
+                    return null;
+                });
         assertEquals(4, told.get(5, TimeUnit.SECONDS).inflight());
-        wire.engine = (socket, request) -> { };
+        wire.engine = (socket, request) -> {};
         CompletableFuture<Report> silent = new CompletableFuture<>();
-        wire.on(() -> {
-            wire.link().probe(wire.spot, (answered, report) -> silent.complete(report));
-            return null;
-        });
+        wire.on(
+                () -> {
+                    wire.link().probe(wire.spot, (answered, report) -> silent.complete(report));
+                    return null;
+                });
         assertEquals(null, silent.get(5, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/larchridge/enginelink/LoadReportTest.java
+++ b/src/test/java/larchridge/enginelink/LoadReportTest.java
@@ -10,10 +10,14 @@
 class LoadReportTest {
     @Test
     void headerInBothFormsIsRead() {
-        Report text = LoadReport.ofHeader("TEXT named_metrics.num_requests_running=3, "
-                + "named_metrics.num_requests_waiting=2,named_metrics.kv_cache_usage_perc=0.5");
-        Report json = LoadReport.ofHeader("JSON {\"named_metrics\":{\"num_requests_running\":3,"
-                + "\"num_requests_waiting\":2,\"kv_cache_usage_perc\":0.5}}");
+        Report text =
+                LoadReport.ofHeader(
+                        "TEXT named_metrics.num_requests_running=3, "
+                                + "named_metrics.num_requests_waiting=2,named_metrics.kv_cache_usage_perc=0.5");
+        Report json =
+                LoadReport.ofHeader(
+                        "JSON {\"named_metrics\":{\"num_requests_running\":3,"
+                                + "\"num_requests_waiting\":2,\"kv_cache_usage_perc\":0.5}}");
         assertEquals(new Report(5, 2, 0.5, Double.NaN), text);
         assertEquals(text, json);
     }
@@ -29,8 +33,10 @@
 
     @Test
     void pageWithLabelsAndCommentsIsRead() {
-        Report page = LoadReport.ofPage("# HELP x\nvllm:num_requests_running{model_name=\"a b\"} 4.0\n"
-                + "vllm:num_requests_waiting 1\nvllm:gpu_cache_usage_perc 0.25\nvllm:other nan\n");
+        Report page =
+                LoadReport.ofPage(
+                        "# HELP x\nvllm:num_requests_running{model_name=\"a b\"} 4.0\n"
+                                + "vllm:num_requests_waiting 1\nvllm:gpu_cache_usage_perc 0.25\nvllm:other nan\n");
         assertEquals(5, page.inflight());
         assertEquals(0.25, page.heldShare());
         assertTrue(Double.isNaN(page.toRead()));
--- a/src/test/java/larchridge/enginelink/Wire.java
+++ b/src/test/java/larchridge/enginelink/Wire.java
@@ -17,14 +17,17 @@
 import larchridge.state.Outcome;
 import larchridge.state.Report;
 
-/** An engine whose every byte a test decides, a link to it, and ears that write down what the link tells. */
+/**
+ * An engine whose every byte a test decides, a link to it, and ears that write down what the link
+ * tells.
+ */
 final class Wire implements AutoCloseable {
     static final String JSON_HEAD = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n";
     final Vertx vertx = Vertx.vertx();
     final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
     final Limit limit = new Limit();
-    volatile BiConsumer<NetSocket, String> engine = (socket, request) -> { };
+    volatile BiConsumer<NetSocket, String> engine = (socket, request) -> {};
     volatile Ending ending;
     volatile Report report;
     Spot spot;
@@ -38,23 +41,31 @@
         limit.connectionsPerEngine = 1;
         limit.connectionWaits = 1;
         limit.probeMs = 300;
-        server = vertx.createNetServer().connectHandler(socket -> {
-            Buffer seen = Buffer.buffer();
-            socket.exceptionHandler(e -> { });
-            socket.handler(part -> {
-                seen.appendBuffer(part);
-                String text = seen.toString();
-                int head = text.indexOf("\r\n\r\n");
-                int length = head < 0 ? -1 : length(text);
-                if (head >= 0 && text.length() >= head + 4 + length) {
-                    asked.add(text);
-                    String whole = text;
-                    seen.setString(0, "");
-                    engine.accept(socket, whole);
-                }
-            });
-        });
-        server.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+        server =
+                vertx.createNetServer()
+                        .connectHandler(
+                                socket -> {
+                                    Buffer seen = Buffer.buffer();
+                                    socket.exceptionHandler(e -> {});
+                                    socket.handler(
+                                            part -> {
+                                                seen.appendBuffer(part);
+                                                String text = seen.toString();
+                                                int head = text.indexOf("\r\n\r\n");
+                                                int length = head < 0 ? -1 : length(text);
+                                                if (head >= 0
+                                                        && text.length() >= head + 4 + length) {
+                                                    asked.add(text);
+                                                    String whole = text;
+                                                    seen.setString(0, "");
+                                                    engine.accept(socket, whole);
+                                                }
+                                            });
+                                });
+        server.listen(0, "127.0.0.1")
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(5, TimeUnit.SECONDS);
         spot = new Spot("127.0.0.1", server.actualPort());
         on(() -> link = new CompletionsLink(vertx, limit));
     }
@@ -71,13 +82,14 @@
     /** Runs something on the link's loop. */
     <T> T on(Supplier<T> act) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.runOnContext(v -> {
-            try {
-                done.complete(act.get());
-            } catch (RuntimeException e) {
-                done.completeExceptionally(e);
-            }
-        });
+        loop.runOnContext(
+                v -> {
+                    try {
+                        done.complete(act.get());
+                    } catch (RuntimeException e) {
+                        done.completeExceptionally(e);
+                    }
+                });
         return done.get(5, TimeUnit.SECONDS);
     }
 
@@ -85,40 +97,54 @@
         return link;
     }
 
-    final java.util.concurrent.atomic.AtomicInteger soFar = new java.util.concurrent.atomic.AtomicInteger();
+    final java.util.concurrent.atomic.AtomicInteger soFar =
+            new java.util.concurrent.atomic.AtomicInteger();
 
     EngineLink.Flight send(boolean read, boolean mayBeSent) throws Exception {
-        Order order = new Order("g.0", spot, "m", "p", 4, List.of(), new Order.Sampling(null, null, null), null, null, null,
-                () -> mayBeSent ? null : larchridge.enginelink.SendRefusal.ENGINE_LEFT);
-        Hearing ears = new Hearing() {
-            @Override
-            public void read(StateHandle state, int keptToks, int promptToks, Report told2) {
-                report = told2;
-                told.add("read " + keptToks);
-            }
-
-            @Override
-            public void begun() {
-                told.add("begun");
-            }
-
-            @Override
-            public void piece(String text) {
-                told.add("piece " + text);
-            }
-
-            @Override
-            public void soFar() {
-                soFar.incrementAndGet();
-            }
-
-            @Override
-            public void ended(Outcome outcome, Report told2, Ending how) {
-                ending = how;
-                report = told2;
-                told.add(outcome.name());
-            }
-        };
+        Order order =
+                new Order(
+                        "g.0",
+                        spot,
+                        "m",
+                        "p",
+                        4,
+                        List.of(),
+                        new Order.Sampling(null, null, null),
+                        null,
+                        null,
+                        null,
+                        () -> mayBeSent ? null : larchridge.enginelink.SendRefusal.ENGINE_LEFT);
+        Hearing ears =
+                new Hearing() {
+                    @Override
+                    public void read(
+                            StateHandle state, int keptToks, int promptToks, Report told2) {
+                        report = told2;
+                        told.add("read " + keptToks);
+                    }
+
+                    @Override
+                    public void begun() {
+                        told.add("begun");
+                    }
+
+                    @Override
+                    public void piece(String text) {
+                        told.add("piece " + text);
+                    }
+
+                    @Override
+                    public void soFar() {
+                        soFar.incrementAndGet();
+                    }
+
+                    @Override
+                    public void ended(Outcome outcome, Report told2, Ending how) {
+                        ending = how;
+                        report = told2;
+                        told.add(outcome.name());
+                    }
+                };
         return on(() -> read ? link.read(order, ears) : link.write(order, ears));
     }
 
@@ -135,16 +161,24 @@
         return "HTTP/1.1 " + status + " X\r\ncontent-length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static final String STREAM_HEAD = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
-            + "transfer-encoding: chunked\r\n\r\n";
+    static final String STREAM_HEAD =
+            "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
+                    + "transfer-encoding: chunked\r\n\r\n";
 
     static String chunk(String data) {
-        return Integer.toHexString(data.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + data + "\r\n";
+        return Integer.toHexString(data.getBytes(StandardCharsets.UTF_8).length)
+                + "\r\n"
+                + data
+                + "\r\n";
     }
 
     static String piece(String text, String reason) {
-        return chunk("data: {\"choices\":[{\"text\":\"" + text + "\",\"finish_reason\":"
-                + (reason == null ? "null" : "\"" + reason + "\"") + "}]}\n\n");
+        return chunk(
+                "data: {\"choices\":[{\"text\":\""
+                        + text
+                        + "\",\"finish_reason\":"
+                        + (reason == null ? "null" : "\"" + reason + "\"")
+                        + "}]}\n\n");
     }
 
     @Override
--- a/src/test/java/larchridge/experiment/ExperimentTest.java
+++ b/src/test/java/larchridge/experiment/ExperimentTest.java
@@ -22,7 +22,9 @@
     @BeforeEach
     void make() throws Exception {
         folder = Files.createTempDirectory("larchridge-experiment");
-        Files.writeString(folder.resolve("s.yaml"), """
+        Files.writeString(
+                folder.resolve("s.yaml"),
+                """
                 duration_ms: 1500
                 rate_per_s: 60
                 engines:
@@ -31,7 +33,9 @@
                 products:
                   - {name: consulta, slo_ms: 600, time_limit_ms: 2500, prompt_tokens: 300, output_tokens: 8}
                 """);
-        Files.writeString(folder.resolve("p.yaml"), """
+        Files.writeString(
+                folder.resolve("p.yaml"),
+                """
                 script: s.yaml
                 seeds: [1, 2]
                 policies: [choice, random]
@@ -58,7 +62,9 @@
         // Cut in the middle of its last line, as by a kill.
         Files.writeString(table, whole.substring(0, whole.length() - 7));
         List<Runs.Row> again = Runs.run(plan, table, 2);
-        assertEquals(rows.stream().map(Runs.Row::digest).toList(), again.stream().map(Runs.Row::digest).toList());
+        assertEquals(
+                rows.stream().map(Runs.Row::digest).toList(),
+                again.stream().map(Runs.Row::digest).toList());
         assertEquals(9, Files.readAllLines(table).size());
         Page.write(plan, rows, folder);
         assertTrue(Files.readString(folder.resolve("service.svg")).contains("<svg"));
@@ -81,15 +87,23 @@
         Search.Found one = Search.run(script, 3, 6, 2);
         assertEquals(one, Search.run(script, 3, 6, 2));
         Files.writeString(folder.resolve("found.yaml"), Search.yaml(one.script()));
-        assertEquals(one.script().troubles(), ScriptReader.read(folder.resolve("found.yaml")).troubles());
+        assertEquals(
+                one.script().troubles(),
+                ScriptReader.read(folder.resolve("found.yaml")).troubles());
     }
 
     @Test
     void badPlanNamesFileAndField() throws Exception {
         Path bad = folder.resolve("bad.yaml");
         Files.writeString(bad, "script: s.yaml\npolicies: [best]\n");
-        assertTrue(assertThrows(Plan.BadPlan.class, () -> Plan.read(bad)).getMessage().contains("bad.yaml: policies: 'best'"));
+        assertTrue(
+                assertThrows(Plan.BadPlan.class, () -> Plan.read(bad))
+                        .getMessage()
+                        .contains("bad.yaml: policies: 'best'"));
         Files.writeString(bad, "script: s.yaml\nseed: [1\n");
-        assertTrue(assertThrows(Plan.BadPlan.class, () -> Plan.read(bad)).getMessage().contains("bad.yaml:"));
+        assertTrue(
+                assertThrows(Plan.BadPlan.class, () -> Plan.read(bad))
+                        .getMessage()
+                        .contains("bad.yaml:"));
     }
 }
--- a/src/test/java/larchridge/front/PatienceTest.java
+++ b/src/test/java/larchridge/front/PatienceTest.java
@@ -10,8 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 class PatienceTest {
-    private final Product product = new Product("p", Effect.IDEMPOTENT, Span.ALL, 0, 1, 0, 1000, 0, 50);
-    private final Offer offer = new Offer(product, product, "", 5000, 1, 100, larchridge.tokens.Measure.GUESSED);
+    private final Product product =
+            new Product("p", Effect.IDEMPOTENT, Span.ALL, 0, 1, 0, 1000, 0, 50);
+    private final Offer offer =
+            new Offer(product, product, "", 5000, 1, 100, larchridge.tokens.Measure.GUESSED);
 
     @Test
     void streamWaitsAsTheProductSaysForItsFirstTokenOnly() {
--- a/src/test/java/larchridge/inventory/ListReaderTest.java
+++ b/src/test/java/larchridge/inventory/ListReaderTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class ListReaderTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             engines:
               - id: 1
                 host: 10.0.0.1
@@ -29,8 +30,19 @@
     @Test
     void goodListIsRead() throws BadList {
         Row first = ListReader.read("e", GOOD).get(0);
-        assertEquals(new Row(1, "10.0.0.1", 8000, Role.READER, "west", 3, 1, Double.NaN, 1769846400000.0,
-                Mode.READY), first);
+        assertEquals(
+                new Row(
+                        1,
+                        "10.0.0.1",
+                        8000,
+                        Role.READER,
+                        "west",
+                        3,
+                        1,
+                        Double.NaN,
+                        1769846400000.0,
+                        Mode.READY),
+                first);
         assertEquals(Mode.DRAINING, ListReader.read("e", GOOD).get(1).mode());
     }
 
@@ -52,10 +64,14 @@
     void faultsNameLineAndField() {
         fault(GOOD.replace("role: reader", "role: reeder"), "e:5: engines[0].role: is 'reeder'");
         fault(GOOD.replace("    port: 8000\n", ""), "e:2: engines[0].port: missing");
-        fault(GOOD.replace("port: 8000", "port: x"), "e:4: engines[0].port: is 'x'; expected a number");
+        fault(
+                GOOD.replace("port: 8000", "port: x"),
+                "e:4: engines[0].port: is 'x'; expected a number");
         fault(GOOD.replace("id: 2", "id: 1"), "e:9: id: 1 is also the id of the engine on line 2");
         fault(GOOD.replace("zone: west", "zoon: west"), "e:6: engines[0].zoon: unknown field");
-        fault(GOOD.replace("8000Z", "x").replace("2026-01-31T08:00:00Z", "soon"), "e:8: engines[0].start");
+        fault(
+                GOOD.replace("8000Z", "x").replace("2026-01-31T08:00:00Z", "soon"),
+                "e:8: engines[0].start");
     }
 
     @Test
--- a/src/test/java/larchridge/lease/LeaseLinkTest.java
+++ b/src/test/java/larchridge/lease/LeaseLinkTest.java
@@ -24,27 +24,39 @@
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
 
     private LeaseLink link(String answer) throws Exception {
-        HttpServer server = vertx.createHttpServer().requestHandler(request -> {
-            // Without an answer the question hangs, as at a lender that has stopped.
-            if (answer != null) {
-                request.response().end(answer);
-            }
-        });
-        server.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+        HttpServer server =
+                vertx.createHttpServer()
+                        .requestHandler(
+                                request -> {
+                                    // Without an answer the question hangs, as at a lender that has
+                                    // stopped.
+                                    if (answer != null) {
+                                        request.response().end(answer);
+                                    }
+                                });
+        server.listen(0, "127.0.0.1")
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(5, TimeUnit.SECONDS);
         CompletableFuture<LeaseLink> made = new CompletableFuture<>();
-        loop.runOnContext(v -> made.complete(new LeaseLink(vertx, "127.0.0.1", server.actualPort(), 150)));
+        loop.runOnContext(
+                v -> made.complete(new LeaseLink(vertx, "127.0.0.1", server.actualPort(), 150)));
         return made.get(5, TimeUnit.SECONDS);
     }
 
     private boolean ask(LeaseLink link, int times) throws Exception {
         CompletableFuture<Boolean> taken = new CompletableFuture<>();
-        loop.runOnContext(v -> {
-            boolean all = true;
-            for (int i = 0; i < times; i++) {
-                all &= link.ask(new Want("t", 100, 0), (toks, back) -> told.add((int) toks + " " + (int) back));
-            }
-            taken.complete(all);
-        });
+        loop.runOnContext(
+                v -> {
+                    boolean all = true;
+                    for (int i = 0; i < times; i++) {
+                        all &=
+                                link.ask(
+                                        new Want("t", 100, 0),
+                                        (toks, back) -> told.add((int) toks + " " + (int) back));
+                    }
+                    taken.complete(all);
+                });
         return taken.get(5, TimeUnit.SECONDS);
     }
 
@@ -67,8 +79,15 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{\"lent\":[{\"tokens\":101}]}", "{\"lent\":[]}", "nonsense", "{\"lent\":[{\"tokens\":-1}]}",
-        "{\"lent\":[{\"tokens\":\"NaN\"}]}", ""})
+    @ValueSource(
+            strings = {
+                "{\"lent\":[{\"tokens\":101}]}",
+                "{\"lent\":[]}",
+                "nonsense",
+                "{\"lent\":[{\"tokens\":-1}]}",
+                "{\"lent\":[{\"tokens\":\"NaN\"}]}",
+                ""
+            })
     void nonsenseIsNoLoanAndTheLenderCountsAsAway(String answer) throws Exception {
         LeaseLink link = link(answer);
         assertTrue(ask(link, 1));
--- a/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
+++ b/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
@@ -12,20 +12,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A disk that fails for a while under a ledger: what was taken on is written once it is well again. */
+/**
+ * A disk that fails for a while under a ledger: what was taken on is written once it is well again.
+ */
 @Timeout(60)
 class LedgerRecoveryTest {
     private static final int RECORDS = 50;
     private static final long WRITTEN_MS = 5000;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    /** The process whose files may not grow for a while; a limit of this test's own process would meet other tests. */
+    /**
+     * The process whose files may not grow for a while; a limit of this test's own process would
+     * meet other tests.
+     */
     static final class Writer {
         private static int offered;
 
-        private Writer() { }
+        private Writer() {}
 
         public static void main(String[] args) throws Exception {
             long pid = ProcessHandle.current().pid();
@@ -47,7 +51,18 @@
 
         private static void offer(Ledger ledger) {
             for (int i = 0; i < RECORDS; i++) {
-                ledger.offer(new Usage("key " + offered++, "t", "p", 1_780_000_000_000L, "streamed", 100, 40, 10, 5, 2));
+                ledger.offer(
+                        new Usage(
+                                "key " + offered++,
+                                "t",
+                                "p",
+                                1_780_000_000_000L,
+                                "streamed",
+                                100,
+                                40,
+                                10,
+                                5,
+                                2));
             }
         }
 
@@ -57,12 +72,20 @@
                 TimeUnit.MILLISECONDS.sleep(10);
             }
             if (ledger.written() < offered) {
-                throw new IllegalStateException(ledger.written() + " of " + offered + " records written");
+                throw new IllegalStateException(
+                        ledger.written() + " of " + offered + " records written");
             }
         }
 
-        private static void limitFiles(long pid, String most) throws IOException, InterruptedException {
-            new ProcessBuilder("prlimit", "--pid", Long.toString(pid), "--fsize=" + most + ":unlimited").inheritIO().start()
+        private static void limitFiles(long pid, String most)
+                throws IOException, InterruptedException {
+            new ProcessBuilder(
+                            "prlimit",
+                            "--pid",
+                            Long.toString(pid),
+                            "--fsize=" + most + ":unlimited")
+                    .inheritIO()
+                    .start()
                     .waitFor();
         }
     }
@@ -70,8 +93,15 @@
     @Test
     void recordsTakenWhileTheDiskFailsAreWrittenOnceItIsWell() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        Process writer = new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), Writer.class.getName(),
-                folder.resolve("ledger").toString()).redirectErrorStream(true).start();
+        Process writer =
+                new ProcessBuilder(
+                                java,
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Writer.class.getName(),
+                                folder.resolve("ledger").toString())
+                        .redirectErrorStream(true)
+                        .start();
         String said = new String(writer.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(writer.waitFor(40, TimeUnit.SECONDS));
         assertEquals(0, writer.exitValue(), said);
--- a/src/test/java/larchridge/ledger/LedgerTest.java
+++ b/src/test/java/larchridge/ledger/LedgerTest.java
@@ -18,8 +18,7 @@
 class LedgerTest {
     private static final long AT = 1_780_000_000_000L;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static Usage usage(String id, long out) {
         return new Usage(id, "t", "p", AT, "streamed", 100, 40, out, 5, 2);
@@ -140,7 +139,8 @@
 
     @Test
     void pricesAreExact() {
-        Price price = new Price(new BigDecimal("0.10"), new BigDecimal("0.01"), new BigDecimal("0.30"));
+        Price price =
+                new Price(new BigDecimal("0.10"), new BigDecimal("0.01"), new BigDecimal("0.30"));
         Total total = new Total(1, 3, 1, 1, 0);
         assertEquals(new BigDecimal("0.00000051"), price.of(total));
         assertEquals("0.01", Price.money(new BigDecimal("0.005")));
@@ -150,7 +150,8 @@
     @Test
     void whoWaitsIsToldWhenTheRecordIsOnDisk() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
-            java.util.concurrent.CompletableFuture<Void> told = new java.util.concurrent.CompletableFuture<>();
+            java.util.concurrent.CompletableFuture<Void> told =
+                    new java.util.concurrent.CompletableFuture<>();
             assertTrue(ledger.offer(usage("a", 10), () -> told.complete(null)));
             told.get(5, java.util.concurrent.TimeUnit.SECONDS);
             try (Ledger copy = Ledger.look(killed("copy"))) {
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that close at the worst moment: no attempt begins for them, and what was read for them is released. */
+/**
+ * Clients that close at the worst moment: no attempt begins for them, and what was read for them is
+ * released.
+ */
 @Timeout(30)
 class ClientCloseTest extends SceneTest {
     /** Closes with a FIN, or with a reset that drops what the peer has not read. */
@@ -21,12 +24,16 @@
         client.close();
     }
 
-    /** Whether an engine got an attempt of this request, once a later request has been served from end to end. */
+    /**
+     * Whether an engine got an attempt of this request, once a later request has been served from
+     * end to end.
+     */
     private boolean reached(Scene.Actor engine, String id) throws Exception {
         Scene.RawClient other = scene.client();
         other.send(Scene.ask(Scene.id(), ""));
         Scene.served(other);
-        return engine.seen.stream().anyMatch(seen -> seen.method().equals("POST") && id.equals(seen.header("Req-Id")));
+        return engine.seen.stream()
+                .anyMatch(seen -> seen.method().equals("POST") && id.equals(seen.header("Req-Id")));
     }
 
     @Test
@@ -51,14 +58,18 @@
             CountDownLatch answered = new CountDownLatch(1);
             CountDownLatch asked = new CountDownLatch(1);
             CountDownLatch open = new CountDownLatch(1);
-            scene.reader.script = seen -> {
-                asked.countDown();
-                Scene.await(open);
-                return new Reply(Scene.read(0), true, () -> {
-                    answered.countDown();
-                    return "";
-                });
-            };
+            scene.reader.script =
+                    seen -> {
+                        asked.countDown();
+                        Scene.await(open);
+                        return new Reply(
+                                Scene.read(0),
+                                true,
+                                () -> {
+                                    answered.countDown();
+                                    return "";
+                                });
+                    };
             String id = Scene.id();
             Scene.RawClient client = scene.client();
             client.send(Scene.ask(id, ""));
@@ -77,17 +88,26 @@
     void requestSentAheadOfTheAnswerIsNotSentOnForAClientThatClosedAsItCame() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
-        scene.writer.script = seen -> new Reply(Scene.GOOD + Scene.chunk(Scene.EVENT), true, () -> {
-            begun.countDown();
-            Scene.await(open);
-            return Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n";
-        });
+        scene.writer.script =
+                seen ->
+                        new Reply(
+                                Scene.GOOD + Scene.chunk(Scene.EVENT),
+                                true,
+                                () -> {
+                                    begun.countDown();
+                                    Scene.await(open);
+                                    return Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n";
+                                });
         String ahead = Scene.id();
         Scene.RawClient client = scene.client();
         client.send(Scene.ask(Scene.id(), "") + Scene.ask(ahead, ""));
         Scene.await(begun);
         client.until("\"ab\"");
-        scene.writer.script = seen -> new Reply(Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n", true);
+        scene.writer.script =
+                seen ->
+                        new Reply(
+                                Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n",
+                                true);
         CountDownLatch goOn = scene.holdLoop();
         open.countDown();
         scene.writer.settled();
@@ -96,14 +116,19 @@
         assertTrue(!reached(scene.reader, ahead));
     }
 
-    /** The first attempt is silent; the second falls due while the loop is held, and so does the client's close. */
+    /**
+     * The first attempt is silent; the second falls due while the loop is held, and so does the
+     * client's close.
+     */
     @Test
     void furtherAttemptThatFallsDueInTheTurnInWhichTheClientClosesIsNotSent() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
-        try (Scene.Actor second = new Scene.Actor(seen -> {
-            first.countDown();
-            return new Reply(null, true);
-        })) {
+        try (Scene.Actor second =
+                new Scene.Actor(
+                        seen -> {
+                            first.countDown();
+                            return new Reply(null, true);
+                        })) {
             scene.reader.script = second.script;
             scene.listed.add(Scene.row("r2", second.port(), "lectura", "SERVING", 0));
             scene.changed();
@@ -114,7 +139,8 @@
             client.send(Scene.ask(Scene.id(), ""));
             Scene.await(first);
             CountDownLatch goOn = scene.holdLoop();
-            // Longer than the module waits for a silent reader, so that the second attempt is due when the loop goes on.
+            // Longer than the module waits for a silent reader, so that the second attempt is due
+            // when the loop goes on.
             TimeUnit.MILLISECONDS.sleep(1500);
             client.close();
             goOn.countDown();
--- a/src/test/java/larchridge/node/DescriptorExhaustionTest.java
+++ b/src/test/java/larchridge/node/DescriptorExhaustionTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node in a process of its own that may open fewer descriptors than it was promised, so that its system calls fail. */
+/**
+ * A node in a process of its own that may open fewer descriptors than it was promised, so that its
+ * system calls fail.
+ */
 @Timeout(60)
 class DescriptorExhaustionTest {
     private static final int DESCRIPTORS = 250;
@@ -26,8 +29,7 @@
     private static final long EXHAUSTED_MS = 1500;
     private static final double RECOVERED_WITHIN_MS = 1000;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private NodeProcess node;
 
     @BeforeEach
@@ -54,7 +56,10 @@
         }
     }
 
-    /** Each call to discovery fails at the socket call; once there are descriptors again the list has to be followed. */
+    /**
+     * Each call to discovery fails at the socket call; once there are descriptors again the list
+     * has to be followed.
+     */
     @Test
     void discoveryIsAskedAgainOnceThereAreDescriptors() throws Exception {
         List<Socket> clients = connectAll();
@@ -65,7 +70,9 @@
         node.discovery.seen.clear();
         closeAll(clients);
         long free = System.nanoTime();
-        assertTrue(node.discovery.seen.poll(8, TimeUnit.SECONDS) != null, "discovery was never asked again");
+        assertTrue(
+                node.discovery.seen.poll(8, TimeUnit.SECONDS) != null,
+                "discovery was never asked again");
         double tookMs = (System.nanoTime() - free) / 1e6;
         assertTrue(tookMs < RECOVERED_WITHIN_MS, "asked again after " + tookMs + " ms");
     }
@@ -85,7 +92,9 @@
         assertTrue(tookMs < 500, "accepted after " + tookMs + " ms");
     }
 
-    /** A call for a socket that fails says nothing about the engine, and there is time to try again. */
+    /**
+     * A call for a socket that fails says nothing about the engine, and there is time to try again.
+     */
     @Test
     void requestIsServedWhoseAttemptsFindNoDescriptorForAMoment() throws Exception {
         Scene.RawClient client = new Scene.RawClient(node.port);
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -16,10 +16,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Calls to discovery that break, fall silent, come late or tell old things; judged by where requests go. */
+/**
+ * Calls to discovery that break, fall silent, come late or tell old things; judged by where
+ * requests go.
+ */
 @Timeout(30)
 class DiscoveryTest extends SceneTest {
-    /** What was missed has to act 6 s after a watch fell silent; a connection that does not come up, and a retry, fit in too. */
+    /**
+     * What was missed has to act 6 s after a watch fell silent; a connection that does not come up,
+     * and a retry, fit in too.
+     */
     private static final double ASKED_AGAIN_MS = 4000;
 
     private static boolean isWatch(Seen seen) {
@@ -39,7 +45,13 @@
     }
 
     private static String list(int index, String... rows) {
-        return Scene.answer("200 OK", "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", rows) + "]}");
+        return Scene.answer(
+                "200 OK",
+                "{\"index\":"
+                        + index
+                        + ",\"snapshot\":true,\"endpoints\":["
+                        + String.join(",", rows)
+                        + "]}");
     }
 
     private void servedBy(Scene.Actor engine, Scene.Actor notBy) throws Exception {
@@ -53,13 +65,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"index\":60,\"snapshot\":true,\"endpoints\":["})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 O",
+                "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"index\":60,\"snapshot\":true,\"endpoints\":["
+            })
     void watchThatFallsSilentInsideItsAnswerIsOpenedAnewInTime(String part) throws Exception {
         Function<Seen, Reply> script = scene.discovery.script;
         AtomicInteger watches = new AtomicInteger();
-        scene.discovery.script = seen -> isWatch(seen) && watches.getAndIncrement() == 0 ? new Reply(part, true)
-                : script.apply(seen);
+        scene.discovery.script =
+                seen ->
+                        isWatch(seen) && watches.getAndIncrement() == 0
+                                ? new Reply(part, true)
+                                : script.apply(seen);
         scene.discovery.seen.clear();
         scene.changed();
         while (watches.get() == 0) {
@@ -75,8 +94,11 @@
     void watchThatIsResetIsFollowedByAWholeListAtOnce() throws Exception {
         Function<Seen, Reply> script = scene.discovery.script;
         AtomicInteger watches = new AtomicInteger();
-        scene.discovery.script = seen -> isWatch(seen) && watches.getAndIncrement() == 0 ? new Reply(null, false)
-                : script.apply(seen);
+        scene.discovery.script =
+                seen ->
+                        isWatch(seen) && watches.getAndIncrement() == 0
+                                ? new Reply(null, false)
+                                : script.apply(seen);
         scene.discovery.seen.clear();
         scene.changed();
         while (watches.get() == 0) {
@@ -90,10 +112,21 @@
     @Test
     void indentedWholeListOnAWatchIsTaken() throws Exception {
         try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true))) {
-            String rows = String.join(",\n", Scene.row("r2", other.port(), "lectura", "SERVING", 0),
-                    Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0)).replace(",\"", " ,\r\n\t\t\"");
-            scene.discovery.script = seen -> new Reply(Scene.answer("200 OK",
-                    "{\n  \"index\" : 50,\n  \"snapshot\" : true,\n  \"endpoints\" : [\n" + rows + "\n  ]\n}\n"), true);
+            String rows =
+                    String.join(
+                                    ",\n",
+                                    Scene.row("r2", other.port(), "lectura", "SERVING", 0),
+                                    Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0))
+                            .replace(",\"", " ,\r\n\t\t\"");
+            scene.discovery.script =
+                    seen ->
+                            new Reply(
+                                    Scene.answer(
+                                            "200 OK",
+                                            "{\n  \"index\" : 50,\n  \"snapshot\" : true,\n  \"endpoints\" : [\n"
+                                                    + rows
+                                                    + "\n  ]\n}\n"),
+                                    true);
             scene.discovery.seen.clear();
             scene.changed();
             awaitCall(scene.discovery, true);
@@ -102,26 +135,35 @@
         }
     }
 
-    /** A replica that lags answers the watch: what it tells is older than what is known, and the whole list is asked for. */
+    /**
+     * A replica that lags answers the watch: what it tells is older than what is known, and the
+     * whole list is asked for.
+     */
     @Test
     void watchThatTellsAnOlderVersionChangesNothingAndTheWholeListIsAskedFor() throws Exception {
         try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true))) {
             String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
-            String now = list(60, Scene.row("r1", scene.reader.port(), "lectura", "DRAINING", 0),
-                    Scene.row("r2", other.port(), "lectura", "SERVING", 0), writer);
-            String old = list(40, Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0), writer);
+            String now =
+                    list(
+                            60,
+                            Scene.row("r1", scene.reader.port(), "lectura", "DRAINING", 0),
+                            Scene.row("r2", other.port(), "lectura", "SERVING", 0),
+                            writer);
+            String old =
+                    list(40, Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0), writer);
             CountDownLatch wholeAgain = new CountDownLatch(2);
             CountDownLatch open = new CountDownLatch(1);
-            scene.discovery.script = seen -> {
-                if (!isWatch(seen)) {
-                    wholeAgain.countDown();
-                    if (wholeAgain.getCount() == 0) {
-                        Scene.await(open);
-                    }
-                    return new Reply(now, true);
-                }
-                return new Reply(seen.target().contains("after=60") ? old : now, true);
-            };
+            scene.discovery.script =
+                    seen -> {
+                        if (!isWatch(seen)) {
+                            wholeAgain.countDown();
+                            if (wholeAgain.getCount() == 0) {
+                                Scene.await(open);
+                            }
+                            return new Reply(now, true);
+                        }
+                        return new Reply(seen.target().contains("after=60") ? old : now, true);
+                    };
             scene.node.readAgain();
             Scene.await(wholeAgain);
             scene.settled();
@@ -130,16 +172,51 @@
         }
     }
 
-    /** The agent behind a new configuration may lag behind the one before; what the node was told still counts. */
+    /**
+     * The agent behind a new configuration may lag behind the one before; what the node was told
+     * still counts.
+     */
     @Test
     void olderListOfAnotherAgentBringsNoDrainingEngineBack() throws Exception {
         String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
         try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true));
-                Scene.Actor moved = new Scene.Actor(seen -> new Reply(isWatch(seen) ? null
-                        : list(40, Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0),
-                        Scene.row("r2", other.port(), "lectura", "SERVING", 0), writer), true))) {
-            scene.discovery.script = seen -> new Reply(isWatch(seen) && seen.target().contains("after=60") ? null
-                    : list(60, Scene.row("r1", scene.reader.port(), "lectura", "DRAINING", 0), writer), true);
+                Scene.Actor moved =
+                        new Scene.Actor(
+                                seen ->
+                                        new Reply(
+                                                isWatch(seen)
+                                                        ? null
+                                                        : list(
+                                                                40,
+                                                                Scene.row(
+                                                                        "r1",
+                                                                        scene.reader.port(),
+                                                                        "lectura",
+                                                                        "SERVING",
+                                                                        0),
+                                                                Scene.row(
+                                                                        "r2",
+                                                                        other.port(),
+                                                                        "lectura",
+                                                                        "SERVING",
+                                                                        0),
+                                                                writer),
+                                                true))) {
+            scene.discovery.script =
+                    seen ->
+                            new Reply(
+                                    isWatch(seen) && seen.target().contains("after=60")
+                                            ? null
+                                            : list(
+                                                    60,
+                                                    Scene.row(
+                                                            "r1",
+                                                            scene.reader.port(),
+                                                            "lectura",
+                                                            "DRAINING",
+                                                            0),
+                                                    writer),
+                                    true);
             scene.changed();
             Seen call = scene.discovery.next("GET");
             while (!call.target().contains("after=60")) {
@@ -157,11 +234,17 @@
     @Test
     void watchThatIsAnsweredAtOnceIsAskedAtABoundedRate() throws Exception {
         AtomicInteger watches = new AtomicInteger();
-        scene.discovery.script = seen -> {
-            watches.incrementAndGet();
-            return new Reply(list(60, Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0),
-                    Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0)), true);
-        };
+        scene.discovery.script =
+                seen -> {
+                    watches.incrementAndGet();
+                    return new Reply(
+                            list(
+                                    60,
+                                    Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0),
+                                    Scene.row(
+                                            "w1", scene.writer.port(), "redaccion", "SERVING", 0)),
+                            true);
+                };
         scene.changed();
         awaitCall(scene.discovery, true);
         watches.set(0);
@@ -176,13 +259,37 @@
         CountDownLatch open = new CountDownLatch(1);
         String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
         try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true));
-                Scene.Actor before = new Scene.Actor(seen -> {
-                    asked.countDown();
-                    Scene.await(open);
-                    return new Reply(list(Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0), writer), true);
-                });
-                Scene.Actor moved = new Scene.Actor(seen -> new Reply(isWatch(seen) ? null
-                        : list(Scene.row("r2", other.port(), "lectura", "SERVING", 0), writer), true))) {
+                Scene.Actor before =
+                        new Scene.Actor(
+                                seen -> {
+                                    asked.countDown();
+                                    Scene.await(open);
+                                    return new Reply(
+                                            list(
+                                                    Scene.row(
+                                                            "r1",
+                                                            scene.reader.port(),
+                                                            "lectura",
+                                                            "SERVING",
+                                                            0),
+                                                    writer),
+                                            true);
+                                });
+                Scene.Actor moved =
+                        new Scene.Actor(
+                                seen ->
+                                        new Reply(
+                                                isWatch(seen)
+                                                        ? null
+                                                        : list(
+                                                                Scene.row(
+                                                                        "r2",
+                                                                        other.port(),
+                                                                        "lectura",
+                                                                        "SERVING",
+                                                                        0),
+                                                                writer),
+                                                true))) {
             scene.configure(before.port());
             scene.node.readAgain();
             Scene.await(asked);
@@ -196,23 +303,45 @@
         }
     }
 
-    /** Two calls for the whole list are open at a time; the older one is answered after the newer. */
+    /**
+     * Two calls for the whole list are open at a time; the older one is answered after the newer.
+     */
     @Test
     void answerOfAnAbandonedCallChangesNothing() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
         String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
         try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true));
-                Scene.Actor moved = new Scene.Actor(seen -> {
-                    if (isWatch(seen)) {
-                        return new Reply(null, true);
-                    }
-                    if (calls.getAndIncrement() == 0) {
-                        Scene.await(open);
-                        return new Reply(list(Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0), writer), true);
-                    }
-                    return new Reply(list(Scene.row("r2", other.port(), "lectura", "SERVING", 0), writer), true);
-                })) {
+                Scene.Actor moved =
+                        new Scene.Actor(
+                                seen -> {
+                                    if (isWatch(seen)) {
+                                        return new Reply(null, true);
+                                    }
+                                    if (calls.getAndIncrement() == 0) {
+                                        Scene.await(open);
+                                        return new Reply(
+                                                list(
+                                                        Scene.row(
+                                                                "r1",
+                                                                scene.reader.port(),
+                                                                "lectura",
+                                                                "SERVING",
+                                                                0),
+                                                        writer),
+                                                true);
+                                    }
+                                    return new Reply(
+                                            list(
+                                                    Scene.row(
+                                                            "r2",
+                                                            other.port(),
+                                                            "lectura",
+                                                            "SERVING",
+                                                            0),
+                                                    writer),
+                                            true);
+                                })) {
             scene.configure(moved.port());
             scene.node.readAgain();
             awaitCall(moved, true);
--- a/src/test/java/larchridge/node/HeldStateTest.java
+++ b/src/test/java/larchridge/node/HeldStateTest.java
@@ -20,7 +20,10 @@
         assertTrue(tookMs < RELEASED_WITHIN_MS, "released after " + tookMs + " ms");
     }
 
-    /** The node can't tell an attempt that was lost on a silent connection from one that waits in the engine's queue. */
+    /**
+     * The node can't tell an attempt that was lost on a silent connection from one that waits in
+     * the engine's queue.
+     */
     @Test
     void stateIsReleasedInTimeWhileItsWriteAttemptIsOutOnASilentConnection() throws Exception {
         scene.writer.script = seen -> new Reply(null, true);
@@ -30,14 +33,19 @@
         assertReleasedInTime(id, System.nanoTime());
     }
 
-    /** The release that is sent in time frees nothing that a queued attempt waits for, so the attempt stays out. */
+    /**
+     * The release that is sent in time frees nothing that a queued attempt waits for, so the
+     * attempt stays out.
+     */
     @Test
     void attemptThatWaitsInItsEnginesQueueIsServedAfterTheReleaseOfItsState() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
-        scene.writer.script = seen -> {
-            Scene.await(released);
-            return new Reply(Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n", true);
-        };
+        scene.writer.script =
+                seen -> {
+                    Scene.await(released);
+                    return new Reply(
+                            Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n", true);
+                };
         String id = Scene.id();
         Scene.RawClient client = scene.client();
         client.send(Scene.ask(id, ""));
--- a/src/test/java/larchridge/node/ListenTest.java
+++ b/src/test/java/larchridge/node/ListenTest.java
@@ -19,8 +19,7 @@
     private static final double READY_MS = 2000;
     private static final long ENDED_SECONDS = 25;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void addressThatIsTakenForAMomentIsHadOnceItIsFree() throws Exception {
@@ -39,7 +38,9 @@
     void addressThatStaysTakenEndsTheProcessWithAnError() throws Exception {
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 NodeProcess node = new NodeProcess(folder, DESCRIPTORS, other.getLocalPort())) {
-            assertTrue(node.process.waitFor(ENDED_SECONDS, TimeUnit.SECONDS), "the process neither serves nor ends");
+            assertTrue(
+                    node.process.waitFor(ENDED_SECONDS, TimeUnit.SECONDS),
+                    "the process neither serves nor ends");
             assertEquals(1, node.process.exitValue());
             assertTrue(node.log().contains("listen"), node.log());
         }
--- a/src/test/java/larchridge/node/NarrowMomentsTest.java
+++ b/src/test/java/larchridge/node/NarrowMomentsTest.java
@@ -11,8 +11,11 @@
 /** Two rare conditions that meet, each harmless alone. */
 @Timeout(30)
 class NarrowMomentsTest extends SceneTest {
-    /** Clients that stop in the middle are owed an error or a close so long after they connected. */
+    /**
+     * Clients that stop in the middle are owed an error or a close so long after they connected.
+     */
     private static final double STOPPED_CLIENT_MS = 3000;
+
     /** Requests that come later than this after SIGTERM must not be found under way by SIGKILL. */
     private static final long TAKEN_AFTER_TERM_MS = 700;
 
@@ -31,7 +34,10 @@
         assertTrue(tookMs < STOPPED_CLIENT_MS, "after " + tookMs + " ms");
     }
 
-    /** The word to end itself may be handled 0.15 s late, and what is taken on counts from when it was given. */
+    /**
+     * The word to end itself may be handled 0.15 s late, and what is taken on counts from when it
+     * was given.
+     */
     @Test
     void requestThatComesLongAfterTheWordToEndIsNotTakenOn() throws Exception {
         Scene.RawClient fresh = scene.client();
@@ -43,7 +49,10 @@
         assertEquals(0, scene.reader.posts());
     }
 
-    /** A read of the file fails for a moment, as where descriptors are short, or finds it half written. */
+    /**
+     * A read of the file fails for a moment, as where descriptors are short, or finds it half
+     * written.
+     */
     @Test
     void configurationThatCannotBeReadAtOnceIsReadAgain() throws Exception {
         try (Scene.Actor moved = new Scene.Actor(scene.discovery.script)) {
@@ -56,7 +65,9 @@
                 scene.settled();
                 moved.seen.clear();
                 scene.configure(moved.port());
-                assertTrue(moved.seen.poll(2, TimeUnit.SECONDS) != null, "the new configuration was never followed");
+                assertTrue(
+                        moved.seen.poll(2, TimeUnit.SECONDS) != null,
+                        "the new configuration was never followed");
             }
         }
     }
--- a/src/test/java/larchridge/node/NodeProcess.java
+++ b/src/test/java/larchridge/node/NodeProcess.java
@@ -11,14 +11,26 @@
 import larchridge.node.Scene.Reply;
 import larchridge.node.Scene.Seen;
 
-/** A node in a process of its own, between scripted engines and a scripted discovery agent in this one. */
+/**
+ * A node in a process of its own, between scripted engines and a scripted discovery agent in this
+ * one.
+ */
 final class NodeProcess implements AutoCloseable {
     private static final long START_NANOS = 30_000_000_000L;
-    /** Far more descriptors than the process gets, so that the node's own bounds are not what stops it. */
+
+    /**
+     * Far more descriptors than the process gets, so that the node's own bounds are not what stops
+     * it.
+     */
     private static final int PROMISED_DESCRIPTORS = 1000;
 
     final Actor reader = new Actor(seen -> new Reply(Scene.read(0), true));
-    final Actor writer = new Actor(seen -> new Reply(Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n", true));
+    final Actor writer =
+            new Actor(
+                    seen ->
+                            new Reply(
+                                    Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n",
+                                    true));
     final Actor discovery = new Actor(this::list);
     final int port;
     final Process process;
@@ -34,12 +46,31 @@
     NodeProcess(Path folder, int descriptors, int port) throws IOException {
         this.port = port;
         Path config = folder.resolve("config.json");
-        Files.writeString(config, "{\"name\":\"n1\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
-                + discovery.port() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":256,\"sockets\":"
-                + PROMISED_DESCRIPTORS + "},\"known\":" + wholeList() + ",\"settings\":" + Scene.SETTINGS + "}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n1\",\"listen\":\"127.0.0.1:"
+                        + port
+                        + "\",\"discovery\":\"127.0.0.1:"
+                        + discovery.port()
+                        + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":256,\"sockets\":"
+                        + PROMISED_DESCRIPTORS
+                        + "},\"known\":"
+                        + wholeList()
+                        + ",\"settings\":"
+                        + Scene.SETTINGS
+                        + "}");
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"", java,
-                "-Xmx96m", "-cp", System.getProperty("java.class.path"), "larchridge.cli.Main", "node");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        "sh",
+                        "-c",
+                        "ulimit -n " + descriptors + "; exec \"$0\" \"$@\"",
+                        java,
+                        "-Xmx96m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "larchridge.cli.Main",
+                        "node");
         builder.environment().put("PROXY_CONFIG", config.toString());
         log = folder.resolve("node.log");
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
@@ -62,7 +93,8 @@
                 }
             } catch (IOException e) {
                 if (!process.isAlive()) {
-                    throw new IOException("the node ended at its start: " + Files.readString(log), e);
+                    throw new IOException(
+                            "the node ended at its start: " + Files.readString(log), e);
                 }
             }
             TimeUnit.MILLISECONDS.sleep(20);
@@ -71,14 +103,24 @@
     }
 
     private String wholeList() {
-        return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":["
-                + Scene.row("r1", reader.port(), "lectura", "SERVING", 0) + ","
-                + Scene.row("w1", writer.port(), "redaccion", "SERVING", 0) + "]}";
+        return "{\"index\":"
+                + index
+                + ",\"snapshot\":true,\"endpoints\":["
+                + Scene.row("r1", reader.port(), "lectura", "SERVING", 0)
+                + ","
+                + Scene.row("w1", writer.port(), "redaccion", "SERVING", 0)
+                + "]}";
     }
 
-    /** What the agent answers: the whole list at once, a watch once something has changed or its wait is over. */
+    /**
+     * What the agent answers: the whole list at once, a watch once something has changed or its
+     * wait is over.
+     */
     Reply list(Seen seen) {
-        int after = seen.target().contains("after=") ? Integer.parseInt(seen.target().replaceAll(".*after=(\\d+).*", "$1")) : 0;
+        int after =
+                seen.target().contains("after=")
+                        ? Integer.parseInt(seen.target().replaceAll(".*after=(\\d+).*", "$1"))
+                        : 0;
         synchronized (index) {
             long end = System.nanoTime() + 300_000_000L;
             while (index.get() <= after && System.nanoTime() < end) {
