--- a/src/main/java/larchridge/audit/AuditTerms.java
+++ b/src/main/java/larchridge/audit/AuditSettings.java
@@ -11,7 +11,7 @@
  * @param tipMs over this time
  * @param copies whether two attempts of an idempotent request may be out at once
  */
-public record AuditTerms(
+public record AuditSettings(
         double drainGraceMs,
         double releaseMs,
         double coldMs,
--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -4,14 +4,14 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import larchridge.state.Product;
+import larchridge.state.TrafficClass;
 
 /** What was seen of one request, and its last steps. */
 final class AuditedRequest {
     private static final int STEPS = 32;
 
     final String id;
-    final Product product;
+    final TrafficClass product;
     final double limitMs;
     final List<AuditedAttempt> attempts = new ArrayList<>(2);
     private final Deque<Transition> steps = new ArrayDeque<>();
@@ -35,7 +35,7 @@
     boolean toldHeld;
     boolean toldLeft;
 
-    AuditedRequest(String id, Product product, double limitMs) {
+    AuditedRequest(String id, TrafficClass product, double limitMs) {
         this.id = id;
         this.product = product;
         this.limitMs = limitMs;
--- a/src/main/java/larchridge/audit/ColdBudgetAudit.java
+++ b/src/main/java/larchridge/audit/ColdBudgetAudit.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import larchridge.enginelink.Spot;
-import larchridge.state.Ring;
 import larchridge.state.Role;
+import larchridge.state.SlidingWindow;
 
 /**
  * What this node writes to cold engines, beside its part of their budget. A node sees its own sends
@@ -17,13 +17,13 @@
     private static final int RATE_SECONDS = 30;
     private static final double FEW = 30;
 
-    private final AuditTerms terms;
+    private final AuditSettings terms;
     private final double bornMs;
-    private final Ring warmReads = new Ring(RATE_SECONDS, 1000);
-    private final Ring warmWrites = new Ring(RATE_SECONDS, 1000);
+    private final SlidingWindow warmReads = new SlidingWindow(RATE_SECONDS, 1000);
+    private final SlidingWindow warmWrites = new SlidingWindow(RATE_SECONDS, 1000);
     private final Map<Spot, Deque<Double>> lateWrites = new HashMap<>();
 
-    ColdBudgetAudit(AuditTerms terms, double nowMs) {
+    ColdBudgetAudit(AuditSettings terms, double nowMs) {
         this.terms = terms;
         bornMs = nowMs;
     }
@@ -53,7 +53,7 @@
                         .filter(one -> (one.role() == Role.READER) == reads && !isCold(one, nowMs))
                         .mapToDouble(AuditedEngine::units)
                         .sum();
-        Ring warm = reads ? warmReads : warmWrites;
+        SlidingWindow warm = reads ? warmReads : warmWrites;
         double spanMs = Math.max(1000, Math.min(warm.spanMs(), nowMs - bornMs));
         double perUnitMs = warm.sum(nowMs) / spanMs / Math.max(units, engine.units());
         double age = Math.min(1, (nowMs - engine.startMs()) / terms.coldMs());
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import larchridge.enginelink.Spot;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 
 /**
  * Follows every request from its acceptance to its end by what goes over the sockets, and counts
@@ -32,7 +32,7 @@
 
     private static final int OPEN_MOST = 20_000;
 
-    private final AuditTerms terms;
+    private final AuditSettings terms;
     private final DoubleSupplier clockMs;
     private final Violations violations;
     private final CloseCounters closeCounters;
@@ -53,7 +53,7 @@
     private final Map<Spot, Double> leftMs = new LinkedHashMap<>();
 
     public RequestAudit(
-            AuditTerms terms,
+            AuditSettings terms,
             DoubleSupplier clockMs,
             Violations violations,
             CloseCounters closeCounters) {
@@ -71,7 +71,7 @@
     // ------------------------------------------------------------------ clients
 
     @Override
-    public void accepted(String id, Product product, double limitMs) {
+    public void accepted(String id, TrafficClass product, double limitMs) {
         if (open.size() >= OPEN_MOST) {
             return;
         }
@@ -169,7 +169,7 @@
     }
 
     private void checkRepeat(AuditedRequest request, AuditedAttempt attempt) {
-        Product product = request.product;
+        TrafficClass product = request.product;
         boolean idempotent = product.effect == Effect.IDEMPOTENT;
         for (AuditedAttempt earlier : request.attempts) {
             if (!earlier.ended && !(idempotent && terms.copies())) {
@@ -195,15 +195,17 @@
     }
 
     private static boolean mayFollow(
-            Product product, AuditedAttempt earlier, AuditedAttempt attempt) {
+            TrafficClass product, AuditedAttempt earlier, AuditedAttempt attempt) {
         if (product.effect == Effect.SIDE_EFFECTING
                 || attempt.writtenMs - earlier.writtenMs > product.memoryMs) {
             return false;
         }
-        if (earlier.engine == null || attempt.engine == null || product.span == Span.ALL) {
+        if (earlier.engine == null
+                || attempt.engine == null
+                || product.span == DeduplicationScope.ALL) {
             return true;
         }
-        return product.span == Span.ZONE
+        return product.span == DeduplicationScope.ZONE
                 ? earlier.engine.zone().equals(attempt.engine.zone())
                 : earlier.engine.rack() == attempt.engine.rack();
     }
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import larchridge.enginelink.Spot;
-import larchridge.state.Product;
+import larchridge.state.TrafficClass;
 
 /**
  * What the sides of a node tell of a request as it happens on their sockets; called on the loop.
@@ -12,7 +12,7 @@
     RequestEvents IGNORED = new RequestEvents() {};
 
     /** A request was taken from a client that waits until limitMs for its first event. */
-    default void accepted(String id, Product product, double limitMs) {}
+    default void accepted(String id, TrafficClass product, double limitMs) {}
 
     /** The client has closed before its final answer. */
     default void clientClosed(String id) {}
--- a/src/main/java/larchridge/baseline/Plain.java
+++ b/src/main/java/larchridge/baseline/Plain.java
@@ -4,27 +4,27 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Random;
-import larchridge.Host;
-import larchridge.front.Decider;
+import larchridge.policy.PolicyActions;
+import larchridge.policy.PolicyEvents;
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.CachedPrefix;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Fleet;
-import larchridge.state.Gen;
-import larchridge.state.Listing;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.EngineRegistry;
+import larchridge.state.Generation;
+import larchridge.state.LoadReport;
 import larchridge.state.Role;
-import larchridge.state.Span;
-import larchridge.state.Terms;
-import larchridge.state.Text;
+import larchridge.state.RoutingSettings;
 
 /**
  * Plain policies that the module is compared with in experiments; never in the program's path. Each
  * takes one reader and, when that has read, one writer, waits for nothing, asks for no load, and
  * tries again elsewhere where an effect allows it.
  */
-public final class Plain implements Decider {
+public final class Plain implements PolicyEvents {
     /** How an engine is taken from its pool. */
     public enum Kind {
         RANDOM,
@@ -38,15 +38,15 @@
     private static final double LOOK_MS = 20;
 
     private final Kind kind;
-    private final Host host;
+    private final PolicyActions host;
     private final Random random;
     private final int maxAttempts;
-    private final Fleet fleet = new Fleet();
-    private final List<Gen> open = new ArrayList<>();
+    private final EngineRegistry fleet = new EngineRegistry();
+    private final List<Generation> open = new ArrayList<>();
     private boolean wakeSet;
     private int turn;
 
-    public Plain(Kind kind, Terms terms, Host host) {
+    public Plain(Kind kind, RoutingSettings terms, PolicyActions host) {
         this.kind = kind;
         this.host = host;
         random = new Random(terms.seed);
@@ -54,13 +54,13 @@
     }
 
     @Override
-    public void arrived(Gen gen) {
+    public void arrived(Generation gen) {
         open.add(gen);
         advance(gen);
         setWake();
     }
 
-    private void advance(Gen gen) {
+    private void advance(Generation gen) {
         if (gen.state != null && gen.state.isLost()) {
             host.release(gen);
             gen.state = null;
@@ -84,7 +84,7 @@
         host.send(attempt);
     }
 
-    private Engine pick(Gen gen, List<Engine> pool) {
+    private Engine pick(Generation gen, List<Engine> pool) {
         if (pool.isEmpty()) {
             return null;
         }
@@ -99,7 +99,7 @@
                 yield one.attempts.size() <= other.attempts.size() ? one : other;
             }
             case PREFIX_HASH -> {
-                Text text = gen.prefix != null ? gen.prefix : gen.session;
+                CachedPrefix text = gen.prefix != null ? gen.prefix : gen.session;
                 yield gen.state != null || text == null
                         ? pool.get(random.nextInt(pool.size()))
                         : pool.stream().max(Comparator.comparingLong(text::affinity)).get();
@@ -108,8 +108,8 @@
     }
 
     @Override
-    public void readDone(Attempt attempt, int keptToks, Report report, boolean over) {
-        Gen gen = attempt.gen;
+    public void readDone(Attempt attempt, int keptToks, LoadReport report, boolean over) {
+        Generation gen = attempt.gen;
         attempt.close();
         gen.over |= over;
         if (gen.over) {
@@ -128,12 +128,12 @@
     }
 
     @Override
-    public void ended(Attempt attempt, Outcome outcome, Report report, boolean over) {
-        Gen gen = attempt.gen;
+    public void ended(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
+        Generation gen = attempt.gen;
         attempt.outcome = outcome;
         attempt.close();
         gen.over |= over;
-        if (gen.over || gen.begun || outcome == Outcome.NO_STATE) {
+        if (gen.over || gen.begun || outcome == AttemptOutcome.NO_STATE) {
             host.release(gen);
             gen.state = null;
         }
@@ -150,7 +150,7 @@
         }
     }
 
-    private void giveUp(Gen gen) {
+    private void giveUp(Generation gen) {
         for (Attempt attempt : gen.attempts) {
             if (attempt.out && !attempt.cancelled) {
                 attempt.cancelled = true;
@@ -159,7 +159,8 @@
         }
         departed(gen);
         if (gen.product.effect == Effect.IDEMPOTENT
-                || gen.product.effect == Effect.DEDUPLICATED && gen.product.span == Span.ALL
+                || gen.product.effect == Effect.DEDUPLICATED
+                        && gen.product.span == DeduplicationScope.ALL
                 || gen.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
             host.throttle(gen, 0);
         } else {
@@ -168,20 +169,20 @@
     }
 
     @Override
-    public void departed(Gen gen) {
+    public void departed(Generation gen) {
         gen.over = true;
         host.release(gen);
         gen.state = null;
     }
 
     @Override
-    public void probed(Engine engine, boolean answered, Report report) {
+    public void probed(Engine engine, boolean answered, LoadReport report) {
         // Nothing is asked.
         return;
     }
 
     @Override
-    public void listed(List<Listing> entries, boolean complete) {
+    public void listed(List<EndpointUpdate> entries, boolean complete) {
         fleet.take(entries, complete, host.now());
     }
 
@@ -189,7 +190,7 @@
     public void woken() {
         wakeSet = false;
         open.removeIf(gen -> (gen.over || gen.begun) && gen.attemptsOut == 0);
-        for (Gen gen : List.copyOf(open)) {
+        for (Generation gen : List.copyOf(open)) {
             if (!gen.over && !gen.begun && host.now() >= gen.limitMs - EARLY_MS) {
                 giveUp(gen);
             }
--- a/src/main/java/larchridge/benchlink/Instance.java
+++ b/src/main/java/larchridge/benchlink/Instance.java
@@ -6,37 +6,37 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larchridge.Choice;
-import larchridge.Host;
-import larchridge.state.Account;
+import larchridge.policy.PolicyActions;
+import larchridge.policy.RoutingPolicy;
+import larchridge.settings.InvalidSettingsException;
+import larchridge.settings.RoutingSettingsReader;
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.CachedPrefix;
+import larchridge.state.EndpointState;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
-import larchridge.state.Listing;
-import larchridge.state.Mode;
-import larchridge.state.Outcome;
-import larchridge.state.Product;
-import larchridge.state.Report;
+import larchridge.state.Generation;
+import larchridge.state.LoadReport;
+import larchridge.state.PrefixRegistry;
 import larchridge.state.Role;
-import larchridge.state.Text;
-import larchridge.state.Texts;
-import larchridge.terms.BadTerms;
-import larchridge.terms.Given;
+import larchridge.state.TenantQuota;
+import larchridge.state.TrafficClass;
 
 /** One front: its ids, its decision module, and the lines between the two. */
-final class Instance implements Host {
+final class Instance implements PolicyActions {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final long who;
     private final Link.Reply reply;
 
     private double nowMs;
-    private Given env;
-    private Choice choice;
-    private final Map<String, Gen> gens = new HashMap<>();
+    private RoutingSettingsReader env;
+    private RoutingPolicy choice;
+    private final Map<String, Generation> gens = new HashMap<>();
     private final Map<Long, Engine> engines = new HashMap<>();
-    private final Map<String, Text> sessions = new Texts();
-    private final Map<String, Text> prefixes = new Texts();
+    private final Map<String, CachedPrefix> sessions = new PrefixRegistry();
+    private final Map<String, CachedPrefix> prefixes = new PrefixRegistry();
 
     Instance(long who, Link.Reply reply) {
         this.who = who;
@@ -48,7 +48,7 @@
         if (line.is("ENLIST")) {
             tearDown();
             env = settings(line);
-            guarded(() -> choice = new Choice(env.terms, this));
+            guarded(() -> choice = new RoutingPolicy(env.terms, this));
             return;
         }
         if (line.is("TEARDOWN")) {
@@ -70,15 +70,16 @@
         }
     }
 
-    private static Given settings(Line line) throws BadLine {
+    private static RoutingSettingsReader settings(Line line) throws BadLine {
         try {
-            return Given.read(MAPPER.readTree(line.rest("env")), line.whole("seed"));
+            return RoutingSettingsReader.read(
+                    MAPPER.readTree(line.rest("env")), line.whole("seed"));
         } catch (JsonProcessingException e) {
             throw line.bad(
                     "member env is broken JSON; expected an object ("
                             + e.getOriginalMessage()
                             + ")");
-        } catch (BadTerms e) {
+        } catch (InvalidSettingsException e) {
             throw line.bad("member env: " + e.getMessage());
         }
     }
@@ -104,19 +105,19 @@
 
     private void call(Line line) throws BadLine {
         String id = line.text("job");
-        Product product = env.products.get(line.text("service"));
+        TrafficClass product = env.products.get(line.text("service"));
         if (product == null) {
             throw line.bad(
                     "member service is '"
                             + line.text("service")
                             + "'; expected a name in request_classes");
         }
-        Account account = env.accounts.get(line.textOr("tenant", ""));
-        Text session = text(sessions, line.textOr("talk", null));
-        Text prefix = text(prefixes, line.textOr("prefix", null));
+        TenantQuota account = env.accounts.get(line.textOr("tenant", ""));
+        CachedPrefix session = text(sessions, line.textOr("talk", null));
+        CachedPrefix prefix = text(prefixes, line.textOr("prefix", null));
         double hint = line.decimalOr("expected_s", Double.NaN) * 1000 / product.tokMs;
-        Gen gen =
-                new Gen(
+        Generation gen =
+                new Generation(
                         id,
                         product,
                         account,
@@ -134,35 +135,35 @@
         letGo(id, gen);
     }
 
-    private static Text text(Map<String, Text> texts, String id) {
-        return id == null || id.equals("0") ? null : texts.computeIfAbsent(id, Text::new);
+    private static CachedPrefix text(Map<String, CachedPrefix> texts, String id) {
+        return id == null || id.equals("0") ? null : texts.computeIfAbsent(id, CachedPrefix::new);
     }
 
     private void ended(Line line) throws BadLine {
         String id = line.text("job");
-        Gen gen = gens.get(id);
+        Generation gen = gens.get(id);
         int number = (int) line.whole("round_no");
         if (gen == null || number < 0 || number >= gen.attempts.size()) {
             return;
         }
         Attempt attempt = gen.attempts.get(number);
         boolean over = line.flag("no_more");
-        Report report = report(line);
+        LoadReport report = report(line);
         String word = line.text("disposition");
         int note = (int) line.decimalOr("note", 0);
         if (word.equals("half_done")) {
             guarded(() -> choice.readDone(attempt, note, report, over));
         } else {
-            Outcome outcome =
+            AttemptOutcome outcome =
                     switch (word) {
-                        case "pass" -> Outcome.STREAMED;
-                        case "fault" -> Outcome.FAULT;
-                        case "no_room" -> note == 1 ? Outcome.NO_STATE : Outcome.FULL;
-                        case "too_slow" -> Outcome.TIMED_OUT;
-                        case "no_route" -> Outcome.UNREACHABLE;
-                        case "cut" -> Outcome.CUT;
-                        case "undone" -> Outcome.CANCELLED;
-                        case "stale_send" -> Outcome.NOT_SENT;
+                        case "pass" -> AttemptOutcome.STREAMED;
+                        case "fault" -> AttemptOutcome.FAULT;
+                        case "no_room" -> note == 1 ? AttemptOutcome.NO_STATE : AttemptOutcome.FULL;
+                        case "too_slow" -> AttemptOutcome.TIMED_OUT;
+                        case "no_route" -> AttemptOutcome.UNREACHABLE;
+                        case "cut" -> AttemptOutcome.CUT;
+                        case "undone" -> AttemptOutcome.CANCELLED;
+                        case "stale_send" -> AttemptOutcome.NOT_SENT;
                         default ->
                                 throw line.bad(
                                         "member disposition is '"
@@ -175,7 +176,7 @@
     }
 
     private void begun(Line line) throws BadLine {
-        Gen gen = gens.get(line.text("job"));
+        Generation gen = gens.get(line.text("job"));
         int number = (int) line.whole("round_no");
         if (gen != null && number >= 0 && number < gen.attempts.size()) {
             guarded(() -> choice.begun(gen.attempts.get(number)));
@@ -184,7 +185,7 @@
 
     private void departed(Line line) throws BadLine {
         String id = line.text("job");
-        Gen gen = gens.get(id);
+        Generation gen = gens.get(id);
         if (gen != null) {
             guarded(() -> choice.departed(gen));
             letGo(id, gen);
@@ -195,7 +196,7 @@
         Engine engine = engines.get(line.whole("engine"));
         if (engine != null) {
             boolean answered = line.valueIs("disposition", "pass");
-            Report report = report(line);
+            LoadReport report = report(line);
             guarded(() -> choice.probed(engine, answered, report));
         }
     }
@@ -203,7 +204,7 @@
     private void list(Line line) throws BadLine {
         String kind = line.text("kind");
         long count = line.wholeOr("entries", 0);
-        List<Listing> entries = new ArrayList<>();
+        List<EndpointUpdate> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             if (!next(line) || !line.is("ENTRY")) {
                 throw line.bad(
@@ -221,7 +222,8 @@
                                     + kind
                                     + "'; expected INCREMENTAL, FULL, SAVED or FAILED");
         }
-        engines.values().removeIf(engine -> engine.mode == Mode.GONE && engine.attempts.isEmpty());
+        engines.values()
+                .removeIf(engine -> engine.mode == EndpointState.GONE && engine.attempts.isEmpty());
     }
 
     private static boolean next(Line line) throws BadLine {
@@ -232,14 +234,14 @@
         }
     }
 
-    private Listing entry(Line line) throws BadLine {
+    private EndpointUpdate entry(Line line) throws BadLine {
         long id = line.whole("engine");
         String kind = line.textOr("class_of_host", "");
-        Mode mode =
+        EndpointState mode =
                 switch (line.text("mode")) {
-                    case "healthy" -> Mode.READY;
-                    case "cordoned" -> Mode.DRAINING;
-                    case "deregistered" -> Mode.GONE;
+                    case "healthy" -> EndpointState.READY;
+                    case "cordoned" -> EndpointState.DRAINING;
+                    case "deregistered" -> EndpointState.GONE;
                     default ->
                             throw line.bad(
                                     "member mode is '"
@@ -251,7 +253,7 @@
             engine = new Engine(id);
             engines.put(id, engine);
         }
-        return new Listing(
+        return new EndpointUpdate(
                 engine,
                 mode,
                 line.decimalOr("start_time_s", 0) * 1000,
@@ -262,15 +264,15 @@
                 env.memory.getOrDefault(kind, Double.NaN));
     }
 
-    private static Report report(Line line) throws BadLine {
+    private static LoadReport report(Line line) throws BadLine {
         if (!line.has("pressure")) {
             return null;
         }
-        return Given.report(name -> line.pair("pressure", name));
+        return RoutingSettingsReader.report(name -> line.pair("pressure", name));
     }
 
     /** A generation is kept for as long as the wire may still name it. */
-    private void letGo(String id, Gen gen) {
+    private void letGo(String id, Generation gen) {
         if (gen.over && gen.attemptsOut == 0) {
             gens.remove(id);
         }
@@ -310,12 +312,12 @@
     }
 
     @Override
-    public void release(Gen gen) {
+    public void release(Generation gen) {
         line("UNPIN").text(" job=").text(gen.label).end();
     }
 
     @Override
-    public void throttle(Gen gen, double comeBackMs) {
+    public void throttle(Generation gen, double comeBackMs) {
         Link.Reply to = line("DECLINE").text(" job=").text(gen.label);
         if (comeBackMs > 0) {
             to.text(" hold_off_s=").seconds(comeBackMs);
@@ -324,7 +326,7 @@
     }
 
     @Override
-    public void terminate(Gen gen) {
+    public void terminate(Generation gen) {
         line("REPORT_FAILURE").text(" job=").text(gen.label).end();
     }
 
--- a/src/main/java/larchridge/drill/Drill.java
+++ b/src/main/java/larchridge/drill/Drill.java
@@ -22,10 +22,10 @@
 import larchridge.site.Site;
 import larchridge.site.SiteReader;
 import larchridge.standin.Make;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
 import larchridge.state.Role;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 import larchridge.tokens.BadVocabulary;
 import larchridge.tokens.Vocabulary;
 import larchridge.tokens.VocabularyReader;
@@ -332,14 +332,14 @@
     public static Rules.Figures figures(Script script) {
         Map<Long, Make> makes = new HashMap<>();
         makes(script).forEach(make -> makes.put(make.id(), make));
-        Map<String, Product> products = new HashMap<>();
+        Map<String, TrafficClass> products = new HashMap<>();
         for (Script.Mix mix : script.products()) {
             products.put(
                     mix.name(),
-                    new Product(
+                    new TrafficClass(
                             mix.name(),
                             Effect.valueOf(mix.effect()),
-                            Span.valueOf(mix.span()),
+                            DeduplicationScope.valueOf(mix.span()),
                             mix.memoryMs(),
                             mix.revenue(),
                             0.1,
--- a/src/main/java/larchridge/drill/Rules.java
+++ b/src/main/java/larchridge/drill/Rules.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import larchridge.standin.Make;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
 import larchridge.state.Role;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 
 /**
  * The five rules, checked from a traffic log alone. Pure functions: no clock, no sockets, no word
@@ -41,7 +41,7 @@
             double tipMultiple,
             double tipMs,
             double slackMs,
-            Map<String, Product> products,
+            Map<String, TrafficClass> products,
             Map<Long, Make> makes) {}
 
     public static List<Breach> judge(List<Seen> log, Figures figures) {
@@ -144,7 +144,7 @@
 
     /** Rule 2: no effect twice, and no word that a repeat is harmless where it is not. */
     static void noEffectTwice(List<Seen> log, Figures figures, List<Breach> breaches) {
-        Map<String, Product> productOf = new HashMap<>();
+        Map<String, TrafficClass> productOf = new HashMap<>();
         Map<String, List<Seen>> ranOf = new TreeMap<>();
         for (Seen seen : log) {
             if (seen.kind() == Seen.Kind.ASKED) {
@@ -152,7 +152,7 @@
             } else if (seen.kind() == Seen.Kind.RAN && seen.tag() != null) {
                 ranOf.computeIfAbsent(seen.operation(), key -> new ArrayList<>()).add(seen);
             } else if (seen.kind() == Seen.Kind.FINAL && seen.word().equals("throttled")) {
-                Product product = productOf.get(seen.tag());
+                TrafficClass product = productOf.get(seen.tag());
                 boolean ran =
                         ranOf.getOrDefault(seen.operation(), List.of()).stream()
                                 .anyMatch(r -> r.tag().equals(seen.tag()));
@@ -164,7 +164,7 @@
         }
         for (Map.Entry<String, List<Seen>> entry : ranOf.entrySet()) {
             List<Seen> runs = entry.getValue();
-            Product product = productOf.get(runs.get(0).tag());
+            TrafficClass product = productOf.get(runs.get(0).tag());
             if (product == null || product.effect == Effect.IDEMPOTENT) {
                 continue;
             }
@@ -176,9 +176,11 @@
                 Make first = figures.makes.get(runs.get(0).where());
                 Make again = figures.makes.get(runs.get(i).where());
                 boolean together =
-                        product.span == Span.ALL
-                                || product.span == Span.ZONE && first.zone().equals(again.zone())
-                                || product.span == Span.RACK && first.rack() == again.rack();
+                        product.span == DeduplicationScope.ALL
+                                || product.span == DeduplicationScope.ZONE
+                                        && first.zone().equals(again.zone())
+                                || product.span == DeduplicationScope.RACK
+                                        && first.rack() == again.rack();
                 if (!together || runs.get(i).ms() - runs.get(0).ms() > product.memoryMs) {
                     breaches.add(
                             new Breach(
@@ -192,10 +194,10 @@
         }
     }
 
-    private static boolean mayRepeatAnywhere(Product product) {
+    private static boolean mayRepeatAnywhere(TrafficClass product) {
         return product == null
                 || product.effect == Effect.IDEMPOTENT
-                || product.effect == Effect.DEDUPLICATED && product.span == Span.ALL;
+                || product.effect == Effect.DEDUPLICATED && product.span == DeduplicationScope.ALL;
     }
 
     /**
--- a/src/main/java/larchridge/enginelink/CompletionsLink.java
+++ b/src/main/java/larchridge/enginelink/CompletionsLink.java
@@ -17,8 +17,8 @@
 import io.vertx.core.http.RequestOptions;
 import io.vertx.core.parsetools.RecordParser;
 import larchridge.site.Limit;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.LoadReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -171,7 +171,7 @@
                                                 body ->
                                                         response.statusCode() != 200
                                                                 ? null
-                                                                : LoadReport.ofPage(
+                                                                : LoadReportParser.ofPage(
                                                                         body.toString())))
                 .onComplete(
                         done ->
@@ -202,7 +202,7 @@
         private final Verdict verdict = new Verdict();
         private HttpClientRequest request;
         private HttpClientResponse response;
-        private Report report;
+        private LoadReport report;
         private boolean done;
         private boolean paused;
         private boolean begun;
@@ -276,7 +276,7 @@
             }
             response = got;
             verdict.answered(got.statusCode());
-            report = LoadReport.ofHeader(got.getHeader(LoadReport.HEADER));
+            report = LoadReportParser.ofHeader(got.getHeader(LoadReportParser.HEADER));
             got.exceptionHandler(e -> broken());
             if (reads || got.statusCode() != 200) {
                 whole = Buffer.buffer();
@@ -424,10 +424,10 @@
             }
         }
 
-        private void finish(Outcome outcome) {
+        private void finish(AttemptOutcome outcome) {
             done = true;
             Ending ending =
-                    outcome == Outcome.STREAMED
+                    outcome == AttemptOutcome.STREAMED
                             ? new Ending(why, stop, promptToks, outToks >= 0 ? outToks : pieces)
                             : null;
             hearing.ended(outcome, report, ending);
@@ -458,7 +458,7 @@
         /**
          * Never from inside the call that sends or cancels: the module is in the middle of a step.
          */
-        private void later(Outcome outcome) {
+        private void later(AttemptOutcome outcome) {
             done = true;
             loop.runOnContext(v -> finish(outcome));
         }
--- a/src/main/java/larchridge/enginelink/EngineLink.java
+++ b/src/main/java/larchridge/enginelink/EngineLink.java
@@ -1,6 +1,6 @@
 package larchridge.enginelink;
 
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 
 /** How engines are spoken to; one implementation a protocol, one instance a front. */
 public interface EngineLink {
@@ -22,7 +22,7 @@
          * Whether it answered in time, and the load that it told, or null: an engine may answer
          * without knowing it yet.
          */
-        void told(boolean answered, Report report);
+        void told(boolean answered, LoadReport report);
     }
 
     /** Whether a release is under way that no engine has taken yet. */
--- a/src/main/java/larchridge/enginelink/Hearing.java
+++ b/src/main/java/larchridge/enginelink/Hearing.java
@@ -1,7 +1,7 @@
 package larchridge.enginelink;
 
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.LoadReport;
 
 /**
  * What an attempt tells its sender, on the sender's loop and never from inside the call that sent
@@ -9,7 +9,7 @@
  */
 public interface Hearing {
     /** The prompt is read and its state waits; the last call for this attempt. */
-    void read(StateHandle state, int keptToks, int promptToks, Report report);
+    void read(StateHandle state, int keptToks, int promptToks, LoadReport report);
 
     /** The answer begins; pieces follow. */
     void begun();
@@ -50,5 +50,5 @@
     }
 
     /** The last call for this attempt; ending is given with STREAMED only. */
-    void ended(Outcome outcome, Report report, Ending ending);
+    void ended(AttemptOutcome outcome, LoadReport report, Ending ending);
 }
--- a/src/main/java/larchridge/enginelink/LoadReport.java
+++ b/src/main/java/larchridge/enginelink/LoadReportParser.java
@@ -5,20 +5,20 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.HashMap;
 import java.util.Map;
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 
 /**
  * Reads what engines tell of their load: the ORCA header {@code endpoint-load-metrics} of answers
  * in its text and JSON forms, and the page that a probe gets (Prometheus text). Unknown figures are
  * NaN; what can't be read is null.
  */
-final class LoadReport {
+final class LoadReportParser {
     static final String HEADER = "endpoint-load-metrics";
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private LoadReport() {}
+    private LoadReportParser() {}
 
-    static Report ofHeader(String header) {
+    static LoadReport ofHeader(String header) {
         if (header == null) {
             return null;
         }
@@ -51,7 +51,7 @@
                 named.getOrDefault("named_metrics.prompt_tokens_waiting", Double.NaN));
     }
 
-    static Report ofPage(String page) {
+    static LoadReport ofPage(String page) {
         Map<String, Double> named = new HashMap<>();
         for (String line : page.split("\n")) {
             if (line.isEmpty() || line.charAt(0) == '#') {
@@ -77,11 +77,12 @@
                 named.getOrDefault("vllm:prompt_tokens_waiting", Double.NaN));
     }
 
-    private static Report report(double running, double waiting, double share, double toRead) {
+    private static LoadReport report(double running, double waiting, double share, double toRead) {
         if (Double.isNaN(running) && Double.isNaN(waiting) && Double.isNaN(share)) {
             return null;
         }
-        return new Report(running + (Double.isNaN(waiting) ? 0 : waiting), waiting, share, toRead);
+        return new LoadReport(
+                running + (Double.isNaN(waiting) ? 0 : waiting), waiting, share, toRead);
     }
 
     private static void put(Map<String, Double> named, String name, String value) {
--- a/src/main/java/larchridge/enginelink/Verdict.java
+++ b/src/main/java/larchridge/enginelink/Verdict.java
@@ -1,6 +1,6 @@
 package larchridge.enginelink;
 
-import larchridge.state.Outcome;
+import larchridge.state.AttemptOutcome;
 
 /**
  * What became of an attempt, judged from what was seen of it. Rule 2 rests on this: an outcome that
@@ -22,8 +22,8 @@
     private String errorCode;
 
     /** No connection could be had. */
-    static Outcome noConnection(boolean queueFull) {
-        return queueFull ? Outcome.NOT_SENT : Outcome.UNREACHABLE;
+    static AttemptOutcome noConnection(boolean queueFull) {
+        return queueFull ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
     }
 
     /** Handed to the socket: from here on the engine may have it. */
@@ -68,33 +68,33 @@
     }
 
     /** The outcome, once nothing more can come. */
-    Outcome outcome() {
+    AttemptOutcome outcome() {
         if (finished && !garbled && status == 200) {
             // Danger: an engine that dies between the last token and the end of its stream has
             // answered in full.
-            return Outcome.STREAMED;
+            return AttemptOutcome.STREAMED;
         }
         if (!written) {
-            return unfit || called ? Outcome.NOT_SENT : Outcome.UNREACHABLE;
+            return unfit || called ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
         if (called) {
-            return expired ? Outcome.TIMED_OUT : Outcome.CANCELLED;
+            return expired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
         if (garbled) {
-            return Outcome.FAULT;
+            return AttemptOutcome.FAULT;
         }
         // Danger: a connection that was kept and closes before any byte looks as if nothing was
         // sent; the engine
         // may have read it and died. It proves nothing.
         if (status == 0 || !clean) {
-            return Outcome.CUT;
+            return AttemptOutcome.CUT;
         }
         if (status == 429 || status == 503) {
-            return Outcome.FULL;
+            return AttemptOutcome.FULL;
         }
         if (status >= 400 && STATE_UNKNOWN.equals(errorCode)) {
-            return Outcome.NO_STATE;
+            return AttemptOutcome.NO_STATE;
         }
-        return status == 200 ? Outcome.CUT : Outcome.FAULT;
+        return status == 200 ? AttemptOutcome.CUT : AttemptOutcome.FAULT;
     }
 }
--- a/src/main/java/larchridge/experiment/Runs.java
+++ b/src/main/java/larchridge/experiment/Runs.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.Future;
 import larchridge.baseline.Plain;
 import larchridge.emulator.EngineModel;
-import larchridge.front.Decider;
+import larchridge.policy.PolicyEvents;
 import larchridge.virtual.Day;
 
 /**
@@ -79,9 +79,9 @@
     }
 
     private static Row one(Plan plan, Plan.Point point) {
-        Decider.Maker module =
+        PolicyEvents.Factory module =
                 point.policy().equals(Plan.CHOICE)
-                        ? Decider::choice
+                        ? PolicyEvents::choice
                         : (terms, host) -> new Plain(Plan.kind(point.policy()), terms, host);
         Day.Result result =
                 Day.play(
--- a/src/main/java/larchridge/faults/RigJudge.java
+++ b/src/main/java/larchridge/faults/RigJudge.java
@@ -8,7 +8,7 @@
 import larchridge.drill.Rules;
 import larchridge.drill.Seen;
 import larchridge.standin.Make;
-import larchridge.state.Product;
+import larchridge.state.TrafficClass;
 
 /**
  * Judges a run from its traffic, by the rules of the drills. Each node is judged by the requests
@@ -158,7 +158,7 @@
     static Rules.Figures figures(
             double drainGraceMs,
             double releaseMs,
-            Map<String, Product> products,
+            Map<String, TrafficClass> products,
             Map<Long, Make> makes) {
         return new Rules.Figures(drainGraceMs, releaseMs, 4, 1500, 0, products, makes);
     }
--- a/src/main/java/larchridge/faults/RigSettings.java
+++ b/src/main/java/larchridge/faults/RigSettings.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 
 /**
  * The settings that the rig's nodes get: three classes, one of each effect, with short windows and
@@ -36,17 +36,26 @@
 
     private RigSettings() {}
 
-    static Map<String, Product> products() {
-        Map<String, Product> products = new LinkedHashMap<>();
+    static Map<String, TrafficClass> products() {
+        Map<String, TrafficClass> products = new LinkedHashMap<>();
         products.put(
                 "consulta",
-                new Product("consulta", Effect.IDEMPOTENT, Span.ALL, 0, 1, 0.2, 1200, 0, 60));
+                new TrafficClass(
+                        "consulta",
+                        Effect.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        1,
+                        0.2,
+                        1200,
+                        0,
+                        60));
         products.put(
                 "registro",
-                new Product(
+                new TrafficClass(
                         "registro",
                         Effect.DEDUPLICATED,
-                        Span.ALL,
+                        DeduplicationScope.ALL,
                         REPEAT_WINDOW_MS,
                         1,
                         0.2,
@@ -55,7 +64,16 @@
                         60));
         products.put(
                 "pago",
-                new Product("pago", Effect.SIDE_EFFECTING, Span.ALL, 0, 2, 0.2, 1200, 0, 60));
+                new TrafficClass(
+                        "pago",
+                        Effect.SIDE_EFFECTING,
+                        DeduplicationScope.ALL,
+                        0,
+                        2,
+                        0.2,
+                        1200,
+                        0,
+                        60));
         return products;
     }
 }
--- a/src/main/java/larchridge/front/Front.java
+++ b/src/main/java/larchridge/front/Front.java
@@ -10,7 +10,6 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import larchridge.Host;
 import larchridge.budget.Answer;
 import larchridge.budget.Budgets;
 import larchridge.budget.Want;
@@ -26,20 +25,22 @@
 import larchridge.ledger.Usage;
 import larchridge.metrics.Meters;
 import larchridge.planner.Feeling;
+import larchridge.policy.PolicyActions;
+import larchridge.policy.PolicyEvents;
 import larchridge.site.Site;
-import larchridge.state.Account;
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.CachedPrefix;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
+import larchridge.state.EndpointState;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
-import larchridge.state.Listing;
-import larchridge.state.Mode;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
-import larchridge.state.Span;
-import larchridge.state.Terms;
-import larchridge.state.Text;
-import larchridge.state.Texts;
+import larchridge.state.Generation;
+import larchridge.state.LoadReport;
+import larchridge.state.PrefixRegistry;
+import larchridge.state.RoutingSettings;
+import larchridge.state.TenantQuota;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -48,7 +49,7 @@
  * happens and carries out what the module decides; every choice of engine, wait, repeat and refusal
  * is the module's. All methods run on the loop on which it was made.
  */
-public final class Front implements Host {
+public final class Front implements PolicyActions {
     private static final Logger LOG = LoggerFactory.getLogger(Front.class);
 
     /** Before the client's limit, and after the module's own last moment. */
@@ -73,7 +74,7 @@
     private final int number;
     private final EngineLink link;
     private final Meters meters;
-    private final Decider choice;
+    private final PolicyEvents choice;
     private final boolean copiesAllowed;
     private final Budgets budgets;
     private final Ledger ledger;
@@ -83,13 +84,13 @@
      * Open generations in the order taken; those whose attempts are all home and that are answered
      * leave.
      */
-    private final Map<Gen, Open> open = new LinkedHashMap<>();
+    private final Map<Generation, Open> open = new LinkedHashMap<>();
 
     private final Map<Long, Engine> engines = new HashMap<>();
     private final Map<Engine, Row> rows = new HashMap<>();
-    private final Map<String, Account> accounts = new HashMap<>();
-    private final Texts talks = new Texts();
-    private final Texts prefixes = new Texts();
+    private final Map<String, TenantQuota> accounts = new HashMap<>();
+    private final PrefixRegistry talks = new PrefixRegistry();
+    private final PrefixRegistry prefixes = new PrefixRegistry();
     private final String idStem;
 
     /** The first open generation of all that ask the same without a key. */
@@ -116,7 +117,15 @@
     /** To be made on the loop that is to own it; ledger is null where usage is not written. */
     public Front(
             Vertx vertx, Site site, int number, EngineLink link, Meters meters, Ledger ledger) {
-        this(vertx, new LoopGround(vertx), site, number, link, meters, ledger, Decider::choice);
+        this(
+                vertx,
+                new LoopGround(vertx),
+                site,
+                number,
+                link,
+                meters,
+                ledger,
+                PolicyEvents::choice);
     }
 
     /**
@@ -129,7 +138,7 @@
             int number,
             EngineLink link,
             Meters meters,
-            Decider.Maker module) {
+            PolicyEvents.Factory module) {
         this(null, ground, site, number, link, meters, null, module);
     }
 
@@ -141,7 +150,7 @@
             EngineLink link,
             Meters meters,
             Ledger ledger,
-            Decider.Maker module) {
+            PolicyEvents.Factory module) {
         this.vertx = vertx;
         this.ground = ground;
         this.site = site;
@@ -153,7 +162,7 @@
         idStem = ground.stem();
         tick();
         budgets = site.budgetsOf(number, nowMs);
-        Terms terms = site.termsOf(number);
+        RoutingSettings terms = site.termsOf(number);
         copiesAllowed = terms.maySendCopies;
         choice = module.make(terms, this);
         meters.front(number, () -> openSeen, () -> heldSeen);
@@ -272,7 +281,7 @@
         String label =
                 ask.passage() != null ? ask.passage().id() : idStem + Long.toString(taken++, 36);
         one.gen =
-                new Gen(
+                new Generation(
                         label,
                         budget.charge().isBorrowed() ? ask.offer().borrowed : ask.offer().product,
                         account(ask.tenant()),
@@ -313,25 +322,27 @@
         return first == null ? "gen " + one.gen.label : first.billId;
     }
 
-    private Account account(Site.Tenant tenant) {
+    private TenantQuota account(Site.Tenant tenant) {
         return accounts.computeIfAbsent(tenant.name(), name -> tenant.account());
     }
 
     /** The session's text, found by what its turn before was; a first turn begins one. */
-    private Text talk(Ask ask) {
-        Text text = ask.talkBefore() == null ? null : talks.get(ask.talkBefore());
+    private CachedPrefix talk(Ask ask) {
+        CachedPrefix text = ask.talkBefore() == null ? null : talks.get(ask.talkBefore());
         if (text == null) {
             text = talks.get(ask.talkNow());
         }
         if (text == null) {
-            text = new Text(ask.opening());
+            text = new CachedPrefix(ask.opening());
         }
         talks.put(ask.talkNow(), text);
         return text;
     }
 
-    private Text prefix(Ask ask) {
-        return ask.prefix() == null ? null : prefixes.computeIfAbsent(ask.prefix(), Text::new);
+    private CachedPrefix prefix(Ask ask) {
+        return ask.prefix() == null
+                ? null
+                : prefixes.computeIfAbsent(ask.prefix(), CachedPrefix::new);
     }
 
     // ------------------------------------------------------------------ what happens to a client
@@ -535,7 +546,7 @@
     }
 
     @Override
-    public void release(Gen gen) {
+    public void release(Generation gen) {
         Open one = open.get(gen);
         if (one == null) {
             return;
@@ -551,7 +562,7 @@
     }
 
     @Override
-    public void throttle(Gen gen, double comeBackMs) {
+    public void throttle(Generation gen, double comeBackMs) {
         Open one = open.get(gen);
         if (one.duty.finish(Duty.Final.THROTTLED)) {
             answered(one, "throttled");
@@ -561,7 +572,7 @@
     }
 
     @Override
-    public void terminate(Gen gen) {
+    public void terminate(Generation gen) {
         Open one = open.get(gen);
         terminate(one, nowMs >= one.limitAtMs - 100 ? Client.Cause.TIME_UP : Client.Cause.BROKEN);
     }
@@ -576,7 +587,8 @@
             one.client.terminated(
                     cause,
                     effect == Effect.IDEMPOTENT
-                            || effect == Effect.DEDUPLICATED && one.gen.product.span == Span.ALL);
+                            || effect == Effect.DEDUPLICATED
+                                    && one.gen.product.span == DeduplicationScope.ALL);
         }
     }
 
@@ -677,7 +689,7 @@
         }
 
         @Override
-        public void read(StateHandle state, int keptToks, int promptToks, Report report) {
+        public void read(StateHandle state, int keptToks, int promptToks, LoadReport report) {
             tick();
             trip.ended = true;
             trip.state = state;
@@ -787,7 +799,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, Report report, Ending ending) {
+        public void ended(AttemptOutcome outcome, LoadReport report, Ending ending) {
             tick();
             trip.ended = true;
             meters.attempt(number, trip.attempt.read ? "read" : "write", outcome.name());
@@ -799,7 +811,7 @@
                 }
             }
             if (one.streaming == trip) {
-                if (outcome == Outcome.STREAMED && one.duty.finish(Duty.Final.STREAMED)) {
+                if (outcome == AttemptOutcome.STREAMED && one.duty.finish(Duty.Final.STREAMED)) {
                     one.meter.whole(ending.outToks());
                     answered(one, "streamed");
                     recorded(one, () -> one.client.streamed(ending));
@@ -841,7 +853,7 @@
      */
     public void listed(List<Row> list) {
         tick();
-        List<Listing> entries = new ArrayList<>();
+        List<EndpointUpdate> entries = new ArrayList<>();
         for (Row row : list) {
             Engine engine = engines.computeIfAbsent(row.id(), Engine::new);
             Row before = rows.get(engine);
@@ -854,7 +866,7 @@
             }
             rows.put(engine, row);
             entries.add(
-                    new Listing(
+                    new EndpointUpdate(
                             engine,
                             row.mode(),
                             row.startMs(),
@@ -865,7 +877,8 @@
                             row.memoryToks()));
         }
         guarded(null, () -> choice.listed(entries, true));
-        engines.values().removeIf(engine -> engine.mode == Mode.GONE && engine.attempts.isEmpty());
+        engines.values()
+                .removeIf(engine -> engine.mode == EndpointState.GONE && engine.attempts.isEmpty());
         rows.keySet().removeIf(engine -> !engines.containsValue(engine));
         settleAll();
     }
--- a/src/main/java/larchridge/front/Open.java
+++ b/src/main/java/larchridge/front/Open.java
@@ -5,7 +5,7 @@
 import larchridge.budget.Charge;
 import larchridge.budget.Meter;
 import larchridge.state.Attempt;
-import larchridge.state.Gen;
+import larchridge.state.Generation;
 
 /**
  * A generation that this front has taken, with its client and its trips; a dialect's handle on it.
@@ -24,7 +24,7 @@
     /** What it asks, where it has no key. */
     String sameAs;
 
-    Gen gen;
+    Generation gen;
     Trip streaming;
     boolean paused;
     double pausedMs;
--- a/src/main/java/larchridge/front/SendGuard.java
+++ b/src/main/java/larchridge/front/SendGuard.java
@@ -1,10 +1,10 @@
 package larchridge.front;
 
-import larchridge.RepeatRule;
 import larchridge.enginelink.SendCheck;
 import larchridge.enginelink.SendRefusal;
+import larchridge.policy.IdempotencyRule;
 import larchridge.state.Attempt;
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 
 /**
  * The one guard through which every attempt goes when it is written. Between the decision and that
@@ -26,13 +26,13 @@
 
     @Override
     public SendRefusal refusal() {
-        if (attempt.engine.mode != Mode.READY) {
+        if (attempt.engine.mode != EndpointState.READY) {
             return SendRefusal.ENGINE_LEFT;
         }
         if (open.duty.isDone() || open.duty.isBegun()) {
             return SendRefusal.ANSWERED;
         }
-        if (!RepeatRule.mayWrite(attempt, ground.nowMs(), copiesAllowed)) {
+        if (!IdempotencyRule.mayWrite(attempt, ground.nowMs(), copiesAllowed)) {
             return SendRefusal.MAY_REPEAT;
         }
         return open.client.isGone() ? SendRefusal.CLIENT_GONE : null;
--- a/src/main/java/larchridge/inventory/ListReader.java
+++ b/src/main/java/larchridge/inventory/ListReader.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 import larchridge.state.Role;
 import org.yaml.snakeyaml.LoaderOptions;
 import org.yaml.snakeyaml.Yaml;
@@ -145,8 +145,8 @@
                         : Double.NaN,
                 start(values.get("start"), name),
                 switch (mode) {
-                    case "ready" -> Mode.READY;
-                    case "draining" -> Mode.DRAINING;
+                    case "ready" -> EndpointState.READY;
+                    case "draining" -> EndpointState.DRAINING;
                     default ->
                             throw bad(
                                     values.get("mode"),
--- a/src/main/java/larchridge/inventory/Row.java
+++ b/src/main/java/larchridge/inventory/Row.java
@@ -1,6 +1,6 @@
 package larchridge.inventory;
 
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 import larchridge.state.Role;
 
 /**
@@ -21,14 +21,14 @@
         double units,
         double memoryToks,
         double startMs,
-        Mode mode) {
+        EndpointState mode) {
     /** The same engine with another start time. */
     public Row startedAt(double otherStartMs) {
         return new Row(id, host, port, role, zone, rack, units, memoryToks, otherStartMs, mode);
     }
 
     /** The same engine in another mode. */
-    public Row inMode(Mode otherMode) {
+    public Row inMode(EndpointState otherMode) {
         return new Row(id, host, port, role, zone, rack, units, memoryToks, startMs, otherMode);
     }
 }
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -16,7 +16,6 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import larchridge.enginelink.Spot;
-import larchridge.front.Decider;
 import larchridge.front.Front;
 import larchridge.inventory.Row;
 import larchridge.metrics.Meters;
@@ -26,6 +25,7 @@
 import larchridge.node.door.DoorBounds;
 import larchridge.node.link.LinkBounds;
 import larchridge.node.link.PassageLink;
+import larchridge.policy.PolicyEvents;
 import larchridge.site.Site;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -357,7 +357,7 @@
                                     (int) (file.sockets * ENGINES_PART / 2),
                                     file.given.reportFields),
                             audit.events());
-            front = new Front(ground, site, 0, link, meters, Decider::choice);
+            front = new Front(ground, site, 0, link, meters, PolicyEvents::choice);
             audit.compareCounts(ground, front, link);
             door =
                     new Door(
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import larchridge.audit.AuditTerms;
+import larchridge.audit.AuditSettings;
 import larchridge.audit.AuditedEngine;
 import larchridge.audit.CloseCounters;
 import larchridge.audit.Invariant;
@@ -24,8 +24,8 @@
 import larchridge.metrics.Meters;
 import larchridge.node.door.Door;
 import larchridge.node.link.PassageLink;
-import larchridge.state.Mode;
-import larchridge.terms.Given;
+import larchridge.settings.RoutingSettingsReader;
+import larchridge.state.EndpointState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
@@ -43,11 +43,11 @@
     private final Violations violations;
     private final RequestAudit requests;
 
-    NodeAudit(Ground ground, Given given) {
+    NodeAudit(Ground ground, RoutingSettingsReader given) {
         registry.config().meterFilter(new WithoutPercentiles());
         violations = new Violations(registry);
-        AuditTerms terms =
-                new AuditTerms(
+        AuditSettings terms =
+                new AuditSettings(
                         given.drainGraceMs,
                         given.releaseMs,
                         given.terms.coldMs,
@@ -90,7 +90,7 @@
             engines.put(
                     new Spot(row.host(), row.port()),
                     new AuditedEngine(
-                            row.mode() == Mode.READY,
+                            row.mode() == EndpointState.READY,
                             row.role(),
                             row.zone(),
                             row.rack(),
--- a/src/main/java/larchridge/node/NodeFile.java
+++ b/src/main/java/larchridge/node/NodeFile.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import larchridge.enginelink.Spot;
-import larchridge.terms.BadTerms;
-import larchridge.terms.Given;
+import larchridge.settings.InvalidSettingsException;
+import larchridge.settings.RoutingSettingsReader;
 
 /**
  * What the platform tells a node when it starts: a file of JSON, and variables that must say the
@@ -28,7 +28,7 @@
     /** The list of engines as it was kept, in discovery's form; missing where there is none. */
     final JsonNode known;
 
-    final Given given;
+    final RoutingSettingsReader given;
 
     private NodeFile(Path file, JsonNode root) throws BadNode {
         name = text(file, root, "name");
@@ -40,8 +40,8 @@
         sockets = whole(file, limits, "sockets");
         known = root.path("known");
         try {
-            given = Given.read(root.path("settings"), seed);
-        } catch (BadTerms e) {
+            given = RoutingSettingsReader.read(root.path("settings"), seed);
+        } catch (InvalidSettingsException e) {
             throw new BadNode(file + ": settings: " + e.getMessage());
         }
     }
--- a/src/main/java/larchridge/node/Rehearsal.java
+++ b/src/main/java/larchridge/node/Rehearsal.java
@@ -13,7 +13,6 @@
 import java.util.List;
 import java.util.Set;
 import larchridge.enginelink.Spot;
-import larchridge.front.Decider;
 import larchridge.front.Front;
 import larchridge.front.Ground;
 import larchridge.front.World;
@@ -22,11 +21,12 @@
 import larchridge.node.door.DoorBounds;
 import larchridge.node.link.LinkBounds;
 import larchridge.node.link.PassageLink;
+import larchridge.policy.PolicyEvents;
+import larchridge.settings.InvalidSettingsException;
+import larchridge.settings.RoutingSettingsReader;
 import larchridge.site.Site;
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 import larchridge.state.Role;
-import larchridge.terms.BadTerms;
-import larchridge.terms.Given;
 
 /**
  * Serves generations of its own before a node says that it can serve, so that the code they run
@@ -82,8 +82,9 @@
     private int whole;
     private int opened;
 
-    private Rehearsal() throws BadTerms, IOException {
-        Given given = Given.read(new ObjectMapper().readTree(TERMS), 1);
+    private Rehearsal() throws InvalidSettingsException, IOException {
+        RoutingSettingsReader given =
+                RoutingSettingsReader.read(new ObjectMapper().readTree(TERMS), 1);
         Ground ground = time.ground(0, given.terms.seed);
         Site site = Site.plain(given.terms);
         site.limit.openGenerations = 1000;
@@ -114,7 +115,7 @@
                             return engine.newSucceededFuture();
                         },
                         audit.events());
-        Front front = new Front(ground, site, 0, link, audit.meters(), Decider::choice);
+        Front front = new Front(ground, site, 0, link, audit.meters(), PolicyEvents::choice);
         door =
                 new Door(
                         null,
@@ -140,7 +141,7 @@
                             1,
                             200_000,
                             i == 11 ? time.nowMs() : 0,
-                            Mode.READY));
+                            EndpointState.READY));
         }
         audit.listed(rows);
         link.engines(rows.stream().map(row -> new Spot(row.host(), row.port())).toList());
@@ -155,7 +156,7 @@
         Rehearsal rehearsal;
         try {
             rehearsal = new Rehearsal();
-        } catch (BadTerms | IOException e) {
+        } catch (InvalidSettingsException | IOException e) {
             throw new IllegalStateException(
                     "the rehearsal's own settings are not good: " + e.getMessage(), e);
         }
--- a/src/main/java/larchridge/node/discovery/DepartedEndpoints.java
+++ b/src/main/java/larchridge/node/discovery/DepartedEndpoints.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import larchridge.inventory.Row;
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 
 /**
  * Remembers the engines that were told to drain or to be gone, with the version that told so. An
@@ -24,11 +24,11 @@
      */
     Row keep(String name, Row row, long index) {
         Departure departure = departures.get(name);
-        if (row.mode() != Mode.READY || departure == null) {
+        if (row.mode() != EndpointState.READY || departure == null) {
             return row;
         }
         if (index < departure.index && row.startMs() == departure.startMs) {
-            return row.inMode(Mode.DRAINING);
+            return row.inMode(EndpointState.DRAINING);
         }
         departures.remove(name);
         return row;
@@ -39,7 +39,8 @@
         before.forEach(
                 (name, row) -> {
                     Row now = after.get(name);
-                    if (row.mode() == Mode.READY && (now == null || now.mode() != Mode.READY)) {
+                    if (row.mode() == EndpointState.READY
+                            && (now == null || now.mode() != EndpointState.READY)) {
                         departures.remove(name);
                         departures.put(name, new Departure(index, row.startMs()));
                     }
--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -28,7 +28,7 @@
 import larchridge.front.Ground;
 import larchridge.inventory.Row;
 import larchridge.node.transport.Connecting;
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -142,7 +142,7 @@
         list.rows()
                 .forEach(
                         (name, row) -> {
-                            if (row.mode() == Mode.GONE) {
+                            if (row.mode() == EndpointState.GONE) {
                                 rows.remove(name);
                             } else {
                                 rows.put(
--- a/src/main/java/larchridge/node/discovery/EndpointReader.java
+++ b/src/main/java/larchridge/node/discovery/EndpointReader.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import larchridge.enginelink.Spot;
 import larchridge.inventory.Row;
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 import larchridge.state.Role;
 
 /** Reads lists of engines in discovery's form. A list with a fault anywhere is refused whole. */
@@ -68,11 +68,11 @@
     }
 
     private Row row(JsonNode entry, String name, String where) throws BadList {
-        Mode mode =
+        EndpointState mode =
                 switch (entry.path("status").asText("")) {
-                    case "SERVING" -> Mode.READY;
-                    case "DRAINING" -> Mode.DRAINING;
-                    case "DELETED" -> Mode.GONE;
+                    case "SERVING" -> EndpointState.READY;
+                    case "DRAINING" -> EndpointState.DRAINING;
+                    case "DELETED" -> EndpointState.GONE;
                     default ->
                             throw new BadList(
                                     where
@@ -82,7 +82,7 @@
                 };
         String address = entry.path("address").asText("");
         Spot spot = Spot.parse(address);
-        if ((spot == null || spot.port() == 0) && mode != Mode.GONE) {
+        if ((spot == null || spot.port() == 0) && mode != EndpointState.GONE) {
             throw new BadList(where + ".address is '" + address + "'; expected host:port");
         }
         double weight = entry.path("weight").asDouble(1);
--- a/src/main/java/larchridge/node/door/Door.java
+++ b/src/main/java/larchridge/node/door/Door.java
@@ -26,7 +26,7 @@
 import larchridge.metrics.Meters;
 import larchridge.site.Offer;
 import larchridge.site.Site;
-import larchridge.state.Product;
+import larchridge.state.TrafficClass;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -77,7 +77,7 @@
             Ground ground,
             Front front,
             Site site,
-            Collection<Product> products,
+            Collection<TrafficClass> products,
             DoorBounds bounds,
             RequestEvents events,
             Meters meters) {
@@ -89,7 +89,7 @@
         this.front = front;
         this.site = site;
         this.bounds = bounds;
-        for (Product product : products) {
+        for (TrafficClass product : products) {
             // Each request brings its own time limit.
             offers.put(
                     product.name,
--- a/src/main/java/larchridge/node/link/LoadText.java
+++ b/src/main/java/larchridge/node/link/LoadText.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larchridge.state.Report;
-import larchridge.terms.Given;
+import larchridge.settings.RoutingSettingsReader;
+import larchridge.state.LoadReport;
 
 /**
  * Reads load reports: figures by the names that the settings use. What can't be read is no report.
@@ -20,7 +20,7 @@
     }
 
     /** The report in a text such as {@code a=7,b=0.61}, or null. */
-    Report read(String text) {
+    LoadReport read(String text) {
         if (text == null || text.isEmpty() || text.length() > MOST) {
             return null;
         }
@@ -43,6 +43,8 @@
                 return null;
             }
         }
-        return named.isEmpty() ? null : Given.report(name -> named.getOrDefault(name, Double.NaN));
+        return named.isEmpty()
+                ? null
+                : RoutingSettingsReader.report(name -> named.getOrDefault(name, Double.NaN));
     }
 }
--- a/src/main/java/larchridge/node/link/PassageLink.java
+++ b/src/main/java/larchridge/node/link/PassageLink.java
@@ -47,8 +47,8 @@
 import larchridge.front.Ground;
 import larchridge.node.transport.ConnectFailure;
 import larchridge.node.transport.Connecting;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.LoadReport;
 
 /**
  * Engines that speak the clients' own protocol: requests go on as they came, events come back as
@@ -280,7 +280,7 @@
         private boolean begun;
         private boolean over;
         private boolean held;
-        private Report report;
+        private LoadReport report;
         private ByteArrayOutputStream note;
 
         /** The number under which its events are told, or -1 as long as it is not written. */
@@ -498,7 +498,7 @@
                 hearing.unusable();
             }
             leavePool();
-            Outcome outcome = verdict.outcome();
+            AttemptOutcome outcome = verdict.outcome();
             boolean heard = verdict.status() != 0;
             events.ended(state.requestId, number, outcome.name(), outcome.neverRan, heard);
             releases.attemptEnded(state, heard);
--- a/src/main/java/larchridge/node/link/Verdict.java
+++ b/src/main/java/larchridge/node/link/Verdict.java
@@ -1,6 +1,6 @@
 package larchridge.node.link;
 
-import larchridge.state.Outcome;
+import larchridge.state.AttemptOutcome;
 
 /**
  * What became of an attempt, judged from what was seen of it; without I/O, clock or threads. Rule 2
@@ -68,26 +68,28 @@
     }
 
     /** The outcome, once nothing more can come. */
-    Outcome outcome() {
+    AttemptOutcome outcome() {
         if (whole && !garbled && status == 200) {
-            return Outcome.STREAMED;
+            return AttemptOutcome.STREAMED;
         }
         if (!written && status == 0) {
-            return unfit || called ? Outcome.NOT_SENT : Outcome.UNREACHABLE;
+            return unfit || called ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
         if (declined && !garbled && (status == 503 || status == 504)) {
-            return Outcome.FULL;
+            return AttemptOutcome.FULL;
         }
         if (declined && !garbled && status == 410) {
-            return Outcome.NO_STATE;
+            return AttemptOutcome.NO_STATE;
         }
         if (called) {
-            return expired ? Outcome.TIMED_OUT : Outcome.CANCELLED;
+            return expired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
         // Danger: noise in place of an answer proves nothing about what ran before it.
         if (garbled) {
-            return Outcome.FAULT;
+            return AttemptOutcome.FAULT;
         }
-        return status == 0 || status == 200 || status == 202 ? Outcome.CUT : Outcome.FAULT;
+        return status == 0 || status == 200 || status == 202
+                ? AttemptOutcome.CUT
+                : AttemptOutcome.FAULT;
     }
 }
--- a/src/main/java/larchridge/planner/Gap.java
+++ b/src/main/java/larchridge/planner/Gap.java
@@ -1,6 +1,6 @@
 package larchridge.planner;
 
-import larchridge.state.Ring;
+import larchridge.state.SlidingWindow;
 
 /**
  * How much batch work may be open at a time so that it lives in the gaps of the other work. Work is
@@ -79,7 +79,7 @@
     private int windows;
 
     /** Times that it fell, by 10 s. */
-    private final Ring falls = new Ring(6, 10_000);
+    private final SlidingWindow falls = new SlidingWindow(6, 10_000);
 
     public Gap(double most) {
         this.most = most;
--- a/src/main/java/larchridge/planner/Shares.java
+++ b/src/main/java/larchridge/planner/Shares.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeSet;
-import larchridge.state.Ring;
+import larchridge.state.SlidingWindow;
 
 /**
  * Whose batch is next: between tenants by their shares of tokens, within a tenant the one that is
@@ -28,7 +28,7 @@
         final TreeSet<Work> ready = new TreeSet<>(DUE);
 
         /** Tokens of lines that were answered. */
-        final Ring finished = new Ring(60, 1000);
+        final SlidingWindow finished = new SlidingWindow(60, 1000);
 
         double firstFinishedMs = Double.NaN;
 
--- a/src/main/java/larchridge/RepeatRule.java
+++ b/src/main/java/larchridge/policy/IdempotencyRule.java
@@ -1,10 +1,10 @@
-package larchridge;
+package larchridge.policy;
 
 import larchridge.state.Attempt;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
-import larchridge.state.Span;
+import larchridge.state.Generation;
 
 /**
  * Rule 2: whether one more attempt of a generation could repeat an effect, or run beside another
@@ -12,7 +12,7 @@
  * since a connection may come up long after the decision and the window in which engines drop
  * repeats goes on running.
  */
-public final class RepeatRule {
+public final class IdempotencyRule {
     /**
      * Of the window in which engines drop repeats, the part in which a repeat may still be decided.
      */
@@ -21,10 +21,10 @@
     /** A process may be held up for so long between reading its clock and writing. */
     private static final double HELD_UP_MS = 150;
 
-    private RepeatRule() {}
+    private IdempotencyRule() {}
 
     /** Whether an attempt of a generation may be decided for an engine now. */
-    static boolean mayDecide(Gen gen, Engine engine, double nowMs, boolean copiesAllowed) {
+    static boolean mayDecide(Generation gen, Engine engine, double nowMs, boolean copiesAllowed) {
         double latestPart = DECIDED_WITHIN_PART * gen.product.memoryMs;
         double latest = Math.min(latestPart, gen.product.memoryMs - HELD_UP_MS);
         return mayRun(gen, engine, null, nowMs - latest, copiesAllowed);
@@ -40,7 +40,7 @@
      * Whether no earlier attempt, beside the one asked about, stands against a run at an engine.
      */
     private static boolean mayRun(
-            Gen gen, Engine engine, Attempt own, double sentSinceMs, boolean copiesAllowed) {
+            Generation gen, Engine engine, Attempt own, double sentSinceMs, boolean copiesAllowed) {
         Effect effect = gen.product.effect;
         if (effect == Effect.IDEMPOTENT && copiesAllowed) {
             return true;
@@ -65,7 +65,7 @@
     }
 
     /** Whether one engine drops repeats of what the other has run. */
-    private static boolean dropsRepeats(Span span, Engine first, Engine second) {
+    private static boolean dropsRepeats(DeduplicationScope span, Engine first, Engine second) {
         return switch (span) {
             case ALL -> true;
             case ZONE -> first.zone.equals(second.zone);
--- a/src/main/java/larchridge/Host.java
+++ b/src/main/java/larchridge/policy/PolicyActions.java
@@ -1,11 +1,11 @@
-package larchridge;
+package larchridge.policy;
 
 import larchridge.state.Attempt;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
+import larchridge.state.Generation;
 
 /** What the decision module can do to the world around it. Times are milliseconds. */
-public interface Host {
+public interface PolicyActions {
     /** The clock; it stands still while the module handles one happening. */
     double now();
 
@@ -16,20 +16,20 @@
     void cancel(Attempt attempt);
 
     /** Lets go of every state that is held for a generation and that no attempt waits for. */
-    void release(Gen gen);
+    void release(Generation gen);
 
     /**
      * Final answer: not now, and trying again is harmless. With comeBackMs 0 there is no advice
      * when.
      */
-    void throttle(Gen gen, double comeBackMs);
+    void throttle(Generation gen, double comeBackMs);
 
     /** Final answer: failed, and nothing is promised of its effects. */
-    void terminate(Gen gen);
+    void terminate(Generation gen);
 
     void probe(Engine engine);
 
-    /** Asks for {@link Choice#woken} at a time. */
+    /** Asks for {@link RoutingPolicy#woken} at a time. */
     void wake(double atMs);
 
     /** Asks the engine list for its changes from now on. */
--- a/src/main/java/larchridge/front/Decider.java
+++ b/src/main/java/larchridge/policy/PolicyEvents.java
@@ -1,28 +1,26 @@
-package larchridge.front;
+package larchridge.policy;
 
 import java.util.List;
-import larchridge.Choice;
-import larchridge.Host;
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
-import larchridge.state.Listing;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
-import larchridge.state.Terms;
+import larchridge.state.Generation;
+import larchridge.state.LoadReport;
+import larchridge.state.RoutingSettings;
 
 /**
- * What a front tells its decision module; in service that is {@link Choice}, in experiments also
- * plain policies beside it.
+ * What a front tells its decision module; in service that is {@link RoutingPolicy}, in experiments
+ * also plain policies beside it.
  */
-public interface Decider {
-    void arrived(Gen gen);
+public interface PolicyEvents {
+    void arrived(Generation gen);
 
-    void readDone(Attempt attempt, int keptToks, Report report, boolean over);
+    void readDone(Attempt attempt, int keptToks, LoadReport report, boolean over);
 
     void begun(Attempt attempt);
 
-    void ended(Attempt attempt, Outcome outcome, Report report, boolean over);
+    void ended(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over);
 
     /**
      * The state that an attempt is to fetch has been released beside it; only an attempt that has
@@ -32,30 +30,30 @@
         return;
     }
 
-    void departed(Gen gen);
+    void departed(Generation gen);
 
-    void probed(Engine engine, boolean answered, Report report);
+    void probed(Engine engine, boolean answered, LoadReport report);
 
-    void listed(List<Listing> entries, boolean complete);
+    void listed(List<EndpointUpdate> entries, boolean complete);
 
     void woken();
 
     /** Makes a module for one front. */
-    interface Maker {
-        Decider make(Terms terms, Host host);
+    interface Factory {
+        PolicyEvents make(RoutingSettings terms, PolicyActions host);
     }
 
     /** The module of this program. */
-    static Decider choice(Terms terms, Host host) {
-        Choice choice = new Choice(terms, host);
-        return new Decider() {
+    static PolicyEvents choice(RoutingSettings terms, PolicyActions host) {
+        RoutingPolicy choice = new RoutingPolicy(terms, host);
+        return new PolicyEvents() {
             @Override
-            public void arrived(Gen gen) {
+            public void arrived(Generation gen) {
                 choice.arrived(gen);
             }
 
             @Override
-            public void readDone(Attempt attempt, int keptToks, Report report, boolean over) {
+            public void readDone(Attempt attempt, int keptToks, LoadReport report, boolean over) {
                 choice.readDone(attempt, keptToks, report, over);
             }
 
@@ -65,7 +63,8 @@
             }
 
             @Override
-            public void ended(Attempt attempt, Outcome outcome, Report report, boolean over) {
+            public void ended(
+                    Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
                 choice.ended(attempt, outcome, report, over);
             }
 
@@ -75,17 +74,17 @@
             }
 
             @Override
-            public void departed(Gen gen) {
+            public void departed(Generation gen) {
                 choice.departed(gen);
             }
 
             @Override
-            public void probed(Engine engine, boolean answered, Report report) {
+            public void probed(Engine engine, boolean answered, LoadReport report) {
                 choice.probed(engine, answered, report);
             }
 
             @Override
-            public void listed(List<Listing> entries, boolean complete) {
+            public void listed(List<EndpointUpdate> entries, boolean complete) {
                 choice.listed(entries, complete);
             }
 
--- a/src/main/java/larchridge/Choice.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -1,4 +1,4 @@
-package larchridge;
+package larchridge.policy;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,30 +6,30 @@
 import java.util.List;
 import java.util.Random;
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.CachedPrefix;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Fleet;
-import larchridge.state.Gen;
+import larchridge.state.EngineRegistry;
+import larchridge.state.Generation;
 import larchridge.state.GiveUpReason;
-import larchridge.state.Listing;
-import larchridge.state.Mean;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
-import larchridge.state.Ring;
+import larchridge.state.LoadReport;
 import larchridge.state.Role;
-import larchridge.state.Span;
-import larchridge.state.Terms;
-import larchridge.state.Text;
+import larchridge.state.RoutingSettings;
+import larchridge.state.SlidingWindow;
+import larchridge.state.SlidingWindowMean;
 
 /**
  * Every decision of one front: which reader reads a prompt, which writer writes its answer, and
  * what to do when either fails. Callers make one instance a front and call the public methods
- * below, one for each thing that can happen; the module acts by calling {@link Host}, the only
- * interface that it knows. What it remembers sits in the plain holders of {@code larchridge.state}.
- * {@link #advance} is the ordinary path of a generation; {@code docs/design.md} tells where the
- * rules come from. Times are in milliseconds.
+ * below, one for each thing that can happen; the module acts by calling {@link PolicyActions}, the
+ * only interface that it knows. What it remembers sits in the plain holders of {@code
+ * larchridge.state}. {@link #advance} is the ordinary path of a generation; {@code docs/design.md}
+ * tells where the rules come from. Times are in milliseconds.
  */
-public final class Choice {
+public final class RoutingPolicy {
     // The mechanism: thresholds of a reader's backlog, margin of the writers' mean, stand-in for
     // the answer.
     private static final double ALPHA_MS = 250;
@@ -92,7 +92,7 @@
     private static final double NOT_SENT_MOST_MS = 320;
     private static final double FOLLOW_AGAIN_MS = 500;
 
-    private final Host host;
+    private final PolicyActions host;
     private final Random random;
     private final int fronts;
     private final String zone;
@@ -106,10 +106,10 @@
     private final double coldShare;
     private final double bornMs;
 
-    private final Fleet fleet = new Fleet();
+    private final EngineRegistry fleet = new EngineRegistry();
     private final List<Engine> readers = fleet.readers;
     private final List<Engine> writers = fleet.writers;
-    private final List<Gen> open = new ArrayList<>();
+    private final List<Generation> open = new ArrayList<>();
 
     /** Tokens of generations that are being read and have no writer yet. */
     private double awaitingToks;
@@ -123,28 +123,28 @@
      * The best speed of late reads in tokens a millisecond, what a read had to read, what homes had
      * kept.
      */
-    private final Ring speeds = new Ring(20, 1000);
+    private final SlidingWindow speeds = new SlidingWindow(20, 1000);
 
-    private final Mean unreadParts = new Mean(20, 1000);
-    private final Mean unreadSizes = new Mean(20, 1000);
-    private final Mean homesKept = new Mean(20, 1000);
+    private final SlidingWindowMean unreadParts = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean unreadSizes = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean homesKept = new SlidingWindowMean(20, 1000);
 
     /**
      * What engines told of late beside this front's own: readers' tokens, writers' tokens and
      * streams.
      */
-    private final Mean toldUnread = new Mean(5, 1000);
+    private final SlidingWindowMean toldUnread = new SlidingWindowMean(5, 1000);
 
-    private final Mean toldToks = new Mean(5, 1000);
-    private final Mean toldStreams = new Mean(5, 1000);
-    private final Mean writesSent = new Mean(10, 1000);
+    private final SlidingWindowMean toldToks = new SlidingWindowMean(5, 1000);
+    private final SlidingWindowMean toldStreams = new SlidingWindowMean(5, 1000);
+    private final SlidingWindowMean writesSent = new SlidingWindowMean(10, 1000);
 
     /** Reads and answers that warm engines took of late. */
-    private final Ring warmReads = new Ring(30, 1000);
+    private final SlidingWindow warmReads = new SlidingWindow(30, 1000);
 
-    private final Ring warmWrites = new Ring(30, 1000);
+    private final SlidingWindow warmWrites = new SlidingWindow(30, 1000);
 
-    public Choice(Terms terms, Host host) {
+    public RoutingPolicy(RoutingSettings terms, PolicyActions host) {
         this.host = host;
         random = new Random(terms.seed);
         fronts = terms.fronts;
@@ -165,15 +165,15 @@
 
     // ------------------------------------------------------------------ what can happen
 
-    public void arrived(Gen gen) {
+    public void arrived(Generation gen) {
         open.add(gen);
         gen.chance = random.nextDouble();
         advance(gen);
         setWake();
     }
 
-    public void readDone(Attempt attempt, int keptToks, Report report, boolean over) {
-        Gen gen = attempt.gen;
+    public void readDone(Attempt attempt, int keptToks, LoadReport report, boolean over) {
+        Generation gen = attempt.gen;
         answered(attempt.engine, false);
         heard(attempt.engine, report);
         double now = host.now();
@@ -205,7 +205,7 @@
     }
 
     public void begun(Attempt attempt) {
-        Gen gen = attempt.gen;
+        Generation gen = attempt.gen;
         double now = host.now();
         answered(attempt.engine, false);
         heard(attempt.engine, null);
@@ -225,8 +225,8 @@
         cancelOthers(gen, attempt);
     }
 
-    public void ended(Attempt attempt, Outcome outcome, Report report, boolean over) {
-        Gen gen = attempt.gen;
+    public void ended(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
+        Generation gen = attempt.gen;
         Engine engine = attempt.engine;
         attempt.outcome = outcome;
         close(attempt);
@@ -237,7 +237,7 @@
                 if (!gen.over) {
                     answered(engine, true);
                 }
-                if (outcome == Outcome.FAULT) {
+                if (outcome == AttemptOutcome.FAULT) {
                     heard(engine, report);
                 }
                 // Danger: a kept connection that breaks says little; were each to keep work away
@@ -255,7 +255,7 @@
             case NOT_SENT -> pause(gen);
             default -> {}
         }
-        if (gen.over || gen.begun || outcome == Outcome.NO_STATE) {
+        if (gen.over || gen.begun || outcome == AttemptOutcome.NO_STATE) {
             letGo(gen);
         }
         if (!gen.over
@@ -273,7 +273,7 @@
      * can't open a connection for a moment, a generation tried again at once would use up its
      * attempts within a millisecond and be given up.
      */
-    private void pause(Gen gen) {
+    private void pause(Generation gen) {
         double ms = NOT_SENT_MS * Math.pow(2, gen.attemptsNotSent);
         gen.attemptsNotSent++;
         gen.nextAttemptMs = host.now() + Math.min(NOT_SENT_MOST_MS, ms);
@@ -285,20 +285,20 @@
      * would find no state.
      */
     public void stateReleased(Attempt attempt) {
-        Gen gen = attempt.gen;
+        Generation gen = attempt.gen;
         if (attempt.out && !attempt.cancelled && !gen.over && !gen.begun) {
             gen.state = null;
             gen.stateReleased = true;
         }
     }
 
-    public void departed(Gen gen) {
+    public void departed(Generation gen) {
         gen.over = true;
         gen.waiting = false;
         letGo(gen);
     }
 
-    public void probed(Engine engine, boolean answered, Report report) {
+    public void probed(Engine engine, boolean answered, LoadReport report) {
         if (answered) {
             heard(engine, report);
         } else {
@@ -307,7 +307,7 @@
         admitWaiting();
     }
 
-    public void listed(List<Listing> entries, boolean complete) {
+    public void listed(List<EndpointUpdate> entries, boolean complete) {
         fleet.take(entries, complete, host.now());
         admitWaiting();
     }
@@ -343,7 +343,7 @@
      * Takes a generation with no attempt out one step on: to a reader, a writer, the wait or its
      * end.
      */
-    private void advance(Gen gen) {
+    private void advance(Generation gen) {
         double now = host.now();
         // Danger: a generation that waits twice is sent twice, and the second send drops its state.
         gen.waiting = false;
@@ -381,7 +381,7 @@
         }
     }
 
-    private Engine pickReader(Gen gen) {
+    private Engine pickReader(Generation gen) {
         double now = host.now();
         List<Engine> fit = fit(readers, gen);
         List<Engine> some = homes(gen);
@@ -452,7 +452,7 @@
         return stays ? last : best;
     }
 
-    private Engine pickWriter(Gen gen) {
+    private Engine pickWriter(Generation gen) {
         List<Engine> fit = fit(writers, gen);
         // Equals are told apart by chance. Without reports most writers look alike to a front that
         // sees little, and
@@ -525,18 +525,18 @@
      * its SLO time is given up.
      */
     private void admitWaiting() {
-        List<Gen> order = new ArrayList<>(open);
+        List<Generation> order = new ArrayList<>(open);
         order.removeIf(g -> !g.waiting);
         order.sort(
                 Comparator.comparingDouble(
-                                (Gen g) ->
+                                (Generation g) ->
                                         g.product.revenue * (g.resent ? g.product.lateRevenue : 1))
                         .thenComparingDouble(g -> g.arrivedMs)
                         .reversed());
         double now = host.now();
         double perTok = msPerTok(null, now);
         int tried = 0;
-        for (Gen gen : order) {
+        for (Generation gen : order) {
             boolean late = now + gen.leastReadToks * perTok + beginMs > gen.sloAtMs();
             if (late && now > triedMs + TRY_MS && open.stream().allMatch(g -> g.attemptsOut == 0)) {
                 // Danger: once all was slow, all is given up, and nothing is sent that could show
@@ -559,13 +559,14 @@
         }
     }
 
-    private void giveUp(Gen gen, GiveUpReason reason) {
+    private void giveUp(Generation gen, GiveUpReason reason) {
         gen.givenUp = reason;
         cancelOthers(gen, null);
         departed(gen);
         // Rule 2: throttled says that trying again is harmless.
         if (gen.product.effect == Effect.IDEMPOTENT
-                || gen.product.effect == Effect.DEDUPLICATED && gen.product.span == Span.ALL
+                || gen.product.effect == Effect.DEDUPLICATED
+                        && gen.product.span == DeduplicationScope.ALL
                 || gen.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
             host.throttle(
                     gen,
@@ -579,7 +580,7 @@
      * Danger: a release frees nothing that an attempt still out may take; it is said again after
      * that.
      */
-    private void letGo(Gen gen) {
+    private void letGo(Generation gen) {
         if (gen.held) {
             gen.held = gen.attemptsOut > 0;
             host.release(gen);
@@ -589,7 +590,7 @@
 
     // ------------------------------------------------------------------ attempts
 
-    private void sendRead(Gen gen, Engine reader) {
+    private void sendRead(Generation gen, Engine reader) {
         double now = host.now();
         double unread = readToks(gen, reader);
         boolean alone = reader.role != Role.READER;
@@ -616,7 +617,7 @@
      * Whether the readers that would come first for a generation are still to answer for their
      * load.
      */
-    private boolean isAsking(Gen gen) {
+    private boolean isAsking(Generation gen) {
         double now = host.now();
         if (now - gen.askedMs > ASK_AGAIN_MS) {
             gen.askedMs = now;
@@ -640,7 +641,7 @@
         }
     }
 
-    private void sendWrite(Gen gen, Engine writer) {
+    private void sendWrite(Generation gen, Engine writer) {
         Attempt attempt = new Attempt(gen, writer, false, host.now(), genToks(gen), 0);
         attempt.patienceMs = OVERDUE_WRITE_MS + OVERDUE_FACTOR * beginMs;
         gen.stateReleased = false;
@@ -664,7 +665,7 @@
         awaitingToks = Math.max(0, awaitingToks - toks);
     }
 
-    private void cancelOthers(Gen gen, Attempt kept) {
+    private void cancelOthers(Generation gen, Attempt kept) {
         for (Attempt attempt : gen.attempts) {
             if (attempt != kept && attempt.out && !attempt.cancelled && mayCancel) {
                 attempt.cancelled = true;
@@ -677,7 +678,7 @@
      * The regular look at a generation: its limit, its steps left undone, and the silence of its
      * engine.
      */
-    private void look(Gen gen, double now) {
+    private void look(Generation gen, double now) {
         if (gen.over || gen.begun) {
             return;
         }
@@ -714,7 +715,7 @@
      * read gets a second one beside it, since calling off one that only takes long would waste it;
      * an answer that waits for its writer moves only where there is room, or it would queue anew.
      */
-    private void overdue(Gen gen, Attempt attempt) {
+    private void overdue(Generation gen, Attempt attempt) {
         blame(attempt.engine);
         Engine other =
                 gen.state != null ? pickWriter(gen) : roomAnywhere(gen) ? pickReader(gen) : null;
@@ -743,7 +744,7 @@
         double units =
                 (reads ? readers : writers)
                         .stream().filter(e -> !isCold(e, now)).mapToDouble(e -> e.units).sum();
-        Ring taken = reads ? warmReads : warmWrites;
+        SlidingWindow taken = reads ? warmReads : warmWrites;
         double spanMs = Math.min(taken.spanMs(), now - bornMs + 1);
         double perMs = taken.sum(now) / spanMs / Math.max(units, engine.units);
         double sinceMs = now - Math.max(engine.drawnMs, engine.startMs);
@@ -753,14 +754,14 @@
 
     // ------------------------------------------------------------------ what is known of engines
 
-    private List<Engine> fit(List<Engine> pool, Gen gen) {
+    private List<Engine> fit(List<Engine> pool, Generation gen) {
         double now = host.now();
         List<Engine> fit = new ArrayList<>(pool.size());
         boolean anySound = pool.stream().anyMatch(e -> isSound(e, now));
         for (Engine engine : pool) {
             // All suspect = none suspect: doubt must never empty a pool.
             if ((isSound(engine, now) || !anySound)
-                    && RepeatRule.mayDecide(gen, engine, now, maySendCopies)
+                    && IdempotencyRule.mayDecide(gen, engine, now, maySendCopies)
                     && (!isCold(engine, now) || coldDraw(engine, now))) {
                 fit.add(engine);
             }
@@ -785,7 +786,7 @@
         engine.errorShare += ERROR_WEIGHT * ((erred ? 1 : 0) - engine.errorShare);
     }
 
-    private void heard(Engine engine, Report report) {
+    private void heard(Engine engine, LoadReport report) {
         double now = host.now();
         engine.heardMs = now;
         if (engine.errorShare < ERRORS_MOST) {
@@ -865,7 +866,7 @@
         return 1 / (speed > 0 ? speed : UNHEARD_TOKS_PER_MS);
     }
 
-    private double readToks(Gen gen, Engine reader) {
+    private double readToks(Generation gen, Engine reader) {
         int kept =
                 Math.max(
                         gen.prefix == null
@@ -891,8 +892,8 @@
      * will have sent the texts there: a prefix has a few homes in each zone, a session prefers one
      * of them.
      */
-    private List<Engine> homes(Gen gen) {
-        Text first = gen.prefix != null ? gen.prefix : gen.session;
+    private List<Engine> homes(Generation gen) {
+        CachedPrefix first = gen.prefix != null ? gen.prefix : gen.session;
         if (gen.homesOfList != fleet.lists && first != null) {
             gen.homesOfList = fleet.lists;
             gen.homes.clear();
@@ -903,7 +904,7 @@
                     gen.homes.add(reader);
                 }
             }
-            Text text = gen.session != null ? gen.session : first;
+            CachedPrefix text = gen.session != null ? gen.session : first;
             gen.homes.sort(
                     Comparator.comparing((Engine e) -> !e.zone.equals(zone))
                             .thenComparing(Comparator.comparingLong(text::affinity).reversed()));
@@ -927,7 +928,8 @@
      * front makes one send outweigh all reports; the more fronts there are, the less a front's own
      * few sends tell of the others.
      */
-    private double present(Engine engine, double own, double others, Mean told, double each) {
+    private double present(
+            Engine engine, double own, double others, SlidingWindowMean told, double each) {
         double now = host.now();
         double weight = Math.exp((engine.reportMs - now) / WRITE_REPORT_MS);
         double usual = told.at(now) * engine.units;
@@ -939,13 +941,13 @@
     }
 
     /** Room for this one beside all that this front has being read. */
-    private boolean roomAnywhere(Gen gen) {
+    private boolean roomAnywhere(Generation gen) {
         double room =
                 writers.stream().filter(e -> hasRoom(e, gen)).mapToDouble(this::roomToks).sum();
         return writers.isEmpty() || !(room < awaitingToks + genToks(gen));
     }
 
-    private boolean hasRoom(Engine engine, Gen gen) {
+    private boolean hasRoom(Engine engine, Generation gen) {
         return host.now() >= engine.fullUntilMs && !(roomToks(engine) < genToks(gen));
     }
 
@@ -954,7 +956,7 @@
         return engine.memoryToks - heldToks(engine);
     }
 
-    private static double genToks(Gen gen) {
+    private static double genToks(Generation gen) {
         double out =
                 Double.isNaN(gen.hintToks) ? EXPECTED_SHARE_OF_MAX * gen.maxToks : gen.hintToks;
         return gen.promptToks + out;
--- a/src/main/java/larchridge/terms/BadTerms.java
+++ b/src/main/java/larchridge/settings/InvalidSettingsException.java
@@ -1,10 +1,10 @@
-package larchridge.terms;
+package larchridge.settings;
 
 /** A settings object that can't be used; the message names the member and what was expected. */
-public final class BadTerms extends Exception {
+public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public BadTerms(String what) {
+    public InvalidSettingsException(String what) {
         super(what);
     }
 }
--- a/src/main/java/larchridge/terms/Given.java
+++ b/src/main/java/larchridge/settings/RoutingSettingsReader.java
@@ -1,27 +1,27 @@
-package larchridge.terms;
+package larchridge.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import larchridge.state.Account;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 import larchridge.state.Role;
-import larchridge.state.Span;
-import larchridge.state.Terms;
+import larchridge.state.RoutingSettings;
+import larchridge.state.TenantQuota;
+import larchridge.state.TrafficClass;
 
 /**
  * What the settings object of a deployment says, turned into the few figures that the module, an
  * adapter and a node use. The same object comes on the bench's wire and in a node's configuration.
  * Times are milliseconds.
  */
-public final class Given {
-    public final Terms terms = new Terms();
-    public final Map<String, Product> products = new LinkedHashMap<>();
-    public final Map<String, Account> accounts = new LinkedHashMap<>();
+public final class RoutingSettingsReader {
+    public final RoutingSettings terms = new RoutingSettings();
+    public final Map<String, TrafficClass> products = new LinkedHashMap<>();
+    public final Map<String, TenantQuota> accounts = new LinkedHashMap<>();
     public final Map<String, Role> roles = new LinkedHashMap<>();
 
     /** Tokens that a kind of engine has memory for. */
@@ -43,19 +43,20 @@
     /** Within this a held state is to be used or let go of. */
     public double releaseMs;
 
-    private Given() {}
+    private RoutingSettingsReader() {}
 
     /** Reads the object; seed is the one of the instance that it was given to. */
-    public static Given read(JsonNode env, long seed) throws BadTerms {
+    public static RoutingSettingsReader read(JsonNode env, long seed)
+            throws InvalidSettingsException {
         if (env == null || !env.isObject()) {
-            throw new BadTerms("is no JSON object; expected an object");
+            throw new InvalidSettingsException("is no JSON object; expected an object");
         }
-        Given given = new Given();
+        RoutingSettingsReader given = new RoutingSettingsReader();
         JsonNode family = env.path("family_info");
         JsonNode limits = env.path("limits");
         JsonNode rules = env.path("invariants");
         JsonNode reporting = env.path("reporting");
-        Terms terms = given.terms;
+        RoutingSettings terms = given.terms;
         terms.seed = seed;
         terms.fronts = Math.max(1, (int) number(env, "n_instances", 1));
         terms.zone = env.path("az").asText("");
@@ -85,12 +86,13 @@
         return given;
     }
 
-    private void readProducts(JsonNode classes, JsonNode family) throws BadTerms {
+    private void readProducts(JsonNode classes, JsonNode family) throws InvalidSettingsException {
         int i = 0;
         for (JsonNode node : classes) {
             String name = node.path("name").asText("");
             if (name.isEmpty()) {
-                throw new BadTerms("request_classes[" + i + "].name is missing; expected a name");
+                throw new InvalidSettingsException(
+                        "request_classes[" + i + "].name is missing; expected a name");
             }
             double slo = ms(node, "slo_s", 1);
             Effect effect =
@@ -99,16 +101,16 @@
                         case "token" -> Effect.DEDUPLICATED;
                         default -> Effect.SIDE_EFFECTING;
                     };
-            Span span =
+            DeduplicationScope span =
                     switch (node.path("group").asText("cell")) {
-                        case "all" -> Span.ALL;
-                        case "zone" -> Span.ZONE;
-                        default -> Span.RACK;
+                        case "all" -> DeduplicationScope.ALL;
+                        case "zone" -> DeduplicationScope.ZONE;
+                        default -> DeduplicationScope.RACK;
                     };
             double perThousand = family.path("aim_us_per_1000_prompt_tokens").path(i).asDouble(0);
             products.put(
                     name,
-                    new Product(
+                    new TrafficClass(
                             name,
                             effect,
                             span,
@@ -123,10 +125,10 @@
         }
     }
 
-    private void readAccounts(JsonNode nodes) throws BadTerms {
+    private void readAccounts(JsonNode nodes) throws InvalidSettingsException {
         for (JsonNode node : nodes) {
             String name = node.path("name").asText("");
-            accounts.put(name, new Account(name, number(node, "quota_per_s", 0)));
+            accounts.put(name, new TenantQuota(name, number(node, "quota_per_s", 0)));
         }
     }
 
@@ -146,8 +148,8 @@
     }
 
     /** A load report from its figures by name; a figure that is not there is NaN. */
-    public static <E extends Exception> Report report(Figures<E> figures) throws E {
-        return new Report(
+    public static <E extends Exception> LoadReport report(Figures<E> figures) throws E {
+        return new LoadReport(
                 figures.named("concurrent"),
                 figures.named("depth"),
                 figures.named("x0"),
@@ -160,17 +162,20 @@
         double named(String name) throws E;
     }
 
-    private static double ms(JsonNode node, String key, double fallbackSeconds) throws BadTerms {
+    private static double ms(JsonNode node, String key, double fallbackSeconds)
+            throws InvalidSettingsException {
         return number(node, key, fallbackSeconds) * 1000;
     }
 
-    private static double number(JsonNode node, String key, double fallback) throws BadTerms {
+    private static double number(JsonNode node, String key, double fallback)
+            throws InvalidSettingsException {
         JsonNode value = node.path(key);
         if (value.isMissingNode() || value.isNull()) {
             return fallback;
         }
         if (!value.isNumber()) {
-            throw new BadTerms(key + " is '" + value.asText() + "'; expected a number");
+            throw new InvalidSettingsException(
+                    key + " is '" + value.asText() + "'; expected a number");
         }
         return value.doubleValue();
     }
--- a/src/main/java/larchridge/site/Offer.java
+++ b/src/main/java/larchridge/site/Offer.java
@@ -1,14 +1,14 @@
 package larchridge.site;
 
-import larchridge.state.Product;
+import larchridge.state.TrafficClass;
 import larchridge.tokens.Measure;
 
 /** A product as clients ask for it: its models and how long a client waits for a first token. */
 public final class Offer {
-    public final Product product;
+    public final TrafficClass product;
 
     /** The same product for a tenant beyond its own means: worth less while it waits. */
-    public final Product borrowed;
+    public final TrafficClass borrowed;
 
     /** The model's name at the engines, or null for the client's word. */
     public final String engineModel;
@@ -22,8 +22,8 @@
     public final boolean isBatch;
 
     public Offer(
-            Product product,
-            Product borrowed,
+            TrafficClass product,
+            TrafficClass borrowed,
             String engineModel,
             double limitMs,
             double limitMsPerTok,
@@ -33,8 +33,8 @@
     }
 
     private Offer(
-            Product product,
-            Product borrowed,
+            TrafficClass product,
+            TrafficClass borrowed,
             String engineModel,
             double limitMs,
             double limitMsPerTok,
@@ -53,8 +53,8 @@
 
     /** The same as batch work: worth so much less in the wait, and with this time for a try. */
     public Offer asBatch(double worth, double lineMs) {
-        Product slow =
-                new Product(
+        TrafficClass slow =
+                new TrafficClass(
                         product.name,
                         product.effect,
                         product.span,
@@ -64,8 +64,8 @@
                         lineMs / 2,
                         product.sloMsPerTok,
                         product.tokMs);
-        Product slower =
-                new Product(
+        TrafficClass slower =
+                new TrafficClass(
                         product.name,
                         product.effect,
                         product.span,
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -15,8 +15,8 @@
 import larchridge.budget.Grant;
 import larchridge.budget.Grants;
 import larchridge.ledger.Price;
-import larchridge.state.Account;
-import larchridge.state.Terms;
+import larchridge.state.RoutingSettings;
+import larchridge.state.TenantQuota;
 
 /** What a site file says, checked and turned into the few holders that the program uses. */
 public final class Site {
@@ -43,7 +43,7 @@
     /** The tenant of clients with an unlisted key, or null where they are turned away. */
     public Tenant guest;
 
-    Terms terms = new Terms();
+    RoutingSettings terms = new RoutingSettings();
 
     /** Where usage is written; null if it is not. */
     public Path ledger;
@@ -80,7 +80,7 @@
      * A front's surroundings without a site file: no budgets, no ledger, no batches. The limits are
      * the caller's to set.
      */
-    public static Site plain(Terms terms) {
+    public static Site plain(RoutingSettings terms) {
         Site site = new Site();
         site.terms = terms;
         site.seed = terms.seed;
@@ -93,8 +93,8 @@
 
     /** Whom a generation is done for; each front counts an account of its own. */
     public record Tenant(String name, double quotaPerSecond, double batchShare) {
-        public Account account() {
-            return new Account(name, quotaPerSecond);
+        public TenantQuota account() {
+            return new TenantQuota(name, quotaPerSecond);
         }
     }
 
@@ -116,8 +116,8 @@
     }
 
     /** The terms of one front: all alike but for the seed of its chance. */
-    public Terms termsOf(int front) {
-        Terms own = terms.copy();
+    public RoutingSettings termsOf(int front) {
+        RoutingSettings own = terms.copy();
         own.seed = seed * 0x9E3779B97F4A7C15L + front;
         return own;
     }
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -25,9 +25,9 @@
 import larchridge.site.form.SpanText;
 import larchridge.site.form.TenantText;
 import larchridge.site.form.VocabularyText;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 import larchridge.tokens.BadVocabulary;
 import larchridge.tokens.Measure;
 import larchridge.tokens.Split;
@@ -144,15 +144,15 @@
             if (dedup && text.getDedupSpan() == SpanText.SPAN_UNSET) {
                 at.fault("dedup_span", "missing; a deduplicated product needs ALL, ZONE or RACK");
             }
-            Span span =
+            DeduplicationScope span =
                     switch (text.getDedupSpan()) {
-                        case ALL -> Span.ALL;
-                        case ZONE -> Span.ZONE;
-                        default -> Span.RACK;
+                        case ALL -> DeduplicationScope.ALL;
+                        case ZONE -> DeduplicationScope.ZONE;
+                        default -> DeduplicationScope.RACK;
                     };
             double memory = dedup ? at.number("dedup_memory_ms", Double.NaN, 1, 1e9) : 0;
-            Product product =
-                    new Product(
+            TrafficClass product =
+                    new TrafficClass(
                             name,
                             effect,
                             span,
@@ -163,8 +163,8 @@
                             at.number("slo_ms_per_1000_tokens", 0, 0, 1e6) / 1000,
                             at.number("token_ms", 60, 0.1, 1e5));
             double worth = root.number("borrowed_revenue", 0.1, 0, 1);
-            Product borrowed =
-                    new Product(
+            TrafficClass borrowed =
+                    new TrafficClass(
                             name,
                             effect,
                             span,
--- a/src/main/java/larchridge/state/Attempt.java
+++ b/src/main/java/larchridge/state/Attempt.java
@@ -2,7 +2,7 @@
 
 /** One send of a generation to one engine. */
 public final class Attempt {
-    public final Gen gen;
+    public final Generation gen;
     public final Engine engine;
     public final int number;
     public final boolean read;
@@ -26,10 +26,15 @@
     /** Whether it was counted as a late move before it began. */
     public boolean toldLate;
 
-    public Outcome outcome;
+    public AttemptOutcome outcome;
 
     public Attempt(
-            Gen gen, Engine engine, boolean read, double sentMs, double toks, double unreadToks) {
+            Generation gen,
+            Engine engine,
+            boolean read,
+            double sentMs,
+            double toks,
+            double unreadToks) {
         this.gen = gen;
         this.engine = engine;
         this.number = gen.attempts.size();
@@ -47,7 +52,7 @@
 
     /** Whether what it left at its engine is gone with the engine or its process. */
     public boolean isLost() {
-        return engine.mode == Mode.GONE || engine.startMs != engineStartMs;
+        return engine.mode == EndpointState.GONE || engine.startMs != engineStartMs;
     }
 
     /** Counts this attempt at its generation and engine. */
--- a/src/main/java/larchridge/state/Outcome.java
+++ b/src/main/java/larchridge/state/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package larchridge.state;
 
 /** How an attempt ended, when it did not end with a finished read. */
-public enum Outcome {
+public enum AttemptOutcome {
     STREAMED(false),
     FAULT(false),
     FULL(true),
@@ -15,7 +15,7 @@
     /** Whether this outcome is proof that the attempt had no effect. */
     public final boolean neverRan;
 
-    Outcome(boolean neverRan) {
+    AttemptOutcome(boolean neverRan) {
         this.neverRan = neverRan;
     }
 }
--- a/src/main/java/larchridge/state/Text.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -7,13 +7,13 @@
  * A text that readers may have kept: a session's prompts so far, or a beginning that sessions
  * share.
  */
-public final class Text {
+public final class CachedPrefix {
     public final String label;
     private final List<Copy> copies = new ArrayList<>(2);
 
     private record Copy(Engine engine, double sentMs, int toks) {}
 
-    public Text(String label) {
+    public CachedPrefix(String label) {
         this.label = label;
     }
 
--- a/src/main/java/larchridge/state/Span.java
+++ b/src/main/java/larchridge/state/DeduplicationScope.java
@@ -1,7 +1,7 @@
 package larchridge.state;
 
 /** The set of engines that drops repeats of a deduplicated generation. */
-public enum Span {
+public enum DeduplicationScope {
     ALL,
     ZONE,
     RACK
--- a/src/main/java/larchridge/state/Mode.java
+++ b/src/main/java/larchridge/state/EndpointState.java
@@ -1,7 +1,7 @@
 package larchridge.state;
 
 /** How the list speaks of an engine. */
-public enum Mode {
+public enum EndpointState {
     READY,
     DRAINING,
     GONE
--- a/src/main/java/larchridge/state/Listing.java
+++ b/src/main/java/larchridge/state/EndpointUpdate.java
@@ -1,9 +1,9 @@
 package larchridge.state;
 
 /** One entry of the engine list. */
-public record Listing(
+public record EndpointUpdate(
         Engine engine,
-        Mode mode,
+        EndpointState mode,
         double startMs,
         double units,
         String zone,
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -7,7 +7,7 @@
 public final class Engine {
     public final long label;
     public Role role;
-    public Mode mode;
+    public EndpointState mode;
     public String zone;
     public long rack;
     public double units = 1;
@@ -26,12 +26,12 @@
     public int streams;
 
     /** Reads that ended there of late, and the best of their speeds in tokens a millisecond. */
-    public final Ring reads = new Ring(10, 1000);
+    public final SlidingWindow reads = new SlidingWindow(10, 1000);
 
-    public final Ring speeds = new Ring(10, 1000);
+    public final SlidingWindow speeds = new SlidingWindow(10, 1000);
 
     /** How long of late states that were read here took to begin outside of its rack. */
-    public final Mean moves = new Mean(3, 1000);
+    public final SlidingWindowMean moves = new SlidingWindowMean(3, 1000);
 
     /** Whether this process has told its load. */
     public boolean reports;
@@ -42,9 +42,9 @@
     public double othersUnreadToks;
 
     /** Own answers' tokens sent so lately that no report tells of them yet. */
-    public final Ring freshToks = new Ring(5, 100);
+    public final SlidingWindow freshToks = new SlidingWindow(5, 100);
 
-    public final Ring freshStreams = new Ring(5, 100);
+    public final SlidingWindow freshStreams = new SlidingWindow(5, 100);
 
     /** Own streams that the last report counted. */
     public double toldStreams;
@@ -83,7 +83,7 @@
         return Double.NaN;
     }
 
-    public void take(Listing entry) {
+    public void take(EndpointUpdate entry) {
         mode = entry.mode();
         startMs = entry.startMs();
         units = entry.units() > 0 ? entry.units() : 1;
--- a/src/main/java/larchridge/state/Fleet.java
+++ b/src/main/java/larchridge/state/EngineRegistry.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** The engines that this front's list has named, by what they can do now. */
-public final class Fleet {
+public final class EngineRegistry {
     public final List<Engine> readers = new ArrayList<>();
     public final List<Engine> writers = new ArrayList<>();
 
@@ -15,17 +15,17 @@
     private final List<Engine> engines = new ArrayList<>();
 
     /** A complete list counts as news of the end of every engine that it lacks. */
-    public void take(List<Listing> entries, boolean complete, double nowMs) {
+    public void take(List<EndpointUpdate> entries, boolean complete, double nowMs) {
         if (complete) {
-            engines.forEach(engine -> engine.mode = Mode.GONE);
+            engines.forEach(engine -> engine.mode = EndpointState.GONE);
         }
-        for (Listing entry : entries) {
+        for (EndpointUpdate entry : entries) {
             Engine engine = entry.engine();
             if (!engines.contains(engine)) {
                 engines.add(engine);
             }
-            if (entry.mode() == Mode.GONE) {
-                engine.mode = Mode.GONE;
+            if (entry.mode() == EndpointState.GONE) {
+                engine.mode = EndpointState.GONE;
                 continue;
             }
             // Danger: a new process under an old id keeps nothing of what the old one was known
@@ -35,13 +35,13 @@
             }
             engine.take(entry);
         }
-        engines.removeIf(engine -> engine.mode == Mode.GONE && engine.attempts.isEmpty());
+        engines.removeIf(engine -> engine.mode == EndpointState.GONE && engine.attempts.isEmpty());
         engines.sort(Comparator.comparingLong(engine -> engine.label));
         lists++;
         readers.clear();
         writers.clear();
         for (Engine engine : engines) {
-            if (engine.mode == Mode.READY) {
+            if (engine.mode == EndpointState.READY) {
                 (engine.role == Role.READER ? readers : writers).add(engine);
             }
         }
--- a/src/main/java/larchridge/state/Gen.java
+++ b/src/main/java/larchridge/state/Generation.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** A generation: one prompt that is owed one final answer. */
-public final class Gen {
+public final class Generation {
     public final String label;
-    public final Product product;
-    public final Account account;
-    public final Text session;
-    public final Text prefix;
+    public final TrafficClass product;
+    public final TenantQuota account;
+    public final CachedPrefix session;
+    public final CachedPrefix prefix;
     public final int promptToks;
     public final int sharedToks;
     public final int maxToks;
@@ -64,12 +64,12 @@
     /** The fewest tokens that any reader must read for it. */
     public double leastReadToks;
 
-    public Gen(
+    public Generation(
             String label,
-            Product product,
-            Account account,
-            Text session,
-            Text prefix,
+            TrafficClass product,
+            TenantQuota account,
+            CachedPrefix session,
+            CachedPrefix prefix,
             int promptToks,
             int sharedToks,
             int maxToks,
--- a/src/main/java/larchridge/state/Texts.java
+++ b/src/main/java/larchridge/state/PrefixRegistry.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /** Texts by id; the one unused for longest goes when there are too many to keep. */
-public final class Texts extends LinkedHashMap<String, Text> {
+public final class PrefixRegistry extends LinkedHashMap<String, CachedPrefix> {
     private static final long serialVersionUID = 1;
     private static final int MOST = 20_000;
 
-    public Texts() {
+    public PrefixRegistry() {
         super(16, 0.75f, true);
     }
 
     @Override
-    protected boolean removeEldestEntry(Map.Entry<String, Text> eldest) {
+    protected boolean removeEldestEntry(Map.Entry<String, CachedPrefix> eldest) {
         return size() > MOST;
     }
 }
--- a/src/main/java/larchridge/state/Terms.java
+++ b/src/main/java/larchridge/state/RoutingSettings.java
@@ -4,7 +4,7 @@
  * What a front is told when it starts: what is owed to whom, and what is allowed. Times are
  * milliseconds.
  */
-public final class Terms {
+public final class RoutingSettings {
     public long seed;
     public int fronts;
     public String zone;
@@ -26,8 +26,8 @@
     public double tipMs;
     public double overShareRevenue;
 
-    public Terms copy() {
-        Terms copy = new Terms();
+    public RoutingSettings copy() {
+        RoutingSettings copy = new RoutingSettings();
         copy.seed = seed;
         copy.fronts = fronts;
         copy.zone = zone;
--- a/src/main/java/larchridge/state/Ring.java
+++ b/src/main/java/larchridge/state/SlidingWindow.java
@@ -1,12 +1,12 @@
 package larchridge.state;
 
 /** Sums over fixed buckets of time, used again in a ring. */
-public final class Ring {
+public final class SlidingWindow {
     private final double bucketMs;
     private final double[] sums;
     private long newest = Long.MIN_VALUE;
 
-    public Ring(int buckets, double bucketMs) {
+    public SlidingWindow(int buckets, double bucketMs) {
         this.bucketMs = bucketMs;
         this.sums = new double[buckets];
     }
--- a/src/main/java/larchridge/state/Mean.java
+++ b/src/main/java/larchridge/state/SlidingWindowMean.java
@@ -1,13 +1,13 @@
 package larchridge.state;
 
 /** A weighted mean over the last span of time, in fixed buckets. */
-public final class Mean {
-    private final Ring sums;
-    private final Ring weights;
+public final class SlidingWindowMean {
+    private final SlidingWindow sums;
+    private final SlidingWindow weights;
 
-    public Mean(int buckets, double bucketMs) {
-        sums = new Ring(buckets, bucketMs);
-        weights = new Ring(buckets, bucketMs);
+    public SlidingWindowMean(int buckets, double bucketMs) {
+        sums = new SlidingWindow(buckets, bucketMs);
+        weights = new SlidingWindow(buckets, bucketMs);
     }
 
     public void add(double nowMs, double amount, double weight) {
--- a/src/main/java/larchridge/state/Product.java
+++ b/src/main/java/larchridge/state/TrafficClass.java
@@ -1,10 +1,10 @@
 package larchridge.state;
 
 /** One kind of generation: what is promised for it, what it earns and whether it may run again. */
-public final class Product {
+public final class TrafficClass {
     public final String name;
     public final Effect effect;
-    public final Span span;
+    public final DeduplicationScope span;
     public final double memoryMs;
     public final double revenue;
     public final double lateRevenue;
@@ -12,10 +12,10 @@
     public final double sloMsPerTok;
     public final double tokMs;
 
-    public Product(
+    public TrafficClass(
             String name,
             Effect effect,
-            Span span,
+            DeduplicationScope span,
             double memoryMs,
             double revenue,
             double lateRevenue,
--- a/src/main/java/larchridge/virtual/Day.java
+++ b/src/main/java/larchridge/virtual/Day.java
@@ -16,11 +16,11 @@
 import larchridge.enginelink.Order;
 import larchridge.front.Ask;
 import larchridge.front.Client;
-import larchridge.front.Decider;
 import larchridge.front.Front;
 import larchridge.front.Open;
 import larchridge.front.World;
 import larchridge.metrics.Meters;
+import larchridge.policy.PolicyEvents;
 import larchridge.site.BadSite;
 import larchridge.site.Site;
 import larchridge.site.SiteReader;
@@ -84,7 +84,7 @@
         }
     }
 
-    private Day(Script script, Decider.Maker module) {
+    private Day(Script script, PolicyEvents.Factory module) {
         this.script = script;
         random = new Random(script.seed());
         town = new Town(world, log, Drill.makes(script), script.seed());
@@ -119,11 +119,11 @@
 
     /** Plays a script with the module of this program. */
     public static Result play(Script script) {
-        return play(script, Decider::choice);
+        return play(script, PolicyEvents::choice);
     }
 
     /** Plays a script with fronts that decide otherwise. */
-    public static Result play(Script script, Decider.Maker module) {
+    public static Result play(Script script, PolicyEvents.Factory module) {
         return new Day(script, module).run();
     }
 
--- a/src/main/java/larchridge/virtual/Town.java
+++ b/src/main/java/larchridge/virtual/Town.java
@@ -21,9 +21,9 @@
 import larchridge.front.World;
 import larchridge.inventory.Row;
 import larchridge.standin.Make;
-import larchridge.state.Mode;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.EndpointState;
+import larchridge.state.LoadReport;
 import larchridge.state.Role;
 
 /**
@@ -125,7 +125,7 @@
                                 1,
                                 make.memoryToks(),
                                 seat.listedStartMs,
-                                seat.drains ? Mode.DRAINING : Mode.READY));
+                                seat.drains ? EndpointState.DRAINING : EndpointState.READY));
             }
         }
         return rows;
@@ -189,7 +189,7 @@
                         visit.talk.tag,
                         visit.job.made(),
                         null);
-                visit.back(() -> visit.over(Outcome.CUT));
+                visit.back(() -> visit.over(AttemptOutcome.CUT));
             }
             for (Job state : states.values()) {
                 log.add(
@@ -263,8 +263,8 @@
             kick();
         }
 
-        Report report() {
-            return new Report(
+        LoadReport report() {
+            return new LoadReport(
                     model.inflight(),
                     model.queue(),
                     Math.min(1, model.heldShare()),
@@ -276,7 +276,7 @@
                 return;
             }
             if (!up) {
-                visit.back(() -> visit.over(Outcome.UNREACHABLE));
+                visit.back(() -> visit.over(AttemptOutcome.UNREACHABLE));
                 return;
             }
             log.add(
@@ -293,9 +293,9 @@
                             : make.role() == Role.READER
                                     || visit.job.kind == Job.Kind.BOTH && make.role() != Role.BOTH;
             if (faulty || wrong) {
-                leave(visit, faulty ? Outcome.FAULT : Outcome.NO_STATE);
+                leave(visit, faulty ? AttemptOutcome.FAULT : AttemptOutcome.NO_STATE);
             } else if (full || !model.submit(visit.job)) {
-                leave(visit, Outcome.FULL);
+                leave(visit, AttemptOutcome.FULL);
             } else {
                 visit.lost = random.nextDouble() < lostShare;
                 visit.breakAfter =
@@ -305,7 +305,7 @@
         }
 
         /** An attempt ends here with something else than what it came for. */
-        private void leave(Visit visit, Outcome outcome) {
+        private void leave(Visit visit, AttemptOutcome outcome) {
             if (visits.remove(visit)) {
                 if (!states.containsKey(visit.job.rid)) {
                     model.drop(visit.job);
@@ -318,7 +318,7 @@
                         visit.job.made(),
                         null);
                 if (outcome != null) {
-                    Report report = report();
+                    LoadReport report = report();
                     visit.back(() -> visit.over(outcome, report));
                 }
                 kick();
@@ -372,7 +372,7 @@
             if (forgetful) {
                 release(job.rid);
             }
-            Report report = report();
+            LoadReport report = report();
             if (!visit.lost) {
                 visit.back(
                         () ->
@@ -389,7 +389,7 @@
             Visit visit = (Visit) job.owner;
             Seat from = seats.get(visit.from.engine);
             if (!from.up || !from.model.holds(visit.from.rid)) {
-                world.in(2 * NEAR_MS, () -> leave(visit, Outcome.NO_STATE));
+                world.in(2 * NEAR_MS, () -> leave(visit, AttemptOutcome.NO_STATE));
                 return;
             }
             int mine = life;
@@ -404,7 +404,7 @@
                                     return;
                                 }
                                 if (!from.up || !from.model.holds(visit.from.rid)) {
-                                    leave(visit, Outcome.NO_STATE);
+                                    leave(visit, AttemptOutcome.NO_STATE);
                                     return;
                                 }
                                 from.release(visit.from.rid);
@@ -431,7 +431,7 @@
                 visits.remove(visit);
                 model.drop(job);
                 log.add(Seen.Kind.LEG_OUT, make.id(), job.rid, visit.talk.tag, job.made(), null);
-                visit.back(() -> visit.over(Outcome.CUT));
+                visit.back(() -> visit.over(AttemptOutcome.CUT));
             } else if (!visit.lost) {
                 int made = job.made();
                 visit.back(() -> visit.piece(made));
@@ -443,7 +443,7 @@
             Visit visit = (Visit) job.owner;
             if (!visit.lost) {
                 answered(visit);
-                Report report = report();
+                LoadReport report = report();
                 visit.back(() -> visit.done(job, report));
             }
         }
@@ -539,7 +539,7 @@
                 world.in(
                         ms,
                         () -> {
-                            Report report = seat.up ? seat.report() : null;
+                            LoadReport report = seat.up ? seat.report() : null;
                             double wait = Math.max(0, seat.pausedUntilMs - world.nowMs());
                             world.in(
                                     wait + ms,
@@ -590,7 +590,7 @@
                     0,
                     () -> {
                         if (!isOver && order.check().refusal() != null) {
-                            over(Outcome.NOT_SENT);
+                            over(AttemptOutcome.NOT_SENT);
                         } else {
                             world.in(ms, () -> seat.arrive(this));
                         }
@@ -608,7 +608,7 @@
                     });
         }
 
-        void read(Waiting state, int kept, int toks, Report report) {
+        void read(Waiting state, int kept, int toks, LoadReport report) {
             isOver = true;
             hearing.read(state, kept, toks, report);
         }
@@ -624,10 +624,10 @@
             }
         }
 
-        void done(Job job, Report report) {
+        void done(Job job, LoadReport report) {
             isOver = true;
             hearing.ended(
-                    Outcome.STREAMED,
+                    AttemptOutcome.STREAMED,
                     report,
                     new Ending(
                             job.length < order.maxToks()
@@ -638,26 +638,26 @@
                             job.made()));
         }
 
-        void over(Outcome outcome) {
+        void over(AttemptOutcome outcome) {
             over(outcome, null);
         }
 
-        void over(Outcome outcome, Report report) {
+        void over(AttemptOutcome outcome, LoadReport report) {
             isOver = true;
             hearing.ended(outcome, report, null);
         }
 
         @Override
         public void cancel() {
-            callOff(Outcome.CANCELLED);
+            callOff(AttemptOutcome.CANCELLED);
         }
 
         @Override
         public void expire() {
-            callOff(Outcome.TIMED_OUT);
+            callOff(AttemptOutcome.TIMED_OUT);
         }
 
-        private void callOff(Outcome outcome) {
+        private void callOff(AttemptOutcome outcome) {
             if (isOver) {
                 return;
             }
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -6,10 +6,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import larchridge.enginelink.Spot;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
 import larchridge.state.Role;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -33,7 +33,7 @@
     private final Violations violations = new Violations(new SimpleMeterRegistry());
     private final RequestAudit audit =
             new RequestAudit(
-                    new AuditTerms(GRACE_MS, RELEASE_MS, 8000, 0.3, 4, 1500, false),
+                    new AuditSettings(GRACE_MS, RELEASE_MS, 8000, 0.3, 4, 1500, false),
                     () -> nowMs,
                     violations,
                     new CloseCounters(new SimpleMeterRegistry()));
@@ -47,9 +47,11 @@
         audit.listed(engines);
     }
 
-    private void accept(String id, Effect effect, Span span) {
+    private void accept(String id, Effect effect, DeduplicationScope span) {
         audit.accepted(
-                id, new Product("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60), nowMs + TOLD_MS);
+                id,
+                new TrafficClass("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60),
+                nowMs + TOLD_MS);
     }
 
     private int write(String id, Spot spot, boolean reads) {
@@ -57,11 +59,11 @@
     }
 
     private void readAndHold() {
-        accept(ID, Effect.IDEMPOTENT, Span.ALL);
+        accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
         audit.read(ID, write(ID, READER, true));
     }
 
-    private void writeThatMayHaveRun(Effect effect, Span span) {
+    private void writeThatMayHaveRun(Effect effect, DeduplicationScope span) {
         accept(ID, effect, span);
         audit.read(ID, write(ID, READER, true));
         audit.ended(ID, write(ID, WRITER, false), "CUT", false, false);
@@ -99,36 +101,36 @@
     private void breach(Invariant invariant) {
         switch (invariant) {
             case ONE_FINAL_ANSWER -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.answered(ID, "throttled");
                 audit.answered(ID, "throttled");
             }
             case ANSWER_IN_TIME -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 nowMs += TOLD_MS + 600;
                 audit.check();
             }
             case NO_ATTEMPT_AFTER_CLOSE -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.clientClosed(ID);
                 write(ID, READER, true);
             }
             case NO_ATTEMPT_AFTER_ANSWER -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.answered(ID, "throttled");
                 write(ID, READER, true);
             }
             case NO_FORBIDDEN_COPY -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 write(ID, READER, true);
                 write(ID, READER, true);
             }
             case NO_FORBIDDEN_REPEAT -> {
-                writeThatMayHaveRun(Effect.SIDE_EFFECTING, Span.ALL);
+                writeThatMayHaveRun(Effect.SIDE_EFFECTING, DeduplicationScope.ALL);
                 write(ID, WRITER, false);
             }
             case NO_SEND_PAST_GRACE -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 engines.put(READER, new AuditedEngine(false, Role.READER, "a", 1, 1, 0));
                 audit.listed(engines);
                 nowMs += GRACE_MS + 1;
@@ -136,12 +138,12 @@
             }
             case COLD_BUDGET -> {
                 for (int i = 0; i < 4; i++) {
-                    accept(ID + i, Effect.IDEMPOTENT, Span.ALL);
+                    accept(ID + i, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                     write(ID + i, COLD, false);
                 }
             }
             case TIME_TOLD -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.attemptWritten(ID, READER, true, TOLD_MS + 151);
             }
             case STATE_RELEASED -> {
@@ -151,7 +153,7 @@
                 audit.check();
             }
             case ALL_GIVEN_BACK -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 write(ID, READER, true);
                 audit.answered(ID, "throttled");
                 nowMs += 31_000;
@@ -172,7 +174,7 @@
 
     @Test
     void repeatInItsGroupAndWindowBreaksNothing() {
-        writeThatMayHaveRun(Effect.DEDUPLICATED, Span.RACK);
+        writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         nowMs += WINDOW_MS - 1;
         write(ID, WRITER, false);
         assertEquals(0, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
@@ -180,7 +182,7 @@
 
     @Test
     void repeatAfterItsWindowOrOutsideItsGroupIsCounted() {
-        writeThatMayHaveRun(Effect.DEDUPLICATED, Span.RACK);
+        writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         write(ID, OTHER_RACK, false);
         assertEquals(1, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
         audit.ended(ID, 2, "CUT", false, false);
--- a/src/test/java/larchridge/drill/RulesTest.java
+++ b/src/test/java/larchridge/drill/RulesTest.java
@@ -7,22 +7,22 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import larchridge.standin.Make;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
 import larchridge.state.Role;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
 class RulesTest {
     private final List<Seen> log = new ArrayList<>();
-    private final Map<String, Product> products =
+    private final Map<String, TrafficClass> products =
             Map.of(
                     "once",
-                    product(Effect.SIDE_EFFECTING, Span.RACK),
+                    product(Effect.SIDE_EFFECTING, DeduplicationScope.RACK),
                     "zoned",
-                    product(Effect.DEDUPLICATED, Span.ZONE),
+                    product(Effect.DEDUPLICATED, DeduplicationScope.ZONE),
                     "free",
-                    product(Effect.IDEMPOTENT, Span.ALL));
+                    product(Effect.IDEMPOTENT, DeduplicationScope.ALL));
     private final Map<Long, Make> makes =
             Map.of(
                     1L,
@@ -32,8 +32,8 @@
                     3L,
                     Make.of(3, Role.WRITER, "b", 2));
 
-    private static Product product(Effect effect, Span span) {
-        return new Product("p", effect, span, 5000, 1, 0, 100, 0, 10);
+    private static TrafficClass product(Effect effect, DeduplicationScope span) {
+        return new TrafficClass("p", effect, span, 5000, 1, 0, 100, 0, 10);
     }
 
     private void seen(
--- a/src/test/java/larchridge/drill/WrongFront.java
+++ b/src/test/java/larchridge/drill/WrongFront.java
@@ -92,7 +92,10 @@
     private Row pick(Role role, int place) {
         List<Row> fit =
                 rows.stream()
-                        .filter(r -> r.role() == role && r.mode() == larchridge.state.Mode.READY)
+                        .filter(
+                                r ->
+                                        r.role() == role
+                                                && r.mode() == larchridge.state.EndpointState.READY)
                         .toList();
         return fit.get(Math.floorMod(place, fit.size()));
     }
--- a/src/test/java/larchridge/enginelink/CompletionsLinkTest.java
+++ b/src/test/java/larchridge/enginelink/CompletionsLinkTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -287,7 +287,7 @@
     @Test
     void probeTellsTheLoadOrNothing() throws Exception {
         answer(Wire.status(200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
-        CompletableFuture<Report> told = new CompletableFuture<>();
+        CompletableFuture<LoadReport> told = new CompletableFuture<>();
         wire.on(
                 () -> {
                     wire.link().probe(wire.spot, (answered, report) -> told.complete(report));
@@ -295,7 +295,7 @@
                 });
         assertEquals(4, told.get(5, TimeUnit.SECONDS).inflight());
         wire.engine = (socket, request) -> {};
-        CompletableFuture<Report> silent = new CompletableFuture<>();
+        CompletableFuture<LoadReport> silent = new CompletableFuture<>();
         wire.on(
                 () -> {
                     wire.link().probe(wire.spot, (answered, report) -> silent.complete(report));
--- a/src/test/java/larchridge/enginelink/VerdictTest.java
+++ b/src/test/java/larchridge/enginelink/VerdictTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import larchridge.state.Outcome;
+import larchridge.state.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 class VerdictTest {
@@ -17,44 +17,44 @@
 
     @Test
     void neverWrittenIsProofOfNoRun() {
-        assertEquals(Outcome.UNREACHABLE, verdict.outcome());
+        assertEquals(AttemptOutcome.UNREACHABLE, verdict.outcome());
         verdict.called(false);
-        assertEquals(Outcome.NOT_SENT, verdict.outcome());
+        assertEquals(AttemptOutcome.NOT_SENT, verdict.outcome());
     }
 
     @Test
     void closedBeforeAnyByteMayHaveRun() {
         verdict.written();
-        assertEquals(Outcome.CUT, verdict.outcome());
+        assertEquals(AttemptOutcome.CUT, verdict.outcome());
     }
 
     @Test
     void fullOnlyWhereTheWholeRefusalCame() {
         verdict.written();
         verdict.answered(503);
-        assertEquals(Outcome.CUT, verdict.outcome());
+        assertEquals(AttemptOutcome.CUT, verdict.outcome());
         verdict.clean();
-        assertEquals(Outcome.FULL, verdict.outcome());
+        assertEquals(AttemptOutcome.FULL, verdict.outcome());
     }
 
     @Test
     void stateUnknownOnlyInTheEnginesOwnWord() {
         answered(404, "not_found");
-        assertEquals(Outcome.FAULT, verdict.outcome());
+        assertEquals(AttemptOutcome.FAULT, verdict.outcome());
         verdict.errorCode(Verdict.STATE_UNKNOWN);
-        assertEquals(Outcome.NO_STATE, verdict.outcome());
+        assertEquals(AttemptOutcome.NO_STATE, verdict.outcome());
     }
 
     @Test
     void serverErrorMayHaveRun() {
         answered(500, null);
-        assertEquals(Outcome.FAULT, verdict.outcome());
+        assertEquals(AttemptOutcome.FAULT, verdict.outcome());
     }
 
     @Test
     void streamThatEndsEarlyIsCutAlsoIfCleanly() {
         answered(200, null);
-        assertEquals(Outcome.CUT, verdict.outcome());
+        assertEquals(AttemptOutcome.CUT, verdict.outcome());
     }
 
     @Test
@@ -62,7 +62,7 @@
         verdict.written();
         verdict.answered(200);
         verdict.finished();
-        assertEquals(Outcome.STREAMED, verdict.outcome());
+        assertEquals(AttemptOutcome.STREAMED, verdict.outcome());
     }
 
     @Test
@@ -71,20 +71,20 @@
         verdict.answered(200);
         verdict.finished();
         verdict.called(false);
-        assertEquals(Outcome.STREAMED, verdict.outcome());
+        assertEquals(AttemptOutcome.STREAMED, verdict.outcome());
     }
 
     @Test
     void timeUpAndCalledOffMayHaveRun() {
         verdict.written();
         verdict.called(true);
-        assertEquals(Outcome.TIMED_OUT, verdict.outcome());
+        assertEquals(AttemptOutcome.TIMED_OUT, verdict.outcome());
     }
 
     @Test
     void garbageMayHaveRun() {
         answered(200, null);
         verdict.garbled();
-        assertEquals(Outcome.FAULT, verdict.outcome());
+        assertEquals(AttemptOutcome.FAULT, verdict.outcome());
     }
 }
--- a/src/test/java/larchridge/enginelink/Wire.java
+++ b/src/test/java/larchridge/enginelink/Wire.java
@@ -14,8 +14,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import larchridge.site.Limit;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.LoadReport;
 
 /**
  * An engine whose every byte a test decides, a link to it, and ears that write down what the link
@@ -29,7 +29,7 @@
     final Limit limit = new Limit();
     volatile BiConsumer<NetSocket, String> engine = (socket, request) -> {};
     volatile Ending ending;
-    volatile Report report;
+    volatile LoadReport report;
     Spot spot;
     private final Context loop = vertx.getOrCreateContext();
     private final NetServer server;
@@ -118,7 +118,7 @@
                 new Hearing() {
                     @Override
                     public void read(
-                            StateHandle state, int keptToks, int promptToks, Report told2) {
+                            StateHandle state, int keptToks, int promptToks, LoadReport told2) {
                         report = told2;
                         told.add("read " + keptToks);
                     }
@@ -139,7 +139,7 @@
                     }
 
                     @Override
-                    public void ended(Outcome outcome, Report told2, Ending how) {
+                    public void ended(AttemptOutcome outcome, LoadReport told2, Ending how) {
                         ending = how;
                         report = told2;
                         told.add(outcome.name());
--- a/src/test/java/larchridge/front/PatienceTest.java
+++ b/src/test/java/larchridge/front/PatienceTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import larchridge.site.Offer;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
 class PatienceTest {
-    private final Product product =
-            new Product("p", Effect.IDEMPOTENT, Span.ALL, 0, 1, 0, 1000, 0, 50);
+    private final TrafficClass product =
+            new TrafficClass("p", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0, 1000, 0, 50);
     private final Offer offer =
             new Offer(product, product, "", 5000, 1, 100, larchridge.tokens.Measure.GUESSED);
 
--- a/src/test/java/larchridge/inventory/ListReaderTest.java
+++ b/src/test/java/larchridge/inventory/ListReaderTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
@@ -41,9 +41,9 @@
                         1,
                         Double.NaN,
                         1769846400000.0,
-                        Mode.READY),
+                        EndpointState.READY),
                 first);
-        assertEquals(Mode.DRAINING, ListReader.read("e", GOOD).get(1).mode());
+        assertEquals(EndpointState.DRAINING, ListReader.read("e", GOOD).get(1).mode());
     }
 
     @Test
--- a/src/test/java/larchridge/node/link/ConnectionTest.java
+++ b/src/test/java/larchridge/node/link/ConnectionTest.java
@@ -21,8 +21,8 @@
 import larchridge.enginelink.Spot;
 import larchridge.enginelink.StateHandle;
 import larchridge.front.World;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.LoadReport;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -60,11 +60,11 @@
 
     /** Hears one attempt. */
     private static final class Heard implements Hearing {
-        private final List<Outcome> outcomes = new ArrayList<>();
+        private final List<AttemptOutcome> outcomes = new ArrayList<>();
         private int reads;
 
         @Override
-        public void read(StateHandle state, int keptToks, int promptToks, Report report) {
+        public void read(StateHandle state, int keptToks, int promptToks, LoadReport report) {
             reads++;
         }
 
@@ -84,7 +84,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, Report report, Ending ending) {
+        public void ended(AttemptOutcome outcome, LoadReport report, Ending ending) {
             outcomes.add(outcome);
         }
     }
@@ -139,7 +139,7 @@
         Heard second = new Heard();
         read("9b1f03aa5c7e2d42", false, second);
         run(CLOSED_MS - KEEP_ALIVE_MS / 2);
-        assertEquals(List.of(Outcome.NOT_SENT), second.outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), second.outcomes);
         assertEquals(1, opened.size());
         // Its engine would close it after the whole time, and a request written then may have run
         // for all that is known.
@@ -155,7 +155,7 @@
         connecting.get(0).trySuccess();
         run(10);
         assertEquals("", sent(opened.get(0)));
-        assertEquals(List.of(Outcome.NOT_SENT), heard.outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), heard.outcomes);
     }
 
     @Test
@@ -171,7 +171,7 @@
         run(10);
         assertEquals(2, opened.size());
         assertEquals(0, first.reads + second.reads);
-        assertEquals(List.of(Outcome.CANCELLED), first.outcomes);
+        assertEquals(List.of(AttemptOutcome.CANCELLED), first.outcomes);
         assertTrue(second.outcomes.isEmpty());
         answer(opened.get(1));
         run(10);
@@ -190,14 +190,14 @@
         opened.get(0).close();
         connecting.get(0).tryFailure(new java.net.ConnectException("refused"));
         run(10);
-        assertEquals(List.of(Outcome.UNREACHABLE), before.outcomes);
+        assertEquals(List.of(AttemptOutcome.UNREACHABLE), before.outcomes);
         connects = true;
         Heard after = new Heard();
         read("9b1f03aa5c7e2d42", true, after);
         assertTrue(sent(opened.get(1)).startsWith("POST "));
         opened.get(1).close();
         run(10);
-        assertEquals(List.of(Outcome.CUT), after.outcomes);
+        assertEquals(List.of(AttemptOutcome.CUT), after.outcomes);
         assertNull(opened.get(1).readOutbound());
     }
 }
--- a/src/test/java/larchridge/node/link/LoadTextTest.java
+++ b/src/test/java/larchridge/node/link/LoadTextTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 import org.junit.jupiter.api.Test;
 
 class LoadTextTest {
@@ -13,7 +13,7 @@
 
     @Test
     void figuresAreReadByTheirNames() {
-        Report report = loads.read("concurrent=7,x0=0.61,x1=1.5,other=4");
+        LoadReport report = loads.read("concurrent=7,x0=0.61,x1=1.5,other=4");
         assertEquals(7, report.inflight());
         assertEquals(0.61, report.heldShare());
         assertEquals(1500, report.toRead());
--- a/src/test/java/larchridge/node/link/VerdictTest.java
+++ b/src/test/java/larchridge/node/link/VerdictTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import larchridge.state.Outcome;
+import larchridge.state.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 class VerdictTest {
@@ -19,16 +19,16 @@
 
     @Test
     void outcomesByThePagesTable() {
-        assertEquals(Outcome.FAULT, written(500, false).outcome());
-        assertEquals(Outcome.FULL, written(503, true).outcome());
-        assertEquals(Outcome.FULL, written(504, true).outcome());
-        assertEquals(Outcome.NO_STATE, written(410, true).outcome());
-        assertEquals(Outcome.UNREACHABLE, new Verdict().outcome());
-        assertEquals(Outcome.CUT, written(0, false).outcome());
-        assertEquals(Outcome.CUT, written(200, false).outcome());
+        assertEquals(AttemptOutcome.FAULT, written(500, false).outcome());
+        assertEquals(AttemptOutcome.FULL, written(503, true).outcome());
+        assertEquals(AttemptOutcome.FULL, written(504, true).outcome());
+        assertEquals(AttemptOutcome.NO_STATE, written(410, true).outcome());
+        assertEquals(AttemptOutcome.UNREACHABLE, new Verdict().outcome());
+        assertEquals(AttemptOutcome.CUT, written(0, false).outcome());
+        assertEquals(AttemptOutcome.CUT, written(200, false).outcome());
         Verdict whole = written(200, false);
         whole.whole();
-        assertEquals(Outcome.STREAMED, whole.outcome());
+        assertEquals(AttemptOutcome.STREAMED, whole.outcome());
     }
 
     @Test
@@ -45,10 +45,10 @@
     void calledOffProvesNothingOnceWrittenAndAllBefore() {
         Verdict written = written(0, false);
         written.called(false);
-        assertEquals(Outcome.CANCELLED, written.outcome());
+        assertEquals(AttemptOutcome.CANCELLED, written.outcome());
         Verdict late = written(0, false);
         late.called(true);
-        assertEquals(Outcome.TIMED_OUT, late.outcome());
+        assertEquals(AttemptOutcome.TIMED_OUT, late.outcome());
         Verdict early = new Verdict();
         early.called(false);
         assertTrue(early.outcome().neverRan);
--- a/src/test/java/larchridge/RepeatRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -1,34 +1,35 @@
-package larchridge;
+package larchridge.policy;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
-import larchridge.state.Outcome;
-import larchridge.state.Product;
-import larchridge.state.Span;
+import larchridge.state.Generation;
+import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
 /** Repeats at the two moments at which they are judged. */
-class RepeatRuleTest {
+class IdempotencyRuleTest {
     private static final double WINDOW_MS = 1000;
     private static final double SENT_MS = 50_000;
 
     private final Engine engine = new Engine(1);
 
-    private Attempt attempt(Gen gen, double sentMs) {
+    private Attempt attempt(Generation gen, double sentMs) {
         Attempt attempt = new Attempt(gen, engine, false, sentMs, 10, 0);
         attempt.open();
         return attempt;
     }
 
-    private Gen cutOnce(Effect effect) {
-        Product product = new Product("p", effect, Span.ALL, WINDOW_MS, 1, 0, 1000, 0, 60);
-        Gen gen =
-                new Gen(
+    private Generation cutOnce(Effect effect) {
+        TrafficClass product =
+                new TrafficClass("p", effect, DeduplicationScope.ALL, WINDOW_MS, 1, 0, 1000, 0, 60);
+        Generation gen =
+                new Generation(
                         "g",
                         product,
                         null,
@@ -42,7 +43,7 @@
                         SENT_MS,
                         SENT_MS + 9000);
         Attempt first = attempt(gen, SENT_MS);
-        first.outcome = Outcome.CUT;
+        first.outcome = AttemptOutcome.CUT;
         first.close();
         return gen;
     }
@@ -50,21 +51,23 @@
     /** Its connection came up so late that engines have forgotten the first attempt by then. */
     @Test
     void repeatDecidedInsideTheWindowIsNotWrittenAfterIt() {
-        Gen gen = cutOnce(Effect.DEDUPLICATED);
-        assertTrue(RepeatRule.mayDecide(gen, engine, SENT_MS + 790, false));
+        Generation gen = cutOnce(Effect.DEDUPLICATED);
+        assertTrue(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 790, false));
         Attempt again = attempt(gen, SENT_MS + 790);
-        assertTrue(RepeatRule.mayWrite(again, SENT_MS + 800, false));
-        assertFalse(RepeatRule.mayWrite(again, SENT_MS + 1040, false));
+        assertTrue(IdempotencyRule.mayWrite(again, SENT_MS + 800, false));
+        assertFalse(IdempotencyRule.mayWrite(again, SENT_MS + 1040, false));
     }
 
     /** Between reading the clock and writing a process may be held up for 0.15 s. */
     @Test
     void shortWindowLeavesRoomForAProcessThatIsHeldUp() {
-        Gen gen = cutOnce(Effect.DEDUPLICATED);
-        assertFalse(RepeatRule.mayWrite(attempt(gen, SENT_MS + 860), SENT_MS + 860, false));
-        Product brief = new Product("b", Effect.DEDUPLICATED, Span.ALL, 400, 1, 0, 1000, 0, 60);
-        Gen other =
-                new Gen(
+        Generation gen = cutOnce(Effect.DEDUPLICATED);
+        assertFalse(IdempotencyRule.mayWrite(attempt(gen, SENT_MS + 860), SENT_MS + 860, false));
+        TrafficClass brief =
+                new TrafficClass(
+                        "b", Effect.DEDUPLICATED, DeduplicationScope.ALL, 400, 1, 0, 1000, 0, 60);
+        Generation other =
+                new Generation(
                         "h",
                         brief,
                         null,
@@ -78,24 +81,24 @@
                         SENT_MS,
                         SENT_MS + 9000);
         Attempt first = attempt(other, SENT_MS);
-        first.outcome = Outcome.CUT;
+        first.outcome = AttemptOutcome.CUT;
         first.close();
-        assertTrue(RepeatRule.mayDecide(other, engine, SENT_MS + 240, false));
-        assertFalse(RepeatRule.mayDecide(other, engine, SENT_MS + 260, false));
+        assertTrue(IdempotencyRule.mayDecide(other, engine, SENT_MS + 240, false));
+        assertFalse(IdempotencyRule.mayDecide(other, engine, SENT_MS + 260, false));
     }
 
     @Test
     void whatMayHaveHadAnEffectIsNeverRepeated() {
-        Gen gen = cutOnce(Effect.SIDE_EFFECTING);
-        assertFalse(RepeatRule.mayDecide(gen, engine, SENT_MS + 1, true));
-        assertFalse(RepeatRule.mayWrite(attempt(gen, SENT_MS + 1), SENT_MS + 1, true));
+        Generation gen = cutOnce(Effect.SIDE_EFFECTING);
+        assertFalse(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 1, true));
+        assertFalse(IdempotencyRule.mayWrite(attempt(gen, SENT_MS + 1), SENT_MS + 1, true));
     }
 
     @Test
     void copiesOfAnIdempotentOneGoOnlyWhereTheyAreAllowed() {
-        Gen gen = cutOnce(Effect.IDEMPOTENT);
+        Generation gen = cutOnce(Effect.IDEMPOTENT);
         attempt(gen, SENT_MS + 1);
-        assertTrue(RepeatRule.mayDecide(gen, engine, SENT_MS + 2, true));
-        assertFalse(RepeatRule.mayDecide(gen, engine, SENT_MS + 2, false));
+        assertTrue(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 2, true));
+        assertFalse(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 2, false));
     }
 }
--- a/src/test/java/larchridge/Stage.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -1,31 +1,31 @@
-package larchridge;
+package larchridge.policy;
 
 import java.util.ArrayList;
 import java.util.List;
 import larchridge.state.Attempt;
+import larchridge.state.CachedPrefix;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
+import larchridge.state.EndpointState;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
-import larchridge.state.Listing;
-import larchridge.state.Mode;
-import larchridge.state.Product;
+import larchridge.state.Generation;
 import larchridge.state.Role;
-import larchridge.state.Span;
-import larchridge.state.Terms;
-import larchridge.state.Text;
+import larchridge.state.RoutingSettings;
+import larchridge.state.TrafficClass;
 
 /** A host that writes down what it is asked for, and short ways to build state. */
-final class Stage implements Host {
+final class RoutingPolicyFixture implements PolicyActions {
     /** Times that the module has asked to be woken. */
     int wakes;
 
     final List<String> said = new ArrayList<>();
     final List<Attempt> sent = new ArrayList<>();
-    final Terms terms = new Terms();
+    final RoutingSettings terms = new RoutingSettings();
     double now = 100_000;
-    Choice choice;
+    RoutingPolicy choice;
 
-    Stage() {
+    RoutingPolicyFixture() {
         terms.fronts = 2;
         terms.zone = "z";
         terms.maxAttempts = 5;
@@ -39,36 +39,41 @@
         terms.tipMs = 1000;
     }
 
-    Choice start() {
-        choice = new Choice(terms, this);
+    RoutingPolicy start() {
+        choice = new RoutingPolicy(terms, this);
         return choice;
     }
 
-    Listing listing(Engine engine, Role role, Mode mode, double startMs) {
-        return new Listing(engine, mode, startMs, 1, "z", 0, role, 200_000);
+    EndpointUpdate listing(Engine engine, Role role, EndpointState mode, double startMs) {
+        return new EndpointUpdate(engine, mode, startMs, 1, "z", 0, role, 200_000);
     }
 
     Engine[] fleet(int readers, int writers) {
         Engine[] fleet = new Engine[readers + writers];
-        List<Listing> list = new ArrayList<>();
+        List<EndpointUpdate> list = new ArrayList<>();
         for (int i = 0; i < fleet.length; i++) {
             fleet[i] = new Engine(i + 1);
-            list.add(listing(fleet[i], i < readers ? Role.READER : Role.WRITER, Mode.READY, 0));
+            list.add(
+                    listing(
+                            fleet[i],
+                            i < readers ? Role.READER : Role.WRITER,
+                            EndpointState.READY,
+                            0));
         }
         choice.listed(list, true);
         return fleet;
     }
 
-    static Product product(Effect effect, Span span) {
-        return new Product("p", effect, span, 5000, 1, 0.1, 1000, 0.04, 60);
+    static TrafficClass product(Effect effect, DeduplicationScope span) {
+        return new TrafficClass("p", effect, span, 5000, 1, 0.1, 1000, 0.04, 60);
     }
 
-    Gen gen(String label) {
-        return gen(label, product(Effect.IDEMPOTENT, Span.ALL), null, 1000);
+    Generation gen(String label) {
+        return gen(label, product(Effect.IDEMPOTENT, DeduplicationScope.ALL), null, 1000);
     }
 
-    Gen gen(String label, Product product, Text session, int promptToks) {
-        return new Gen(
+    Generation gen(String label, TrafficClass product, CachedPrefix session, int promptToks) {
+        return new Generation(
                 label,
                 product,
                 null,
@@ -108,17 +113,17 @@
     }
 
     @Override
-    public void release(Gen gen) {
+    public void release(Generation gen) {
         said.add("release " + gen.label);
     }
 
     @Override
-    public void throttle(Gen gen, double comeBackMs) {
+    public void throttle(Generation gen, double comeBackMs) {
         said.add("throttle " + gen.label);
     }
 
     @Override
-    public void terminate(Gen gen) {
+    public void terminate(Generation gen) {
         said.add("terminate " + gen.label);
     }
 
--- a/src/test/java/larchridge/ChoiceTest.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyTest.java
@@ -1,4 +1,4 @@
-package larchridge;
+package larchridge.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,22 +8,22 @@
 
 import java.util.List;
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.CachedPrefix;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
+import larchridge.state.EndpointState;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
-import larchridge.state.Listing;
-import larchridge.state.Mode;
-import larchridge.state.Outcome;
-import larchridge.state.Product;
-import larchridge.state.Report;
+import larchridge.state.Generation;
+import larchridge.state.LoadReport;
 import larchridge.state.Role;
-import larchridge.state.Span;
-import larchridge.state.Text;
+import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-class ChoiceTest {
-    private final Stage stage = new Stage();
-    private final Choice choice = stage.start();
+class RoutingPolicyTest {
+    private final RoutingPolicyFixture stage = new RoutingPolicyFixture();
+    private final RoutingPolicy choice = stage.start();
 
     @Test
     void takesTheReaderWithFewestTokens() {
@@ -36,9 +36,14 @@
     @Test
     void prefersTheLastReaderOfTheSession() {
         Engine[] fleet = stage.fleet(3, 1);
-        Text session = new Text("s");
+        CachedPrefix session = new CachedPrefix("s");
         session.sentTo(fleet[2], 500, stage.now);
-        choice.arrived(stage.gen("a", Stage.product(Effect.IDEMPOTENT, Span.ALL), session, 1000));
+        choice.arrived(
+                stage.gen(
+                        "a",
+                        RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
+                        session,
+                        1000));
         assertSame(fleet[2], stage.last().engine);
     }
 
@@ -54,7 +59,7 @@
     @Test
     void readThatEndsAfterItsGenerationLeavesNothingPinned() {
         stage.fleet(1, 1);
-        Gen gen = stage.gen("a");
+        Generation gen = stage.gen("a");
         choice.arrived(gen);
         choice.departed(gen);
         choice.readDone(stage.last(), 0, null, true);
@@ -65,10 +70,15 @@
     @Test
     void sideEffectingRunsNoSecondTime() {
         stage.fleet(1, 2);
-        choice.arrived(stage.gen("a", Stage.product(Effect.SIDE_EFFECTING, Span.ALL), null, 1000));
+        choice.arrived(
+                stage.gen(
+                        "a",
+                        RoutingPolicyFixture.product(Effect.SIDE_EFFECTING, DeduplicationScope.ALL),
+                        null,
+                        1000));
         choice.readDone(stage.last(), 0, null, false);
         Attempt write = stage.last();
-        choice.ended(write, Outcome.CUT, null, false);
+        choice.ended(write, AttemptOutcome.CUT, null, false);
         assertSame(write, stage.last());
         assertTrue(stage.heardOf("terminate a"));
         assertFalse(stage.heardOf("throttle"));
@@ -77,7 +87,8 @@
     @Test
     void sendsNothingToAnEngineThatDrains() {
         Engine[] fleet = stage.fleet(2, 1);
-        choice.listed(List.of(stage.listing(fleet[0], Role.READER, Mode.DRAINING, 0)), false);
+        choice.listed(
+                List.of(stage.listing(fleet[0], Role.READER, EndpointState.DRAINING, 0)), false);
         choice.arrived(stage.gen("a"));
         choice.arrived(stage.gen("b"));
         assertTrue(stage.sent.stream().allMatch(attempt -> attempt.engine == fleet[1]));
@@ -101,7 +112,9 @@
                         true);
             }
             stage.choice.listed(
-                    List.of(stage.listing(fleet[2], Role.READER, Mode.READY, stage.now - 500)),
+                    List.of(
+                            stage.listing(
+                                    fleet[2], Role.READER, EndpointState.READY, stage.now - 500)),
                     false);
             for (int i = 0; i < 4; i++) {
                 stage.now += 1000;
@@ -142,7 +155,7 @@
     @Test
     void finalAnswerComesBeforeTheTimeLimit() {
         stage.fleet(1, 1);
-        Gen gen = stage.gen("a");
+        Generation gen = stage.gen("a");
         choice.arrived(gen);
         stage.now = gen.limitMs - 1;
         choice.woken();
@@ -153,10 +166,11 @@
     @Test
     void stateOfAReaderThatLeftIsReleasedBeforeItIsReadAnew() {
         Engine[] fleet = stage.fleet(2, 1);
-        Gen gen = stage.gen("a");
+        Generation gen = stage.gen("a");
         choice.arrived(gen);
         Attempt read = stage.last();
-        choice.listed(List.of(stage.listing(read.engine, Role.READER, Mode.GONE, 0)), false);
+        choice.listed(
+                List.of(stage.listing(read.engine, Role.READER, EndpointState.GONE, 0)), false);
         choice.readDone(read, 0, null, false);
         assertTrue(stage.heardOf("release a"));
         assertSame(read.engine == fleet[0] ? fleet[1] : fleet[0], stage.last().engine);
@@ -165,7 +179,12 @@
     @Test
     void longPromptAtAnIdleReaderIsNotOverdue() {
         stage.fleet(2, 1);
-        choice.arrived(stage.gen("a", Stage.product(Effect.IDEMPOTENT, Span.ALL), null, 20_000));
+        choice.arrived(
+                stage.gen(
+                        "a",
+                        RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
+                        null,
+                        20_000));
         stage.now += 1500;
         choice.woken();
         assertFalse(stage.heardOf("cancel"));
@@ -174,8 +193,13 @@
     @Test
     void whatCanNoLongerMakeItsSloTimeIsGivenUpFromTheWait() {
         Engine[] fleet = stage.fleet(1, 1);
-        choice.arrived(stage.gen("big", Stage.product(Effect.IDEMPOTENT, Span.ALL), null, 20_000));
-        Gen gen = stage.gen("a");
+        choice.arrived(
+                stage.gen(
+                        "big",
+                        RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
+                        null,
+                        20_000));
+        Generation gen = stage.gen("a");
         choice.arrived(gen);
         stage.now += 1000;
         choice.woken();
@@ -186,10 +210,25 @@
     @Test
     void revenueGoesFirstWhenReadersAreShort() {
         stage.fleet(1, 1);
-        choice.arrived(stage.gen("big", Stage.product(Effect.IDEMPOTENT, Span.ALL), null, 11_000));
+        choice.arrived(
+                stage.gen(
+                        "big",
+                        RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
+                        null,
+                        11_000));
         Attempt big = stage.last();
         choice.arrived(stage.gen("cheap"));
-        Product dear = new Product("d", Effect.IDEMPOTENT, Span.ALL, 5000, 3, 0.1, 1000, 0.04, 60);
+        TrafficClass dear =
+                new TrafficClass(
+                        "d",
+                        Effect.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        5000,
+                        3,
+                        0.1,
+                        1000,
+                        0.04,
+                        60);
         choice.arrived(stage.gen("dear", dear, null, 8_000));
         stage.now += 300;
         choice.readDone(big, 0, null, false);
@@ -201,7 +240,7 @@
         Engine[] fleet = stage.fleet(1, 1);
         choice.arrived(stage.gen("a"));
         fleet[0].unreadToks = 50_000;
-        choice.ended(stage.last(), Outcome.FAULT, null, false);
+        choice.ended(stage.last(), AttemptOutcome.FAULT, null, false);
         choice.woken();
         assertEquals(1, stage.sent.size());
         fleet[0].unreadToks = 0;
@@ -225,10 +264,10 @@
     void retryIsReadByShortReadersOnly() {
         Engine[] fleet = stage.fleet(1, 1);
         fleet[0].unreadToks = 4000;
-        Gen retry =
-                new Gen(
+        Generation retry =
+                new Generation(
                         "r",
-                        Stage.product(Effect.IDEMPOTENT, Span.ALL),
+                        RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
                         null,
                         null,
                         null,
@@ -249,26 +288,31 @@
     @Test
     void sessionStaysWithItsReaderWhereReadingAnewTakesMore() {
         Engine[] fleet = stage.fleet(2, 1);
-        Text session = new Text("s");
+        CachedPrefix session = new CachedPrefix("s");
         session.sentTo(fleet[0], 9_000, stage.now);
         new Attempt(stage.gen("x"), fleet[0], true, stage.now, 4_000, 4_000).open();
-        choice.arrived(stage.gen("a", Stage.product(Effect.IDEMPOTENT, Span.ALL), session, 9_500));
+        choice.arrived(
+                stage.gen(
+                        "a",
+                        RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
+                        session,
+                        9_500));
         assertSame(fleet[0], stage.last().engine);
     }
 
     @Test
     void frontsThatNeverMetASessionAgreeOnItsReader() {
-        Text prefix = new Text("p");
+        CachedPrefix prefix = new CachedPrefix("p");
         for (int front = 0; front < 20; front++) {
             stage.terms.seed = front;
             stage.start();
             stage.fleet(8, 2);
             stage.choice.arrived(
-                    new Gen(
+                    new Generation(
                             "g",
-                            Stage.product(Effect.IDEMPOTENT, Span.ALL),
+                            RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
                             null,
-                            new Text("s"),
+                            new CachedPrefix("s"),
                             prefix,
                             3000,
                             2000,
@@ -285,11 +329,11 @@
     @Test
     void stateOfALostAnswerIsReleasedAfterTheLastAttempt() {
         stage.fleet(1, 1);
-        Gen gen = stage.gen("a");
+        Generation gen = stage.gen("a");
         choice.arrived(gen);
         choice.departed(gen);
         stage.said.clear();
-        choice.ended(stage.last(), Outcome.CANCELLED, null, true);
+        choice.ended(stage.last(), AttemptOutcome.CANCELLED, null, true);
         assertTrue(stage.heardOf("release a"));
     }
 
@@ -302,7 +346,7 @@
         inPlace.open();
         choice.readDone(read, 0, null, false);
         assertFalse(stage.heardOf("release"));
-        choice.ended(inPlace, Outcome.FAULT, null, false);
+        choice.ended(inPlace, AttemptOutcome.FAULT, null, false);
         assertEquals(2, stage.sent.size());
         assertSame(Role.WRITER, stage.last().engine.role);
     }
@@ -323,7 +367,7 @@
     @Test
     void asksFollowGenerationsAndNotTheClock() {
         stage.terms.reportsWithProbes = true;
-        Choice asking = stage.start();
+        RoutingPolicy asking = stage.start();
         stage.fleet(4, 10);
         asking.arrived(stage.gen("a"));
         for (int i = 0; i < 15; i++) {
@@ -336,10 +380,10 @@
     @Test
     void oneOwnSendDoesNotOutweighAReportWhereFrontsAreMany() {
         stage.terms.fronts = 150;
-        Choice one = stage.start();
+        RoutingPolicy one = stage.start();
         Engine[] fleet = stage.fleet(1, 3);
         one.arrived(stage.gen("a"));
-        one.readDone(stage.last(), 0, new Report(0, 0, 0, 0), false);
+        one.readDone(stage.last(), 0, new LoadReport(0, 0, 0, 0), false);
         Engine first = stage.last().engine;
         for (int i = 1; i <= 3; i++) {
             fleet[i].reportMs = stage.now;
@@ -354,7 +398,7 @@
     @Test
     void prefixCountsAsKeptAtEveryReaderItWentTo() {
         Engine[] fleet = stage.fleet(2, 1);
-        Text text = new Text("t");
+        CachedPrefix text = new CachedPrefix("t");
         text.sentTo(fleet[0], 900, 1);
         text.sentTo(fleet[1], 900, 2);
         assertEquals(900, text.toksAt(fleet[0]));
@@ -379,14 +423,19 @@
     @Test
     void deduplicatedRunsAgainOnlyWithinItsGroup() {
         Engine[] fleet = stage.fleet(1, 2);
-        choice.arrived(stage.gen("a", Stage.product(Effect.DEDUPLICATED, Span.RACK), null, 1000));
+        choice.arrived(
+                stage.gen(
+                        "a",
+                        RoutingPolicyFixture.product(Effect.DEDUPLICATED, DeduplicationScope.RACK),
+                        null,
+                        1000));
         choice.readDone(stage.last(), 0, null, false);
         Attempt write = stage.last();
         (write.engine == fleet[1] ? fleet[2] : fleet[1]).rack = 7;
         write.engine.rack = 3;
         while (stage.last().out) {
             assertSame(write.engine, stage.last().engine);
-            choice.ended(stage.last(), Outcome.CUT, null, false);
+            choice.ended(stage.last(), AttemptOutcome.CUT, null, false);
         }
         assertTrue(stage.heardOf("terminate a"));
     }
@@ -395,16 +444,17 @@
     void restartedEngineIsForgottenAlsoAfterItLeftTheList() {
         Engine[] fleet = stage.fleet(1, 1);
         fleet[0].suspectUntilMs = stage.now + 60_000;
-        choice.listed(List.of(stage.listing(fleet[0], Role.READER, Mode.GONE, 0)), false);
+        choice.listed(List.of(stage.listing(fleet[0], Role.READER, EndpointState.GONE, 0)), false);
         choice.listed(
-                List.of(stage.listing(fleet[0], Role.READER, Mode.READY, stage.now - 1)), false);
+                List.of(stage.listing(fleet[0], Role.READER, EndpointState.READY, stage.now - 1)),
+                false);
         assertEquals(0, fleet[0].suspectUntilMs);
     }
 
     @Test
     void listIsAskedForAgainAfterAFailureOnly() {
         stage.terms.listIsAsked = true;
-        Choice asking = stage.start();
+        RoutingPolicy asking = stage.start();
         stage.now += 20_000;
         asking.woken();
         assertEquals(1, stage.said.stream().filter("follow"::equals).count());
@@ -453,7 +503,7 @@
             Attempt write = stage.last();
             stage.now += 3000;
             choice.begun(write);
-            choice.ended(write, Outcome.STREAMED, null, true);
+            choice.ended(write, AttemptOutcome.STREAMED, null, true);
         }
         stage.now += 20_000;
         int sent = stage.sent.size();
@@ -466,7 +516,7 @@
     void thousandsThatWaitAreNotAllTriedWheneverOneEnds() {
         Engine[] fleet = stage.fleet(1, 1);
         fleet[0].unreadToks = 50_000;
-        List<Gen> gens = new java.util.ArrayList<>();
+        List<Generation> gens = new java.util.ArrayList<>();
         for (int i = 0; i < 500; i++) {
             gens.add(stage.gen("g" + i));
             choice.arrived(gens.get(i));
@@ -478,13 +528,13 @@
 
     @Test
     void engineThatErrsAtOnceIsLeftAloneThoughItAnswersProbes() {
-        Stage stage = new Stage();
-        Choice choice = stage.start();
+        RoutingPolicyFixture stage = new RoutingPolicyFixture();
+        RoutingPolicy choice = stage.start();
         Engine[] fleet = stage.fleet(2, 0);
         for (int i = 0; i < 3; i++) {
             choice.arrived(stage.gen("g" + i));
             while (stage.last().out && stage.last().engine == fleet[0]) {
-                choice.ended(stage.last(), Outcome.FAULT, null, false);
+                choice.ended(stage.last(), AttemptOutcome.FAULT, null, false);
                 choice.probed(fleet[0], true, null);
             }
             stage.now += 10;
@@ -498,20 +548,23 @@
 
     @Test
     void answersStayInTheRackWhileMovesOutOfItAreLate() {
-        Stage stage = new Stage();
-        Choice choice = stage.start();
+        RoutingPolicyFixture stage = new RoutingPolicyFixture();
+        RoutingPolicy choice = stage.start();
         Engine reader = new Engine(1);
         Engine near = new Engine(2);
         Engine far = new Engine(3);
         choice.listed(
                 List.of(
-                        new Listing(reader, Mode.READY, 0, 1, "z", 0, Role.READER, 200_000),
-                        new Listing(near, Mode.READY, 0, 1, "z", 0, Role.WRITER, 200_000),
-                        new Listing(far, Mode.READY, 0, 1, "z", 7, Role.WRITER, 200_000)),
+                        new EndpointUpdate(
+                                reader, EndpointState.READY, 0, 1, "z", 0, Role.READER, 200_000),
+                        new EndpointUpdate(
+                                near, EndpointState.READY, 0, 1, "z", 0, Role.WRITER, 200_000),
+                        new EndpointUpdate(
+                                far, EndpointState.READY, 0, 1, "z", 7, Role.WRITER, 200_000)),
                 true);
         // The near one holds more than Z, so that answers go out of the rack.
         for (int i = 0; i < 4; i++) {
-            Gen gen = stage.gen("near" + i);
+            Generation gen = stage.gen("near" + i);
             new Attempt(gen, near, false, stage.now, 2000, 0).open();
         }
         choice.arrived(stage.gen("first"));
@@ -531,14 +584,14 @@
 
     @Test
     void oneBrokenConnectionKeepsNoWorkAwayButTwoDo() {
-        Stage stage = new Stage();
-        Choice choice = stage.start();
+        RoutingPolicyFixture stage = new RoutingPolicyFixture();
+        RoutingPolicy choice = stage.start();
         Engine[] fleet = stage.fleet(2, 0);
         choice.arrived(stage.gen("a"));
-        choice.ended(stage.last(), Outcome.CUT, null, false);
+        choice.ended(stage.last(), AttemptOutcome.CUT, null, false);
         assertEquals(0, fleet[0].suspectUntilMs);
         while (stage.last().out && stage.last().engine == fleet[0]) {
-            choice.ended(stage.last(), Outcome.CUT, null, false);
+            choice.ended(stage.last(), AttemptOutcome.CUT, null, false);
         }
         assertEquals(fleet[1], stage.last().engine);
         assertTrue(fleet[0].suspectUntilMs > stage.now);
@@ -546,11 +599,11 @@
 
     @Test
     void readerThatIsFullIsNotAskedAgainAtOnce() {
-        Stage stage = new Stage();
-        Choice choice = stage.start();
+        RoutingPolicyFixture stage = new RoutingPolicyFixture();
+        RoutingPolicy choice = stage.start();
         Engine[] fleet = stage.fleet(2, 0);
         choice.arrived(stage.gen("a"));
-        choice.ended(stage.last(), Outcome.FULL, null, false);
+        choice.ended(stage.last(), AttemptOutcome.FULL, null, false);
         assertEquals(2, stage.sent.size());
         assertEquals(fleet[1], stage.last().engine);
     }
@@ -561,7 +614,7 @@
     @Test
     void answerWhoseStateWasReleasedBesideItStaysUntilItsPromptIsReadAnew() {
         stage.fleet(2, 2);
-        Gen gen = stage.gen("a");
+        Generation gen = stage.gen("a");
         choice.arrived(gen);
         choice.readDone(stage.last(), 0, null, false);
         Attempt waits = stage.last();
--- a/src/test/java/larchridge/terms/GivenTest.java
+++ b/src/test/java/larchridge/settings/RoutingSettingsReaderTest.java
@@ -1,4 +1,4 @@
-package larchridge.terms;
+package larchridge.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,14 +9,14 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-class GivenTest {
-    private static Given read(String json) throws Exception {
-        return Given.read(new ObjectMapper().readTree(json), 7);
+class RoutingSettingsReaderTest {
+    private static RoutingSettingsReader read(String json) throws Exception {
+        return RoutingSettingsReader.read(new ObjectMapper().readTree(json), 7);
     }
 
     @Test
     void figuresAreTakenInMilliseconds() throws Exception {
-        Given given =
+        RoutingSettingsReader given =
                 read(
                         "{\"host_types\":[\"a\",\"b\"],\"family_info\":{\"stage_of_kind\":[\"read\",\"write\"],"
                                 + "\"release_within_s\":0.5},\"limits\":{\"dial_timeout_s\":0.25,\"keepalive_s\":15},"
@@ -35,16 +35,18 @@
     void faultNamesTheMember() {
         assertTrue(
                 assertThrows(
-                                BadTerms.class,
+                                InvalidSettingsException.class,
                                 () ->
                                         read(
                                                 "{\"request_classes\":[{\"name\":\"p\",\"slo_s\":\"x\"}]}"))
                         .getMessage()
                         .contains("slo_s"));
         assertTrue(
-                assertThrows(BadTerms.class, () -> read("{\"request_classes\":[{}]}"))
+                assertThrows(
+                                InvalidSettingsException.class,
+                                () -> read("{\"request_classes\":[{}]}"))
                         .getMessage()
                         .contains("request_classes[0].name"));
-        assertThrows(BadTerms.class, () -> read("[]"));
+        assertThrows(InvalidSettingsException.class, () -> read("[]"));
     }
 }
