--- a/src/main/java/larchridge/audit/AuditedAttempt.java
+++ b/src/main/java/larchridge/audit/AuditedAttempt.java
@@ -1,18 +1,19 @@
 package larchridge.audit;
 
-import larchridge.enginelink.Spot;
+import larchridge.upstream.Endpoint;
 
 /** One attempt of a request that was written. */
 final class AuditedAttempt {
     final int number;
-    final Spot spot;
+    final Endpoint spot;
     final AuditedEngine engine;
     final boolean reads;
     final double writtenMs;
     boolean ended;
     boolean neverRan;
 
-    AuditedAttempt(int number, Spot spot, AuditedEngine engine, boolean reads, double writtenMs) {
+    AuditedAttempt(
+            int number, Endpoint spot, AuditedEngine engine, boolean reads, double writtenMs) {
         this.number = number;
         this.spot = spot;
         this.engine = engine;
--- a/src/main/java/larchridge/audit/ColdBudgetAudit.java
+++ b/src/main/java/larchridge/audit/ColdBudgetAudit.java
@@ -4,9 +4,9 @@
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.Map;
-import larchridge.enginelink.Spot;
 import larchridge.state.Role;
 import larchridge.state.SlidingWindow;
+import larchridge.upstream.Endpoint;
 
 /**
  * What this node writes to cold engines, beside its part of their budget. A node sees its own sends
@@ -21,7 +21,7 @@
     private final double bornMs;
     private final SlidingWindow warmReads = new SlidingWindow(RATE_SECONDS, 1000);
     private final SlidingWindow warmWrites = new SlidingWindow(RATE_SECONDS, 1000);
-    private final Map<Spot, Deque<Double>> lateWrites = new HashMap<>();
+    private final Map<Endpoint, Deque<Double>> lateWrites = new HashMap<>();
 
     ColdBudgetAudit(AuditSettings terms, double nowMs) {
         this.terms = terms;
@@ -30,7 +30,10 @@
 
     /** Counts a write; false if the engine is cold and has got more than this node's part. */
     boolean written(
-            Spot spot, AuditedEngine engine, Map<Spot, AuditedEngine> engines, double nowMs) {
+            Endpoint spot,
+            AuditedEngine engine,
+            Map<Endpoint, AuditedEngine> engines,
+            double nowMs) {
         boolean reads = engine.role() == Role.READER;
         if (!isCold(engine, nowMs)) {
             lateWrites.remove(spot);
@@ -45,7 +48,8 @@
         return late.size() <= allowed(engine, engines, nowMs);
     }
 
-    private double allowed(AuditedEngine engine, Map<Spot, AuditedEngine> engines, double nowMs) {
+    private double allowed(
+            AuditedEngine engine, Map<Endpoint, AuditedEngine> engines, double nowMs) {
         boolean reads = engine.role() == Role.READER;
         double units =
                 engines.values().stream()
@@ -69,7 +73,7 @@
     }
 
     /** Forgets engines that no list names any more. */
-    void listed(Map<Spot, AuditedEngine> engines) {
+    void listed(Map<Endpoint, AuditedEngine> engines) {
         lateWrites.keySet().retainAll(engines.keySet());
     }
 }
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.DoubleSupplier;
-import larchridge.enginelink.Spot;
 import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.TrafficClass;
+import larchridge.upstream.Endpoint;
 
 /**
  * Follows every request from its acceptance to its end by what goes over the sockets, and counts
@@ -47,10 +47,10 @@
                     return size() > ENDED_KEPT;
                 }
             };
-    private Map<Spot, AuditedEngine> engines = Map.of();
+    private Map<Endpoint, AuditedEngine> engines = Map.of();
 
     /** When an engine was first told to drain or to be gone. */
-    private final Map<Spot, Double> leftMs = new LinkedHashMap<>();
+    private final Map<Endpoint, Double> leftMs = new LinkedHashMap<>();
 
     public RequestAudit(
             AuditSettings terms,
@@ -111,7 +111,7 @@
     // ------------------------------------------------------------------ attempts
 
     @Override
-    public int attemptWritten(String id, Spot spot, boolean reads, long toldMs) {
+    public int attemptWritten(String id, Endpoint spot, boolean reads, long toldMs) {
         double now = clockMs.getAsDouble();
         AuditedRequest request = find(id);
         AuditedEngine engine = engines.get(spot);
@@ -129,7 +129,7 @@
     }
 
     private void checkEngine(
-            String id, AuditedRequest request, Spot spot, AuditedEngine engine, double now) {
+            String id, AuditedRequest request, Endpoint spot, AuditedEngine engine, double now) {
         Double left = leftMs.get(spot);
         if (left != null && now > left + terms.drainGraceMs() || left == null && engine == null) {
             violated(
@@ -293,7 +293,7 @@
     }
 
     @Override
-    public void listed(Map<Spot, AuditedEngine> now) {
+    public void listed(Map<Endpoint, AuditedEngine> now) {
         double ms = clockMs.getAsDouble();
         engines.forEach(
                 (spot, engine) -> {
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -1,8 +1,8 @@
 package larchridge.audit;
 
 import java.util.Map;
-import larchridge.enginelink.Spot;
 import larchridge.state.TrafficClass;
+import larchridge.upstream.Endpoint;
 
 /**
  * What the sides of a node tell of a request as it happens on their sockets; called on the loop.
@@ -24,7 +24,7 @@
      * An attempt is written to an engine that is told so many milliseconds; its number is given
      * back.
      */
-    default int attemptWritten(String id, Spot spot, boolean reads, long toldMs) {
+    default int attemptWritten(String id, Endpoint spot, boolean reads, long toldMs) {
         return -1;
     }
 
@@ -44,5 +44,5 @@
     default void connectionClosed(ConnectionSide side, CloseReason reason) {}
 
     /** The newest list of engines. */
-    default void listed(Map<Spot, AuditedEngine> engines) {}
+    default void listed(Map<Endpoint, AuditedEngine> engines) {}
 }
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.ToDoubleFunction;
-import larchridge.front.Front;
 import larchridge.messages.Bodies;
 import larchridge.planner.Attempts;
 import larchridge.planner.Feeling;
 import larchridge.planner.Planner;
+import larchridge.router.Router;
 import larchridge.site.BatchTerms;
 import larchridge.site.Site;
 import larchridge.store.Points;
@@ -42,7 +42,7 @@
 
     private final Site site;
     private final BatchTerms terms;
-    private final List<Front> fronts;
+    private final List<Router> fronts;
     private final Counters counters;
     private final Points points;
     private final ThreadLoop loop = new ThreadLoop();
@@ -53,7 +53,7 @@
     private boolean told;
     private boolean stopping;
 
-    private BatchService(Site site, List<Front> fronts, Counters counters, Points points) {
+    private BatchService(Site site, List<Router> fronts, Counters counters, Points points) {
         this.site = site;
         this.fronts = fronts;
         this.counters = counters;
@@ -78,7 +78,11 @@
 
     /** Starts the API; the work begins at once, or when the store's owner has gone. */
     public static BatchService start(
-            Site site, List<Front> fronts, Counters counters, MeterRegistry registry, Points points)
+            Site site,
+            List<Router> fronts,
+            Counters counters,
+            MeterRegistry registry,
+            Points points)
             throws IOException {
         BatchService service = new BatchService(site, fronts, counters, points);
         service.gauge(registry, "larchridge_batch_lines_out", Batches.Figures::linesOut);
@@ -163,7 +167,7 @@
     }
 
     /** Asks one front how its other work fares; one question out at a time. */
-    private void look(Front front) {
+    private void look(Router front) {
         if (stopping) {
             return;
         }
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -14,14 +14,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import larchridge.enginelink.Ending;
-import larchridge.front.Ask;
 import larchridge.messages.ApiFault;
 import larchridge.messages.Bodies;
 import larchridge.planner.Attempts;
 import larchridge.planner.Feeling;
 import larchridge.planner.Planner;
 import larchridge.planner.Work;
+import larchridge.router.GenerationRequest;
 import larchridge.site.BatchTerms;
 import larchridge.site.Site;
 import larchridge.state.Effect;
@@ -31,6 +30,7 @@
 import larchridge.store.form.BatchForm;
 import larchridge.store.form.FaultForm;
 import larchridge.store.form.StateForm;
+import larchridge.upstream.Completion;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -542,7 +542,7 @@
                             "The line was good and is no longer: " + e.getMessage()));
             return;
         }
-        Ask ask;
+        GenerationRequest ask;
         try {
             ask = ask(job, call);
         } catch (ApiFault e) {
@@ -576,7 +576,7 @@
         trip.out = desk.take(ask, new Ears(trip, ask, call));
     }
 
-    private Ask ask(Job job, InputCheck.Call call) throws ApiFault {
+    private GenerationRequest ask(Job job, InputCheck.Call call) throws ApiFault {
         Site.Tenant tenant = site.tenantNamed(job.form.getTenant());
         if (tenant == null) {
             throw ApiFault.invalid("the tenant '" + job.form.getTenant() + "' is no longer served");
@@ -601,11 +601,11 @@
     /** Hears how a line's generation ended. */
     private final class Ears implements Desk.Told {
         private final Trip trip;
-        private final Ask ask;
+        private final GenerationRequest ask;
         private final InputCheck.Call call;
         private final String lineId;
 
-        Ears(Trip trip, Ask ask, InputCheck.Call call) {
+        Ears(Trip trip, GenerationRequest ask, InputCheck.Call call) {
             this.trip = trip;
             this.ask = ask;
             this.call = call;
@@ -623,7 +623,7 @@
         }
 
         @Override
-        public void streamed(String text, int keptToks, Ending ending) {
+        public void streamed(String text, int keptToks, Completion ending) {
             if (isBack(true)) {
                 ObjectNode body =
                         Wording.answer(
--- a/src/main/java/larchridge/batch/Desk.java
+++ b/src/main/java/larchridge/batch/Desk.java
@@ -1,7 +1,7 @@
 package larchridge.batch;
 
-import larchridge.enginelink.Ending;
-import larchridge.front.Ask;
+import larchridge.router.GenerationRequest;
+import larchridge.upstream.Completion;
 
 /** Where lines are handed to become generations. */
 interface Desk {
@@ -9,7 +9,7 @@
      * Takes a generation; exactly one of the words is told, later, on the loop of batch work,
      * unless it is called off.
      */
-    Out take(Ask ask, Told told);
+    Out take(GenerationRequest ask, Told told);
 
     /** A line that is out. */
     interface Out {
@@ -19,7 +19,7 @@
 
     /** How it ended. */
     interface Told {
-        void streamed(String text, int keptToks, Ending ending);
+        void streamed(String text, int keptToks, Completion ending);
 
         /** The answer is larger than the site lets a whole answer be. */
         void tooLarge();
--- a/src/main/java/larchridge/batch/FrontDesk.java
+++ b/src/main/java/larchridge/batch/FrontDesk.java
@@ -2,48 +2,48 @@
 
 import java.util.List;
 import larchridge.budget.Answer;
-import larchridge.enginelink.Ending;
-import larchridge.front.Ask;
-import larchridge.front.Client;
-import larchridge.front.Front;
-import larchridge.front.Open;
+import larchridge.router.GenerationRequest;
+import larchridge.router.InFlightRequest;
+import larchridge.router.ResponseSink;
+import larchridge.router.Router;
+import larchridge.upstream.Completion;
 
 /** Hands lines to the fronts of this process in turn, each on its own loop. */
 final class FrontDesk implements Desk {
-    private final List<Front> fronts;
+    private final List<Router> fronts;
     private final Loop loop;
     private int next;
 
-    FrontDesk(List<Front> fronts, Loop loop) {
+    FrontDesk(List<Router> fronts, Loop loop) {
         this.fronts = fronts;
         this.loop = loop;
     }
 
     @Override
-    public Out take(Ask ask, Told told) {
-        Front front = fronts.get(Math.floorMod(next++, fronts.size()));
+    public Out take(GenerationRequest ask, Told told) {
+        Router front = fronts.get(Math.floorMod(next++, fronts.size()));
         Line line = new Line(front, told);
         front.loop().runOnContext(v -> line.begin(ask));
         return line;
     }
 
     /** One line at its front; all but the call to {@link #callOff} happens on the front's loop. */
-    private final class Line implements Client, Out {
-        private final Front front;
+    private final class Line implements ResponseSink, Out {
+        private final Router front;
         private final Told told;
         private final StringBuilder text = new StringBuilder();
-        private Open open;
+        private InFlightRequest open;
         private int kept;
         private boolean inside;
         private boolean over;
         private boolean tooLarge;
 
-        Line(Front front, Told told) {
+        Line(Router front, Told told) {
             this.front = front;
             this.told = told;
         }
 
-        void begin(Ask ask) {
+        void begin(GenerationRequest ask) {
             if (over) {
                 return;
             }
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void streamed(Ending ending) {
+        public void streamed(Completion ending) {
             String all = text.toString();
             end(tooLarge ? told::tooLarge : () -> told.streamed(all, kept, ending));
         }
--- a/src/main/java/larchridge/batch/Wording.java
+++ b/src/main/java/larchridge/batch/Wording.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import larchridge.enginelink.Ending;
-import larchridge.front.Ask;
 import larchridge.messages.ApiFault;
 import larchridge.messages.Bodies;
+import larchridge.router.GenerationRequest;
+import larchridge.upstream.Completion;
 
 /**
  * The words of lines: bodies of chat completions as messages, answers of either kind, and the
@@ -112,10 +112,10 @@
             String endpoint,
             String id,
             String model,
-            Ask ask,
+            GenerationRequest ask,
             int keptToks,
             String text,
-            Ending ending,
+            Completion ending,
             long nowMs) {
         if (endpoint.equals(MESSAGES)) {
             return Bodies.message(id, model, ask, keptToks, text, ending);
@@ -132,7 +132,9 @@
                 .put("content", text)
                 .putNull("refusal");
         choice.putNull("logprobs")
-                .put("finish_reason", ending.why() == Ending.Why.MOST_TOKENS ? "length" : "stop");
+                .put(
+                        "finish_reason",
+                        ending.why() == Completion.Why.MOST_TOKENS ? "length" : "stop");
         ObjectNode usage =
                 chat.putObject("usage")
                         .put("prompt_tokens", ask.promptToks())
--- a/src/main/java/larchridge/lease/LeaseLink.java
+++ b/src/main/java/larchridge/lease/LeaseLink.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import larchridge.budget.Want;
-import larchridge.front.Loans;
+import larchridge.router.QuotaClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,7 +28,7 @@
  * answers a trial; an answer after the time limit is not taken, so that what was lent is not used
  * later than its bound says. To be made on the front's loop.
  */
-public final class LeaseLink implements Loans {
+public final class LeaseLink implements QuotaClient {
     private static final int MOST_WAITING = 4096;
     private static final int MOST_BYTES = 64 << 10;
     private static final int TRY_MS = 1000;
--- a/src/main/java/larchridge/messages/Bodies.java
+++ b/src/main/java/larchridge/messages/Bodies.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.concurrent.Executor;
-import larchridge.enginelink.Ending;
-import larchridge.front.Ask;
+import larchridge.router.GenerationRequest;
 import larchridge.site.Offer;
 import larchridge.site.Site;
 import larchridge.tokens.Counters;
+import larchridge.upstream.Completion;
 
 /**
  * Bodies of the API that come otherwise than through its door, and their answers in one piece.
@@ -32,7 +32,7 @@
     }
 
     /** Reads a body into what a front is asked. */
-    public Ask ask(
+    public GenerationRequest ask(
             JsonNode json,
             double mostTemperature,
             Site.Tenant tenant,
@@ -49,7 +49,7 @@
         }
         int due = expected;
         String model = read.engineModel();
-        return new Ask(
+        return new GenerationRequest(
                 terms.of(read.offer()),
                 tenant,
                 model,
@@ -76,7 +76,12 @@
 
     /** A whole answer as the API words it. */
     public static ObjectNode message(
-            String id, String model, Ask ask, int keptToks, String text, Ending ending) {
+            String id,
+            String model,
+            GenerationRequest ask,
+            int keptToks,
+            String text,
+            Completion ending) {
         int kept = Math.min(keptToks, ask.promptToks());
         int created = ask.prefix() == null ? 0 : Math.max(0, ask.sharedToks() - kept);
         return Events.whole(
--- a/src/main/java/larchridge/messages/Events.java
+++ b/src/main/java/larchridge/messages/Events.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import larchridge.enginelink.Ending;
+import larchridge.upstream.Completion;
 
 /** The JSON that the API speaks: messages, the events of a stream, and errors. */
 final class Events {
@@ -29,7 +29,7 @@
     }
 
     /** Fills in what is known only when the answer is whole. */
-    static ObjectNode whole(ObjectNode message, String text, Ending ending) {
+    static ObjectNode whole(ObjectNode message, String text, Completion ending) {
         message.withArray("content").addObject().put("type", "text").put("text", text);
         message.put("stop_reason", stopReason(ending)).put("stop_sequence", ending.stop());
         message.withObject("/usage").put("output_tokens", ending.outToks());
@@ -61,7 +61,7 @@
         return framed("content_block_stop", event("content_block_stop").put("index", 0));
     }
 
-    static String messageDelta(Ending ending) {
+    static String messageDelta(Completion ending) {
         ObjectNode event = event("message_delta");
         ObjectNode delta = event.putObject("delta").put("stop_reason", stopReason(ending));
         delta.put("stop_sequence", ending.stop());
@@ -87,7 +87,7 @@
         return framed("error", error(fault, requestId));
     }
 
-    static String stopReason(Ending ending) {
+    static String stopReason(Completion ending) {
         return switch (ending.why()) {
             case END_OF_TURN -> "end_turn";
             case MOST_TOKENS -> "max_tokens";
--- a/src/main/java/larchridge/messages/MessagesClient.java
+++ b/src/main/java/larchridge/messages/MessagesClient.java
@@ -5,18 +5,18 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 import larchridge.budget.Answer;
-import larchridge.enginelink.Ending;
-import larchridge.front.Client;
-import larchridge.front.Front;
-import larchridge.front.Open;
+import larchridge.router.InFlightRequest;
+import larchridge.router.ResponseSink;
+import larchridge.router.Router;
+import larchridge.upstream.Completion;
 
 /** Carries one generation's answer in the API's words: as an event stream, or in one piece. */
-final class MessagesClient implements Client {
-    private final Front front;
+final class MessagesClient implements ResponseSink {
+    private final Router front;
     private final HttpServerResponse response;
     private final String requestId;
     private final MessagesReader.Body asked;
-    private Open open;
+    private InFlightRequest open;
     private boolean waitsForDrain;
     private ObjectNode message;
     private StringBuilder whole;
@@ -33,7 +33,10 @@
     private int gatheredPieces;
 
     MessagesClient(
-            Front front, HttpServerResponse response, String requestId, MessagesReader.Body asked) {
+            Router front,
+            HttpServerResponse response,
+            String requestId,
+            MessagesReader.Body asked) {
         this.front = front;
         this.response = response;
         this.requestId = requestId;
@@ -41,7 +44,7 @@
     }
 
     /** Told after the front has taken it; by then it may be answered. */
-    void opened(Open taken) {
+    void opened(InFlightRequest taken) {
         open = taken;
     }
 
@@ -134,7 +137,7 @@
     }
 
     @Override
-    public void streamed(Ending ending) {
+    public void streamed(Completion ending) {
         stopPings();
         if (isGone()) {
             return;
--- a/src/main/java/larchridge/messages/MessagesDoor.java
+++ b/src/main/java/larchridge/messages/MessagesDoor.java
@@ -10,9 +10,9 @@
 import java.util.HexFormat;
 import java.util.Random;
 import java.util.concurrent.Callable;
-import larchridge.front.Ask;
-import larchridge.front.Front;
-import larchridge.front.Open;
+import larchridge.router.GenerationRequest;
+import larchridge.router.InFlightRequest;
+import larchridge.router.Router;
 import larchridge.site.Limit;
 import larchridge.site.Site;
 import larchridge.tokens.Counters;
@@ -31,13 +31,13 @@
      */
     private static final double PARSED_BYTES_PER_MS = 30_000;
 
-    private final Front front;
+    private final Router front;
     private final Site site;
     private final MessagesReader reader;
     private final Lengths lengths;
     private final Random ids = new Random(new SecureRandom().nextLong());
 
-    public MessagesDoor(Front front, Counters counters) {
+    public MessagesDoor(Router front, Counters counters) {
         this.front = front;
         site = front.site();
         lengths = new Lengths(counters);
@@ -141,7 +141,7 @@
         private long timer = -1;
         private volatile boolean left;
         private boolean whole;
-        private Open open;
+        private InFlightRequest open;
         private final boolean counts;
         private long completeNs;
         private volatile Lengths.Measuring measuring;
@@ -314,8 +314,8 @@
             // generation is open.
             int expected = counted == null ? -1 : Lengths.expected(counted);
             String key = request.getHeader("idempotency-key");
-            Ask ask =
-                    new Ask(
+            GenerationRequest ask =
+                    new GenerationRequest(
                             body.offer(),
                             tenant,
                             body.engineModel(),
--- a/src/main/java/larchridge/messages/MessagesReader.java
+++ b/src/main/java/larchridge/messages/MessagesReader.java
@@ -12,10 +12,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import larchridge.enginelink.Order;
 import larchridge.site.Limit;
 import larchridge.site.Offer;
 import larchridge.site.Site;
+import larchridge.upstream.AttemptRequest;
 
 /**
  * Reads the body of {@code POST /v1/messages} by the public specification into a prompt and what
@@ -48,7 +48,7 @@
             int sharedToks,
             int maxToks,
             List<String> stops,
-            Order.Sampling sampling,
+            AttemptRequest.Sampling sampling,
             String prefix,
             String opening,
             String talkBefore,
@@ -148,8 +148,8 @@
         rendered.markHead();
         String opener = messages(root.path("messages"), rendered);
         metadata(root.path("metadata"));
-        Order.Sampling sampling =
-                new Order.Sampling(
+        AttemptRequest.Sampling sampling =
+                new AttemptRequest.Sampling(
                         decimal(root, "temperature", 0, mostTemperature),
                         decimal(root, "top_p", 0, 1),
                         root.has("top_k") ? whole(root, "top_k", 0, 1_000_000) : null);
--- a/src/main/java/larchridge/node/BadNode.java
+++ b/src/main/java/larchridge/node/InvalidNodeConfigurationException.java
@@ -4,10 +4,10 @@
  * A configuration with which a node can't start; the message names file, member and what was
  * expected.
  */
-public final class BadNode extends Exception {
+public final class InvalidNodeConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public BadNode(String what) {
+    public InvalidNodeConfigurationException(String what) {
         super(what);
     }
 }
--- a/src/main/java/larchridge/node/LoopGround.java
+++ b/src/main/java/larchridge/node/NettyScheduler.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import larchridge.front.Ground;
+import larchridge.router.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The node's one event loop as a front's ground. */
-final class LoopGround implements Ground {
-    private static final Logger LOG = LoggerFactory.getLogger(LoopGround.class);
+final class NettyScheduler implements Scheduler {
+    private static final Logger LOG = LoggerFactory.getLogger(NettyScheduler.class);
 
     private final EventLoop loop;
     private final String stem;
@@ -20,7 +20,7 @@
     private long last;
 
     /** On this loop; stem is the part of names that no other start of any node has. */
-    LoopGround(EventLoop loop, String stem) {
+    NettyScheduler(EventLoop loop, String stem) {
         this.loop = loop;
         this.stem = stem;
     }
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -15,18 +15,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import larchridge.enginelink.Spot;
-import larchridge.front.Front;
 import larchridge.inventory.Row;
 import larchridge.metrics.Meters;
 import larchridge.node.discovery.DiscoveryClient;
-import larchridge.node.discovery.EndpointReader;
-import larchridge.node.door.Door;
-import larchridge.node.door.DoorBounds;
-import larchridge.node.link.LinkBounds;
-import larchridge.node.link.PassageLink;
+import larchridge.node.discovery.EndpointListReader;
+import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerLimits;
+import larchridge.node.upstream.ForwardingUpstreamClient;
+import larchridge.node.upstream.UpstreamLimits;
 import larchridge.policy.PolicyEvents;
+import larchridge.router.Router;
 import larchridge.site.Site;
+import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
@@ -114,7 +114,7 @@
     private static final double READ_AGAIN_FOR_MS = 60_000;
 
     private final Map<String, String> variables;
-    private final NodeFile file;
+    private final NodeConfiguration file;
     private final CountDownLatch ended = new CountDownLatch(1);
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
@@ -122,11 +122,11 @@
     private final EventLoop loop = (EventLoop) group.next();
     private final ByteBufAllocator buffers =
             new PooledByteBufAllocator(true, 1, 1, PAGE_BYTES, CHUNK_ORDER, 64, 32, true);
-    private final LoopGround ground;
+    private final NettyScheduler ground;
     private NodeAudit audit;
-    private PassageLink link;
-    private Front front;
-    private Door door;
+    private ForwardingUpstreamClient link;
+    private Router front;
+    private HttpServer door;
     private DiscoveryClient discoveryClient;
 
     /** Set on the loop; the thread that starts the node looks at it. */
@@ -138,11 +138,11 @@
      */
     private int configurations;
 
-    private Node(Map<String, String> variables, NodeFile file) {
+    private Node(Map<String, String> variables, NodeConfiguration file) {
         this.variables = variables;
         this.file = file;
         ground =
-                new LoopGround(
+                new NettyScheduler(
                         loop, file.name + Long.toString(file.seed & 0xFFFFFFFFFFL, 36) + "-");
     }
 
@@ -156,7 +156,7 @@
             node.start();
             node.awaitEnd();
             return 0;
-        } catch (BadNode e) {
+        } catch (InvalidNodeConfigurationException e) {
             faults.println("larchridge: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
@@ -183,7 +183,7 @@
                         "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
                                 + "\"seed\":\"1\",\"limits\":{\"cores\":1,\"memory_mb\":192,\"sockets\":256},"
                                 + "\"known\":{\"index\":1,\"snapshot\":true,\"endpoints\":[]},\"settings\":"
-                                + Rehearsal.TERMS
+                                + NodeWarmup.TERMS
                                 + "}");
                 Node node = open(Map.of("PROXY_CONFIG", file.toString()));
                 node.end();
@@ -192,7 +192,7 @@
                 Files.delete(file);
             }
             return 0;
-        } catch (BadNode | IOException e) {
+        } catch (InvalidNodeConfigurationException | IOException e) {
             throw new IllegalStateException("a rehearsal needs a temporary folder and loopback", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -201,15 +201,16 @@
     }
 
     /** A node that is not run as a process of its own. */
-    static Node open(Map<String, String> variables) throws BadNode, InterruptedException {
+    static Node open(Map<String, String> variables)
+            throws InvalidNodeConfigurationException, InterruptedException {
         Node node = make(variables);
         node.start();
         return node;
     }
 
     /** A node that has not been started. */
-    static Node make(Map<String, String> variables) throws BadNode {
-        NodeFile file = NodeFile.read(variables);
+    static Node make(Map<String, String> variables) throws InvalidNodeConfigurationException {
+        NodeConfiguration file = NodeConfiguration.read(variables);
         file.check(variables);
         return new Node(variables, file);
     }
@@ -275,20 +276,21 @@
         group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).await(1000);
     }
 
-    void start() throws BadNode, InterruptedException {
+    void start() throws InvalidNodeConfigurationException, InterruptedException {
         loop.submit(this::build).await();
         if (ending) {
             return;
         }
         if (door == null) {
-            throw new BadNode("the node could not be built; the log has the cause");
+            throw new InvalidNodeConfigurationException(
+                    "the node could not be built; the log has the cause");
         }
         listen();
         if (ending) {
             return;
         }
         long start = System.nanoTime();
-        int served = Rehearsal.play(REHEARSED, REHEARSAL_MS);
+        int served = NodeWarmup.play(REHEARSED, REHEARSAL_MS);
         // What was known at the start may be old, and what the agent has counts as told from the
         // first moment on.
         CountDownLatch told = new CountDownLatch(1);
@@ -309,7 +311,7 @@
      * The address may still be held by the process before this one, which has been killed and has
      * not gone yet.
      */
-    private void listen() throws BadNode, InterruptedException {
+    private void listen() throws InvalidNodeConfigurationException, InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_MS);
         while (!ending) {
             try {
@@ -317,7 +319,7 @@
                 return;
             } catch (IOException e) {
                 if (System.nanoTime() > endNanos) {
-                    throw new BadNode(
+                    throw new InvalidNodeConfigurationException(
                             "listen: " + file.listen + " can't be had (" + e.getMessage() + ")");
                 }
                 LOG.atDebug()
@@ -345,11 +347,11 @@
             audit = new NodeAudit(ground, file.given);
             Meters meters = audit.meters();
             link =
-                    new PassageLink(
+                    new ForwardingUpstreamClient(
                             loop,
                             ground,
                             buffers,
-                            new LinkBounds(
+                            new UpstreamLimits(
                                     file.given.connectMs,
                                     file.given.keepAliveMs,
                                     file.given.releaseMs,
@@ -357,17 +359,17 @@
                                     (int) (file.sockets * ENGINES_PART / 2),
                                     file.given.reportFields),
                             audit.events());
-            front = new Front(ground, site, 0, link, meters, PolicyEvents::choice);
+            front = new Router(ground, site, 0, link, meters, PolicyEvents::choice);
             audit.compareCounts(ground, front, link);
             door =
-                    new Door(
+                    new HttpServer(
                             group,
                             buffers,
                             ground,
                             front,
                             site,
                             file.given.products.values(),
-                            new DoorBounds(
+                            new ServerLimits(
                                     (int) (file.sockets * CLIENTS_PART),
                                     BODY_BYTES,
                                     bodies,
@@ -377,7 +379,7 @@
                                     LINGER_MS),
                             audit.events(),
                             meters);
-            EndpointReader reader = new EndpointReader(file.given.roles, file.given.memory);
+            EndpointListReader reader = new EndpointListReader(file.given.roles, file.given.memory);
             discoveryClient =
                     new DiscoveryClient(
                             loop,
@@ -389,7 +391,7 @@
             if (file.known.isObject()) {
                 try {
                     discoveryClient.take(reader.read(file.known));
-                } catch (EndpointReader.BadList e) {
+                } catch (EndpointListReader.BadList e) {
                     LOG.atWarn()
                             .addKeyValue("fault", e.getMessage())
                             .log("known can't be read; discovery is waited for");
@@ -448,8 +450,8 @@
     }
 
     private void endpointsChanged(List<Row> rows) {
-        List<Spot> spots = new ArrayList<>();
-        rows.forEach(row -> spots.add(new Spot(row.host(), row.port())));
+        List<Endpoint> spots = new ArrayList<>();
+        rows.forEach(row -> spots.add(new Endpoint(row.host(), row.port())));
         link.engines(spots);
         audit.listed(rows);
         front.listed(rows);
@@ -482,12 +484,12 @@
             return;
         }
         try {
-            NodeFile changed = NodeFile.read(variables);
+            NodeConfiguration changed = NodeConfiguration.read(variables);
             LOG.atInfo()
                     .addKeyValue("discovery", changed.discovery)
                     .log("configuration read again");
             discoveryClient.follow(changed.discovery.host(), changed.discovery.port());
-        } catch (BadNode e) {
+        } catch (InvalidNodeConfigurationException e) {
             boolean again = ground.nowMs() + pauseMs < untilMs;
             LOG.atError()
                     .addKeyValue("fault", e.getMessage())
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -17,15 +17,15 @@
 import larchridge.audit.RequestAudit;
 import larchridge.audit.RequestEvents;
 import larchridge.audit.Violations;
-import larchridge.enginelink.Spot;
-import larchridge.front.Front;
-import larchridge.front.Ground;
 import larchridge.inventory.Row;
 import larchridge.metrics.Meters;
-import larchridge.node.door.Door;
-import larchridge.node.link.PassageLink;
+import larchridge.node.server.HttpServer;
+import larchridge.node.upstream.ForwardingUpstreamClient;
+import larchridge.router.Router;
+import larchridge.router.Scheduler;
 import larchridge.settings.RoutingSettingsReader;
 import larchridge.state.EndpointState;
+import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
@@ -43,7 +43,7 @@
     private final Violations violations;
     private final RequestAudit requests;
 
-    NodeAudit(Ground ground, RoutingSettingsReader given) {
+    NodeAudit(Scheduler ground, RoutingSettingsReader given) {
         registry.config().meterFilter(new WithoutPercentiles());
         violations = new Violations(registry);
         AuditSettings terms =
@@ -85,10 +85,10 @@
 
     /** The newest list of engines. */
     void listed(List<Row> rows) {
-        Map<Spot, AuditedEngine> engines = new HashMap<>();
+        Map<Endpoint, AuditedEngine> engines = new HashMap<>();
         for (Row row : rows) {
             engines.put(
-                    new Spot(row.host(), row.port()),
+                    new Endpoint(row.host(), row.port()),
                     new AuditedEngine(
                             row.mode() == EndpointState.READY,
                             row.role(),
@@ -101,7 +101,7 @@
     }
 
     /** Looks now and then whether the module and the link count the same attempts. */
-    void compareCounts(Ground ground, Front front, PassageLink link) {
+    void compareCounts(Scheduler ground, Router front, ForwardingUpstreamClient link) {
         ground.every(
                 COUNTS_MS,
                 () ->
@@ -125,7 +125,7 @@
     }
 
     /** At the end of the process nothing may be left. */
-    void atEnd(Front front, PassageLink link, Door door) {
+    void atEnd(Router front, ForwardingUpstreamClient link, HttpServer door) {
         Map<String, Long> left = new TreeMap<>();
         left.put("generations", (long) front.openGenerations());
         left.put("requests of the link", (long) link.openRequests());
--- a/src/main/java/larchridge/node/NodeFile.java
+++ b/src/main/java/larchridge/node/NodeConfiguration.java
@@ -7,20 +7,20 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import larchridge.enginelink.Spot;
 import larchridge.settings.InvalidSettingsException;
 import larchridge.settings.RoutingSettingsReader;
+import larchridge.upstream.Endpoint;
 
 /**
  * What the platform tells a node when it starts: a file of JSON, and variables that must say the
  * same.
  */
-final class NodeFile {
+final class NodeConfiguration {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     final String name;
-    final Spot listen;
-    final Spot discovery;
+    final Endpoint listen;
+    final Endpoint discovery;
     final long seed;
     final int memoryMb;
     final int sockets;
@@ -30,7 +30,7 @@
 
     final RoutingSettingsReader given;
 
-    private NodeFile(Path file, JsonNode root) throws BadNode {
+    private NodeConfiguration(Path file, JsonNode root) throws InvalidNodeConfigurationException {
         name = text(file, root, "name");
         listen = spot(file, root, "listen");
         discovery = spot(file, root, "discovery");
@@ -42,21 +42,23 @@
         try {
             given = RoutingSettingsReader.read(root.path("settings"), seed);
         } catch (InvalidSettingsException e) {
-            throw new BadNode(file + ": settings: " + e.getMessage());
+            throw new InvalidNodeConfigurationException(file + ": settings: " + e.getMessage());
         }
     }
 
-    static NodeFile read(Map<String, String> variables) throws BadNode {
+    static NodeConfiguration read(Map<String, String> variables)
+            throws InvalidNodeConfigurationException {
         String place = variables.get("PROXY_CONFIG");
         if (place == null || place.isEmpty()) {
-            throw new BadNode("PROXY_CONFIG is not set; expected the path of the configuration");
+            throw new InvalidNodeConfigurationException(
+                    "PROXY_CONFIG is not set; expected the path of the configuration");
         }
         Path file = Path.of(place);
         JsonNode root;
         try {
             root = MAPPER.readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            throw new BadNode(
+            throw new InvalidNodeConfigurationException(
                     file
                             + ":"
                             + e.getLocation().getLineNr()
@@ -64,34 +66,36 @@
                             + e.getOriginalMessage()
                             + ")");
         } catch (IOException e) {
-            throw new BadNode(file + ": can't be read (" + e.getMessage() + ")");
+            throw new InvalidNodeConfigurationException(
+                    file + ": can't be read (" + e.getMessage() + ")");
         }
         if (root == null || !root.isObject()) {
-            throw new BadNode(file + ": expected an object");
+            throw new InvalidNodeConfigurationException(file + ": expected an object");
         }
-        return new NodeFile(file, root);
+        return new NodeConfiguration(file, root);
     }
 
     /** The variables are given beside the file; where they differ, one of the two is wrong. */
-    void check(Map<String, String> variables) throws BadNode {
+    void check(Map<String, String> variables) throws InvalidNodeConfigurationException {
         same(variables, "PROXY_NAME", name);
         same(variables, "PROXY_LISTEN", listen.toString());
         same(variables, "PROXY_DISCOVERY", discovery.toString());
     }
 
     private static void same(Map<String, String> variables, String variable, String value)
-            throws BadNode {
+            throws InvalidNodeConfigurationException {
         String given = variables.get(variable);
         if (given != null && !given.equals(value)) {
-            throw new BadNode(
+            throw new InvalidNodeConfigurationException(
                     variable + " is '" + given + "', but the configuration says '" + value + "'");
         }
     }
 
-    private static String text(Path file, JsonNode node, String member) throws BadNode {
+    private static String text(Path file, JsonNode node, String member)
+            throws InvalidNodeConfigurationException {
         JsonNode value = node.path(member);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new BadNode(
+            throw new InvalidNodeConfigurationException(
                     file
                             + ": "
                             + member
@@ -102,10 +106,11 @@
         return value.asText();
     }
 
-    private static int whole(Path file, JsonNode limits, String member) throws BadNode {
+    private static int whole(Path file, JsonNode limits, String member)
+            throws InvalidNodeConfigurationException {
         JsonNode value = limits.path(member);
         if (!value.isNumber() || value.doubleValue() < 1 || value.doubleValue() > 1e9) {
-            throw new BadNode(
+            throw new InvalidNodeConfigurationException(
                     file
                             + ": limits."
                             + member
@@ -116,16 +121,18 @@
         return value.intValue();
     }
 
-    private static Spot spot(Path file, JsonNode root, String member) throws BadNode {
+    private static Endpoint spot(Path file, JsonNode root, String member)
+            throws InvalidNodeConfigurationException {
         String text = text(file, root, member);
-        Spot spot = Spot.parse(text);
+        Endpoint spot = Endpoint.parse(text);
         if (spot == null) {
-            throw new BadNode(file + ": " + member + " is '" + text + "'; expected host:port");
+            throw new InvalidNodeConfigurationException(
+                    file + ": " + member + " is '" + text + "'; expected host:port");
         }
         return spot;
     }
 
-    private static long seed(Path file, JsonNode root) throws BadNode {
+    private static long seed(Path file, JsonNode root) throws InvalidNodeConfigurationException {
         JsonNode value = root.path("seed");
         if (value.isIntegralNumber()) {
             return value.longValue();
@@ -133,7 +140,7 @@
         try {
             return Long.parseUnsignedLong(text(file, root, "seed"), 16);
         } catch (NumberFormatException e) {
-            throw new BadNode(
+            throw new InvalidNodeConfigurationException(
                     file + ": seed is '" + value.asText() + "'; expected up to 16 hex digits");
         }
     }
--- a/src/main/java/larchridge/node/Rehearsal.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -12,28 +12,28 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import larchridge.enginelink.Spot;
-import larchridge.front.Front;
-import larchridge.front.Ground;
-import larchridge.front.World;
 import larchridge.inventory.Row;
-import larchridge.node.door.Door;
-import larchridge.node.door.DoorBounds;
-import larchridge.node.link.LinkBounds;
-import larchridge.node.link.PassageLink;
+import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerLimits;
+import larchridge.node.upstream.ForwardingUpstreamClient;
+import larchridge.node.upstream.UpstreamLimits;
 import larchridge.policy.PolicyEvents;
+import larchridge.router.Router;
+import larchridge.router.Scheduler;
+import larchridge.router.VirtualTimeScheduler;
 import larchridge.settings.InvalidSettingsException;
 import larchridge.settings.RoutingSettingsReader;
 import larchridge.site.Site;
 import larchridge.state.EndpointState;
 import larchridge.state.Role;
+import larchridge.upstream.Endpoint;
 
 /**
  * Serves generations of its own before a node says that it can serve, so that the code they run
  * through is compiled. It has a front, a door and a link of its own over channels that are no
  * sockets, in a time of its own; nothing of it reaches anybody, and nothing of it stays.
  */
-final class Rehearsal {
+final class NodeWarmup {
     /**
      * What is rehearsed with: three kinds of engines with reports, as a deployment may have them.
      */
@@ -68,8 +68,8 @@
 
     private static final AttributeKey<Boolean> BUSY = AttributeKey.valueOf("rehearsal.busy");
 
-    private final World time = new World();
-    private final Door door;
+    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
+    private final HttpServer door;
     private final List<EmbeddedChannel> engines = new ArrayList<>();
     private final Set<EmbeddedChannel> answering = new HashSet<>();
     private final List<EmbeddedChannel> clients = new ArrayList<>();
@@ -82,10 +82,10 @@
     private int whole;
     private int opened;
 
-    private Rehearsal() throws InvalidSettingsException, IOException {
+    private NodeWarmup() throws InvalidSettingsException, IOException {
         RoutingSettingsReader given =
                 RoutingSettingsReader.read(new ObjectMapper().readTree(TERMS), 1);
-        Ground ground = time.ground(0, given.terms.seed);
+        Scheduler ground = time.ground(0, given.terms.seed);
         Site site = Site.plain(given.terms);
         site.limit.openGenerations = 1000;
         site.limit.slowClientMs = 1e6;
@@ -93,10 +93,10 @@
         site.limit.stopMs = 1e6;
         site.releaseMs = given.releaseMs;
         NodeAudit audit = new NodeAudit(ground, given);
-        PassageLink link =
-                new PassageLink(
+        ForwardingUpstreamClient link =
+                new ForwardingUpstreamClient(
                         ground,
-                        new LinkBounds(
+                        new UpstreamLimits(
                                 given.connectMs,
                                 given.keepAliveMs,
                                 given.releaseMs,
@@ -115,16 +115,16 @@
                             return engine.newSucceededFuture();
                         },
                         audit.events());
-        Front front = new Front(ground, site, 0, link, audit.meters(), PolicyEvents::choice);
+        Router front = new Router(ground, site, 0, link, audit.meters(), PolicyEvents::choice);
         door =
-                new Door(
+                new HttpServer(
                         null,
                         null,
                         ground,
                         front,
                         site,
                         given.products.values(),
-                        new DoorBounds(400, 1 << 18, 1 << 22, 1e6, 1e6, 1e6, 1e6),
+                        new ServerLimits(400, 1 << 18, 1 << 22, 1e6, 1e6, 1e6, 1e6),
                         audit.events(),
                         audit.meters());
         List<Row> rows = new ArrayList<>();
@@ -144,7 +144,7 @@
                             EndpointState.READY));
         }
         audit.listed(rows);
-        link.engines(rows.stream().map(row -> new Spot(row.host(), row.port())).toList());
+        link.engines(rows.stream().map(row -> new Endpoint(row.host(), row.port())).toList());
         front.listed(rows);
     }
 
@@ -153,9 +153,9 @@
      * were served whole.
      */
     static int play(int generations, double mostMs) {
-        Rehearsal rehearsal;
+        NodeWarmup rehearsal;
         try {
-            rehearsal = new Rehearsal();
+            rehearsal = new NodeWarmup();
         } catch (InvalidSettingsException | IOException e) {
             throw new IllegalStateException(
                     "the rehearsal's own settings are not good: " + e.getMessage(), e);
--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -25,9 +25,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import larchridge.front.Ground;
 import larchridge.inventory.Row;
 import larchridge.node.transport.Connecting;
+import larchridge.router.Scheduler;
 import larchridge.state.EndpointState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -86,13 +86,13 @@
 
     private final EventLoop loop;
     private final ByteBufAllocator buffers;
-    private final Ground ground;
-    private final EndpointReader reader;
+    private final Scheduler ground;
+    private final EndpointListReader reader;
     private final Consumer<List<Row>> onChange;
     private final double againMostMs;
     private final Map<String, Row> rows = new LinkedHashMap<>();
-    private final StartTimes startTimes;
-    private final DepartedEndpoints departed = new DepartedEndpoints();
+    private final StartTimeConverter startTimes;
+    private final RemovedEndpoints departed = new RemovedEndpoints();
     private String host;
     private int port;
 
@@ -119,8 +119,8 @@
     public DiscoveryClient(
             EventLoop loop,
             ByteBufAllocator buffers,
-            Ground ground,
-            EndpointReader reader,
+            Scheduler ground,
+            EndpointListReader reader,
             double graceMs,
             Consumer<List<Row>> onChange) {
         this.loop = loop;
@@ -128,12 +128,12 @@
         this.ground = ground;
         this.reader = reader;
         this.onChange = onChange;
-        startTimes = new StartTimes(System::currentTimeMillis);
+        startTimes = new StartTimeConverter(System::currentTimeMillis);
         againMostMs = Math.max(AGAIN_LEAST_MS, graceMs * GRACE_PART);
     }
 
     /** Takes a list that was kept, and what comes on a watch. */
-    public void take(EndpointReader.Update list) {
+    public void take(EndpointListReader.Update list) {
         Map<String, Row> before = new LinkedHashMap<>(rows);
         if (list.whole()) {
             rows.clear();
@@ -352,10 +352,10 @@
 
         /** False if the answer could not be used, and the call has failed. */
         private boolean takeAnswer(FullHttpResponse response) {
-            EndpointReader.Update list;
+            EndpointListReader.Update list;
             try {
                 list = reader.read(ByteBufUtil.getBytes(response.content()));
-            } catch (EndpointReader.BadList e) {
+            } catch (EndpointListReader.BadList e) {
                 LOG.atWarn()
                         .addKeyValue("fault", e.getMessage())
                         .log("a list from discovery can't be read; the last one stays");
--- a/src/main/java/larchridge/node/discovery/EndpointReader.java
+++ b/src/main/java/larchridge/node/discovery/EndpointListReader.java
@@ -5,20 +5,20 @@
 import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import larchridge.enginelink.Spot;
 import larchridge.inventory.Row;
 import larchridge.state.EndpointState;
 import larchridge.state.Role;
+import larchridge.upstream.Endpoint;
 
 /** Reads lists of engines in discovery's form. A list with a fault anywhere is refused whole. */
-public final class EndpointReader {
+public final class EndpointListReader {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final Map<String, Role> roles;
     private final Map<String, Double> memory;
 
     /** What kinds of engines do, and tokens that they have memory for. */
-    public EndpointReader(Map<String, Role> roles, Map<String, Double> memory) {
+    public EndpointListReader(Map<String, Role> roles, Map<String, Double> memory) {
         this.roles = roles;
         this.memory = memory;
     }
@@ -81,7 +81,7 @@
                                             + "'; expected SERVING, DRAINING or DELETED");
                 };
         String address = entry.path("address").asText("");
-        Spot spot = Spot.parse(address);
+        Endpoint spot = Endpoint.parse(address);
         if ((spot == null || spot.port() == 0) && mode != EndpointState.GONE) {
             throw new BadList(where + ".address is '" + address + "'; expected host:port");
         }
--- a/src/main/java/larchridge/node/discovery/DepartedEndpoints.java
+++ b/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
@@ -11,7 +11,7 @@
  * older list, from a replica that lags or from another agent after a new configuration, must not
  * bring one of them back to service. A process that started anew is another one. Without I/O.
  */
-final class DepartedEndpoints {
+final class RemovedEndpoints {
     private static final int MOST = 4096;
 
     private record Departure(long index, double startMs) {}
--- a/src/main/java/larchridge/node/discovery/StartTimes.java
+++ b/src/main/java/larchridge/node/discovery/StartTimeConverter.java
@@ -12,7 +12,7 @@
  * not on the list confirmed last has started since, and none has started in the future. Without
  * I/O.
  */
-final class StartTimes {
+final class StartTimeConverter {
     private static final int MOST = 8192;
 
     private record Start(double toldMs, double localMs) {}
@@ -38,7 +38,7 @@
      */
     private double confirmedMs = Double.NEGATIVE_INFINITY;
 
-    StartTimes(LongSupplier wallClockMs) {
+    StartTimeConverter(LongSupplier wallClockMs) {
         this.wallClockMs = wallClockMs;
     }
 
--- a/src/main/java/larchridge/node/door/AcceptFailureHandler.java
+++ b/src/main/java/larchridge/node/server/AcceptFailureHandler.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/main/java/larchridge/node/door/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -30,12 +30,12 @@
 import java.util.Deque;
 import larchridge.audit.CloseReason;
 import larchridge.budget.Answer;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.Passage;
-import larchridge.front.Ask;
-import larchridge.front.Client;
-import larchridge.front.Open;
+import larchridge.router.GenerationRequest;
+import larchridge.router.InFlightRequest;
+import larchridge.router.ResponseSink;
 import larchridge.site.Offer;
+import larchridge.upstream.Completion;
+import larchridge.upstream.ForwardedRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,7 +45,7 @@
     private static final String PATH = "/v1/chat/completions";
     private static final int FIRST_BYTES = 4096;
 
-    private final Door door;
+    private final HttpServer door;
     private final Channel channel;
     private final StrictDecoder decoder = new StrictDecoder(this::requestStarted);
     private final double enteredMs;
@@ -77,7 +77,7 @@
      */
     private boolean overrun;
 
-    ClientConnection(Door door, Channel channel) {
+    ClientConnection(HttpServer door, Channel channel) {
         this.door = door;
         this.channel = channel;
         enteredMs = door.ground.nowMs();
@@ -150,7 +150,7 @@
     private void take(HttpObject part) {
         if (part.decoderResult().isFailure()) {
             boolean tooLong = part.decoderResult().cause() instanceof TooLongFrameException;
-            refuse(tooLong ? RequestRefusal.HEAD_TOO_LONG : RequestRefusal.UNREADABLE);
+            refuse(tooLong ? RequestRejection.HEAD_TOO_LONG : RequestRejection.UNREADABLE);
             return;
         }
         if (part instanceof HttpRequest request) {
@@ -174,7 +174,7 @@
         requestsBegun++;
         HttpHeaders headers = request.headers();
         if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-            refuse(RequestRefusal.OTHER_VERSION);
+            refuse(RequestRejection.OTHER_VERSION);
             return;
         }
         boolean chunks = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
@@ -184,11 +184,11 @@
                         || !headers.get(HttpHeaderNames.TRANSFER_ENCODING)
                                 .strip()
                                 .equalsIgnoreCase("chunked"))) {
-            refuse(RequestRefusal.TWO_LENGTHS);
+            refuse(RequestRejection.TWO_LENGTHS);
             return;
         }
         if (!chunks && HttpUtil.getContentLength(request, 0L) > door.bounds.bodyBytes()) {
-            refuse(RequestRefusal.BODY_TOO_LONG);
+            refuse(RequestRejection.BODY_TOO_LONG);
             return;
         }
         if (HttpUtil.is100ContinueExpected(request)) {
@@ -203,11 +203,11 @@
     private void gather(HttpContent content) {
         int more = content.content().readableBytes();
         if (length + more > door.bounds.bodyBytes()) {
-            refuse(RequestRefusal.BODY_TOO_LONG);
+            refuse(RequestRejection.BODY_TOO_LONG);
             return;
         }
         if (!door.mayHold(more)) {
-            refuse(RequestRefusal.NO_MEMORY);
+            refuse(RequestRejection.NO_MEMORY);
             return;
         }
         if (length + more > body.length) {
@@ -253,43 +253,43 @@
             return;
         }
         if (!path.equals(PATH)) {
-            refuse(RequestRefusal.NOT_FOUND);
+            refuse(RequestRejection.NOT_FOUND);
             return;
         }
         if (!request.method().name().equals("POST")) {
-            refuse(RequestRefusal.OTHER_METHOD);
+            refuse(RequestRejection.OTHER_METHOD);
             return;
         }
         RequestHead asked;
         try {
             asked = RequestHead.read(request.headers());
         } catch (RequestHead.BadHead e) {
-            refuse(RequestRefusal.BAD_HEADER, e.getMessage());
+            refuse(RequestRejection.BAD_HEADER, e.getMessage());
             return;
         }
         Offer offer = door.offers.get(asked.product());
         if (offer == null) {
-            refuse(RequestRefusal.NO_SUCH_CLASS);
+            refuse(RequestRejection.NO_SUCH_CLASS);
             return;
         }
         if (length == 0) {
-            refuse(RequestRefusal.NO_BODY);
+            refuse(RequestRejection.NO_BODY);
             return;
         }
         if (!door.front.enter()) {
             drop();
-            RequestRefusal refusal = RequestRefusal.NOT_ADMITTED;
+            RequestRejection refusal = RequestRejection.NOT_ADMITTED;
             door.refused(refusal);
             answer(refusal.status, refusal.message, 0, !HttpUtil.isKeepAlive(request));
             return;
         }
         if (!door.takeId(asked.id())) {
             door.front.leave();
-            refuse(RequestRefusal.ID_USED);
+            refuse(RequestRejection.ID_USED);
             return;
         }
-        Passage passage =
-                new Passage(
+        ForwardedRequest passage =
+                new ForwardedRequest(
                         "POST",
                         target,
                         asked.id(),
@@ -307,14 +307,18 @@
     }
 
     private void submit(
-            Exchange own, RequestHead asked, Offer offer, Passage passage, double receivedMs) {
+            Exchange own,
+            RequestHead asked,
+            Offer offer,
+            ForwardedRequest passage,
+            double receivedMs) {
         if (own.done || hasLeft()) {
             return;
         }
         try {
             door.events.accepted(asked.id(), offer.product, passage.limitMs());
             door.front.take(
-                    Ask.passing(
+                    GenerationRequest.passing(
                             offer,
                             door.site.guest,
                             passage,
@@ -334,7 +338,7 @@
                     .addKeyValue("id", asked.id())
                     .setCause(e)
                     .log("a request could not be taken");
-            own.terminated(Client.Cause.INTERNAL, false);
+            own.terminated(ResponseSink.Cause.INTERNAL, false);
         }
     }
 
@@ -351,14 +355,14 @@
     }
 
     /** An error that ends the connection: what follows can't be trusted. */
-    private void refuse(RequestRefusal refusal) {
+    private void refuse(RequestRejection refusal) {
         refuse(refusal, refusal.message);
     }
 
-    private void refuse(RequestRefusal refusal, String message) {
+    private void refuse(RequestRejection refusal, String message) {
         door.refused(refusal);
         closeReason =
-                refusal == RequestRefusal.TOO_SLOW
+                refusal == RequestRejection.TOO_SLOW
                         ? CloseReason.REQUEST_TIMEOUT
                         : CloseReason.BAD_INPUT;
         dropAll();
@@ -450,7 +454,7 @@
         }
         boolean receiving = decoder.isReceiving();
         if (isRequestOverdue(now, receiving)) {
-            refuse(RequestRefusal.TOO_SLOW);
+            refuse(RequestRejection.TOO_SLOW);
         } else if (head == null && !receiving && now - idleSinceMs > door.bounds.idleMs()) {
             closeGracefully(CloseReason.IDLE);
         }
@@ -564,11 +568,11 @@
     // ------------------------------------------------------------------ answers
 
     /** One generation's exchange with this client. */
-    private final class Exchange implements Client {
+    private final class Exchange implements ResponseSink {
         private final String id;
         private final int bytes;
         private final boolean last;
-        private Open open;
+        private InFlightRequest open;
         private boolean done;
         private boolean begun;
 
@@ -643,7 +647,7 @@
         }
 
         @Override
-        public void streamed(Ending ending) {
+        public void streamed(Completion ending) {
             if (!finish()) {
                 return;
             }
--- a/src/main/java/larchridge/node/door/ForwardedHeaders.java
+++ b/src/main/java/larchridge/node/server/ForwardedHeaders.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import larchridge.enginelink.Passage;
+import larchridge.upstream.ForwardedRequest;
 
 /**
  * Which of a client's headers go on to engines: all that are end to end. An engine may know repeats
@@ -38,17 +38,17 @@
     private ForwardedHeaders() {}
 
     /** The headers that go on, in their order. */
-    static List<Passage.Header> of(HttpHeaders headers) {
+    static List<ForwardedRequest.Header> of(HttpHeaders headers) {
         Set<String> dropped = new HashSet<>(OF_ONE_CONNECTION);
         for (String value : headers.getAll(CONNECTION)) {
             for (String name : value.split(",")) {
                 dropped.add(name.strip().toLowerCase(Locale.ROOT));
             }
         }
-        List<Passage.Header> forwarded = new ArrayList<>(headers.size());
+        List<ForwardedRequest.Header> forwarded = new ArrayList<>(headers.size());
         for (Map.Entry<String, String> header : headers) {
             if (!dropped.contains(header.getKey().toLowerCase(Locale.ROOT))) {
-                forwarded.add(new Passage.Header(header.getKey(), header.getValue()));
+                forwarded.add(new ForwardedRequest.Header(header.getKey(), header.getValue()));
             }
         }
         return forwarded;
--- a/src/main/java/larchridge/node/door/Door.java
+++ b/src/main/java/larchridge/node/server/HttpServer.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufAllocator;
@@ -21,9 +21,9 @@
 import larchridge.audit.CloseReason;
 import larchridge.audit.ConnectionSide;
 import larchridge.audit.RequestEvents;
-import larchridge.front.Front;
-import larchridge.front.Ground;
 import larchridge.metrics.Meters;
+import larchridge.router.Router;
+import larchridge.router.Scheduler;
 import larchridge.site.Offer;
 import larchridge.site.Site;
 import larchridge.state.TrafficClass;
@@ -34,17 +34,17 @@
  * Clients' side of a node: the listener, its connections and their bounds. What one connection says
  * is read by its {@link ClientConnection}. All methods run on the loop.
  */
-public final class Door {
+public final class HttpServer {
     private static final int IDS = 4096;
     private static final double CHECK_MS = 200;
     private static final double EMPTY_LOOK_MS = 20;
-    private static final Logger LOG = LoggerFactory.getLogger(Door.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-    final Front front;
+    final Router front;
     final Site site;
     final Map<String, Offer> offers = new HashMap<>();
-    final DoorBounds bounds;
-    final Ground ground;
+    final ServerLimits bounds;
+    final Scheduler ground;
     final RequestEvents events;
     private final Meters meters;
     private final EventLoopGroup loop;
@@ -71,14 +71,14 @@
     private boolean closing;
     private boolean shut;
 
-    public Door(
+    public HttpServer(
             EventLoopGroup loop,
             ByteBufAllocator buffers,
-            Ground ground,
-            Front front,
+            Scheduler ground,
+            Router front,
             Site site,
             Collection<TrafficClass> products,
-            DoorBounds bounds,
+            ServerLimits bounds,
             RequestEvents events,
             Meters meters) {
         this.events = events;
@@ -281,7 +281,7 @@
     }
 
     /** A request was refused before it was taken. */
-    void refused(RequestRefusal refusal) {
+    void refused(RequestRejection refusal) {
         meters.refused(refusal.tag());
         LOG.atDebug().addKeyValue("reason", refusal).log("request refused");
     }
--- a/src/main/java/larchridge/node/door/RequestRefusal.java
+++ b/src/main/java/larchridge/node/server/RequestRejection.java
@@ -1,10 +1,10 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
 
 /** Why a request is refused before it is taken, and what its client is told. */
-enum RequestRefusal {
+enum RequestRejection {
     UNREADABLE(HttpResponseStatus.BAD_REQUEST, "the request can't be read"),
     HEAD_TOO_LONG(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the request can't be read"),
     OTHER_VERSION(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here"),
@@ -29,7 +29,7 @@
     final HttpResponseStatus status;
     final String message;
 
-    RequestRefusal(HttpResponseStatus status, String message) {
+    RequestRejection(HttpResponseStatus status, String message) {
         this.status = status;
         this.message = message;
     }
--- a/src/main/java/larchridge/node/door/DoorBounds.java
+++ b/src/main/java/larchridge/node/server/ServerLimits.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 /**
  * Bounds of the clients' side, derived from the configuration. Times are milliseconds, sizes bytes.
@@ -13,7 +13,7 @@
  * @param idleMs after so long without a request a connection is closed
  * @param lingerMs for so long a connection that this side has ended is read on
  */
-public record DoorBounds(
+public record ServerLimits(
         int connections,
         int bodyBytes,
         long heldBytes,
--- a/src/main/java/larchridge/node/door/StrictDecoder.java
+++ b/src/main/java/larchridge/node/server/StrictDecoder.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/larchridge/node/transport/Connecting.java
+++ b/src/main/java/larchridge/node/transport/Connecting.java
@@ -3,7 +3,7 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import java.util.function.Consumer;
-import larchridge.front.Ground;
+import larchridge.router.Scheduler;
 
 /**
  * A connection on its way up. Where the system call for a socket fails, Netty completes the future
@@ -21,7 +21,7 @@
     /** Tells how it ended, on the loop; a failure never from inside this call. */
     public static void whenDone(
             ChannelFuture opening,
-            Ground ground,
+            Scheduler ground,
             Runnable connected,
             Consumer<ConnectFailure> failed) {
         opening.addListener(
--- a/src/main/java/larchridge/node/link/Pool.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPool.java
@@ -1,16 +1,16 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.Set;
 import larchridge.audit.CloseReason;
-import larchridge.enginelink.Spot;
+import larchridge.upstream.Endpoint;
 
 /**
  * The connections to one address. Those that rest are used newest first, so that the rest grow old
  * and are closed.
  */
-final class Pool {
+final class ConnectionPool {
     /** An answer that comes directly behind another must find its connection still at rest. */
     private static final double REST_MS = 3;
 
@@ -23,10 +23,10 @@
      */
     private static final double HELD_UP_MS = 150;
 
-    final Spot spot;
-    private final PassageLink link;
-    private final ArrayDeque<Wire> idle = new ArrayDeque<>();
-    private final Set<Wire> all = new HashSet<>();
+    final Endpoint spot;
+    private final ForwardingUpstreamClient link;
+    private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
+    private final Set<UpstreamConnection> all = new HashSet<>();
 
     /** Attempts that are out there. */
     int attempts;
@@ -34,16 +34,16 @@
     /** When anything was heard from there last. */
     double heardMs = Double.NEGATIVE_INFINITY;
 
-    Pool(PassageLink link, Spot spot) {
+    ConnectionPool(ForwardingUpstreamClient link, Endpoint spot) {
         this.link = link;
         this.spot = spot;
     }
 
     /** A connection at rest that can be used, or null. */
-    Wire take() {
+    UpstreamConnection take() {
         double now = link.nowMs();
         double limit = idleLimitMs();
-        for (Wire wire : idle) {
+        for (UpstreamConnection wire : idle) {
             if (now - wire.idleSinceMs >= limit) {
                 break;
             }
@@ -57,19 +57,19 @@
 
     /** Whether a connection rests that could be used now. */
     boolean hasIdle() {
-        Wire newest = idle.peekFirst();
+        UpstreamConnection newest = idle.peekFirst();
         return newest != null
                 && newest.isUsable()
                 && link.nowMs() - newest.idleSinceMs < idleLimitMs();
     }
 
-    void opening(Wire wire) {
+    void opening(UpstreamConnection wire) {
         wire.idleSinceMs = link.nowMs();
         all.add(wire);
     }
 
     /** Keeps a connection whose answer has just ended. */
-    void rest(Wire wire) {
+    void rest(UpstreamConnection wire) {
         wire.idleSinceMs = link.nowMs();
         heardMs = wire.idleSinceMs;
         putBack(wire);
@@ -79,12 +79,12 @@
      * Keeps a connection on which nothing was sent: it has rested all the time. Counted from now,
      * it would be used after its engine has closed it.
      */
-    void putBack(Wire wire) {
+    void putBack(UpstreamConnection wire) {
         if (!wire.isUsable()) {
             wire.close(CloseReason.PEER);
             return;
         }
-        ArrayDeque<Wire> newer = new ArrayDeque<>();
+        ArrayDeque<UpstreamConnection> newer = new ArrayDeque<>();
         while (!idle.isEmpty() && idle.peekFirst().idleSinceMs > wire.idleSinceMs) {
             newer.addFirst(idle.pollFirst());
         }
@@ -92,7 +92,7 @@
         newer.forEach(idle::addFirst);
     }
 
-    void lost(Wire wire, CloseReason reason) {
+    void lost(UpstreamConnection wire, CloseReason reason) {
         if (all.remove(wire)) {
             idle.remove(wire);
             link.closed(reason);
--- a/src/main/java/larchridge/node/link/CallResult.java
+++ b/src/main/java/larchridge/node/upstream/ControlCallResult.java
@@ -1,7 +1,7 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 /** What became of a small call to an engine: a release or a probe. */
-enum CallResult {
+enum ControlCallResult {
     /** The engine answered in time. */
     ANSWERED,
     /** It did not answer in time, broke off, or could not be reached. */
--- a/src/main/java/larchridge/node/link/EventCutter.java
+++ b/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import io.netty.buffer.ByteBuf;
 import java.io.ByteArrayOutputStream;
@@ -10,7 +10,7 @@
  * but a load report in one is kept. What is no event is noise, and nothing after it is believed.
  * Without I/O, clock or threads.
  */
-final class EventCutter {
+final class EventStreamSplitter {
     private static final byte[] DONE = "data: [DONE]".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] DATA = "data: {".getBytes(StandardCharsets.US_ASCII);
 
@@ -28,7 +28,7 @@
      * @param mostBytes the longest event that is waited for
      * @param reportName what a load report's comment begins with, after the colon
      */
-    EventCutter(int mostBytes, String reportName) {
+    EventStreamSplitter(int mostBytes, String reportName) {
         this.mostBytes = mostBytes;
         this.reportName = reportName;
     }
--- a/src/main/java/larchridge/node/link/Verdict.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import larchridge.state.AttemptOutcome;
 
@@ -7,7 +7,7 @@
  * rests on this: an outcome that proves an attempt never ran is only given where the engine can't
  * have started it or says so itself.
  */
-final class Verdict {
+final class ForwardedAttemptClassifier {
     private boolean written;
     private int status;
     private boolean declined;
--- a/src/main/java/larchridge/node/link/PassageLink.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -36,19 +36,19 @@
 import larchridge.audit.CloseReason;
 import larchridge.audit.ConnectionSide;
 import larchridge.audit.RequestEvents;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.EngineLink;
-import larchridge.enginelink.Hearing;
-import larchridge.enginelink.Order;
-import larchridge.enginelink.Passage;
-import larchridge.enginelink.SendRefusal;
-import larchridge.enginelink.Spot;
-import larchridge.enginelink.StateHandle;
-import larchridge.front.Ground;
 import larchridge.node.transport.ConnectFailure;
 import larchridge.node.transport.Connecting;
+import larchridge.router.Scheduler;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.LoadReport;
+import larchridge.upstream.AttemptListener;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.Completion;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.ForwardedRequest;
+import larchridge.upstream.SendRejection;
+import larchridge.upstream.StateHandle;
+import larchridge.upstream.UpstreamClient;
 
 /**
  * Engines that speak the clients' own protocol: requests go on as they came, events come back as
@@ -56,7 +56,7 @@
  * once for all of a request's attempts, and only while no attempt may still fetch it. All methods
  * run on the loop.
  */
-public final class PassageLink implements EngineLink {
+public final class ForwardingUpstreamClient implements UpstreamClient {
     static final String ID = "Req-Id";
     private static final String LEFT = "Req-Deadline-Ms";
     private static final String LOAD = "Srv-Load";
@@ -68,14 +68,14 @@
     private static final byte[] NOTHING = new byte[0];
     private static final Waiting WAITING = new Waiting();
 
-    private final Ground ground;
-    private final LinkBounds bounds;
-    private final LoadText loads;
+    private final Scheduler ground;
+    private final UpstreamLimits bounds;
+    private final LoadReportReader loads;
     private final Opener opener;
-    private final Map<Spot, Pool> pools = new LinkedHashMap<>();
-    private final StateReleases releases;
+    private final Map<Endpoint, ConnectionPool> pools = new LinkedHashMap<>();
+    private final StateReleaser releases;
     private final RequestEvents events;
-    private List<Spot> spots = List.of();
+    private List<Endpoint> spots = List.of();
     private int connections;
 
     /** A read state waits under the request's own id. */
@@ -83,35 +83,36 @@
 
     /** Opens a connection to a spot and puts the handlers into it. */
     public interface Opener {
-        ChannelFuture open(Spot spot, ChannelInitializer<Channel> handlers);
+        ChannelFuture open(Endpoint spot, ChannelInitializer<Channel> handlers);
     }
 
-    public PassageLink(
+    public ForwardingUpstreamClient(
             EventLoop loop,
-            Ground ground,
+            Scheduler ground,
             ByteBufAllocator buffers,
-            LinkBounds bounds,
+            UpstreamLimits bounds,
             RequestEvents events) {
         this(ground, bounds, sockets(loop, buffers, bounds), events);
     }
 
     /** A link whose connections are made otherwise. */
-    public PassageLink(Ground ground, LinkBounds bounds, Opener opener) {
+    public ForwardingUpstreamClient(Scheduler ground, UpstreamLimits bounds, Opener opener) {
         this(ground, bounds, opener, RequestEvents.IGNORED);
     }
 
     /** A link whose connections are made otherwise, and whose events go to a watcher. */
-    public PassageLink(Ground ground, LinkBounds bounds, Opener opener, RequestEvents events) {
+    public ForwardingUpstreamClient(
+            Scheduler ground, UpstreamLimits bounds, Opener opener, RequestEvents events) {
         this.events = events;
         this.ground = ground;
         this.bounds = bounds;
         this.opener = opener;
-        loads = new LoadText(bounds.reportFields());
-        releases = new StateReleases(ground, bounds.releaseMs(), new ReleaseTransport());
+        loads = new LoadReportReader(bounds.reportFields());
+        releases = new StateReleaser(ground, bounds.releaseMs(), new ReleaseTransport());
         ground.every(Math.max(100, bounds.keepAliveMs() / 20), this::closeOld);
     }
 
-    private static Opener sockets(EventLoop loop, ByteBufAllocator buffers, LinkBounds bounds) {
+    private static Opener sockets(EventLoop loop, ByteBufAllocator buffers, UpstreamLimits bounds) {
         Bootstrap bootstrap =
                 new Bootstrap()
                         .group(loop)
@@ -129,7 +130,7 @@
         return ground.nowMs();
     }
 
-    LinkBounds bounds() {
+    UpstreamLimits bounds() {
         return bounds;
     }
 
@@ -137,18 +138,18 @@
      * The engines that are there now; a release that its holder does not take goes to another of
      * them.
      */
-    public void engines(List<Spot> now) {
+    public void engines(List<Endpoint> now) {
         spots = List.copyOf(now);
     }
 
     /** Attempts that are out, for the picture beside the module's. */
-    public int attemptsOut(Spot spot) {
-        Pool pool = pools.get(spot);
+    public int attemptsOut(Endpoint spot) {
+        ConnectionPool pool = pools.get(spot);
         return pool == null ? 0 : pool.attempts;
     }
 
-    public int connectionsTo(Spot spot) {
-        Pool pool = pools.get(spot);
+    public int connectionsTo(Endpoint spot) {
+        ConnectionPool pool = pools.get(spot);
         return pool == null ? 0 : pool.size();
     }
 
@@ -164,16 +165,16 @@
 
     // ------------------------------------------------------------------ connections
 
-    private Pool pool(Spot spot) {
-        return pools.computeIfAbsent(spot, at -> new Pool(this, at));
+    private ConnectionPool pool(Endpoint spot) {
+        return pools.computeIfAbsent(spot, at -> new ConnectionPool(this, at));
     }
 
     /**
      * Starts a call on the newest connection at rest or on a new one; null if there is no room for
      * one more.
      */
-    private Wire start(Pool pool, Call call) {
-        Wire idle = pool.take();
+    private UpstreamConnection start(ConnectionPool pool, UpstreamExchange call) {
+        UpstreamConnection idle = pool.take();
         if (idle != null) {
             idle.start(call);
             return idle;
@@ -182,7 +183,7 @@
                 || connections >= bounds.connections() && !makeRoom()) {
             return null;
         }
-        Wire wire = new Wire(pool, call);
+        UpstreamConnection wire = new UpstreamConnection(pool, call);
         pool.opening(wire);
         connections++;
         ChannelFuture opening =
@@ -209,8 +210,8 @@
 
     /** Closes the connection that has rested longest of all; false if none rests. */
     private boolean makeRoom() {
-        Pool oldest = null;
-        for (Pool pool : pools.values()) {
+        ConnectionPool oldest = null;
+        for (ConnectionPool pool : pools.values()) {
             if (oldest == null || pool.oldestMs() < oldest.oldestMs()) {
                 oldest = pool;
             }
@@ -234,7 +235,7 @@
     }
 
     private static FullHttpRequest request(
-            Spot spot, HttpMethod method, String target, byte[] body) {
+            Endpoint spot, HttpMethod method, String target, byte[] body) {
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, method, target, Unpooled.wrappedBuffer(body));
@@ -245,38 +246,38 @@
     // ------------------------------------------------------------------ attempts
 
     @Override
-    public Flight read(Order order, Hearing hearing) {
+    public Flight read(AttemptRequest order, AttemptListener hearing) {
         return fly(order, hearing, true);
     }
 
     @Override
-    public Flight write(Order order, Hearing hearing) {
+    public Flight write(AttemptRequest order, AttemptListener hearing) {
         return fly(order, hearing, false);
     }
 
-    private Flight fly(Order order, Hearing hearing, boolean reads) {
-        HeldState held = releases.attemptStarted(order.passage().id());
-        Pool pool = pool(order.spot());
+    private Flight fly(AttemptRequest order, AttemptListener hearing, boolean reads) {
+        StateReservation held = releases.attemptStarted(order.passage().id());
+        ConnectionPool pool = pool(order.spot());
         pool.attempts++;
         Attempt attempt = new Attempt(order, hearing, reads, held, pool);
         held.onReleasedBesideAttempt = reads ? null : attempt::stateReleased;
         attempt.wire = start(pool, attempt);
         if (attempt.wire == null) {
-            attempt.refuse(SendRefusal.NO_CONNECTION);
+            attempt.refuse(SendRejection.NO_CONNECTION);
         }
         return attempt;
     }
 
     /** One attempt that is out. */
-    private final class Attempt implements Call, Flight {
-        private final Order order;
-        private final Hearing hearing;
+    private final class Attempt implements UpstreamExchange, Flight {
+        private final AttemptRequest order;
+        private final AttemptListener hearing;
         private final boolean reads;
-        private final HeldState state;
-        private final Pool pool;
-        private final Verdict verdict = new Verdict();
-        private final EventCutter cutter = new EventCutter(EVENT_BYTES, LOAD);
-        private Wire wire;
+        private final StateReservation state;
+        private final ConnectionPool pool;
+        private final ForwardedAttemptClassifier verdict = new ForwardedAttemptClassifier();
+        private final EventStreamSplitter cutter = new EventStreamSplitter(EVENT_BYTES, LOAD);
+        private UpstreamConnection wire;
         private boolean begun;
         private boolean over;
         private boolean held;
@@ -286,7 +287,12 @@
         /** The number under which its events are told, or -1 as long as it is not written. */
         private int number = -1;
 
-        Attempt(Order order, Hearing hearing, boolean reads, HeldState state, Pool pool) {
+        Attempt(
+                AttemptRequest order,
+                AttemptListener hearing,
+                boolean reads,
+                StateReservation state,
+                ConnectionPool pool) {
             this.order = order;
             this.hearing = hearing;
             this.reads = reads;
@@ -296,18 +302,18 @@
 
         @Override
         public FullHttpRequest request() {
-            Passage passage = order.passage();
+            ForwardedRequest passage = order.passage();
             double left = passage.limitMs() - ground.nowMs();
-            SendRefusal refusal =
+            SendRejection refusal =
                     over
-                            ? SendRefusal.CALLED_OFF
-                            : left < 1 ? SendRefusal.TIME_UP : order.check().refusal();
+                            ? SendRejection.CALLED_OFF
+                            : left < 1 ? SendRejection.TIME_UP : order.check().refusal();
             if (refusal != null) {
                 refuse(refusal);
                 return null;
             }
             FullHttpRequest request =
-                    PassageLink.request(
+                    ForwardingUpstreamClient.request(
                             order.spot(),
                             HttpMethod.valueOf(passage.method()),
                             passage.target(),
@@ -336,7 +342,7 @@
         }
 
         /** It is not written, for a reason that says nothing about the engine. */
-        private void refuse(SendRefusal reason) {
+        private void refuse(SendRejection reason) {
             verdict.unfit();
             if (!over) {
                 hearing.notSent(reason);
@@ -438,7 +444,7 @@
         @Override
         public void notConnected(ConnectFailure failure) {
             if (failure == ConnectFailure.LOCAL) {
-                refuse(SendRefusal.LOCAL_FAULT);
+                refuse(SendRejection.LOCAL_FAULT);
             } else {
                 endLater();
             }
@@ -502,7 +508,7 @@
             boolean heard = verdict.status() != 0;
             events.ended(state.requestId, number, outcome.name(), outcome.neverRan, heard);
             releases.attemptEnded(state, heard);
-            hearing.ended(outcome, report, new Ending(Ending.Why.END_OF_TURN, null, -1, 0));
+            hearing.ended(outcome, report, new Completion(Completion.Why.END_OF_TURN, null, -1, 0));
         }
 
         private void leavePool() {
@@ -516,22 +522,22 @@
     // ------------------------------------------------------------------ releases
 
     @Override
-    public void release(Spot spot, String rid) {
+    public void release(Endpoint spot, String rid) {
         releases.release(rid.substring(0, rid.lastIndexOf('.')), spot);
     }
 
     /** Releases go over the pools' connections. */
-    private final class ReleaseTransport implements StateReleases.Transport {
+    private final class ReleaseTransport implements StateReleaser.Transport {
         @Override
         public void release(
-                Spot spot, String requestId, double limitMs, Consumer<CallResult> told) {
+                Endpoint spot, String requestId, double limitMs, Consumer<ControlCallResult> told) {
             new SmallCall(
                             spot,
                             HttpMethod.DELETE,
                             "/v1/holds/" + requestId,
                             limitMs,
                             (result, call) -> {
-                                if (result == CallResult.ANSWERED) {
+                                if (result == ControlCallResult.ANSWERED) {
                                     events.released(requestId);
                                 }
                                 told.accept(result);
@@ -540,7 +546,7 @@
         }
 
         @Override
-        public Spot next(Spot holder, Set<Spot> asked) {
+        public Endpoint next(Endpoint holder, Set<Endpoint> asked) {
             return nextSpot(holder, asked);
         }
     }
@@ -551,18 +557,18 @@
      * come up first may take all the time there is, and where engines are cut off most of them are
      * asked in vain.
      */
-    private Spot nextSpot(Spot holder, Set<Spot> asked) {
-        Spot best = null;
+    private Endpoint nextSpot(Endpoint holder, Set<Endpoint> asked) {
+        Endpoint best = null;
         boolean bestRests = false;
         double bestMs = Double.NEGATIVE_INFINITY;
-        for (Spot spot : spots) {
+        for (Endpoint spot : spots) {
             if (asked.contains(spot)) {
                 continue;
             }
             if (spot.equals(holder)) {
                 return spot;
             }
-            Pool pool = pools.get(spot);
+            ConnectionPool pool = pools.get(spot);
             boolean rests = pool != null && pool.hasIdle();
             double heardMs = pool == null ? Double.NEGATIVE_INFINITY : pool.heardMs;
             if (best == null || rests && !bestRests || rests == bestRests && heardMs > bestMs) {
@@ -577,17 +583,18 @@
     // ------------------------------------------------------------------ probes
 
     @Override
-    public void probe(Spot spot, Told told) {
+    public void probe(Endpoint spot, Told told) {
         new SmallCall(
                         spot,
                         HttpMethod.GET,
                         "/metrics/load",
                         bounds.connectMs(),
                         (result, call) -> {
-                            if (result == CallResult.NOT_SENT) {
+                            if (result == ControlCallResult.NOT_SENT) {
                                 return;
                             }
-                            boolean answered = result == CallResult.ANSWERED && call.status == 200;
+                            boolean answered =
+                                    result == ControlCallResult.ANSWERED && call.status == 200;
                             // An engine that has no report yet answers without one; it is not to be
                             // taken for a dead one.
                             told.told(answered, answered ? loads.read(call.text()) : null);
@@ -596,24 +603,24 @@
     }
 
     /** A call without a body, with an answer that is small and a time limit. */
-    private final class SmallCall implements Call {
-        private final Spot spot;
+    private final class SmallCall implements UpstreamExchange {
+        private final Endpoint spot;
         private final HttpMethod method;
         private final String target;
-        private final BiConsumer<CallResult, SmallCall> told;
+        private final BiConsumer<ControlCallResult, SmallCall> told;
         private final double limitMs;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream(64);
         private int status;
-        private Wire wire;
+        private UpstreamConnection wire;
         private boolean over;
         private long timer;
 
         SmallCall(
-                Spot spot,
+                Endpoint spot,
                 HttpMethod method,
                 String target,
                 double limitMs,
-                BiConsumer<CallResult, SmallCall> told) {
+                BiConsumer<ControlCallResult, SmallCall> told) {
             this.spot = spot;
             this.method = method;
             this.target = target;
@@ -629,11 +636,11 @@
                                 if (!over && wire != null) {
                                     wire.drop();
                                 }
-                                end(CallResult.UNANSWERED);
+                                end(ControlCallResult.UNANSWERED);
                             });
             wire = start(pool(spot), this);
             if (wire == null) {
-                ground.later(() -> end(CallResult.NOT_SENT));
+                ground.later(() -> end(ControlCallResult.NOT_SENT));
             }
         }
 
@@ -643,7 +650,7 @@
 
         @Override
         public FullHttpRequest request() {
-            return over ? null : PassageLink.request(spot, method, target, NOTHING);
+            return over ? null : ForwardingUpstreamClient.request(spot, method, target, NOTHING);
         }
 
         @Override
@@ -661,26 +668,29 @@
         @Override
         public boolean whole() {
             pool(spot).heardMs = ground.nowMs();
-            end(CallResult.ANSWERED);
+            end(ControlCallResult.ANSWERED);
             return true;
         }
 
         @Override
         public void garbled() {
-            end(CallResult.UNANSWERED);
+            end(ControlCallResult.UNANSWERED);
         }
 
         @Override
         public void broken() {
-            ground.later(() -> end(CallResult.UNANSWERED));
+            ground.later(() -> end(ControlCallResult.UNANSWERED));
         }
 
         @Override
         public void notConnected(ConnectFailure failure) {
-            end(failure == ConnectFailure.LOCAL ? CallResult.NOT_SENT : CallResult.UNANSWERED);
+            end(
+                    failure == ConnectFailure.LOCAL
+                            ? ControlCallResult.NOT_SENT
+                            : ControlCallResult.UNANSWERED);
         }
 
-        private void end(CallResult result) {
+        private void end(ControlCallResult result) {
             if (!over) {
                 over = true;
                 ground.cancel(timer);
@@ -691,6 +701,6 @@
 
     @Override
     public void close() {
-        new ArrayList<>(pools.values()).forEach(Pool::closeAll);
+        new ArrayList<>(pools.values()).forEach(ConnectionPool::closeAll);
     }
 }
--- a/src/main/java/larchridge/node/link/LoadText.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import java.util.HashMap;
 import java.util.List;
@@ -9,13 +9,13 @@
 /**
  * Reads load reports: figures by the names that the settings use. What can't be read is no report.
  */
-final class LoadText {
+final class LoadReportReader {
     private static final int MOST = 512;
     private static final double HIGHEST = 1e12;
 
     private final List<String> fields;
 
-    LoadText(List<String> fields) {
+    LoadReportReader(List<String> fields) {
         this.fields = fields;
     }
 
--- a/src/main/java/larchridge/node/link/StateReleases.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -1,11 +1,11 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import larchridge.enginelink.Spot;
-import larchridge.front.Ground;
+import larchridge.router.Scheduler;
+import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,7 +22,7 @@
  * that arrives later is declined with the engine's word that there is no state, and the prompt is
  * read again.
  */
-final class StateReleases {
+final class StateReleaser {
     /** A release is tried this many times within the time that a state may be held. */
     private static final int TRIES_IN_TIME = 5;
 
@@ -47,9 +47,9 @@
     /** For so many times that time a release is tried again that this machine could not send. */
     private static final double LOCAL_FAULT_PART = 5;
 
-    private static final Logger LOG = LoggerFactory.getLogger(StateReleases.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StateReleaser.class);
 
-    private final Ground ground;
+    private final Scheduler ground;
     private final double releaseMs;
 
     /** For so long an engine may answer a release before another is asked. */
@@ -59,7 +59,7 @@
     private final Transport transport;
 
     /** What is open of each request, by the client's id. */
-    private final Map<String, HeldState> byRequest = new HashMap<>();
+    private final Map<String, StateReservation> byRequest = new HashMap<>();
 
     /** How releases reach engines. */
     interface Transport {
@@ -67,13 +67,14 @@
          * Asks an engine to release all that is held for a request; tells the result, never from
          * inside the call.
          */
-        void release(Spot spot, String requestId, double limitMs, Consumer<CallResult> told);
+        void release(
+                Endpoint spot, String requestId, double limitMs, Consumer<ControlCallResult> told);
 
         /** The engine to ask next, or null if all have been asked. */
-        Spot next(Spot holder, Set<Spot> asked);
+        Endpoint next(Endpoint holder, Set<Endpoint> asked);
     }
 
-    StateReleases(Ground ground, double releaseMs, Transport transport) {
+    StateReleaser(Scheduler ground, double releaseMs, Transport transport) {
         this.ground = ground;
         this.releaseMs = releaseMs;
         this.transport = transport;
@@ -84,21 +85,21 @@
     // ------------------------------------------------------------------ what happens to attempts
 
     /** An attempt of a request begins. */
-    HeldState attemptStarted(String requestId) {
-        HeldState held = byRequest.computeIfAbsent(requestId, HeldState::new);
+    StateReservation attemptStarted(String requestId) {
+        StateReservation held = byRequest.computeIfAbsent(requestId, StateReservation::new);
         held.attemptsOut++;
         return held;
     }
 
     /** A read has ended well: its engine holds the state. */
-    void readEnded(HeldState held) {
+    void readEnded(StateReservation held) {
         held.attemptsOut--;
         startTimer(held);
         settle(held);
     }
 
     /** An answer has begun, and has fetched what was held. */
-    void answerBegan(HeldState held) {
+    void answerBegan(StateReservation held) {
         held.begun = true;
         held.mayBeHeld = false;
         stopTimer(held);
@@ -108,11 +109,11 @@
      * An attempt has ended otherwise; heard tells whether its engine answered anything, so that it
      * had arrived there.
      */
-    void attemptEnded(HeldState held, boolean heard) {
+    void attemptEnded(StateReservation held, boolean heard) {
         held.attemptsOut--;
         // Released beside it, the state may have stayed for this attempt alone, and is held anew
         // from now on.
-        boolean releasedBefore = held.timer == HeldState.NO_TIMER;
+        boolean releasedBefore = held.timer == StateReservation.NO_TIMER;
         if (held.mayBeHeld && (heard || releasedBefore)) {
             stopTimer(held);
             startTimer(held);
@@ -123,8 +124,8 @@
     // ------------------------------------------------------------------ releases
 
     /** Nothing of the request's state is wanted any more. */
-    void release(String requestId, Spot holder) {
-        HeldState held = byRequest.get(requestId);
+    void release(String requestId, Endpoint holder) {
+        StateReservation held = byRequest.get(requestId);
         if (held == null) {
             if (byRequest.size() >= MOST_REQUESTS) {
                 LOG.atWarn()
@@ -132,12 +133,12 @@
                         .log("too many releases under way; a state is left to its engine");
                 return;
             }
-            held = new HeldState(requestId);
+            held = new StateReservation(requestId);
             byRequest.put(requestId, held);
         }
         held.releaseOwed = true;
         held.holder = holder;
-        if (held.mayBeFetched() && held.timer == HeldState.NO_TIMER) {
+        if (held.mayBeFetched() && held.timer == StateReservation.NO_TIMER) {
             startTimer(held);
         }
         settle(held);
@@ -152,16 +153,16 @@
     }
 
     /** The time of an older state runs on where there is one. */
-    private void startTimer(HeldState held) {
+    private void startTimer(StateReservation held) {
         held.mayBeHeld = true;
-        if (held.timer != HeldState.NO_TIMER) {
+        if (held.timer != StateReservation.NO_TIMER) {
             return;
         }
         held.timer =
                 ground.in(
                         RELEASE_PART * releaseMs,
                         () -> {
-                            held.timer = HeldState.NO_TIMER;
+                            held.timer = StateReservation.NO_TIMER;
                             if (held.mayBeHeld && !held.releasing) {
                                 LOG.atDebug()
                                         .addKeyValue("id", held.requestId)
@@ -177,10 +178,10 @@
                         });
     }
 
-    private void stopTimer(HeldState held) {
-        if (held.timer != HeldState.NO_TIMER) {
+    private void stopTimer(StateReservation held) {
+        if (held.timer != StateReservation.NO_TIMER) {
             ground.cancel(held.timer);
-            held.timer = HeldState.NO_TIMER;
+            held.timer = StateReservation.NO_TIMER;
         }
     }
 
@@ -189,7 +190,7 @@
      * request; sent earlier than it has to be, it could free the state that an attempt on its way
      * is to fetch.
      */
-    private void settle(HeldState held) {
+    private void settle(StateReservation held) {
         ground.later(
                 () -> {
                     if (held.releaseOwed && !held.releasing && !held.mayBeFetched()) {
@@ -200,12 +201,12 @@
                 });
     }
 
-    private void forget(HeldState held) {
+    private void forget(StateReservation held) {
         stopTimer(held);
         byRequest.remove(held.requestId, held);
     }
 
-    private void begin(HeldState held, boolean besideAttempt) {
+    private void begin(StateReservation held, boolean besideAttempt) {
         held.releaseOwed = false;
         held.releasing = true;
         held.releasingBesideAttempt = besideAttempt;
@@ -215,8 +216,9 @@
         tryNext(held);
     }
 
-    private void tryNext(HeldState held) {
-        Spot spot = held.asked.size() < TRIES_MOST ? transport.next(held.holder, held.asked) : null;
+    private void tryNext(StateReservation held) {
+        Endpoint spot =
+                held.asked.size() < TRIES_MOST ? transport.next(held.holder, held.asked) : null;
         if (spot == null) {
             allAsked(held);
             return;
@@ -229,9 +231,9 @@
                 result -> told(held, result));
     }
 
-    private void told(HeldState held, CallResult result) {
+    private void told(StateReservation held, ControlCallResult result) {
         boolean goesOn = held.releasingBesideAttempt ? !held.begun : !held.mayBeFetched();
-        if (result == CallResult.ANSWERED) {
+        if (result == ControlCallResult.ANSWERED) {
             if (!held.mayBeFetched()) {
                 held.mayBeHeld = false;
                 stopTimer(held);
@@ -240,7 +242,7 @@
             // after that attempt's end.
             ended(held);
         } else if (goesOn) {
-            held.notSent |= result == CallResult.NOT_SENT;
+            held.notSent |= result == ControlCallResult.NOT_SENT;
             tryNext(held);
         } else {
             held.releaseOwed |= !held.begun;
@@ -252,7 +254,7 @@
      * No engine has taken it. Where this machine could not send, for want of a descriptor or a
      * buffer, that passes: all are asked anew a little later.
      */
-    private void allAsked(HeldState held) {
+    private void allAsked(StateReservation held) {
         if (held.notSent && ground.nowMs() - held.releaseBeganMs < LOCAL_FAULT_PART * releaseMs) {
             held.notSent = false;
             held.asked.clear();
@@ -265,7 +267,7 @@
         ended(held);
     }
 
-    private void ended(HeldState held) {
+    private void ended(StateReservation held) {
         held.releasing = false;
         settle(held);
     }
--- a/src/main/java/larchridge/node/link/HeldState.java
+++ b/src/main/java/larchridge/node/upstream/StateReservation.java
@@ -1,14 +1,14 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import java.util.HashSet;
 import java.util.Set;
-import larchridge.enginelink.Spot;
+import larchridge.upstream.Endpoint;
 
 /**
  * What this node knows of the attempts of one request and of the read state that engines may hold
- * for it. Plain data; the decisions are {@link StateReleases}'.
+ * for it. Plain data; the decisions are {@link StateReleaser}'.
  */
-final class HeldState {
+final class StateReservation {
     final String requestId;
 
     /** Attempts whose end has not been told. */
@@ -46,14 +46,14 @@
     Runnable onReleasedBesideAttempt;
 
     /** Engines that the release under way was sent to. */
-    final Set<Spot> asked = new HashSet<>();
+    final Set<Endpoint> asked = new HashSet<>();
 
     /** The engine that the read went to, asked first. */
-    Spot holder;
+    Endpoint holder;
 
     static final long NO_TIMER = -1;
 
-    HeldState(String requestId) {
+    StateReservation(String requestId) {
         this.requestId = requestId;
     }
 
--- a/src/main/java/larchridge/node/link/Wire.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -20,12 +20,12 @@
  * One connection to an engine: one call at a time. It goes back to its pool only if everything
  * about the answer was in order; whatever comes that nobody asked for ends it.
  */
-final class Wire extends ChannelInboundHandlerAdapter {
-    private static final Logger LOG = LoggerFactory.getLogger(Wire.class);
+final class UpstreamConnection extends ChannelInboundHandlerAdapter {
+    private static final Logger LOG = LoggerFactory.getLogger(UpstreamConnection.class);
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private Channel channel;
-    private Call call;
+    private UpstreamExchange call;
 
     /** The write of the call's request is done. */
     private boolean written;
@@ -43,7 +43,7 @@
 
     double idleSinceMs;
 
-    Wire(Pool pool, Call call) {
+    UpstreamConnection(ConnectionPool pool, UpstreamExchange call) {
         this.pool = pool;
         this.call = call;
     }
@@ -58,7 +58,7 @@
     }
 
     /** Puts a call on an idle connection, or the first on a new one. */
-    void start(Call next) {
+    void start(UpstreamExchange next) {
         call = next;
         written = false;
         interim = false;
@@ -144,7 +144,7 @@
                 return;
             }
             if (part instanceof LastHttpContent) {
-                Call ended = call;
+                UpstreamExchange ended = call;
                 // Danger: an answer before the request's last byte leaves a connection out of step.
                 boolean clean = keepsAlive && written;
                 resting = ended.whole() && clean;
@@ -158,7 +158,7 @@
 
     private void spoilt(Object why) {
         LOG.debug("an answer of {} can't be read: {}", pool.spot, why);
-        Call ended = call;
+        UpstreamExchange ended = call;
         call = null;
         close(CloseReason.BAD_INPUT);
         if (ended != null) {
@@ -193,7 +193,7 @@
 
     /** The connection is no more. */
     private void end() {
-        Call ended = leave();
+        UpstreamExchange ended = leave();
         if (ended != null) {
             ended.broken();
         }
@@ -202,20 +202,20 @@
     /** The connection never came up. */
     void notConnected(ConnectFailure failure) {
         closeReason = CloseReason.NOT_CONNECTED;
-        Call ended = leave();
+        UpstreamExchange ended = leave();
         if (ended != null) {
             ended.notConnected(failure);
         }
     }
 
     /** Leaves the pool; gives the call that ends with the connection, or null. */
-    private Call leave() {
+    private UpstreamExchange leave() {
         if (gone) {
             return null;
         }
         gone = true;
         pool.lost(this, closeReason);
-        Call ended = resting ? null : call;
+        UpstreamExchange ended = resting ? null : call;
         call = null;
         return ended;
     }
--- a/src/main/java/larchridge/node/link/Call.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -9,7 +9,7 @@
  * One request on a connection and what comes back; called on the loop, never from inside the call
  * that started it.
  */
-interface Call {
+interface UpstreamExchange {
     /** The request as it goes out, worded at the last moment; null if it must not go any more. */
     FullHttpRequest request();
 
--- a/src/main/java/larchridge/node/link/LinkBounds.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamLimits.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import java.util.List;
 
@@ -12,7 +12,7 @@
  * @param anEngine connections to one engine
  * @param reportFields names of the figures of load reports
  */
-public record LinkBounds(
+public record UpstreamLimits(
         double connectMs,
         double keepAliveMs,
         double releaseMs,
--- a/src/main/java/larchridge/front/CallOffReason.java
+++ b/src/main/java/larchridge/router/CancellationReason.java
@@ -1,9 +1,9 @@
-package larchridge.front;
+package larchridge.router;
 
 import java.util.Locale;
 
 /** Why an attempt that is out is called off. */
-enum CallOffReason {
+enum CancellationReason {
     /** The client has closed, or its request has got its final answer. */
     REQUEST_OVER,
     /** The client's time is up. */
--- a/src/main/java/larchridge/front/Patience.java
+++ b/src/main/java/larchridge/router/DeadlinePolicy.java
@@ -1,4 +1,4 @@
-package larchridge.front;
+package larchridge.router;
 
 import larchridge.site.Offer;
 
@@ -6,7 +6,7 @@
  * How long a client's patience lasts: until the first token for a streamed answer, until the last
  * for a whole one. Times are milliseconds after arrival. Without I/O, clock or threads.
  */
-final class Patience {
+final class DeadlinePolicy {
     /** Kept free before the client's own end, for the way of the final answer. */
     private static final double MARGIN_MS = 15;
 
@@ -15,20 +15,21 @@
     /** When all must be answered; infinite where a stream, once begun, has no such time. */
     final double wholeMs;
 
-    private Patience(double firstTokMs, double wholeMs) {
+    private DeadlinePolicy(double firstTokMs, double wholeMs) {
         this.firstTokMs = firstTokMs;
         this.wholeMs = wholeMs;
     }
 
-    static Patience of(Offer offer, int promptToks, int maxToks, boolean whole, double clientMs) {
+    static DeadlinePolicy of(
+            Offer offer, int promptToks, int maxToks, boolean whole, double clientMs) {
         double product = offer.patienceMs(promptToks);
         if (!whole) {
-            return new Patience(
+            return new DeadlinePolicy(
                     Math.max(0, Math.min(product, clientMs - MARGIN_MS)), Double.POSITIVE_INFINITY);
         }
         // A whole answer is late when its last token is: the first is due before the writing has
         // eaten the rest.
         double all = Math.min(product + maxToks * offer.product.tokMs, clientMs) - MARGIN_MS;
-        return new Patience(Math.max(0, Math.min(product, all)), Math.max(0, all));
+        return new DeadlinePolicy(Math.max(0, Math.min(product, all)), Math.max(0, all));
     }
 }
--- a/src/main/java/larchridge/front/Ask.java
+++ b/src/main/java/larchridge/router/GenerationRequest.java
@@ -1,11 +1,11 @@
-package larchridge.front;
+package larchridge.router;
 
 import java.util.List;
 import java.util.function.IntConsumer;
-import larchridge.enginelink.Order;
-import larchridge.enginelink.Passage;
 import larchridge.site.Offer;
 import larchridge.site.Site;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.ForwardedRequest;
 
 /**
  * What a dialect has read from its client.
@@ -25,7 +25,7 @@
  * @param passage what goes on to engines as it came, or null where the link words its own requests;
  *     the generation then bears the client's id
  */
-public record Ask(
+public record GenerationRequest(
         Offer offer,
         Site.Tenant tenant,
         String model,
@@ -34,7 +34,7 @@
         int sharedToks,
         int maxToks,
         List<String> stops,
-        Order.Sampling sampling,
+        AttemptRequest.Sampling sampling,
         String prefix,
         String opening,
         String talkBefore,
@@ -45,16 +45,16 @@
         String repeatKey,
         double waitedMs,
         IntConsumer reported,
-        Passage passage) {
+        ForwardedRequest passage) {
 
     /**
      * Of a request that goes on as it came; a session and a prefix by the client's own names,
      * either may be null.
      */
-    public static Ask passing(
+    public static GenerationRequest passing(
             Offer offer,
             Site.Tenant tenant,
-            Passage passage,
+            ForwardedRequest passage,
             int promptToks,
             int sharedToks,
             int maxToks,
@@ -63,7 +63,7 @@
             boolean resent,
             double patienceMs,
             double waitedMs) {
-        return new Ask(
+        return new GenerationRequest(
                 offer,
                 tenant,
                 "",
--- a/src/main/java/larchridge/front/Trip.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -1,20 +1,20 @@
-package larchridge.front;
+package larchridge.router;
 
-import larchridge.enginelink.EngineLink;
-import larchridge.enginelink.Spot;
-import larchridge.enginelink.StateHandle;
 import larchridge.state.Attempt;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.StateHandle;
+import larchridge.upstream.UpstreamClient;
 
 /** The front's side of an attempt: where it went, what it holds there, and the way to stop it. */
-final class Trip {
+final class InFlightAttempt {
     final Attempt attempt;
-    final Spot spot;
+    final Endpoint spot;
     final String rid;
 
     /** The read whose state this attempt is to fetch, or null. */
-    final Trip source;
+    final InFlightAttempt source;
 
-    EngineLink.Flight flight;
+    UpstreamClient.Flight flight;
     StateHandle state;
 
     /** Whether a state waits, or may wait, at the engine and nobody has let go of it. */
@@ -27,7 +27,7 @@
 
     int keptToks;
 
-    Trip(Attempt attempt, Spot spot, String rid, Trip source) {
+    InFlightAttempt(Attempt attempt, Endpoint spot, String rid, InFlightAttempt source) {
         this.attempt = attempt;
         this.spot = spot;
         this.rid = rid;
--- a/src/main/java/larchridge/front/Open.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -1,4 +1,4 @@
-package larchridge.front;
+package larchridge.router;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,13 +10,13 @@
 /**
  * A generation that this front has taken, with its client and its trips; a dialect's handle on it.
  */
-public final class Open {
-    final Front front;
-    final Ask ask;
-    final Client client;
-    final Duty duty = new Duty();
-    final List<Trip> trips = new ArrayList<>(2);
-    final Patience patience;
+public final class InFlightRequest {
+    final Router front;
+    final GenerationRequest ask;
+    final ResponseSink client;
+    final ResponseGuard duty = new ResponseGuard();
+    final List<InFlightAttempt> trips = new ArrayList<>(2);
+    final DeadlinePolicy patience;
     final Meter meter;
     Charge charge;
     String billId;
@@ -25,7 +25,7 @@
     String sameAs;
 
     Generation gen;
-    Trip streaming;
+    InFlightAttempt streaming;
     boolean paused;
     double pausedMs;
     double lastPieceMs;
@@ -40,7 +40,8 @@
     long limitTimer = -1;
     long quietTimer = -1;
 
-    Open(Front front, Ask ask, Client client, Patience patience) {
+    InFlightRequest(
+            Router front, GenerationRequest ask, ResponseSink client, DeadlinePolicy patience) {
         this.front = front;
         this.ask = ask;
         this.client = client;
@@ -67,7 +68,7 @@
         return gen.label;
     }
 
-    Trip tripOf(Attempt attempt) {
+    InFlightAttempt tripOf(Attempt attempt) {
         return trips.get(attempt.number);
     }
 }
--- a/src/main/java/larchridge/front/Loans.java
+++ b/src/main/java/larchridge/router/QuotaClient.java
@@ -1,9 +1,9 @@
-package larchridge.front;
+package larchridge.router;
 
 import larchridge.budget.Want;
 
 /** Where a front may ask for what a budget lacks here. */
-public interface Loans {
+public interface QuotaClient {
     /**
      * Hears what was lent, 0 if nothing, and after how many milliseconds it could be; never from
      * inside the asking.
--- a/src/main/java/larchridge/front/Duty.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -1,10 +1,10 @@
-package larchridge.front;
+package larchridge.router;
 
 /**
  * What is still owed to one client: the one place at which a final answer can be given. Rule 1
  * rests on it; without I/O, clock or threads.
  */
-final class Duty {
+final class ResponseGuard {
     /** The three final answers, and the end of a client that wants none. */
     enum Final {
         STREAMED,
--- a/src/main/java/larchridge/front/Client.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -1,13 +1,13 @@
-package larchridge.front;
+package larchridge.router;
 
 import larchridge.budget.Answer;
-import larchridge.enginelink.Ending;
+import larchridge.upstream.Completion;
 
 /**
  * One client's exchange, as a dialect carries it; called on the front's loop. Exactly one final
  * answer comes.
  */
-public interface Client {
+public interface ResponseSink {
     /** The answer begins; this many prompt tokens were kept from before. */
     void begun(int keptToks);
 
@@ -50,7 +50,7 @@
     void overBudget(Answer budget);
 
     /** Final: the answer is whole. */
-    void streamed(Ending ending);
+    void streamed(Completion ending);
 
     /** Final: not now, and trying again is harmless; after so long, if more than 0. */
     void throttled(double comeBackMs);
--- a/src/main/java/larchridge/front/Front.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -1,4 +1,4 @@
-package larchridge.front;
+package larchridge.router;
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
@@ -13,13 +13,6 @@
 import larchridge.budget.Answer;
 import larchridge.budget.Budgets;
 import larchridge.budget.Want;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.EngineLink;
-import larchridge.enginelink.Hearing;
-import larchridge.enginelink.Order;
-import larchridge.enginelink.SendRefusal;
-import larchridge.enginelink.Spot;
-import larchridge.enginelink.StateHandle;
 import larchridge.inventory.Row;
 import larchridge.ledger.Ledger;
 import larchridge.ledger.Usage;
@@ -41,6 +34,13 @@
 import larchridge.state.PrefixRegistry;
 import larchridge.state.RoutingSettings;
 import larchridge.state.TenantQuota;
+import larchridge.upstream.AttemptListener;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.Completion;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.SendRejection;
+import larchridge.upstream.StateHandle;
+import larchridge.upstream.UpstreamClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -49,8 +49,8 @@
  * happens and carries out what the module decides; every choice of engine, wait, repeat and refusal
  * is the module's. All methods run on the loop on which it was made.
  */
-public final class Front implements PolicyActions {
-    private static final Logger LOG = LoggerFactory.getLogger(Front.class);
+public final class Router implements PolicyActions {
+    private static final Logger LOG = LoggerFactory.getLogger(Router.class);
 
     /** Before the client's limit, and after the module's own last moment. */
     private static final double LAST_RESORT_MS = 8;
@@ -69,10 +69,10 @@
     private final Vertx vertx;
 
     private final Context loop;
-    private final Ground ground;
+    private final Scheduler ground;
     private final Site site;
     private final int number;
-    private final EngineLink link;
+    private final UpstreamClient link;
     private final Meters meters;
     private final PolicyEvents choice;
     private final boolean copiesAllowed;
@@ -84,7 +84,7 @@
      * Open generations in the order taken; those whose attempts are all home and that are answered
      * leave.
      */
-    private final Map<Generation, Open> open = new LinkedHashMap<>();
+    private final Map<Generation, InFlightRequest> open = new LinkedHashMap<>();
 
     private final Map<Long, Engine> engines = new HashMap<>();
     private final Map<Engine, Row> rows = new HashMap<>();
@@ -94,10 +94,10 @@
     private final String idStem;
 
     /** The first open generation of all that ask the same without a key. */
-    private final Map<String, Open> same = new HashMap<>();
+    private final Map<String, InFlightRequest> same = new HashMap<>();
 
     /** Null where nothing is lent. */
-    private Loans loans;
+    private QuotaClient loans;
 
     private long taken;
     private int inside;
@@ -115,11 +115,11 @@
     private double lookedMs;
 
     /** To be made on the loop that is to own it; ledger is null where usage is not written. */
-    public Front(
-            Vertx vertx, Site site, int number, EngineLink link, Meters meters, Ledger ledger) {
+    public Router(
+            Vertx vertx, Site site, int number, UpstreamClient link, Meters meters, Ledger ledger) {
         this(
                 vertx,
-                new LoopGround(vertx),
+                new VertxScheduler(vertx),
                 site,
                 number,
                 link,
@@ -132,22 +132,22 @@
      * A front on other ground, with the module that is given; doors that need a loop can't be put
      * before it.
      */
-    public Front(
-            Ground ground,
+    public Router(
+            Scheduler ground,
             Site site,
             int number,
-            EngineLink link,
+            UpstreamClient link,
             Meters meters,
             PolicyEvents.Factory module) {
         this(null, ground, site, number, link, meters, null, module);
     }
 
-    private Front(
+    private Router(
             Vertx vertx,
-            Ground ground,
+            Scheduler ground,
             Site site,
             int number,
-            EngineLink link,
+            UpstreamClient link,
             Meters meters,
             Ledger ledger,
             PolicyEvents.Factory module) {
@@ -158,7 +158,7 @@
         this.link = link;
         this.meters = meters;
         this.ledger = ledger;
-        loop = ground instanceof LoopGround own ? own.loop() : null;
+        loop = ground instanceof VertxScheduler own ? own.loop() : null;
         idStem = ground.stem();
         tick();
         budgets = site.budgetsOf(number, nowMs);
@@ -170,7 +170,7 @@
     }
 
     /** From now on what a budget lacks here may be lent. */
-    public void loans(Loans from) {
+    public void loans(QuotaClient from) {
         loans = from;
     }
 
@@ -219,7 +219,7 @@
      * tenant's budget does not allow it, since the client has been answered then, nor where the
      * client has left.
      */
-    public void take(Ask ask, Client client, Consumer<Open> told) {
+    public void take(GenerationRequest ask, ResponseSink client, Consumer<InFlightRequest> told) {
         tick();
         // Danger: a client whose body waited to be counted would wait that much longer than its
         // time.
@@ -255,7 +255,11 @@
     }
 
     private void admit(
-            Ask ask, Client client, Answer budget, double arrivedMs, Consumer<Open> told) {
+            GenerationRequest ask,
+            ResponseSink client,
+            Answer budget,
+            double arrivedMs,
+            Consumer<InFlightRequest> told) {
         String product = ask.offer().product.name;
         client.budget(budget);
         if (!budget.isIn()) {
@@ -267,14 +271,14 @@
             client.overBudget(budget);
             return;
         }
-        Patience patience =
-                Patience.of(
+        DeadlinePolicy patience =
+                DeadlinePolicy.of(
                         ask.offer(),
                         ask.promptToks(),
                         ask.maxToks(),
                         ask.whole(),
                         ask.patienceMs());
-        Open one = new Open(this, ask, client, patience);
+        InFlightRequest one = new InFlightRequest(this, ask, client, patience);
         one.limitAtMs = arrivedMs + patience.firstTokMs;
         one.wholeAtMs = arrivedMs + patience.wholeMs;
         one.charge = budget.charge();
@@ -306,7 +310,7 @@
      * One bill for all tries of a generation: by the client's key, or, where it gave none, by what
      * it asks, as long as a first try of that is open here.
      */
-    private String billId(Open one) {
+    private String billId(InFlightRequest one) {
         if (one.ask.repeatKey() != null) {
             return "key " + one.ask.repeatKey();
         }
@@ -318,7 +322,7 @@
                         + one.ask.talkNow()
                         + '\n'
                         + one.ask.maxToks();
-        Open first = same.putIfAbsent(one.sameAs, one);
+        InFlightRequest first = same.putIfAbsent(one.sameAs, one);
         return first == null ? "gen " + one.gen.label : first.billId;
     }
 
@@ -327,7 +331,7 @@
     }
 
     /** The session's text, found by what its turn before was; a first turn begins one. */
-    private CachedPrefix talk(Ask ask) {
+    private CachedPrefix talk(GenerationRequest ask) {
         CachedPrefix text = ask.talkBefore() == null ? null : talks.get(ask.talkBefore());
         if (text == null) {
             text = talks.get(ask.talkNow());
@@ -339,7 +343,7 @@
         return text;
     }
 
-    private CachedPrefix prefix(Ask ask) {
+    private CachedPrefix prefix(GenerationRequest ask) {
         return ask.prefix() == null
                 ? null
                 : prefixes.computeIfAbsent(ask.prefix(), CachedPrefix::new);
@@ -347,8 +351,8 @@
 
     // ------------------------------------------------------------------ what happens to a client
 
-    void gone(Open one) {
-        if (!one.duty.finish(Duty.Final.GONE)) {
+    void gone(InFlightRequest one) {
+        if (!one.duty.finish(ResponseGuard.Final.GONE)) {
             return;
         }
         tick();
@@ -358,17 +362,17 @@
     }
 
     /** The module is told, and every attempt is called off. */
-    private void abandon(Open one) {
+    private void abandon(InFlightRequest one) {
         guarded(one, () -> choice.departed(one.gen));
-        for (Trip trip : one.trips) {
+        for (InFlightAttempt trip : one.trips) {
             if (!trip.ended) {
-                callOff(trip, CallOffReason.REQUEST_OVER);
+                callOff(trip, CancellationReason.REQUEST_OVER);
             }
         }
         settle(one);
     }
 
-    void pause(Open one) {
+    void pause(InFlightRequest one) {
         if (one.paused) {
             return;
         }
@@ -384,7 +388,7 @@
                 () -> {
                     if (one.paused
                             && one.pausedMs == since
-                            && one.duty.finish(Duty.Final.TERMINATED)) {
+                            && one.duty.finish(ResponseGuard.Final.TERMINATED)) {
                         // Danger: a client that takes nothing would hold its writer's memory for
                         // ever.
                         tick();
@@ -396,7 +400,7 @@
                 });
     }
 
-    void resume(Open one) {
+    void resume(InFlightRequest one) {
         if (one.paused) {
             tick();
             one.paused = false;
@@ -408,18 +412,18 @@
     }
 
     /** The client's time is up: for its first token, or for the whole of an answer in one piece. */
-    private void limit(Open one) {
+    private void limit(InFlightRequest one) {
         tick();
         one.limitTimer = -1;
         if (!one.duty.isDone() && !one.duty.isBegun()) {
             // The module gives up earlier than this; it is told, and its client answered, if ever
             // it did not.
-            terminate(one, Client.Cause.TIME_UP);
+            terminate(one, ResponseSink.Cause.TIME_UP);
             abandon(one);
         }
-        for (Trip trip : one.trips) {
+        for (InFlightAttempt trip : one.trips) {
             if (!trip.ended && !one.duty.isBegun()) {
-                callOff(trip, CallOffReason.TIME_UP);
+                callOff(trip, CancellationReason.TIME_UP);
             }
         }
         if (one.duty.isBegun() && !one.duty.isDone() && one.ask.whole()) {
@@ -430,7 +434,7 @@
                                 one.limitTimer = -1;
                                 if (!one.duty.isDone()) {
                                     tick();
-                                    terminate(one, Client.Cause.TIME_UP);
+                                    terminate(one, ResponseSink.Cause.TIME_UP);
                                     abandon(one);
                                 }
                             });
@@ -446,16 +450,18 @@
 
     @Override
     public void send(Attempt attempt) {
-        Open one = open.get(attempt.gen);
+        InFlightRequest one = open.get(attempt.gen);
         Row row = rows.get(attempt.engine);
-        Spot spot = new Spot(row.host(), row.port());
-        Trip source =
+        Endpoint spot = new Endpoint(row.host(), row.port());
+        InFlightAttempt source =
                 attempt.read || attempt.gen.state == null ? null : one.tripOf(attempt.gen.state);
-        Trip trip = new Trip(attempt, spot, attempt.gen.label + "." + attempt.number, source);
+        InFlightAttempt trip =
+                new InFlightAttempt(
+                        attempt, spot, attempt.gen.label + "." + attempt.number, source);
         one.trips.add(trip);
-        Ask ask = one.ask;
-        Order order =
-                new Order(
+        GenerationRequest ask = one.ask;
+        AttemptRequest order =
+                new AttemptRequest(
                         trip.rid,
                         spot,
                         ask.model(),
@@ -477,10 +483,10 @@
     }
 
     /** Logs an attempt, and counts it with its reason where it is a further one of its stage. */
-    private void noteSend(Open one, Trip trip) {
+    private void noteSend(InFlightRequest one, InFlightAttempt trip) {
         String stage = stage(trip);
-        Trip before = null;
-        for (Trip earlier : one.trips) {
+        InFlightAttempt before = null;
+        for (InFlightAttempt earlier : one.trips) {
             if (earlier != trip && earlier.attempt.read == trip.attempt.read) {
                 before = earlier;
             }
@@ -505,7 +511,7 @@
                 .log("SENT");
     }
 
-    private static String stage(Trip trip) {
+    private static String stage(InFlightAttempt trip) {
         return trip.attempt.read ? "read" : "write";
     }
 
@@ -513,7 +519,7 @@
      * What engines drop repeats by: the client's own key, or the generation where the client gave
      * none.
      */
-    private static String repeatKey(Open one) {
+    private static String repeatKey(InFlightRequest one) {
         if (one.gen.product.effect != Effect.DEDUPLICATED) {
             return null;
         }
@@ -522,17 +528,17 @@
 
     @Override
     public void cancel(Attempt attempt) {
-        callOff(open.get(attempt.gen).tripOf(attempt), CallOffReason.REPLACED);
+        callOff(open.get(attempt.gen).tripOf(attempt), CancellationReason.REPLACED);
     }
 
-    private void callOff(Trip trip, CallOffReason reason) {
+    private void callOff(InFlightAttempt trip, CancellationReason reason) {
         meters.calledOff(number, stage(trip), reason.tag());
         LOG.atDebug()
                 .addKeyValue("generation", trip.attempt.gen.label)
                 .addKeyValue("attempt", trip.attempt.number)
                 .addKeyValue("reason", reason)
                 .log("called off");
-        if (reason == CallOffReason.TIME_UP) {
+        if (reason == CancellationReason.TIME_UP) {
             trip.flight.expire();
         } else {
             trip.flight.cancel();
@@ -547,11 +553,11 @@
 
     @Override
     public void release(Generation gen) {
-        Open one = open.get(gen);
+        InFlightRequest one = open.get(gen);
         if (one == null) {
             return;
         }
-        for (Trip trip : one.trips) {
+        for (InFlightAttempt trip : one.trips) {
             if (trip.holds
                     && trip.ended
                     && one.trips.stream().noneMatch(t -> t.source == trip && !t.ended)) {
@@ -563,8 +569,8 @@
 
     @Override
     public void throttle(Generation gen, double comeBackMs) {
-        Open one = open.get(gen);
-        if (one.duty.finish(Duty.Final.THROTTLED)) {
+        InFlightRequest one = open.get(gen);
+        if (one.duty.finish(ResponseGuard.Final.THROTTLED)) {
             answered(one, "throttled");
             turnedAway(one);
             one.client.throttled(comeBackMs);
@@ -573,14 +579,18 @@
 
     @Override
     public void terminate(Generation gen) {
-        Open one = open.get(gen);
-        terminate(one, nowMs >= one.limitAtMs - 100 ? Client.Cause.TIME_UP : Client.Cause.BROKEN);
+        InFlightRequest one = open.get(gen);
+        terminate(
+                one,
+                nowMs >= one.limitAtMs - 100
+                        ? ResponseSink.Cause.TIME_UP
+                        : ResponseSink.Cause.BROKEN);
     }
 
-    private void terminate(Open one, Client.Cause cause) {
-        if (one.duty.finish(Duty.Final.TERMINATED)) {
+    private void terminate(InFlightRequest one, ResponseSink.Cause cause) {
+        if (one.duty.finish(ResponseGuard.Final.TERMINATED)) {
             answered(one, "terminated");
-            if (cause == Client.Cause.TIME_UP) {
+            if (cause == ResponseSink.Cause.TIME_UP) {
                 turnedAway(one);
             }
             Effect effect = one.gen.product.effect;
@@ -592,7 +602,7 @@
         }
     }
 
-    private void turnedAway(Open one) {
+    private void turnedAway(InFlightRequest one) {
         if (!one.ask.offer().isBatch) {
             feeling.turnedAway();
         }
@@ -606,7 +616,7 @@
         tick();
         int hurried = 0;
         double longest = 0;
-        for (Open one : open.values()) {
+        for (InFlightRequest one : open.values()) {
             if (!one.ask.offer().isBatch && !one.duty.isDone()) {
                 hurried++;
                 if (one.gen.waiting) {
@@ -624,7 +634,7 @@
         return felt;
     }
 
-    private void answered(Open one, String kind) {
+    private void answered(InFlightRequest one, String kind) {
         if (one.gen.givenUp != null) {
             meters.givenUp(
                     number, one.gen.product.name, one.gen.givenUp.name().toLowerCase(Locale.ROOT));
@@ -644,7 +654,7 @@
     public void probe(Engine engine) {
         Row row = rows.get(engine);
         link.probe(
-                new Spot(row.host(), row.port()),
+                new Endpoint(row.host(), row.port()),
                 (answered, report) ->
                         ground.later(
                                 () -> {
@@ -679,11 +689,11 @@
     // ------------------------------------------------------------------ what engines tell
 
     /** Hears one attempt and tells the module. */
-    private final class Ears implements Hearing {
-        private final Open one;
-        private final Trip trip;
+    private final class Ears implements AttemptListener {
+        private final InFlightRequest one;
+        private final InFlightAttempt trip;
 
-        Ears(Open one, Trip trip) {
+        Ears(InFlightRequest one, InFlightAttempt trip) {
             this.one = one;
             this.trip = trip;
         }
@@ -779,7 +789,7 @@
         }
 
         @Override
-        public void notSent(SendRefusal reason) {
+        public void notSent(SendRejection reason) {
             meters.notSent(number, reason.tag());
             LOG.atDebug()
                     .addKeyValue("generation", one.gen.label)
@@ -794,12 +804,12 @@
             // Danger: sent on, it would use up its attempts and let every engine that rightly
             // refuses it seem to fail.
             trip.ended = true;
-            terminate(one, Client.Cause.UNUSABLE);
+            terminate(one, ResponseSink.Cause.UNUSABLE);
             abandon(one);
         }
 
         @Override
-        public void ended(AttemptOutcome outcome, LoadReport report, Ending ending) {
+        public void ended(AttemptOutcome outcome, LoadReport report, Completion ending) {
             tick();
             trip.ended = true;
             meters.attempt(number, trip.attempt.read ? "read" : "write", outcome.name());
@@ -811,14 +821,15 @@
                 }
             }
             if (one.streaming == trip) {
-                if (outcome == AttemptOutcome.STREAMED && one.duty.finish(Duty.Final.STREAMED)) {
+                if (outcome == AttemptOutcome.STREAMED
+                        && one.duty.finish(ResponseGuard.Final.STREAMED)) {
                     one.meter.whole(ending.outToks());
                     answered(one, "streamed");
                     recorded(one, () -> one.client.streamed(ending));
                 } else {
                     // A stream that breaks is lost: part of it has been seen, so no other attempt
                     // can go on with it.
-                    terminate(one, Client.Cause.BROKEN);
+                    terminate(one, ResponseSink.Cause.BROKEN);
                 }
             }
             boolean over = one.duty.isDone();
@@ -832,7 +843,7 @@
         }
     }
 
-    private void quiet(Open one) {
+    private void quiet(InFlightRequest one) {
         one.quietTimer = -1;
         if (one.duty.isDone()) {
             return;
@@ -843,7 +854,7 @@
             one.quietTimer =
                     ground.in(one.paused ? site.limit.quietStreamMs : left, () -> quiet(one));
         } else {
-            meters.calledOff(number, stage(one.streaming), CallOffReason.SILENT_STREAM.tag());
+            meters.calledOff(number, stage(one.streaming), CancellationReason.SILENT_STREAM.tag());
             one.streaming.flight.expire();
         }
     }
@@ -884,8 +895,8 @@
     }
 
     /** The engines that the module knows, with where they listen; to be looked at only. */
-    public void engines(BiConsumer<Spot, Engine> each) {
-        rows.forEach((engine, row) -> each.accept(new Spot(row.host(), row.port()), engine));
+    public void engines(BiConsumer<Endpoint, Engine> each) {
+        rows.forEach((engine, row) -> each.accept(new Endpoint(row.host(), row.port()), engine));
     }
 
     public int openGenerations() {
@@ -905,9 +916,9 @@
                 site.limit.stopMs,
                 () -> {
                     tick();
-                    for (Open one : List.copyOf(open.values())) {
+                    for (InFlightRequest one : List.copyOf(open.values())) {
                         if (!one.duty.isDone()) {
-                            terminate(one, Client.Cause.STOPPING);
+                            terminate(one, ResponseSink.Cause.STOPPING);
                             abandon(one);
                         }
                     }
@@ -958,8 +969,8 @@
 
     private int heldStates() {
         int held = 0;
-        for (Open one : open.values()) {
-            for (Trip trip : one.trips) {
+        for (InFlightRequest one : open.values()) {
+            for (InFlightAttempt trip : one.trips) {
                 held += trip.holds ? 1 : 0;
             }
         }
@@ -970,14 +981,14 @@
      * Danger: a fault of the module would lose the generation it was deciding on; that one is
      * terminated.
      */
-    private void guarded(Open one, Runnable step) {
+    private void guarded(InFlightRequest one, Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
             meters.fault(number);
             LOG.error("the decision module failed", e);
             if (one != null) {
-                terminate(one, Client.Cause.INTERNAL);
+                terminate(one, ResponseSink.Cause.INTERNAL);
                 one.gen.over = true;
             }
         }
@@ -985,8 +996,8 @@
 
     private void settleAll() {
         if (open.size() > 0) {
-            List<Open> done = null;
-            for (Open one : open.values()) {
+            List<InFlightRequest> done = null;
+            for (InFlightRequest one : open.values()) {
                 if (one.duty.isDone() && one.gen.attemptsOut == 0) {
                     done = done == null ? new ArrayList<>() : done;
                     done.add(one);
@@ -999,10 +1010,10 @@
     }
 
     /** What it used is settled with its budget and written down, once. */
-    private void bill(Open one) {
+    private void bill(InFlightRequest one) {
         // Danger: what was gathered for a client that left never went to its socket.
         one.meter.notSent(one.client.gathered());
-        if (one.ask.whole() && one.duty.given() != Duty.Final.STREAMED) {
+        if (one.ask.whole() && one.duty.given() != ResponseGuard.Final.STREAMED) {
             one.meter.nothingSent();
         }
         budgets.settle(one.charge, one.meter.used(), nowMs);
@@ -1032,7 +1043,7 @@
         }
     }
 
-    private Usage usage(Open one) {
+    private Usage usage(InFlightRequest one) {
         return new Usage(
                 one.billId,
                 one.ask.tenant().name(),
@@ -1046,7 +1057,7 @@
                 one.trips.size());
     }
 
-    private boolean record(Open one, Usage usage, Runnable onDisk) {
+    private boolean record(InFlightRequest one, Usage usage, Runnable onDisk) {
         if (ledger.offer(usage, onDisk)) {
             return true;
         }
@@ -1065,7 +1076,7 @@
      * kill in between leaves an answer that nobody is billed for. A slow disk holds it up no longer
      * than the site says, nor than the client's time.
      */
-    private void recorded(Open one, Runnable end) {
+    private void recorded(InFlightRequest one, Runnable end) {
         if (ledger == null || site.answerWaitsMs <= 0) {
             end.run();
             return;
@@ -1103,7 +1114,7 @@
     }
 
     /** A generation that is answered and has no attempt out is let go of. */
-    private void settle(Open one) {
+    private void settle(InFlightRequest one) {
         if (!one.duty.isDone() || one.gen.attemptsOut > 0 || open.get(one.gen) == null) {
             return;
         }
--- a/src/main/java/larchridge/front/Ground.java
+++ b/src/main/java/larchridge/router/Scheduler.java
@@ -1,10 +1,10 @@
-package larchridge.front;
+package larchridge.router;
 
 /**
  * What a front stands on: its clock, its timers and its one loop. In service that is an event loop,
  * in drills virtual time.
  */
-public interface Ground {
+public interface Scheduler {
     /** Milliseconds of Unix time at the start plus what has passed since; never goes back. */
     double nowMs();
 
--- a/src/main/java/larchridge/front/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -1,10 +1,10 @@
-package larchridge.front;
+package larchridge.router;
 
-import larchridge.enginelink.SendCheck;
-import larchridge.enginelink.SendRefusal;
 import larchridge.policy.IdempotencyRule;
 import larchridge.state.Attempt;
 import larchridge.state.EndpointState;
+import larchridge.upstream.SendCheck;
+import larchridge.upstream.SendRejection;
 
 /**
  * The one guard through which every attempt goes when it is written. Between the decision and that
@@ -13,11 +13,11 @@
  */
 final class SendGuard implements SendCheck {
     private final Attempt attempt;
-    private final Open open;
-    private final Ground ground;
+    private final InFlightRequest open;
+    private final Scheduler ground;
     private final boolean copiesAllowed;
 
-    SendGuard(Attempt attempt, Open open, Ground ground, boolean copiesAllowed) {
+    SendGuard(Attempt attempt, InFlightRequest open, Scheduler ground, boolean copiesAllowed) {
         this.attempt = attempt;
         this.open = open;
         this.ground = ground;
@@ -25,16 +25,16 @@
     }
 
     @Override
-    public SendRefusal refusal() {
+    public SendRejection refusal() {
         if (attempt.engine.mode != EndpointState.READY) {
-            return SendRefusal.ENGINE_LEFT;
+            return SendRejection.ENGINE_LEFT;
         }
         if (open.duty.isDone() || open.duty.isBegun()) {
-            return SendRefusal.ANSWERED;
+            return SendRejection.ANSWERED;
         }
         if (!IdempotencyRule.mayWrite(attempt, ground.nowMs(), copiesAllowed)) {
-            return SendRefusal.MAY_REPEAT;
+            return SendRejection.MAY_REPEAT;
         }
-        return open.client.isGone() ? SendRefusal.CLIENT_GONE : null;
+        return open.client.isGone() ? SendRejection.CLIENT_GONE : null;
     }
 }
--- a/src/main/java/larchridge/front/LoopGround.java
+++ b/src/main/java/larchridge/router/VertxScheduler.java
@@ -1,16 +1,16 @@
-package larchridge.front;
+package larchridge.router;
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.security.SecureRandom;
 
 /** The event loop on which it was made. */
-final class LoopGround implements Ground {
+final class VertxScheduler implements Scheduler {
     private final Vertx vertx;
     private final Context loop;
     private final double clockBaseMs = System.currentTimeMillis() - System.nanoTime() / 1e6;
 
-    LoopGround(Vertx vertx) {
+    VertxScheduler(Vertx vertx) {
         this.vertx = vertx;
         loop = vertx.getOrCreateContext();
     }
--- a/src/main/java/larchridge/front/World.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -1,4 +1,4 @@
-package larchridge.front;
+package larchridge.router;
 
 import java.util.Comparator;
 import java.util.HashSet;
@@ -10,7 +10,7 @@
  * Virtual time: steps run in the order of their times and, in one moment, in the order in which
  * they were asked for.
  */
-public final class World {
+public final class VirtualTimeScheduler {
     /**
      * The moment at which it begins, as Unix time: engines that start at 0 are those whose start
      * nobody knows.
@@ -64,9 +64,9 @@
     }
 
     /** What one front stands on. */
-    public Ground ground(int front, long seed) {
+    public Scheduler ground(int front, long seed) {
         Random random = new Random(seed * 31 + front);
-        return new Ground() {
+        return new Scheduler() {
             @Override
             public double nowMs() {
                 return nowMs;
@@ -74,22 +74,22 @@
 
             @Override
             public long in(double ms, Runnable step) {
-                return World.this.in(Math.max(1, Math.ceil(ms)), step);
+                return VirtualTimeScheduler.this.in(Math.max(1, Math.ceil(ms)), step);
             }
 
             @Override
             public void cancel(long number) {
-                World.this.cancel(number);
+                VirtualTimeScheduler.this.cancel(number);
             }
 
             @Override
             public void later(Runnable step) {
-                World.this.in(0, step);
+                VirtualTimeScheduler.this.in(0, step);
             }
 
             @Override
             public void every(double ms, Runnable step) {
-                World.this.in(
+                VirtualTimeScheduler.this.in(
                         ms,
                         () -> {
                             step.run();
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -26,8 +26,6 @@
 import java.util.concurrent.TimeoutException;
 import larchridge.batch.BatchService;
 import larchridge.budget.Lender;
-import larchridge.enginelink.CompletionsLink;
-import larchridge.front.Front;
 import larchridge.inventory.BadList;
 import larchridge.inventory.ListFollower;
 import larchridge.inventory.Row;
@@ -38,9 +36,11 @@
 import larchridge.ledger.Total;
 import larchridge.messages.MessagesDoor;
 import larchridge.metrics.Meters;
+import larchridge.router.Router;
 import larchridge.site.Site;
 import larchridge.store.Points;
 import larchridge.tokens.Counters;
+import larchridge.upstream.CompletionsUpstreamClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -56,7 +56,7 @@
     private final List<Seat> seats = new ArrayList<>();
 
     /** What each front is told of lists; a list goes to all, each on its own loop. */
-    private final List<Front> fronts = new CopyOnWriteArrayList<>();
+    private final List<Router> fronts = new CopyOnWriteArrayList<>();
 
     private boolean stopped;
     private HttpServer admin;
@@ -318,7 +318,7 @@
     private final class Seat extends VerticleBase {
         private final int number;
         private final List<Row> first;
-        private Front front;
+        private Router front;
         private HttpServer server;
 
         Seat(int number, List<Row> first) {
@@ -330,11 +330,11 @@
         public Future<?> start() {
             Meters meters = new Meters(registry);
             front =
-                    new Front(
+                    new Router(
                             vertx,
                             site,
                             number,
-                            new CompletionsLink(vertx, site.limit),
+                            new CompletionsUpstreamClient(vertx, site.limit),
                             meters,
                             ledger);
             used.forEach(
--- a/src/main/java/larchridge/enginelink/Verdict.java
+++ b/src/main/java/larchridge/upstream/AttemptClassifier.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import larchridge.state.AttemptOutcome;
 
@@ -7,7 +7,7 @@
  * proves an attempt never ran is only given where the engine could not have seen it or says so
  * itself.
  */
-public final class Verdict {
+public final class AttemptClassifier {
     /** The engine's own word that it knows no such state. */
     static final String STATE_UNKNOWN = "kv_state_unknown";
 
--- a/src/main/java/larchridge/enginelink/Hearing.java
+++ b/src/main/java/larchridge/upstream/AttemptListener.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import larchridge.state.AttemptOutcome;
 import larchridge.state.LoadReport;
@@ -7,7 +7,7 @@
  * What an attempt tells its sender, on the sender's loop and never from inside the call that sent
  * or cancelled it.
  */
-public interface Hearing {
+public interface AttemptListener {
     /** The prompt is read and its state waits; the last call for this attempt. */
     void read(StateHandle state, int keptToks, int promptToks, LoadReport report);
 
@@ -45,10 +45,10 @@
     }
 
     /** It was kept from being written, for this reason; the end of the attempt follows. */
-    default void notSent(SendRefusal reason) {
+    default void notSent(SendRejection reason) {
         return;
     }
 
     /** The last call for this attempt; ending is given with STREAMED only. */
-    void ended(AttemptOutcome outcome, LoadReport report, Ending ending);
+    void ended(AttemptOutcome outcome, LoadReport report, Completion ending);
 }
--- a/src/main/java/larchridge/enginelink/Order.java
+++ b/src/main/java/larchridge/upstream/AttemptRequest.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import java.util.List;
 
@@ -13,9 +13,9 @@
  * @param check asked at the last moment before the attempt is written; a refusal keeps it from
  *     being sent
  */
-public record Order(
+public record AttemptRequest(
         String rid,
-        Spot spot,
+        Endpoint spot,
         String model,
         String prompt,
         int maxToks,
@@ -23,7 +23,7 @@
         Sampling sampling,
         StateHandle state,
         String repeatKey,
-        Passage passage,
+        ForwardedRequest passage,
         SendCheck check) {
 
     /** How tokens are drawn; null leaves a figure to the engine. */
--- a/src/main/java/larchridge/enginelink/Ending.java
+++ b/src/main/java/larchridge/upstream/Completion.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 /**
  * How an answer came to its end.
@@ -8,7 +8,7 @@
  * @param promptToks prompt tokens as the engine counted them, or -1
  * @param outToks answer tokens as the engine counted them, else pieces
  */
-public record Ending(Why why, String stop, int promptToks, int outToks) {
+public record Completion(Why why, String stop, int promptToks, int outToks) {
     /** What stops an answer. */
     public enum Why {
         END_OF_TURN,
--- a/src/main/java/larchridge/enginelink/CompletionsLink.java
+++ b/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -28,8 +28,8 @@
  * attempt gives the handle of that state with {@code do_remote_prefill} and is streamed as
  * server-sent events. An attempt is called off by closing its connection.
  */
-public final class CompletionsLink implements EngineLink {
-    private static final Logger LOG = LoggerFactory.getLogger(CompletionsLink.class);
+public final class CompletionsUpstreamClient implements UpstreamClient {
+    private static final Logger LOG = LoggerFactory.getLogger(CompletionsUpstreamClient.class);
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MOST_LINE_BYTES = 1 << 20;
     private static final int MOST_RELEASES = 20_000;
@@ -45,7 +45,7 @@
     private record Handle(JsonNode json) implements StateHandle {}
 
     /** To be made on the loop that is to own it. */
-    public CompletionsLink(Vertx vertx, Limit limit) {
+    public CompletionsUpstreamClient(Vertx vertx, Limit limit) {
         this.vertx = vertx;
         this.limit = limit;
         loop = vertx.getOrCreateContext();
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public Flight read(Order order, Hearing hearing) {
+    public Flight read(AttemptRequest order, AttemptListener hearing) {
         ObjectNode body = body(order);
         body.put("max_tokens", 1);
         body.put("stream", false);
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public Flight write(Order order, Hearing hearing) {
+    public Flight write(AttemptRequest order, AttemptListener hearing) {
         ObjectNode body = body(order);
         body.put("max_tokens", order.maxToks());
         body.put("stream", true);
@@ -93,14 +93,14 @@
         return out;
     }
 
-    private static ObjectNode body(Order order) {
+    private static ObjectNode body(AttemptRequest order) {
         ObjectNode body = MAPPER.createObjectNode();
         body.put("model", order.model());
         body.put("prompt", order.prompt());
         if (!order.stops().isEmpty()) {
             order.stops().forEach(body.putArray("stop")::add);
         }
-        Order.Sampling sampling = order.sampling();
+        AttemptRequest.Sampling sampling = order.sampling();
         if (sampling.temperature() != null) {
             body.put("temperature", sampling.temperature());
         }
@@ -119,7 +119,7 @@
      * logged and left to that lapse too.
      */
     @Override
-    public void release(Spot spot, String rid) {
+    public void release(Endpoint spot, String rid) {
         if (releases >= MOST_RELEASES) {
             LOG.atWarn()
                     .addKeyValue("engine", spot)
@@ -131,7 +131,7 @@
         release(spot, rid, RELEASE_TRIES);
     }
 
-    private void release(Spot spot, String rid, int tries) {
+    private void release(Endpoint spot, String rid, int tries) {
         RequestOptions options =
                 options(spot, HttpMethod.POST, "/abort_request").setTimeout((long) limit.probeMs);
         Buffer body = Buffer.buffer(MAPPER.createObjectNode().put("rid", rid).toString());
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void probe(Spot spot, Told told) {
+    public void probe(Endpoint spot, Told told) {
         RequestOptions options =
                 options(spot, HttpMethod.GET, "/metrics").setTimeout((long) limit.probeMs);
         client.request(options)
@@ -185,7 +185,7 @@
         client.close();
     }
 
-    private RequestOptions options(Spot spot, HttpMethod method, String path) {
+    private RequestOptions options(Endpoint spot, HttpMethod method, String path) {
         return new RequestOptions()
                 .setMethod(method)
                 .setHost(spot.host())
@@ -196,10 +196,10 @@
 
     /** One attempt on its way. */
     private final class Out implements Flight {
-        private final Order order;
-        private final Hearing hearing;
+        private final AttemptRequest order;
+        private final AttemptListener hearing;
         private final boolean reads;
-        private final Verdict verdict = new Verdict();
+        private final AttemptClassifier verdict = new AttemptClassifier();
         private HttpClientRequest request;
         private HttpClientResponse response;
         private LoadReport report;
@@ -207,14 +207,14 @@
         private boolean paused;
         private boolean begun;
         private boolean tellsSoFar;
-        private Ending.Why why = Ending.Why.END_OF_TURN;
+        private Completion.Why why = Completion.Why.END_OF_TURN;
         private String stop;
         private int promptToks = -1;
         private int outToks = -1;
         private int pieces;
         private Buffer whole;
 
-        Out(Order order, Hearing hearing, boolean reads) {
+        Out(AttemptRequest order, AttemptListener hearing, boolean reads) {
             this.order = order;
             this.hearing = hearing;
             this.reads = reads;
@@ -240,7 +240,7 @@
                                 }
                                 if (connected.failed()) {
                                     later(
-                                            Verdict.noConnection(
+                                            AttemptClassifier.noConnection(
                                                     connected.cause()
                                                             instanceof
                                                             ConnectionPoolTooBusyException));
@@ -395,8 +395,10 @@
                                 : null;
                 why =
                         reason.equals("length")
-                                ? Ending.Why.MOST_TOKENS
-                                : stop != null ? Ending.Why.STOP_TEXT : Ending.Why.END_OF_TURN;
+                                ? Completion.Why.MOST_TOKENS
+                                : stop != null
+                                        ? Completion.Why.STOP_TEXT
+                                        : Completion.Why.END_OF_TURN;
                 verdict.finished();
             }
         }
@@ -426,9 +428,9 @@
 
         private void finish(AttemptOutcome outcome) {
             done = true;
-            Ending ending =
+            Completion ending =
                     outcome == AttemptOutcome.STREAMED
-                            ? new Ending(why, stop, promptToks, outToks >= 0 ? outToks : pieces)
+                            ? new Completion(why, stop, promptToks, outToks >= 0 ? outToks : pieces)
                             : null;
             hearing.ended(outcome, report, ending);
         }
--- a/src/main/java/larchridge/enginelink/Passage.java
+++ b/src/main/java/larchridge/upstream/ForwardedRequest.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import java.util.List;
 
@@ -13,7 +13,7 @@
  * @param body the body's bytes, never changed
  * @param limitMs when nobody waits for its first token any more, in the front's clock
  */
-public record Passage(
+public record ForwardedRequest(
         String method,
         String target,
         String id,
--- a/src/main/java/larchridge/enginelink/LoadReportParser.java
+++ b/src/main/java/larchridge/upstream/LoadReportParser.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/larchridge/enginelink/SendRefusal.java
+++ b/src/main/java/larchridge/upstream/SendRejection.java
@@ -1,9 +1,9 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import java.util.Locale;
 
 /** Why an attempt that was decided is not written. */
-public enum SendRefusal {
+public enum SendRejection {
     /** The engine was told to drain, or is gone. */
     ENGINE_LEFT,
     /** The request has its final answer. */
--- a/src/main/java/larchridge/enginelink/EngineLink.java
+++ b/src/main/java/larchridge/upstream/UpstreamClient.java
@@ -1,20 +1,20 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import larchridge.state.LoadReport;
 
 /** How engines are spoken to; one implementation a protocol, one instance a front. */
-public interface EngineLink {
+public interface UpstreamClient {
     /** Sends an attempt that reads a prompt and leaves its state there. */
-    Flight read(Order order, Hearing hearing);
+    Flight read(AttemptRequest order, AttemptListener hearing);
 
     /** Sends an attempt that writes the answer. */
-    Flight write(Order order, Hearing hearing);
+    Flight write(AttemptRequest order, AttemptListener hearing);
 
     /** Lets go of the state that a read attempt left or may have left. */
-    void release(Spot spot, String rid);
+    void release(Endpoint spot, String rid);
 
     /** Asks an engine for its load. */
-    void probe(Spot spot, Told told);
+    void probe(Endpoint spot, Told told);
 
     /** Hears what an engine answered to a probe. */
     interface Told {
--- a/src/main/java/larchridge/virtual/Day.java
+++ b/src/main/java/larchridge/virtual/Day.java
@@ -12,18 +12,18 @@
 import larchridge.drill.Tally;
 import larchridge.emulator.EngineModel;
 import larchridge.emulator.Prompt;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.Order;
-import larchridge.front.Ask;
-import larchridge.front.Client;
-import larchridge.front.Front;
-import larchridge.front.Open;
-import larchridge.front.World;
 import larchridge.metrics.Meters;
 import larchridge.policy.PolicyEvents;
+import larchridge.router.GenerationRequest;
+import larchridge.router.InFlightRequest;
+import larchridge.router.ResponseSink;
+import larchridge.router.Router;
+import larchridge.router.VirtualTimeScheduler;
 import larchridge.site.BadSite;
 import larchridge.site.Site;
 import larchridge.site.SiteReader;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.Completion;
 
 /**
  * Plays a drill script in virtual time: real fronts with their module over emulated engines, one
@@ -54,11 +54,11 @@
     }
 
     private final Script script;
-    private final World world = new World();
+    private final VirtualTimeScheduler world = new VirtualTimeScheduler();
     private final Log log = new Log(world);
     private final Town town;
     private final Site site;
-    private final List<Front> fronts = new ArrayList<>();
+    private final List<Router> fronts = new ArrayList<>();
     private final Random random;
     private final List<Session> sessions = new ArrayList<>();
     private double rate = 1;
@@ -107,7 +107,7 @@
         for (int i = 0; i < script.fronts(); i++) {
             // Figures of so many fronts are nobody's; what was seen is the witness.
             fronts.add(
-                    new Front(
+                    new Router(
                             world.ground(i, script.seed()),
                             site,
                             i,
@@ -199,7 +199,7 @@
     }
 
     /** One try of one operation: the client's side of it. */
-    private final class Try implements Client {
+    private final class Try implements ResponseSink {
         private final Session session;
         private final String operation;
         private final int number;
@@ -209,7 +209,7 @@
         private final int out;
         private final int front;
         private final String tag;
-        private Open open;
+        private InFlightRequest open;
         private boolean begun;
         private boolean finished;
         private boolean left;
@@ -245,7 +245,7 @@
         }
 
         private void arrive() {
-            Front at = fronts.get(front);
+            Router at = fronts.get(front);
             if (!at.enter()) {
                 answer("throttled");
                 return;
@@ -270,8 +270,8 @@
             String body = tag;
             town.talk(body, new Town.Talk(prompt, out, tag));
             world.in(KEEP_TALK_MS, () -> town.forget(body));
-            Ask ask =
-                    new Ask(
+            GenerationRequest ask =
+                    new GenerationRequest(
                             site.offersByModel.get(mix.name()),
                             site.tenantNamed(session.tenant),
                             mix.name(),
@@ -280,7 +280,7 @@
                             shared,
                             2 * mix.outToks() + 2,
                             List.of(),
-                            new Order.Sampling(null, null, null),
+                            new AttemptRequest.Sampling(null, null, null),
                             shared > 0 ? mix.name() + session.prefix : null,
                             session.opening,
                             session.last,
@@ -398,7 +398,7 @@
         }
 
         @Override
-        public void streamed(Ending ending) {
+        public void streamed(Completion ending) {
             end("streamed", false);
         }
 
--- a/src/main/java/larchridge/virtual/Log.java
+++ b/src/main/java/larchridge/virtual/Log.java
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import larchridge.drill.Seen;
-import larchridge.front.World;
+import larchridge.router.VirtualTimeScheduler;
 
 /**
  * What was seen in virtual time, in order, and a digest of all of it; at most so much is kept,
@@ -16,12 +16,12 @@
 final class Log {
     static final int MOST = 20_000_000;
 
-    private final World world;
+    private final VirtualTimeScheduler world;
     private final List<Seen> sights = new ArrayList<>();
     private final MessageDigest digest;
     private boolean full;
 
-    Log(World world) {
+    Log(VirtualTimeScheduler world) {
         this.world = world;
         try {
             digest = MessageDigest.getInstance("SHA-256");
--- a/src/main/java/larchridge/virtual/Town.java
+++ b/src/main/java/larchridge/virtual/Town.java
@@ -12,19 +12,19 @@
 import larchridge.emulator.Links;
 import larchridge.emulator.Prompt;
 import larchridge.emulator.Silicon;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.EngineLink;
-import larchridge.enginelink.Hearing;
-import larchridge.enginelink.Order;
-import larchridge.enginelink.Spot;
-import larchridge.enginelink.StateHandle;
-import larchridge.front.World;
 import larchridge.inventory.Row;
+import larchridge.router.VirtualTimeScheduler;
 import larchridge.standin.Make;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.EndpointState;
 import larchridge.state.LoadReport;
 import larchridge.state.Role;
+import larchridge.upstream.AttemptListener;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.Completion;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.StateHandle;
+import larchridge.upstream.UpstreamClient;
 
 /**
  * The emulated engines in virtual time, the links between them, and the way to them from fronts.
@@ -45,7 +45,7 @@
     private static final int BLOCK_TOKS = 32;
     private static final double LAPSE_LOOK_MS = 500;
 
-    final World world;
+    final VirtualTimeScheduler world;
     final Log log;
     private final Random random;
     private final Map<Long, Seat> seats = new TreeMap<>();
@@ -60,7 +60,7 @@
     /** Names a state: where it waits and under which name. */
     private record Waiting(long engine, String rid) implements StateHandle {}
 
-    Town(World world, Log log, List<Make> makes, long seed) {
+    Town(VirtualTimeScheduler world, Log log, List<Make> makes, long seed) {
         this.world = world;
         this.log = log;
         random = new Random(seed ^ 0x70EFL);
@@ -504,15 +504,15 @@
     // ------------------------------------------------------------------ the way to them
 
     /** A front's link to the engines. */
-    EngineLink link(String zone) {
-        return new EngineLink() {
+    UpstreamClient link(String zone) {
+        return new UpstreamClient() {
             @Override
-            public Flight read(Order order, Hearing hearing) {
+            public Flight read(AttemptRequest order, AttemptListener hearing) {
                 return new Visit(order, hearing, zone, Job.Kind.READ);
             }
 
             @Override
-            public Flight write(Order order, Hearing hearing) {
+            public Flight write(AttemptRequest order, AttemptListener hearing) {
                 return new Visit(
                         order,
                         hearing,
@@ -521,7 +521,7 @@
             }
 
             @Override
-            public void release(Spot spot, String rid) {
+            public void release(Endpoint spot, String rid) {
                 Seat seat = seats.get((long) spot.port());
                 world.in(
                         wayMs(zone, seat),
@@ -533,7 +533,7 @@
             }
 
             @Override
-            public void probe(Spot spot, Told told) {
+            public void probe(Endpoint spot, Told told) {
                 Seat seat = seats.get((long) spot.port());
                 double ms = wayMs(zone, seat);
                 world.in(
@@ -563,12 +563,12 @@
     }
 
     /** An attempt on its way, at its engine, and on its way back. */
-    private final class Visit implements EngineLink.Flight {
-        final Order order;
+    private final class Visit implements UpstreamClient.Flight {
+        final AttemptRequest order;
         final Talk talk;
         final Job job;
         final Waiting from;
-        private final Hearing hearing;
+        private final AttemptListener hearing;
         private final Seat seat;
         private final double ms;
         Links.Move move;
@@ -577,7 +577,7 @@
         int breakAfter = Integer.MAX_VALUE;
         private boolean begun;
 
-        Visit(Order order, Hearing hearing, String zone, Job.Kind kind) {
+        Visit(AttemptRequest order, AttemptListener hearing, String zone, Job.Kind kind) {
             this.order = order;
             this.hearing = hearing;
             talk = talks.get(order.prompt());
@@ -629,10 +629,10 @@
             hearing.ended(
                     AttemptOutcome.STREAMED,
                     report,
-                    new Ending(
+                    new Completion(
                             job.length < order.maxToks()
-                                    ? Ending.Why.END_OF_TURN
-                                    : Ending.Why.MOST_TOKENS,
+                                    ? Completion.Why.END_OF_TURN
+                                    : Completion.Why.MOST_TOKENS,
                             null,
                             talk.prompt.toks,
                             job.made()));
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -5,11 +5,11 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import larchridge.enginelink.Spot;
 import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.Role;
 import larchridge.state.TrafficClass;
+import larchridge.upstream.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -20,10 +20,10 @@
  */
 class RequestAuditTest {
     private static final String ID = "9b1f03aa5c7e2d41";
-    private static final Spot READER = new Spot("10.0.0.1", 8443);
-    private static final Spot WRITER = new Spot("10.0.0.2", 8443);
-    private static final Spot OTHER_RACK = new Spot("10.0.0.3", 8443);
-    private static final Spot COLD = new Spot("10.0.0.4", 8443);
+    private static final Endpoint READER = new Endpoint("10.0.0.1", 8443);
+    private static final Endpoint WRITER = new Endpoint("10.0.0.2", 8443);
+    private static final Endpoint OTHER_RACK = new Endpoint("10.0.0.3", 8443);
+    private static final Endpoint COLD = new Endpoint("10.0.0.4", 8443);
     private static final double GRACE_MS = 250;
     private static final double RELEASE_MS = 1000;
     private static final double WINDOW_MS = 2000;
@@ -37,7 +37,7 @@
                     () -> nowMs,
                     violations,
                     new CloseCounters(new SimpleMeterRegistry()));
-    private final Map<Spot, AuditedEngine> engines = new LinkedHashMap<>();
+    private final Map<Endpoint, AuditedEngine> engines = new LinkedHashMap<>();
 
     RequestAuditTest() {
         engines.put(READER, new AuditedEngine(true, Role.READER, "a", 1, 1, 0));
@@ -54,7 +54,7 @@
                 nowMs + TOLD_MS);
     }
 
-    private int write(String id, Spot spot, boolean reads) {
+    private int write(String id, Endpoint spot, boolean reads) {
         return audit.attemptWritten(id, spot, reads, 100);
     }
 
@@ -193,7 +193,7 @@
 
     @Test
     void engineThatNoListNamesIsCounted() {
-        write(ID, new Spot("10.0.0.9", 8443), true);
+        write(ID, new Endpoint("10.0.0.9", 8443), true);
         assertEquals(1, violations.count(Invariant.NO_SEND_PAST_GRACE));
     }
 }
--- a/src/test/java/larchridge/batch/BatchStage.java
+++ b/src/test/java/larchridge/batch/BatchStage.java
@@ -19,11 +19,10 @@
 import java.util.concurrent.Callable;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import larchridge.enginelink.Ending;
-import larchridge.front.Ask;
 import larchridge.messages.Bodies;
 import larchridge.planner.Attempts;
 import larchridge.planner.Planner;
+import larchridge.router.GenerationRequest;
 import larchridge.site.Site;
 import larchridge.site.SiteReader;
 import larchridge.store.Incoming;
@@ -32,6 +31,7 @@
 import larchridge.store.form.BatchForm;
 import larchridge.store.form.FileForm;
 import larchridge.tokens.Counters;
+import larchridge.upstream.Completion;
 
 /**
  * A store with its batches in virtual time, over engines that do what the prompt says; it can be
@@ -189,7 +189,7 @@
         private final Map<String, Integer> times = new HashMap<>();
 
         @Override
-        public Out take(Ask ask, Told told) {
+        public Out take(GenerationRequest ask, Told told) {
             String prompt = ask.prompt();
             String id = prompt.substring(prompt.indexOf("id=") + 3).split("\\s")[0];
             int time = times.merge(id, 1, Integer::sum);
@@ -215,7 +215,7 @@
                                 told.streamed(
                                         "w1 w2 ",
                                         0,
-                                        new Ending(Ending.Why.END_OF_TURN, null, 10, 2));
+                                        new Completion(Completion.Why.END_OF_TURN, null, 10, 2));
                             }
                         });
             }
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import larchridge.node.Scene.Reply;
+import larchridge.node.NodeFixture.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -15,9 +15,9 @@
  * released.
  */
 @Timeout(30)
-class ClientCloseTest extends SceneTest {
+class ClientCloseTest extends NodeFixtureTest {
     /** Closes with a FIN, or with a reset that drops what the peer has not read. */
-    private static void close(Scene.RawClient client, boolean resets) throws Exception {
+    private static void close(NodeFixture.RawClient client, boolean resets) throws Exception {
         if (resets) {
             client.socket.setSoLinger(true, 0);
         }
@@ -28,24 +28,24 @@
      * Whether an engine got an attempt of this request, once a later request has been served from
      * end to end.
      */
-    private boolean reached(Scene.Actor engine, String id) throws Exception {
-        Scene.RawClient other = scene.client();
-        other.send(Scene.ask(Scene.id(), ""));
-        Scene.served(other);
+    private boolean reached(NodeFixture.Actor engine, String id) throws Exception {
+        NodeFixture.RawClient other = scene.client();
+        other.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(other);
         return engine.seen.stream()
                 .anyMatch(seen -> seen.method().equals("POST") && id.equals(seen.header("Req-Id")));
     }
 
     @Test
     void requestWhoseClientClosedRightBehindItIsNotSentOn() throws Exception {
-        Scene.RawClient kept = scene.client();
-        kept.send(Scene.ask(Scene.id(), ""));
-        Scene.served(kept);
-        for (Scene.RawClient client : List.of(scene.client(), kept)) {
+        NodeFixture.RawClient kept = scene.client();
+        kept.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(kept);
+        for (NodeFixture.RawClient client : List.of(scene.client(), kept)) {
             scene.settled();
             CountDownLatch goOn = scene.holdLoop();
-            String id = Scene.id();
-            client.send(Scene.ask(id, ""));
+            String id = NodeFixture.id();
+            client.send(NodeFixture.ask(id, ""));
             client.close();
             goOn.countDown();
             assertTrue(!reached(scene.reader, id));
@@ -61,22 +61,22 @@
             scene.reader.script =
                     seen -> {
                         asked.countDown();
-                        Scene.await(open);
+                        NodeFixture.await(open);
                         return new Reply(
-                                Scene.read(0),
+                                NodeFixture.read(0),
                                 true,
                                 () -> {
                                     answered.countDown();
                                     return "";
                                 });
                     };
-            String id = Scene.id();
-            Scene.RawClient client = scene.client();
-            client.send(Scene.ask(id, ""));
-            Scene.await(asked);
+            String id = NodeFixture.id();
+            NodeFixture.RawClient client = scene.client();
+            client.send(NodeFixture.ask(id, ""));
+            NodeFixture.await(asked);
             CountDownLatch goOn = scene.holdLoop();
             open.countDown();
-            Scene.await(answered);
+            NodeFixture.await(answered);
             close(client, resets);
             goOn.countDown();
             assertEquals("/v1/holds/" + id, scene.reader.next("DELETE").target());
@@ -91,22 +91,25 @@
         scene.writer.script =
                 seen ->
                         new Reply(
-                                Scene.GOOD + Scene.chunk(Scene.EVENT),
+                                NodeFixture.GOOD + NodeFixture.chunk(NodeFixture.EVENT),
                                 true,
                                 () -> {
                                     begun.countDown();
-                                    Scene.await(open);
-                                    return Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n";
+                                    NodeFixture.await(open);
+                                    return NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
+                                            + "0\r\n\r\n";
                                 });
-        String ahead = Scene.id();
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), "") + Scene.ask(ahead, ""));
-        Scene.await(begun);
+        String ahead = NodeFixture.id();
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(NodeFixture.id(), "") + NodeFixture.ask(ahead, ""));
+        NodeFixture.await(begun);
         client.until("\"ab\"");
         scene.writer.script =
                 seen ->
                         new Reply(
-                                Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n",
+                                NodeFixture.GOOD
+                                        + NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
+                                        + "0\r\n\r\n",
                                 true);
         CountDownLatch goOn = scene.holdLoop();
         open.countDown();
@@ -123,21 +126,21 @@
     @Test
     void furtherAttemptThatFallsDueInTheTurnInWhichTheClientClosesIsNotSent() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
-        try (Scene.Actor second =
-                new Scene.Actor(
+        try (NodeFixture.Actor second =
+                new NodeFixture.Actor(
                         seen -> {
                             first.countDown();
                             return new Reply(null, true);
                         })) {
             scene.reader.script = second.script;
-            scene.listed.add(Scene.row("r2", second.port(), "lectura", "SERVING", 0));
+            scene.listed.add(NodeFixture.row("r2", second.port(), "lectura", "SERVING", 0));
             scene.changed();
             while (scene.node.engines() < 3) {
                 scene.settled();
             }
-            Scene.RawClient client = scene.client();
-            client.send(Scene.ask(Scene.id(), ""));
-            Scene.await(first);
+            NodeFixture.RawClient client = scene.client();
+            client.send(NodeFixture.ask(NodeFixture.id(), ""));
+            NodeFixture.await(first);
             CountDownLatch goOn = scene.holdLoop();
             // Longer than the module waits for a silent reader, so that the second attempt is due
             // when the loop goes on.
@@ -154,9 +157,9 @@
     @Test
     void halfARequestThatIsClosedReachesNoEngine() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
-            String id = Scene.id();
-            String request = Scene.ask(id, "");
-            Scene.RawClient client = scene.client();
+            String id = NodeFixture.id();
+            String request = NodeFixture.ask(id, "");
+            NodeFixture.RawClient client = scene.client();
             client.send(request.substring(0, request.length() - 4));
             scene.settled();
             close(client, resets);
--- a/src/test/java/larchridge/node/DescriptorExhaustionTest.java
+++ b/src/test/java/larchridge/node/DescriptorExhaustionTest.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import larchridge.node.Scene.Reply;
+import larchridge.node.NodeFixture.Reply;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -84,8 +84,8 @@
         TimeUnit.MILLISECONDS.sleep(200);
         closeAll(clients);
         long free = System.nanoTime();
-        try (Scene.RawClient client = new Scene.RawClient(node.port)) {
-            client.send(Scene.UP);
+        try (NodeFixture.RawClient client = new NodeFixture.RawClient(node.port)) {
+            client.send(NodeFixture.UP);
             assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
         }
         double tookMs = (System.nanoTime() - free) / 1e6;
@@ -97,10 +97,10 @@
      */
     @Test
     void requestIsServedWhoseAttemptsFindNoDescriptorForAMoment() throws Exception {
-        Scene.RawClient client = new Scene.RawClient(node.port);
+        NodeFixture.RawClient client = new NodeFixture.RawClient(node.port);
         List<Socket> clients = connectAll();
         TimeUnit.MILLISECONDS.sleep(200);
-        client.send(Scene.ask(Scene.id(), ""));
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
         TimeUnit.MILLISECONDS.sleep(500);
         closeAll(clients);
         client.socket.setSoTimeout(8000);
