--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
-import larchridge.node.Scene.Reply;
-import larchridge.node.Scene.Seen;
+import larchridge.node.NodeFixture.Reply;
+import larchridge.node.NodeFixture.Seen;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -21,7 +21,7 @@
  * requests go.
  */
 @Timeout(30)
-class DiscoveryTest extends SceneTest {
+class DiscoveryTest extends NodeFixtureTest {
     /**
      * What was missed has to act 6 s after a watch fell silent; a connection that does not come up,
      * and a retry, fit in too.
@@ -33,7 +33,7 @@
     }
 
     /** Waits for a call of the kind that comes after this moment. */
-    private void awaitCall(Scene.Actor discovery, boolean watch) throws Exception {
+    private void awaitCall(NodeFixture.Actor discovery, boolean watch) throws Exception {
         Seen seen = discovery.next("GET");
         while (isWatch(seen) != watch) {
             seen = discovery.next("GET");
@@ -45,7 +45,7 @@
     }
 
     private static String list(int index, String... rows) {
-        return Scene.answer(
+        return NodeFixture.answer(
                 "200 OK",
                 "{\"index\":"
                         + index
@@ -54,12 +54,12 @@
                         + "]}");
     }
 
-    private void servedBy(Scene.Actor engine, Scene.Actor notBy) throws Exception {
+    private void servedBy(NodeFixture.Actor engine, NodeFixture.Actor notBy) throws Exception {
         engine.seen.clear();
         notBy.seen.clear();
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), ""));
-        Scene.served(client);
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(client);
         assertEquals(1, engine.posts());
         assertEquals(0, notBy.posts());
     }
@@ -111,17 +111,19 @@
 
     @Test
     void indentedWholeListOnAWatchIsTaken() throws Exception {
-        try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true))) {
+        try (NodeFixture.Actor other =
+                new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true))) {
             String rows =
                     String.join(
                                     ",\n",
-                                    Scene.row("r2", other.port(), "lectura", "SERVING", 0),
-                                    Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0))
+                                    NodeFixture.row("r2", other.port(), "lectura", "SERVING", 0),
+                                    NodeFixture.row(
+                                            "w1", scene.writer.port(), "redaccion", "SERVING", 0))
                             .replace(",\"", " ,\r\n\t\t\"");
             scene.discovery.script =
                     seen ->
                             new Reply(
-                                    Scene.answer(
+                                    NodeFixture.answer(
                                             "200 OK",
                                             "{\n  \"index\" : 50,\n  \"snapshot\" : true,\n  \"endpoints\" : [\n"
                                                     + rows
@@ -141,16 +143,20 @@
      */
     @Test
     void watchThatTellsAnOlderVersionChangesNothingAndTheWholeListIsAskedFor() throws Exception {
-        try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true))) {
-            String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
+        try (NodeFixture.Actor other =
+                new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true))) {
+            String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
             String now =
                     list(
                             60,
-                            Scene.row("r1", scene.reader.port(), "lectura", "DRAINING", 0),
-                            Scene.row("r2", other.port(), "lectura", "SERVING", 0),
+                            NodeFixture.row("r1", scene.reader.port(), "lectura", "DRAINING", 0),
+                            NodeFixture.row("r2", other.port(), "lectura", "SERVING", 0),
                             writer);
             String old =
-                    list(40, Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0), writer);
+                    list(
+                            40,
+                            NodeFixture.row("r1", scene.reader.port(), "lectura", "SERVING", 0),
+                            writer);
             CountDownLatch wholeAgain = new CountDownLatch(2);
             CountDownLatch open = new CountDownLatch(1);
             scene.discovery.script =
@@ -158,14 +164,14 @@
                         if (!isWatch(seen)) {
                             wholeAgain.countDown();
                             if (wholeAgain.getCount() == 0) {
-                                Scene.await(open);
+                                NodeFixture.await(open);
                             }
                             return new Reply(now, true);
                         }
                         return new Reply(seen.target().contains("after=60") ? old : now, true);
                     };
             scene.node.readAgain();
-            Scene.await(wholeAgain);
+            NodeFixture.await(wholeAgain);
             scene.settled();
             servedBy(other, scene.reader);
             open.countDown();
@@ -178,23 +184,24 @@
      */
     @Test
     void olderListOfAnotherAgentBringsNoDrainingEngineBack() throws Exception {
-        String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
-        try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true));
-                Scene.Actor moved =
-                        new Scene.Actor(
+        String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
+        try (NodeFixture.Actor other =
+                        new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true));
+                NodeFixture.Actor moved =
+                        new NodeFixture.Actor(
                                 seen ->
                                         new Reply(
                                                 isWatch(seen)
                                                         ? null
                                                         : list(
                                                                 40,
-                                                                Scene.row(
+                                                                NodeFixture.row(
                                                                         "r1",
                                                                         scene.reader.port(),
                                                                         "lectura",
                                                                         "SERVING",
                                                                         0),
-                                                                Scene.row(
+                                                                NodeFixture.row(
                                                                         "r2",
                                                                         other.port(),
                                                                         "lectura",
@@ -209,7 +216,7 @@
                                             ? null
                                             : list(
                                                     60,
-                                                    Scene.row(
+                                                    NodeFixture.row(
                                                             "r1",
                                                             scene.reader.port(),
                                                             "lectura",
@@ -240,8 +247,9 @@
                     return new Reply(
                             list(
                                     60,
-                                    Scene.row("r1", scene.reader.port(), "lectura", "SERVING", 0),
-                                    Scene.row(
+                                    NodeFixture.row(
+                                            "r1", scene.reader.port(), "lectura", "SERVING", 0),
+                                    NodeFixture.row(
                                             "w1", scene.writer.port(), "redaccion", "SERVING", 0)),
                             true);
                 };
@@ -257,16 +265,17 @@
     void firstAnswerFromTheOldAddressAfterAMoveChangesNothing() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
-        String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
-        try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true));
-                Scene.Actor before =
-                        new Scene.Actor(
+        String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
+        try (NodeFixture.Actor other =
+                        new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true));
+                NodeFixture.Actor before =
+                        new NodeFixture.Actor(
                                 seen -> {
                                     asked.countDown();
-                                    Scene.await(open);
+                                    NodeFixture.await(open);
                                     return new Reply(
                                             list(
-                                                    Scene.row(
+                                                    NodeFixture.row(
                                                             "r1",
                                                             scene.reader.port(),
                                                             "lectura",
@@ -275,14 +284,14 @@
                                                     writer),
                                             true);
                                 });
-                Scene.Actor moved =
-                        new Scene.Actor(
+                NodeFixture.Actor moved =
+                        new NodeFixture.Actor(
                                 seen ->
                                         new Reply(
                                                 isWatch(seen)
                                                         ? null
                                                         : list(
-                                                                Scene.row(
+                                                                NodeFixture.row(
                                                                         "r2",
                                                                         other.port(),
                                                                         "lectura",
@@ -292,7 +301,7 @@
                                                 true))) {
             scene.configure(before.port());
             scene.node.readAgain();
-            Scene.await(asked);
+            NodeFixture.await(asked);
             scene.configure(moved.port());
             scene.node.readAgain();
             awaitCall(moved, true);
@@ -310,19 +319,20 @@
     void answerOfAnAbandonedCallChangesNothing() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
-        String writer = Scene.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
-        try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true));
-                Scene.Actor moved =
-                        new Scene.Actor(
+        String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
+        try (NodeFixture.Actor other =
+                        new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true));
+                NodeFixture.Actor moved =
+                        new NodeFixture.Actor(
                                 seen -> {
                                     if (isWatch(seen)) {
                                         return new Reply(null, true);
                                     }
                                     if (calls.getAndIncrement() == 0) {
-                                        Scene.await(open);
+                                        NodeFixture.await(open);
                                         return new Reply(
                                                 list(
-                                                        Scene.row(
+                                                        NodeFixture.row(
                                                                 "r1",
                                                                 scene.reader.port(),
                                                                 "lectura",
@@ -333,7 +343,7 @@
                                     }
                                     return new Reply(
                                             list(
-                                                    Scene.row(
+                                                    NodeFixture.row(
                                                             "r2",
                                                             other.port(),
                                                             "lectura",
@@ -361,7 +371,7 @@
         scene.node.readAgain();
         // Long enough for the pauses between tries to have grown to their most.
         TimeUnit.MILLISECONDS.sleep(600);
-        try (Scene.Actor moved = new Scene.Actor(scene.discovery.script, port)) {
+        try (NodeFixture.Actor moved = new NodeFixture.Actor(scene.discovery.script, port)) {
             long up = System.nanoTime();
             awaitCall(moved, false);
             assertTrue((System.nanoTime() - up) / 1e6 < 500);
--- a/src/test/java/larchridge/node/HeldStateTest.java
+++ b/src/test/java/larchridge/node/HeldStateTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.concurrent.CountDownLatch;
-import larchridge.node.Scene.Reply;
+import larchridge.node.NodeFixture.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Read states whose write attempt gives no sign of having arrived. */
 @Timeout(30)
-class HeldStateTest extends SceneTest {
+class HeldStateTest extends NodeFixtureTest {
     /** The settings' time for a held state and the slack that the platform grants on top. */
     private static final double RELEASED_WITHIN_MS = 1000 + 300;
 
@@ -27,8 +27,8 @@
     @Test
     void stateIsReleasedInTimeWhileItsWriteAttemptIsOutOnASilentConnection() throws Exception {
         scene.writer.script = seen -> new Reply(null, true);
-        String id = Scene.id();
-        scene.client().send(Scene.ask(id, ""));
+        String id = NodeFixture.id();
+        scene.client().send(NodeFixture.ask(id, ""));
         scene.reader.next("POST");
         assertReleasedInTime(id, System.nanoTime());
     }
@@ -42,17 +42,20 @@
         CountDownLatch released = new CountDownLatch(1);
         scene.writer.script =
                 seen -> {
-                    Scene.await(released);
+                    NodeFixture.await(released);
                     return new Reply(
-                            Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n", true);
+                            NodeFixture.GOOD
+                                    + NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
+                                    + "0\r\n\r\n",
+                            true);
                 };
-        String id = Scene.id();
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(id, ""));
+        String id = NodeFixture.id();
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(id, ""));
         scene.reader.next("POST");
         assertReleasedInTime(id, System.nanoTime());
         released.countDown();
-        Scene.served(client);
+        NodeFixture.served(client);
         assertEquals(1, scene.writer.posts());
     }
 }
--- a/src/test/java/larchridge/node/NarrowMomentsTest.java
+++ b/src/test/java/larchridge/node/NarrowMomentsTest.java
@@ -10,7 +10,7 @@
 
 /** Two rare conditions that meet, each harmless alone. */
 @Timeout(30)
-class NarrowMomentsTest extends SceneTest {
+class NarrowMomentsTest extends NodeFixtureTest {
     /**
      * Clients that stop in the middle are owed an error or a close so long after they connected.
      */
@@ -22,8 +22,8 @@
     @Test
     void clientThatIsSlowWithItsHeadAndStopsInItsBodyIsAnsweredInTime() throws Exception {
         long connected = System.nanoTime();
-        Scene.RawClient client = scene.client();
-        String head = Scene.ask(Scene.id(), "");
+        NodeFixture.RawClient client = scene.client();
+        String head = NodeFixture.ask(NodeFixture.id(), "");
         int middle = head.indexOf("Req-Key");
         TimeUnit.MILLISECONDS.sleep(1500);
         client.send(head.substring(0, middle));
@@ -40,11 +40,11 @@
      */
     @Test
     void requestThatComesLongAfterTheWordToEndIsNotTakenOn() throws Exception {
-        Scene.RawClient fresh = scene.client();
+        NodeFixture.RawClient fresh = scene.client();
         scene.settled();
         scene.node.end();
         sleep(TAKEN_AFTER_TERM_MS - 150);
-        fresh.send(Scene.ask(Scene.id(), ""));
+        fresh.send(NodeFixture.ask(NodeFixture.id(), ""));
         assertTrue(fresh.answer().startsWith("HTTP/1.1 503 "));
         assertEquals(0, scene.reader.posts());
     }
@@ -55,7 +55,7 @@
      */
     @Test
     void configurationThatCannotBeReadAtOnceIsReadAgain() throws Exception {
-        try (Scene.Actor moved = new Scene.Actor(scene.discovery.script)) {
+        try (NodeFixture.Actor moved = new NodeFixture.Actor(scene.discovery.script)) {
             for (boolean halfWritten : new boolean[] {false, true}) {
                 Files.delete(scene.file);
                 if (halfWritten) {
--- a/src/test/java/larchridge/node/Scene.java
+++ b/src/test/java/larchridge/node/NodeFixture.java
@@ -28,7 +28,7 @@
  * A node over loopback between scripted engines, a scripted discovery agent and raw clients; bytes
  * as the pages say.
  */
-final class Scene implements AutoCloseable {
+final class NodeFixture implements AutoCloseable {
     static final String GOOD =
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     static final String EVENT =
@@ -75,7 +75,7 @@
     /** Where readers' answers wait: whether one has been asked, and the word to answer. */
     record Gate(CountDownLatch asked, CountDownLatch open) {}
 
-    Scene(Path folder) throws Exception {
+    NodeFixture(Path folder) throws Exception {
         discovery = new Actor(this::list);
         listed.add(row("r1", reader.port(), "lectura", "SERVING", 0));
         listed.add(row("w1", writer.port(), "redaccion", "SERVING", 0));
--- a/src/test/java/larchridge/node/SceneTest.java
+++ b/src/test/java/larchridge/node/NodeFixtureTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests that each have a node of their own between scripted engines, discovery and clients. */
-abstract class SceneTest {
+abstract class NodeFixtureTest {
     @TempDir Path folder;
-    Scene scene;
+    NodeFixture scene;
 
     @BeforeEach
     void open() throws Exception {
-        scene = new Scene(folder);
+        scene = new NodeFixture(folder);
     }
 
     @AfterEach
--- a/src/test/java/larchridge/node/NodeProcess.java
+++ b/src/test/java/larchridge/node/NodeProcess.java
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import larchridge.node.Scene.Actor;
-import larchridge.node.Scene.Reply;
-import larchridge.node.Scene.Seen;
+import larchridge.node.NodeFixture.Actor;
+import larchridge.node.NodeFixture.Reply;
+import larchridge.node.NodeFixture.Seen;
 
 /**
  * A node in a process of its own, between scripted engines and a scripted discovery agent in this
@@ -24,12 +24,14 @@
      */
     private static final int PROMISED_DESCRIPTORS = 1000;
 
-    final Actor reader = new Actor(seen -> new Reply(Scene.read(0), true));
+    final Actor reader = new Actor(seen -> new Reply(NodeFixture.read(0), true));
     final Actor writer =
             new Actor(
                     seen ->
                             new Reply(
-                                    Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n",
+                                    NodeFixture.GOOD
+                                            + NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
+                                            + "0\r\n\r\n",
                                     true));
     final Actor discovery = new Actor(this::list);
     final int port;
@@ -57,7 +59,7 @@
                         + "},\"known\":"
                         + wholeList()
                         + ",\"settings\":"
-                        + Scene.SETTINGS
+                        + NodeFixture.SETTINGS
                         + "}");
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder builder =
@@ -85,8 +87,8 @@
     void awaitReady() throws IOException, InterruptedException {
         long end = System.nanoTime() + START_NANOS;
         while (System.nanoTime() < end) {
-            try (Scene.RawClient client = new Scene.RawClient(port)) {
-                client.send(Scene.UP);
+            try (NodeFixture.RawClient client = new NodeFixture.RawClient(port)) {
+                client.send(NodeFixture.UP);
                 String answer = client.answer();
                 if (answer.startsWith("HTTP/1.1 200 ")) {
                     return;
@@ -106,9 +108,9 @@
         return "{\"index\":"
                 + index
                 + ",\"snapshot\":true,\"endpoints\":["
-                + Scene.row("r1", reader.port(), "lectura", "SERVING", 0)
+                + NodeFixture.row("r1", reader.port(), "lectura", "SERVING", 0)
                 + ","
-                + Scene.row("w1", writer.port(), "redaccion", "SERVING", 0)
+                + NodeFixture.row("w1", writer.port(), "redaccion", "SERVING", 0)
                 + "]}";
     }
 
@@ -131,7 +133,7 @@
                 }
             }
         }
-        return new Reply(Scene.answer("200 OK", wholeList()), true);
+        return new Reply(NodeFixture.answer("200 OK", wholeList()), true);
     }
 
     /** What the process has written so far. */
--- a/src/test/java/larchridge/node/NodeTest.java
+++ b/src/test/java/larchridge/node/NodeTest.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
-import larchridge.node.Scene.Reply;
-import larchridge.node.Scene.Seen;
+import larchridge.node.NodeFixture.Reply;
+import larchridge.node.NodeFixture.Seen;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** A node between raw sockets; judged from the bytes that engines and clients saw. */
 @Timeout(30)
-class NodeTest extends SceneTest {
+class NodeTest extends NodeFixtureTest {
     private static String events(String answer) {
         StringBuilder all = new StringBuilder();
         int at = answer.indexOf("\r\n\r\n") + 4;
@@ -39,12 +39,12 @@
 
     @Test
     void requestGoesUnchangedToReaderThenWriterAndEventsComeBackAsTheyWere() throws Exception {
-        String id = Scene.id();
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(id, ""));
-        String answer = Scene.served(client);
-        assertEquals(Scene.EVENT + Scene.EVENT + Scene.END, events(answer));
-        for (Scene.Actor engine : new Scene.Actor[] {scene.reader, scene.writer}) {
+        String id = NodeFixture.id();
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(id, ""));
+        String answer = NodeFixture.served(client);
+        assertEquals(NodeFixture.EVENT + NodeFixture.EVENT + NodeFixture.END, events(answer));
+        for (NodeFixture.Actor engine : new NodeFixture.Actor[] {scene.reader, scene.writer}) {
             Seen seen = engine.next("POST");
             assertEquals("/v1/chat/completions?v=1", seen.target());
             assertEquals(id, seen.header("Req-Id"));
@@ -54,21 +54,21 @@
         }
         // The same connection serves the next request, and nothing of the first is left to let go
         // of.
-        client.send(Scene.ask(Scene.id(), ""));
-        Scene.served(client);
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(client);
         assertTrue(scene.writer.seen.stream().noneMatch(seen -> seen.method().equals("DELETE")));
     }
 
     @Test
     void headersOfTheRequestGoOnAndThoseOfTheConnectionStay() throws Exception {
-        Scene.RawClient client = scene.client();
+        NodeFixture.RawClient client = scene.client();
         client.send(
-                Scene.ask(
-                        Scene.id(),
+                NodeFixture.ask(
+                        NodeFixture.id(),
                         "Idempotency-Key: 7c1e\r\nx-Any: one\r\nX-Any: two\r\nConnection: keep-alive, X-Hop\r\n"
                                 + "X-Hop: here\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\n"));
-        Scene.served(client);
-        for (Scene.Actor engine : new Scene.Actor[] {scene.reader, scene.writer}) {
+        NodeFixture.served(client);
+        for (NodeFixture.Actor engine : new NodeFixture.Actor[] {scene.reader, scene.writer}) {
             Seen seen = engine.next("POST");
             assertEquals("7c1e", seen.header("Idempotency-Key"));
             assertEquals("consulta", seen.header("Req-Kind"));
@@ -90,10 +90,13 @@
 
     @Test
     void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), "") + Scene.ask(Scene.id(), "") + Scene.UP);
+        NodeFixture.RawClient client = scene.client();
+        client.send(
+                NodeFixture.ask(NodeFixture.id(), "")
+                        + NodeFixture.ask(NodeFixture.id(), "")
+                        + NodeFixture.UP);
         for (int i = 0; i < 2; i++) {
-            Scene.served(client);
+            NodeFixture.served(client);
         }
         assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
     }
@@ -105,9 +108,9 @@
                 new String[] {
                     "\u0001\u0002xx\r\n\r\n",
                     "HTTP/1.1 200 OK\r\nX: " + "y".repeat(20_000),
-                    Scene.GOOD + "zz\r\n",
-                    Scene.GOOD + "c0000000\r\n" + "x".repeat(100_000),
-                    Scene.GOOD + Scene.chunk("noise\n\n")
+                    NodeFixture.GOOD + "zz\r\n",
+                    NodeFixture.GOOD + "c0000000\r\n" + "x".repeat(100_000),
+                    NodeFixture.GOOD + NodeFixture.chunk("noise\n\n")
                 }) {
             calls.set(0);
             scene.writer.script =
@@ -115,14 +118,17 @@
                             calls.getAndIncrement() == 0
                                     ? new Reply(noise, true)
                                     : new Reply(
-                                            Scene.GOOD
-                                                    + Scene.chunk(Scene.EVENT + Scene.END)
+                                            NodeFixture.GOOD
+                                                    + NodeFixture.chunk(
+                                                            NodeFixture.EVENT + NodeFixture.END)
                                                     + "0\r\n\r\n",
                                             true);
-            Scene.RawClient client = scene.client();
-            client.send(Scene.ask(Scene.id(), ""));
+            NodeFixture.RawClient client = scene.client();
+            client.send(NodeFixture.ask(NodeFixture.id(), ""));
             assertEquals(
-                    Scene.EVENT + Scene.END, events(Scene.served(client)), noise.substring(0, 8));
+                    NodeFixture.EVENT + NodeFixture.END,
+                    events(NodeFixture.served(client)),
+                    noise.substring(0, 8));
             assertEquals(2, calls.get());
         }
     }
@@ -130,19 +136,19 @@
     @Test
     void streamSpoiltOrBrokenAfterItsFirstEventEndsTheClientsConnectionWithoutTheLastChunk()
             throws Exception {
-        String first = Scene.GOOD + Scene.chunk(Scene.EVENT);
+        String first = NodeFixture.GOOD + NodeFixture.chunk(NodeFixture.EVENT);
         for (Reply bad :
                 new Reply[] {
                     new Reply(first + "zz\r\n", true),
                     new Reply(first + "c0000000\r\nabc", true),
                     new Reply(first, false),
                     new Reply(first + "0\r\n\r\n", true),
-                    new Reply(first + Scene.chunk("noise\n\n"), true),
+                    new Reply(first + NodeFixture.chunk("noise\n\n"), true),
                     new Reply(first + "5\r\nabcdefgh\r\n", true)
                 }) {
             scene.writer.script = seen -> bad;
-            Scene.RawClient client = scene.client();
-            client.send(Scene.ask(Scene.id(), ""));
+            NodeFixture.RawClient client = scene.client();
+            client.send(NodeFixture.ask(NodeFixture.id(), ""));
             String all = client.rest();
             assertTrue(all.startsWith("HTTP/1.1 200 "), bad.bytes());
             assertTrue(all.contains("\"content\":\"ab\""));
@@ -155,20 +161,20 @@
         AtomicInteger calls = new AtomicInteger();
         String good =
                 "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-                        + Scene.GOOD
-                        + Scene.chunk(Scene.EVENT + Scene.END)
+                        + NodeFixture.GOOD
+                        + NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
                         + "0\r\n\r\n";
         scene.writer.script =
                 seen ->
                         new Reply(
                                 calls.getAndIncrement() == 0
-                                        ? good + Scene.answer("200 OK", "stray")
+                                        ? good + NodeFixture.answer("200 OK", "stray")
                                         : good,
                                 true);
-        Scene.RawClient client = scene.client();
+        NodeFixture.RawClient client = scene.client();
         for (int i = 0; i < 2; i++) {
-            client.send(Scene.ask(Scene.id(), ""));
-            assertEquals(Scene.EVENT + Scene.END, events(Scene.served(client)));
+            client.send(NodeFixture.ask(NodeFixture.id(), ""));
+            assertEquals(NodeFixture.EVENT + NodeFixture.END, events(NodeFixture.served(client)));
         }
         Seen first = scene.writer.next("POST");
         assertNotEquals(first.connection(), scene.writer.next("POST").connection());
@@ -180,32 +186,33 @@
         scene.writer.script =
                 seen ->
                         calls.getAndIncrement() == 0
-                                ? new Reply(Scene.declined("410 Gone"), true)
+                                ? new Reply(NodeFixture.declined("410 Gone"), true)
                                 : new Reply(
-                                        Scene.GOOD
-                                                + Scene.chunk(Scene.EVENT + Scene.END)
+                                        NodeFixture.GOOD
+                                                + NodeFixture.chunk(
+                                                        NodeFixture.EVENT + NodeFixture.END)
                                                 + "0\r\n\r\n",
                                         true);
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), ""));
-        Scene.served(client);
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(client);
         scene.reader.next("POST");
         scene.reader.next("POST");
     }
 
     @Test
     void requestThatAnEngineCantUseIsAnErrorAtOnceAndGoesToNoOther() throws Exception {
-        scene.reader.script = seen -> new Reply(Scene.answer("400 Bad Request", "{}"), true);
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), ""));
+        scene.reader.script = seen -> new Reply(NodeFixture.answer("400 Bad Request", "{}"), true);
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
         assertTrue(client.rest().startsWith("HTTP/1.1 400 "));
         scene.reader.next("POST");
         assertTrue(scene.reader.seen.isEmpty());
         // Nobody is blamed for it: the next one is served there.
-        scene.reader.script = seen -> new Reply(Scene.read(0), true);
-        Scene.RawClient other = scene.client();
-        other.send(Scene.ask(Scene.id(), ""));
-        Scene.served(other);
+        scene.reader.script = seen -> new Reply(NodeFixture.read(0), true);
+        NodeFixture.RawClient other = scene.client();
+        other.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(other);
     }
 
     @Test
@@ -216,7 +223,7 @@
                     "Content-Length: 60000000\r\n\r\n",
                     "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n"
                 }) {
-            Scene.RawClient client = scene.client();
+            NodeFixture.RawClient client = scene.client();
             client.send("POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\n" + head);
             client.socket.getOutputStream().write(more);
             // A reset, which a close over unread bytes is, would throw here.
@@ -229,19 +236,19 @@
 
     @Test
     void requestOfAClientThatHasGoneBehindAFullConnectionIsNotSentOn() throws Exception {
-        Scene.Gate gate = scene.gateReads();
-        String id = Scene.id();
-        Scene.RawClient client = scene.held(gate, id);
+        NodeFixture.Gate gate = scene.gateReads();
+        String id = NodeFixture.id();
+        NodeFixture.RawClient client = scene.held(gate, id);
         for (int i = 0; i < 4000; i++) {
-            client.send(Scene.ask(Scene.id(), ""));
+            client.send(NodeFixture.ask(NodeFixture.id(), ""));
         }
         client.close();
         assertEquals("/v1/holds/" + id, scene.reader.next("DELETE").target());
         gate.open().countDown();
-        Scene.RawClient other = scene.client();
-        String next = Scene.id();
-        other.send(Scene.ask(next, ""));
-        Scene.served(other);
+        NodeFixture.RawClient other = scene.client();
+        String next = NodeFixture.id();
+        other.send(NodeFixture.ask(next, ""));
+        NodeFixture.served(other);
         assertEquals(next, scene.writer.next("POST").header("Req-Id"));
     }
 
@@ -253,10 +260,10 @@
                     reading.countDown();
                     return new Reply(null, true);
                 };
-        String id = Scene.id();
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(id, ""));
-        Scene.await(reading);
+        String id = NodeFixture.id();
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(id, ""));
+        NodeFixture.await(reading);
         client.close();
         assertEquals("/v1/holds/" + id, scene.reader.next("DELETE").target());
     }
@@ -264,9 +271,9 @@
     @Test
     void stateIsLetGoOfAtAnotherEngineWhereItsHolderIsSilent() throws Exception {
         scene.reader.silent = true;
-        String id = Scene.id();
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(id, 1000, ""));
+        String id = NodeFixture.id();
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(id, 1000, ""));
         assertTrue(client.answer().matches("(?s)HTTP/1.1 50[34] .*"));
         assertEquals("/v1/holds/" + id, scene.writer.next("DELETE").target());
     }
@@ -274,16 +281,16 @@
     @Test
     void finalAnswerComesInTheClientsTimeWhereEnginesAreSilent() throws Exception {
         scene.reader.script = seen -> new Reply(null, true);
-        Scene.RawClient client = scene.client();
+        NodeFixture.RawClient client = scene.client();
         long start = System.nanoTime();
-        client.send(Scene.ask(Scene.id(), 700, ""));
+        client.send(NodeFixture.ask(NodeFixture.id(), 700, ""));
         assertTrue(client.answer().matches("(?s)HTTP/1.1 50[34] .*"));
         assertTrue(System.nanoTime() - start < 750e6);
     }
 
     @Test
     void badRequestsGetAnErrorAndAnEndAndNoneReachesAnEngine() throws Exception {
-        String good = Scene.ask(Scene.id(), "");
+        String good = NodeFixture.ask(NodeFixture.id(), "");
         String[] bad = {
             "\u0000\u0001\u0002\r\n\r\n",
             "GET / HTTP/1.1\r\nA: " + "b".repeat(40_000),
@@ -306,7 +313,7 @@
             good.replace("HTTP/1.1", "HTTP/1.0")
         };
         for (String bytes : bad) {
-            Scene.RawClient client = scene.client();
+            NodeFixture.RawClient client = scene.client();
             client.send(bytes);
             String answer = client.rest();
             assertTrue(answer.matches("(?s)HTTP/1.1 [45].*"), bytes);
@@ -317,25 +324,25 @@
 
     @Test
     void hiddenRequestBehindTwoLengthsIsNeverServed() throws Exception {
-        Scene.RawClient client = scene.client();
+        NodeFixture.RawClient client = scene.client();
         client.send(
-                Scene.ask(Scene.id(), "Transfer-Encoding: chunked\r\n")
+                NodeFixture.ask(NodeFixture.id(), "Transfer-Encoding: chunked\r\n")
                                 .replaceAll("\r\n\r\n.*", "\r\n\r\n0\r\n\r\n")
-                        + Scene.ask(Scene.id(), ""));
+                        + NodeFixture.ask(NodeFixture.id(), ""));
         assertTrue(client.rest().startsWith("HTTP/1.1 400 "));
         assertTrue(scene.reader.seen.isEmpty());
     }
 
     @Test
     void idOfAnOpenGenerationIsRefusedAndTheFirstIsUntouched() throws Exception {
-        Scene.Gate gate = scene.gateReads();
-        String id = Scene.id();
-        Scene.RawClient first = scene.held(gate, id);
-        Scene.RawClient second = scene.client();
-        second.send(Scene.ask(id, ""));
+        NodeFixture.Gate gate = scene.gateReads();
+        String id = NodeFixture.id();
+        NodeFixture.RawClient first = scene.held(gate, id);
+        NodeFixture.RawClient second = scene.client();
+        second.send(NodeFixture.ask(id, ""));
         assertTrue(second.rest().startsWith("HTTP/1.1 409 "));
         gate.open().countDown();
-        Scene.served(first);
+        NodeFixture.served(first);
         assertEquals(id, scene.reader.next("POST").header("Req-Id"));
         assertTrue(scene.reader.seen.isEmpty());
     }
@@ -343,15 +350,15 @@
     @Test
     void hundredsOfSilentConnectionsAreEndedAndUsualClientsServedBesideThem() throws Exception {
         long start = System.nanoTime();
-        Scene.RawClient half = scene.client();
+        NodeFixture.RawClient half = scene.client();
         half.send(
                 "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\nContent-Length: 50\r\n\r\nhalf");
         for (int i = 0; i < 300; i++) {
-            Scene.RawClient silent = scene.client();
+            NodeFixture.RawClient silent = scene.client();
             if (i % 50 == 0) {
-                Scene.RawClient usual = scene.client();
-                usual.send(Scene.ask(Scene.id(), ""));
-                Scene.served(usual);
+                NodeFixture.RawClient usual = scene.client();
+                usual.send(NodeFixture.ask(NodeFixture.id(), ""));
+                NodeFixture.served(usual);
             }
             if (i == 299) {
                 silent.rest();
@@ -374,15 +381,15 @@
         assertTrue(
                 most > 100 && most <= 126,
                 "connections " + most + " where 0.42 of 300 are allowed");
-        Scene.RawClient usual = scene.client();
-        usual.send(Scene.ask(Scene.id(), ""));
-        Scene.served(usual);
+        NodeFixture.RawClient usual = scene.client();
+        usual.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(usual);
     }
 
     @Test
     void crowdThatStopsInTheMiddleOfItsRequestsTakesNoMoreConnectionsThanItsPart()
             throws Exception {
-        String request = Scene.ask(Scene.id(), "");
+        String request = NodeFixture.ask(NodeFixture.id(), "");
         for (String part :
                 new String[] {
                     request.substring(0, 40), request.substring(0, request.length() - 4)
@@ -395,17 +402,17 @@
             assertTrue(
                     connections <= 126,
                     "connections " + connections + " where 0.42 of 300 are allowed");
-            Scene.RawClient usual = scene.client();
-            usual.send(Scene.ask(Scene.id(), ""));
-            Scene.served(usual);
+            NodeFixture.RawClient usual = scene.client();
+            usual.send(NodeFixture.ask(NodeFixture.id(), ""));
+            NodeFixture.served(usual);
         }
     }
 
     @Test
     void newConnectionIsServedWhereAllOthersHaveAskedOnceAndStayed() throws Exception {
         for (int i = 0; i < 200; i++) {
-            Scene.RawClient stays = scene.client();
-            stays.send(Scene.UP);
+            NodeFixture.RawClient stays = scene.client();
+            stays.send(NodeFixture.UP);
             assertTrue(stays.answer().startsWith("HTTP/1.1 200 "), "connection " + i);
         }
         assertEquals(126, scene.node.connections());
@@ -413,12 +420,14 @@
 
     @Test
     void drainingEngineGetsNothingNewAndItsSuccessorIsFollowed() throws Exception {
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), ""));
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
         client.until("0\r\n\r\n");
-        try (Scene.Actor other = new Scene.Actor(seen -> new Reply(Scene.read(0), true))) {
-            scene.listed.set(0, Scene.row("r1", scene.reader.port(), "lectura", "DRAINING", 0));
-            scene.listed.add(Scene.row("r2", other.port(), "lectura", "SERVING", 0));
+        try (NodeFixture.Actor other =
+                new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true))) {
+            scene.listed.set(
+                    0, NodeFixture.row("r1", scene.reader.port(), "lectura", "DRAINING", 0));
+            scene.listed.add(NodeFixture.row("r2", other.port(), "lectura", "SERVING", 0));
             scene.changed();
             int before = scene.discovery.seen.size();
             while (scene.discovery.seen.size() < before + 2) {
@@ -426,8 +435,8 @@
                 Thread.onSpinWait();
             }
             scene.reader.seen.clear();
-            client.send(Scene.ask(Scene.id(), ""));
-            Scene.served(client);
+            client.send(NodeFixture.ask(NodeFixture.id(), ""));
+            NodeFixture.served(client);
             other.next("POST");
             assertTrue(scene.reader.seen.isEmpty());
         }
@@ -480,18 +489,18 @@
     void nodeSaysThatItCanServeOnlyWhenDiscoveryHasToldItsList() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
         CountDownLatch asked = new CountDownLatch(1);
-        try (Scene.Actor slow =
-                new Scene.Actor(
+        try (NodeFixture.Actor slow =
+                new NodeFixture.Actor(
                         seen -> {
                             asked.countDown();
-                            Scene.await(open);
+                            NodeFixture.await(open);
                             return scene.discovery.script.apply(seen);
                         })) {
             scene.configure(slow.port());
             Thread later =
                     new Thread(
                             () -> {
-                                Scene.await(asked);
+                                NodeFixture.await(asked);
                                 open.countDown();
                             });
             later.start();
@@ -505,7 +514,7 @@
 
     @Test
     void newConfigurationMovesDiscoveryAndABrokenOneChangesNothing() throws Exception {
-        try (Scene.Actor moved = new Scene.Actor(scene.discovery.script)) {
+        try (NodeFixture.Actor moved = new NodeFixture.Actor(scene.discovery.script)) {
             Files.writeString(scene.file, "{broken");
             scene.node.readAgain();
             scene.configure(moved.port());
@@ -517,15 +526,15 @@
 
     @Test
     void endAnswersAllThatCameAndSaysSo() throws Exception {
-        Scene.Gate gate = scene.gateReads();
-        Scene.RawClient rests = scene.client();
-        rests.send(Scene.UP);
+        NodeFixture.Gate gate = scene.gateReads();
+        NodeFixture.RawClient rests = scene.client();
+        rests.send(NodeFixture.UP);
         assertTrue(rests.answer().startsWith("HTTP/1.1 200 "));
-        Scene.RawClient busy = scene.held(gate, Scene.id());
+        NodeFixture.RawClient busy = scene.held(gate, NodeFixture.id());
         scene.node.end();
         assertEquals("", rests.rest());
-        Scene.RawClient late = scene.client();
-        late.send(Scene.UP);
+        NodeFixture.RawClient late = scene.client();
+        late.send(NodeFixture.UP);
         assertTrue(late.rest().startsWith("HTTP/1.1 503 "));
         gate.open().countDown();
         assertTrue(busy.rest().endsWith("0\r\n\r\n"));
@@ -537,23 +546,26 @@
     void moduleAndLinkCountTheSameAttemptsThroughFaultsAndLeavingsAndReturnToZero()
             throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        String good = Scene.GOOD + Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n";
+        String good =
+                NodeFixture.GOOD
+                        + NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
+                        + "0\r\n\r\n";
         Reply[] replies = {
             new Reply(good, true),
             new Reply("noise\r\n\r\n", true),
             new Reply("", false),
-            new Reply(Scene.answer("500 Oops", ""), true),
-            new Reply(Scene.declined("503 Full"), true),
+            new Reply(NodeFixture.answer("500 Oops", ""), true),
+            new Reply(NodeFixture.declined("503 Full"), true),
             new Reply(null, true),
-            new Reply(Scene.GOOD + Scene.chunk(Scene.EVENT) + "zz\r\n", true),
+            new Reply(NodeFixture.GOOD + NodeFixture.chunk(NodeFixture.EVENT) + "zz\r\n", true),
             new Reply(good, true)
         };
         scene.writer.script = seen -> replies[calls.getAndIncrement() % replies.length];
         int most = 0;
-        List<Scene.RawClient> unanswered = new ArrayList<>();
+        List<NodeFixture.RawClient> unanswered = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            Scene.RawClient client = scene.client();
-            client.send(Scene.ask(Scene.id(), 600, ""));
+            NodeFixture.RawClient client = scene.client();
+            client.send(NodeFixture.ask(NodeFixture.id(), 600, ""));
             int attempts = scene.node.attemptsOut();
             assertNotEquals(-1, attempts, "at request " + i);
             most = Math.max(most, attempts);
@@ -569,7 +581,7 @@
         assertTrue(most > 0);
         // A request that is unread yet, or waits before its read, is none of the link's: each has
         // to be answered first.
-        for (Scene.RawClient client : unanswered) {
+        for (NodeFixture.RawClient client : unanswered) {
             assertNotNull(client.until("\r\n\r\n"));
         }
         while (scene.node.openRequests() > 0) {
@@ -580,13 +592,13 @@
 
     @Test
     void nothingGrowsWithIds() throws Exception {
-        Scene.RawClient client = scene.client();
+        NodeFixture.RawClient client = scene.client();
         for (int i = 0; i < 1500; i++) {
             client.send(
-                    Scene.ask(Scene.id(), "")
+                    NodeFixture.ask(NodeFixture.id(), "")
                             .replace("k1", "k" + i)
                             .replace("prefix=p1", "prefix=p" + i));
-            Scene.served(client);
+            NodeFixture.served(client);
             scene.reader.seen.clear();
             scene.writer.seen.clear();
         }
@@ -608,7 +620,9 @@
         };
         for (String[] one : cases) {
             Files.writeString(file, good.replace(one[0], one[1]));
-            BadNode fault = assertThrows(BadNode.class, () -> Node.open(variables));
+            InvalidNodeConfigurationException fault =
+                    assertThrows(
+                            InvalidNodeConfigurationException.class, () -> Node.open(variables));
             assertTrue(fault.getMessage().contains(one[2]), fault.getMessage());
         }
     }
--- a/src/test/java/larchridge/node/RehearsalTest.java
+++ b/src/test/java/larchridge/node/NodeWarmupTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class RehearsalTest {
+class NodeWarmupTest {
     @Test
     void nearlyEveryGenerationIsServedWholeThoughSomeAnswersAreBad() {
-        assertTrue(Rehearsal.play(120, 60_000) >= 110);
+        assertTrue(NodeWarmup.play(120, 60_000) >= 110);
     }
 }
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import larchridge.node.Scene.Reply;
+import larchridge.node.NodeFixture.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -13,34 +13,34 @@
  * What is on its way when a node is told to end: connections, requests in parts, streams, releases.
  */
 @Timeout(30)
-class ShutdownTest extends SceneTest {
+class ShutdownTest extends NodeFixtureTest {
     private void tellToEnd() throws Exception {
         scene.node.end();
         scene.settled();
     }
 
     /** A connection that was served and rests. */
-    private Scene.RawClient resting() throws Exception {
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), ""));
-        Scene.served(client);
+    private NodeFixture.RawClient resting() throws Exception {
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.served(client);
         return client;
     }
 
     @Test
     void connectionThatHasNotAskedYetIsAnsweredWhenItAsks() throws Exception {
-        Scene.RawClient client = scene.client();
+        NodeFixture.RawClient client = scene.client();
         scene.settled();
         tellToEnd();
-        client.send(Scene.ask(Scene.id(), ""));
-        String answer = Scene.served(client);
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
+        String answer = NodeFixture.served(client);
         assertTrue(answer.toLowerCase().contains("connection: close"), answer);
         assertEquals("", client.rest());
     }
 
     @Test
     void connectionThatNeverAsksDoesNotKeepTheNodeFromEnding() throws Exception {
-        Scene.RawClient client = scene.client();
+        NodeFixture.RawClient client = scene.client();
         scene.settled();
         tellToEnd();
         assertTrue(client.rest().startsWith("HTTP/1.1 408 "));
@@ -49,15 +49,15 @@
 
     @Test
     void requestOfWhichAPartHasComeIsAnswered() throws Exception {
-        String request = Scene.ask(Scene.id(), "");
+        String request = NodeFixture.ask(NodeFixture.id(), "");
         int[] parts = {1, request.indexOf("Req-Kind"), request.indexOf("{\"model\"") + 3};
-        Scene.RawClient[] fresh = new Scene.RawClient[parts.length];
-        Scene.RawClient[] kept = new Scene.RawClient[parts.length];
+        NodeFixture.RawClient[] fresh = new NodeFixture.RawClient[parts.length];
+        NodeFixture.RawClient[] kept = new NodeFixture.RawClient[parts.length];
         String[] freshRest = new String[parts.length];
         String[] keptRest = new String[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            String one = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + Scene.id());
-            String two = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + Scene.id());
+            String one = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + NodeFixture.id());
+            String two = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + NodeFixture.id());
             fresh[i] = scene.client();
             kept[i] = resting();
             fresh[i].send(one.substring(0, parts[i]));
@@ -69,47 +69,47 @@
         tellToEnd();
         for (int i = 0; i < parts.length; i++) {
             fresh[i].send(freshRest[i]);
-            Scene.served(fresh[i]);
+            NodeFixture.served(fresh[i]);
             kept[i].send(keptRest[i]);
-            Scene.served(kept[i]);
+            NodeFixture.served(kept[i]);
         }
     }
 
     @Test
     void requestThatIsInTheSocketOfARestingConnectionIsAnswered() throws Exception {
-        Scene.RawClient client = resting();
+        NodeFixture.RawClient client = resting();
         CountDownLatch goOn = scene.holdLoop();
-        client.send(Scene.ask(Scene.id(), ""));
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
         scene.node.end();
         goOn.countDown();
-        Scene.served(client);
+        NodeFixture.served(client);
     }
 
     @Test
     void requestsSentAheadAreAnsweredAndTheLastAnswerSaysThatTheConnectionEnds() throws Exception {
-        Scene.Gate gate = scene.gateReads();
-        Scene.RawClient client = scene.held(gate, Scene.id());
-        String third = Scene.ask(Scene.id(), "");
-        client.send(Scene.ask(Scene.id(), "") + third.substring(0, 20));
+        NodeFixture.Gate gate = scene.gateReads();
+        NodeFixture.RawClient client = scene.held(gate, NodeFixture.id());
+        String third = NodeFixture.ask(NodeFixture.id(), "");
+        client.send(NodeFixture.ask(NodeFixture.id(), "") + third.substring(0, 20));
         scene.settled();
         tellToEnd();
         gate.open().countDown();
         for (int i = 0; i < 2; i++) {
-            String answer = Scene.served(client);
+            String answer = NodeFixture.served(client);
             assertTrue(!answer.toLowerCase().contains("connection: close"), answer);
         }
         client.send(third.substring(20));
-        assertTrue(Scene.served(client).toLowerCase().contains("connection: close"));
+        assertTrue(NodeFixture.served(client).toLowerCase().contains("connection: close"));
         assertEquals("", client.rest());
     }
 
     @Test
     void whatComesAfterARestingConnectionWasShutIsNotSentOn() throws Exception {
-        Scene.RawClient client = resting();
+        NodeFixture.RawClient client = resting();
         tellToEnd();
         assertEquals("", client.rest());
-        String id = Scene.id();
-        client.send(Scene.ask(id, ""));
+        String id = NodeFixture.id();
+        client.send(NodeFixture.ask(id, ""));
         scene.node.awaitEnd();
         assertTrue(scene.reader.seen.stream().noneMatch(seen -> id.equals(seen.header("Req-Id"))));
     }
@@ -121,16 +121,17 @@
         scene.writer.script =
                 seen ->
                         new Reply(
-                                Scene.GOOD + Scene.chunk(Scene.EVENT),
+                                NodeFixture.GOOD + NodeFixture.chunk(NodeFixture.EVENT),
                                 true,
                                 () -> {
                                     begun.countDown();
-                                    Scene.await(goOn);
-                                    return Scene.chunk(Scene.EVENT + Scene.END) + "0\r\n\r\n";
+                                    NodeFixture.await(goOn);
+                                    return NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
+                                            + "0\r\n\r\n";
                                 });
-        Scene.RawClient client = scene.client();
-        client.send(Scene.ask(Scene.id(), ""));
-        Scene.await(begun);
+        NodeFixture.RawClient client = scene.client();
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
+        NodeFixture.await(begun);
         assertTrue(client.until("\"ab\"").startsWith("HTTP/1.1 200 "));
         tellToEnd();
         goOn.countDown();
@@ -142,19 +143,19 @@
     @Test
     void lastReleaseReachesAnEngineThatTakesItBeforeTheNodeEnds() throws Exception {
         scene.reader.silent = true;
-        try (Scene.Actor second = new Scene.Actor(seen -> new Reply(null, true));
-                Scene.Actor third = new Scene.Actor(seen -> new Reply(null, true))) {
+        try (NodeFixture.Actor second = new NodeFixture.Actor(seen -> new Reply(null, true));
+                NodeFixture.Actor third = new NodeFixture.Actor(seen -> new Reply(null, true))) {
             second.silent = true;
             third.silent = true;
-            scene.listed.add(0, Scene.row("r2", second.port(), "lectura", "SERVING", 0));
-            scene.listed.add(0, Scene.row("r3", third.port(), "lectura", "SERVING", 0));
+            scene.listed.add(0, NodeFixture.row("r2", second.port(), "lectura", "SERVING", 0));
+            scene.listed.add(0, NodeFixture.row("r3", third.port(), "lectura", "SERVING", 0));
             scene.changed();
             while (scene.node.engines() < 4) {
                 scene.settled();
             }
-            String id = Scene.id();
-            Scene.RawClient client = scene.client();
-            client.send(Scene.ask(id, 700, ""));
+            String id = NodeFixture.id();
+            NodeFixture.RawClient client = scene.client();
+            client.send(NodeFixture.ask(id, 700, ""));
             scene.settled();
             scene.node.end();
             assertTrue(client.answer().matches("(?s)HTTP/1.1 50[34] .*"));
@@ -174,8 +175,8 @@
     @Test
     void wordToEndWhileTheFirstListIsWaitedForEndsTheNode() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
-        try (Scene.Actor silent =
-                new Scene.Actor(
+        try (NodeFixture.Actor silent =
+                new NodeFixture.Actor(
                         seen -> {
                             asked.countDown();
                             return new Reply(null, true);
@@ -186,7 +187,7 @@
             Thread telling =
                     new Thread(
                             () -> {
-                                Scene.await(asked);
+                                NodeFixture.await(asked);
                                 node.end();
                             });
             telling.start();
@@ -197,14 +198,14 @@
 
     @Test
     void wordToEndGivenAgainAndANewConfigurationWhileEndingChangeNothing() throws Exception {
-        Scene.Gate gate = scene.gateReads();
-        Scene.RawClient client = scene.held(gate, Scene.id());
+        NodeFixture.Gate gate = scene.gateReads();
+        NodeFixture.RawClient client = scene.held(gate, NodeFixture.id());
         scene.node.end();
         scene.node.readAgain();
         scene.node.end();
         scene.settled();
         gate.open().countDown();
-        Scene.served(client);
+        NodeFixture.served(client);
         scene.node.awaitEnd();
         scene.node.end();
         scene.node.readAgain();
--- a/src/test/java/larchridge/node/discovery/StartTimesTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Start times of engines under wall clocks that step; the node's own clock begins at a million. */
-class StartTimesTest {
+class StartTimeConverterTest {
     private static final double HOUR_MS = 3_600_000;
     private static final double NOW_MS = 1_000_000;
     private static final double WALL_MS = 1_700_000_000_000.0;
 
     private double wallMs = WALL_MS;
-    private final StartTimes starts = new StartTimes(() -> (long) wallMs);
+    private final StartTimeConverter starts = new StartTimeConverter(() -> (long) wallMs);
 
     @Test
     void rightClockTellsAnEnginesAge() {
--- a/src/test/java/larchridge/node/door/RequestHeadTest.java
+++ b/src/test/java/larchridge/node/server/RequestHeadTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/larchridge/node/link/ConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/ConnectionTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,17 +12,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.EngineLink;
-import larchridge.enginelink.Hearing;
-import larchridge.enginelink.Order;
-import larchridge.enginelink.Passage;
-import larchridge.enginelink.SendRefusal;
-import larchridge.enginelink.Spot;
-import larchridge.enginelink.StateHandle;
-import larchridge.front.World;
+import larchridge.router.VirtualTimeScheduler;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.LoadReport;
+import larchridge.upstream.AttemptListener;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.Completion;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.ForwardedRequest;
+import larchridge.upstream.SendRejection;
+import larchridge.upstream.StateHandle;
+import larchridge.upstream.UpstreamClient;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -38,18 +38,18 @@
      */
     private static final double CLOSED_MS = 0.8 * KEEP_ALIVE_MS + KEEP_ALIVE_MS / 20;
 
-    private static final Spot SPOT = new Spot("10.0.0.1", 8443);
+    private static final Endpoint SPOT = new Endpoint("10.0.0.1", 8443);
     private static final String READ =
             "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":7}";
 
-    private final World time = new World();
+    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
     private final List<EmbeddedChannel> opened = new ArrayList<>();
     private final List<ChannelPromise> connecting = new ArrayList<>();
     private boolean connects = true;
-    private final PassageLink link =
-            new PassageLink(
+    private final ForwardingUpstreamClient link =
+            new ForwardingUpstreamClient(
                     time.ground(0, 1),
-                    new LinkBounds(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of()),
+                    new UpstreamLimits(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of()),
                     (spot, handlers) -> {
                         EmbeddedChannel engine = new EmbeddedChannel(handlers);
                         opened.add(engine);
@@ -59,7 +59,7 @@
                     });
 
     /** Hears one attempt. */
-    private static final class Heard implements Hearing {
+    private static final class Heard implements AttemptListener {
         private final List<AttemptOutcome> outcomes = new ArrayList<>();
         private int reads;
 
@@ -84,14 +84,14 @@
         }
 
         @Override
-        public void ended(AttemptOutcome outcome, LoadReport report, Ending ending) {
+        public void ended(AttemptOutcome outcome, LoadReport report, Completion ending) {
             outcomes.add(outcome);
         }
     }
 
-    private EngineLink.Flight read(String id, boolean stillMay, Heard heard) {
-        Passage passage =
-                new Passage(
+    private UpstreamClient.Flight read(String id, boolean stillMay, Heard heard) {
+        ForwardedRequest passage =
+                new ForwardedRequest(
                         "POST",
                         "/v1/chat/completions",
                         id,
@@ -99,7 +99,7 @@
                         new byte[] {'{', '}'},
                         time.nowMs() + 60_000);
         return link.read(
-                new Order(
+                new AttemptRequest(
                         id + ".0",
                         SPOT,
                         "",
@@ -110,7 +110,7 @@
                         null,
                         null,
                         passage,
-                        () -> stillMay ? null : SendRefusal.ENGINE_LEFT),
+                        () -> stillMay ? null : SendRejection.ENGINE_LEFT),
                 heard);
     }
 
@@ -150,7 +150,7 @@
     void connectionThatComesUpForAnAttemptThatWasCalledOffIsNotWrittenTo() {
         connects = false;
         Heard heard = new Heard();
-        EngineLink.Flight flight = read("9b1f03aa5c7e2d41", true, heard);
+        UpstreamClient.Flight flight = read("9b1f03aa5c7e2d41", true, heard);
         flight.cancel();
         connecting.get(0).trySuccess();
         run(10);
@@ -161,7 +161,7 @@
     @Test
     void lateAnswerOfAnAttemptThatWasCalledOffEndsNoOther() {
         Heard first = new Heard();
-        EngineLink.Flight flight = read("9b1f03aa5c7e2d41", true, first);
+        UpstreamClient.Flight flight = read("9b1f03aa5c7e2d41", true, first);
         assertTrue(sent(opened.get(0)).startsWith("POST "));
         flight.cancel();
         Heard second = new Heard();
--- a/src/test/java/larchridge/node/link/EventCutterTest.java
+++ b/src/test/java/larchridge/node/upstream/EventStreamSplitterTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -11,15 +11,15 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class EventCutterTest {
+class EventStreamSplitterTest {
     private static final String EVENTS =
             "data: {\"choices\":[{\"delta\":{\"content\":\"\u00e1\"}}]}\n\ndata: {\"usage\":{}}\n\ndata: [DONE]\n\n";
 
-    private static byte[] feed(EventCutter cutter, byte[] bytes) {
+    private static byte[] feed(EventStreamSplitter cutter, byte[] bytes) {
         return cutter.feed(Unpooled.wrappedBuffer(bytes));
     }
 
-    private static byte[] feed(EventCutter cutter, String text) {
+    private static byte[] feed(EventStreamSplitter cutter, String text) {
         return feed(cutter, text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -27,7 +27,7 @@
     void eventsComeOutByteByByteAsTheyWereHoweverTheyAreCut() throws Exception {
         byte[] all = EVENTS.getBytes(StandardCharsets.UTF_8);
         for (int step = 1; step <= all.length; step++) {
-            EventCutter cutter = new EventCutter(1000, "Srv-Load");
+            EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             for (int at = 0; at < all.length; at += step) {
                 byte[] whole =
@@ -46,7 +46,7 @@
 
     @Test
     void reportsInCommentsAreKeptAndNotPassedOn() {
-        EventCutter cutter = new EventCutter(1000, "Srv-Load");
+        EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
         assertNull(feed(cutter, ": Srv-Load: a=1\n\n"));
         assertEquals("a=1", cutter.report());
         assertFalse(cutter.isNoise());
@@ -62,7 +62,7 @@
             "data: [DONE]\n\ndata: {}\n\n"
         };
         for (String text : bad) {
-            EventCutter cutter = new EventCutter(1000, "Srv-Load");
+            EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
             byte[] whole = feed(cutter, text);
             assertTrue(cutter.isNoise(), text);
             assertFalse(cutter.isWhole());
@@ -75,7 +75,7 @@
 
     @Test
     void halfAnEventIsNotWhole() {
-        EventCutter cutter = new EventCutter(1000, "Srv-Load");
+        EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
         feed(cutter, EVENTS + "data: {");
         assertFalse(cutter.isWhole());
     }
--- a/src/test/java/larchridge/node/link/VerdictTest.java
+++ b/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,9 +7,9 @@
 import larchridge.state.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-class VerdictTest {
-    private static Verdict written(int status, boolean declined) {
-        Verdict verdict = new Verdict();
+class ForwardedAttemptClassifierTest {
+    private static ForwardedAttemptClassifier written(int status, boolean declined) {
+        ForwardedAttemptClassifier verdict = new ForwardedAttemptClassifier();
         verdict.written();
         if (status > 0) {
             verdict.head(status, declined);
@@ -23,10 +23,10 @@
         assertEquals(AttemptOutcome.FULL, written(503, true).outcome());
         assertEquals(AttemptOutcome.FULL, written(504, true).outcome());
         assertEquals(AttemptOutcome.NO_STATE, written(410, true).outcome());
-        assertEquals(AttemptOutcome.UNREACHABLE, new Verdict().outcome());
+        assertEquals(AttemptOutcome.UNREACHABLE, new ForwardedAttemptClassifier().outcome());
         assertEquals(AttemptOutcome.CUT, written(0, false).outcome());
         assertEquals(AttemptOutcome.CUT, written(200, false).outcome());
-        Verdict whole = written(200, false);
+        ForwardedAttemptClassifier whole = written(200, false);
         whole.whole();
         assertEquals(AttemptOutcome.STREAMED, whole.outcome());
     }
@@ -36,20 +36,20 @@
         for (int status : new int[] {503, 504, 410, 429, 404}) {
             assertFalse(written(status, false).outcome().neverRan, "status " + status);
         }
-        Verdict noise = written(503, true);
+        ForwardedAttemptClassifier noise = written(503, true);
         noise.garbled();
         assertFalse(noise.outcome().neverRan);
     }
 
     @Test
     void calledOffProvesNothingOnceWrittenAndAllBefore() {
-        Verdict written = written(0, false);
+        ForwardedAttemptClassifier written = written(0, false);
         written.called(false);
         assertEquals(AttemptOutcome.CANCELLED, written.outcome());
-        Verdict late = written(0, false);
+        ForwardedAttemptClassifier late = written(0, false);
         late.called(true);
         assertEquals(AttemptOutcome.TIMED_OUT, late.outcome());
-        Verdict early = new Verdict();
+        ForwardedAttemptClassifier early = new ForwardedAttemptClassifier();
         early.called(false);
         assertTrue(early.outcome().neverRan);
     }
--- a/src/test/java/larchridge/node/link/LoadTextTest.java
+++ b/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,8 +8,9 @@
 import larchridge.state.LoadReport;
 import org.junit.jupiter.api.Test;
 
-class LoadTextTest {
-    private final LoadText loads = new LoadText(List.of("concurrent", "depth", "x0", "x1"));
+class LoadReportReaderTest {
+    private final LoadReportReader loads =
+            new LoadReportReader(List.of("concurrent", "depth", "x0", "x1"));
 
     @Test
     void figuresAreReadByTheirNames() {
--- a/src/test/java/larchridge/node/link/ReleaseTest.java
+++ b/src/test/java/larchridge/node/upstream/ReleaseTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,19 +10,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larchridge.enginelink.Spot;
-import larchridge.front.World;
+import larchridge.router.VirtualTimeScheduler;
+import larchridge.upstream.Endpoint;
 import org.junit.jupiter.api.Test;
 
 /** Where releases go, in virtual time. */
 class ReleaseTest {
-    private final World time = new World();
-    private final Map<Spot, EmbeddedChannel> up = new HashMap<>();
-    private final List<Spot> tried = new ArrayList<>();
-    private final PassageLink link =
-            new PassageLink(
+    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
+    private final Map<Endpoint, EmbeddedChannel> up = new HashMap<>();
+    private final List<Endpoint> tried = new ArrayList<>();
+    private final ForwardingUpstreamClient link =
+            new ForwardingUpstreamClient(
                     time.ground(0, 1),
-                    new LinkBounds(250, 15_000, 1000, 100, 50, List.of()),
+                    new UpstreamLimits(250, 15_000, 1000, 100, 50, List.of()),
                     (spot, handlers) -> {
                         tried.add(spot);
                         EmbeddedChannel engine = new EmbeddedChannel(handlers);
@@ -34,12 +34,12 @@
                         return engine.newSucceededFuture();
                     });
 
-    private static Spot spot(int number) {
-        return new Spot("10.0.0." + number, 8443);
+    private static Endpoint spot(int number) {
+        return new Endpoint("10.0.0." + number, 8443);
     }
 
     /** An engine that is asked for its load and answers. */
-    private EmbeddedChannel hears(Spot spot) {
+    private EmbeddedChannel hears(Endpoint spot) {
         up.put(spot, null);
         link.probe(spot, (answered, report) -> {});
         EmbeddedChannel engine = up.get(spot);
@@ -54,7 +54,7 @@
 
     @Test
     void releaseGoesOverAConnectionAtRestWhereItsHolderAndTheEnginesHeardLastAreCutOff() {
-        List<Spot> spots = new ArrayList<>();
+        List<Endpoint> spots = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             spots.add(spot(i));
         }
--- a/src/test/java/larchridge/node/link/StateReleasesTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,46 +6,46 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import larchridge.enginelink.Spot;
-import larchridge.front.Ground;
-import larchridge.front.World;
+import larchridge.router.Scheduler;
+import larchridge.router.VirtualTimeScheduler;
+import larchridge.upstream.Endpoint;
 import org.junit.jupiter.api.Test;
 
 /** When releases are sent, in virtual time, over a transport whose results the tests choose. */
-class StateReleasesTest {
+class StateReleaserTest {
     private static final double RELEASE_MS = 1000;
 
     /** The platform's own allowance on top. */
     private static final double SLACK_MS = 300;
 
     private static final String ID = "9b1f03aa5c7e2d41";
-    private static final Spot HOLDER = new Spot("10.0.0.1", 8443);
-    private static final Spot OTHER = new Spot("10.0.0.2", 8443);
+    private static final Endpoint HOLDER = new Endpoint("10.0.0.1", 8443);
+    private static final Endpoint OTHER = new Endpoint("10.0.0.2", 8443);
 
-    private final World time = new World();
-    private final Ground ground = time.ground(0, 1);
+    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
+    private final Scheduler ground = time.ground(0, 1);
     private final List<Double> sentMs = new ArrayList<>();
-    private CallResult result = CallResult.ANSWERED;
-    private final StateReleases releases =
-            new StateReleases(
+    private ControlCallResult result = ControlCallResult.ANSWERED;
+    private final StateReleaser releases =
+            new StateReleaser(
                     ground,
                     RELEASE_MS,
-                    new StateReleases.Transport() {
+                    new StateReleaser.Transport() {
                         @Override
                         public void release(
-                                Spot spot,
+                                Endpoint spot,
                                 String requestId,
                                 double limitMs,
-                                Consumer<CallResult> told) {
+                                Consumer<ControlCallResult> told) {
                             sentMs.add(time.sinceMs());
-                            CallResult now = result;
+                            ControlCallResult now = result;
                             ground.in(
-                                    now == CallResult.UNANSWERED ? limitMs : 1,
+                                    now == ControlCallResult.UNANSWERED ? limitMs : 1,
                                     () -> told.accept(now));
                         }
 
                         @Override
-                        public Spot next(Spot holder, Set<Spot> asked) {
+                        public Endpoint next(Endpoint holder, Set<Endpoint> asked) {
                             return !asked.contains(HOLDER)
                                     ? HOLDER
                                     : !asked.contains(OTHER) ? OTHER : null;
@@ -53,8 +53,8 @@
                     });
 
     /** A state is held, and an attempt to fetch it is out. */
-    private HeldState readAndWritten() {
-        HeldState held = releases.attemptStarted(ID);
+    private StateReservation readAndWritten() {
+        StateReservation held = releases.attemptStarted(ID);
         releases.readEnded(held);
         releases.attemptStarted(ID);
         return held;
@@ -72,7 +72,7 @@
      */
     @Test
     void stateThatStayedForAQueuedAttemptIsReleasedAgainAfterThatAttemptBreaks() {
-        HeldState held = readAndWritten();
+        StateReservation held = readAndWritten();
         time.run(RELEASE_MS + SLACK_MS);
         assertOneSentBy(RELEASE_MS);
         time.run(3000);
@@ -84,7 +84,7 @@
 
     @Test
     void timeStartsAgainWithTheEndOfAnAttemptThatWasHeard() {
-        HeldState held = readAndWritten();
+        StateReservation held = readAndWritten();
         time.run(500);
         releases.attemptEnded(held, true);
         releases.attemptStarted(ID);
@@ -96,7 +96,7 @@
 
     @Test
     void timeRunsOnOverAttemptsThatWereNotHeard() {
-        HeldState held = readAndWritten();
+        StateReservation held = readAndWritten();
         time.run(500);
         releases.attemptEnded(held, false);
         releases.attemptStarted(ID);
@@ -106,7 +106,7 @@
 
     @Test
     void answerThatHasBegunNeedsNoRelease() {
-        HeldState held = readAndWritten();
+        StateReservation held = readAndWritten();
         releases.answerBegan(held);
         time.run(5000);
         releases.attemptEnded(held, true);
@@ -118,11 +118,11 @@
     /** Where this machine can't send for a while, the release is tried until it can. */
     @Test
     void releaseThatCouldNotBeSentIsTriedAgain() {
-        result = CallResult.NOT_SENT;
+        result = ControlCallResult.NOT_SENT;
         releases.release(ID, HOLDER);
         time.run(1500);
         sentMs.clear();
-        result = CallResult.ANSWERED;
+        result = ControlCallResult.ANSWERED;
         time.run(1800);
         assertEquals(1, sentMs.size());
         time.run(2000);
--- a/src/test/java/larchridge/front/PatienceTest.java
+++ b/src/test/java/larchridge/router/DeadlinePolicyTest.java
@@ -1,4 +1,4 @@
-package larchridge.front;
+package larchridge.router;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-class PatienceTest {
+class DeadlinePolicyTest {
     private final TrafficClass product =
             new TrafficClass("p", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0, 1000, 0, 50);
     private final Offer offer =
@@ -17,25 +17,26 @@
 
     @Test
     void streamWaitsAsTheProductSaysForItsFirstTokenOnly() {
-        Patience patience = Patience.of(offer, 200, 100, false, Double.POSITIVE_INFINITY);
+        DeadlinePolicy patience =
+                DeadlinePolicy.of(offer, 200, 100, false, Double.POSITIVE_INFINITY);
         assertEquals(5200, patience.firstTokMs);
         assertTrue(Double.isInfinite(patience.wholeMs));
     }
 
     @Test
     void lessPatientClientIsAnsweredBeforeItLeaves() {
-        assertTrue(Patience.of(offer, 200, 100, false, 900).firstTokMs < 900);
+        assertTrue(DeadlinePolicy.of(offer, 200, 100, false, 900).firstTokMs < 900);
     }
 
     @Test
     void wholeAnswerMustEndBeforeTheClientDoes() {
-        Patience patience = Patience.of(offer, 0, 100, true, 3000);
+        DeadlinePolicy patience = DeadlinePolicy.of(offer, 0, 100, true, 3000);
         assertTrue(patience.wholeMs < 3000);
         assertTrue(patience.firstTokMs <= patience.wholeMs);
     }
 
     @Test
     void patienceIsNeverNegative() {
-        assertEquals(0, Patience.of(offer, 0, 100, true, 0).wholeMs);
+        assertEquals(0, DeadlinePolicy.of(offer, 0, 100, true, 0).wholeMs);
     }
 }
--- a/src/test/java/larchridge/front/DutyTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -1,4 +1,4 @@
-package larchridge.front;
+package larchridge.router;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,33 +7,33 @@
 
 import org.junit.jupiter.api.Test;
 
-class DutyTest {
-    private final Duty duty = new Duty();
+class ResponseGuardTest {
+    private final ResponseGuard duty = new ResponseGuard();
 
     @Test
     void oneFinalAnswerAndNoSecond() {
-        assertTrue(duty.finish(Duty.Final.TERMINATED));
-        for (Duty.Final more : Duty.Final.values()) {
+        assertTrue(duty.finish(ResponseGuard.Final.TERMINATED));
+        for (ResponseGuard.Final more : ResponseGuard.Final.values()) {
             assertFalse(duty.finish(more));
         }
-        assertEquals(Duty.Final.TERMINATED, duty.given());
+        assertEquals(ResponseGuard.Final.TERMINATED, duty.given());
     }
 
     @Test
     void nothingBeginsAfterTheFinalAnswer() {
-        duty.finish(Duty.Final.GONE);
+        duty.finish(ResponseGuard.Final.GONE);
         assertFalse(duty.begin());
     }
 
     @Test
     void throttledIsNoAnswerToWhatHasBegun() {
         duty.begin();
-        assertThrows(IllegalStateException.class, () -> duty.finish(Duty.Final.THROTTLED));
-        assertTrue(duty.finish(Duty.Final.STREAMED));
+        assertThrows(IllegalStateException.class, () -> duty.finish(ResponseGuard.Final.THROTTLED));
+        assertTrue(duty.finish(ResponseGuard.Final.STREAMED));
     }
 
     @Test
     void streamedNeedsABeginning() {
-        assertThrows(IllegalStateException.class, () -> duty.finish(Duty.Final.STREAMED));
+        assertThrows(IllegalStateException.class, () -> duty.finish(ResponseGuard.Final.STREAMED));
     }
 }
--- a/src/test/java/larchridge/enginelink/VerdictTest.java
+++ b/src/test/java/larchridge/upstream/AttemptClassifierTest.java
@@ -1,12 +1,12 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import larchridge.state.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-class VerdictTest {
-    private final Verdict verdict = new Verdict();
+class AttemptClassifierTest {
+    private final AttemptClassifier verdict = new AttemptClassifier();
 
     private void answered(int status, String code) {
         verdict.written();
@@ -41,7 +41,7 @@
     void stateUnknownOnlyInTheEnginesOwnWord() {
         answered(404, "not_found");
         assertEquals(AttemptOutcome.FAULT, verdict.outcome());
-        verdict.errorCode(Verdict.STATE_UNKNOWN);
+        verdict.errorCode(AttemptClassifier.STATE_UNKNOWN);
         assertEquals(AttemptOutcome.NO_STATE, verdict.outcome());
     }
 
--- a/src/test/java/larchridge/enginelink/CompletionsLinkTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Every outcome, caused on a socket. */
-class CompletionsLinkTest {
-    private Wire wire;
+class CompletionsUpstreamClientTest {
+    private CompletionsUpstreamFixture wire;
 
     @BeforeEach
     void start() throws Exception {
-        wire = new Wire();
+        wire = new CompletionsUpstreamFixture();
     }
 
     @AfterEach
@@ -55,10 +55,10 @@
     @Test
     void streamIsToldPieceByPieceAlsoWhenTorn() throws Exception {
         String whole =
-                Wire.STREAM_HEAD
-                        + Wire.piece("a\u00e1", null)
-                        + Wire.piece("b", "stop")
-                        + Wire.chunk("data: [DONE]\n\n")
+                CompletionsUpstreamFixture.STREAM_HEAD
+                        + CompletionsUpstreamFixture.piece("a\u00e1", null)
+                        + CompletionsUpstreamFixture.piece("b", "stop")
+                        + CompletionsUpstreamFixture.chunk("data: [DONE]\n\n")
                         + "0\r\n\r\n";
         wire.engine = (socket, request) -> tear(socket, Buffer.buffer(whole), 0);
         wire.send(false, true);
@@ -66,14 +66,15 @@
         assertEquals("piece a\u00e1", wire.next());
         assertEquals("piece b", wire.next());
         assertEquals("STREAMED", wire.next());
-        assertEquals(Ending.Why.END_OF_TURN, wire.ending.why());
+        assertEquals(Completion.Why.END_OF_TURN, wire.ending.why());
     }
 
     @Test
     void piecesThatComeTogetherAreHandedOnTogether() throws Exception {
-        String pieces = Wire.piece("a", null).repeat(50);
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD + pieces);
-        EngineLink.Flight flight = wire.send(false, true);
+        String pieces = CompletionsUpstreamFixture.piece("a", null).repeat(50);
+        wire.engine =
+                (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + pieces);
+        UpstreamClient.Flight flight = wire.send(false, true);
         assertEquals("begun", wire.next());
         for (int i = 0; i < 50; i++) {
             assertEquals("piece a", wire.next());
@@ -98,7 +99,7 @@
 
     @Test
     void refusedConnectionIsUnreachable() throws Exception {
-        wire.spot = new Spot("127.0.0.1", 1);
+        wire.spot = new Endpoint("127.0.0.1", 1);
         wire.send(true, true);
         assertEquals("UNREACHABLE", wire.next());
     }
@@ -120,7 +121,7 @@
 
     @Test
     void fullIsFull() throws Exception {
-        answer(Wire.status(429, "{}"));
+        answer(CompletionsUpstreamFixture.status(429, "{}"));
         wire.send(true, true);
         assertEquals("FULL", wire.next());
     }
@@ -137,38 +138,42 @@
 
     @Test
     void stateUnknownIsNoState() throws Exception {
-        answer(Wire.status(409, "{\"error\":{\"code\":\"kv_state_unknown\"}}"));
+        answer(
+                CompletionsUpstreamFixture.status(
+                        409, "{\"error\":{\"code\":\"kv_state_unknown\"}}"));
         wire.send(false, true);
         assertEquals("NO_STATE", wire.next());
     }
 
     @Test
     void errorIsAFault() throws Exception {
-        answer(Wire.status(500, "oops"));
+        answer(CompletionsUpstreamFixture.status(500, "oops"));
         wire.send(false, true);
         assertEquals("FAULT", wire.next());
     }
 
     @Test
     void garbageIsAFault() throws Exception {
-        answer(Wire.json("{\"choices\":["));
+        answer(CompletionsUpstreamFixture.json("{\"choices\":["));
         wire.send(true, true);
         assertEquals("FAULT", wire.next());
-        answer(Wire.STREAM_HEAD + Wire.chunk("data: {\"choices\":[{\"te\n\n"));
+        answer(
+                CompletionsUpstreamFixture.STREAM_HEAD
+                        + CompletionsUpstreamFixture.chunk("data: {\"choices\":[{\"te\n\n"));
         wire.send(false, true);
         assertEquals("FAULT", wire.next());
     }
 
     @Test
     void readWithoutAHandleIsAFault() throws Exception {
-        answer(Wire.json("{\"choices\":[]}"));
+        answer(CompletionsUpstreamFixture.json("{\"choices\":[]}"));
         wire.send(true, true);
         assertEquals("FAULT", wire.next());
     }
 
     @Test
     void keptConnectionThatClosesBeforeAByteIsCut() throws Exception {
-        answer(Wire.status(429, "{}"));
+        answer(CompletionsUpstreamFixture.status(429, "{}"));
         wire.send(true, true);
         assertEquals("FULL", wire.next());
         wire.engine = (socket, request) -> socket.close();
@@ -179,7 +184,9 @@
     @Test
     void streamBrokenBeforeItsFirstTokenIsCut() throws Exception {
         wire.engine =
-                (socket, request) -> socket.write(Wire.STREAM_HEAD).onSuccess(v -> socket.close());
+                (socket, request) ->
+                        socket.write(CompletionsUpstreamFixture.STREAM_HEAD)
+                                .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("CUT", wire.next());
     }
@@ -188,7 +195,9 @@
     void streamBrokenInTheMiddleIsCut() throws Exception {
         wire.engine =
                 (socket, request) ->
-                        socket.write(Wire.STREAM_HEAD + Wire.piece("a", null))
+                        socket.write(
+                                        CompletionsUpstreamFixture.STREAM_HEAD
+                                                + CompletionsUpstreamFixture.piece("a", null))
                                 .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("begun", wire.next());
@@ -200,13 +209,15 @@
     void streamBrokenAfterItsLastTokenIsWhole() throws Exception {
         wire.engine =
                 (socket, request) ->
-                        socket.write(Wire.STREAM_HEAD + Wire.piece("a", "length"))
+                        socket.write(
+                                        CompletionsUpstreamFixture.STREAM_HEAD
+                                                + CompletionsUpstreamFixture.piece("a", "length"))
                                 .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("begun", wire.next());
         assertEquals("piece a", wire.next());
         assertEquals("STREAMED", wire.next());
-        assertEquals(Ending.Why.MOST_TOKENS, wire.ending.why());
+        assertEquals(Completion.Why.MOST_TOKENS, wire.ending.why());
         assertEquals(1, wire.ending.outToks());
     }
 
@@ -219,7 +230,7 @@
                     socket.closeHandler(v -> closed.complete(null));
                     arrived.complete(null);
                 };
-        EngineLink.Flight flight = wire.send(false, true);
+        UpstreamClient.Flight flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
         wire.on(
                 () -> {
@@ -237,7 +248,7 @@
     void timeUpIsTimedOut() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
         wire.engine = (socket, request) -> arrived.complete(null);
-        EngineLink.Flight flight = wire.send(false, true);
+        UpstreamClient.Flight flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
         wire.on(
                 () -> {
@@ -250,7 +261,7 @@
     @Test
     void calledOffWhileItWaitsForAConnectionWasNeverSent() throws Exception {
         wire.send(true, true);
-        EngineLink.Flight waits = wire.send(true, true);
+        UpstreamClient.Flight waits = wire.send(true, true);
         wire.on(
                 () -> {
                     waits.cancel();
@@ -267,7 +278,7 @@
                     if (times.incrementAndGet() < 3) {
                         socket.close();
                     } else {
-                        socket.write(Wire.status(200, "{}"));
+                        socket.write(CompletionsUpstreamFixture.status(200, "{}"));
                     }
                 };
         wire.on(
@@ -286,7 +297,9 @@
 
     @Test
     void probeTellsTheLoadOrNothing() throws Exception {
-        answer(Wire.status(200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
+        answer(
+                CompletionsUpstreamFixture.status(
+                        200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
         CompletableFuture<LoadReport> told = new CompletableFuture<>();
         wire.on(
                 () -> {
--- a/src/test/java/larchridge/enginelink/Wire.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
@@ -21,21 +21,21 @@
  * An engine whose every byte a test decides, a link to it, and ears that write down what the link
  * tells.
  */
-final class Wire implements AutoCloseable {
+final class CompletionsUpstreamFixture implements AutoCloseable {
     static final String JSON_HEAD = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n";
     final Vertx vertx = Vertx.vertx();
     final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
     final Limit limit = new Limit();
     volatile BiConsumer<NetSocket, String> engine = (socket, request) -> {};
-    volatile Ending ending;
+    volatile Completion ending;
     volatile LoadReport report;
-    Spot spot;
+    Endpoint spot;
     private final Context loop = vertx.getOrCreateContext();
     private final NetServer server;
-    private CompletionsLink link;
+    private CompletionsUpstreamClient link;
 
-    Wire() throws Exception {
+    CompletionsUpstreamFixture() throws Exception {
         limit.connectMs = 400;
         limit.keepAliveMs = 5000;
         limit.connectionsPerEngine = 1;
@@ -66,8 +66,8 @@
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(5, TimeUnit.SECONDS);
-        spot = new Spot("127.0.0.1", server.actualPort());
-        on(() -> link = new CompletionsLink(vertx, limit));
+        spot = new Endpoint("127.0.0.1", server.actualPort());
+        on(() -> link = new CompletionsUpstreamClient(vertx, limit));
     }
 
     private static int length(String text) {
@@ -93,29 +93,29 @@
         return done.get(5, TimeUnit.SECONDS);
     }
 
-    CompletionsLink link() {
+    CompletionsUpstreamClient link() {
         return link;
     }
 
     final java.util.concurrent.atomic.AtomicInteger soFar =
             new java.util.concurrent.atomic.AtomicInteger();
 
-    EngineLink.Flight send(boolean read, boolean mayBeSent) throws Exception {
-        Order order =
-                new Order(
+    UpstreamClient.Flight send(boolean read, boolean mayBeSent) throws Exception {
+        AttemptRequest order =
+                new AttemptRequest(
                         "g.0",
                         spot,
                         "m",
                         "p",
                         4,
                         List.of(),
-                        new Order.Sampling(null, null, null),
+                        new AttemptRequest.Sampling(null, null, null),
                         null,
                         null,
                         null,
-                        () -> mayBeSent ? null : larchridge.enginelink.SendRefusal.ENGINE_LEFT);
-        Hearing ears =
-                new Hearing() {
+                        () -> mayBeSent ? null : larchridge.upstream.SendRejection.ENGINE_LEFT);
+        AttemptListener ears =
+                new AttemptListener() {
                     @Override
                     public void read(
                             StateHandle state, int keptToks, int promptToks, LoadReport told2) {
@@ -139,7 +139,7 @@
                     }
 
                     @Override
-                    public void ended(AttemptOutcome outcome, LoadReport told2, Ending how) {
+                    public void ended(AttemptOutcome outcome, LoadReport told2, Completion how) {
                         ending = how;
                         report = told2;
                         told.add(outcome.name());
--- a/src/test/java/larchridge/enginelink/LoadReportParserTest.java
+++ b/src/test/java/larchridge/upstream/LoadReportParserTest.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
