--- a/src/main/java/larchridge/baseline/Plain.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -24,7 +24,7 @@
  * takes one reader and, when that has read, one writer, waits for nothing, asks for no load, and
  * tries again elsewhere where an effect allows it.
  */
-public final class Plain implements PolicyEvents {
+public final class BaselinePolicy implements PolicyEvents {
     /** How an engine is taken from its pool. */
     public enum Kind {
         RANDOM,
@@ -46,7 +46,7 @@
     private boolean wakeSet;
     private int turn;
 
-    public Plain(Kind kind, RoutingSettings terms, PolicyActions host) {
+    public BaselinePolicy(Kind kind, RoutingSettings terms, PolicyActions host) {
         this.kind = kind;
         this.host = host;
         random = new Random(terms.seed);
--- a/src/main/java/larchridge/cli/KillsCommand.java
+++ b/src/main/java/larchridge/cli/CrashTestCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import larchridge.drill.Kills;
+import larchridge.systemtest.CrashTest;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -13,7 +13,7 @@
         description =
                 "Work on batches with a service that is killed outright again and again; every line must have one "
                         + "record in the end, the store must verify after each death. Exit code 3: something was lost or doubled.")
-final class KillsCommand implements Callable<Integer> {
+final class CrashTestCommand implements Callable<Integer> {
     @Option(names = "--batches", defaultValue = "5", description = "default: ${DEFAULT-VALUE}")
     private int batches;
 
@@ -29,7 +29,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         System.out.println("seed " + seed + ", engines are simulated");
-        Kills.Result result = Kills.play(seed, batches, kills);
+        CrashTest.Result result = CrashTest.play(seed, batches, kills);
         result.faults().forEach(System.out::println);
         System.out.println(
                 result.batches()
--- a/src/main/java/larchridge/cli/DemoCommand.java
+++ b/src/main/java/larchridge/cli/DemoCommand.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import larchridge.drill.Fleet;
 import larchridge.serve.Service;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.site.SiteReader;
-import larchridge.standin.Make;
 import larchridge.state.Role;
+import larchridge.systemtest.SimulatedFleet;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -25,15 +25,16 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Make> makes =
+        List<EngineProfile> makes =
                 List.of(
-                        Make.of(1, Role.READER, "west", 1),
-                        Make.of(2, Role.READER, "west", 2),
-                        Make.of(3, Role.WRITER, "west", 1),
-                        Make.of(4, Role.WRITER, "west", 2),
-                        Make.of(5, Role.BOTH, "west", 1),
-                        Make.of(6, Role.WRITER, "west", 2));
-        try (Fleet fleet = Fleet.start(makes, (sight, engine, rid, tag, amount) -> {}, 1)) {
+                        EngineProfile.of(1, Role.READER, "west", 1),
+                        EngineProfile.of(2, Role.READER, "west", 2),
+                        EngineProfile.of(3, Role.WRITER, "west", 1),
+                        EngineProfile.of(4, Role.WRITER, "west", 2),
+                        EngineProfile.of(5, Role.BOTH, "west", 1),
+                        EngineProfile.of(6, Role.WRITER, "west", 2));
+        try (SimulatedFleet fleet =
+                SimulatedFleet.start(makes, (sight, engine, rid, tag, amount) -> {}, 1)) {
             Path folder = Files.createTempDirectory("larchridge-demo");
             fleet.writeList(folder.resolve("engines.yaml"));
             Service service = Service.start(SiteReader.read("demo", SITE.formatted(port), folder));
--- a/src/main/java/larchridge/cli/EngineCommand.java
+++ b/src/main/java/larchridge/cli/EngineCommand.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Vertx;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import larchridge.standin.Make;
-import larchridge.standin.StandIn;
+import larchridge.simulatedengine.EngineProfile;
+import larchridge.simulatedengine.SimulatedEngine;
 import larchridge.state.Role;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -61,7 +61,8 @@
         Vertx vertx = Vertx.vertx();
         vertx.runOnContext(
                 v ->
-                        new StandIn(vertx, make(), (sight, engine, rid, tag, amount) -> {}, id)
+                        new SimulatedEngine(
+                                        vertx, make(), (sight, engine, rid, tag, amount) -> {}, id)
                                 .start(port, false)
                                 .onSuccess(
                                         at ->
@@ -81,9 +82,9 @@
         return 0;
     }
 
-    private Make make() {
-        Make usual = Make.of(id, role, zone, rack);
-        return new Make(
+    private EngineProfile make() {
+        EngineProfile usual = EngineProfile.of(id, role, zone, rack);
+        return new EngineProfile(
                         id,
                         role,
                         zone,
--- a/src/main/java/larchridge/cli/ExperimentCommand.java
+++ b/src/main/java/larchridge/cli/ExperimentCommand.java
@@ -5,9 +5,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import larchridge.experiment.Page;
-import larchridge.experiment.Plan;
-import larchridge.experiment.Runs;
+import larchridge.experiment.ExperimentPlan;
+import larchridge.experiment.ExperimentRunner;
+import larchridge.experiment.ReportPage;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -43,19 +43,20 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Plan read;
+        ExperimentPlan read;
         try {
-            read = Plan.read(plan);
-        } catch (Plan.BadPlan e) {
+            read = ExperimentPlan.read(plan);
+        } catch (ExperimentPlan.BadPlan e) {
             System.err.println(e.getMessage());
             return 1;
         }
         Files.createDirectories(folder);
-        List<Runs.Row> rows = Runs.run(read, folder.resolve("results.csv"), sideBySide);
-        Page.write(read, rows, folder);
+        List<ExperimentRunner.Row> rows =
+                ExperimentRunner.run(read, folder.resolve("results.csv"), sideBySide);
+        ReportPage.write(read, rows, folder);
         System.out.println(
                 "policy | times load | service | beside the first | | p99 ms | broken rules (engines emulated)");
-        Page.lines(read, rows).forEach(System.out::println);
+        ReportPage.lines(read, rows).forEach(System.out::println);
         boolean broken =
                 rows.stream()
                         .anyMatch(
--- a/src/main/java/larchridge/cli/FaultsCommand.java
+++ b/src/main/java/larchridge/cli/FaultInjectionCommand.java
@@ -9,12 +9,12 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
-import larchridge.faults.FaultRig;
-import larchridge.faults.FaultScript;
-import larchridge.faults.FaultScripts;
-import larchridge.faults.Judgement;
-import larchridge.faults.Plant;
-import larchridge.faults.TroubleKind;
+import larchridge.faultinjection.FaultInjectionRun;
+import larchridge.faultinjection.FaultKind;
+import larchridge.faultinjection.FaultScript;
+import larchridge.faultinjection.FaultScripts;
+import larchridge.faultinjection.FaultTestResult;
+import larchridge.faultinjection.PlantedFault;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -25,7 +25,7 @@
         description =
                 "Start node processes on loopback between simulated engines, agents and clients, play faults that overlap, "
                         + "drawn from a seed, and judge traffic and invariants. Exit code 3: something was broken.")
-final class FaultsCommand implements Callable<Integer> {
+final class FaultInjectionCommand implements Callable<Integer> {
     private static final String TABLE_HEAD =
             "seed\tbuild\tnodes\tseconds\tplanted\trequests\twhole\tlate_ms\tverdict\tfaults\n";
 
@@ -69,7 +69,7 @@
             names = "--kinds",
             split = ",",
             description = "kinds of troubles (default: all that the machine can play)")
-    private List<TroubleKind> kinds = new ArrayList<>();
+    private List<FaultKind> kinds = new ArrayList<>();
 
     @Option(names = "--script", description = "play this file in place of a drawn one")
     private Path script;
@@ -80,7 +80,7 @@
             description =
                     "a fault outside the nodes that has to be seen: "
                             + "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE})")
-    private Plant plant;
+    private PlantedFault plant;
 
     @Option(
             names = "--build",
@@ -102,7 +102,7 @@
             return 2;
         }
         Files.createDirectories(folder);
-        List<TroubleKind> played = FaultScripts.playable(kinds, FaultRig.canShim(folder));
+        List<FaultKind> played = FaultScripts.playable(kinds, FaultInjectionRun.canShim(folder));
         boolean broken = false;
         for (int i = 0; i < runs; i++) {
             FaultScript one =
@@ -110,15 +110,15 @@
                             ? FaultScript.read(script)
                             : FaultScript.draw(
                                     seed + i, nodes, readers, writers, seconds, perSecond, played);
-            Judgement judgement =
-                    new FaultRig(one, plant, folder.resolve("seed" + one.seed())).run();
+            FaultTestResult judgement =
+                    new FaultInjectionRun(one, plant, folder.resolve("seed" + one.seed())).run();
             broken |= !judgement.passed();
             report(one, judgement);
         }
         return broken ? 3 : 0;
     }
 
-    private void report(FaultScript one, Judgement judgement) throws IOException {
+    private void report(FaultScript one, FaultTestResult judgement) throws IOException {
         System.out.printf(
                 Locale.ROOT,
                 "seed %d: %d requests, %d served whole, the rig late by %.0f ms at most: %s%n",
--- a/src/main/java/larchridge/cli/PumpCommand.java
+++ b/src/main/java/larchridge/cli/LoadCommand.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import larchridge.drill.Pump;
+import larchridge.systemtest.LoadGenerator;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -14,7 +14,7 @@
         description =
                 "Ask as fast as answers come, through a front (one port) or at a reader and a writer directly "
                         + "(two ports), and tell rate, time to the first token and the CPU of a process.")
-final class PumpCommand implements Callable<Integer> {
+final class LoadCommand implements Callable<Integer> {
     @Option(
             names = "--ports",
             required = true,
@@ -61,8 +61,8 @@
     @Override
     public Integer call() throws InterruptedException {
         double[] cpu = new double[2];
-        Pump.Gain gain =
-                new Pump("127.0.0.1", ports, clients, prompt, out, multiplexed, over)
+        LoadGenerator.Gain gain =
+                new LoadGenerator("127.0.0.1", ports, clients, prompt, out, multiplexed, over)
                         .run(warm, seconds, () -> cpu[0] = cpuMs(), () -> cpu[1] = cpuMs());
         double streamed = Math.max(1, gain.streamed.sum());
         System.out.printf(
--- a/src/main/java/larchridge/cli/SearchCommand.java
+++ b/src/main/java/larchridge/cli/SearchCommand.java
@@ -5,9 +5,9 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import larchridge.drill.Script;
-import larchridge.drill.ScriptReader;
-import larchridge.experiment.Search;
+import larchridge.experiment.FaultSearch;
+import larchridge.systemtest.TestScript;
+import larchridge.systemtest.TestScriptReader;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -52,15 +52,15 @@
 
     @Override
     public Integer call() throws InterruptedException, IOException {
-        Script read;
+        TestScript read;
         try {
-            read = ScriptReader.read(script);
-        } catch (ScriptReader.BadScript e) {
+            read = TestScriptReader.read(script);
+        } catch (TestScriptReader.BadScript e) {
             System.err.println(e.getMessage());
             return 1;
         }
-        Search.Found found = Search.run(read, seed, tries, sideBySide);
-        Files.writeString(into, Search.yaml(found.script()));
+        FaultSearch.Found found = FaultSearch.run(read, seed, tries, sideBySide);
+        Files.writeString(into, FaultSearch.yaml(found.script()));
         System.out.printf(
                 Locale.ROOT,
                 "seed %d, %d scripts: service %.3f, %d broken rules, a plain policy serves %.3f more%n",
--- a/src/main/java/larchridge/cli/SoakCommand.java
+++ b/src/main/java/larchridge/cli/SoakCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import larchridge.drill.Soak;
+import larchridge.systemtest.SoakTest;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -43,7 +43,7 @@
     @Override
     public Integer call() throws InterruptedException, IOException {
         System.out.println("seed " + seed + ", engines are simulated");
-        System.out.println(new Soak(port, adminPort, perS, seconds, seed, folder).run());
+        System.out.println(new SoakTest(port, adminPort, perS, seconds, seed, folder).run());
         return 0;
     }
 }
--- a/src/main/java/larchridge/cli/StoreCommand.java
+++ b/src/main/java/larchridge/cli/StoreCommand.java
@@ -9,9 +9,9 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
-import larchridge.drill.StoreCost;
 import larchridge.store.CrashPoints;
 import larchridge.store.Store;
+import larchridge.systemtest.StoreBenchmark;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -126,7 +126,7 @@
             return 1;
         }
         try {
-            System.out.println(StoreCost.measure(folder, lines));
+            System.out.println(StoreBenchmark.measure(folder, lines));
             return 0;
         } catch (IOException e) {
             return failed(e);
--- a/src/main/java/larchridge/cli/DrillCommand.java
+++ b/src/main/java/larchridge/cli/SystemTestCommand.java
@@ -4,15 +4,15 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import larchridge.drill.Bills;
-import larchridge.drill.DayFile;
-import larchridge.drill.Drill;
-import larchridge.drill.Rules;
-import larchridge.drill.Script;
-import larchridge.drill.ScriptReader;
-import larchridge.drill.Tally;
-import larchridge.drill.TrafficLog;
-import larchridge.virtual.Day;
+import larchridge.simulation.SimulationRun;
+import larchridge.systemtest.BenchDayReader;
+import larchridge.systemtest.BillingChecker;
+import larchridge.systemtest.ResultCounts;
+import larchridge.systemtest.RuleChecker;
+import larchridge.systemtest.SystemTest;
+import larchridge.systemtest.TestScript;
+import larchridge.systemtest.TestScriptReader;
+import larchridge.systemtest.TrafficLog;
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -26,7 +26,7 @@
                     + "from the traffic.",
             "Exit code 3: a rule was broken."
         })
-final class DrillCommand implements Callable<Integer> {
+final class SystemTestCommand implements Callable<Integer> {
     @ArgGroup(multiplicity = "1")
     private Source source;
 
@@ -57,9 +57,9 @@
                     "of a bench day's load and engines' speed " + "(default: ${DEFAULT-VALUE})")
     private double scale;
 
-    private int playVirtually(Script script) throws IOException {
-        Day.Result result = Day.play(script);
-        System.out.print(Tally.table(result.rows()));
+    private int playVirtually(TestScript script) throws IOException {
+        SimulationRun.Result result = SimulationRun.play(script);
+        System.out.print(ResultCounts.table(result.rows()));
         if (log != null) {
             TrafficLog.write(result.log(), log);
         }
@@ -88,16 +88,16 @@
 
     @Override
     public Integer call() throws InterruptedException, IOException {
-        Script script;
+        TestScript script;
         try {
             if (source.day != null) {
-                DayFile day = DayFile.read(source.day, scale);
+                BenchDayReader day = BenchDayReader.read(source.day, scale);
                 script = day.script();
                 day.leftOut().forEach(what -> System.out.println("not carried over: " + what));
             } else {
-                script = ScriptReader.read(source.script);
+                script = TestScriptReader.read(source.script);
             }
-        } catch (ScriptReader.BadScript e) {
+        } catch (TestScriptReader.BadScript e) {
             System.err.println(e.getMessage());
             return 1;
         }
@@ -116,8 +116,8 @@
         if (virtual) {
             return playVirtually(script);
         }
-        Drill.Result result = Drill.play(script);
-        System.out.print(Tally.table(result.rows()));
+        SystemTest.Result result = SystemTest.play(script);
+        System.out.print(ResultCounts.table(result.rows()));
         if (figures) {
             System.out.print(result.figures());
         }
@@ -125,9 +125,9 @@
             TrafficLog.write(result.log(), log);
         }
         if (!result.bills().isEmpty()) {
-            System.out.print(Bills.table(result.bills()));
+            System.out.print(BillingChecker.table(result.bills()));
         }
-        for (Rules.Breach breach : result.breaches()) {
+        for (RuleChecker.Breach breach : result.breaches()) {
             System.out.println(breach);
         }
         System.out.println(
--- a/src/main/java/larchridge/emulator/Blocks.java
+++ b/src/main/java/larchridge/emulator/BlockMemory.java
@@ -12,7 +12,7 @@
  * who begin alike, counted by who refers to it; one that nobody refers to stays until room is
  * needed, the one unused for longest going first.
  */
-final class Blocks {
+final class BlockMemory {
     /** One block; hash is 0 while it is nobody's beginning. */
     static final class Block {
         long hash;
@@ -28,7 +28,7 @@
 
     private long evicted;
 
-    Blocks(int total) {
+    BlockMemory(int total) {
         this.total = total;
         free = total;
     }
--- a/src/main/java/larchridge/emulator/Silicon.java
+++ b/src/main/java/larchridge/emulator/EngineHardware.java
@@ -15,7 +15,7 @@
  * @param coldShare of its speed right after it started, growing evenly to all of it within coldMs
  * @param evictsHeld whether states that wait go when memory is short
  */
-public record Silicon(
+public record EngineHardware(
         double stepMs,
         double promptTokMs,
         double seqMs,
@@ -31,8 +31,8 @@
         double coldMs,
         boolean evictsHeld) {
     /** The same with another size of chunks. */
-    public Silicon withBatchToks(int toks) {
-        return new Silicon(
+    public EngineHardware withBatchToks(int toks) {
+        return new EngineHardware(
                 stepMs,
                 promptTokMs,
                 seqMs,
@@ -50,8 +50,8 @@
     }
 
     /** The same with so many blocks. */
-    public Silicon withBlocks(int other) {
-        return new Silicon(
+    public EngineHardware withBlocks(int other) {
+        return new EngineHardware(
                 stepMs,
                 promptTokMs,
                 seqMs,
--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -31,9 +31,9 @@
         void lost(Job job);
     }
 
-    private final Silicon silicon;
+    private final EngineHardware silicon;
     private final Ears ears;
-    private final Blocks memory;
+    private final BlockMemory memory;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
     private final Map<String, Job> held = new LinkedHashMap<>();
@@ -53,11 +53,11 @@
     private long steps;
 
     /** StartedMs: when its process came up; minus infinity for a warm one. */
-    public EngineModel(Silicon silicon, double startedMs, Ears ears) {
+    public EngineModel(EngineHardware silicon, double startedMs, Ears ears) {
         this.silicon = silicon;
         this.startedMs = startedMs;
         this.ears = ears;
-        memory = new Blocks(silicon.blocks());
+        memory = new BlockMemory(silicon.blocks());
     }
 
     // ------------------------------------------------------------------ what comes
@@ -213,7 +213,7 @@
     private boolean place(Job job) {
         int found = memory.found(job.prompt);
         int blocks = job.target / silicon.blockToks() + 1;
-        List<Blocks.Block> taken = memory.take(job.prompt, found, blocks);
+        List<BlockMemory.Block> taken = memory.take(job.prompt, found, blocks);
         while (taken == null && silicon.evictsHeld() && !held.isEmpty()) {
             Job oldest = held.values().iterator().next();
             release(oldest.rid);
@@ -241,7 +241,7 @@
      */
     private boolean grow(Job job) {
         while (job.prompt.toks + job.made + 1 > job.blocks.size() * silicon.blockToks()) {
-            Blocks.Block block = memory.more();
+            BlockMemory.Block block = memory.more();
             if (block != null) {
                 job.blocks.add(block);
                 continue;
--- a/src/main/java/larchridge/emulator/Job.java
+++ b/src/main/java/larchridge/emulator/Job.java
@@ -25,7 +25,7 @@
     /** For whoever drives the engine. */
     public Object owner;
 
-    List<Blocks.Block> blocks = new ArrayList<>();
+    List<BlockMemory.Block> blocks = new ArrayList<>();
     int have;
     int kept;
     int made;
--- a/src/main/java/larchridge/emulator/Links.java
+++ b/src/main/java/larchridge/emulator/SharedLinks.java
@@ -10,7 +10,7 @@
  * fast as the slowest lets it. Without clock: whoever drives it asks when the next one ends, and
  * again after every change.
  */
-public final class Links {
+public final class SharedLinks {
     /** One link. */
     public static final class Link {
         private double toksPerMs;
--- a/src/main/java/larchridge/experiment/Plan.java
+++ b/src/main/java/larchridge/experiment/ExperimentPlan.java
@@ -9,16 +9,16 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import larchridge.baseline.Plain;
-import larchridge.drill.Script;
-import larchridge.drill.ScriptReader;
+import larchridge.baseline.BaselinePolicy;
+import larchridge.systemtest.TestScript;
+import larchridge.systemtest.TestScriptReader;
 
 /**
  * What an experiment varies: policies, rates (times the script's), engines (times the script's
  * counts), fronts, and seeds. What is left out is as in the script. Policies are choice, the module
  * of this program, and the plain ones.
  */
-public final class Plan {
+public final class ExperimentPlan {
     /** One run of a plan. */
     public record Point(String policy, double rate, double engines, int fronts, long seed) {
         /** Names the run in the table of results. */
@@ -45,12 +45,12 @@
             @JsonProperty("fronts") List<Integer> fronts) {}
 
     static final String CHOICE = "choice";
-    public final Script script;
+    public final TestScript script;
     final List<String> policies;
     final List<Double> rates;
     public final List<Point> points = new ArrayList<>();
 
-    private Plan(Script script, Form form) {
+    private ExperimentPlan(TestScript script, Form form) {
         this.script = script;
         policies = form.policies == null ? List.of(CHOICE) : form.policies;
         rates = form.rates == null ? List.of(1.0) : form.rates;
@@ -69,7 +69,7 @@
     }
 
     /** Reads a plan; its script's path is relative to its folder. */
-    public static Plan read(Path file) throws BadPlan {
+    public static ExperimentPlan read(Path file) throws BadPlan {
         Form form;
         try {
             form =
@@ -95,16 +95,16 @@
             }
         }
         try {
-            return new Plan(
-                    ScriptReader.read(file.toAbsolutePath().resolveSibling(form.script)), form);
-        } catch (ScriptReader.BadScript e) {
+            return new ExperimentPlan(
+                    TestScriptReader.read(file.toAbsolutePath().resolveSibling(form.script)), form);
+        } catch (TestScriptReader.BadScript e) {
             throw new BadPlan(e.getMessage());
         }
     }
 
     /** The plain policy of this name, or null. */
-    static Plain.Kind kind(String policy) {
-        for (Plain.Kind kind : Plain.Kind.values()) {
+    static BaselinePolicy.Kind kind(String policy) {
+        for (BaselinePolicy.Kind kind : BaselinePolicy.Kind.values()) {
             if (kind.name().equalsIgnoreCase(policy)) {
                 return kind;
             }
--- a/src/main/java/larchridge/experiment/Runs.java
+++ b/src/main/java/larchridge/experiment/ExperimentRunner.java
@@ -14,23 +14,23 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import larchridge.baseline.Plain;
+import larchridge.baseline.BaselinePolicy;
 import larchridge.emulator.EngineModel;
 import larchridge.policy.PolicyEvents;
-import larchridge.virtual.Day;
+import larchridge.simulation.SimulationRun;
 
 /**
  * Runs a plan in virtual time, so many runs side by side; each row is written as its run ends, so
  * that a plan goes on where it was.
  */
-public final class Runs {
+public final class ExperimentRunner {
     static final String HEAD =
             "policy,rate,engines,fronts,seed,service,asked,streamed,throttled,terminated,p50_ms,p99_ms,"
                     + "read_toks,kept_toks,out_toks,preemptions,evictions,breaches,virtual_per_real,digest";
 
     /** One row of the results. */
     public record Row(
-            Plan.Point point,
+            ExperimentPlan.Point point,
             double service,
             double p50,
             double p99,
@@ -38,10 +38,10 @@
             String digest,
             String text) {}
 
-    private Runs() {}
+    private ExperimentRunner() {}
 
     /** Runs what the table does not hold yet; returns all rows in the plan's order. */
-    public static List<Row> run(Plan plan, Path table, int sideBySide)
+    public static List<Row> run(ExperimentPlan plan, Path table, int sideBySide)
             throws IOException, InterruptedException {
         Map<String, Row> known = read(plan, table);
         ExecutorService threads = Executors.newFixedThreadPool(sideBySide);
@@ -51,8 +51,8 @@
             if (known.isEmpty() && Files.size(table) == 0) {
                 out.write(HEAD + "\n");
             }
-            Map<Plan.Point, Future<Row>> running = new LinkedHashMap<>();
-            for (Plan.Point point : plan.points) {
+            Map<ExperimentPlan.Point, Future<Row>> running = new LinkedHashMap<>();
+            for (ExperimentPlan.Point point : plan.points) {
                 if (!known.containsKey(point.key())) {
                     running.put(
                             point,
@@ -67,7 +67,7 @@
                                     }));
                 }
             }
-            for (Map.Entry<Plan.Point, Future<Row>> entry : running.entrySet()) {
+            for (Map.Entry<ExperimentPlan.Point, Future<Row>> entry : running.entrySet()) {
                 known.put(entry.getKey().key(), entry.getValue().get());
             }
         } catch (ExecutionException e) {
@@ -78,13 +78,15 @@
         return plan.points.stream().map(point -> known.get(point.key())).toList();
     }
 
-    private static Row one(Plan plan, Plan.Point point) {
+    private static Row one(ExperimentPlan plan, ExperimentPlan.Point point) {
         PolicyEvents.Factory module =
-                point.policy().equals(Plan.CHOICE)
+                point.policy().equals(ExperimentPlan.CHOICE)
                         ? PolicyEvents::choice
-                        : (terms, host) -> new Plain(Plan.kind(point.policy()), terms, host);
-        Day.Result result =
-                Day.play(
+                        : (terms, host) ->
+                                new BaselinePolicy(
+                                        ExperimentPlan.kind(point.policy()), terms, host);
+        SimulationRun.Result result =
+                SimulationRun.play(
                         plan.script
                                 .scaled(point.rate(), point.engines(), point.fronts())
                                 .withSeed(point.seed()),
@@ -124,7 +126,7 @@
         return row(point, text);
     }
 
-    private static Row row(Plan.Point point, String text) {
+    private static Row row(ExperimentPlan.Point point, String text) {
         String[] cells = text.split(",");
         return new Row(
                 point,
@@ -137,7 +139,7 @@
     }
 
     /** Rows of runs that ended; a last line that was cut short is run again. */
-    private static Map<String, Row> read(Plan plan, Path table) throws IOException {
+    private static Map<String, Row> read(ExperimentPlan plan, Path table) throws IOException {
         Map<String, Row> rows = new LinkedHashMap<>();
         if (!Files.exists(table)) {
             return rows;
@@ -146,7 +148,7 @@
         String all = Files.readString(table);
         for (String line : all.substring(0, all.lastIndexOf('\n') + 1).split("\n")) {
             whole.add(line);
-            for (Plan.Point point : plan.points) {
+            for (ExperimentPlan.Point point : plan.points) {
                 if (line.startsWith(point.key() + ",")
                         && line.split(",").length == HEAD.split(",").length) {
                     rows.put(point.key(), row(point, line));
--- a/src/main/java/larchridge/experiment/Search.java
+++ b/src/main/java/larchridge/experiment/FaultSearch.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import larchridge.baseline.Plain;
-import larchridge.drill.Drill;
-import larchridge.drill.Script;
-import larchridge.standin.Make;
-import larchridge.virtual.Day;
+import larchridge.baseline.BaselinePolicy;
+import larchridge.simulatedengine.EngineProfile;
+import larchridge.simulation.SimulationRun;
+import larchridge.systemtest.SystemTest;
+import larchridge.systemtest.TestScript;
 
 /**
  * Looks for the troubles under which the module does worst: those that break a rule, else those
@@ -26,7 +26,7 @@
  * from the worst so far, then makes it small: every trouble, engine and length that is not needed
  * goes. From a seed; the same seed finds the same.
  */
-public final class Search {
+public final class FaultSearch {
     private static final List<String> KINDS =
             List.of(
                     "crash",
@@ -46,31 +46,31 @@
     private static final int KEPT = 4;
     private static final double KEEPS = 0.8;
     private static final double BREACH = 10;
-    private static final List<Plain.Kind> BESIDE =
-            List.of(Plain.Kind.LEAST_OPEN, Plain.Kind.PREFIX_HASH);
+    private static final List<BaselinePolicy.Kind> BESIDE =
+            List.of(BaselinePolicy.Kind.LEAST_OPEN, BaselinePolicy.Kind.PREFIX_HASH);
 
     /**
      * A script with how bad it is: {@value #BREACH} and more for a broken rule, else what a plain
      * policy serves more.
      */
-    public record Found(Script script, double badness, double service, int breaches) {}
+    public record Found(TestScript script, double badness, double service, int breaches) {}
 
-    private final Script base;
+    private final TestScript base;
     private final Random random;
-    private final List<Make> makes;
+    private final List<EngineProfile> makes;
     private final ExecutorService threads;
 
-    private Search(Script base, long seed, int sideBySide) {
+    private FaultSearch(TestScript base, long seed, int sideBySide) {
         this.base = base;
         random = new Random(seed);
-        makes = Drill.makes(base);
+        makes = SystemTest.makes(base);
         threads = Executors.newFixedThreadPool(sideBySide);
     }
 
     /** Tries so many scripts, then shrinks the worst. */
-    public static Found run(Script base, long seed, int tries, int sideBySide)
+    public static Found run(TestScript base, long seed, int tries, int sideBySide)
             throws InterruptedException {
-        Search search = new Search(base, seed, sideBySide);
+        FaultSearch search = new FaultSearch(base, seed, sideBySide);
         try {
             return search.shrink(search.worst(tries, sideBySide));
         } finally {
@@ -81,7 +81,7 @@
     private Found worst(int tries, int atATime) throws InterruptedException {
         List<Found> best = new ArrayList<>();
         for (int done = 0; done < tries; done += atATime) {
-            List<Script> next = new ArrayList<>();
+            List<TestScript> next = new ArrayList<>();
             for (int i = 0; i < atATime; i++) {
                 boolean fresh = best.isEmpty() || random.nextInt(3) == 0;
                 next.add(
@@ -101,23 +101,23 @@
         return best.get(0);
     }
 
-    private Script with(List<Script.Trouble> troubles) {
+    private TestScript with(List<TestScript.Trouble> troubles) {
         return base.withTroubles(
                 troubles.stream()
-                        .sorted(Comparator.comparingDouble(Script.Trouble::atMs))
+                        .sorted(Comparator.comparingDouble(TestScript.Trouble::atMs))
                         .toList());
     }
 
-    private List<Script.Trouble> fresh() {
-        List<Script.Trouble> troubles = new ArrayList<>();
+    private List<TestScript.Trouble> fresh() {
+        List<TestScript.Trouble> troubles = new ArrayList<>();
         for (int i = 1 + random.nextInt(MOST_TROUBLES); i > 0; i--) {
             troubles.add(trouble());
         }
         return troubles;
     }
 
-    private List<Script.Trouble> changed(List<Script.Trouble> before) {
-        List<Script.Trouble> troubles = new ArrayList<>(before);
+    private List<TestScript.Trouble> changed(List<TestScript.Trouble> before) {
+        List<TestScript.Trouble> troubles = new ArrayList<>(before);
         if (troubles.size() < MOST_TROUBLES && random.nextBoolean()) {
             troubles.add(trouble());
         } else {
@@ -126,7 +126,7 @@
         return troubles;
     }
 
-    private Script.Trouble trouble() {
+    private TestScript.Trouble trouble() {
         String kind = KINDS.get(random.nextInt(KINDS.size()));
         double at = Math.round(base.durationMs() * (0.1 + 0.6 * random.nextDouble()));
         double length = Math.round(base.durationMs() * (0.03 + 0.3 * random.nextDouble()));
@@ -137,7 +137,7 @@
                     case "burst" -> 1.5 + random.nextInt(4) * 0.5;
                     default -> 0.2 + 0.8 * random.nextDouble();
                 };
-        return new Script.Trouble(
+        return new TestScript.Trouble(
                 at, length, kind, kind.equals("burst") ? List.of() : some(), size);
     }
 
@@ -146,12 +146,12 @@
      * more than half.
      */
     private List<Long> some() {
-        Make one = makes.get(random.nextInt(makes.size()));
+        EngineProfile one = makes.get(random.nextInt(makes.size()));
         int how = random.nextInt(3);
         TreeSet<Long> ids = new TreeSet<>();
         ids.add(one.id());
         int most = Math.max(1, makes.size() / 2);
-        for (Make make : makes) {
+        for (EngineProfile make : makes) {
             boolean with =
                     how == 0
                             ? random.nextInt(6) == 0
@@ -165,9 +165,9 @@
         return List.copyOf(ids);
     }
 
-    private List<Found> all(List<Script> scripts) throws InterruptedException {
+    private List<Found> all(List<TestScript> scripts) throws InterruptedException {
         List<Future<Found>> running = new ArrayList<>();
-        for (Script script : scripts) {
+        for (TestScript script : scripts) {
             running.add(threads.submit((Callable<Found>) () -> judge(script)));
         }
         List<Found> found = new ArrayList<>();
@@ -184,19 +184,21 @@
     /**
      * Plays a script with the module, and where it breaks no rule with plain policies beside it.
      */
-    static Found judge(Script script) {
-        Day.Result ours = Day.play(script);
+    static Found judge(TestScript script) {
+        SimulationRun.Result ours = SimulationRun.play(script);
         double service = ours.all().service();
         if (!ours.breaches().isEmpty()) {
             return new Found(
                     script, BREACH + ours.breaches().size(), service, ours.breaches().size());
         }
         double other = 0;
-        for (Plain.Kind kind : BESIDE) {
+        for (BaselinePolicy.Kind kind : BESIDE) {
             other =
                     Math.max(
                             other,
-                            Day.play(script, (terms, host) -> new Plain(kind, terms, host))
+                            SimulationRun.play(
+                                            script,
+                                            (terms, host) -> new BaselinePolicy(kind, terms, host))
                                     .all()
                                     .service());
         }
@@ -209,10 +211,10 @@
         boolean smaller = true;
         while (smaller) {
             smaller = false;
-            List<Script> tries = new ArrayList<>();
-            List<Script.Trouble> troubles = least.script.troubles();
+            List<TestScript> tries = new ArrayList<>();
+            List<TestScript.Trouble> troubles = least.script.troubles();
             for (int i = 0; i < troubles.size(); i++) {
-                Script.Trouble trouble = troubles.get(i);
+                TestScript.Trouble trouble = troubles.get(i);
                 if (troubles.size() > 1) {
                     tries.add(with(changed(troubles, i, null)));
                 }
@@ -223,7 +225,7 @@
                                     changed(
                                             troubles,
                                             i,
-                                            new Script.Trouble(
+                                            new TestScript.Trouble(
                                                     trouble.atMs(),
                                                     trouble.forMs(),
                                                     trouble.kind(),
@@ -238,7 +240,7 @@
                                     changed(
                                             troubles,
                                             i,
-                                            new Script.Trouble(
+                                            new TestScript.Trouble(
                                                     trouble.atMs(),
                                                     Math.round(trouble.forMs() / 2),
                                                     trouble.kind(),
@@ -257,9 +259,9 @@
         return least;
     }
 
-    private static List<Script.Trouble> changed(
-            List<Script.Trouble> troubles, int at, Script.Trouble other) {
-        List<Script.Trouble> all = new ArrayList<>(troubles);
+    private static List<TestScript.Trouble> changed(
+            List<TestScript.Trouble> troubles, int at, TestScript.Trouble other) {
+        List<TestScript.Trouble> all = new ArrayList<>(troubles);
         if (other == null) {
             all.remove(at);
         } else {
@@ -269,7 +271,7 @@
     }
 
     /** A script as a file that can be played again. */
-    public static String yaml(Script script) throws IOException {
+    public static String yaml(TestScript script) throws IOException {
         return new ObjectMapper(
                         new YAMLFactory().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER))
                 .writeValueAsString(script);
--- a/src/main/java/larchridge/experiment/Page.java
+++ b/src/main/java/larchridge/experiment/ReportPage.java
@@ -19,10 +19,10 @@
  * Results of a plan as one page: charts by rate with intervals, and each policy beside the first,
  * seed by seed.
  */
-public final class Page {
+public final class ReportPage {
     private static final double CONFIDENCE = 0.95;
 
-    private Page() {}
+    private ReportPage() {}
 
     /** A mean with the half of its interval; 0 where there is one value only. */
     public record Mean(double value, double half) {
@@ -53,7 +53,8 @@
     /**
      * Differences of a policy from the first of the plan, seed by seed, where all else is the same.
      */
-    static Mean difference(List<Runs.Row> rows, String first, String policy, double rate) {
+    static Mean difference(
+            List<ExperimentRunner.Row> rows, String first, String policy, double rate) {
         Map<String, Double> base = new TreeMap<>();
         rows.stream()
                 .filter(r -> r.point().policy().equals(first))
@@ -65,13 +66,14 @@
                         .toList());
     }
 
-    private static String rest(Plan.Point point) {
+    private static String rest(ExperimentPlan.Point point) {
         return point.key().substring(point.policy().length());
     }
 
-    public static void write(Plan plan, List<Runs.Row> rows, Path folder) throws IOException {
-        chart(plan, rows, "service", Runs.Row::service, folder.resolve("service"));
-        chart(plan, rows, "first token p99, ms", Runs.Row::p99, folder.resolve("p99"));
+    public static void write(ExperimentPlan plan, List<ExperimentRunner.Row> rows, Path folder)
+            throws IOException {
+        chart(plan, rows, "service", ExperimentRunner.Row::service, folder.resolve("service"));
+        chart(plan, rows, "first token p99, ms", ExperimentRunner.Row::p99, folder.resolve("p99"));
         StringBuilder html =
                 new StringBuilder(
                         "<!doctype html><meta charset=\"utf-8\"><title>Experiment</title>"
@@ -87,11 +89,11 @@
     }
 
     /** The table in words, a policy and rate a line. */
-    public static List<String> lines(Plan plan, List<Runs.Row> rows) {
+    public static List<String> lines(ExperimentPlan plan, List<ExperimentRunner.Row> rows) {
         List<String> lines = new ArrayList<>();
         for (String policy : plan.policies) {
             for (double rate : plan.rates) {
-                List<Runs.Row> some =
+                List<ExperimentRunner.Row> some =
                         rows.stream()
                                 .filter(
                                         r ->
@@ -104,22 +106,26 @@
                                 + " | "
                                 + rate
                                 + " | "
-                                + Mean.of(some.stream().map(Runs.Row::service).toList())
+                                + Mean.of(some.stream().map(ExperimentRunner.Row::service).toList())
                                 + " | "
                                 + beside
                                 + " | "
                                 + (beside.isMoreThanNoise() ? "more than noise" : "")
                                 + " | "
-                                + Mean.of(some.stream().map(Runs.Row::p99).toList())
+                                + Mean.of(some.stream().map(ExperimentRunner.Row::p99).toList())
                                 + " | "
-                                + some.stream().mapToInt(Runs.Row::breaches).sum());
+                                + some.stream().mapToInt(ExperimentRunner.Row::breaches).sum());
             }
         }
         return lines;
     }
 
     private static void chart(
-            Plan plan, List<Runs.Row> rows, String what, ToDoubleFunction<Runs.Row> of, Path file)
+            ExperimentPlan plan,
+            List<ExperimentRunner.Row> rows,
+            String what,
+            ToDoubleFunction<ExperimentRunner.Row> of,
+            Path file)
             throws IOException {
         XYChart chart =
                 new XYChartBuilder()
--- a/src/main/java/larchridge/faults/Trouble.java
+++ b/src/main/java/larchridge/faultinjection/Fault.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.util.List;
 
@@ -11,8 +11,8 @@
  * @param nodes nodes that it meets, by number
  * @param size how strong it is; what that means depends on the kind
  */
-public record Trouble(
-        TroubleKind kind,
+public record Fault(
+        FaultKind kind,
         double atMs,
         double lengthMs,
         List<Integer> engines,
--- a/src/main/java/larchridge/faults/FaultRig.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -18,15 +18,15 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import larchridge.drill.TrafficLog;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.Role;
+import larchridge.systemtest.TrafficLog;
 
 /**
  * Plays one script over real node processes and judges it. Bounded in time, processes and requests;
  * ends by itself.
  */
-public final class FaultRig {
+public final class FaultInjectionRun {
     private static final int RACK_ENGINES = 4;
     private static final double LOOK_MS = 20;
     private static final double START_MS = 30_000;
@@ -37,23 +37,23 @@
     private static final int STEP_PORTS = 100;
 
     final FaultScript script;
-    final Plant plant;
+    final PlantedFault plant;
     final Path folder;
     final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = (EventLoop) group.next();
     final ScheduledExecutorService signals = Executors.newSingleThreadScheduledExecutor();
     final TrafficLog log = new TrafficLog();
-    final RigStates states = new RigStates(log);
-    final List<RigEngine> engines = new ArrayList<>();
-    final List<RigNode> nodes = new ArrayList<>();
+    final TestReservations states = new TestReservations(log);
+    final List<TestEngine> engines = new ArrayList<>();
+    final List<TestNode> nodes = new ArrayList<>();
 
     /** By node, then engine. */
-    final List<List<RigLink>> links = new ArrayList<>();
+    final List<List<FaultProxy>> links = new ArrayList<>();
 
-    final RigLists lists;
+    final TestEndpointLists lists;
     final List<String> faults = new ArrayList<>();
-    RigClients clients;
+    TestClients clients;
     private final Random random;
     private double lookedMs;
     private double lateMs;
@@ -63,21 +63,21 @@
     /**
      * Plant is what goes wrong outside the nodes on purpose, so that the judgement can be judged.
      */
-    public FaultRig(FaultScript script, Plant plant, Path folder) {
+    public FaultInjectionRun(FaultScript script, PlantedFault plant, Path folder) {
         this.script = script;
         this.plant = plant;
         this.folder = folder;
         random = new Random(script.seed() ^ 0x5DEECE66DL);
-        lists = new RigLists(this);
+        lists = new TestEndpointLists(this);
     }
 
     /** Whether the machine has what the script's troubles need; tells what is missing. */
     public static boolean canShim(Path folder) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        return Shim.build(folder) != null;
+        return SystemCallShim.build(folder) != null;
     }
 
-    public Judgement run() throws IOException, InterruptedException, ExecutionException {
+    public FaultTestResult run() throws IOException, InterruptedException, ExecutionException {
         Files.createDirectories(folder);
         script.write(folder.resolve("script.yaml"));
         try {
@@ -90,7 +90,7 @@
             TimeUnit.MILLISECONDS.sleep((long) (script.seconds() * 1000));
             loop.submit(() -> over = true).get();
             // Requests under way get their answers.
-            TimeUnit.MILLISECONDS.sleep(RigSettings.LONGEST_DEADLINE_MS + 1000);
+            TimeUnit.MILLISECONDS.sleep(TestSettings.LONGEST_DEADLINE_MS + 1000);
             endNodes();
             return judge();
         } finally {
@@ -106,46 +106,55 @@
     }
 
     private void build() throws IOException, InterruptedException {
-        Path library = Shim.build(folder);
+        Path library = SystemCallShim.build(folder);
         for (int i = 0; i < script.readers() + script.writers(); i++) {
-            Make make =
-                    Make.of(
+            EngineProfile make =
+                    EngineProfile.of(
                             i,
                             i < script.readers() ? Role.READER : Role.WRITER,
                             i % 2 == 0 ? "a" : "b",
                             i / RACK_ENGINES);
-            RigEngine engine = new RigEngine(make, group, log, states, script.seed() * 1000 + i);
-            engine.ignoresReleases = plant == Plant.RELEASES_IGNORED;
-            engine.runsTwice = plant == Plant.RUNS_TWICE;
+            TestEngine engine = new TestEngine(make, group, log, states, script.seed() * 1000 + i);
+            engine.ignoresReleases = plant == PlantedFault.RELEASES_IGNORED;
+            engine.runsTwice = plant == PlantedFault.RUNS_TWICE;
             engines.add(engine);
         }
-        List<RigAgent> agents = new ArrayList<>();
-        List<Shim> shims = new ArrayList<>();
+        List<TestDiscoveryAgent> agents = new ArrayList<>();
+        List<SystemCallShim> shims = new ArrayList<>();
         for (int i = 0; i < script.nodes(); i++) {
             int number = i;
-            List<RigLink> own = new ArrayList<>();
-            for (RigEngine engine : engines) {
+            List<FaultProxy> own = new ArrayList<>();
+            for (TestEngine engine : engines) {
                 own.add(
-                        new RigLink(
+                        new FaultProxy(
                                 group,
                                 engine.port(),
                                 script.seed() * 7919 + i * 100L + engine.number));
             }
             links.add(own);
-            RigAgent agent = new RigAgent(group, lists::index, () -> lists.text(number));
-            Shim shim = library == null ? null : Shim.forNode(library, folder.resolve("shim" + i));
+            TestDiscoveryAgent agent =
+                    new TestDiscoveryAgent(group, lists::index, () -> lists.text(number));
+            SystemCallShim shim =
+                    library == null
+                            ? null
+                            : SystemCallShim.forNode(library, folder.resolve("shim" + i));
             agents.add(agent);
             shims.add(shim);
         }
         // Only now, so that no listener of the rig is given a node's address.
         for (int i = 0; i < script.nodes(); i++) {
             nodes.add(
-                    new RigNode(
-                            i, nodePort(i), agents.get(i), shims.get(i), folder, RigSettings.JSON));
+                    new TestNode(
+                            i,
+                            nodePort(i),
+                            agents.get(i),
+                            shims.get(i),
+                            folder,
+                            TestSettings.JSON));
         }
-        clients = new RigClients(group, log, nodes, RigSettings.CLASSES, script.seed() + 17);
-        clients.dropsAnswers(plant == Plant.ANSWERS_DROPPED);
-        for (RigNode node : nodes) {
+        clients = new TestClients(group, log, nodes, TestSettings.CLASSES, script.seed() + 17);
+        clients.dropsAnswers(plant == PlantedFault.ANSWERS_DROPPED);
+        for (TestNode node : nodes) {
             node.configure(lists.text(node.number));
             node.start();
             lists.started(node);
@@ -176,19 +185,19 @@
     }
 
     /** Asks a node until it can serve, or its time is up. */
-    private void awaitUp(RigNode node, double untilMs, Runnable then) {
-        new RigProbe(group)
+    private void awaitUp(TestNode node, double untilMs, Runnable then) {
+        new TestHealthCheck(group)
                 .isUp(
                         node.port,
                         up -> {
                             if (up) {
-                                node.state = RigNode.State.UP;
+                                node.state = TestNode.State.UP;
                                 then.run();
                             } else if (log.now() < untilMs
-                                    && node.state == RigNode.State.STARTING
+                                    && node.state == TestNode.State.STARTING
                                     && !over) {
                                 in(100, () -> awaitUp(node, untilMs, then));
-                            } else if (!over && node.state == RigNode.State.STARTING) {
+                            } else if (!over && node.state == TestNode.State.STARTING) {
                                 faults.add(
                                         "node "
                                                 + node.number
@@ -217,8 +226,8 @@
         lookedMs = startMs;
         look();
         request();
-        TroublePlayer player = new TroublePlayer(this);
-        for (Trouble trouble : script.troubles()) {
+        FaultInjector player = new FaultInjector(this);
+        for (Fault trouble : script.troubles()) {
             in(trouble.atMs(), () -> player.begin(trouble));
             in(trouble.endMs(), () -> player.end(trouble));
         }
@@ -230,11 +239,11 @@
         double now = log.now();
         lateMs = Math.max(lateMs, now - lookedMs - LOOK_MS);
         lookedMs = now;
-        for (RigNode node : nodes) {
+        for (TestNode node : nodes) {
             if (node.isAlive()) {
                 continue;
             }
-            if (node.state == RigNode.State.UP || node.state == RigNode.State.STARTING) {
+            if (node.state == TestNode.State.UP || node.state == TestNode.State.STARTING) {
                 faults.add(
                         "node "
                                 + node.number
@@ -242,8 +251,8 @@
                                 + Math.round(now - startMs)
                                 + " ms");
             }
-            if (node.state != RigNode.State.DOWN) {
-                node.state = RigNode.State.DOWN;
+            if (node.state != TestNode.State.DOWN) {
+                node.state = TestNode.State.DOWN;
             }
             if (!over && !node.restarting) {
                 node.restarting = true;
@@ -255,7 +264,7 @@
         }
     }
 
-    private void restart(RigNode node) {
+    private void restart(TestNode node) {
         node.restarting = false;
         if (over) {
             return;
@@ -285,10 +294,10 @@
         loop.submit(
                         () ->
                                 nodes.stream()
-                                        .filter(RigNode::isAlive)
+                                        .filter(TestNode::isAlive)
                                         .forEach(node -> node.terminate(log.now())))
                 .get();
-        for (RigNode node : nodes) {
+        for (TestNode node : nodes) {
             if (!node.awaitEnd((long) END_MS)) {
                 faults.add(
                         "node "
@@ -300,29 +309,29 @@
         }
     }
 
-    private Judgement judge() throws IOException, InterruptedException, ExecutionException {
+    private FaultTestResult judge() throws IOException, InterruptedException, ExecutionException {
         loop.submit(() -> {}).get();
-        Map<Long, Make> makes = new HashMap<>();
+        Map<Long, EngineProfile> makes = new HashMap<>();
         engines.forEach(engine -> makes.put(engine.number, engine.judgedMake(plant)));
         TrafficLog.write(log.all(), folder.resolve("traffic.jsonl"));
         faults.addAll(clients == null ? List.of() : clients.stoppedTooLong());
         faults.addAll(
-                RigJudge.judge(
+                TrafficJudge.judge(
                         log.all(),
                         lists.told(),
                         script.nodes(),
-                        RigJudge.figures(
-                                RigSettings.DRAIN_GRACE_MS,
-                                RigSettings.RELEASE_MS,
-                                RigSettings.products(),
+                        TrafficJudge.figures(
+                                TestSettings.DRAIN_GRACE_MS,
+                                TestSettings.RELEASE_MS,
+                                TestSettings.products(),
                                 makes),
                         lateMs));
-        for (RigNode node : nodes) {
+        for (TestNode node : nodes) {
             faults.addAll(node.faults());
         }
         Files.write(folder.resolve("faults.txt"), faults);
         List<String> kept = List.copyOf(faults.subList(0, Math.min(KEPT_LINES, faults.size())));
-        return new Judgement(
+        return new FaultTestResult(
                 kept,
                 clients == null ? 0 : clients.requests(),
                 clients == null ? 0 : clients.answeredWhole,
--- a/src/main/java/larchridge/faults/TroublePlayer.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -1,12 +1,12 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import larchridge.drill.Seen;
+import larchridge.systemtest.TrafficEvent;
 
 /** Begins and ends the troubles of a script. On the rig's loop. */
-final class TroublePlayer {
+final class FaultInjector {
     private static final double MOST_DELAY_MS = 80;
     private static final double MOST_RESET_BYTES = 1500;
     private static final double MOST_PAUSE_MS = 150;
@@ -19,7 +19,7 @@
     private static final double HOUR_MS = 3_600_000;
 
     /** After the longest deadline and 0.7 s the platform kills a node that was told to end. */
-    private static final double KILLED_MS = RigSettings.LONGEST_DEADLINE_MS + 700 + 100;
+    private static final double KILLED_MS = TestSettings.LONGEST_DEADLINE_MS + 700 + 100;
 
     private static final int CALLS_MOST = 700;
     private static final int SHORT_MOST = 500;
@@ -30,69 +30,70 @@
      */
     private static final double LAST_REQUESTS_MS = 2000;
 
-    private final FaultRig rig;
+    private final FaultInjectionRun rig;
 
-    TroublePlayer(FaultRig rig) {
+    FaultInjector(FaultInjectionRun rig) {
         this.rig = rig;
     }
 
-    private void links(Trouble trouble, RigLink.Fault fault, double size) {
+    private void links(Fault trouble, FaultProxy.Fault fault, double size) {
         for (int engine : trouble.engines()) {
             rig.links.forEach(own -> own.get(engine).set(fault, size));
         }
     }
 
-    private void engines(Trouble trouble, Consumer<RigEngine> step) {
+    private void engines(Fault trouble, Consumer<TestEngine> step) {
         trouble.engines().forEach(engine -> step.accept(rig.engines.get(engine)));
     }
 
-    private void nodes(Trouble trouble, Consumer<RigNode> step) {
+    private void nodes(Fault trouble, Consumer<TestNode> step) {
         trouble.nodes().forEach(node -> step.accept(rig.nodes.get(node)));
     }
 
-    void begin(Trouble trouble) {
+    void begin(Fault trouble) {
         double now = rig.log.now();
-        rig.log.add(Seen.Kind.TROUBLE, -1, null, null, trouble.lengthMs(), trouble.toString());
+        rig.log.add(
+                TrafficEvent.Kind.TROUBLE, -1, null, null, trouble.lengthMs(), trouble.toString());
         switch (trouble.kind()) {
-            case LINK_SILENT -> links(trouble, RigLink.Fault.SILENT, 0);
-            case LINK_CUT -> links(trouble, RigLink.Fault.CUT, 0);
-            case LINK_DRIBBLE -> links(trouble, RigLink.Fault.DRIBBLE, 0);
+            case LINK_SILENT -> links(trouble, FaultProxy.Fault.SILENT, 0);
+            case LINK_CUT -> links(trouble, FaultProxy.Fault.CUT, 0);
+            case LINK_DRIBBLE -> links(trouble, FaultProxy.Fault.DRIBBLE, 0);
             case LINK_DELAY ->
-                    links(trouble, RigLink.Fault.DELAY, 1 + trouble.size() * MOST_DELAY_MS);
+                    links(trouble, FaultProxy.Fault.DELAY, 1 + trouble.size() * MOST_DELAY_MS);
             case LINK_RESET ->
-                    links(trouble, RigLink.Fault.RESET, trouble.size() * MOST_RESET_BYTES);
+                    links(trouble, FaultProxy.Fault.RESET, trouble.size() * MOST_RESET_BYTES);
             case LINK_CLOSE_CROSSING ->
-                    links(trouble, RigLink.Fault.CLOSE_CROSSING, 0.2 + 0.8 * trouble.size());
+                    links(trouble, FaultProxy.Fault.CLOSE_CROSSING, 0.2 + 0.8 * trouble.size());
             case ENGINE_RESTART -> engines(trouble, this::restart);
             case ENGINE_DRAIN -> engines(trouble, engine -> status(engine, "DRAINING", "draining"));
-            case ENGINE_HANG -> engines(trouble, engine -> engine.mood = RigEngine.Mood.HANGS);
+            case ENGINE_HANG -> engines(trouble, engine -> engine.mood = TestEngine.Mood.HANGS);
             case ENGINE_ERRORS ->
                     engines(
                             trouble,
                             engine ->
                                     engine.mood =
                                             trouble.size() < 0.5
-                                                    ? RigEngine.Mood.ERRS
-                                                    : RigEngine.Mood.DECLINES);
+                                                    ? TestEngine.Mood.ERRS
+                                                    : TestEngine.Mood.DECLINES);
             case AGENT_SILENT ->
                     nodes(
                             trouble,
                             node -> {
-                                node.agent.mood(RigAgent.Mood.SILENT);
+                                node.agent.mood(TestDiscoveryAgent.Mood.SILENT);
                                 rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
                             });
             case AGENT_RESET ->
                     nodes(
                             trouble,
                             node -> {
-                                node.agent.mood(RigAgent.Mood.RESETS);
+                                node.agent.mood(TestDiscoveryAgent.Mood.RESETS);
                                 rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
                             });
             case AGENT_PIECES ->
                     nodes(
                             trouble,
                             node -> {
-                                node.agent.mood(RigAgent.Mood.PIECES);
+                                node.agent.mood(TestDiscoveryAgent.Mood.PIECES);
                                 rig.lists.watchesBroken(node.number, now, now + trouble.lengthMs());
                             });
             case NODE_TERM -> nodes(trouble, this::terminate);
@@ -110,7 +111,7 @@
                             trouble,
                             shim ->
                                     shim.failCalls(
-                                            rig.plant == Plant.CALLS_STAY_BROKEN
+                                            rig.plant == PlantedFault.CALLS_STAY_BROKEN
                                                     ? 1000
                                                     : 50
                                                             + (int)
@@ -129,23 +130,23 @@
         }
     }
 
-    void end(Trouble trouble) {
+    void end(Fault trouble) {
         switch (trouble.kind()) {
             case LINK_SILENT, LINK_CUT, LINK_DRIBBLE, LINK_DELAY, LINK_RESET, LINK_CLOSE_CROSSING ->
-                    links(trouble, RigLink.Fault.NONE, 0);
+                    links(trouble, FaultProxy.Fault.NONE, 0);
             case ENGINE_DRAIN -> engines(trouble, engine -> status(engine, "SERVING", "ready"));
             case ENGINE_HANG, ENGINE_ERRORS ->
-                    engines(trouble, engine -> engine.mood = RigEngine.Mood.GOOD);
+                    engines(trouble, engine -> engine.mood = TestEngine.Mood.GOOD);
             case AGENT_SILENT, AGENT_RESET, AGENT_PIECES ->
                     nodes(
                             trouble,
                             node -> {
-                                node.agent.mood(RigAgent.Mood.GOOD);
+                                node.agent.mood(TestDiscoveryAgent.Mood.GOOD);
                                 node.agent.changed();
                             });
             case CLIENT_LEAVES -> rig.clients.leaving(false);
             case CALLS_FAIL -> {
-                if (rig.plant != Plant.CALLS_STAY_BROKEN) {
+                if (rig.plant != PlantedFault.CALLS_STAY_BROKEN) {
                     shims(trouble, shim -> shim.failCalls(0, 0));
                 }
             }
@@ -155,7 +156,7 @@
         }
     }
 
-    private void shims(Trouble trouble, Consumer<Shim> step) {
+    private void shims(Fault trouble, Consumer<SystemCallShim> step) {
         nodes(
                 trouble,
                 node -> {
@@ -165,26 +166,27 @@
                 });
     }
 
-    private void status(RigEngine engine, String status, String word) {
+    private void status(TestEngine engine, String status, String word) {
         engine.status = status;
         rig.lists.changed(engine, word);
     }
 
-    private void restart(RigEngine engine) {
+    private void restart(TestEngine engine) {
         engine.restart();
         rig.in(
                 START_TOLD_MS,
                 () -> {
-                    engine.toldSinceMs = rig.plant == Plant.COLD_STARTS_HIDDEN ? 0 : engine.sinceMs;
+                    engine.toldSinceMs =
+                            rig.plant == PlantedFault.COLD_STARTS_HIDDEN ? 0 : engine.sinceMs;
                     rig.lists.changed(engine, "started");
                 });
     }
 
-    private void terminate(RigNode node) {
-        if (node.state != RigNode.State.UP) {
+    private void terminate(TestNode node) {
+        if (node.state != TestNode.State.UP) {
             return;
         }
-        if (rig.plant == Plant.KILLED_FOR_TERM) {
+        if (rig.plant == PlantedFault.KILLED_FOR_TERM) {
             node.terminatedMs = rig.log.now();
             node.kill();
             return;
@@ -200,12 +202,12 @@
                 });
     }
 
-    private void kill(RigNode node) {
-        if (node.state != RigNode.State.UP && node.state != RigNode.State.TERMINATING) {
+    private void kill(TestNode node) {
+        if (node.state != TestNode.State.UP && node.state != TestNode.State.TERMINATING) {
             return;
         }
-        if (rig.plant != Plant.CRASHES) {
-            rig.log.add(Seen.Kind.FRONT_KILLED, node.number, null, null, 0, null);
+        if (rig.plant != PlantedFault.CRASHES) {
+            rig.log.add(TrafficEvent.Kind.FRONT_KILLED, node.number, null, null, 0, null);
             node.kill();
         } else {
             node.signal("KILL");
@@ -216,8 +218,11 @@
      * Stops the process for a moment, again and again. Signals are sent off the loop, one after the
      * other.
      */
-    private void pause(RigNode node, Trouble trouble, double untilMs) {
-        double ms = rig.plant == Plant.LONG_PAUSES ? LONG_PAUSE_MS : trouble.size() * MOST_PAUSE_MS;
+    private void pause(TestNode node, Fault trouble, double untilMs) {
+        double ms =
+                rig.plant == PlantedFault.LONG_PAUSES
+                        ? LONG_PAUSE_MS
+                        : trouble.size() * MOST_PAUSE_MS;
         rig.signals.execute(() -> node.signal("STOP"));
         rig.signals.schedule(() -> node.signal("CONT"), (long) (ms * 1000), TimeUnit.MICROSECONDS);
         rig.in(
@@ -229,13 +234,13 @@
                 });
     }
 
-    private void move(RigNode node, boolean broken) {
+    private void move(TestNode node, boolean broken) {
         rig.lists.moved(node.number, rig.log.now());
         node.agent.move(
                 () -> {
                     try {
                         node.configure(rig.lists.text(node.number));
-                        if (rig.plant == Plant.NO_SIGNAL) {
+                        if (rig.plant == PlantedFault.NO_SIGNAL) {
                             return;
                         }
                         if (broken) {
@@ -250,7 +255,7 @@
                 });
     }
 
-    private void repair(RigNode node) {
+    private void repair(TestNode node) {
         try {
             node.configure(rig.lists.text(node.number));
         } catch (IOException e) {
@@ -265,15 +270,15 @@
      * each node gets requests of its own, which it has to serve.
      */
     void lastLook() {
-        for (RigEngine engine : rig.engines) {
-            engine.mood = RigEngine.Mood.GOOD;
+        for (TestEngine engine : rig.engines) {
+            engine.mood = TestEngine.Mood.GOOD;
         }
         status(rig.engines.get(0), "DRAINING", "draining");
         rig.in(
                 LAST_REQUESTS_MS,
                 () -> {
-                    for (RigNode node : rig.nodes) {
-                        if (node.state == RigNode.State.UP) {
+                    for (TestNode node : rig.nodes) {
+                        if (node.state == TestNode.State.UP) {
                             rig.clients.lastLook(
                                     node,
                                     served -> {
--- a/src/main/java/larchridge/faults/TroubleKind.java
+++ b/src/main/java/larchridge/faultinjection/FaultKind.java
@@ -1,7 +1,7 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 /** The kinds of troubles that the rig plays. */
-public enum TroubleKind {
+public enum FaultKind {
     /** Links to some engines fall silent with their connections open; they are reset at the end. */
     LINK_SILENT,
     /** Links to some engines are reset, and new connections too. */
--- a/src/main/java/larchridge/faults/RigLink.java
+++ b/src/main/java/larchridge/faultinjection/FaultProxy.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -24,7 +24,7 @@
  * A TCP proxy between one node and one engine, with faults that can be set. All methods run on the
  * rig's loop.
  */
-final class RigLink {
+final class FaultProxy {
     /** What the link does with what it carries. */
     enum Fault {
         NONE,
@@ -49,7 +49,7 @@
     /** Milliseconds of a delay, or bytes after which connections are reset. */
     private double size;
 
-    RigLink(EventLoopGroup loop, int targetPort, long seed) throws InterruptedException {
+    FaultProxy(EventLoopGroup loop, int targetPort, long seed) throws InterruptedException {
         this.loop = loop;
         this.targetPort = targetPort;
         random = new Random(seed);
@@ -215,9 +215,9 @@
             sides.remove(this);
             waiting.forEach(ReferenceCountUtil::release);
             waiting.clear();
-            RigChannels.reset(own);
+            TestChannels.reset(own);
             if (other != null && other.own != null && other.own.isOpen()) {
-                RigChannels.reset(other.own);
+                TestChannels.reset(other.own);
             }
         }
     }
--- a/src/main/java/larchridge/faults/FaultScript.java
+++ b/src/main/java/larchridge/faultinjection/FaultScript.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.io.IOException;
 import java.io.Reader;
@@ -29,7 +29,7 @@
         int writers,
         double seconds,
         double perSecond,
-        List<Trouble> troubles) {
+        List<Fault> troubles) {
     /** Nothing begins before, and everything is over for so long at the end. */
     static final double CALM_S = 10;
 
@@ -49,18 +49,18 @@
             int writers,
             double seconds,
             double perSecond,
-            List<TroubleKind> kinds) {
+            List<FaultKind> kinds) {
         Random random = new Random(seed);
         double spanMs = Math.max(0, (seconds - CALM_S) * 1000 - FIRST_MS);
-        List<Trouble> troubles = new ArrayList<>();
+        List<Fault> troubles = new ArrayList<>();
         double mean = (SHORTEST_MS + LONGEST_MS) / 2;
         int count = (int) Math.round(AT_ONCE * spanMs / mean);
         for (int i = 0; i < count; i++) {
-            TroubleKind kind = kinds.get(random.nextInt(kinds.size()));
+            FaultKind kind = kinds.get(random.nextInt(kinds.size()));
             double length = SHORTEST_MS + random.nextDouble() * (LONGEST_MS - SHORTEST_MS);
             double at = FIRST_MS + random.nextDouble() * Math.max(0, spanMs - length);
             troubles.add(
-                    new Trouble(
+                    new Fault(
                             kind,
                             Math.round(at),
                             Math.round(Math.min(length, spanMs)),
@@ -71,7 +71,7 @@
                             some(random, nodes, 1 + random.nextInt(Math.max(1, nodes / 3))),
                             Math.round(random.nextDouble() * 1000) / 1000.0));
         }
-        troubles.sort(Comparator.comparingDouble(Trouble::atMs));
+        troubles.sort(Comparator.comparingDouble(Fault::atMs));
         return new FaultScript(
                 seed, nodes, readers, writers, seconds, perSecond, List.copyOf(troubles));
     }
@@ -87,7 +87,7 @@
 
     void write(Path file) throws IOException {
         List<Map<String, Object>> list = new ArrayList<>();
-        for (Trouble trouble : troubles) {
+        for (Fault trouble : troubles) {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("kind", trouble.kind().name());
             one.put("at_ms", trouble.atMs());
@@ -117,7 +117,7 @@
             if (!(root instanceof Map<?, ?> map)) {
                 throw new IOException(file + ": expected a map");
             }
-            List<Trouble> troubles = new ArrayList<>();
+            List<Fault> troubles = new ArrayList<>();
             if (!(map.get("troubles") instanceof List<?> list)) {
                 throw new IOException(file + ": troubles is missing; expected a list");
             }
@@ -135,24 +135,24 @@
         }
     }
 
-    private static Trouble trouble(Path file, int index, Object one) throws IOException {
+    private static Fault trouble(Path file, int index, Object one) throws IOException {
         String where = file + ": troubles[" + index + "]";
         if (!(one instanceof Map<?, ?> map)) {
             throw new IOException(where + ": expected a map");
         }
-        TroubleKind kind;
+        FaultKind kind;
         try {
-            kind = TroubleKind.valueOf(String.valueOf(map.get("kind")));
+            kind = FaultKind.valueOf(String.valueOf(map.get("kind")));
         } catch (IllegalArgumentException e) {
             throw new IOException(
                     where
                             + ".kind is '"
                             + map.get("kind")
                             + "'; expected one of "
-                            + List.of(TroubleKind.values()),
+                            + List.of(FaultKind.values()),
                     e);
         }
-        return new Trouble(
+        return new Fault(
                 kind,
                 number(file, map, "at_ms"),
                 number(file, map, "length_ms"),
--- a/src/main/java/larchridge/faults/FaultScripts.java
+++ b/src/main/java/larchridge/faultinjection/FaultScripts.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.util.Arrays;
 import java.util.List;
@@ -11,8 +11,8 @@
      * The kinds asked for, all where none is, without those that need a C compiler where there is
      * none; says what is left out.
      */
-    public static List<TroubleKind> playable(List<TroubleKind> asked, boolean shim) {
-        List<TroubleKind> kinds = asked.isEmpty() ? Arrays.asList(TroubleKind.values()) : asked;
+    public static List<FaultKind> playable(List<FaultKind> asked, boolean shim) {
+        List<FaultKind> kinds = asked.isEmpty() ? Arrays.asList(FaultKind.values()) : asked;
         if (!shim) {
             System.out.println(
                     "no C compiler: system calls don't fail and clocks don't step in this run");
--- a/src/main/java/larchridge/faults/Judgement.java
+++ b/src/main/java/larchridge/faultinjection/FaultTestResult.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.util.List;
 
@@ -11,7 +11,7 @@
  * @param lateMs how late the rig itself was at most; where that is much, the figures of time are
  *     not to be trusted
  */
-public record Judgement(List<String> faults, long requests, int whole, double lateMs) {
+public record FaultTestResult(List<String> faults, long requests, int whole, double lateMs) {
     public boolean passed() {
         return faults.isEmpty();
     }
--- a/src/main/java/larchridge/faults/Plant.java
+++ b/src/main/java/larchridge/faultinjection/PlantedFault.java
@@ -1,10 +1,10 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 /**
  * Faults that the rig plants outside the nodes, to show that its judgement sees what each trouble
  * could bring about.
  */
-public enum Plant {
+public enum PlantedFault {
     NONE,
     /** Engines answer releases and release nothing: seen as rule 5. */
     RELEASES_IGNORED,
--- a/src/main/java/larchridge/faults/Shim.java
+++ b/src/main/java/larchridge/faultinjection/SystemCallShim.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -14,7 +14,7 @@
  * The preloaded library that makes a node's system calls fail and its wall clock step, and its
  * control file.
  */
-final class Shim {
+final class SystemCallShim {
     /** Errors of accept, socket and connect that are this machine's and pass. */
     private static final int[] ACCEPT_ERRORS = {103, 23, 24, 105};
 
@@ -28,7 +28,7 @@
     private final Path file;
     private final MappedByteBuffer control;
 
-    private Shim(Path library, Path file, MappedByteBuffer control) {
+    private SystemCallShim(Path library, Path file, MappedByteBuffer control) {
         this.library = library;
         this.file = file;
         this.control = control;
@@ -37,7 +37,7 @@
     /** Builds the library with the machine's C compiler; null where there is none. */
     static Path build(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("shim.c");
-        try (InputStream in = Shim.class.getResourceAsStream("/faults/shim.c")) {
+        try (InputStream in = SystemCallShim.class.getResourceAsStream("/faults/shim.c")) {
             Files.write(source, in.readAllBytes());
         }
         Path library = folder.resolve("shim.so");
@@ -63,13 +63,13 @@
     }
 
     /** A control file for one node. */
-    static Shim forNode(Path library, Path file) throws IOException {
+    static SystemCallShim forNode(Path library, Path file) throws IOException {
         Files.write(file, new byte[BYTES]);
         try (FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             MappedByteBuffer control = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
             control.order(ByteOrder.nativeOrder());
-            return new Shim(library, file, control);
+            return new SystemCallShim(library, file, control);
         }
     }
 
--- a/src/main/java/larchridge/faults/RigChannels.java
+++ b/src/main/java/larchridge/faultinjection/TestChannels.java
@@ -1,12 +1,12 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelOption;
 
 /** What the rig's listeners and proxies do to connections. */
-final class RigChannels {
-    private RigChannels() {}
+final class TestChannels {
+    private TestChannels() {}
 
     /** Ends a connection with a reset. */
     static void reset(Channel channel) {
--- a/src/main/java/larchridge/faults/RigClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -23,15 +23,15 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import larchridge.drill.Seen;
-import larchridge.drill.TrafficLog;
+import larchridge.systemtest.TrafficEvent;
+import larchridge.systemtest.TrafficLog;
 
 /**
  * Clients of the nodes: an open loop of requests over kept connections, clients that leave, stop in
  * the middle or only connect. What they see goes into the traffic log. All methods run on the rig's
  * loop.
  */
-final class RigClients {
+final class TestClients {
     /**
      * New connections go to a node for so long after it was told to end; kept ones are used as long
      * as they stay.
@@ -54,7 +54,7 @@
 
     private final EventLoopGroup loop;
     private final TrafficLog log;
-    private final List<RigNode> nodes;
+    private final List<TestNode> nodes;
     private final List<RequestClass> classes;
     private final Random random;
     private final List<Deque<Connection>> idle = new ArrayList<>();
@@ -64,10 +64,10 @@
     private long requests;
     int answeredWhole;
 
-    RigClients(
+    TestClients(
             EventLoopGroup loop,
             TrafficLog log,
-            List<RigNode> nodes,
+            List<TestNode> nodes,
             List<RequestClass> classes,
             long seed) {
         this.loop = loop;
@@ -89,7 +89,7 @@
     }
 
     /** Asks one node a few times; tells whether one of these was served whole. */
-    void lastLook(RigNode node, java.util.function.Consumer<Boolean> told) {
+    void lastLook(TestNode node, java.util.function.Consumer<Boolean> told) {
         int[] left = {LAST_REQUESTS};
         boolean[] served = new boolean[1];
         for (int i = 0; i < LAST_REQUESTS; i++) {
@@ -123,15 +123,15 @@
     /** Sends one request to some node that takes them. */
     void send() {
         double now = log.now();
-        Predicate<RigNode> takes =
+        Predicate<TestNode> takes =
                 node ->
-                        node.state == RigNode.State.UP
-                                || node.state == RigNode.State.TERMINATING
+                        node.state == TestNode.State.UP
+                                || node.state == TestNode.State.TERMINATING
                                         && (now < node.terminatedMs + COMING_MS
                                                 || !idle.get(node.number).isEmpty());
-        List<RigNode> up = nodes.stream().filter(takes).toList();
+        List<TestNode> up = nodes.stream().filter(takes).toList();
         if (!up.isEmpty()) {
-            RigNode node = up.get(random.nextInt(up.size()));
+            TestNode node = up.get(random.nextInt(up.size()));
             double draw = random.nextDouble();
             RequestClass kind = classes.get(classes.size() - 1);
             for (RequestClass one : classes) {
@@ -150,7 +150,7 @@
     private final class Exchange {
         private final String id;
         private final RequestClass kind;
-        private final RigNode node;
+        private final TestNode node;
         private final boolean leaves = leaving && random.nextInt(3) == 0;
         private boolean asked;
         private boolean begun;
@@ -158,7 +158,7 @@
         private boolean second;
         private java.util.function.Consumer<Boolean> ended = whole -> {};
 
-        Exchange(String id, RequestClass kind, RigNode node) {
+        Exchange(String id, RequestClass kind, TestNode node) {
             this.id = id;
             this.kind = kind;
             this.node = node;
@@ -179,20 +179,20 @@
                                 } else if (asked) {
                                     // It was sent before on a kept connection that closed; nobody
                                     // takes it now.
-                                    saw(Seen.Kind.LEFT, null);
+                                    saw(TrafficEvent.Kind.LEFT, null);
                                     over = true;
                                 }
                             });
         }
 
-        void saw(Seen.Kind seen, String word) {
-            log.add(seen, node.number, null, RigEngine.tag(id), kind.deadlineMs, word);
+        void saw(TrafficEvent.Kind seen, String word) {
+            log.add(seen, node.number, null, TestEngine.tag(id), kind.deadlineMs, word);
         }
 
         void sent(Connection connection) {
             if (!asked) {
                 asked = true;
-                saw(Seen.Kind.ASKED, kind.name);
+                saw(TrafficEvent.Kind.ASKED, kind.name);
             }
             if (leaves) {
                 loop.next()
@@ -200,7 +200,7 @@
                                 () -> {
                                     if (!over) {
                                         over = true;
-                                        saw(Seen.Kind.LEFT, null);
+                                        saw(TrafficEvent.Kind.LEFT, null);
                                         connection.close();
                                     }
                                 },
@@ -211,13 +211,13 @@
 
         void finish(String word) {
             if (over) {
-                saw(Seen.Kind.AFTER_FINAL, word);
+                saw(TrafficEvent.Kind.AFTER_FINAL, word);
                 return;
             }
             over = true;
             ended.accept(word.equals("streamed"));
             answeredWhole += word.equals("streamed") ? 1 : 0;
-            saw(Seen.Kind.FINAL, word);
+            saw(TrafficEvent.Kind.FINAL, word);
         }
 
         /** The connection ended before the answer's end. */
@@ -234,7 +234,9 @@
                 over = true;
                 // A node that ends may close a second, new connection unread.
                 saw(
-                        second && node.state != RigNode.State.UP ? Seen.Kind.LEFT : Seen.Kind.LOST,
+                        second && node.state != TestNode.State.UP
+                                ? TrafficEvent.Kind.LEFT
+                                : TrafficEvent.Kind.LOST,
                         null);
             }
         }
@@ -242,7 +244,7 @@
 
     /** One connection to a node. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
-        private final RigNode node;
+        private final TestNode node;
         private Channel channel;
         private Exchange exchange;
         private int served;
@@ -250,7 +252,7 @@
         private boolean closes;
         private final StringBuilder tail = new StringBuilder();
 
-        Connection(RigNode node) {
+        Connection(TestNode node) {
             this.node = node;
         }
 
@@ -313,7 +315,7 @@
                 return;
             }
             if (part.decoderResult().isFailure()) {
-                exchange.saw(Seen.Kind.MALFORMED, "answer");
+                exchange.saw(TrafficEvent.Kind.MALFORMED, "answer");
                 close();
                 return;
             }
@@ -330,7 +332,7 @@
             if (status == 200 && content.content().isReadable()) {
                 if (!exchange.begun && !exchange.over) {
                     exchange.begun = true;
-                    exchange.saw(Seen.Kind.BEGUN, null);
+                    exchange.saw(TrafficEvent.Kind.BEGUN, null);
                 }
                 tail.append(content.content().toString(StandardCharsets.ISO_8859_1));
                 if (tail.length() > 64) {
@@ -345,7 +347,8 @@
                         ended.finish("streamed");
                     } else {
                         ended.saw(
-                                Seen.Kind.MALFORMED, "a stream that is not whole was ended as one");
+                                TrafficEvent.Kind.MALFORMED,
+                                "a stream that is not whole was ended as one");
                         ended.finish("terminated");
                     }
                 } else {
@@ -377,8 +380,8 @@
     // ------------------------------------------------------------------ clients that misbehave
 
     /** Clients that send a part of a request and stay. */
-    void stopInTheMiddle(RigNode node) {
-        if (node.state != RigNode.State.UP) {
+    void stopInTheMiddle(TestNode node) {
+        if (node.state != TestNode.State.UP) {
             return;
         }
         for (int i = 0; i < STOPPED; i++) {
@@ -413,7 +416,7 @@
                     .schedule(
                             () -> {
                                 if (!ended[0]
-                                        && node.state == RigNode.State.UP
+                                        && node.state == TestNode.State.UP
                                         && node.starts == life) {
                                     stoppedTooLong.add(
                                             "node "
@@ -430,7 +433,7 @@
     }
 
     /** Clients that connect at once and say nothing. */
-    void crowd(RigNode node, double lengthMs) {
+    void crowd(TestNode node, double lengthMs) {
         for (int i = 0; i < CROWD; i++) {
             Bystander bystander = new Bystander(() -> {});
             bystander.connect(node.port, channel -> {});
--- a/src/main/java/larchridge/faults/RigAgent.java
+++ b/src/main/java/larchridge/faultinjection/TestDiscoveryAgent.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -23,7 +23,7 @@
 import java.util.function.Supplier;
 
 /** One node's discovery agent: whole lists and watches. All methods run on the rig's loop. */
-final class RigAgent {
+final class TestDiscoveryAgent {
     /** How the agent answers. */
     enum Mood {
         GOOD,
@@ -47,7 +47,7 @@
 
     private record Watch(Channel channel, int after) {}
 
-    RigAgent(EventLoopGroup loop, IntSupplier index, Supplier<String> list)
+    TestDiscoveryAgent(EventLoopGroup loop, IntSupplier index, Supplier<String> list)
             throws InterruptedException {
         this.loop = loop;
         this.index = index;
@@ -91,7 +91,7 @@
             watches.clear();
         }
         if (next == Mood.RESETS) {
-            Set.copyOf(connections).forEach(RigChannels::reset);
+            Set.copyOf(connections).forEach(TestChannels::reset);
         }
     }
 
@@ -139,7 +139,7 @@
                 return;
             }
             if (mood == Mood.RESETS) {
-                RigChannels.reset(context.channel());
+                TestChannels.reset(context.channel());
                 return;
             }
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
--- a/src/main/java/larchridge/faults/RigLists.java
+++ b/src/main/java/larchridge/faultinjection/TestEndpointLists.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
  * The engine lists as discovery has them, and when each node counts as told of a change. On the
  * rig's loop.
  */
-final class RigLists {
+final class TestEndpointLists {
     /**
      * A new configuration counts so much later, and a watch that fell silent so much after that.
      */
@@ -17,7 +17,7 @@
 
     private static final double SILENT_WATCH_MS = 6000;
 
-    private final FaultRig rig;
+    private final FaultInjectionRun rig;
     private int index = 1;
     private final List<Change> changes = new ArrayList<>();
 
@@ -31,7 +31,7 @@
     /** What changes in the span counts as told at its end. */
     private record Quiet(int node, double fromMs, double toMs) {}
 
-    RigLists(FaultRig rig) {
+    TestEndpointLists(FaultInjectionRun rig) {
         this.rig = rig;
     }
 
@@ -42,7 +42,7 @@
     /** The whole list with the addresses that are set aside for one node. */
     String text(int node) {
         StringBuilder rows = new StringBuilder();
-        for (RigEngine engine : rig.engines) {
+        for (TestEngine engine : rig.engines) {
             rows.append(rows.length() == 0 ? "" : ",")
                     .append("{\"name\":\"e")
                     .append(engine.number)
@@ -72,15 +72,15 @@
     }
 
     /** Something about an engine has changed, and discovery has it. */
-    void changed(RigEngine engine, String word) {
+    void changed(TestEngine engine, String word) {
         index++;
         changes.add(new Change(rig.log.now(), engine.number, word));
-        boolean late = rig.plant == Plant.DRAINS_TOLD_LATE && word.equals("draining");
+        boolean late = rig.plant == PlantedFault.DRAINS_TOLD_LATE && word.equals("draining");
         rig.in(late ? 1000 : 0, () -> rig.nodes.forEach(node -> node.agent.changed()));
     }
 
     /** A process of a node has started; its next start may be given the list of this one. */
-    void started(RigNode node) {
+    void started(TestNode node) {
         older.put(node.number, text(node.number));
     }
 
@@ -108,9 +108,9 @@
     }
 
     /** When each node counts as told of each change. */
-    List<RigJudge.Told> told() {
-        List<RigJudge.Told> all = new ArrayList<>();
-        for (RigNode node : rig.nodes) {
+    List<TrafficJudge.Told> told() {
+        List<TrafficJudge.Told> all = new ArrayList<>();
+        for (TestNode node : rig.nodes) {
             for (Change change : changes) {
                 double ms = change.ms;
                 // Late news of an engine that serves again never stands against a node that uses
@@ -126,7 +126,7 @@
                     }
                 }
                 if (!isOvertaken(change, ms)) {
-                    all.add(new RigJudge.Told(ms, node.number, change.engine, change.word));
+                    all.add(new TrafficJudge.Told(ms, node.number, change.engine, change.word));
                 }
             }
         }
--- a/src/main/java/larchridge/faults/RigEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -29,17 +29,17 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import larchridge.drill.Seen;
-import larchridge.drill.TrafficLog;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.Role;
+import larchridge.systemtest.TrafficEvent;
+import larchridge.systemtest.TrafficLog;
 
 /**
  * A simulated engine that speaks the platform's protocol: it reads prompts and holds their states,
  * or fetches a state and streams an answer. What its sockets see goes into the traffic log. All
  * methods run on the rig's loop.
  */
-final class RigEngine {
+final class TestEngine {
     /** How an engine behaves. */
     enum Mood {
         GOOD,
@@ -56,10 +56,10 @@
             "data: {\"choices\":[],\"usage\":{\"completion_tokens\":24}}\n\ndata: [DONE]\n\n";
 
     final long number;
-    final Make make;
+    final EngineProfile make;
     private final EventLoopGroup loop;
     private final TrafficLog log;
-    private final RigStates states;
+    private final TestReservations states;
     private final Random random;
     private final Set<Channel> connections = new HashSet<>();
     private final Deque<Job> queue = new ArrayDeque<>();
@@ -97,7 +97,12 @@
         }
     }
 
-    RigEngine(Make make, EventLoopGroup loop, TrafficLog log, RigStates states, long seed)
+    TestEngine(
+            EngineProfile make,
+            EventLoopGroup loop,
+            TrafficLog log,
+            TestReservations states,
+            long seed)
             throws InterruptedException {
         number = make.id();
         this.make = make;
@@ -125,7 +130,7 @@
                         .bind("127.0.0.1", 0)
                         .sync()
                         .channel();
-        log.add(Seen.Kind.STARTED, number, null, null, 0, null);
+        log.add(TrafficEvent.Kind.STARTED, number, null, null, 0, null);
     }
 
     int port() {
@@ -146,7 +151,7 @@
         Set.copyOf(connections).forEach(Channel::close);
         startedMs = log.now();
         sinceMs = System.currentTimeMillis();
-        log.add(Seen.Kind.STARTED, number, null, null, 1, null);
+        log.add(TrafficEvent.Kind.STARTED, number, null, null, 1, null);
     }
 
     private double speed() {
@@ -207,7 +212,7 @@
     private void arrive(Job job) {
         boolean reads = make.role() == Role.READER;
         log.add(
-                reads ? Seen.Kind.READ_IN : Seen.Kind.WRITE_IN,
+                reads ? TrafficEvent.Kind.READ_IN : TrafficEvent.Kind.WRITE_IN,
                 number,
                 job.id,
                 tag(job.id),
@@ -299,15 +304,15 @@
 
     private void ran(Job job) {
         for (int i = 0; i < (runsTwice ? 2 : 1); i++) {
-            log.add(Seen.Kind.RAN, number, job.id, tag(job.id), 0, null);
+            log.add(TrafficEvent.Kind.RAN, number, job.id, tag(job.id), 0, null);
         }
     }
 
     /** What the engine is judged as. */
-    Make judgedMake(Plant plant) {
-        return plant != Plant.COLD_STARTS_HIDDEN
+    EngineProfile judgedMake(PlantedFault plant) {
+        return plant != PlantedFault.COLD_STARTS_HIDDEN
                 ? make
-                : new Make(
+                : new EngineProfile(
                         make.id(),
                         make.role(),
                         make.zone(),
@@ -343,7 +348,7 @@
     private void end(Job job) {
         if (!job.over) {
             job.over = true;
-            log.add(Seen.Kind.LEG_OUT, number, job.id, tag(job.id), 0, null);
+            log.add(TrafficEvent.Kind.LEG_OUT, number, job.id, tag(job.id), 0, null);
             if (queue.remove(job) && make.role() != Role.READER) {
                 states.waits(job.id, false);
             }
--- a/src/main/java/larchridge/faults/RigProbe.java
+++ b/src/main/java/larchridge/faultinjection/TestHealthCheck.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -12,13 +12,13 @@
 import java.util.function.Consumer;
 
 /** Asks a node whether it can serve. */
-final class RigProbe extends SimpleChannelInboundHandler<ByteBuf> {
+final class TestHealthCheck extends SimpleChannelInboundHandler<ByteBuf> {
     private static final String UP = "GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n";
 
     private final EventLoopGroup loop;
     private Consumer<Boolean> told;
 
-    RigProbe(EventLoopGroup loop) {
+    TestHealthCheck(EventLoopGroup loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/larchridge/faults/RigNode.java
+++ b/src/main/java/larchridge/faultinjection/TestNode.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -14,7 +14,7 @@
  * A real node process: its configuration, its signals, its log. All methods run on the rig's loop
  * but those that say so.
  */
-final class RigNode {
+final class TestNode {
     /** What the rig has done to the process. */
     enum State {
         STARTING,
@@ -29,10 +29,10 @@
 
     final int number;
     final int port;
-    final RigAgent agent;
+    final TestDiscoveryAgent agent;
 
     /** Null where there is no C compiler. */
-    final Shim shim;
+    final SystemCallShim shim;
 
     private final Path config;
     private final Path log;
@@ -45,7 +45,13 @@
     /** It has ended, and will be started again. */
     boolean restarting;
 
-    RigNode(int number, int port, RigAgent agent, Shim shim, Path folder, String settings) {
+    TestNode(
+            int number,
+            int port,
+            TestDiscoveryAgent agent,
+            SystemCallShim shim,
+            Path folder,
+            String settings) {
         this.number = number;
         this.port = port;
         this.agent = agent;
--- a/src/main/java/larchridge/faults/RigStates.java
+++ b/src/main/java/larchridge/faultinjection/TestReservations.java
@@ -1,30 +1,30 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import larchridge.drill.Seen;
-import larchridge.drill.TrafficLog;
+import larchridge.systemtest.TrafficEvent;
+import larchridge.systemtest.TrafficLog;
 
 /**
  * The read states that the simulated engines hold, by request; a state waits at its reader until it
  * is fetched or released.
  */
-final class RigStates {
+final class TestReservations {
     private final TrafficLog log;
-    private final Map<String, Set<RigEngine>> holders = new HashMap<>();
+    private final Map<String, Set<TestEngine>> holders = new HashMap<>();
 
     /** How many requests wait in writers' queues for a state. */
     private final Map<String, Integer> waiting = new HashMap<>();
 
-    RigStates(TrafficLog log) {
+    TestReservations(TrafficLog log) {
         this.log = log;
     }
 
-    void hold(String id, RigEngine engine) {
+    void hold(String id, TestEngine engine) {
         if (holders.computeIfAbsent(id, key -> new HashSet<>()).add(engine)) {
-            log.add(Seen.Kind.STATE_HELD, engine.number, id, RigEngine.tag(id), 0, null);
+            log.add(TrafficEvent.Kind.STATE_HELD, engine.number, id, TestEngine.tag(id), 0, null);
         }
     }
 
@@ -34,26 +34,32 @@
 
     /** All that is held for a request is fetched, or gone otherwise. */
     void drop(String id) {
-        Set<RigEngine> all = holders.remove(id);
+        Set<TestEngine> all = holders.remove(id);
         if (all != null) {
             all.forEach(
                     engine ->
                             log.add(
-                                    Seen.Kind.STATE_GONE,
+                                    TrafficEvent.Kind.STATE_GONE,
                                     engine.number,
                                     id,
-                                    RigEngine.tag(id),
+                                    TestEngine.tag(id),
                                     0,
                                     null));
         }
     }
 
     /** An engine has lost its memory. */
-    void forget(RigEngine engine) {
+    void forget(TestEngine engine) {
         for (String id : Set.copyOf(holders.keySet())) {
-            Set<RigEngine> all = holders.get(id);
+            Set<TestEngine> all = holders.get(id);
             if (all.remove(engine)) {
-                log.add(Seen.Kind.STATE_GONE, engine.number, id, RigEngine.tag(id), 0, null);
+                log.add(
+                        TrafficEvent.Kind.STATE_GONE,
+                        engine.number,
+                        id,
+                        TestEngine.tag(id),
+                        0,
+                        null);
                 if (all.isEmpty()) {
                     holders.remove(id);
                 }
--- a/src/main/java/larchridge/faults/RigSettings.java
+++ b/src/main/java/larchridge/faultinjection/TestSettings.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -11,16 +11,16 @@
  * The settings that the rig's nodes get: three classes, one of each effect, with short windows and
  * deadlines.
  */
-final class RigSettings {
+final class TestSettings {
     static final double DRAIN_GRACE_MS = 250;
     static final double RELEASE_MS = 500;
     static final double REPEAT_WINDOW_MS = 1200;
     static final int LONGEST_DEADLINE_MS = 4000;
-    static final List<RigClients.RequestClass> CLASSES =
+    static final List<TestClients.RequestClass> CLASSES =
             List.of(
-                    new RigClients.RequestClass("consulta", LONGEST_DEADLINE_MS, 0.6),
-                    new RigClients.RequestClass("registro", 3000, 0.25),
-                    new RigClients.RequestClass("pago", 3000, 0.15));
+                    new TestClients.RequestClass("consulta", LONGEST_DEADLINE_MS, 0.6),
+                    new TestClients.RequestClass("registro", 3000, 0.25),
+                    new TestClients.RequestClass("pago", 3000, 0.15));
     static final String JSON =
             "{\"az\":\"a\",\"family_info\":{\"aim_us_per_1000_prompt_tokens\":[40000,40000,40000],"
                     + "\"kv_tokens\":[200000,200000],\"release_within_s\":0.5,\"stage_of_kind\":[\"read\",\"write\"],"
@@ -34,7 +34,7 @@
                     + "\"memory_span_s\":1.2,\"slo_s\":1.2,\"worth\":1.0},"
                     + "{\"give_up_s\":3.0,\"late_worth\":0.2,\"name\":\"pago\",\"repeat\":\"side_effect\",\"slo_s\":1.2,\"worth\":2.0}]}";
 
-    private RigSettings() {}
+    private TestSettings() {}
 
     static Map<String, TrafficClass> products() {
         Map<String, TrafficClass> products = new LinkedHashMap<>();
--- a/src/main/java/larchridge/faults/RigJudge.java
+++ b/src/main/java/larchridge/faultinjection/TrafficJudge.java
@@ -1,21 +1,21 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import larchridge.drill.Rules;
-import larchridge.drill.Seen;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.TrafficClass;
+import larchridge.systemtest.RuleChecker;
+import larchridge.systemtest.TrafficEvent;
 
 /**
  * Judges a run from its traffic, by the rules of the drills. Each node is judged by the requests
  * that it took and by what its own agent had told; the budget of cold engines by what all nodes
  * sent that had been told of the start. Pure functions.
  */
-final class RigJudge {
+final class TrafficJudge {
     /**
      * Slack of a final answer, a send after a drain and a release: the platform's, and the way over
      * slow links.
@@ -34,13 +34,17 @@
     /** When a node was told that an engine serves, drains, or has started. */
     record Told(double ms, int node, long engine, String word) {}
 
-    private RigJudge() {}
+    private TrafficJudge() {}
 
     static List<String> judge(
-            List<Seen> log, List<Told> told, int nodes, Rules.Figures figures, double lateMs) {
+            List<TrafficEvent> log,
+            List<Told> told,
+            int nodes,
+            RuleChecker.Figures figures,
+            double lateMs) {
         Map<String, Integer> nodeOf = new HashMap<>();
-        for (Seen seen : log) {
-            if (seen.kind() == Seen.Kind.ASKED) {
+        for (TrafficEvent seen : log) {
+            if (seen.kind() == TrafficEvent.Kind.ASKED) {
                 nodeOf.put(seen.tag(), (int) seen.where());
             }
         }
@@ -53,8 +57,8 @@
         return faults;
     }
 
-    private static Rules.Figures withSlack(Rules.Figures figures, double slackMs) {
-        return new Rules.Figures(
+    private static RuleChecker.Figures withSlack(RuleChecker.Figures figures, double slackMs) {
+        return new RuleChecker.Figures(
                 figures.drainGraceMs(),
                 figures.releaseMs(),
                 figures.tipMultiple(),
@@ -64,29 +68,41 @@
                 figures.makes());
     }
 
-    private static List<Seen> ofNode(
-            List<Seen> log, List<Told> told, Map<String, Integer> nodeOf, int node) {
-        List<Seen> own = new ArrayList<>();
-        for (Seen seen : log) {
-            boolean killed = seen.kind() == Seen.Kind.FRONT_KILLED && seen.where() == node;
+    private static List<TrafficEvent> ofNode(
+            List<TrafficEvent> log, List<Told> told, Map<String, Integer> nodeOf, int node) {
+        List<TrafficEvent> own = new ArrayList<>();
+        for (TrafficEvent seen : log) {
+            boolean killed = seen.kind() == TrafficEvent.Kind.FRONT_KILLED && seen.where() == node;
             if (killed || seen.tag() != null && nodeOf.getOrDefault(seen.tag(), -1) == node) {
                 own.add(seen);
             }
         }
         for (Told one : told) {
             if (one.node == node && !one.word.equals("started")) {
-                own.add(new Seen(one.ms, Seen.Kind.LISTED, one.engine, null, null, 0, one.word));
+                own.add(
+                        new TrafficEvent(
+                                one.ms,
+                                TrafficEvent.Kind.LISTED,
+                                one.engine,
+                                null,
+                                null,
+                                0,
+                                one.word));
             }
         }
         return own;
     }
 
     private static void judgeNode(
-            int node, List<Seen> own, Rules.Figures figures, double lateMs, List<String> faults) {
+            int node,
+            List<TrafficEvent> own,
+            RuleChecker.Figures figures,
+            double lateMs,
+            List<String> faults) {
         double[] slackOfRule = {0, ANSWER_SLACK_MS, 0, DRAIN_SLACK_MS, 0, RELEASE_SLACK_MS};
         for (int rule : new int[] {1, 2, 3, 5}) {
-            for (Rules.Breach breach :
-                    Rules.judge(own, withSlack(figures, slackOfRule[rule] + lateMs))) {
+            for (RuleChecker.Breach breach :
+                    RuleChecker.judge(own, withSlack(figures, slackOfRule[rule] + lateMs))) {
                 if (breach.rule() == rule) {
                     faults.add("node " + node + ": " + breach);
                 }
@@ -95,21 +111,24 @@
     }
 
     private static void judgeColdStarts(
-            List<Seen> log,
+            List<TrafficEvent> log,
             List<Told> told,
             Map<String, Integer> nodeOf,
-            Rules.Figures figures,
+            RuleChecker.Figures figures,
             double lateMs,
             List<String> faults) {
-        List<Seen> seenByTold = new ArrayList<>();
-        for (Seen seen : log) {
-            boolean attempt = seen.kind() == Seen.Kind.READ_IN || seen.kind() == Seen.Kind.WRITE_IN;
-            if (seen.kind() == Seen.Kind.STARTED
+        List<TrafficEvent> seenByTold = new ArrayList<>();
+        for (TrafficEvent seen : log) {
+            boolean attempt =
+                    seen.kind() == TrafficEvent.Kind.READ_IN
+                            || seen.kind() == TrafficEvent.Kind.WRITE_IN;
+            if (seen.kind() == TrafficEvent.Kind.STARTED
                     || attempt && wasTold(told, nodeOf.getOrDefault(seen.tag(), -1), seen)) {
                 seenByTold.add(seen);
             }
         }
-        for (Rules.Breach breach : Rules.judge(seenByTold, withSlack(figures, lateMs))) {
+        for (RuleChecker.Breach breach :
+                RuleChecker.judge(seenByTold, withSlack(figures, lateMs))) {
             if (breach.rule() == 4) {
                 faults.add(breach.toString());
             }
@@ -119,7 +138,7 @@
     /**
      * Whether a node had been told of the engine's newest start, or of none since there was none.
      */
-    private static boolean wasTold(List<Told> told, int node, Seen attempt) {
+    private static boolean wasTold(List<Told> told, int node, TrafficEvent attempt) {
         double newest = Double.NEGATIVE_INFINITY;
         double toldMs = Double.NEGATIVE_INFINITY;
         for (Told one : told) {
@@ -133,17 +152,18 @@
         return newest == Double.NEGATIVE_INFINITY || toldMs > Double.NEGATIVE_INFINITY;
     }
 
-    private static void judgeCloses(List<Seen> log, double lateMs, List<String> faults) {
+    private static void judgeCloses(List<TrafficEvent> log, double lateMs, List<String> faults) {
         Map<String, Double> left = new HashMap<>();
-        for (Seen seen : log) {
-            if (seen.kind() == Seen.Kind.LEFT) {
+        for (TrafficEvent seen : log) {
+            if (seen.kind() == TrafficEvent.Kind.LEFT) {
                 left.put(seen.tag(), seen.ms());
             }
         }
-        for (Seen seen : log) {
+        for (TrafficEvent seen : log) {
             Double leftMs = left.get(seen.tag());
             if (leftMs != null
-                    && (seen.kind() == Seen.Kind.READ_IN || seen.kind() == Seen.Kind.WRITE_IN)
+                    && (seen.kind() == TrafficEvent.Kind.READ_IN
+                            || seen.kind() == TrafficEvent.Kind.WRITE_IN)
                     && seen.ms() > leftMs + CLOSE_SLACK_MS + lateMs) {
                 faults.add(
                         String.format(
@@ -155,11 +175,11 @@
         }
     }
 
-    static Rules.Figures figures(
+    static RuleChecker.Figures figures(
             double drainGraceMs,
             double releaseMs,
             Map<String, TrafficClass> products,
-            Map<Long, Make> makes) {
-        return new Rules.Figures(drainGraceMs, releaseMs, 4, 1500, 0, products, makes);
+            Map<Long, EngineProfile> makes) {
+        return new RuleChecker.Figures(drainGraceMs, releaseMs, 4, 1500, 0, products, makes);
     }
 }
--- a/src/main/java/larchridge/faults/package-info.java
+++ b/src/main/java/larchridge/faultinjection/package-info.java
@@ -4,4 +4,4 @@
  * time, drawn from a seed and written as a script. It is judged from the traffic, by the rules of
  * {@code larchridge.drill}, and by the nodes' own invariants.
  */
-package larchridge.faults;
+package larchridge.faultinjection;
--- a/src/main/java/larchridge/standin/Make.java
+++ b/src/main/java/larchridge/simulatedengine/EngineProfile.java
@@ -1,4 +1,4 @@
-package larchridge.standin;
+package larchridge.simulatedengine;
 
 import larchridge.state.Role;
 
@@ -13,7 +13,7 @@
  * @param moveToksPerMs how fast a state moves within the rack; slower across racks and zones
  * @param lapseMs when a state that nobody fetches is dropped
  */
-public record Make(
+public record EngineProfile(
         long id,
         Role role,
         String zone,
@@ -29,13 +29,14 @@
         double coldMs,
         double lapseMs) {
 
-    public static Make of(long id, Role role, String zone, long rack) {
-        return new Make(id, role, zone, rack, 60, 8, 60, 40, 200_000, 8, 300, 0.3, 3000, 20_000);
+    public static EngineProfile of(long id, Role role, String zone, long rack) {
+        return new EngineProfile(
+                id, role, zone, rack, 60, 8, 60, 40, 200_000, 8, 300, 0.3, 3000, 20_000);
     }
 
     /** The same engine, this many times as fast. */
-    public Make scaled(double factor) {
-        return new Make(
+    public EngineProfile scaled(double factor) {
+        return new EngineProfile(
                 id,
                 role,
                 zone,
--- a/src/main/java/larchridge/standin/Mood.java
+++ b/src/main/java/larchridge/simulatedengine/InjectedFaults.java
@@ -1,7 +1,7 @@
-package larchridge.standin;
+package larchridge.simulatedengine;
 
 /** What ails a stand-in just now; a script sets it, on the engine's loop. */
-public final class Mood {
+public final class InjectedFaults {
     /** Stands still until then: no work, no answers, also to probes; connections stay. */
     public double pausedUntilMs;
 
--- a/src/main/java/larchridge/standin/StandIn.java
+++ b/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
@@ -1,4 +1,4 @@
-package larchridge.standin;
+package larchridge.simulatedengine;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -31,10 +31,10 @@
 /**
  * A stand-in for an engine, written from the published completions API with reading and writing
  * apart. It queues, holds memory, keeps texts, starts cold, hands states over, and ails as its
- * {@link Mood} says. It works in steps of a few milliseconds. All methods run on the loop on which
- * it was made.
+ * {@link InjectedFaults} says. It works in steps of a few milliseconds. All methods run on the loop
+ * on which it was made.
  */
-public final class StandIn {
+public final class SimulatedEngine {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Pattern TAG = Pattern.compile("\\[tag:([^\\]]{1,80})]");
     private static final Pattern OUT = Pattern.compile("\\[out:(\\d{1,6})]");
@@ -45,14 +45,14 @@
     private static final double RACK_SLOWDOWN = 2;
     private static final double ZONE_SLOWDOWN = 4;
 
-    public final Make make;
-    public final Mood mood = new Mood();
+    public final EngineProfile make;
+    public final InjectedFaults mood = new InjectedFaults();
 
     /** Tokens of a prompt; four characters each unless it is told otherwise. */
     public ToIntFunction<String> counts = prompt -> prompt.length() / CHARS_A_TOK;
 
     private final Vertx vertx;
-    private final Witness witness;
+    private final TrafficRecorder witness;
     private final Random random;
     private final HttpClient peers;
     private final double clockBaseMs = System.currentTimeMillis() - System.nanoTime() / 1e6;
@@ -132,7 +132,7 @@
     }
 
     /** To be made on the loop that is to own it. */
-    public StandIn(Vertx vertx, Make make, Witness witness, long seed) {
+    public SimulatedEngine(Vertx vertx, EngineProfile make, TrafficRecorder witness, long seed) {
         this.vertx = vertx;
         this.make = make;
         this.witness = witness;
@@ -162,7 +162,12 @@
                         listening -> {
                             port = listening.actualPort();
                             up = true;
-                            witness.saw(Witness.Sight.STARTED, make.id(), null, null, cold ? 1 : 0);
+                            witness.saw(
+                                    TrafficRecorder.Sight.STARTED,
+                                    make.id(),
+                                    null,
+                                    null,
+                                    cold ? 1 : 0);
                             stepTimer = vertx.setPeriodic(STEP_MS, timer -> step());
                             return port;
                         });
@@ -179,7 +184,8 @@
             drop.run();
         }
         for (State state : states.values()) {
-            witness.saw(Witness.Sight.STATE_GONE, make.id(), state.rid, state.tag, state.toks);
+            witness.saw(
+                    TrafficRecorder.Sight.STATE_GONE, make.id(), state.rid, state.tag, state.toks);
         }
         states.clear();
         reading.clear();
@@ -189,7 +195,7 @@
         pages.clear();
         open.clear();
         usedToks = 0;
-        witness.saw(Witness.Sight.STOPPED, make.id(), null, null, 0);
+        witness.saw(TrafficRecorder.Sight.STOPPED, make.id(), null, null, 0);
         return server.close();
     }
 
@@ -273,7 +279,7 @@
                         handle,
                         reads);
         witness.saw(
-                reads ? Witness.Sight.READ_IN : Witness.Sight.WRITE_IN,
+                reads ? TrafficRecorder.Sight.READ_IN : TrafficRecorder.Sight.WRITE_IN,
                 make.id(),
                 rid,
                 job.tag,
@@ -334,7 +340,7 @@
         if (job.counted) {
             usedToks -= job.toks;
         }
-        witness.saw(Witness.Sight.LEG_OUT, make.id(), job.rid, job.tag, job.sent);
+        witness.saw(TrafficRecorder.Sight.LEG_OUT, make.id(), job.rid, job.tag, job.sent);
     }
 
     private void abort(HttpServerRequest request, Buffer body) {
@@ -360,7 +366,7 @@
         State state = states.remove(rid);
         if (state != null) {
             usedToks -= state.toks;
-            witness.saw(Witness.Sight.STATE_GONE, make.id(), rid, state.tag, state.toks);
+            witness.saw(TrafficRecorder.Sight.STATE_GONE, make.id(), rid, state.tag, state.toks);
         }
         return state != null;
     }
@@ -487,7 +493,7 @@
         if (!mood.forgetful) {
             states.put(job.rid, new State(job.rid, job.tag, job.toks, now()));
             job.counted = false;
-            witness.saw(Witness.Sight.STATE_HELD, make.id(), job.rid, job.tag, job.toks);
+            witness.saw(TrafficRecorder.Sight.STATE_HELD, make.id(), job.rid, job.tag, job.toks);
         }
         if (job.lost) {
             return;
@@ -542,7 +548,7 @@
     }
 
     private void ran(Job job) {
-        witness.saw(Witness.Sight.RAN, make.id(), job.rid, job.tag, job.toks);
+        witness.saw(TrafficRecorder.Sight.RAN, make.id(), job.rid, job.tag, job.toks);
     }
 
     private void fetch(Job job) {
--- a/src/main/java/larchridge/standin/Witness.java
+++ b/src/main/java/larchridge/simulatedengine/TrafficRecorder.java
@@ -1,7 +1,7 @@
-package larchridge.standin;
+package larchridge.simulatedengine;
 
 /** Writes down what an engine's sockets saw. */
-public interface Witness {
+public interface TrafficRecorder {
     /** The things that can be seen at an engine. */
     enum Sight {
         STARTED,
--- a/src/main/java/larchridge/virtual/Town.java
+++ b/src/main/java/larchridge/simulation/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package larchridge.virtual;
+package larchridge.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,19 +6,19 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import larchridge.drill.Seen;
+import larchridge.emulator.EngineHardware;
 import larchridge.emulator.EngineModel;
 import larchridge.emulator.Job;
-import larchridge.emulator.Links;
 import larchridge.emulator.Prompt;
-import larchridge.emulator.Silicon;
+import larchridge.emulator.SharedLinks;
 import larchridge.inventory.EngineEntry;
 import larchridge.router.VirtualTimeScheduler;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.EndpointState;
 import larchridge.state.LoadReport;
 import larchridge.state.Role;
+import larchridge.systemtest.TrafficEvent;
 import larchridge.upstream.AttemptListener;
 import larchridge.upstream.AttemptRequest;
 import larchridge.upstream.Completion;
@@ -29,7 +29,7 @@
 /**
  * The emulated engines in virtual time, the links between them, and the way to them from fronts.
  */
-final class Town {
+final class SimulatedCluster {
     /** One way between a front and an engine, in its zone and out of it. */
     private static final double NEAR_MS = 0.3;
 
@@ -46,10 +46,10 @@
     private static final double LAPSE_LOOK_MS = 500;
 
     final VirtualTimeScheduler world;
-    final Log log;
+    final SimulationLog log;
     private final Random random;
     private final Map<Long, Seat> seats = new TreeMap<>();
-    private final Links links = new Links();
+    private final SharedLinks links = new SharedLinks();
     private long linkWake = -1;
     private double linkWakeMs;
     private final Map<String, Talk> talks = new HashMap<>();
@@ -60,11 +60,12 @@
     /** Names a state: where it waits and under which name. */
     private record Waiting(long engine, String rid) implements StateHandle {}
 
-    Town(VirtualTimeScheduler world, Log log, List<Make> makes, long seed) {
+    SimulatedCluster(
+            VirtualTimeScheduler world, SimulationLog log, List<EngineProfile> makes, long seed) {
         this.world = world;
         this.log = log;
         random = new Random(seed ^ 0x70EFL);
-        for (Make make : makes) {
+        for (EngineProfile make : makes) {
             Seat seat = new Seat(make);
             seats.put(make.id(), seat);
             seat.start(false);
@@ -72,10 +73,10 @@
     }
 
     /** An engine of a script's make: its speed and room, in the form of the emulator. */
-    static Silicon silicon(Make make) {
+    static EngineHardware silicon(EngineProfile make) {
         boolean reads = make.role() == Role.READER;
         int batch = (int) Math.max(256, make.readToksPerMs() * 12);
-        return new Silicon(
+        return new EngineHardware(
                 reads ? 0.5 : 0.6 * make.tokMs(),
                 1 / make.readToksPerMs(),
                 0.4 * make.tokMs() / make.streams(),
@@ -113,7 +114,7 @@
         List<EngineEntry> rows = new ArrayList<>();
         for (Seat seat : seats.values()) {
             if (seat.listed) {
-                Make make = seat.make;
+                EngineProfile make = seat.make;
                 rows.add(
                         new EngineEntry(
                                 make.id(),
@@ -139,7 +140,7 @@
 
     /** One engine over its lives. */
     final class Seat implements EngineModel.Ears {
-        final Make make;
+        final EngineProfile make;
         EngineModel model;
         boolean up;
         boolean listed = true;
@@ -156,7 +157,7 @@
         boolean faulty;
         boolean forgetful;
 
-        Seat(Make make) {
+        Seat(EngineProfile make) {
             this.make = make;
         }
 
@@ -168,7 +169,7 @@
             model =
                     new EngineModel(
                             silicon(make), cold ? startedMs : startedMs - make.coldMs(), this);
-            log.add(Seen.Kind.STARTED, make.id(), null, null, cold ? 1 : 0, null);
+            log.add(TrafficEvent.Kind.STARTED, make.id(), null, null, cold ? 1 : 0, null);
             int mine = life;
             world.in(LAPSE_LOOK_MS, () -> lapse(mine));
         }
@@ -183,7 +184,7 @@
             visits.clear();
             for (Visit visit : here) {
                 log.add(
-                        Seen.Kind.LEG_OUT,
+                        TrafficEvent.Kind.LEG_OUT,
                         make.id(),
                         visit.order.rid(),
                         visit.talk.tag,
@@ -193,7 +194,7 @@
             }
             for (Job state : states.values()) {
                 log.add(
-                        Seen.Kind.STATE_GONE,
+                        TrafficEvent.Kind.STATE_GONE,
                         make.id(),
                         state.rid,
                         ((Visit) state.owner).talk.tag,
@@ -201,7 +202,7 @@
                         null);
             }
             states.clear();
-            log.add(Seen.Kind.STOPPED, make.id(), null, null, 0, null);
+            log.add(TrafficEvent.Kind.STOPPED, make.id(), null, null, 0, null);
         }
 
         private final List<Visit> visits = new ArrayList<>();
@@ -280,7 +281,9 @@
                 return;
             }
             log.add(
-                    visit.job.kind == Job.Kind.READ ? Seen.Kind.READ_IN : Seen.Kind.WRITE_IN,
+                    visit.job.kind == Job.Kind.READ
+                            ? TrafficEvent.Kind.READ_IN
+                            : TrafficEvent.Kind.WRITE_IN,
                     make.id(),
                     visit.order.rid(),
                     visit.talk.tag,
@@ -311,7 +314,7 @@
                     model.drop(visit.job);
                 }
                 log.add(
-                        Seen.Kind.LEG_OUT,
+                        TrafficEvent.Kind.LEG_OUT,
                         make.id(),
                         visit.order.rid(),
                         visit.talk.tag,
@@ -330,7 +333,7 @@
             if (state != null) {
                 model.release(rid);
                 log.add(
-                        Seen.Kind.STATE_GONE,
+                        TrafficEvent.Kind.STATE_GONE,
                         make.id(),
                         rid,
                         ((Visit) state.owner).talk.tag,
@@ -347,7 +350,7 @@
         private void answered(Visit visit) {
             visits.remove(visit);
             log.add(
-                    Seen.Kind.LEG_OUT,
+                    TrafficEvent.Kind.LEG_OUT,
                     make.id(),
                     visit.order.rid(),
                     visit.talk.tag,
@@ -359,7 +362,7 @@
         public void read(Job job) {
             Visit visit = (Visit) job.owner;
             log.add(
-                    Seen.Kind.STATE_HELD,
+                    TrafficEvent.Kind.STATE_HELD,
                     make.id(),
                     job.rid,
                     visit.talk.tag,
@@ -409,7 +412,7 @@
                                 }
                                 from.release(visit.from.rid);
                                 log.add(
-                                        Seen.Kind.RAN,
+                                        TrafficEvent.Kind.RAN,
                                         make.id(),
                                         job.rid,
                                         visit.talk.tag,
@@ -425,12 +428,24 @@
         public void token(Job job) {
             Visit visit = (Visit) job.owner;
             if (job.made() == 1 && job.kind == Job.Kind.BOTH) {
-                log.add(Seen.Kind.RAN, make.id(), job.rid, visit.talk.tag, job.prompt.toks, null);
+                log.add(
+                        TrafficEvent.Kind.RAN,
+                        make.id(),
+                        job.rid,
+                        visit.talk.tag,
+                        job.prompt.toks,
+                        null);
             }
             if (job.made() > visit.breakAfter) {
                 visits.remove(visit);
                 model.drop(job);
-                log.add(Seen.Kind.LEG_OUT, make.id(), job.rid, visit.talk.tag, job.made(), null);
+                log.add(
+                        TrafficEvent.Kind.LEG_OUT,
+                        make.id(),
+                        job.rid,
+                        visit.talk.tag,
+                        job.made(),
+                        null);
                 visit.back(() -> visit.over(AttemptOutcome.CUT));
             } else if (!visit.lost) {
                 int made = job.made();
@@ -452,7 +467,7 @@
         public void lost(Job job) {
             if (states.remove(job.rid) != null) {
                 log.add(
-                        Seen.Kind.STATE_GONE,
+                        TrafficEvent.Kind.STATE_GONE,
                         make.id(),
                         job.rid,
                         ((Visit) job.owner).talk.tag,
@@ -462,8 +477,8 @@
         }
     }
 
-    private List<Links.Link> way(Make from, Make to) {
-        List<Links.Link> way = new ArrayList<>();
+    private List<SharedLinks.Link> way(EngineProfile from, EngineProfile to) {
+        List<SharedLinks.Link> way = new ArrayList<>();
         way.add(links.link("engine " + from.id(), from.moveToksPerMs()));
         if (!from.zone().equals(to.zone())) {
             way.add(
@@ -571,7 +586,7 @@
         private final AttemptListener hearing;
         private final Seat seat;
         private final double ms;
-        Links.Move move;
+        SharedLinks.Move move;
         boolean isOver;
         boolean lost;
         int breakAfter = Integer.MAX_VALUE;
--- a/src/main/java/larchridge/virtual/Log.java
+++ b/src/main/java/larchridge/simulation/SimulationLog.java
@@ -1,4 +1,4 @@
-package larchridge.virtual;
+package larchridge.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -6,22 +6,22 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import larchridge.drill.Seen;
 import larchridge.router.VirtualTimeScheduler;
+import larchridge.systemtest.TrafficEvent;
 
 /**
  * What was seen in virtual time, in order, and a digest of all of it; at most so much is kept,
  * beyond that only digested.
  */
-final class Log {
+final class SimulationLog {
     static final int MOST = 20_000_000;
 
     private final VirtualTimeScheduler world;
-    private final List<Seen> sights = new ArrayList<>();
+    private final List<TrafficEvent> sights = new ArrayList<>();
     private final MessageDigest digest;
     private boolean full;
 
-    Log(VirtualTimeScheduler world) {
+    SimulationLog(VirtualTimeScheduler world) {
         this.world = world;
         try {
             digest = MessageDigest.getInstance("SHA-256");
@@ -30,8 +30,14 @@
         }
     }
 
-    void add(Seen.Kind kind, long where, String rid, String tag, double amount, String word) {
-        Seen seen = new Seen(world.sinceMs(), kind, where, rid, tag, amount, word);
+    void add(
+            TrafficEvent.Kind kind,
+            long where,
+            String rid,
+            String tag,
+            double amount,
+            String word) {
+        TrafficEvent seen = new TrafficEvent(world.sinceMs(), kind, where, rid, tag, amount, word);
         digest.update(seen.toString().getBytes(StandardCharsets.UTF_8));
         full |= sights.size() >= MOST;
         if (!full) {
@@ -39,7 +45,7 @@
         }
     }
 
-    List<Seen> all() {
+    List<TrafficEvent> all() {
         if (full) {
             throw new IllegalStateException("over " + MOST + " sights; play a shorter script");
         }
--- a/src/main/java/larchridge/virtual/Day.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -1,15 +1,10 @@
-package larchridge.virtual;
+package larchridge.simulation;
 
 import io.micrometer.core.instrument.composite.CompositeMeterRegistry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import larchridge.budget.BudgetDecision;
-import larchridge.drill.Drill;
-import larchridge.drill.Rules;
-import larchridge.drill.Script;
-import larchridge.drill.Seen;
-import larchridge.drill.Tally;
 import larchridge.emulator.EngineModel;
 import larchridge.emulator.Prompt;
 import larchridge.metrics.RouterMetrics;
@@ -22,6 +17,11 @@
 import larchridge.site.InvalidSiteException;
 import larchridge.site.Site;
 import larchridge.site.SiteReader;
+import larchridge.systemtest.ResultCounts;
+import larchridge.systemtest.RuleChecker;
+import larchridge.systemtest.SystemTest;
+import larchridge.systemtest.TestScript;
+import larchridge.systemtest.TrafficEvent;
 import larchridge.upstream.AttemptRequest;
 import larchridge.upstream.Completion;
 
@@ -31,7 +31,7 @@
  * as on sockets. Not played here: batches, processes that are killed, and troubles of the wire
  * itself (torn, garbled, lag, bad_list).
  */
-public final class Day {
+public final class SimulationRun {
     private static final double TAIL_MS = 15_000;
     private static final double WAY_MS = 0.3;
     private static final int MOST_SESSIONS = 500;
@@ -40,23 +40,23 @@
 
     /** What a run gave; digest is of all that was seen. */
     public record Result(
-            List<Seen> log,
-            List<Rules.Breach> breaches,
-            List<Tally.Row> rows,
+            List<TrafficEvent> log,
+            List<RuleChecker.Breach> breaches,
+            List<ResultCounts.Row> rows,
             List<EngineModel.Sums> sums,
             String digest,
             long steps,
             double virtualMs,
             double realMs) {
-        public Tally.Row all() {
+        public ResultCounts.Row all() {
             return rows.get(0);
         }
     }
 
-    private final Script script;
+    private final TestScript script;
     private final VirtualTimeScheduler world = new VirtualTimeScheduler();
-    private final Log log = new Log(world);
-    private final Town town;
+    private final SimulationLog log = new SimulationLog(world);
+    private final SimulatedCluster town;
     private final Site site;
     private final List<Router> fronts = new ArrayList<>();
     private final Random random;
@@ -66,7 +66,7 @@
     private long texts;
 
     private static final class Session {
-        final Script.Mix mix;
+        final TestScript.Mix mix;
         final String tenant;
         final int prefix;
         final List<Long> texts = new ArrayList<>();
@@ -75,7 +75,7 @@
         final String opening;
         int left;
 
-        Session(Script.Mix mix, String tenant, int prefix, int turns, String opening) {
+        Session(TestScript.Mix mix, String tenant, int prefix, int turns, String opening) {
             this.mix = mix;
             this.tenant = tenant;
             this.prefix = prefix;
@@ -84,10 +84,10 @@
         }
     }
 
-    private Day(Script script, PolicyEvents.Factory module) {
+    private SimulationRun(TestScript script, PolicyEvents.Factory module) {
         this.script = script;
         random = new Random(script.seed());
-        town = new Town(world, log, Drill.makes(script), script.seed());
+        town = new SimulatedCluster(world, log, SystemTest.makes(script), script.seed());
         try {
             site =
                     SiteReader.read(
@@ -97,7 +97,7 @@
                                     + "\nfronts: 1\nfronts_of_service: "
                                     + script.fronts()
                                     + "\n"
-                                    + Drill.site(script.withoutBatches()),
+                                    + SystemTest.site(script.withoutBatches()),
                             null);
         } catch (InvalidSiteException e) {
             throw new IllegalStateException(
@@ -118,30 +118,30 @@
     }
 
     /** Plays a script with the module of this program. */
-    public static Result play(Script script) {
+    public static Result play(TestScript script) {
         return play(script, PolicyEvents::choice);
     }
 
     /** Plays a script with fronts that decide otherwise. */
-    public static Result play(Script script, PolicyEvents.Factory module) {
-        return new Day(script, module).run();
+    public static Result play(TestScript script, PolicyEvents.Factory module) {
+        return new SimulationRun(script, module).run();
     }
 
     private Result run() {
         long start = System.nanoTime();
         tell();
-        for (Script.Trouble trouble : script.troubles()) {
+        for (TestScript.Trouble trouble : script.troubles()) {
             world.in(trouble.atMs(), () -> begin(trouble));
         }
         next();
         double end = script.durationMs() + TAIL_MS;
         world.run(end);
         double realMs = (System.nanoTime() - start) / 1e6;
-        List<Seen> all = log.all();
+        List<TrafficEvent> all = log.all();
         return new Result(
                 all,
-                Rules.judge(all, Drill.figures(script)),
-                Tally.of(all, script),
+                RuleChecker.judge(all, SystemTest.figures(script)),
+                ResultCounts.of(all, script),
                 town.sums(),
                 log.digest(),
                 world.ran(),
@@ -183,8 +183,8 @@
     }
 
     private Session session() {
-        Script.Mix mix = script.anyMix(random);
-        Script.Tenant tenant = script.anyTenant(random);
+        TestScript.Mix mix = script.anyMix(random);
+        TestScript.Tenant tenant = script.anyTenant(random);
         if (random.nextDouble() < 1 - 1 / mix.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
                 Session one = sessions.get(i);
@@ -236,8 +236,8 @@
         }
 
         void ask() {
-            Script.Mix mix = session.mix;
-            log.add(Seen.Kind.ASKED, front, session.tenant, tag, mix.limitMs(), mix.name());
+            TestScript.Mix mix = session.mix;
+            log.add(TrafficEvent.Kind.ASKED, front, session.tenant, tag, mix.limitMs(), mix.name());
             world.in(WAY_MS, this::arrive);
             if (random.nextDouble() < script.clients().leaveShare()) {
                 world.in(1 + random.nextInt((int) mix.limitMs()), this::leave);
@@ -250,7 +250,7 @@
                 answer("throttled");
                 return;
             }
-            Script.Mix mix = session.mix;
+            TestScript.Mix mix = session.mix;
             int shared = mix.sharedToks();
             List<Long> of = new ArrayList<>();
             List<Integer> lengths = new ArrayList<>();
@@ -266,9 +266,9 @@
                     Prompt.of(
                             of.stream().mapToLong(Long::longValue).toArray(),
                             lengths.stream().mapToInt(Integer::intValue).toArray(),
-                            Town.blockToks());
+                            SimulatedCluster.blockToks());
             String body = tag;
-            town.talk(body, new Town.Talk(prompt, out, tag));
+            town.talk(body, new SimulatedCluster.Talk(prompt, out, tag));
             world.in(KEEP_TALK_MS, () -> town.forget(body));
             GenerationRequest ask =
                     new GenerationRequest(
@@ -301,7 +301,7 @@
         private void leave() {
             if (!finished && !left) {
                 left = true;
-                log.add(Seen.Kind.LEFT, front, session.tenant, tag, got, null);
+                log.add(TrafficEvent.Kind.LEFT, front, session.tenant, tag, got, null);
                 world.in(
                         WAY_MS,
                         () -> {
@@ -318,7 +318,7 @@
         private void end(String word, boolean mayRetry) {
             if (finished) {
                 if (!left) {
-                    log.add(Seen.Kind.AFTER_FINAL, front, null, tag, 1, word);
+                    log.add(TrafficEvent.Kind.AFTER_FINAL, front, null, tag, 1, word);
                 }
                 return;
             }
@@ -331,7 +331,7 @@
                     WAY_MS,
                     () -> {
                         if (whole && word.equals("streamed")) {
-                            log.add(Seen.Kind.BEGUN, front, null, tag, 0, null);
+                            log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null);
                         }
                         answer(word);
                         if (!word.equals("streamed")
@@ -355,7 +355,7 @@
         }
 
         private void answer(String word) {
-            log.add(Seen.Kind.FINAL, front, session.tenant, tag, got, word);
+            log.add(TrafficEvent.Kind.FINAL, front, session.tenant, tag, got, word);
             if (word.equals("streamed") && --session.left > 0 && sessions.size() < MOST_SESSIONS) {
                 session.texts.add(1L << 40 | text);
                 session.lengths.add(toks);
@@ -381,7 +381,9 @@
             if (!begun) {
                 begun = true;
                 if (!whole) {
-                    world.in(WAY_MS, () -> log.add(Seen.Kind.BEGUN, front, null, tag, 0, null));
+                    world.in(
+                            WAY_MS,
+                            () -> log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null));
                 }
             }
             return true;
@@ -420,8 +422,8 @@
 
     // ------------------------------------------------------------------ troubles
 
-    private void begin(Script.Trouble trouble) {
-        log.add(Seen.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
+    private void begin(TestScript.Trouble trouble) {
+        log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
         switch (trouble.kind()) {
             case "burst" -> {
                 rate = trouble.size();
@@ -432,7 +434,13 @@
                 for (long id : trouble.engines()) {
                     town.seat(id).drains = drains;
                     town.seat(id).listed = drains;
-                    log.add(Seen.Kind.LISTED, id, null, null, 0, drains ? "draining" : "gone");
+                    log.add(
+                            TrafficEvent.Kind.LISTED,
+                            id,
+                            null,
+                            null,
+                            0,
+                            drains ? "draining" : "gone");
                 }
                 tell();
                 world.in(
@@ -441,7 +449,7 @@
                             for (long id : trouble.engines()) {
                                 town.seat(id).drains = false;
                                 town.seat(id).listed = true;
-                                log.add(Seen.Kind.LISTED, id, null, null, 0, "ready");
+                                log.add(TrafficEvent.Kind.LISTED, id, null, null, 0, "ready");
                             }
                             tell();
                         });
@@ -449,7 +457,7 @@
             case "crash" -> trouble.engines().forEach(id -> crash(trouble, town.seat(id)));
             default -> {
                 for (long id : trouble.engines()) {
-                    Town.Seat seat = town.seat(id);
+                    SimulatedCluster.Seat seat = town.seat(id);
                     ail(trouble, seat);
                     world.in(
                             trouble.forMs(),
@@ -462,7 +470,7 @@
         }
     }
 
-    private void ail(Script.Trouble trouble, Town.Seat seat) {
+    private void ail(TestScript.Trouble trouble, SimulatedCluster.Seat seat) {
         switch (trouble.kind()) {
             case "pause" -> seat.pausedUntilMs = world.nowMs() + trouble.forMs();
             case "slow" -> seat.model.ails(trouble.size(), Integer.MAX_VALUE, 1);
@@ -477,13 +485,13 @@
         }
     }
 
-    private void crash(Script.Trouble trouble, Town.Seat seat) {
+    private void crash(TestScript.Trouble trouble, SimulatedCluster.Seat seat) {
         seat.crash();
         world.in(
                 script.listLagMs(),
                 () -> {
                     seat.listed = false;
-                    log.add(Seen.Kind.LISTED, seat.make.id(), null, null, 0, "gone");
+                    log.add(TrafficEvent.Kind.LISTED, seat.make.id(), null, null, 0, "gone");
                     tell();
                 });
         world.in(
@@ -496,7 +504,13 @@
                             () -> {
                                 seat.listed = true;
                                 seat.listedStartMs = seat.startedMs;
-                                log.add(Seen.Kind.LISTED, seat.make.id(), null, null, 0, "ready");
+                                log.add(
+                                        TrafficEvent.Kind.LISTED,
+                                        seat.make.id(),
+                                        null,
+                                        null,
+                                        0,
+                                        "ready");
                                 tell();
                             });
                 });
--- a/src/main/java/larchridge/drill/BatchCalls.java
+++ b/src/main/java/larchridge/systemtest/BatchApiClient.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,7 +17,7 @@
  * A client of the batch API that is patient with a service that dies: a call that fails is null, to
  * be asked again.
  */
-final class BatchCalls {
+final class BatchApiClient {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String BOUNDARY = "larchridge-drill";
 
@@ -26,7 +26,7 @@
     private final int port;
     private final String key;
 
-    BatchCalls(int port, String key) {
+    BatchApiClient(int port, String key) {
         this.port = port;
         this.key = key;
     }
--- a/src/main/java/larchridge/drill/BatchLoad.java
+++ b/src/main/java/larchridge/systemtest/BatchLoad.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -15,17 +15,17 @@
     private static final long LOOK_MS = 50;
     private static final double PATIENCE_MS = 1e9;
 
-    private final Script script;
-    private final BatchCalls calls;
+    private final TestScript script;
+    private final BatchApiClient calls;
     private final TrafficLog log;
     private final long startNs = System.nanoTime();
 
-    BatchLoad(Script script, int port, TrafficLog log) {
+    BatchLoad(TestScript script, int port, TrafficLog log) {
         super("batch-load");
         setDaemon(true);
         this.script = script;
         this.log = log;
-        calls = new BatchCalls(port, script.tenants().get(0).name());
+        calls = new BatchApiClient(port, script.tenants().get(0).name());
     }
 
     @Override
@@ -33,12 +33,12 @@
         try {
             List<String> ids = new ArrayList<>();
             for (int i = 0; i < script.batches().size(); i++) {
-                Script.Batch batch = script.batches().get(i);
+                TestScript.Batch batch = script.batches().get(i);
                 sleepUntil(batch.atMs());
                 String lines = lines(i, batch);
                 for (int j = 0; j < batch.lines(); j++) {
                     log.add(
-                            Seen.Kind.ASKED,
+                            TrafficEvent.Kind.ASKED,
                             0,
                             script.tenants().get(0).name(),
                             tag(i, j),
@@ -53,7 +53,7 @@
             }
             for (String id : ids) {
                 JsonNode batch = calls.batch(id);
-                while (batch == null || !BatchCalls.isOver(batch)) {
+                while (batch == null || !BatchApiClient.isOver(batch)) {
                     TimeUnit.MILLISECONDS.sleep(LOOK_MS);
                     batch = calls.batch(id);
                 }
@@ -61,7 +61,7 @@
                         batch,
                         (line, good) ->
                                 log.add(
-                                        Seen.Kind.FINAL,
+                                        TrafficEvent.Kind.FINAL,
                                         0,
                                         null,
                                         line + "#0",
@@ -84,7 +84,7 @@
         return NAME + batch + "-" + line + "#0";
     }
 
-    private static String lines(int number, Script.Batch batch) {
+    private static String lines(int number, TestScript.Batch batch) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < batch.lines(); i++) {
             text.append("{\"custom_id\":\"")
--- a/src/main/java/larchridge/drill/DayFile.java
+++ b/src/main/java/larchridge/systemtest/BenchDayReader.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -16,21 +16,21 @@
  * its troubles, scaled to this machine. What a drill can't show is told in {@link #leftOut}. Times
  * in a day file are microseconds.
  */
-public final class DayFile {
+public final class BenchDayReader {
     /** Engines of these drills do this many of a bench engine's tokens; only ratios carry over. */
     private static final int MOST_FRONTS = 8;
 
     private static final double TOKS_OF_A_TURN = 400;
 
-    private final Script script;
+    private final TestScript script;
     private final List<String> leftOut;
 
-    private DayFile(Script script, List<String> leftOut) {
+    private BenchDayReader(TestScript script, List<String> leftOut) {
         this.script = script;
         this.leftOut = leftOut;
     }
 
-    public Script script() {
+    public TestScript script() {
         return script;
     }
 
@@ -38,30 +38,30 @@
         return leftOut;
     }
 
-    public static DayFile read(Path file, double scale) throws ScriptReader.BadScript {
+    public static BenchDayReader read(Path file, double scale) throws TestScriptReader.BadScript {
         JsonNode day;
         try {
             day = new ObjectMapper().readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
-            throw new ScriptReader.BadScript(
+            throw new TestScriptReader.BadScript(
                     file
                             + ":"
                             + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
                             + ": "
                             + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new ScriptReader.BadScript(file + ": can't be read (" + e.getMessage() + ")");
+            throw new TestScriptReader.BadScript(file + ": can't be read (" + e.getMessage() + ")");
         }
         for (String field : new String[] {"servers", "classes", "fam", "troubles", "length"}) {
             if (day.path(field).isMissingNode()) {
-                throw new ScriptReader.BadScript(
+                throw new TestScriptReader.BadScript(
                         file + ": " + field + ": missing; is this a bench day?");
             }
         }
         return of(day, scale);
     }
 
-    private static DayFile of(JsonNode day, double scale) {
+    private static BenchDayReader of(JsonNode day, double scale) {
         List<String> leftOut = new ArrayList<>();
         JsonNode roles = day.path("fam").path("roles");
         Map<String, List<Integer>> groups = new LinkedHashMap<>();
@@ -72,14 +72,14 @@
         }
         // Engines are numbered group by group; a trouble names them by their place in the day.
         Map<Integer, Long> ids = new LinkedHashMap<>();
-        List<Script.Group> engines = new ArrayList<>();
+        List<TestScript.Group> engines = new ArrayList<>();
         long id = 1;
         for (Map.Entry<String, List<Integer>> group : groups.entrySet()) {
             for (int place : group.getValue()) {
                 JsonNode server = day.path("servers").get(place);
                 ids.put(place, id++);
                 engines.add(
-                        new Script.Group(
+                        new TestScript.Group(
                                 group.getKey(),
                                 1,
                                 List.of(
@@ -92,8 +92,8 @@
         }
         leftOut.add(
                 "racks: each engine stands alone in its zone; links between racks have no load of their own");
-        List<Script.Mix> mixes = mixes(day, leftOut);
-        List<Script.Trouble> troubles = new ArrayList<>();
+        List<TestScript.Mix> mixes = mixes(day, leftOut);
+        List<TestScript.Trouble> troubles = new ArrayList<>();
         for (JsonNode trouble : day.path("troubles")) {
             trouble(trouble, ids, day, troubles, leftOut);
         }
@@ -107,7 +107,7 @@
                         + groups.getOrDefault("both", List.of()).size();
         double readToks =
                 mixes.stream().mapToDouble(m -> m.share() * m.promptToks()).sum()
-                        / mixes.stream().mapToDouble(Script.Mix::share).sum();
+                        / mixes.stream().mapToDouble(TestScript.Mix::share).sum();
         // Load is the day's share of what its readers can do; a stand-in reader does 60 tokens a
         // millisecond.
         double rate =
@@ -123,8 +123,8 @@
                 "absolute speeds: stand-ins are faster than the day's engines; a twentieth of their reading "
                         + "speed is asked for");
         JsonNode clients = day.path("clients");
-        Script script =
-                new Script(
+        TestScript script =
+                new TestScript(
                         Math.floorMod(day.path("noise").asLong(1), 1_000_000L),
                         fronts,
                         day.path("length").asDouble() / 1000,
@@ -134,18 +134,18 @@
                         false,
                         null,
                         false,
-                        List.of(new Script.Tenant("drill", 1, 0, 0)),
+                        List.of(new TestScript.Tenant("drill", 1, 0, 0)),
                         engines,
                         mixes,
                         List.of(),
-                        new Script.Clients(
+                        new TestScript.Clients(
                                 clients.path("retries").asInt(0),
                                 clients.path("backoff_us").asDouble(100_000) / 1000,
                                 0.01,
                                 0.01,
                                 0.1),
                         troubles);
-        return new DayFile(script, leftOut);
+        return new BenchDayReader(script, leftOut);
     }
 
     private static String role(JsonNode role) {
@@ -162,8 +162,8 @@
         return word.startsWith("read") ? "reader" : word.startsWith("writ") ? "writer" : "both";
     }
 
-    private static List<Script.Mix> mixes(JsonNode day, List<String> leftOut) {
-        List<Script.Mix> mixes = new ArrayList<>();
+    private static List<TestScript.Mix> mixes(JsonNode day, List<String> leftOut) {
+        List<TestScript.Mix> mixes = new ArrayList<>();
         for (int i = 0; i < day.path("classes").size(); i++) {
             JsonNode product = day.path("classes").get(i);
             JsonNode talk = day.path("fam").path("talks").path(i);
@@ -180,7 +180,7 @@
                         default -> "ALL";
                     };
             mixes.add(
-                    new Script.Mix(
+                    new TestScript.Mix(
                             product.path("name").asText("p" + i),
                             product.path("share").asDouble(1),
                             effect,
@@ -207,7 +207,7 @@
             JsonNode trouble,
             Map<Integer, Long> ids,
             JsonNode day,
-            List<Script.Trouble> troubles,
+            List<TestScript.Trouble> troubles,
             List<String> leftOut) {
         String kind = trouble.path("kind").asText();
         double at = trouble.path("at").asDouble() / 1000;
@@ -223,15 +223,16 @@
                             }
                         });
         switch (kind) {
-            case "crash", "zone_loss" -> troubles.add(new Script.Trouble(at, len, "crash", on, 1));
-            case "slow" -> troubles.add(new Script.Trouble(at, len, "slow", on, size));
-            case "answer_lost" -> troubles.add(new Script.Trouble(at, len, "lost", on, size));
-            case "burst" -> troubles.add(new Script.Trouble(at, len, "burst", List.of(), size));
-            case "flush" -> troubles.add(new Script.Trouble(at, len, "flush", on, 1));
-            case "throttle" -> troubles.add(new Script.Trouble(at, len, "full", on, 1));
+            case "crash", "zone_loss" ->
+                    troubles.add(new TestScript.Trouble(at, len, "crash", on, 1));
+            case "slow" -> troubles.add(new TestScript.Trouble(at, len, "slow", on, size));
+            case "answer_lost" -> troubles.add(new TestScript.Trouble(at, len, "lost", on, size));
+            case "burst" -> troubles.add(new TestScript.Trouble(at, len, "burst", List.of(), size));
+            case "flush" -> troubles.add(new TestScript.Trouble(at, len, "flush", on, 1));
+            case "throttle" -> troubles.add(new TestScript.Trouble(at, len, "full", on, 1));
             case "report_late" ->
                     troubles.add(
-                            new Script.Trouble(
+                            new TestScript.Trouble(
                                     at,
                                     len,
                                     "lag",
@@ -240,14 +241,15 @@
             case "pauses" -> {
                 double every = Math.max(0.5, trouble.path("extra").asDouble(1)) * 1000;
                 for (double t = at; t < at + len; t += every) {
-                    troubles.add(new Script.Trouble(t, Math.min(every / 2, size), "pause", on, 1));
+                    troubles.add(
+                            new TestScript.Trouble(t, Math.min(every / 2, size), "pause", on, 1));
                 }
             }
             case "ageing" -> {
                 // Slower and slower in five steps, then one crash.
                 for (int step = 1; step <= 5; step++) {
                     troubles.add(
-                            new Script.Trouble(
+                            new TestScript.Trouble(
                                     at + len * (step - 1) / 5,
                                     len / 5,
                                     "slow",
@@ -255,7 +257,7 @@
                                     1 + (size - 1) * step / 5));
                 }
                 troubles.add(
-                        new Script.Trouble(
+                        new TestScript.Trouble(
                                 at + len,
                                 trouble.path("extra").asDouble(4) * 1000,
                                 "crash",
@@ -266,8 +268,9 @@
                 int step = 0;
                 for (Long id : on) {
                     double begins = at + len * step++ / Math.max(1, on.size());
-                    troubles.add(new Script.Trouble(begins, 400, "drain", List.of(id), 1));
-                    troubles.add(new Script.Trouble(begins + 400, 1500, "crash", List.of(id), 1));
+                    troubles.add(new TestScript.Trouble(begins, 400, "drain", List.of(id), 1));
+                    troubles.add(
+                            new TestScript.Trouble(begins + 400, 1500, "crash", List.of(id), 1));
                 }
             }
             default -> leftOut.add("trouble " + kind + " at " + Math.round(at / 1000) + " s");
--- a/src/main/java/larchridge/drill/Bills.java
+++ b/src/main/java/larchridge/systemtest/BillingChecker.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * Compares what fronts wrote in their ledgers with what clients and engines saw. A pure function
  * over both.
  */
-public final class Bills {
+public final class BillingChecker {
     /** One tenant's product. */
     public static final class Row {
         public final String tenant;
@@ -59,7 +59,7 @@
     /** A record is on disk within this time, or its front was killed first. */
     private static final double ON_DISK_MS = 500;
 
-    private Bills() {}
+    private BillingChecker() {}
 
     /** One operation: the most that any of its tries got, and how its tries ended. */
     private static final class Operation {
@@ -72,11 +72,11 @@
     }
 
     /** Rows by tenant and product; records of all fronts, one list each. */
-    public static List<Row> of(List<Seen> log, List<Usage> records) {
+    public static List<Row> of(List<TrafficEvent> log, List<Usage> records) {
         Map<String, Operation> operations = new TreeMap<>();
-        List<Seen> kills =
-                log.stream().filter(seen -> seen.kind() == Seen.Kind.FRONT_KILLED).toList();
-        for (Seen seen : log) {
+        List<TrafficEvent> kills =
+                log.stream().filter(seen -> seen.kind() == TrafficEvent.Kind.FRONT_KILLED).toList();
+        for (TrafficEvent seen : log) {
             if (seen.tag() == null || seen.rid() == null) {
                 continue;
             }
--- a/src/main/java/larchridge/drill/Load.java
+++ b/src/main/java/larchridge/systemtest/ClientLoad.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -27,7 +27,7 @@
  * clients that leave and clients that read slowly. What each sees on its socket goes to the traffic
  * log. Runs on one loop.
  */
-public final class Load {
+public final class ClientLoad {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String WORDS =
             "caudal nivel embalse cuenca aforo lluvia aviso puente estacion rio "
@@ -35,7 +35,7 @@
     private static final int MOST_SESSIONS = 500;
 
     private final Vertx vertx;
-    private final Script script;
+    private final TestScript script;
     private final List<Integer> ports;
     private final TrafficLog log;
     private final Random random;
@@ -49,13 +49,13 @@
 
     /** A talk under way: the messages so far. */
     private static final class Session {
-        final Script.Mix mix;
+        final TestScript.Mix mix;
         final String tenant;
         final int prefix;
         final ArrayNode messages = MAPPER.createArrayNode();
         int left;
 
-        Session(Script.Mix mix, String tenant, int prefix, int turns) {
+        Session(TestScript.Mix mix, String tenant, int prefix, int turns) {
             this.mix = mix;
             this.tenant = tenant;
             this.prefix = prefix;
@@ -63,7 +63,7 @@
         }
     }
 
-    Load(Vertx vertx, Script script, List<Integer> ports, TrafficLog log) {
+    ClientLoad(Vertx vertx, TestScript script, List<Integer> ports, TrafficLog log) {
         this.vertx = vertx;
         this.script = script;
         this.ports = ports;
@@ -121,7 +121,7 @@
     }
 
     private Session session() {
-        Script.Mix mix = script.anyMix(random);
+        TestScript.Mix mix = script.anyMix(random);
         String tenant = script.anyTenant(random).name();
         if (random.nextDouble() < 1 - 1 / mix.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
@@ -178,7 +178,7 @@
         private final int out;
         private final int front;
         private final String tag;
-        private final StreamOrder order = new StreamOrder();
+        private final EventStreamChecker order = new EventStreamChecker();
         private final CharsetDecoder decoder = CharsetUtil.decoder(CharsetUtil.UTF_8);
         private Buffer undecoded = Buffer.buffer();
         private HttpClientRequest request;
@@ -208,7 +208,7 @@
 
         void ask() {
             open++;
-            Script.Mix mix = session.mix;
+            TestScript.Mix mix = session.mix;
             ObjectNode body =
                     MAPPER.createObjectNode()
                             .put("model", mix.name())
@@ -256,7 +256,7 @@
                                 }
                                 request = connected.result();
                                 log.add(
-                                        Seen.Kind.ASKED,
+                                        TrafficEvent.Kind.ASKED,
                                         front,
                                         session.tenant,
                                         tag,
@@ -302,7 +302,7 @@
             order.take(chars.flip().toString());
             if (!begun && !order.text().isEmpty() && !left) {
                 begun = true;
-                log.add(Seen.Kind.BEGUN, front, null, tag, 0, null);
+                log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null);
             }
             if (order.isStopped() || order.isErrored()) {
                 answered(order.isStopped() ? "streamed" : "terminated");
@@ -314,10 +314,10 @@
                 return;
             }
             if (order.fault() != null) {
-                log.add(Seen.Kind.MALFORMED, front, null, tag, 0, order.fault());
+                log.add(TrafficEvent.Kind.MALFORMED, front, null, tag, 0, order.fault());
             }
             if (order.afterEnd() > 0) {
-                log.add(Seen.Kind.AFTER_FINAL, front, null, tag, order.afterEnd(), null);
+                log.add(TrafficEvent.Kind.AFTER_FINAL, front, null, tag, order.afterEnd(), null);
             }
             if (order.isStopped()) {
                 checkText(order.text(), order.outputTokens());
@@ -332,7 +332,7 @@
             try {
                 json = MAPPER.readTree(body.getBytes());
             } catch (IOException e) {
-                log.add(Seen.Kind.MALFORMED, front, null, tag, 0, "body is no JSON");
+                log.add(TrafficEvent.Kind.MALFORMED, front, null, tag, 0, "body is no JSON");
                 lost();
                 return;
             }
@@ -341,7 +341,7 @@
             if (status == 200) {
                 wholeText = json.path("content").path(0).path("text").asText();
                 checkText(wholeText, json.path("usage").path("output_tokens").asInt(-1));
-                log.add(Seen.Kind.BEGUN, front, null, tag, 0, null);
+                log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null);
                 answered("streamed");
             } else if (status == 429 && type.equals("rate_limit_error")
                     || status == 529 && type.equals("overloaded_error")) {
@@ -351,7 +351,7 @@
                 answered("terminated");
             } else {
                 log.add(
-                        Seen.Kind.MALFORMED,
+                        TrafficEvent.Kind.MALFORMED,
                         front,
                         null,
                         tag,
@@ -385,7 +385,7 @@
             }
             if (!expected.toString().equals(text)) {
                 log.add(
-                        Seen.Kind.MALFORMED,
+                        TrafficEvent.Kind.MALFORMED,
                         front,
                         null,
                         tag,
@@ -399,7 +399,7 @@
                 return;
             }
             finished = true;
-            log.add(Seen.Kind.FINAL, front, session.tenant, tag, got(), word);
+            log.add(TrafficEvent.Kind.FINAL, front, session.tenant, tag, got(), word);
             if (word.equals("streamed") && --session.left > 0 && sessions.size() < MOST_SESSIONS) {
                 session.messages.addObject().put("role", "user").put("content", question);
                 session.messages.addObject().put("role", "assistant").put("content", "w1 w2 ");
@@ -417,7 +417,7 @@
         private void leave() {
             if (!finished && !left) {
                 left = true;
-                log.add(Seen.Kind.LEFT, front, session.tenant, tag, got(), null);
+                log.add(TrafficEvent.Kind.LEFT, front, session.tenant, tag, got(), null);
                 request.reset();
                 end();
             }
@@ -426,7 +426,7 @@
         private void lost() {
             if (!finished && !left) {
                 finished = true;
-                log.add(Seen.Kind.LOST, front, session.tenant, tag, got(), null);
+                log.add(TrafficEvent.Kind.LOST, front, session.tenant, tag, got(), null);
                 end();
             }
         }
--- a/src/main/java/larchridge/drill/Kills.java
+++ b/src/main/java/larchridge/systemtest/CrashTest.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.File;
@@ -15,7 +15,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.Role;
 import larchridge.store.CrashPoints;
 import larchridge.store.Store;
@@ -25,7 +25,7 @@
  * at any time. After each death the store is verified; in the end every line must have exactly one
  * record, and no side-effecting one may have run twice, by what the engines saw.
  */
-public final class Kills {
+public final class CrashTest {
     private static final long START_MS = 30_000;
     private static final long BATCH_MS = 120_000;
     private static final int LINES = 80;
@@ -43,7 +43,7 @@
     private int kills;
     private int atWrites;
 
-    private Kills(long seed, int killsPerBatch) {
+    private CrashTest(long seed, int killsPerBatch) {
         random = new Random(seed);
         this.killsPerBatch = killsPerBatch;
     }
@@ -51,14 +51,17 @@
     /** Plays so many batches, each with so many kills. */
     public static Result play(long seed, int batches, int killsPerBatch)
             throws IOException, InterruptedException {
-        return new Kills(seed, killsPerBatch).run(batches);
+        return new CrashTest(seed, killsPerBatch).run(batches);
     }
 
     private Result run(int batches) throws IOException, InterruptedException {
         folder = Files.createTempDirectory("larchridge-kills");
-        List<Make> makes = List.of(Make.of(1, Role.READER, "", 0), Make.of(2, Role.WRITER, "", 0));
-        try (Fleet fleet =
-                Fleet.start(
+        List<EngineProfile> makes =
+                List.of(
+                        EngineProfile.of(1, Role.READER, "", 0),
+                        EngineProfile.of(2, Role.WRITER, "", 0));
+        try (SimulatedFleet fleet =
+                SimulatedFleet.start(
                         makes,
                         (sight, engine, rid, tag, amount) -> {
                             if (sight.name().equals("RAN") && tag != null) {
@@ -111,11 +114,11 @@
                     lasts || atWrite
                             ? Long.MAX_VALUE
                             : System.nanoTime() + (50L + random.nextInt(1500)) * 1_000_000;
-            BatchCalls calls = new BatchCalls(port, "k");
+            BatchApiClient calls = new BatchApiClient(port, "k");
             JsonNode last = null;
             while (process.isAlive()
                     && System.nanoTime() < end
-                    && (last == null || !BatchCalls.isOver(last))) {
+                    && (last == null || !BatchApiClient.isOver(last))) {
                 String file = calls.upload(name, lines);
                 String id = file == null ? null : calls.make(file, "/v1/messages", "1h");
                 last = id == null ? null : calls.batch(id);
@@ -124,7 +127,7 @@
                 }
                 process.waitFor(10, TimeUnit.MILLISECONDS);
             }
-            boolean over = last != null && BatchCalls.isOver(last);
+            boolean over = last != null && BatchApiClient.isOver(last);
             Map<String, Integer> records = over && process.isAlive() ? calls.records(last) : null;
             boolean died = !process.isAlive();
             end();
@@ -160,11 +163,11 @@
     }
 
     private void begin(int haltAtWrite) throws IOException, InterruptedException {
-        port = Processes.free();
+        port = RouterProcesses.free();
         Path site = folder.resolve("site.textproto");
         Files.writeString(site, site());
         process =
-                Processes.launch(
+                RouterProcesses.launch(
                         site,
                         new File(folder.toFile(), "log"),
                         "--rehearse",
--- a/src/main/java/larchridge/drill/StreamOrder.java
+++ b/src/main/java/larchridge/systemtest/EventStreamChecker.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,7 +10,7 @@
  * {@code content_block_stop}, then {@code message_delta} and {@code message_stop}; {@code ping}
  * anywhere before the end, {@code error} as a last event. Shares no code with the front.
  */
-public final class StreamOrder {
+public final class EventStreamChecker {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private enum Place {
--- a/src/main/java/larchridge/drill/Pump.java
+++ b/src/main/java/larchridge/systemtest/LoadGenerator.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -27,7 +27,7 @@
  * what the front adds, at a reader and a writer directly. Measures cost, not service: a closed loop
  * hides waits.
  */
-public final class Pump {
+public final class LoadGenerator {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** What came of it; times to the first token are microseconds. */
@@ -57,7 +57,7 @@
      * many streams share a connection and ten thousand of them fit into one process's descriptors.
      * The clients come evenly over a time.
      */
-    public Pump(
+    public LoadGenerator(
             String host,
             int[] ports,
             int clients,
--- a/src/main/java/larchridge/drill/Tally.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * What clients got, from the traffic log alone: service by time and product, and times to the first
  * token.
  */
-public final class Tally {
+public final class ResultCounts {
     /** Service of one span of time. */
     public static final class Row {
         public final String name;
@@ -39,25 +39,25 @@
 
     /** One operation: its tries belong to it, and its SLO time runs from the first. */
     private static final class Operation {
-        Seen asked;
-        Seen begun;
+        TrafficEvent asked;
+        TrafficEvent begun;
         String answer;
         boolean left;
         boolean lost;
     }
 
-    private Tally() {}
+    private ResultCounts() {}
 
     /**
      * Rows in all, by product, and by tenant where there are several; and for each trouble before,
      * during and after it.
      */
-    public static List<Row> of(List<Seen> log, Script script) {
+    public static List<Row> of(List<TrafficEvent> log, TestScript script) {
         Map<String, Operation> operations = new LinkedHashMap<>();
-        Map<String, Script.Mix> mixes = new HashMap<>();
+        Map<String, TestScript.Mix> mixes = new HashMap<>();
         script.products().forEach(mix -> mixes.put(mix.name(), mix));
-        for (Seen seen : log) {
-            if (seen.tag() == null || seen.kind().ordinal() < Seen.Kind.ASKED.ordinal()) {
+        for (TrafficEvent seen : log) {
+            if (seen.tag() == null || seen.kind().ordinal() < TrafficEvent.Kind.ASKED.ordinal()) {
                 continue;
             }
             Operation one = operations.computeIfAbsent(seen.operation(), key -> new Operation());
@@ -74,7 +74,7 @@
         Row all = new Row("all");
         rows.add(all);
         Map<String, Row> byProduct = new LinkedHashMap<>();
-        for (Script.Mix mix : script.products()) {
+        for (TestScript.Mix mix : script.products()) {
             byProduct.put(mix.name(), new Row(mix.name()));
         }
         rows.addAll(byProduct.values());
@@ -88,7 +88,7 @@
             rows.addAll(byTenant.values());
         }
         List<Row> spans = new ArrayList<>();
-        for (Script.Trouble trouble : script.troubles()) {
+        for (TestScript.Trouble trouble : script.troubles()) {
             for (String part : new String[] {"before", "during", "after"}) {
                 spans.add(
                         new Row(
@@ -105,7 +105,7 @@
             if (one.asked == null) {
                 continue;
             }
-            Script.Mix mix = mixes.get(one.asked.word());
+            TestScript.Mix mix = mixes.get(one.asked.word());
             // Lines of batches have no SLO time; their product's row tells what became of them.
             boolean isLine = one.asked.tag().startsWith(BatchLoad.NAME);
             if (!isLine) {
@@ -119,7 +119,7 @@
                 count(byTenant.get(one.asked.rid()), one, mix);
             }
             for (int i = 0; i < script.troubles().size(); i++) {
-                Script.Trouble trouble = script.troubles().get(i);
+                TestScript.Trouble trouble = script.troubles().get(i);
                 double at = one.asked.ms();
                 int part = at < trouble.atMs() ? 0 : at < trouble.atMs() + trouble.forMs() ? 1 : 2;
                 // As long before and after as during: the rest of the day says nothing of this
@@ -136,7 +136,7 @@
         return rows;
     }
 
-    private static void count(Row row, Operation one, Script.Mix mix) {
+    private static void count(Row row, Operation one, TestScript.Mix mix) {
         row.asked++;
         row.left += one.left ? 1 : 0;
         row.lost += one.lost ? 1 : 0;
--- a/src/main/java/larchridge/drill/Processes.java
+++ b/src/main/java/larchridge/systemtest/RouterProcesses.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import java.io.File;
 import java.io.IOException;
@@ -15,7 +15,7 @@
  * Fronts as processes of their own, one each, so that one can be killed outright and come back with
  * nothing.
  */
-final class Processes implements Drill.Fronts {
+final class RouterProcesses implements SystemTest.Fronts {
     private static final long START_MS = 30_000;
 
     private final Path folder;
@@ -24,7 +24,7 @@
     private final List<Process> running = new ArrayList<>();
 
     /** Site: the text of a site file of one front, without its listen block. */
-    Processes(Path folder, String site, int fronts) throws IOException, InterruptedException {
+    RouterProcesses(Path folder, String site, int fronts) throws IOException, InterruptedException {
         this.folder = folder;
         for (int i = 0; i < fronts; i++) {
             int port = free();
--- a/src/main/java/larchridge/drill/Rules.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.Role;
@@ -19,8 +19,8 @@
  * The five rules, checked from a traffic log alone. Pure functions: no clock, no sockets, no word
  * of a front.
  */
-public final class Rules {
-    private Rules() {}
+public final class RuleChecker {
+    private RuleChecker() {}
 
     /** A broken rule. */
     public record Breach(int rule, String about, String what) {
@@ -42,11 +42,11 @@
             double tipMs,
             double slackMs,
             Map<String, TrafficClass> products,
-            Map<Long, Make> makes) {}
+            Map<Long, EngineProfile> makes) {}
 
-    public static List<Breach> judge(List<Seen> log, Figures figures) {
-        List<Seen> ordered = new ArrayList<>(log);
-        ordered.sort(Comparator.comparingDouble(Seen::ms));
+    public static List<Breach> judge(List<TrafficEvent> log, Figures figures) {
+        List<TrafficEvent> ordered = new ArrayList<>(log);
+        ordered.sort(Comparator.comparingDouble(TrafficEvent::ms));
         List<Breach> breaches = new ArrayList<>();
         oneFinalAnswer(ordered, figures, breaches);
         noEffectTwice(ordered, figures, breaches);
@@ -57,15 +57,16 @@
     }
 
     /** Rule 1: each try gets one final answer in time, and nothing after it. */
-    static void oneFinalAnswer(List<Seen> log, Figures figures, List<Breach> breaches) {
-        Map<String, List<Seen>> byTag = clientSights(log);
-        List<Seen> killed = log.stream().filter(s -> s.kind() == Seen.Kind.FRONT_KILLED).toList();
-        for (Map.Entry<String, List<Seen>> entry : byTag.entrySet()) {
-            Seen asked = null;
-            Seen begun = null;
-            Seen last = null;
+    static void oneFinalAnswer(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
+        Map<String, List<TrafficEvent>> byTag = clientSights(log);
+        List<TrafficEvent> killed =
+                log.stream().filter(s -> s.kind() == TrafficEvent.Kind.FRONT_KILLED).toList();
+        for (Map.Entry<String, List<TrafficEvent>> entry : byTag.entrySet()) {
+            TrafficEvent asked = null;
+            TrafficEvent begun = null;
+            TrafficEvent last = null;
             boolean left = false;
-            for (Seen seen : entry.getValue()) {
+            for (TrafficEvent seen : entry.getValue()) {
                 switch (seen.kind()) {
                     case ASKED -> asked = seen;
                     case BEGUN -> begun = seen;
@@ -73,7 +74,7 @@
                     case LOST -> {
                         // What a front held when it was killed, or is sent while it dies, is no
                         // longer its duty.
-                        Seen taken = asked;
+                        TrafficEvent taken = asked;
                         if (killed.stream()
                                 .noneMatch(
                                         k ->
@@ -136,22 +137,23 @@
             if (asked != null
                     && last == null
                     && !left
-                    && entry.getValue().stream().noneMatch(s -> s.kind() == Seen.Kind.LOST)) {
+                    && entry.getValue().stream()
+                            .noneMatch(s -> s.kind() == TrafficEvent.Kind.LOST)) {
                 breaches.add(new Breach(1, entry.getKey(), "no final answer at all"));
             }
         }
     }
 
     /** Rule 2: no effect twice, and no word that a repeat is harmless where it is not. */
-    static void noEffectTwice(List<Seen> log, Figures figures, List<Breach> breaches) {
+    static void noEffectTwice(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
         Map<String, TrafficClass> productOf = new HashMap<>();
-        Map<String, List<Seen>> ranOf = new TreeMap<>();
-        for (Seen seen : log) {
-            if (seen.kind() == Seen.Kind.ASKED) {
+        Map<String, List<TrafficEvent>> ranOf = new TreeMap<>();
+        for (TrafficEvent seen : log) {
+            if (seen.kind() == TrafficEvent.Kind.ASKED) {
                 productOf.put(seen.tag(), figures.products.get(seen.word()));
-            } else if (seen.kind() == Seen.Kind.RAN && seen.tag() != null) {
+            } else if (seen.kind() == TrafficEvent.Kind.RAN && seen.tag() != null) {
                 ranOf.computeIfAbsent(seen.operation(), key -> new ArrayList<>()).add(seen);
-            } else if (seen.kind() == Seen.Kind.FINAL && seen.word().equals("throttled")) {
+            } else if (seen.kind() == TrafficEvent.Kind.FINAL && seen.word().equals("throttled")) {
                 TrafficClass product = productOf.get(seen.tag());
                 boolean ran =
                         ranOf.getOrDefault(seen.operation(), List.of()).stream()
@@ -162,8 +164,8 @@
                 }
             }
         }
-        for (Map.Entry<String, List<Seen>> entry : ranOf.entrySet()) {
-            List<Seen> runs = entry.getValue();
+        for (Map.Entry<String, List<TrafficEvent>> entry : ranOf.entrySet()) {
+            List<TrafficEvent> runs = entry.getValue();
             TrafficClass product = productOf.get(runs.get(0).tag());
             if (product == null || product.effect == Effect.IDEMPOTENT) {
                 continue;
@@ -173,8 +175,8 @@
                     breaches.add(new Breach(2, entry.getKey(), "ran " + runs.size() + " times"));
                     break;
                 }
-                Make first = figures.makes.get(runs.get(0).where());
-                Make again = figures.makes.get(runs.get(i).where());
+                EngineProfile first = figures.makes.get(runs.get(0).where());
+                EngineProfile again = figures.makes.get(runs.get(i).where());
                 boolean together =
                         product.span == DeduplicationScope.ALL
                                 || product.span == DeduplicationScope.ZONE
@@ -204,10 +206,10 @@
      * Rule 3: nothing new to an engine once the list has said for the grace that it drains or is
      * gone.
      */
-    static void drainsKept(List<Seen> log, Figures figures, List<Breach> breaches) {
+    static void drainsKept(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
         Map<Long, Double> since = new HashMap<>();
-        for (Seen seen : log) {
-            if (seen.kind() == Seen.Kind.LISTED) {
+        for (TrafficEvent seen : log) {
+            if (seen.kind() == TrafficEvent.Kind.LISTED) {
                 if (seen.word().equals("ready")) {
                     since.remove(seen.where());
                 } else {
@@ -234,19 +236,19 @@
      * multiple of what it can do then. Each attempt weighs as the mean of its kind; two attempts
      * are allowed for chance.
      */
-    static void coldNotPushed(List<Seen> log, Figures figures, List<Breach> breaches) {
+    static void coldNotPushed(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
         double reads = 0;
         double readToks = 0;
-        for (Seen seen : log) {
-            reads += seen.kind() == Seen.Kind.READ_IN ? 1 : 0;
-            readToks += seen.kind() == Seen.Kind.READ_IN ? seen.amount() : 0;
+        for (TrafficEvent seen : log) {
+            reads += seen.kind() == TrafficEvent.Kind.READ_IN ? 1 : 0;
+            readToks += seen.kind() == TrafficEvent.Kind.READ_IN ? seen.amount() : 0;
         }
         double meanRead = reads > 0 ? readToks / reads : 0;
         Map<Long, Double> started = new HashMap<>();
         Map<Long, ArrayDeque<Double>> late = new HashMap<>();
         Set<Long> told = new HashSet<>();
-        for (Seen seen : log) {
-            if (seen.kind() == Seen.Kind.STARTED) {
+        for (TrafficEvent seen : log) {
+            if (seen.kind() == TrafficEvent.Kind.STARTED) {
                 late.remove(seen.where());
                 told.remove(seen.where());
                 started.remove(seen.where());
@@ -258,7 +260,7 @@
             if (!isAttempt(seen) || start == null) {
                 continue;
             }
-            Make make = figures.makes.get(seen.where());
+            EngineProfile make = figures.makes.get(seen.where());
             double age = seen.ms() - start;
             if (age > make.coldMs()) {
                 continue;
@@ -296,13 +298,13 @@
     /**
      * Rule 5: a state waits no longer than stated while none of its generation's attempts is out.
      */
-    static void nothingPinned(List<Seen> log, Figures figures, List<Breach> breaches) {
+    static void nothingPinned(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
         Map<String, Integer> attemptsOut = new HashMap<>();
         Map<String, Double> idleSince = new HashMap<>();
-        Map<String, List<Seen>> held = new HashMap<>();
+        Map<String, List<TrafficEvent>> held = new HashMap<>();
         Set<String> orphans = orphans(log);
         double end = log.isEmpty() ? 0 : log.get(log.size() - 1).ms();
-        for (Seen seen : log) {
+        for (TrafficEvent seen : log) {
             if (seen.tag() == null || orphans.contains(seen.tag())) {
                 continue;
             }
@@ -322,7 +324,7 @@
                 }
                 case STATE_GONE -> {
                     look(seen.tag(), seen.ms(), held, attemptsOut, idleSince, figures, breaches);
-                    List<Seen> states = held.get(seen.tag());
+                    List<TrafficEvent> states = held.get(seen.tag());
                     if (states != null) {
                         states.removeIf(
                                 s -> s.where() == seen.where() && s.rid().equals(seen.rid()));
@@ -339,10 +341,10 @@
     /**
      * Tries that a front held when it was killed: what it left is freed by the engines' own lapse.
      */
-    private static Set<String> orphans(List<Seen> log) {
+    private static Set<String> orphans(List<TrafficEvent> log) {
         Set<String> orphans = new HashSet<>();
-        Map<String, Seen> open = new HashMap<>();
-        for (Seen seen : log) {
+        Map<String, TrafficEvent> open = new HashMap<>();
+        for (TrafficEvent seen : log) {
             switch (seen.kind()) {
                 case ASKED -> open.put(seen.tag(), seen);
                 case FRONT_KILLED ->
@@ -363,16 +365,16 @@
     private static void look(
             String tag,
             double ms,
-            Map<String, List<Seen>> held,
+            Map<String, List<TrafficEvent>> held,
             Map<String, Integer> attemptsOut,
             Map<String, Double> idleSince,
             Figures figures,
             List<Breach> breaches) {
-        List<Seen> states = held.get(tag);
+        List<TrafficEvent> states = held.get(tag);
         if (states == null || states.isEmpty() || attemptsOut.getOrDefault(tag, 0) > 0) {
             return;
         }
-        for (Seen state : states) {
+        for (TrafficEvent state : states) {
             double idle = ms - Math.max(state.ms(), idleSince.getOrDefault(tag, state.ms()));
             if (idle > figures.releaseMs + figures.slackMs) {
                 breaches.add(
@@ -390,18 +392,19 @@
         }
     }
 
-    private static Map<String, List<Seen>> clientSights(List<Seen> log) {
-        Map<String, List<Seen>> byTag = new TreeMap<>();
-        for (Seen seen : log) {
-            if (seen.kind().ordinal() >= Seen.Kind.ASKED.ordinal()
-                    && seen.kind().ordinal() <= Seen.Kind.MALFORMED.ordinal()) {
+    private static Map<String, List<TrafficEvent>> clientSights(List<TrafficEvent> log) {
+        Map<String, List<TrafficEvent>> byTag = new TreeMap<>();
+        for (TrafficEvent seen : log) {
+            if (seen.kind().ordinal() >= TrafficEvent.Kind.ASKED.ordinal()
+                    && seen.kind().ordinal() <= TrafficEvent.Kind.MALFORMED.ordinal()) {
                 byTag.computeIfAbsent(seen.tag(), key -> new ArrayList<>()).add(seen);
             }
         }
         return byTag;
     }
 
-    private static boolean isAttempt(Seen seen) {
-        return seen.kind() == Seen.Kind.READ_IN || seen.kind() == Seen.Kind.WRITE_IN;
+    private static boolean isAttempt(TrafficEvent seen) {
+        return seen.kind() == TrafficEvent.Kind.READ_IN
+                || seen.kind() == TrafficEvent.Kind.WRITE_IN;
     }
 }
--- a/src/main/java/larchridge/drill/Fleet.java
+++ b/src/main/java/larchridge/systemtest/SimulatedFleet.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -18,47 +18,49 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import larchridge.standin.Make;
-import larchridge.standin.StandIn;
-import larchridge.standin.Witness;
+import larchridge.simulatedengine.EngineProfile;
+import larchridge.simulatedengine.SimulatedEngine;
+import larchridge.simulatedengine.TrafficRecorder;
 
 /**
  * Stand-in engines in this process, each on a loop of its own, and the engine list that tells of
  * them.
  */
-public final class Fleet implements AutoCloseable {
+public final class SimulatedFleet implements AutoCloseable {
     private final Vertx vertx;
     private final Map<Long, Seat> seats = new TreeMap<>();
 
-    private record Seat(StandIn engine, io.vertx.core.Context loop) {}
+    private record Seat(SimulatedEngine engine, io.vertx.core.Context loop) {}
 
     /** What the list says of an engine beyond its make. */
     public record Said(String mode, boolean listed, double startMs) {}
 
     private final Map<Long, Said> said = new LinkedHashMap<>();
 
-    private Fleet(Vertx vertx) {
+    private SimulatedFleet(Vertx vertx) {
         this.vertx = vertx;
     }
 
-    public static Fleet start(List<Make> makes, Witness witness, long seed)
+    public static SimulatedFleet start(
+            List<EngineProfile> makes, TrafficRecorder witness, long seed)
             throws InterruptedException {
-        Fleet fleet =
-                new Fleet(
+        SimulatedFleet fleet =
+                new SimulatedFleet(
                         Vertx.vertx(
                                 new VertxOptions()
                                         .setEventLoopPoolSize(Math.min(4, makes.size()))
                                         .setPreferNativeTransport(true)));
         List<Future<Integer>> starts = new ArrayList<>();
-        for (Make make : makes) {
+        for (EngineProfile make : makes) {
             Promise<Integer> started = Promise.promise();
             // A context of its own for each, or all would run on one loop.
             io.vertx.core.internal.ContextInternal own =
                     ((io.vertx.core.internal.VertxInternal) fleet.vertx).createEventLoopContext();
             own.runOnContext(
                     v -> {
-                        StandIn engine =
-                                new StandIn(fleet.vertx, make, witness, seed * 1000 + make.id());
+                        SimulatedEngine engine =
+                                new SimulatedEngine(
+                                        fleet.vertx, make, witness, seed * 1000 + make.id());
                         synchronized (fleet) {
                             fleet.seats.put(make.id(), new Seat(engine, own));
                             fleet.said.put(make.id(), new Said("ready", true, 0));
@@ -77,13 +79,13 @@
     }
 
     /** Does something to an engine, on its loop. */
-    public void on(long id, Consumer<StandIn> act) {
+    public void on(long id, Consumer<SimulatedEngine> act) {
         Seat seat = seats.get(id);
         seat.loop.runOnContext(v -> act.accept(seat.engine));
     }
 
     /** Does something to an engine and waits for what it gives. */
-    public <T> T ask(long id, java.util.function.Function<StandIn, Future<T>> act)
+    public <T> T ask(long id, java.util.function.Function<SimulatedEngine, Future<T>> act)
             throws InterruptedException {
         Seat seat = seats.get(id);
         Promise<T> answer = Promise.promise();
@@ -115,7 +117,7 @@
             if (!about.listed) {
                 continue;
             }
-            Make make = entry.getValue().engine.make;
+            EngineProfile make = entry.getValue().engine.make;
             text.append(
                     String.format(
                             Locale.ROOT,
