--- a/src/main/java/larchridge/drill/Soak.java
+++ b/src/main/java/larchridge/systemtest/SoakTest.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -35,7 +35,7 @@
  * no more than {@code mostOpen} calls are out at once, and what would be beyond that is counted as
  * left out.
  */
-public final class Soak {
+public final class SoakTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int HOT_TEXTS = 40;
     private static final long LOOK_MS = 5_000;
@@ -61,7 +61,7 @@
     private long asked;
     private long startNs;
 
-    public Soak(int port, int adminPort, double perS, double seconds, long seed, Path folder) {
+    public SoakTest(int port, int adminPort, double perS, double seconds, long seed, Path folder) {
         this.port = port;
         this.adminPort = adminPort;
         this.perS = perS;
--- a/src/main/java/larchridge/drill/StoreCost.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -19,11 +19,11 @@
  * What records of lines cost a store: to write, on disk, and when it is opened after an end that
  * came at once.
  */
-public final class StoreCost {
+public final class StoreBenchmark {
     private static final int GROUP = 256;
     private static final String ANSWER = "{\"response\":\"" + "caudal ".repeat(60) + "\"}";
 
-    private StoreCost() {}
+    private StoreBenchmark() {}
 
     /**
      * Writes records in groups as a busy service does, copies the store as it lies then, and opens
--- a/src/main/java/larchridge/drill/Drill.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import io.vertx.core.Vertx;
 import java.io.IOException;
@@ -18,10 +18,10 @@
 import larchridge.ledger.LedgerException;
 import larchridge.ledger.Usage;
 import larchridge.serve.Service;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.site.InvalidSiteException;
 import larchridge.site.Site;
 import larchridge.site.SiteReader;
-import larchridge.standin.Make;
 import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.Role;
@@ -34,7 +34,7 @@
  * Plays a script: real fronts, stand-in engines and clients over loopback, then the rules from the
  * traffic.
  */
-public final class Drill {
+public final class SystemTest {
     private static final double DRAIN_GRACE_MS = 250;
     private static final double RELEASE_MS = 1000;
     private static final double TIP_MULTIPLE = 2.5;
@@ -70,44 +70,44 @@
 
     /** What a run gave. */
     public record Result(
-            List<Seen> log,
-            List<Rules.Breach> breaches,
-            List<Tally.Row> rows,
-            List<Bills.Row> bills,
+            List<TrafficEvent> log,
+            List<RuleChecker.Breach> breaches,
+            List<ResultCounts.Row> rows,
+            List<BillingChecker.Row> bills,
             String figures) {
-        public Tally.Row all() {
+        public ResultCounts.Row all() {
             return rows.get(0);
         }
     }
 
-    private final Script script;
+    private final TestScript script;
     private final Fronts.Maker maker;
     private final TrafficLog log = new TrafficLog();
-    private final Map<Long, Make> makes = new HashMap<>();
-    private Fleet fleet;
-    private Processes processes;
+    private final Map<Long, EngineProfile> makes = new HashMap<>();
+    private SimulatedFleet fleet;
+    private RouterProcesses processes;
     private Path list;
-    private Load load;
+    private ClientLoad load;
 
     /** Null where the script has no batches. */
     private BatchLoad batchLoad;
 
     private Vertx vertx;
 
-    private Drill(Script script, Fronts.Maker maker) {
+    private SystemTest(TestScript script, Fronts.Maker maker) {
         this.script = script;
         this.maker = maker;
     }
 
     /** Plays a script to its end through the real fronts and judges it. */
-    public static Result play(Script script) throws InterruptedException, IOException {
-        return play(script, Drill::service);
+    public static Result play(TestScript script) throws InterruptedException, IOException {
+        return play(script, SystemTest::service);
     }
 
     /** Plays a script through fronts made otherwise. */
-    public static Result play(Script script, Fronts.Maker maker)
+    public static Result play(TestScript script, Fronts.Maker maker)
             throws InterruptedException, IOException {
-        return new Drill(script, maker).run();
+        return new SystemTest(script, maker).run();
     }
 
     private static Fronts service(Site site)
@@ -140,7 +140,7 @@
         Path folder = Files.createTempDirectory("larchridge-drill");
         list = folder.resolve("engines.yaml");
         makes(script).forEach(make -> makes.put(make.id(), make));
-        fleet = Fleet.start(makes(script), log, script.seed());
+        fleet = SimulatedFleet.start(makes(script), log, script.seed());
         fleet.writeList(list);
         vertx = Vertx.vertx();
         Fronts fronts = null;
@@ -151,7 +151,7 @@
                         .forEach(id -> fleet.on(id, engine -> engine.counts = vocabulary::count));
             }
             if (script.processes()) {
-                processes = new Processes(folder, site(script), script.fronts());
+                processes = new RouterProcesses(folder, site(script), script.fronts());
                 fronts = processes;
             } else {
                 fronts =
@@ -167,12 +167,12 @@
                                                 + site(script),
                                         folder));
             }
-            load = new Load(vertx, script, fronts.ports(), log);
+            load = new ClientLoad(vertx, script, fronts.ports(), log);
             CountDownLatch done = new CountDownLatch(1);
             vertx.runOnContext(
                     v -> {
                         log.begin();
-                        for (Script.Trouble trouble : script.troubles()) {
+                        for (TestScript.Trouble trouble : script.troubles()) {
                             vertx.setTimer(
                                     Math.max(1, (long) trouble.atMs()), timer -> begin(trouble));
                         }
@@ -183,21 +183,31 @@
                 batchLoad.start();
             }
             if (!done.await((long) script.durationMs() + LAST_ANSWERS_MS, TimeUnit.MILLISECONDS)) {
-                log.add(Seen.Kind.TROUBLE, 0, null, null, 0, "clients still open after the run");
+                log.add(
+                        TrafficEvent.Kind.TROUBLE,
+                        0,
+                        null,
+                        null,
+                        0,
+                        "clients still open after the run");
             }
             if (batchLoad != null) {
                 batchLoad.join(LAST_ANSWERS_MS);
             }
             Thread.sleep(TAIL_MS);
             String figures = fronts.figures();
-            List<Seen> all = log.all();
-            List<Bills.Row> bills = List.of();
+            List<TrafficEvent> all = log.all();
+            List<BillingChecker.Row> bills = List.of();
             if (processes != null) {
                 fronts.stop();
-                bills = Bills.of(all, records());
+                bills = BillingChecker.of(all, records());
             }
             return new Result(
-                    all, Rules.judge(all, figures(script)), Tally.of(all, script), bills, figures);
+                    all,
+                    RuleChecker.judge(all, figures(script)),
+                    ResultCounts.of(all, script),
+                    bills,
+                    figures);
         } catch (InvalidSiteException
                 | InvalidEngineListException
                 | LedgerException
@@ -235,16 +245,16 @@
     }
 
     /** The engines of a script. */
-    public static List<Make> makes(Script script) {
-        List<Make> all = new ArrayList<>();
+    public static List<EngineProfile> makes(TestScript script) {
+        List<EngineProfile> all = new ArrayList<>();
         long id = 1;
-        for (Script.Group group : script.engines()) {
+        for (TestScript.Group group : script.engines()) {
             for (int i = 0; i < group.count(); i++) {
                 String zone = group.zones().get(i % group.zones().size());
                 long rack =
                         10L * (i % group.zones().size()) + i / group.zones().size() % group.racks();
                 all.add(
-                        Make.of(
+                        EngineProfile.of(
                                         id++,
                                         Role.valueOf(group.role().toUpperCase(Locale.ROOT)),
                                         zone,
@@ -256,7 +266,7 @@
     }
 
     /** The site that the fronts of this drill serve. */
-    public static String site(Script script) {
+    public static String site(TestScript script) {
         StringBuilder text = new StringBuilder();
         text.append("zone: \"")
                 .append(script.engines().get(0).zones().get(0))
@@ -285,7 +295,7 @@
             text.append(
                     "batch { listen { host: \"127.0.0.1\" port: 0 } folder: \"store\" line_ms: 8000 }\n");
         }
-        for (Script.Tenant tenant : script.tenants()) {
+        for (TestScript.Tenant tenant : script.tenants()) {
             text.append(
                     String.format(
                             Locale.ROOT,
@@ -308,7 +318,7 @@
                     .append(script.encoding())
                     .append("\" }\n");
         }
-        for (Script.Mix mix : script.products()) {
+        for (TestScript.Mix mix : script.products()) {
             text.append(
                     String.format(
                             Locale.ROOT,
@@ -334,11 +344,11 @@
     }
 
     /** What the rules of a script's drill are stated in. */
-    public static Rules.Figures figures(Script script) {
-        Map<Long, Make> makes = new HashMap<>();
+    public static RuleChecker.Figures figures(TestScript script) {
+        Map<Long, EngineProfile> makes = new HashMap<>();
         makes(script).forEach(make -> makes.put(make.id(), make));
         Map<String, TrafficClass> products = new HashMap<>();
-        for (Script.Mix mix : script.products()) {
+        for (TestScript.Mix mix : script.products()) {
             products.put(
                     mix.name(),
                     new TrafficClass(
@@ -352,14 +362,14 @@
                             0,
                             60));
         }
-        return new Rules.Figures(
+        return new RuleChecker.Figures(
                 DRAIN_GRACE_MS, RELEASE_MS, TIP_MULTIPLE, TIP_MS, SLACK_MS, products, makes);
     }
 
     // ------------------------------------------------------------------ troubles
 
-    private void begin(Script.Trouble trouble) {
-        log.add(Seen.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
+    private void begin(TestScript.Trouble trouble) {
+        log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
         if (!trouble.kind().equals("kill_front")) {
             trouble.engines().forEach(id -> begin(trouble, id));
         }
@@ -374,7 +384,7 @@
             }
             case "kill_front" -> {
                 for (long front : trouble.engines()) {
-                    log.add(Seen.Kind.FRONT_KILLED, front - 1, null, null, 0, null);
+                    log.add(TrafficEvent.Kind.FRONT_KILLED, front - 1, null, null, 0, null);
                     processes.kill((int) front - 1);
                     vertx.setTimer(
                             (long) Math.max(1, trouble.forMs()),
@@ -403,7 +413,7 @@
         }
     }
 
-    private void begin(Script.Trouble trouble, long id) {
+    private void begin(TestScript.Trouble trouble, long id) {
         switch (trouble.kind()) {
             case "crash" -> crash(trouble, id);
             case "drain" -> fleet.say(id, "draining", true, fleet.said(id).startMs());
@@ -441,7 +451,7 @@
     }
 
     /** Dies at once; the list tells of it late, and of its cold return when that is over. */
-    private void crash(Script.Trouble trouble, long id) {
+    private void crash(TestScript.Trouble trouble, long id) {
         fleet.on(id, engine -> engine.crash());
         vertx.setTimer(
                 (long) script.listLagMs(),
@@ -475,7 +485,7 @@
     }
 
     private void tellList(List<Long> ids, String mode) {
-        ids.forEach(id -> log.add(Seen.Kind.LISTED, id, null, null, 0, mode));
+        ids.forEach(id -> log.add(TrafficEvent.Kind.LISTED, id, null, null, 0, mode));
     }
 
     private void write(String broken) {
--- a/src/main/java/larchridge/drill/Script.java
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
@@ -6,10 +6,10 @@
 
 /**
  * A drill: engines, load and troubles against time, milliseconds from the start. Fields that a file
- * leaves out have the defaults of {@link ScriptReader}. Engines count by the encoding, or four
+ * leaves out have the defaults of {@link TestScriptReader}. Engines count by the encoding, or four
  * characters a token where there is none; fronts count by it too if counted, or guess from bytes.
  */
-public record Script(
+public record TestScript(
         @JsonProperty("seed") long seed,
         @JsonProperty("fronts") int fronts,
         @JsonProperty("duration_ms") double durationMs,
@@ -70,8 +70,8 @@
     }
 
     /** The same script with another seed. */
-    public Script withSeed(long other) {
-        return new Script(
+    public TestScript withSeed(long other) {
+        return new TestScript(
                 other,
                 fronts,
                 durationMs,
@@ -90,7 +90,7 @@
     }
 
     /** The same script with so many times the load and the engines, and so many fronts. */
-    public Script scaled(double load, double fleet, int others) {
+    public TestScript scaled(double load, double fleet, int others) {
         List<Group> groups =
                 engines.stream()
                         .map(
@@ -102,7 +102,7 @@
                                                 group.racks,
                                                 group.speed))
                         .toList();
-        return new Script(
+        return new TestScript(
                 seed,
                 others,
                 durationMs,
@@ -121,8 +121,8 @@
     }
 
     /** The same script with other troubles. */
-    public Script withTroubles(List<Trouble> others) {
-        return new Script(
+    public TestScript withTroubles(List<Trouble> others) {
+        return new TestScript(
                 seed,
                 fronts,
                 durationMs,
@@ -141,8 +141,8 @@
     }
 
     /** The same script without its batches. */
-    public Script withoutBatches() {
-        return new Script(
+    public TestScript withoutBatches() {
+        return new TestScript(
                 seed,
                 fronts,
                 durationMs,
--- a/src/main/java/larchridge/drill/ScriptReader.java
+++ b/src/main/java/larchridge/systemtest/TestScriptReader.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** Reads a drill script in YAML; a fault names file, line and field. */
-public final class ScriptReader {
+public final class TestScriptReader {
     static final Set<String> KINDS =
             Set.of(
                     "crash",
@@ -46,9 +46,9 @@
         }
     }
 
-    private ScriptReader() {}
+    private TestScriptReader() {}
 
-    public static Script read(Path file) throws BadScript {
+    public static TestScript read(Path file) throws BadScript {
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException e) {
@@ -56,10 +56,10 @@
         }
     }
 
-    public static Script read(String file, String text) throws BadScript {
-        Script script;
+    public static TestScript read(String file, String text) throws BadScript {
+        TestScript script;
         try {
-            script = MAPPER.readValue(text, Script.class);
+            script = MAPPER.readValue(text, TestScript.class);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
             throw new BadScript(file + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
@@ -67,28 +67,28 @@
         return filled(file, script);
     }
 
-    private static Script filled(String file, Script raw) throws BadScript {
+    private static TestScript filled(String file, TestScript raw) throws BadScript {
         if (raw.engines() == null || raw.engines().isEmpty()) {
             throw new BadScript(file + ": engines: missing");
         }
         if (raw.products() == null || raw.products().isEmpty()) {
             throw new BadScript(file + ": products: missing");
         }
-        List<Script.Group> groups = new ArrayList<>();
-        for (Script.Group group : raw.engines()) {
+        List<TestScript.Group> groups = new ArrayList<>();
+        for (TestScript.Group group : raw.engines()) {
             groups.add(
-                    new Script.Group(
+                    new TestScript.Group(
                             group.role(),
                             Math.max(1, group.count()),
                             group.zones() == null ? List.of("z") : group.zones(),
                             Math.max(1, group.racks()),
                             or(group.speed(), 1)));
         }
-        int engines = groups.stream().mapToInt(Script.Group::count).sum();
-        List<Script.Mix> mixes = new ArrayList<>();
-        for (Script.Mix mix : raw.products()) {
+        int engines = groups.stream().mapToInt(TestScript.Group::count).sum();
+        List<TestScript.Mix> mixes = new ArrayList<>();
+        for (TestScript.Mix mix : raw.products()) {
             mixes.add(
-                    new Script.Mix(
+                    new TestScript.Mix(
                             mix.name(),
                             or(mix.share(), 1),
                             mix.effect() == null ? "IDEMPOTENT" : mix.effect(),
@@ -104,9 +104,9 @@
                             or(mix.turns(), 1),
                             mix.text() == null ? "prose" : mix.text()));
         }
-        List<Script.Trouble> troubles = new ArrayList<>();
-        for (Script.Trouble trouble :
-                raw.troubles() == null ? List.<Script.Trouble>of() : raw.troubles()) {
+        List<TestScript.Trouble> troubles = new ArrayList<>();
+        for (TestScript.Trouble trouble :
+                raw.troubles() == null ? List.<TestScript.Trouble>of() : raw.troubles()) {
             if (trouble.kind() == null || !KINDS.contains(trouble.kind())) {
                 throw new BadScript(
                         file
@@ -137,27 +137,28 @@
                 }
             }
             troubles.add(
-                    new Script.Trouble(
+                    new TestScript.Trouble(
                             trouble.atMs(),
                             trouble.forMs(),
                             trouble.kind(),
                             on,
                             or(trouble.size(), 1)));
         }
-        List<Script.Tenant> tenants = new ArrayList<>();
-        for (Script.Tenant tenant :
+        List<TestScript.Tenant> tenants = new ArrayList<>();
+        for (TestScript.Tenant tenant :
                 raw.tenants() == null || raw.tenants().isEmpty()
-                        ? List.of(new Script.Tenant("drill", 1, 0, 0))
+                        ? List.of(new TestScript.Tenant("drill", 1, 0, 0))
                         : raw.tenants()) {
             tenants.add(
-                    new Script.Tenant(
+                    new TestScript.Tenant(
                             tenant.name(),
                             or(tenant.share(), 1),
                             tenant.toksPerS(),
                             or(tenant.burstToks(), tenant.toksPerS() * 5)));
         }
-        List<Script.Batch> batches = new ArrayList<>();
-        for (Script.Batch batch : raw.batches() == null ? List.<Script.Batch>of() : raw.batches()) {
+        List<TestScript.Batch> batches = new ArrayList<>();
+        for (TestScript.Batch batch :
+                raw.batches() == null ? List.<TestScript.Batch>of() : raw.batches()) {
             if (mixes.stream().noneMatch(mix -> mix.name().equals(batch.product()))) {
                 throw new BadScript(
                         file
@@ -168,16 +169,16 @@
                                 + "' is no product of this script");
             }
             batches.add(
-                    new Script.Batch(
+                    new TestScript.Batch(
                             batch.atMs(),
                             Math.max(1, batch.lines()),
                             batch.product(),
                             (int) or(batch.promptToks(), 200),
                             (int) or(batch.outToks(), 12)));
         }
-        Script.Clients clients =
-                raw.clients() == null ? new Script.Clients(0, 100, 0, 0, 0) : raw.clients();
-        return new Script(
+        TestScript.Clients clients =
+                raw.clients() == null ? new TestScript.Clients(0, 100, 0, 0, 0) : raw.clients();
+        return new TestScript(
                 raw.seed(),
                 Math.max(1, raw.fronts()),
                 or(raw.durationMs(), 10_000),
--- a/src/main/java/larchridge/drill/Seen.java
+++ b/src/main/java/larchridge/systemtest/TrafficEvent.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 /**
  * One line of the traffic log: what an end of a socket, or the script, saw or did.
@@ -11,7 +11,7 @@
  * @param amount prompt tokens, milliseconds of patience, tokens got or sent, or 1 for a cold start
  * @param word product, final answer, mode or trouble
  */
-public record Seen(
+public record TrafficEvent(
         double ms, Kind kind, long where, String rid, String tag, double amount, String word) {
     /** The kinds of sights. */
     public enum Kind {
--- a/src/main/java/larchridge/drill/TrafficLog.java
+++ b/src/main/java/larchridge/systemtest/TrafficLog.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedWriter;
@@ -7,18 +7,18 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import larchridge.standin.Witness;
+import larchridge.simulatedengine.TrafficRecorder;
 
 /**
  * What both ends of every socket saw, in order, by one monotonic clock. At most {@value #MOST}
  * sights; a run that has more is not judged, since a log with holes proves nothing.
  */
-public final class TrafficLog implements Witness {
+public final class TrafficLog implements TrafficRecorder {
     static final int MOST = 20_000_000;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private volatile long startNanos = System.nanoTime();
-    private final List<Seen> sights = new ArrayList<>();
+    private final List<TrafficEvent> sights = new ArrayList<>();
     private boolean full;
 
     /** The script's time begins now; what was seen before has times under 0. */
@@ -27,7 +27,7 @@
         startNanos = System.nanoTime();
         sights.replaceAll(
                 seen ->
-                        new Seen(
+                        new TrafficEvent(
                                 seen.ms() - before,
                                 seen.kind(),
                                 seen.where(),
@@ -43,20 +43,25 @@
 
     @Override
     public void saw(Sight sight, long engine, String rid, String tag, double amount) {
-        add(Seen.Kind.valueOf(sight.name()), engine, rid, tag, amount, null);
+        add(TrafficEvent.Kind.valueOf(sight.name()), engine, rid, tag, amount, null);
     }
 
     public synchronized void add(
-            Seen.Kind kind, long where, String rid, String tag, double amount, String word) {
+            TrafficEvent.Kind kind,
+            long where,
+            String rid,
+            String tag,
+            double amount,
+            String word) {
         if (sights.size() >= MOST) {
             full = true;
             return;
         }
-        sights.add(new Seen(now(), kind, where, rid, tag, amount, word));
+        sights.add(new TrafficEvent(now(), kind, where, rid, tag, amount, word));
     }
 
     /** All sights so far. */
-    public synchronized List<Seen> all() {
+    public synchronized List<TrafficEvent> all() {
         if (full) {
             throw new IllegalStateException(
                     "the traffic log is full at " + MOST + " sights; play a shorter script");
@@ -65,9 +70,9 @@
     }
 
     /** Writes sights as JSON lines. */
-    public static void write(List<Seen> sights, Path file) throws IOException {
+    public static void write(List<TrafficEvent> sights, Path file) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            for (Seen seen : sights) {
+            for (TrafficEvent seen : sights) {
                 out.write(MAPPER.writeValueAsString(seen));
                 out.newLine();
             }
--- a/src/test/java/larchridge/emulator/EmulatorTest.java
+++ b/src/test/java/larchridge/emulator/EmulatorTest.java
@@ -17,8 +17,9 @@
 
 /** The emulated engine: memory, batches, preemption, and whether it answers load as engines do. */
 class EmulatorTest {
-    private static final Silicon SILICON =
-            new Silicon(2, 0.02, 0.05, 0.00002, 0, 16, 2000, 512, 32, 1000, 5000, 1, 0, false);
+    private static final EngineHardware SILICON =
+            new EngineHardware(
+                    2, 0.02, 0.05, 0.00002, 0, 16, 2000, 512, 32, 1000, 5000, 1, 0, false);
 
     private static Prompt prompt(long text, int toks) {
         return Prompt.of(new long[] {text}, new int[] {toks}, 16);
@@ -32,7 +33,7 @@
         double now;
         private int numbers;
 
-        Bench(Silicon silicon) {
+        Bench(EngineHardware silicon) {
             model = new EngineModel(silicon, Double.NEGATIVE_INFINITY, this);
         }
 
@@ -166,10 +167,10 @@
 
     @Test
     void linksAreSharedEvenlyAndTheSlowestCounts() {
-        Links links = new Links();
+        SharedLinks links = new SharedLinks();
         List<String> come = new ArrayList<>();
-        Links.Link fast = links.link("fast", 100);
-        Links.Link slow = links.link("slow", 10);
+        SharedLinks.Link fast = links.link("fast", 100);
+        SharedLinks.Link slow = links.link("slow", 10);
         links.begin(0, 1000, List.of(fast), () -> come.add("fast"));
         links.begin(0, 100, List.of(fast, slow), () -> come.add("slow"));
         // Half of the fast one is 50; the slow one lets only 10 through.
@@ -231,7 +232,7 @@
             long evictions) {}
 
     private static Load load(
-            Silicon silicon, double perS, int promptToks, int length, int texts, long seed) {
+            EngineHardware silicon, double perS, int promptToks, int length, int texts, long seed) {
         Random random = new Random(seed);
         Bench bench = new Bench(silicon);
         PriorityQueue<double[]> arrivals =
--- a/src/test/java/larchridge/experiment/ExperimentTest.java
+++ b/src/test/java/larchridge/experiment/ExperimentTest.java
@@ -10,8 +10,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import larchridge.drill.Script;
-import larchridge.drill.ScriptReader;
+import larchridge.systemtest.TestScript;
+import larchridge.systemtest.TestScriptReader;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -54,26 +54,26 @@
 
     @Test
     void planThatWasStoppedGoesOnWhereItWas() throws Exception {
-        Plan plan = Plan.read(folder.resolve("p.yaml"));
+        ExperimentPlan plan = ExperimentPlan.read(folder.resolve("p.yaml"));
         Path table = folder.resolve("results.csv");
-        List<Runs.Row> rows = Runs.run(plan, table, 2);
+        List<ExperimentRunner.Row> rows = ExperimentRunner.run(plan, table, 2);
         assertEquals(8, rows.size());
         String whole = Files.readString(table);
         // Cut in the middle of its last line, as by a kill.
         Files.writeString(table, whole.substring(0, whole.length() - 7));
-        List<Runs.Row> again = Runs.run(plan, table, 2);
+        List<ExperimentRunner.Row> again = ExperimentRunner.run(plan, table, 2);
         assertEquals(
-                rows.stream().map(Runs.Row::digest).toList(),
-                again.stream().map(Runs.Row::digest).toList());
+                rows.stream().map(ExperimentRunner.Row::digest).toList(),
+                again.stream().map(ExperimentRunner.Row::digest).toList());
         assertEquals(9, Files.readAllLines(table).size());
-        Page.write(plan, rows, folder);
+        ReportPage.write(plan, rows, folder);
         assertTrue(Files.readString(folder.resolve("service.svg")).contains("<svg"));
     }
 
     @Test
     void differencesAreTakenSeedBySeedAndNoiseIsCalledSo() {
-        Page.Mean noise = Page.Mean.of(List.of(0.1, -0.1, 0.05, -0.04));
-        Page.Mean real = Page.Mean.of(List.of(0.1, 0.11, 0.09, 0.1));
+        ReportPage.Mean noise = ReportPage.Mean.of(List.of(0.1, -0.1, 0.05, -0.04));
+        ReportPage.Mean real = ReportPage.Mean.of(List.of(0.1, 0.11, 0.09, 0.1));
         assertFalse(noise.isMoreThanNoise());
         assertTrue(real.isMoreThanNoise());
         assertEquals(0.1, real.value(), 1e-9);
@@ -83,13 +83,13 @@
 
     @Test
     void searchFindsTheSameFromOneSeedAndItsScriptCanBePlayedAgain() throws Exception {
-        Script script = ScriptReader.read(folder.resolve("s.yaml"));
-        Search.Found one = Search.run(script, 3, 6, 2);
-        assertEquals(one, Search.run(script, 3, 6, 2));
-        Files.writeString(folder.resolve("found.yaml"), Search.yaml(one.script()));
+        TestScript script = TestScriptReader.read(folder.resolve("s.yaml"));
+        FaultSearch.Found one = FaultSearch.run(script, 3, 6, 2);
+        assertEquals(one, FaultSearch.run(script, 3, 6, 2));
+        Files.writeString(folder.resolve("found.yaml"), FaultSearch.yaml(one.script()));
         assertEquals(
                 one.script().troubles(),
-                ScriptReader.read(folder.resolve("found.yaml")).troubles());
+                TestScriptReader.read(folder.resolve("found.yaml")).troubles());
     }
 
     @Test
@@ -97,12 +97,12 @@
         Path bad = folder.resolve("bad.yaml");
         Files.writeString(bad, "script: s.yaml\npolicies: [best]\n");
         assertTrue(
-                assertThrows(Plan.BadPlan.class, () -> Plan.read(bad))
+                assertThrows(ExperimentPlan.BadPlan.class, () -> ExperimentPlan.read(bad))
                         .getMessage()
                         .contains("bad.yaml: policies: 'best'"));
         Files.writeString(bad, "script: s.yaml\nseed: [1\n");
         assertTrue(
-                assertThrows(Plan.BadPlan.class, () -> Plan.read(bad))
+                assertThrows(ExperimentPlan.BadPlan.class, () -> ExperimentPlan.read(bad))
                         .getMessage()
                         .contains("bad.yaml:"));
     }
--- a/src/test/java/larchridge/faults/FaultRigTest.java
+++ b/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
  * Short runs of the rig over real processes; long ones with many seeds are played by its command.
  */
 @Timeout(120)
-class FaultRigTest {
+class FaultInjectionRunTest {
     private static final int NODES = 3;
     private static final double SECONDS = 15;
     private static final double PER_SECOND = 30;
@@ -23,43 +23,35 @@
 
     @TempDir Path folder;
 
-    private Judgement play(Plant plant, Trouble... troubles) throws Exception {
+    private FaultTestResult play(PlantedFault plant, Fault... troubles) throws Exception {
         FaultScript script =
                 new FaultScript(7, NODES, 2, 3, SECONDS, PER_SECOND, List.of(troubles));
-        Judgement judgement = new FaultRig(script, plant, folder).run();
+        FaultTestResult judgement = new FaultInjectionRun(script, plant, folder).run();
         assertTrue(judgement.requests() > SECONDS * PER_SECOND / 2, judgement.toString());
         return judgement;
     }
 
     @Test
     void overlappingTroublesBreakNothing() throws Exception {
-        Judgement judgement =
+        FaultTestResult judgement =
                 play(
-                        Plant.NONE,
-                        new Trouble(
-                                TroubleKind.LINK_SILENT, 1000, 3000, List.of(2, 3), List.of(), 0),
-                        new Trouble(TroubleKind.NODE_TERM, 1500, 1000, List.of(), List.of(0), 0),
-                        new Trouble(
-                                TroubleKind.CONFIG_BROKEN, 2000, 1000, List.of(), List.of(1), 0),
-                        new Trouble(TroubleKind.ENGINE_DRAIN, 2500, 2000, List.of(0), List.of(), 0),
-                        new Trouble(
-                                TroubleKind.CLIENT_LEAVES, 2000, 2000, List.of(), List.of(), 0));
+                        PlantedFault.NONE,
+                        new Fault(FaultKind.LINK_SILENT, 1000, 3000, List.of(2, 3), List.of(), 0),
+                        new Fault(FaultKind.NODE_TERM, 1500, 1000, List.of(), List.of(0), 0),
+                        new Fault(FaultKind.CONFIG_BROKEN, 2000, 1000, List.of(), List.of(1), 0),
+                        new Fault(FaultKind.ENGINE_DRAIN, 2500, 2000, List.of(0), List.of(), 0),
+                        new Fault(FaultKind.CLIENT_LEAVES, 2000, 2000, List.of(), List.of(), 0));
         assertEquals(List.of(), judgement.faults());
     }
 
     @Test
     void releasesThatReleaseNothingAreSeen() throws Exception {
-        Judgement judgement =
+        FaultTestResult judgement =
                 play(
-                        Plant.RELEASES_IGNORED,
-                        new Trouble(TroubleKind.CLIENT_LEAVES, 500, 8000, List.of(), List.of(), 0),
-                        new Trouble(
-                                TroubleKind.ENGINE_HANG,
-                                1000,
-                                4000,
-                                List.of(2, 3, 4),
-                                ALL_NODES,
-                                0));
+                        PlantedFault.RELEASES_IGNORED,
+                        new Fault(FaultKind.CLIENT_LEAVES, 500, 8000, List.of(), List.of(), 0),
+                        new Fault(
+                                FaultKind.ENGINE_HANG, 1000, 4000, List.of(2, 3, 4), ALL_NODES, 0));
         assertTrue(
                 judgement.faults().stream().anyMatch(fault -> fault.contains("rule 5")),
                 judgement.toString());
@@ -67,7 +59,7 @@
 
     @Test
     void scriptIsDrawnAlikeFromItsSeedAndReadAsItWasWritten() throws IOException {
-        List<TroubleKind> kinds = List.of(TroubleKind.values());
+        List<FaultKind> kinds = List.of(FaultKind.values());
         FaultScript drawn = FaultScript.draw(5, 24, 4, 6, 40, 80, kinds);
         assertEquals(drawn, FaultScript.draw(5, 24, 4, 6, 40, 80, kinds));
         drawn.write(folder.resolve("script.yaml"));
--- a/src/test/java/larchridge/serve/BillingTest.java
+++ b/src/test/java/larchridge/serve/BillingTest.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import larchridge.drill.StreamOrder;
 import larchridge.ledger.Ledger;
 import larchridge.ledger.UsageTotal;
+import larchridge.systemtest.EventStreamChecker;
 import org.junit.jupiter.api.Test;
 
 /** Budgets and bills on the whole path. */
@@ -34,7 +34,7 @@
         try (ServiceFixture town = new ServiceFixture(LEDGER)) {
             ServiceFixture.Answer answer =
                     town.ask(town.options(), ServiceFixture.call("free", true, 7));
-            StreamOrder order = ServiceFixture.order(answer.body());
+            EventStreamChecker order = ServiceFixture.order(answer.body());
             UsageTotal total = bill(town);
             assertEquals(order.outputTokens(), total.outToks());
             assertEquals(7, total.outToks());
--- a/src/test/java/larchridge/serve/ServiceFixture.java
+++ b/src/test/java/larchridge/serve/ServiceFixture.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import larchridge.drill.Fleet;
-import larchridge.drill.StreamOrder;
+import larchridge.simulatedengine.EngineProfile;
+import larchridge.simulatedengine.TrafficRecorder;
 import larchridge.site.SiteReader;
-import larchridge.standin.Make;
-import larchridge.standin.Witness;
 import larchridge.state.Role;
+import larchridge.systemtest.EventStreamChecker;
+import larchridge.systemtest.SimulatedFleet;
 
 /** A real service over stand-ins, with a client to talk to it. */
 final class ServiceFixture implements AutoCloseable {
@@ -29,7 +29,7 @@
             "{\"model\":\"%s\",\"max_tokens\":%d,\"stream\":%b,\"messages\":["
                     + "{\"role\":\"user\",\"content\":\"[out:%d] [tag:t#0]\"}]}";
     final Vertx vertx = Vertx.vertx();
-    final Fleet fleet;
+    final SimulatedFleet fleet;
     final Service service;
 
     /** Its site file. */
@@ -48,17 +48,21 @@
     record Answer(int status, String type, HttpClientResponse response, String body) {}
 
     ServiceFixture(String limits) throws Exception {
-        this(limits, List.of(Make.of(1, Role.READER, "", 0), Make.of(2, Role.WRITER, "", 0)));
+        this(
+                limits,
+                List.of(
+                        EngineProfile.of(1, Role.READER, "", 0),
+                        EngineProfile.of(2, Role.WRITER, "", 0)));
     }
 
-    ServiceFixture(String limits, List<Make> makes) throws Exception {
-        Witness witness =
+    ServiceFixture(String limits, List<EngineProfile> makes) throws Exception {
+        TrafficRecorder witness =
                 (sight, engine, rid, tag, amount) -> {
                     synchronized (sights) {
                         sights.add(sight + " " + engine);
                     }
                 };
-        fleet = Fleet.start(makes, witness, 1);
+        fleet = SimulatedFleet.start(makes, witness, 1);
         fleet.writeList(folder.resolve("engines.yaml"));
         text =
                 """
@@ -148,8 +152,8 @@
                         .setHttp2ClearTextUpgrade(false));
     }
 
-    static StreamOrder order(String body) {
-        StreamOrder order = new StreamOrder();
+    static EventStreamChecker order(String body) {
+        EventStreamChecker order = new EventStreamChecker();
         order.take(body);
         return order;
     }
--- a/src/test/java/larchridge/serve/ServiceTest.java
+++ b/src/test/java/larchridge/serve/ServiceTest.java
@@ -11,9 +11,9 @@
 import io.vertx.core.http.RequestOptions;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import larchridge.drill.StreamOrder;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.Role;
+import larchridge.systemtest.EventStreamChecker;
 import org.junit.jupiter.api.Test;
 
 /** The whole path over sockets: clients, the service, stand-in engines. */
@@ -25,7 +25,7 @@
                     town.ask(town.options(), ServiceFixture.call("free", false, 7));
             ServiceFixture.Answer stream =
                     town.ask(town.options(), ServiceFixture.call("free", true, 7));
-            StreamOrder order = ServiceFixture.order(stream.body());
+            EventStreamChecker order = ServiceFixture.order(stream.body());
             assertNull(order.fault());
             assertTrue(order.isStopped());
             assertEquals("w1 w2 w3 w4 w5 w6 w7 ", order.text());
@@ -136,7 +136,7 @@
                                                     })
                                             .endHandler(end -> body.complete(all.toString()))
                                             .exceptionHandler(body::completeExceptionally));
-            StreamOrder order = ServiceFixture.order(town.of(body));
+            EventStreamChecker order = ServiceFixture.order(town.of(body));
             assertNull(order.fault());
             assertTrue(order.isErrored());
             assertEquals(0, order.afterEnd());
@@ -178,8 +178,8 @@
 
     @Test
     void slowReaderHoldsBackTheEngineAndIsCutInTime() throws Exception {
-        Make fast =
-                new Make(
+        EngineProfile fast =
+                new EngineProfile(
                         2,
                         Role.WRITER,
                         "",
@@ -196,7 +196,8 @@
                         20_000);
         try (ServiceFixture town =
                 new ServiceFixture(
-                        "slow_client_ms: 700", List.of(Make.of(1, Role.READER, "", 0), fast))) {
+                        "slow_client_ms: 700",
+                        List.of(EngineProfile.of(1, Role.READER, "", 0), fast))) {
             CompletableFuture<HttpClientResponse> got = new CompletableFuture<>();
             CompletableFuture<Void> cut = new CompletableFuture<>();
             town.http
--- a/src/test/java/larchridge/virtual/DayTest.java
+++ b/src/test/java/larchridge/simulation/SimulationRunTest.java
@@ -1,4 +1,4 @@
-package larchridge.virtual;
+package larchridge.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,33 +6,33 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import larchridge.baseline.Plain;
-import larchridge.drill.Rules;
-import larchridge.drill.Script;
-import larchridge.drill.ScriptReader;
+import larchridge.baseline.BaselinePolicy;
 import larchridge.emulator.EngineModel;
+import larchridge.systemtest.RuleChecker;
+import larchridge.systemtest.TestScript;
+import larchridge.systemtest.TestScriptReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Drills in virtual time. */
-class DayTest {
-    private static Script badDay() throws Exception {
-        return ScriptReader.read(Path.of("deploy/bad-day.yaml"));
+class SimulationRunTest {
+    private static TestScript badDay() throws Exception {
+        return TestScriptReader.read(Path.of("deploy/bad-day.yaml"));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void everyRuleHoldsAndOneSeedIsOneRun(long seed) throws Exception {
-        Day.Result one = Day.play(badDay().withSeed(seed));
+        SimulationRun.Result one = SimulationRun.play(badDay().withSeed(seed));
         System.out.println(
                 "seed " + seed + ": service " + one.all().service() + ", digest " + one.digest());
         assertEquals(List.of(), one.breaches());
         assertTrue(one.all().asked >= 2000);
         assertTrue(one.all().service() > 0.6, "service " + one.all().service());
-        assertEquals(one.digest(), Day.play(badDay().withSeed(seed)).digest());
-        assertNotEquals(one.digest(), Day.play(badDay().withSeed(seed + 10)).digest());
+        assertEquals(one.digest(), SimulationRun.play(badDay().withSeed(seed)).digest());
+        assertNotEquals(one.digest(), SimulationRun.play(badDay().withSeed(seed + 10)).digest());
     }
 
     /**
@@ -42,14 +42,16 @@
     @ParameterizedTest
     @ValueSource(strings = {"full-pools", "faulty-writers", "forgetful-readers"})
     void searchedScriptsBreakNoRule(String name) throws Exception {
-        Day.Result day = Day.play(ScriptReader.read(Path.of("deploy/searched/" + name + ".yaml")));
+        SimulationRun.Result day =
+                SimulationRun.play(
+                        TestScriptReader.read(Path.of("deploy/searched/" + name + ".yaml")));
         assertEquals(List.of(), day.breaches());
         assertTrue(day.all().service() > 0.6, "service " + day.all().service());
     }
 
     @Test
     void tokensAddUp() throws Exception {
-        Day.Result day = Day.play(badDay());
+        SimulationRun.Result day = SimulationRun.play(badDay());
         for (EngineModel.Sums sums : day.sums()) {
             // Each prompt that came was kept, read, read again after a preemption, or left unread
             // when it was called off.
@@ -63,8 +65,8 @@
 
     @Test
     void stallUnderLoadIsLivedThrough() throws Exception {
-        Script script =
-                ScriptReader.read(
+        TestScript script =
+                TestScriptReader.read(
                         "script",
                         """
                 seed: 5
@@ -80,17 +82,19 @@
                 troubles:
                   - {at_ms: 3000, for_ms: 5000, kind: stall, engines: [5], size: 6}
                 """);
-        Day.Result day = Day.play(script);
+        SimulationRun.Result day = SimulationRun.play(script);
         assertEquals(List.of(), day.breaches());
         assertTrue(day.all().service() > 0.9, "service " + day.all().service());
     }
 
     /** Plain policies keep the rules too, or comparing with them would say nothing. */
     @ParameterizedTest
-    @EnumSource(Plain.Kind.class)
-    void plainPoliciesAnswerEveryone(Plain.Kind kind) throws Exception {
-        Day.Result day = Day.play(badDay(), (terms, host) -> new Plain(kind, terms, host));
-        List<Rules.Breach> one =
+    @EnumSource(BaselinePolicy.Kind.class)
+    void plainPoliciesAnswerEveryone(BaselinePolicy.Kind kind) throws Exception {
+        SimulationRun.Result day =
+                SimulationRun.play(
+                        badDay(), (terms, host) -> new BaselinePolicy(kind, terms, host));
+        List<RuleChecker.Breach> one =
                 day.breaches().stream().filter(breach -> breach.rule() == 1).toList();
         assertEquals(List.of(), one);
     }
--- a/src/test/java/larchridge/drill/StreamOrderTest.java
+++ b/src/test/java/larchridge/systemtest/EventStreamCheckerTest.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,8 +7,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class StreamOrderTest {
-    private final StreamOrder order = new StreamOrder();
+class EventStreamCheckerTest {
+    private final EventStreamChecker order = new EventStreamChecker();
 
     private static String event(String name) {
         return "event: "
--- a/src/test/java/larchridge/drill/WrongFront.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouter.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -29,7 +29,7 @@
  * A front that does one thing wrong, to see that the checkers notice it on the sockets. Made for
  * tests only.
  */
-final class WrongFront implements Drill.Fronts {
+final class FaultyRouter implements SystemTest.Fronts {
     /** What it does wrong; NOTHING is the trial of the trial. */
     enum Wrong {
         NOTHING,
@@ -52,7 +52,7 @@
     private volatile List<EngineEntry> rows;
     private int turn;
 
-    WrongFront(Site site, Wrong wrong) throws InvalidEngineListException, InterruptedException {
+    FaultyRouter(Site site, Wrong wrong) throws InvalidEngineListException, InterruptedException {
         this.wrong = wrong;
         list = site.inventory;
         look();
--- a/src/test/java/larchridge/drill/WrongFrontTest.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouterTest.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Each checker catches, over sockets, a front that breaks its rule, and nothing else. */
-class WrongFrontTest {
+class FaultyRouterTest {
     private static final String SCRIPT =
             """
             seed: 5
@@ -25,9 +25,9 @@
               - {at_ms: 500, for_ms: 900, kind: drain, engines: [1, 3]}
             """;
 
-    private static String broken(WrongFront.Wrong wrong, String effect) throws Exception {
-        Script script = ScriptReader.read("script", SCRIPT.formatted(effect));
-        Drill.Result result = Drill.play(script, site -> new WrongFront(site, wrong));
+    private static String broken(FaultyRouter.Wrong wrong, String effect) throws Exception {
+        TestScript script = TestScriptReader.read("script", SCRIPT.formatted(effect));
+        SystemTest.Result result = SystemTest.play(script, site -> new FaultyRouter(site, wrong));
         return result.breaches().stream()
                 .map(b -> Integer.toString(b.rule()))
                 .distinct()
@@ -46,15 +46,16 @@
         "RUNS_TWICE,SIDE_EFFECTING,2",
         "THROTTLES_AFTER_RUN,SIDE_EFFECTING,2"
     })
-    void wrongFrontIsCaught(WrongFront.Wrong wrong, String effect, String rules) throws Exception {
+    void wrongFrontIsCaught(FaultyRouter.Wrong wrong, String effect, String rules)
+            throws Exception {
         assertEquals(rules, broken(wrong, effect));
     }
 
     @Test
     void herdAtAColdEngineIsCaught() throws Exception {
         // A front that takes its turns evenly sends a cold reader as much as a warm one.
-        Script script =
-                ScriptReader.read(
+        TestScript script =
+                TestScriptReader.read(
                         "script",
                         """
                 seed: 6
@@ -69,8 +70,8 @@
                 troubles:
                   - {at_ms: 300, for_ms: 300, kind: crash, engines: [1]}
                 """);
-        Drill.Result result =
-                Drill.play(script, site -> new WrongFront(site, WrongFront.Wrong.NOTHING));
+        SystemTest.Result result =
+                SystemTest.play(script, site -> new FaultyRouter(site, FaultyRouter.Wrong.NOTHING));
         assertTrue(
                 result.breaches().stream().anyMatch(b -> b.rule() == 4),
                 result.breaches().toString());
--- a/src/test/java/larchridge/drill/BadDayTest.java
+++ b/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The bad day of {@code deploy/bad-day.yaml} through the real front, three seeds. */
-class BadDayTest {
+class SystemTestRulesTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void everyRuleHoldsOnTheBadDay(long seed) throws Exception {
-        Script day = ScriptReader.read(Path.of("deploy/bad-day.yaml"));
-        Script seeded = day.withSeed(seed);
-        Drill.Result result = Drill.play(seeded);
-        System.out.println("seed " + seed + "\n" + Tally.table(result.rows().subList(0, 7)));
+        TestScript day = TestScriptReader.read(Path.of("deploy/bad-day.yaml"));
+        TestScript seeded = day.withSeed(seed);
+        SystemTest.Result result = SystemTest.play(seeded);
+        System.out.println("seed " + seed + "\n" + ResultCounts.table(result.rows().subList(0, 7)));
         assertEquals(List.of(), result.breaches());
         assertTrue(result.all().asked >= 2000, "only " + result.all().asked + " generations");
         assertTrue(result.all().service() > 0.6, "service " + result.all().service());
@@ -30,7 +30,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void everyLineOfABatchHasOneRecordThoughTheServiceIsKilled(long seed) throws Exception {
-        Kills.Result result = Kills.play(seed, 1, 2);
+        CrashTest.Result result = CrashTest.play(seed, 1, 2);
         System.out.println("seed " + seed + ": " + result);
         assertEquals(List.of(), result.faults());
     }
@@ -38,8 +38,8 @@
     /** Fronts as processes, one killed outright; what is billed is what clients got. */
     @Test
     void billsAddUpThoughAFrontIsKilled() throws Exception {
-        Script script =
-                ScriptReader.read(
+        TestScript script =
+                TestScriptReader.read(
                         "script",
                         """
                 seed: 4
@@ -61,11 +61,11 @@
                   - {at_ms: 3000, for_ms: 200, kind: kill_front, engines: [1]}
                   - {at_ms: 4000, for_ms: 1500, kind: crash, engines: [1, 6]}
                 """);
-        Drill.Result result = Drill.play(script);
-        System.out.println(Bills.table(result.bills()));
+        SystemTest.Result result = SystemTest.play(script);
+        System.out.println(BillingChecker.table(result.bills()));
         assertEquals(List.of(), result.breaches());
         assertTrue(result.bills().stream().mapToLong(row -> row.got).sum() > 1000);
-        for (Bills.Row row : result.bills()) {
+        for (BillingChecker.Row row : result.bills()) {
             assertEquals(row.got, row.billed, row.tenant);
             assertEquals(0, row.differ + row.leftUnderBilled, row.tenant);
         }
@@ -89,9 +89,9 @@
     }
 
     private static double quiet(String tenants, int rate) throws Exception {
-        Drill.Result result =
-                Drill.play(
-                        ScriptReader.read(
+        SystemTest.Result result =
+                SystemTest.play(
+                        TestScriptReader.read(
                                 "script",
                                 """
                 seed: 8
