--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -112,7 +112,7 @@
     private final List<Generation> open = new ArrayList<>();
 
     /** Tokens of generations that are being read and have no writer yet. */
-    private double awaitingToks;
+    private double awaitingTokens;
 
     private boolean wakeSet;
     private double askAtMs = Double.POSITIVE_INFINITY;
@@ -135,7 +135,7 @@
      */
     private final SlidingWindowMean toldUnread = new SlidingWindowMean(5, 1000);
 
-    private final SlidingWindowMean toldToks = new SlidingWindowMean(5, 1000);
+    private final SlidingWindowMean toldTokens = new SlidingWindowMean(5, 1000);
     private final SlidingWindowMean toldStreams = new SlidingWindowMean(5, 1000);
     private final SlidingWindowMean writesSent = new SlidingWindowMean(10, 1000);
 
@@ -147,100 +147,103 @@
     public RoutingPolicy(RoutingSettings terms, PolicyActions host) {
         this.host = host;
         random = new Random(terms.seed);
-        fronts = terms.fronts;
+        fronts = terms.routers;
         zone = terms.zone;
         maxAttempts = terms.maxAttempts;
-        mayCancel = terms.mayCancel;
-        maySendCopies = terms.maySendCopies;
-        writersRead = terms.writersRead;
-        mayProbe = terms.reportsWithProbes && terms.mayProbe;
-        comeBackMaxMs = terms.comeBackMaxMs;
-        coldMs = terms.coldMs;
-        coldShare = terms.coldShare * terms.tipMultiple * COLD_PART;
-        bornMs = host.now();
-        if (terms.listIsAsked) {
-            host.followList();
+        mayCancel = terms.cancellationAllowed;
+        maySendCopies = terms.hedgingAllowed;
+        writersRead = terms.writersCanRead;
+        mayProbe = terms.reportsWithProbes && terms.probesAllowed;
+        comeBackMaxMs = terms.retryAfterMaxMs;
+        coldMs = terms.slowStartMs;
+        coldShare = terms.slowStartShare * terms.overloadMultiple * COLD_PART;
+        bornMs = host.nowMs();
+        if (terms.endpointListPolled) {
+            host.watchEndpoints();
         }
     }
 
     // ------------------------------------------------------------------ what can happen
 
-    public void arrived(Generation gen) {
-        open.add(gen);
-        gen.chance = random.nextDouble();
-        advance(gen);
+    public void requestArrived(Generation generation) {
+        open.add(generation);
+        generation.randomShare = random.nextDouble();
+        advance(generation);
         setWake();
     }
 
-    public void readDone(Attempt attempt, int keptToks, LoadReport report, boolean over) {
-        Generation gen = attempt.gen;
+    public void readCompleted(Attempt attempt, int keptTokens, LoadReport report, boolean over) {
+        Generation generation = attempt.generation;
         answered(attempt.engine, false);
         heard(attempt.engine, report);
-        double now = host.now();
-        double unread = Math.max(gen.promptToks - keptToks, LEAST_READ_TOKS);
+        double now = host.nowMs();
+        double unread = Math.max(generation.promptTokens - keptTokens, LEAST_READ_TOKS);
         double speed = unread / Math.max(1, now - attempt.sentMs);
-        attempt.engine.speeds.raise(now, speed);
+        attempt.engine.speeds.addMax(now, speed);
         attempt.engine.reads.add(now, 1);
-        speeds.raise(now, speed);
-        unreadParts.add(now, unread, gen.promptToks);
+        speeds.addMax(now, speed);
+        unreadParts.add(now, unread, generation.promptTokens);
         unreadSizes.add(now, unread, 1);
-        if (homes(gen).indexOf(attempt.engine) == 0) {
-            homesKept.add(now, keptToks, gen.promptToks);
+        if (homes(generation).indexOf(attempt.engine) == 0) {
+            homesKept.add(now, keptTokens, generation.promptTokens);
         }
         warmReads.add(now, isCold(attempt.engine, now) ? 0 : 1);
         close(attempt);
-        gen.over |= over;
-        if (gen.state == null) {
-            gen.state = attempt;
-        }
-        if (gen.over || gen.begun) {
-            // Danger: a read that ends after its generation would leave its state pinned.
-            letGo(gen);
-        } else if (!gen.isAtWriter() || gen.stateReleased) {
-            gen.stateReleased = false;
-            cancelOthers(gen, attempt);
-            advance(gen);
+        generation.finished |= over;
+        if (generation.state == null) {
+            generation.state = attempt;
+        }
+        if (generation.finished || generation.responseStarted) {
+            // Guards against: a read that ends after its generation would leave its state pinned.
+            letGo(generation);
+        } else if (!generation.isAtWriter() || generation.stateReleased) {
+            generation.stateReleased = false;
+            cancelOthers(generation, attempt);
+            advance(generation);
         }
         admitWaiting();
     }
 
-    public void begun(Attempt attempt) {
-        Generation gen = attempt.gen;
-        double now = host.now();
+    public void responseStarted(Attempt attempt) {
+        Generation generation = attempt.generation;
+        double now = host.nowMs();
         answered(attempt.engine, false);
         heard(attempt.engine, null);
         attempt.markRead();
-        gen.begun = true;
-        if (gen.state != null && distance(gen.state.engine, attempt.engine) > 0) {
-            gen.state.engine.moves.add(now, now - attempt.sentMs, 1);
+        generation.responseStarted = true;
+        if (generation.state != null && distance(generation.state.engine, attempt.engine) > 0) {
+            generation.state.engine.moves.add(now, now - attempt.sentMs, 1);
         }
-        // Danger: late moves would make every generation look too late, also those that need no
+        // Guards against: late moves would make every generation look too late, also those that
+        // need no
         // move.
-        if (gen.state == null || !movesLate(gen.state.engine, now)) {
+        if (generation.state == null || !movesLate(generation.state.engine, now)) {
             beginMs += 0.05 * (now - attempt.sentMs - beginMs);
         }
-        gen.state = null;
-        gen.held = gen.attemptsOut > 1;
+        generation.state = null;
+        generation.mayHoldState = generation.attemptsInFlight > 1;
         warmWrites.add(now, isCold(attempt.engine, now) ? 0 : 1);
-        cancelOthers(gen, attempt);
+        cancelOthers(generation, attempt);
     }
 
-    public void ended(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
-        Generation gen = attempt.gen;
+    public void attemptEnded(
+            Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
+        Generation generation = attempt.generation;
         Engine engine = attempt.engine;
         attempt.outcome = outcome;
         close(attempt);
-        gen.over |= over;
+        generation.finished |= over;
         switch (outcome) {
             case STREAMED, NO_STATE -> heard(engine, report);
             case FAULT, CUT -> {
-                if (!gen.over) {
+                if (!generation.finished) {
                     answered(engine, true);
                 }
                 if (outcome == AttemptOutcome.FAULT) {
                     heard(engine, report);
                 }
-                // Danger: a kept connection that breaks says little; were each to keep work away
+                // Guards against: a kept connection that breaks says little; were each to keep work
+                // away
                 // from its
                 // engine, most engines would be suspect while connections are reset all over.
                 if (engine.errorShare >= ERRORS_MOST) {
@@ -249,34 +252,37 @@
             }
             case FULL -> {
                 heard(engine, report);
-                engine.fullUntilMs = host.now() + (engine.reports ? FULL_WITH_REPORTS_MS : FULL_MS);
+                engine.fullUntilMs =
+                        host.nowMs() + (engine.reports ? FULL_WITH_REPORTS_MS : FULL_MS);
             }
             case UNREACHABLE -> blame(engine);
-            case NOT_SENT -> pause(gen);
+            case NOT_SENT -> pause(generation);
             default -> {}
         }
-        if (gen.over || gen.begun || outcome == AttemptOutcome.NO_STATE) {
-            letGo(gen);
+        if (generation.finished
+                || generation.responseStarted
+                || outcome == AttemptOutcome.NO_STATE) {
+            letGo(generation);
         }
-        if (!gen.over
-                && !gen.begun
-                && !gen.waiting
-                && gen.attemptsOut == 0
-                && host.now() >= gen.nextAttemptMs) {
-            advance(gen);
+        if (!generation.finished
+                && !generation.responseStarted
+                && !generation.waiting
+                && generation.attemptsInFlight == 0
+                && host.nowMs() >= generation.nextAttemptMs) {
+            advance(generation);
         }
         admitWaiting();
     }
 
     /**
-     * An attempt was not sent, and nothing is known against its engine. Danger: where this machine
-     * can't open a connection for a moment, a generation tried again at once would use up its
-     * attempts within a millisecond and be given up.
+     * An attempt was not sent, and nothing is known against its engine. Guards against: where this
+     * machine can't open a connection for a moment, a generation tried again at once would use up
+     * its attempts within a millisecond and be given up.
      */
-    private void pause(Generation gen) {
-        double ms = NOT_SENT_MS * Math.pow(2, gen.attemptsNotSent);
-        gen.attemptsNotSent++;
-        gen.nextAttemptMs = host.now() + Math.min(NOT_SENT_MOST_MS, ms);
+    private void pause(Generation generation) {
+        double ms = NOT_SENT_MS * Math.pow(2, generation.attemptsNotSent);
+        generation.attemptsNotSent++;
+        generation.nextAttemptMs = host.nowMs() + Math.min(NOT_SENT_MOST_MS, ms);
     }
 
     /**
@@ -285,20 +291,23 @@
      * would find no state.
      */
     public void stateReleased(Attempt attempt) {
-        Generation gen = attempt.gen;
-        if (attempt.out && !attempt.cancelled && !gen.over && !gen.begun) {
-            gen.state = null;
-            gen.stateReleased = true;
+        Generation generation = attempt.generation;
+        if (attempt.inFlight
+                && !attempt.cancelled
+                && !generation.finished
+                && !generation.responseStarted) {
+            generation.state = null;
+            generation.stateReleased = true;
         }
     }
 
-    public void departed(Generation gen) {
-        gen.over = true;
-        gen.waiting = false;
-        letGo(gen);
+    public void clientDisconnected(Generation generation) {
+        generation.finished = true;
+        generation.waiting = false;
+        letGo(generation);
     }
 
-    public void probed(Engine engine, boolean answered, LoadReport report) {
+    public void loadProbed(Engine engine, boolean answered, LoadReport report) {
         if (answered) {
             heard(engine, report);
         } else {
@@ -307,31 +316,32 @@
         admitWaiting();
     }
 
-    public void listed(List<EndpointUpdate> entries, boolean complete) {
-        fleet.take(entries, complete, host.now());
+    public void endpointsChanged(List<EndpointUpdate> entries, boolean complete) {
+        fleet.apply(entries, complete, host.nowMs());
         admitWaiting();
     }
 
-    public void listFailed() {
-        askAtMs = host.now() + FOLLOW_AGAIN_MS * (1 + random.nextDouble());
+    public void endpointWatchFailed() {
+        askAtMs = host.nowMs() + FOLLOW_AGAIN_MS * (1 + random.nextDouble());
         setWake();
     }
 
-    public void woken() {
+    public void wakeUp() {
         wakeSet = false;
-        double now = host.now();
+        double now = host.nowMs();
         if (now >= askAtMs) {
             askAtMs = Double.POSITIVE_INFINITY;
-            host.followList();
+            host.watchEndpoints();
         }
-        open.removeIf(gen -> gen.over && gen.attemptsOut == 0);
+        open.removeIf(generation -> generation.finished && generation.attemptsInFlight == 0);
         try {
             for (int i = 0; i < open.size(); i++) {
                 look(open.get(i), now);
             }
             admitWaiting();
         } finally {
-            // Danger: without it a fault at one generation would end the regular look at all
+            // Guards against: without it a fault at one generation would end the regular look at
+            // all
             // others.
             setWake();
         }
@@ -343,50 +353,57 @@
      * Takes a generation with no attempt out one step on: to a reader, a writer, the wait or its
      * end.
      */
-    private void advance(Generation gen) {
-        double now = host.now();
-        // Danger: a generation that waits twice is sent twice, and the second send drops its state.
-        gen.waiting = false;
-        if (now >= gen.limitMs - ANSWER_EARLY_MS) {
-            giveUp(gen, GiveUpReason.TIME_UP);
+    private void advance(Generation generation) {
+        double now = host.nowMs();
+        // Guards against: a generation that waits twice is sent twice, and the second send drops
+        // its state.
+        generation.waiting = false;
+        if (now >= generation.deadlineMs - ANSWER_EARLY_MS) {
+            giveUp(generation, GiveUpReason.TIME_UP);
             return;
         }
-        if (gen.state != null && gen.state.isLost()) {
-            letGo(gen);
+        if (generation.state != null && generation.state.isLost()) {
+            letGo(generation);
         }
-        if (gen.state == null) {
-            if (gen.attemptsSent() + 2 > maxAttempts) {
-                giveUp(gen, GiveUpReason.ATTEMPTS_USED);
+        if (generation.state == null) {
+            if (generation.attemptsSent() + 2 > maxAttempts) {
+                giveUp(generation, GiveUpReason.ATTEMPTS_USED);
                 return;
             }
-            Engine reader = !isAsking(gen) && roomAnywhere(gen) ? pickReader(gen) : null;
+            Engine reader =
+                    !isAsking(generation) && roomAnywhere(generation)
+                            ? pickReader(generation)
+                            : null;
             if (reader == null) {
-                gen.waiting = true;
-                gen.leastReadToks =
-                        readers.stream().mapToDouble(e -> readToks(gen, e)).min().orElse(0);
+                generation.waiting = true;
+                generation.leastReadTokens =
+                        readers.stream()
+                                .mapToDouble(e -> readTokens(generation, e))
+                                .min()
+                                .orElse(0);
                 return;
             }
-            sendRead(gen, reader);
+            sendRead(generation, reader);
         } else {
-            Engine writer = gen.attemptsSent() < maxAttempts ? pickWriter(gen) : null;
+            Engine writer = generation.attemptsSent() < maxAttempts ? pickWriter(generation) : null;
             if (writer == null) {
                 giveUp(
-                        gen,
-                        gen.attemptsSent() < maxAttempts
+                        generation,
+                        generation.attemptsSent() < maxAttempts
                                 ? GiveUpReason.NO_WRITER
                                 : GiveUpReason.ATTEMPTS_USED);
                 return;
             }
-            sendWrite(gen, writer);
+            sendWrite(generation, writer);
         }
     }
 
-    private Engine pickReader(Generation gen) {
-        double now = host.now();
-        List<Engine> fit = fit(readers, gen);
-        List<Engine> some = homes(gen);
+    private Engine pickReader(Generation generation) {
+        double now = host.nowMs();
+        List<Engine> fit = fit(readers, generation);
+        List<Engine> some = homes(generation);
         some.retainAll(fit);
-        Engine last = gen.session == null ? null : gen.session.keeper();
+        Engine last = generation.session == null ? null : generation.session.lastReader();
         if (last == null || !fit.contains(last)) {
             last = some.isEmpty() ? null : some.get(0);
         } else if (!some.contains(last)) {
@@ -395,7 +412,8 @@
         if (last != null && backlogMs(last, now) <= ALPHA_MS && !movesLate(last, now)) {
             return last;
         }
-        // Departure: only homes read, while any is fit. Danger: text read anew elsewhere doubles
+        // Deviation from the paper: only homes read, while any is fit. Guards against: text read
+        // anew elsewhere doubles
         // the work and
         // drives other texts out, until every read is long. Where no reader is short, an engine
         // that reads
@@ -403,9 +421,9 @@
         some = some.isEmpty() ? fit : some;
         boolean late = some.stream().anyMatch(e -> movesLate(e, now));
         double mean = writers.stream().mapToDouble(e -> streams(e) / e.units).average().orElse(0);
-        for (Engine engine : fit(writers, gen)) {
+        for (Engine engine : fit(writers, generation)) {
             if ((engine.role == Role.BOTH || writersRead)
-                    && hasRoom(engine, gen)
+                    && hasRoom(engine, generation)
                     && backlogMs(engine, now) <= ALPHA_MS
                     && streams(engine)
                             <= (late ? SELF_READ_LATE_STREAMS : SELF_READ_STREAMS)
@@ -414,13 +432,17 @@
                 some.add(engine);
             }
         }
-        // Danger: fronts that go by one late report all stop and start at once; each generation has
+        // Guards against: fronts that go by one late report all stop and start at once; each
+        // generation has
         // its own
         // beta. A client's retry, which comes too late for full revenue, goes to short readers
         // only.
-        double beta = ALPHA_MS + (gen.resent ? 0 : gen.chance) * (BETA_MS - ALPHA_MS);
+        double beta =
+                ALPHA_MS
+                        + (generation.clientRetry ? 0 : generation.randomShare)
+                                * (BETA_MS - ALPHA_MS);
         Engine best = null;
-        double bestToks = 0;
+        double bestTokens = 0;
         int bestPlace = 0;
         for (Engine engine : some) {
             double backlog = backlogMs(engine, now);
@@ -429,84 +451,87 @@
                     engine.role != Role.READER
                             ? late ? 1 : near ? 2 : 3
                             : backlog > ALPHA_MS || movesLate(engine, now) ? 2 : near ? 0 : 1;
-            double unread = readToks(gen, engine);
-            double toks = unreadToks(engine, now) + unread;
-            double dueMs = now + backlog + unread * msPerTok(engine, now) + beginMs;
+            double unread = readTokens(generation, engine);
+            double tokens = unreadTokens(engine, now) + unread;
+            double dueMs = now + backlog + unread * msPerToken(engine, now) + beginMs;
             if (backlog <= beta
-                    && (gen.resent || dueMs < gen.sloAtMs())
+                    && (generation.clientRetry || dueMs < generation.sloDeadlineMs())
                     && (best == null
                             || place < bestPlace
-                            || place == bestPlace && toks < bestToks)) {
+                            || place == bestPlace && tokens < bestTokens)) {
                 best = engine;
-                bestToks = toks;
+                bestTokens = tokens;
                 bestPlace = place;
             }
         }
-        // Departure: a last reader that is not short still wins where reading all anew takes more
+        // Deviation from the paper: a last reader that is not short still wins where reading all
+        // anew takes more
         // tokens.
         boolean stays =
                 best != null
                         && last != null
                         && backlogMs(last, now) <= beta
-                        && unreadToks(last, now) + readToks(gen, last) < bestToks;
+                        && unreadTokens(last, now) + readTokens(generation, last) < bestTokens;
         return stays ? last : best;
     }
 
-    private Engine pickWriter(Generation gen) {
-        List<Engine> fit = fit(writers, gen);
+    private Engine pickWriter(Generation generation) {
+        List<Engine> fit = fit(writers, generation);
         // Equals are told apart by chance. Without reports most writers look alike to a front that
         // sees little, and
         // all fronts together would take the first of the list.
         Collections.shuffle(fit, random);
         List<Engine> roomy = new ArrayList<>(fit);
-        roomy.removeIf(e -> !hasRoom(e, gen));
+        roomy.removeIf(e -> !hasRoom(e, generation));
         if (roomy.isEmpty()) {
-            return fewestToks(fit);
+            return fewestTokens(fit);
         }
-        double room = roomy.stream().mapToDouble(this::roomToks).sum();
-        double toks = roomy.stream().mapToDouble(this::heldToks).sum();
+        double room = roomy.stream().mapToDouble(this::roomTokens).sum();
+        double tokens = roomy.stream().mapToDouble(this::heldTokens).sum();
         double units = roomy.stream().mapToDouble(e -> e.units).sum();
-        double awaiting = awaitingToks + genToks(gen);
-        double z = Z_MARGIN * ((room < awaiting ? room : awaiting) + toks) / units;
-        // Departure: where moves out of the reader's rack are late, its own rack goes beyond Z for
+        double awaiting = awaitingTokens + genTokens(generation);
+        double z = Z_MARGIN * ((room < awaiting ? room : awaiting) + tokens) / units;
+        // Deviation from the paper: where moves out of the reader's rack are late, its own rack
+        // goes beyond Z for
         // a while.
-        if (movesLate(gen.state.engine, host.now())) {
+        if (movesLate(generation.state.engine, host.nowMs())) {
             List<Engine> near = new ArrayList<>(roomy);
             near.removeIf(
                     e ->
-                            distance(gen.state.engine, e) > 0
-                                    || heldToks(e) / e.units > NEAR_TOKS_FACTOR * z);
+                            distance(generation.state.engine, e) > 0
+                                    || heldTokens(e) / e.units > NEAR_TOKS_FACTOR * z);
             if (!near.isEmpty()) {
                 return Collections.min(near, Comparator.comparingDouble(e -> streams(e) / e.units));
             }
         }
         List<Engine> norm = new ArrayList<>(roomy);
-        norm.removeIf(e -> heldToks(e) / e.units > z);
+        norm.removeIf(e -> heldTokens(e) / e.units > z);
         if (norm.isEmpty()) {
-            return fewestToks(roomy);
+            return fewestTokens(roomy);
         }
-        // Departure: among those at or under Z with about the fewest streams, the nearest to the
+        // Deviation from the paper: among those at or under Z with about the fewest streams, the
+        // nearest to the
         // state.
         double fewest = norm.stream().mapToDouble(e -> streams(e) / e.units).min().getAsDouble();
         norm.removeIf(e -> streams(e) / e.units > fewest * NEAR_STREAMS_FACTOR + NEAR_STREAMS_MORE);
         return Collections.min(
                 norm,
-                Comparator.comparingInt((Engine e) -> distance(gen.state.engine, e))
+                Comparator.comparingInt((Engine e) -> distance(generation.state.engine, e))
                         .thenComparingDouble(e -> streams(e) / e.units));
     }
 
     /**
-     * Danger: all states of a rack's readers share its one link; once that is slow or full, each
-     * answer waits for seconds while writers in the rack, and engines that can read for themselves,
-     * have room.
+     * Guards against: all states of a rack's readers share its one link; once that is slow or full,
+     * each answer waits for seconds while writers in the rack, and engines that can read for
+     * themselves, have room.
      */
     private static boolean movesLate(Engine reader, double now) {
         return reader.moves.at(now) > MOVE_LATE_MS;
     }
 
-    private Engine fewestToks(List<Engine> pool) {
+    private Engine fewestTokens(List<Engine> pool) {
         return pool.stream()
-                .min(Comparator.comparingDouble(e -> heldToks(e) / e.units))
+                .min(Comparator.comparingDouble(e -> heldTokens(e) / e.units))
                 .orElse(null);
     }
 
@@ -520,9 +545,9 @@
     // ------------------------------------------------------------------ waiting and giving up
 
     /**
-     * Danger: first come, first served under shortage serves everyone just too late. The most
-     * revenue for its work goes first, the newest first among equals, and what can no longer make
-     * its SLO time is given up.
+     * Guards against: first come, first served under shortage serves everyone just too late. The
+     * most revenue for its work goes first, the newest first among equals, and what can no longer
+     * make its SLO time is given up.
      */
     private void admitWaiting() {
         List<Generation> order = new ArrayList<>(open);
@@ -530,82 +555,96 @@
         order.sort(
                 Comparator.comparingDouble(
                                 (Generation g) ->
-                                        g.product.revenue * (g.resent ? g.product.lateRevenue : 1))
+                                        g.trafficClass.revenue
+                                                * (g.clientRetry ? g.trafficClass.lateRevenue : 1))
                         .thenComparingDouble(g -> g.arrivedMs)
                         .reversed());
-        double now = host.now();
-        double perTok = msPerTok(null, now);
+        double now = host.nowMs();
+        double perToken = msPerToken(null, now);
         int tried = 0;
-        for (Generation gen : order) {
-            boolean late = now + gen.leastReadToks * perTok + beginMs > gen.sloAtMs();
-            if (late && now > triedMs + TRY_MS && open.stream().allMatch(g -> g.attemptsOut == 0)) {
-                // Danger: once all was slow, all is given up, and nothing is sent that could show
+        for (Generation generation : order) {
+            boolean late =
+                    now + generation.leastReadTokens * perToken + beginMs
+                            > generation.sloDeadlineMs();
+            if (late
+                    && now > triedMs + TRY_MS
+                    && open.stream().allMatch(g -> g.attemptsInFlight == 0)) {
+                // Guards against: once all was slow, all is given up, and nothing is sent that
+                // could show
                 // that it no
                 // longer is: everyone would be turned away. With nothing out, what is known is
                 // void.
                 triedMs = now;
                 beginMs = Math.min(beginMs, BEGIN_FIRST_MS);
                 speeds.clear();
-                perTok = msPerTok(null, now);
+                perToken = msPerToken(null, now);
                 late = false;
             }
             if (late) {
-                giveUp(gen, GiveUpReason.TOO_LATE);
+                giveUp(generation, GiveUpReason.TOO_LATE);
             } else if (tried++ < MOST_TRIED) {
-                // Danger: thousands that wait, all tried whenever an attempt ends, keep the loop
+                // Guards against: thousands that wait, all tried whenever an attempt ends, keep the
+                // loop
                 // busy.
-                advance(gen);
+                advance(generation);
             }
         }
     }
 
-    private void giveUp(Generation gen, GiveUpReason reason) {
-        gen.givenUp = reason;
-        cancelOthers(gen, null);
-        departed(gen);
+    private void giveUp(Generation generation, GiveUpReason reason) {
+        generation.giveUpReason = reason;
+        cancelOthers(generation, null);
+        clientDisconnected(generation);
         // Rule 2: throttled says that trying again is harmless.
-        if (gen.product.effect == Effect.IDEMPOTENT
-                || gen.product.effect == Effect.DEDUPLICATED
-                        && gen.product.span == DeduplicationScope.ALL
-                || gen.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
-            host.throttle(
-                    gen,
+        if (generation.trafficClass.effect == Effect.IDEMPOTENT
+                || generation.trafficClass.effect == Effect.DEDUPLICATED
+                        && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL
+                || generation.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
+            host.reject(
+                    generation,
                     comeBackMaxMs <= 0 ? 0 : comeBackMaxMs * (0.3 + 0.7 * random.nextDouble()));
         } else {
-            host.terminate(gen);
+            host.fail(generation);
         }
     }
 
     /**
-     * Danger: a release frees nothing that an attempt still out may take; it is said again after
-     * that.
+     * Guards against: a release frees nothing that an attempt still out may take; it is said again
+     * after that.
      */
-    private void letGo(Generation gen) {
-        if (gen.held) {
-            gen.held = gen.attemptsOut > 0;
-            host.release(gen);
+    private void letGo(Generation generation) {
+        if (generation.mayHoldState) {
+            generation.mayHoldState = generation.attemptsInFlight > 0;
+            host.releaseState(generation);
         }
-        gen.state = null;
+        generation.state = null;
     }
 
     // ------------------------------------------------------------------ attempts
 
-    private void sendRead(Generation gen, Engine reader) {
-        double now = host.now();
-        double unread = readToks(gen, reader);
+    private void sendRead(Generation generation, Engine reader) {
+        double now = host.nowMs();
+        double unread = readTokens(generation, reader);
         boolean alone = reader.role != Role.READER;
         Attempt attempt =
-                new Attempt(gen, reader, !alone, now, alone ? genToks(gen) : unread, unread);
-        double dueMs = (unreadToks(reader, now) + unread) * msPerTok(reader, now);
-        attempt.patienceMs = (alone ? OVERDUE_WRITE_MS : OVERDUE_READ_MS) + OVERDUE_FACTOR * dueMs;
-        // Danger: a read whose answer is lost leaves a state that no outcome tells of.
-        gen.held = true;
-        awaitingToks += alone ? 0 : genToks(gen);
-        if (gen.session != null) {
-            gen.session.sentTo(reader, gen.promptToks, now);
-        }
-        if (gen.prefix != null) {
-            gen.prefix.sentTo(reader, gen.sharedToks, now);
+                new Attempt(
+                        generation,
+                        reader,
+                        !alone,
+                        now,
+                        alone ? genTokens(generation) : unread,
+                        unread);
+        double dueMs = (unreadTokens(reader, now) + unread) * msPerToken(reader, now);
+        attempt.silenceTimeoutMs =
+                (alone ? OVERDUE_WRITE_MS : OVERDUE_READ_MS) + OVERDUE_FACTOR * dueMs;
+        // Guards against: a read whose answer is lost leaves a state that no outcome tells of.
+        generation.mayHoldState = true;
+        awaitingTokens += alone ? 0 : genTokens(generation);
+        if (generation.session != null) {
+            generation.session.recordSent(reader, generation.promptTokens, now);
+        }
+        if (generation.prefix != null) {
+            generation.prefix.recordSent(reader, generation.sharedTokens, now);
         }
         send(attempt);
         for (int i = 0; i < WRITERS_ASKED && !alone && !writers.isEmpty(); i++) {
@@ -617,57 +656,60 @@
      * Whether the readers that would come first for a generation are still to answer for their
      * load.
      */
-    private boolean isAsking(Generation gen) {
-        double now = host.now();
-        if (now - gen.askedMs > ASK_AGAIN_MS) {
-            gen.askedMs = now;
-            gen.asked.clear();
-            gen.asked.addAll(homes(gen).subList(0, Math.min(READERS_ASKED, homes(gen).size())));
-            gen.asked.forEach(this::ask);
+    private boolean isAsking(Generation generation) {
+        double now = host.nowMs();
+        if (now - generation.readersProbedMs > ASK_AGAIN_MS) {
+            generation.readersProbedMs = now;
+            generation.probedReaders.clear();
+            generation.probedReaders.addAll(
+                    homes(generation)
+                            .subList(0, Math.min(READERS_ASKED, homes(generation).size())));
+            generation.probedReaders.forEach(this::ask);
         }
         return mayProbe
-                && now < gen.askedMs + ASK_WAIT_MS
-                && gen.asked.stream().anyMatch(e -> e.reportMs < e.probedMs);
+                && now < generation.readersProbedMs + ASK_WAIT_MS
+                && generation.probedReaders.stream().anyMatch(e -> e.reportMs < e.probedMs);
     }
 
     /**
-     * Danger: fronts that ask on a clock ask as often as there are fronts; asks that follow
+     * Guards against: fronts that ask on a clock ask as often as there are fronts; asks that follow
      * generations stay the same few for each, and chance keeps fronts from one common pick.
      */
     private void ask(Engine engine) {
-        if (mayProbe && host.now() - Math.max(engine.probedMs, engine.reportMs) > FRESH_MS) {
-            engine.probedMs = host.now();
-            host.probe(engine);
+        if (mayProbe && host.nowMs() - Math.max(engine.probedMs, engine.reportMs) > FRESH_MS) {
+            engine.probedMs = host.nowMs();
+            host.probeLoad(engine);
         }
     }
 
-    private void sendWrite(Generation gen, Engine writer) {
-        Attempt attempt = new Attempt(gen, writer, false, host.now(), genToks(gen), 0);
-        attempt.patienceMs = OVERDUE_WRITE_MS + OVERDUE_FACTOR * beginMs;
-        gen.stateReleased = false;
+    private void sendWrite(Generation generation, Engine writer) {
+        Attempt attempt =
+                new Attempt(generation, writer, false, host.nowMs(), genTokens(generation), 0);
+        attempt.silenceTimeoutMs = OVERDUE_WRITE_MS + OVERDUE_FACTOR * beginMs;
+        generation.stateReleased = false;
         send(attempt);
     }
 
     private void send(Attempt attempt) {
         Engine engine = attempt.engine;
-        double now = host.now();
+        double now = host.nowMs();
         if (!attempt.read) {
-            engine.freshToks.add(now, attempt.toks);
+            engine.freshTokens.add(now, attempt.countedTokens);
             engine.freshStreams.add(now, 1);
-            writesSent.add(now, attempt.toks, 1);
+            writesSent.add(now, attempt.countedTokens, 1);
         }
         attempt.open();
         host.send(attempt);
     }
 
     private void close(Attempt attempt) {
-        double toks = attempt.close() && attempt.read ? genToks(attempt.gen) : 0;
-        awaitingToks = Math.max(0, awaitingToks - toks);
+        double tokens = attempt.close() && attempt.read ? genTokens(attempt.generation) : 0;
+        awaitingTokens = Math.max(0, awaitingTokens - tokens);
     }
 
-    private void cancelOthers(Generation gen, Attempt kept) {
-        for (Attempt attempt : gen.attempts) {
-            if (attempt != kept && attempt.out && !attempt.cancelled && mayCancel) {
+    private void cancelOthers(Generation generation, Attempt kept) {
+        for (Attempt attempt : generation.attempts) {
+            if (attempt != kept && attempt.inFlight && !attempt.cancelled && mayCancel) {
                 attempt.cancelled = true;
                 host.cancel(attempt);
             }
@@ -678,52 +720,60 @@
      * The regular look at a generation: its limit, its steps left undone, and the silence of its
      * engine.
      */
-    private void look(Generation gen, double now) {
-        if (gen.over || gen.begun) {
+    private void look(Generation generation, double now) {
+        if (generation.finished || generation.responseStarted) {
             return;
         }
-        Attempt newest = gen.attempts.isEmpty() ? null : gen.attempts.get(gen.attempts.size() - 1);
-        if (gen.state != null
-                && newest.out
-                && !newest.toldLate
+        Attempt newest =
+                generation.attempts.isEmpty()
+                        ? null
+                        : generation.attempts.get(generation.attempts.size() - 1);
+        if (generation.state != null
+                && newest.inFlight
+                && !newest.countedAsLateMove
                 && now - newest.sentMs > MOVE_LATE_MS
-                && distance(gen.state.engine, newest.engine) > 0) {
+                && distance(generation.state.engine, newest.engine) > 0) {
             // One that has not begun yet tells sooner than those that have; once, since one may be
             // lost.
-            newest.toldLate = true;
-            gen.state.engine.moves.add(now, 2 * MOVE_LATE_MS, 1);
-        }
-        if (now >= gen.limitMs - ANSWER_EARLY_MS) {
-            giveUp(gen, GiveUpReason.TIME_UP);
-        } else if (gen.attemptsOut == 0 && !gen.waiting && now >= gen.nextAttemptMs) {
-            advance(gen);
-        } else if (gen.attemptsOut > 0
-                && gen.product.effect == Effect.IDEMPOTENT
+            newest.countedAsLateMove = true;
+            generation.state.engine.moves.add(now, 2 * MOVE_LATE_MS, 1);
+        }
+        if (now >= generation.deadlineMs - ANSWER_EARLY_MS) {
+            giveUp(generation, GiveUpReason.TIME_UP);
+        } else if (generation.attemptsInFlight == 0
+                && !generation.waiting
+                && now >= generation.nextAttemptMs) {
+            advance(generation);
+        } else if (generation.attemptsInFlight > 0
+                && generation.trafficClass.effect == Effect.IDEMPOTENT
                 && mayCancel
                 && maySendCopies
-                && gen.attemptsSent() + (gen.state == null ? 2 : 1) <= maxAttempts) {
-            Attempt attempt = gen.attempts.get(gen.attempts.size() - 1);
+                && generation.attemptsSent() + (generation.state == null ? 2 : 1) <= maxAttempts) {
+            Attempt attempt = generation.attempts.get(generation.attempts.size() - 1);
             double silentMs = now - Math.max(attempt.engine.heardMs, attempt.sentMs);
-            if (attempt.out && !attempt.cancelled && silentMs > attempt.patienceMs) {
-                overdue(gen, attempt);
+            if (attempt.inFlight && !attempt.cancelled && silentMs > attempt.silenceTimeoutMs) {
+                overdue(generation, attempt);
             }
         }
     }
 
     /**
-     * Danger: an engine that takes work and falls silent would keep it until the client leaves. A
-     * read gets a second one beside it, since calling off one that only takes long would waste it;
-     * an answer that waits for its writer moves only where there is room, or it would queue anew.
+     * Guards against: an engine that takes work and falls silent would keep it until the client
+     * leaves. A read gets a second one beside it, since calling off one that only takes long would
+     * waste it; an answer that waits for its writer moves only where there is room, or it would
+     * queue anew.
      */
-    private void overdue(Generation gen, Attempt attempt) {
+    private void overdue(Generation generation, Attempt attempt) {
         blame(attempt.engine);
         Engine other =
-                gen.state != null ? pickWriter(gen) : roomAnywhere(gen) ? pickReader(gen) : null;
-        if (other != null && other != attempt.engine && gen.state == null) {
-            sendRead(gen, other);
-        } else if (other != null && other != attempt.engine && hasRoom(other, gen)) {
-            cancelOthers(gen, null);
-            sendWrite(gen, other);
+                generation.state != null
+                        ? pickWriter(generation)
+                        : roomAnywhere(generation) ? pickReader(generation) : null;
+        if (other != null && other != attempt.engine && generation.state == null) {
+            sendRead(generation, other);
+        } else if (other != null && other != attempt.engine && hasRoom(other, generation)) {
+            cancelOthers(generation, null);
+            sendWrite(generation, other);
         }
     }
 
@@ -735,9 +785,9 @@
 
     /**
      * Rule 4: a chance draw whose mean over all fronts is the part of the budget that a cold engine
-     * may get, by what warm peers take. Danger: one attempt a front is too much where there are
-     * many fronts, and an idle new engine looks best to all of them at once; no draw is worth more
-     * than the time since the last.
+     * may get, by what warm peers take. Guards against: one attempt a front is too much where there
+     * are many fronts, and an idle new engine looks best to all of them at once; no draw is worth
+     * more than the time since the last.
      */
     private boolean coldDraw(Engine engine, double now) {
         boolean reads = engine.role == Role.READER;
@@ -754,14 +804,14 @@
 
     // ------------------------------------------------------------------ what is known of engines
 
-    private List<Engine> fit(List<Engine> pool, Generation gen) {
-        double now = host.now();
+    private List<Engine> fit(List<Engine> pool, Generation generation) {
+        double now = host.nowMs();
         List<Engine> fit = new ArrayList<>(pool.size());
         boolean anySound = pool.stream().anyMatch(e -> isSound(e, now));
         for (Engine engine : pool) {
             // All suspect = none suspect: doubt must never empty a pool.
             if ((isSound(engine, now) || !anySound)
-                    && IdempotencyRule.mayDecide(gen, engine, now, maySendCopies)
+                    && IdempotencyRule.mayAttempt(generation, engine, now, maySendCopies)
                     && (!isCold(engine, now) || coldDraw(engine, now))) {
                 fit.add(engine);
             }
@@ -770,7 +820,8 @@
     }
 
     private boolean isSound(Engine engine, double now) {
-        // Danger: a home that has just turned a read away would be asked again until no attempt is
+        // Guards against: a home that has just turned a read away would be asked again until no
+        // attempt is
         // left.
         return now >= engine.suspectUntilMs
                 && (!engine.onTrial || engine.attempts.isEmpty())
@@ -778,16 +829,16 @@
     }
 
     /**
-     * Danger: an engine that errs at once is always idle and would draw one attempt after another,
-     * until its generations have used up their attempts; that it still answers, probes too, must
-     * not clear it.
+     * Guards against: an engine that errs at once is always idle and would draw one attempt after
+     * another, until its generations have used up their attempts; that it still answers, probes
+     * too, must not clear it.
      */
     private static void answered(Engine engine, boolean erred) {
         engine.errorShare += ERROR_WEIGHT * ((erred ? 1 : 0) - engine.errorShare);
     }
 
     private void heard(Engine engine, LoadReport report) {
-        double now = host.now();
+        double now = host.nowMs();
         engine.heardMs = now;
         if (engine.errorShare < ERRORS_MOST) {
             engine.suspectUntilMs = 0;
@@ -805,26 +856,32 @@
             // being read.
             double halfRead = orZero(report.inflight() - orZero(report.queue())) * BEING_READ;
             double unread =
-                    orZero(report.toRead()) * unreadParts.at(now) + halfRead * unreadSizes.at(now);
-            engine.othersUnreadToks = Math.max(0, unread - engine.unreadToks);
-            toldUnread.add(now, engine.othersUnreadToks, 1);
+                    orZero(report.pendingTokens()) * unreadParts.at(now)
+                            + halfRead * unreadSizes.at(now);
+            engine.othersUnreadTokens = Math.max(0, unread - engine.unreadTokens);
+            toldUnread.add(now, engine.othersUnreadTokens, 1);
             return;
         }
-        engine.othersUnreadToks = Math.max(0, orZero(report.toRead()) - engine.unreadToks);
+        engine.othersUnreadTokens =
+                Math.max(0, orZero(report.pendingTokens()) - engine.unreadTokens);
         engine.toldStreams = Math.max(0, engine.streams - engine.freshStreams.sum(now));
-        double own = Math.max(0, engine.writeToks - engine.freshToks.sum(now));
-        // Danger: a full writer's memory share says nothing of the states that queue for it.
-        double toks =
-                orZero(report.heldShare() * engine.memoryToks + orZero(report.toRead()) - own);
+        double own = Math.max(0, engine.writeTokens - engine.freshTokens.sum(now));
+        // Guards against: a full writer's memory share says nothing of the states that queue for
+        // it.
+        double tokens =
+                orZero(
+                        report.memoryShare() * engine.memoryTokens
+                                + orZero(report.pendingTokens())
+                                - own);
         double streams = orZero(report.inflight() - engine.toldStreams);
-        engine.othersToks += (1 - kept) * (Math.max(0, toks) - engine.othersToks);
+        engine.othersTokens += (1 - kept) * (Math.max(0, tokens) - engine.othersTokens);
         engine.othersStreams += (1 - kept) * (Math.max(0, streams) - engine.othersStreams);
-        toldToks.add(now, engine.othersToks, engine.units);
+        toldTokens.add(now, engine.othersTokens, engine.units);
         toldStreams.add(now, engine.othersStreams, engine.units);
     }
 
     private void blame(Engine engine) {
-        double now = host.now();
+        double now = host.nowMs();
         if (now >= engine.suspectUntilMs) {
             double forMs = Math.max(SUSPECT_FIRST_MS, 2 * engine.suspectForMs);
             engine.suspectForMs = Math.min(SUSPECT_MOST_MS, forMs);
@@ -843,48 +900,52 @@
     private double backlogMs(Engine engine, double now) {
         double since = engine.unreadSinceMs();
         double silent = Double.isNaN(since) ? 0 : now - Math.max(engine.heardMs, since);
-        return Math.max(unreadToks(engine, now) * msPerTok(engine, now), silent);
+        return Math.max(unreadTokens(engine, now) * msPerToken(engine, now), silent);
     }
 
     /**
      * Own unread tokens there and, by a fresh report, the others'; a front's own sends are but a
      * sliver.
      */
-    private double unreadToks(Engine engine, double now) {
+    private double unreadTokens(Engine engine, double now) {
         double weight = Math.exp((engine.reportMs - now) / READ_REPORT_MS);
-        return engine.unreadToks
-                + weight * engine.othersUnreadToks
+        return engine.unreadTokens
+                + weight * engine.othersUnreadTokens
                 + (engine.role == Role.READER ? (1 - weight) * toldUnread.at(now) : 0);
     }
 
     /** By the best of late, which no queue has slowed: a mean would count others' prompts twice. */
-    private double msPerTok(Engine engine, double now) {
+    private double msPerToken(Engine engine, double now) {
         double speed =
                 engine != null && engine.reads.sum(now) >= OWN_READS
-                        ? engine.speeds.most(now)
-                        : speeds.most(now);
+                        ? engine.speeds.max(now)
+                        : speeds.max(now);
         return 1 / (speed > 0 ? speed : UNHEARD_TOKS_PER_MS);
     }
 
-    private double readToks(Generation gen, Engine reader) {
+    private double readTokens(Generation generation, Engine reader) {
         int kept =
                 Math.max(
-                        gen.prefix == null
+                        generation.prefix == null
                                 ? 0
-                                : Math.min(gen.prefix.toksAt(reader), gen.sharedToks),
-                        gen.session == null
+                                : Math.min(
+                                        generation.prefix.tokensAt(reader),
+                                        generation.sharedTokens),
+                        generation.session == null
                                 ? 0
-                                : Math.min(gen.session.toksAt(reader), gen.promptToks));
-        List<Engine> homes = homes(gen);
+                                : Math.min(
+                                        generation.session.tokensAt(reader),
+                                        generation.promptTokens));
+        List<Engine> homes = homes(generation);
         if (homes.contains(reader)) {
             kept =
                     Math.max(
                             kept,
                             reader == homes.get(0)
-                                    ? (int) (homesKept.at(host.now()) * gen.promptToks)
-                                    : gen.sharedToks);
+                                    ? (int) (homesKept.at(host.nowMs()) * generation.promptTokens)
+                                    : generation.sharedTokens);
         }
-        return Math.max(gen.promptToks - kept, LEAST_READ_TOKS);
+        return Math.max(generation.promptTokens - kept, LEAST_READ_TOKS);
     }
 
     /**
@@ -892,30 +953,34 @@
      * will have sent the texts there: a prefix has a few homes in each zone, a session prefers one
      * of them.
      */
-    private List<Engine> homes(Generation gen) {
-        CachedPrefix first = gen.prefix != null ? gen.prefix : gen.session;
-        if (gen.homesOfList != fleet.lists && first != null) {
-            gen.homesOfList = fleet.lists;
-            gen.homes.clear();
+    private List<Engine> homes(Generation generation) {
+        CachedPrefix first = generation.prefix != null ? generation.prefix : generation.session;
+        if (generation.affinityRevision != fleet.revision && first != null) {
+            generation.affinityRevision = fleet.revision;
+            generation.affinityReaders.clear();
             List<Engine> order = new ArrayList<>(readers);
             order.sort(Comparator.comparingLong(first::affinity).reversed());
             for (Engine reader : order) {
-                if (gen.homes.stream().filter(e -> e.zone.equals(reader.zone)).count() < HOMES) {
-                    gen.homes.add(reader);
+                if (generation.affinityReaders.stream()
+                                .filter(e -> e.zone.equals(reader.zone))
+                                .count()
+                        < HOMES) {
+                    generation.affinityReaders.add(reader);
                 }
             }
-            CachedPrefix text = gen.session != null ? gen.session : first;
-            gen.homes.sort(
+            CachedPrefix text = generation.session != null ? generation.session : first;
+            generation.affinityReaders.sort(
                     Comparator.comparing((Engine e) -> !e.zone.equals(zone))
                             .thenComparing(Comparator.comparingLong(text::affinity).reversed()));
         }
-        return new ArrayList<>(gen.homes);
+        return new ArrayList<>(generation.affinityReaders);
     }
 
     /** Tokens held there as far as is known. */
-    private double heldToks(Engine engine) {
-        double now = host.now();
-        return present(engine, engine.writeToks, engine.othersToks, toldToks, writesSent.at(now));
+    private double heldTokens(Engine engine) {
+        double now = host.nowMs();
+        return present(
+                engine, engine.writeTokens, engine.othersTokens, toldTokens, writesSent.at(now));
     }
 
     private double streams(Engine engine) {
@@ -924,13 +989,13 @@
 
     /**
      * A load as it may be now: the own part, the others' by a report that fades into what writers
-     * usually tell, and the others' sends since. Danger: each own send counted as one of every
-     * front makes one send outweigh all reports; the more fronts there are, the less a front's own
-     * few sends tell of the others.
+     * usually tell, and the others' sends since. Guards against: each own send counted as one of
+     * every front makes one send outweigh all reports; the more fronts there are, the less a
+     * front's own few sends tell of the others.
      */
     private double present(
             Engine engine, double own, double others, SlidingWindowMean told, double each) {
-        double now = host.now();
+        double now = host.nowMs();
         double weight = Math.exp((engine.reportMs - now) / WRITE_REPORT_MS);
         double usual = told.at(now) * engine.units;
         double sinceMs = Math.min(now - engine.reportMs, WRITE_REPORT_MS);
@@ -941,25 +1006,30 @@
     }
 
     /** Room for this one beside all that this front has being read. */
-    private boolean roomAnywhere(Generation gen) {
+    private boolean roomAnywhere(Generation generation) {
         double room =
-                writers.stream().filter(e -> hasRoom(e, gen)).mapToDouble(this::roomToks).sum();
-        return writers.isEmpty() || !(room < awaitingToks + genToks(gen));
+                writers.stream()
+                        .filter(e -> hasRoom(e, generation))
+                        .mapToDouble(this::roomTokens)
+                        .sum();
+        return writers.isEmpty() || !(room < awaitingTokens + genTokens(generation));
     }
 
-    private boolean hasRoom(Engine engine, Generation gen) {
-        return host.now() >= engine.fullUntilMs && !(roomToks(engine) < genToks(gen));
+    private boolean hasRoom(Engine engine, Generation generation) {
+        return host.nowMs() >= engine.fullUntilMs && !(roomTokens(engine) < genTokens(generation));
     }
 
     /** NaN where the memory is not known. */
-    private double roomToks(Engine engine) {
-        return engine.memoryToks - heldToks(engine);
+    private double roomTokens(Engine engine) {
+        return engine.memoryTokens - heldTokens(engine);
     }
 
-    private static double genToks(Generation gen) {
+    private static double genTokens(Generation generation) {
         double out =
-                Double.isNaN(gen.hintToks) ? EXPECTED_SHARE_OF_MAX * gen.maxToks : gen.hintToks;
-        return gen.promptToks + out;
+                Double.isNaN(generation.hintTokens)
+                        ? EXPECTED_SHARE_OF_MAX * generation.maxTokens
+                        : generation.hintTokens;
+        return generation.promptTokens + out;
     }
 
     private static double orZero(double value) {
@@ -969,7 +1039,7 @@
     private void setWake() {
         if (!wakeSet && (!open.isEmpty() || askAtMs < Double.POSITIVE_INFINITY)) {
             wakeSet = true;
-            host.wake(host.now() + SWEEP_MS);
+            host.wakeAt(host.nowMs() + SWEEP_MS);
         }
     }
 }
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -14,7 +14,7 @@
     /** The read whose state this attempt is to fetch, or null. */
     final InFlightAttempt source;
 
-    UpstreamClient.Flight flight;
+    UpstreamClient.AttemptHandle flight;
     StateHandle state;
 
     /** Whether a state waits, or may wait, at the engine and nobody has let go of it. */
@@ -23,13 +23,13 @@
     boolean ended;
 
     /** What its read counts as, or 0 if it has not read. */
-    long readToks;
+    long readTokens;
 
-    int keptToks;
+    int keptTokens;
 
-    InFlightAttempt(Attempt attempt, Endpoint spot, String rid, InFlightAttempt source) {
+    InFlightAttempt(Attempt attempt, Endpoint endpoint, String rid, InFlightAttempt source) {
         this.attempt = attempt;
-        this.spot = spot;
+        this.spot = endpoint;
         this.rid = rid;
         this.source = source;
     }
--- a/src/main/java/larchridge/router/InFlightRequest.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -46,11 +46,11 @@
         this.ask = ask;
         this.client = client;
         this.patience = patience;
-        meter = new UsageMeter(ask.promptToks(), ask.maxToks());
+        meter = new UsageMeter(ask.promptTokens(), ask.maxTokens());
     }
 
     /** The client has left or broken off. */
-    public void gone() {
+    public void clientDisconnected() {
         front.gone(this);
     }
 
@@ -65,7 +65,7 @@
 
     /** Names the generation in logs and answers. */
     public String id() {
-        return gen.label;
+        return gen.id;
     }
 
     InFlightAttempt tripOf(Attempt attempt) {
--- a/src/main/java/larchridge/router/QuotaClient.java
+++ b/src/main/java/larchridge/router/QuotaClient.java
@@ -8,13 +8,13 @@
      * Hears what was lent, 0 if nothing, and after how many milliseconds it could be; never from
      * inside the asking.
      */
-    interface Taker {
-        void lent(double toks, double backInMs);
+    interface Listener {
+        void granted(double tokens, double backInMs);
     }
 
     /** Asks; false if nobody can be asked now, and then the taker hears nothing. */
-    boolean ask(QuotaRequest want, Taker taker);
+    boolean request(QuotaRequest want, Listener taker);
 
     /** Whether the last question was answered. */
-    boolean answers();
+    boolean isResponsive();
 }
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -6,14 +6,14 @@
  */
 final class ResponseGuard {
     /** The three final answers, and the end of a client that wants none. */
-    enum Final {
-        STREAMED,
-        THROTTLED,
-        TERMINATED,
-        GONE
+    enum FinalAnswer {
+        COMPLETED,
+        REJECTED,
+        FAILED,
+        DISCONNECTED
     }
 
-    private Final given;
+    private FinalAnswer given;
     private boolean begun;
 
     /** Notes that the answer begins; false if a final answer was given before. */
@@ -33,7 +33,7 @@
         return given != null;
     }
 
-    Final given() {
+    FinalAnswer given() {
         return given;
     }
 
@@ -41,11 +41,11 @@
      * Whether this final answer may be given now: never a second one, and never that a repeat is
      * harmless once the client has seen part of an answer.
      */
-    boolean finish(Final answer) {
+    boolean finish(FinalAnswer answer) {
         if (given != null) {
             return false;
         }
-        if (answer == Final.THROTTLED && begun || answer == Final.STREAMED && !begun) {
+        if (answer == FinalAnswer.REJECTED && begun || answer == FinalAnswer.COMPLETED && !begun) {
             throw new IllegalStateException(answer + " is not possible here");
         }
         given = answer;
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -9,37 +9,37 @@
  */
 public interface ResponseSink {
     /** The answer begins; this many prompt tokens were kept from before. */
-    void begun(int keptToks);
+    void responseStarted(int keptTokens);
 
     /**
-     * A piece of the answer, to be kept until {@link #soFar} or a final answer; false if it can't
+     * A piece of the answer, to be kept until {@link #flush} or a final answer; false if it can't
      * go to the client.
      */
-    boolean piece(String text);
+    boolean textReceived(String text);
 
     /**
      * Whole events that go on as they came, to be kept like pieces; only to clients whose requests
      * were passed on.
      */
-    default void events(byte[] whole) {
+    default void eventsReceived(byte[] whole) {
         throw new UnsupportedOperationException("events are not this dialect's");
     }
 
     /** Pieces that are kept and have not gone out. */
-    default int gathered() {
+    default int pendingPieces() {
         return 0;
     }
 
     /** What was kept goes out now. */
-    default void soFar() {
+    default void flush() {
         return;
     }
 
     /** Whether nobody is there any more to be answered. */
-    boolean isGone();
+    boolean isDisconnected();
 
     /** What the tenant has left, before anything else is told. */
-    default void budget(BudgetDecision budget) {
+    default void budgetChecked(BudgetDecision budget) {
         return;
     }
 
@@ -47,26 +47,26 @@
      * Final: the tenant is beyond its budget; coming back after the time told is harmless and, if
      * alone, let in.
      */
-    void overBudget(BudgetDecision budget);
+    void rejectedOverBudget(BudgetDecision budget);
 
     /** Final: the answer is whole. */
-    void streamed(Completion ending);
+    void completed(Completion ending);
 
     /** Final: not now, and trying again is harmless; after so long, if more than 0. */
-    void throttled(double comeBackMs);
+    void rejected(double comeBackMs);
 
     /** Final: failed; mayRetry tells whether trying again can do harm. */
-    void terminated(Cause cause, boolean mayRetry);
+    void failed(FailureCause cause, boolean mayRetry);
 
     /** Final, without a word: the client does not take what it is sent. */
-    void cut();
+    void aborted();
 
     /** Why a generation was terminated. */
-    enum Cause {
-        TIME_UP,
-        BROKEN,
-        STOPPING,
+    enum FailureCause {
+        DEADLINE_EXCEEDED,
+        UPSTREAM_FAILED,
+        SHUTTING_DOWN,
         INTERNAL,
-        UNUSABLE
+        UNUSABLE_ANSWER
     }
 }
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -76,7 +76,7 @@
     private final RouterMetrics meters;
     private final PolicyEvents choice;
     private final boolean copiesAllowed;
-    private final Budgets budgets;
+    private final Budgets updateBudgets;
     private final Ledger ledger;
     private double nowMs;
 
@@ -86,7 +86,7 @@
      */
     private final Map<Generation, InFlightRequest> open = new LinkedHashMap<>();
 
-    private final Map<Long, Engine> engines = new HashMap<>();
+    private final Map<Long, Engine> forEachEngine = new HashMap<>();
     private final Map<Engine, EngineEntry> rows = new HashMap<>();
     private final Map<String, TenantQuota> accounts = new HashMap<>();
     private final PrefixRegistry talks = new PrefixRegistry();
@@ -97,7 +97,7 @@
     private final Map<String, InFlightRequest> same = new HashMap<>();
 
     /** Null where nothing is lent. */
-    private QuotaClient loans;
+    private QuotaClient setQuotaClient;
 
     private long taken;
     private int inside;
@@ -110,7 +110,7 @@
     private volatile int heldSeen;
 
     /** What those that are not batch work live through; handed over now and then. */
-    private LatencySample feeling = new LatencySample();
+    private LatencySample latencySample = new LatencySample();
 
     private double lookedMs;
 
@@ -164,27 +164,28 @@
         this.meters = meters;
         this.ledger = ledger;
         loop = ground instanceof VertxScheduler own ? own.loop() : null;
-        idStem = ground.stem();
+        idStem = ground.uniqueIdPrefix();
         tick();
-        budgets = site.budgetsOf(number, nowMs);
+        updateBudgets = site.budgetsOf(number, nowMs);
         RoutingSettings terms = site.termsOf(number);
-        copiesAllowed = terms.maySendCopies;
-        choice = module.make(terms, this);
+        copiesAllowed = terms.hedgingAllowed;
+        choice = module.create(terms, this);
         meters.front(number, () -> openSeen, () -> heldSeen);
-        ground.every(LOOK_MS, this::lookAtSelf);
+        ground.scheduleAtFixedDelay(LOOK_MS, this::lookAtSelf);
     }
 
     /** From now on what a budget lacks here may be lent. */
-    public void loans(QuotaClient from) {
-        loans = from;
+    public void setQuotaClient(QuotaClient from) {
+        setQuotaClient = from;
     }
 
     // ------------------------------------------------------------------ the door
 
     /**
-     * Whether one more exchange may come in; each that may must be followed by one {@link #leave}.
+     * Whether one more exchange may come in; each that may must be followed by one {@link
+     * #exchangeEnded}.
      */
-    public boolean enter() {
+    public boolean tryAdmit() {
         // What is used and can't be written down would be given away; the ledger's own bound is
         // told in time.
         boolean behind = ledger != null && ledger.isBehind();
@@ -197,7 +198,7 @@
     }
 
     /** An exchange that came in is over. */
-    public void leave() {
+    public void exchangeEnded() {
         inside--;
         idle();
     }
@@ -224,38 +225,39 @@
      * tenant's budget does not allow it, since the client has been answered then, nor where the
      * client has left.
      */
-    public void take(GenerationRequest ask, ResponseSink client, Consumer<InFlightRequest> told) {
+    public void submit(GenerationRequest ask, ResponseSink client, Consumer<InFlightRequest> told) {
         tick();
-        // Danger: a client whose body waited to be counted would wait that much longer than its
+        // Guards against: a client whose body waited to be counted would wait that much longer than
+        // its
         // time.
-        double arrivedMs = nowMs - ask.waitedMs();
-        double toks = Budgets.estimate(ask.promptToks(), ask.maxToks());
+        double arrivedMs = nowMs - ask.queuedMs();
+        double tokens = Budgets.estimate(ask.promptTokens(), ask.maxTokens());
         String tenant = ask.tenant().name();
-        String product = ask.offer().product.name;
-        BudgetDecision budget = budgets.ask(tenant, product, toks, nowMs);
-        if (!budget.isIn() && budget.lacksRate() && loans != null) {
-            QuotaRequest want = budgets.want(tenant, product, toks, nowMs);
+        String product = ask.offering().product.name;
+        BudgetDecision budget = updateBudgets.ask(tenant, product, tokens, nowMs);
+        if (!budget.isAdmitted() && budget.isRateLimited() && setQuotaClient != null) {
+            QuotaRequest want = updateBudgets.want(tenant, product, tokens, nowMs);
             if (want != null
-                    && loans.ask(
+                    && setQuotaClient.request(
                             want,
                             (lent, backMs) -> {
                                 tick();
-                                budgets.lender(loans.answers());
-                                budgets.lent(want.purse(), lent, nowMs + site.lapseMs);
-                                if (!client.isGone()) {
+                                updateBudgets.lender(setQuotaClient.isResponsive());
+                                updateBudgets.lent(want.budget(), lent, nowMs + site.lapseMs);
+                                if (!client.isDisconnected()) {
                                     BudgetDecision second =
-                                            budgets.ask(tenant, product, toks, nowMs);
+                                            updateBudgets.ask(tenant, product, tokens, nowMs);
                                     admit(
                                             ask,
                                             client,
-                                            second.isIn() ? second : second.notBefore(backMs),
+                                            second.isAdmitted() ? second : second.notBefore(backMs),
                                             arrivedMs,
                                             told);
                                 }
                             })) {
                 return;
             }
-            budgets.lender(loans.answers());
+            updateBudgets.lender(setQuotaClient.isResponsive());
         }
         admit(ask, client, budget, arrivedMs, told);
     }
@@ -266,48 +268,52 @@
             BudgetDecision budget,
             double arrivedMs,
             Consumer<InFlightRequest> told) {
-        String product = ask.offer().product.name;
-        client.budget(budget);
-        if (!budget.isIn()) {
+        String product = ask.offering().product.name;
+        client.budgetChecked(budget);
+        if (!budget.isAdmitted()) {
             meters.answered(number, product, "over_budget", Double.NaN);
             LOG.atDebug()
                     .addKeyValue("tenant", ask.tenant().name())
-                    .addKeyValue("why", budget.why())
+                    .addKeyValue("why", budget.reason())
                     .log("over budget");
-            client.overBudget(budget);
+            client.rejectedOverBudget(budget);
             return;
         }
         DeadlinePolicy patience =
                 DeadlinePolicy.of(
-                        ask.offer(),
-                        ask.promptToks(),
-                        ask.maxToks(),
-                        ask.whole(),
-                        ask.patienceMs());
+                        ask.offering(),
+                        ask.promptTokens(),
+                        ask.maxTokens(),
+                        ask.unstreamed(),
+                        ask.clientTimeoutMs());
         InFlightRequest one = new InFlightRequest(this, ask, client, patience);
-        one.limitAtMs = arrivedMs + patience.firstTokMs;
+        one.limitAtMs = arrivedMs + patience.firstTokenMs;
         one.wholeAtMs = arrivedMs + patience.wholeMs;
         one.charge = budget.charge();
         String label =
-                ask.passage() != null ? ask.passage().id() : idStem + Long.toString(taken++, 36);
+                ask.forwardedRequest() != null
+                        ? ask.forwardedRequest().id()
+                        : idStem + Long.toString(taken++, 36);
         one.gen =
                 new Generation(
                         label,
-                        budget.charge().isBorrowed() ? ask.offer().borrowed : ask.offer().product,
+                        budget.charge().isBorrowed()
+                                ? ask.offering().borrowed
+                                : ask.offering().product,
                         account(ask.tenant()),
                         talk(ask),
                         prefix(ask),
-                        ask.promptToks(),
-                        ask.sharedToks(),
-                        ask.maxToks(),
+                        ask.promptTokens(),
+                        ask.sharedTokens(),
+                        ask.maxTokens(),
                         Double.NaN,
-                        ask.resent(),
+                        ask.clientRetry(),
                         arrivedMs,
                         one.limitAtMs);
         one.billId = billId(one);
         open.put(one.gen, one);
-        one.limitTimer = ground.in(one.limitAtMs - nowMs - LAST_RESORT_MS, () -> limit(one));
-        guarded(one, () -> choice.arrived(one.gen));
+        one.limitTimer = ground.schedule(one.limitAtMs - nowMs - LAST_RESORT_MS, () -> limit(one));
+        guarded(one, () -> choice.requestArrived(one.gen));
         settle(one);
         told.accept(one);
     }
@@ -317,19 +323,19 @@
      * it asks, as long as a first try of that is open here.
      */
     private String billId(InFlightRequest one) {
-        if (one.ask.repeatKey() != null) {
-            return "key " + one.ask.repeatKey();
+        if (one.ask.idempotencyKey() != null) {
+            return "key " + one.ask.idempotencyKey();
         }
         one.sameAs =
                 one.ask.tenant().name()
                         + '\n'
                         + one.ask.model()
                         + '\n'
-                        + one.ask.talkNow()
+                        + one.ask.turnDigest()
                         + '\n'
-                        + one.ask.maxToks();
+                        + one.ask.maxTokens();
         InFlightRequest first = same.putIfAbsent(one.sameAs, one);
-        return first == null ? "gen " + one.gen.label : first.billId;
+        return first == null ? "gen " + one.gen.id : first.billId;
     }
 
     private TenantQuota account(Site.Tenant tenant) {
@@ -338,38 +344,39 @@
 
     /** The session's text, found by what its turn before was; a first turn begins one. */
     private CachedPrefix talk(GenerationRequest ask) {
-        CachedPrefix text = ask.talkBefore() == null ? null : talks.get(ask.talkBefore());
+        CachedPrefix text =
+                ask.previousTurnDigest() == null ? null : talks.get(ask.previousTurnDigest());
         if (text == null) {
-            text = talks.get(ask.talkNow());
+            text = talks.get(ask.turnDigest());
         }
         if (text == null) {
-            text = new CachedPrefix(ask.opening());
+            text = new CachedPrefix(ask.sessionId());
         }
-        talks.put(ask.talkNow(), text);
+        talks.put(ask.turnDigest(), text);
         return text;
     }
 
     private CachedPrefix prefix(GenerationRequest ask) {
-        return ask.prefix() == null
+        return ask.sharedPrefixId() == null
                 ? null
-                : prefixes.computeIfAbsent(ask.prefix(), CachedPrefix::new);
+                : prefixes.computeIfAbsent(ask.sharedPrefixId(), CachedPrefix::new);
     }
 
     // ------------------------------------------------------------------ what happens to a client
 
     void gone(InFlightRequest one) {
-        if (!one.duty.finish(ResponseGuard.Final.GONE)) {
+        if (!one.duty.finish(ResponseGuard.FinalAnswer.DISCONNECTED)) {
             return;
         }
         tick();
-        meters.answered(number, one.ask.offer().product.name, "gone", Double.NaN);
-        LOG.atDebug().addKeyValue("generation", one.gen.label).log("client gone");
+        meters.answered(number, one.ask.offering().product.name, "gone", Double.NaN);
+        LOG.atDebug().addKeyValue("generation", one.gen.id).log("client gone");
         abandon(one);
     }
 
     /** The module is told, and every attempt is called off. */
     private void abandon(InFlightRequest one) {
-        guarded(one, () -> choice.departed(one.gen));
+        guarded(one, () -> choice.clientDisconnected(one.gen));
         for (InFlightAttempt trip : one.trips) {
             if (!trip.ended) {
                 callOff(trip, CancellationReason.REQUEST_OVER);
@@ -389,18 +396,19 @@
             one.streaming.flight.pause();
         }
         double since = nowMs;
-        ground.in(
+        ground.schedule(
                 site.limit.slowClientMs,
                 () -> {
                     if (one.paused
                             && one.pausedMs == since
-                            && one.duty.finish(ResponseGuard.Final.TERMINATED)) {
-                        // Danger: a client that takes nothing would hold its writer's memory for
+                            && one.duty.finish(ResponseGuard.FinalAnswer.FAILED)) {
+                        // Guards against: a client that takes nothing would hold its writer's
+                        // memory for
                         // ever.
                         tick();
                         meters.answered(
-                                number, one.ask.offer().product.name, "slow_client", Double.NaN);
-                        one.client.cut();
+                                number, one.ask.offering().product.name, "slow_client", Double.NaN);
+                        one.client.aborted();
                         abandon(one);
                     }
                 });
@@ -424,7 +432,7 @@
         if (!one.duty.isDone() && !one.duty.isBegun()) {
             // The module gives up earlier than this; it is told, and its client answered, if ever
             // it did not.
-            terminate(one, ResponseSink.Cause.TIME_UP);
+            terminate(one, ResponseSink.FailureCause.DEADLINE_EXCEEDED);
             abandon(one);
         }
         for (InFlightAttempt trip : one.trips) {
@@ -432,15 +440,15 @@
                 callOff(trip, CancellationReason.TIME_UP);
             }
         }
-        if (one.duty.isBegun() && !one.duty.isDone() && one.ask.whole()) {
+        if (one.duty.isBegun() && !one.duty.isDone() && one.ask.unstreamed()) {
             one.limitTimer =
-                    ground.in(
+                    ground.schedule(
                             one.wholeAtMs - nowMs,
                             () -> {
                                 one.limitTimer = -1;
                                 if (!one.duty.isDone()) {
                                     tick();
-                                    terminate(one, ResponseSink.Cause.TIME_UP);
+                                    terminate(one, ResponseSink.FailureCause.DEADLINE_EXCEEDED);
                                     abandon(one);
                                 }
                             });
@@ -450,34 +458,36 @@
     // ------------------------------------------------------------------ what the module decides
 
     @Override
-    public double now() {
+    public double nowMs() {
         return nowMs;
     }
 
     @Override
     public void send(Attempt attempt) {
-        InFlightRequest one = open.get(attempt.gen);
+        InFlightRequest one = open.get(attempt.generation);
         EngineEntry row = rows.get(attempt.engine);
-        Endpoint spot = new Endpoint(row.host(), row.port());
+        Endpoint endpoint = new Endpoint(row.host(), row.port());
         InFlightAttempt source =
-                attempt.read || attempt.gen.state == null ? null : one.tripOf(attempt.gen.state);
+                attempt.read || attempt.generation.state == null
+                        ? null
+                        : one.tripOf(attempt.generation.state);
         InFlightAttempt trip =
                 new InFlightAttempt(
-                        attempt, spot, attempt.gen.label + "." + attempt.number, source);
+                        attempt, endpoint, attempt.generation.id + "." + attempt.number, source);
         one.trips.add(trip);
         GenerationRequest ask = one.ask;
         AttemptRequest order =
                 new AttemptRequest(
                         trip.rid,
-                        spot,
+                        endpoint,
                         ask.model(),
                         ask.prompt(),
-                        ask.maxToks(),
+                        ask.maxTokens(),
                         ask.stops(),
                         ask.sampling(),
                         source == null ? null : source.state,
                         repeatKey(one),
-                        ask.passage(),
+                        ask.forwardedRequest(),
                         new SendGuard(attempt, one, ground, copiesAllowed));
         Ears ears = new Ears(one, trip);
         trip.holds = attempt.read;
@@ -500,7 +510,7 @@
         String why =
                 before == null
                         ? "first"
-                        : before.attempt.out
+                        : before.attempt.inFlight
                                 ? "beside"
                                 : before.attempt.outcome == null
                                         ? "state_lost"
@@ -509,7 +519,7 @@
             meters.retried(number, stage, why);
         }
         LOG.atDebug()
-                .addKeyValue("generation", one.gen.label)
+                .addKeyValue("generation", one.gen.id)
                 .addKeyValue("attempt", trip.attempt.number)
                 .addKeyValue("engine", trip.attempt.engine.label)
                 .addKeyValue("stage", stage)
@@ -526,21 +536,21 @@
      * none.
      */
     private static String repeatKey(InFlightRequest one) {
-        if (one.gen.product.effect != Effect.DEDUPLICATED) {
+        if (one.gen.trafficClass.effect != Effect.DEDUPLICATED) {
             return null;
         }
-        return one.ask.repeatKey() != null ? one.ask.repeatKey() : one.gen.label;
+        return one.ask.idempotencyKey() != null ? one.ask.idempotencyKey() : one.gen.id;
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        callOff(open.get(attempt.gen).tripOf(attempt), CancellationReason.REPLACED);
+        callOff(open.get(attempt.generation).tripOf(attempt), CancellationReason.REPLACED);
     }
 
     private void callOff(InFlightAttempt trip, CancellationReason reason) {
         meters.calledOff(number, stage(trip), reason.tag());
         LOG.atDebug()
-                .addKeyValue("generation", trip.attempt.gen.label)
+                .addKeyValue("generation", trip.attempt.generation.id)
                 .addKeyValue("attempt", trip.attempt.number)
                 .addKeyValue("reason", reason)
                 .log("called off");
@@ -550,7 +560,8 @@
             trip.flight.cancel();
         }
         if (trip.attempt.read && trip.holds) {
-            // Danger: a read that ended as it was called off has left a state that no outcome tells
+            // Guards against: a read that ended as it was called off has left a state that no
+            // outcome tells
             // of.
             trip.holds = false;
             link.release(trip.spot, trip.rid);
@@ -558,8 +569,8 @@
     }
 
     @Override
-    public void release(Generation gen) {
-        InFlightRequest one = open.get(gen);
+    public void releaseState(Generation generation) {
+        InFlightRequest one = open.get(generation);
         if (one == null) {
             return;
         }
@@ -574,43 +585,44 @@
     }
 
     @Override
-    public void throttle(Generation gen, double comeBackMs) {
-        InFlightRequest one = open.get(gen);
-        if (one.duty.finish(ResponseGuard.Final.THROTTLED)) {
+    public void reject(Generation generation, double comeBackMs) {
+        InFlightRequest one = open.get(generation);
+        if (one.duty.finish(ResponseGuard.FinalAnswer.REJECTED)) {
             answered(one, "throttled");
             turnedAway(one);
-            one.client.throttled(comeBackMs);
+            one.client.rejected(comeBackMs);
         }
     }
 
     @Override
-    public void terminate(Generation gen) {
-        InFlightRequest one = open.get(gen);
+    public void fail(Generation generation) {
+        InFlightRequest one = open.get(generation);
         terminate(
                 one,
                 nowMs >= one.limitAtMs - 100
-                        ? ResponseSink.Cause.TIME_UP
-                        : ResponseSink.Cause.BROKEN);
+                        ? ResponseSink.FailureCause.DEADLINE_EXCEEDED
+                        : ResponseSink.FailureCause.UPSTREAM_FAILED);
     }
 
-    private void terminate(InFlightRequest one, ResponseSink.Cause cause) {
-        if (one.duty.finish(ResponseGuard.Final.TERMINATED)) {
+    private void terminate(InFlightRequest one, ResponseSink.FailureCause cause) {
+        if (one.duty.finish(ResponseGuard.FinalAnswer.FAILED)) {
             answered(one, "terminated");
-            if (cause == ResponseSink.Cause.TIME_UP) {
+            if (cause == ResponseSink.FailureCause.DEADLINE_EXCEEDED) {
                 turnedAway(one);
             }
-            Effect effect = one.gen.product.effect;
-            one.client.terminated(
+            Effect effect = one.gen.trafficClass.effect;
+            one.client.failed(
                     cause,
                     effect == Effect.IDEMPOTENT
                             || effect == Effect.DEDUPLICATED
-                                    && one.gen.product.span == DeduplicationScope.ALL);
+                                    && one.gen.trafficClass.deduplicationScope
+                                            == DeduplicationScope.ALL);
         }
     }
 
     private void turnedAway(InFlightRequest one) {
-        if (!one.ask.offer().isBatch) {
-            feeling.turnedAway();
+        if (!one.ask.offering().isBatch) {
+            latencySample.turnedAway();
         }
     }
 
@@ -618,71 +630,75 @@
      * What the generations that are not batch work lived through since this was asked last; on the
      * loop.
      */
-    public LatencySample feeling() {
+    public LatencySample latencySample() {
         tick();
         int hurried = 0;
         double longest = 0;
         for (InFlightRequest one : open.values()) {
-            if (!one.ask.offer().isBatch && !one.duty.isDone()) {
+            if (!one.ask.offering().isBatch && !one.duty.isDone()) {
                 hurried++;
                 if (one.gen.waiting) {
                     longest =
                             Math.max(
                                     longest,
                                     (nowMs - one.gen.arrivedMs)
-                                            / (one.gen.sloAtMs() - one.gen.arrivedMs));
+                                            / (one.gen.sloDeadlineMs() - one.gen.arrivedMs));
                 }
             }
         }
-        LatencySample felt = feeling;
+        LatencySample felt = latencySample;
         felt.waiting(hurried, longest);
-        feeling = new LatencySample();
+        latencySample = new LatencySample();
         return felt;
     }
 
     private void answered(InFlightRequest one, String kind) {
-        if (one.gen.givenUp != null) {
+        if (one.gen.giveUpReason != null) {
             meters.givenUp(
-                    number, one.gen.product.name, one.gen.givenUp.name().toLowerCase(Locale.ROOT));
+                    number,
+                    one.gen.trafficClass.name,
+                    one.gen.giveUpReason.name().toLowerCase(Locale.ROOT));
         }
-        meters.answered(number, one.gen.product.name, kind, nowMs - one.gen.arrivedMs);
+        meters.answered(number, one.gen.trafficClass.name, kind, nowMs - one.gen.arrivedMs);
         LOG.atDebug()
-                .addKeyValue("generation", one.gen.label)
+                .addKeyValue("generation", one.gen.id)
                 .addKeyValue("front", number)
-                .addKeyValue("product", one.gen.product.name)
+                .addKeyValue("product", one.gen.trafficClass.name)
                 .addKeyValue("attempts", one.trips.size())
                 .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs))
-                .addKeyValue("reason", one.gen.givenUp)
+                .addKeyValue("reason", one.gen.giveUpReason)
                 .log(kind);
     }
 
     @Override
-    public void probe(Engine engine) {
+    public void probeLoad(Engine engine) {
         EngineEntry row = rows.get(engine);
         link.probe(
                 new Endpoint(row.host(), row.port()),
                 (answered, report) ->
-                        ground.later(
+                        ground.execute(
                                 () -> {
                                     tick();
-                                    guarded(null, () -> choice.probed(engine, answered, report));
+                                    guarded(
+                                            null,
+                                            () -> choice.loadProbed(engine, answered, report));
                                     settleAll();
                                 }));
     }
 
     @Override
-    public void wake(double atMs) {
-        ground.in(
+    public void wakeAt(double atMs) {
+        ground.schedule(
                 atMs - nowMs,
                 () -> {
                     tick();
-                    guarded(null, choice::woken);
+                    guarded(null, choice::wakeUp);
                     settleAll();
                 });
     }
 
     @Override
-    public void followList() {
+    public void watchEndpoints() {
         // The list comes unasked here.
         return;
     }
@@ -705,21 +721,26 @@
         }
 
         @Override
-        public void read(StateHandle state, int keptToks, int promptToks, LoadReport report) {
+        public void readCompleted(
+                StateHandle state, int keptTokens, int promptTokens, LoadReport report) {
             tick();
             trip.ended = true;
             trip.state = state;
-            trip.readToks = one.meter.read(promptToks);
-            one.ask.reported().accept(promptToks);
-            trip.keptToks = keptToks;
+            trip.readTokens = one.meter.read(promptTokens);
+            one.ask.promptTokensReported().accept(promptTokens);
+            trip.keptTokens = keptTokens;
             meters.attempt(number, "read", "READ");
             traced("READ");
-            guarded(one, () -> choice.readDone(trip.attempt, keptToks, report, one.duty.isDone()));
+            guarded(
+                    one,
+                    () ->
+                            choice.readCompleted(
+                                    trip.attempt, keptTokens, report, one.duty.isDone()));
             settle(one);
         }
 
         @Override
-        public void begun() {
+        public void responseStarted() {
             tick();
             if (!one.duty.begin()) {
                 return;
@@ -727,33 +748,34 @@
             one.streaming = trip;
             one.lastPieceMs = nowMs;
             traced("BEGUN");
-            meters.firstToken(number, one.gen.product.name, nowMs - one.gen.arrivedMs);
-            if (!one.ask.offer().isBatch) {
-                feeling.begun(
-                        (nowMs - one.gen.arrivedMs) / (one.gen.sloAtMs() - one.gen.arrivedMs));
+            meters.firstToken(number, one.gen.trafficClass.name, nowMs - one.gen.arrivedMs);
+            if (!one.ask.offering().isBatch) {
+                latencySample.begun(
+                        (nowMs - one.gen.arrivedMs)
+                                / (one.gen.sloDeadlineMs() - one.gen.arrivedMs));
             }
             if (trip.source != null) {
                 // It has been fetched: nothing of it is left at its reader.
                 trip.source.holds = false;
-                one.meter.begun(trip.source.readToks, trip.source.keptToks, true);
+                one.meter.begun(trip.source.readTokens, trip.source.keptTokens, true);
             } else {
-                one.meter.begun(one.ask.promptToks(), 0, false);
+                one.meter.begun(one.ask.promptTokens(), 0, false);
             }
-            guarded(one, () -> choice.begun(trip.attempt));
-            release(one.gen);
-            one.quietTimer = ground.in(site.limit.quietStreamMs, () -> quiet(one));
+            guarded(one, () -> choice.responseStarted(trip.attempt));
+            releaseState(one.gen);
+            one.quietTimer = ground.schedule(site.limit.quietStreamMs, () -> quiet(one));
             if (!one.duty.isDone()) {
-                one.client.begun(trip.source == null ? 0 : trip.source.keptToks);
+                one.client.responseStarted(trip.source == null ? 0 : trip.source.keptTokens);
             }
         }
 
         @Override
-        public void piece(String text) {
+        public void textReceived(String text) {
             if (one.streaming == trip && !one.duty.isDone()) {
                 tick();
                 one.lastPieceMs = nowMs;
                 meters.piece();
-                if (one.client.piece(text)) {
+                if (one.client.textReceived(text)) {
                     one.meter.sent();
                 }
             }
@@ -761,29 +783,29 @@
 
         private void traced(String what) {
             LOG.atDebug()
-                    .addKeyValue("generation", one.gen.label)
+                    .addKeyValue("generation", one.gen.id)
                     .addKeyValue("attempt", trip.attempt.number)
                     .addKeyValue("engine", trip.attempt.engine.label)
-                    .addKeyValue("toks", one.gen.promptToks)
-                    .addKeyValue("kept", trip.keptToks)
+                    .addKeyValue("toks", one.gen.promptTokens)
+                    .addKeyValue("kept", trip.keptTokens)
                     .addKeyValue("sent", Math.round(trip.attempt.sentMs - one.gen.arrivedMs))
                     .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs))
                     .log(what);
         }
 
         @Override
-        public void events(byte[] whole) {
+        public void eventsReceived(byte[] whole) {
             if (one.streaming == trip && !one.duty.isDone()) {
                 tick();
                 one.lastPieceMs = nowMs;
-                one.client.events(whole);
+                one.client.eventsReceived(whole);
             }
         }
 
         @Override
-        public void soFar() {
+        public void batchCompleted() {
             if (one.streaming == trip && !one.duty.isDone()) {
-                one.client.soFar();
+                one.client.flush();
             }
         }
 
@@ -798,53 +820,54 @@
         public void notSent(SendRejection reason) {
             meters.notSent(number, reason.tag());
             LOG.atDebug()
-                    .addKeyValue("generation", one.gen.label)
+                    .addKeyValue("generation", one.gen.id)
                     .addKeyValue("attempt", trip.attempt.number)
                     .addKeyValue("reason", reason)
                     .log("not sent");
         }
 
         @Override
-        public void unusable() {
+        public void answerUnusable() {
             tick();
-            // Danger: sent on, it would use up its attempts and let every engine that rightly
+            // Guards against: sent on, it would use up its attempts and let every engine that
+            // rightly
             // refuses it seem to fail.
             trip.ended = true;
-            terminate(one, ResponseSink.Cause.UNUSABLE);
+            terminate(one, ResponseSink.FailureCause.UNUSABLE_ANSWER);
             abandon(one);
         }
 
         @Override
-        public void ended(AttemptOutcome outcome, LoadReport report, Completion ending) {
+        public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion ending) {
             tick();
             trip.ended = true;
             meters.attempt(number, trip.attempt.read ? "read" : "write", outcome.name());
             if (trip.holds) {
                 trip.holds = false;
-                if (!outcome.neverRan) {
-                    // Danger: its state may wait there though its answer did not come.
+                if (!outcome.provesNotRun) {
+                    // Guards against: its state may wait there though its answer did not come.
                     link.release(trip.spot, trip.rid);
                 }
             }
             if (one.streaming == trip) {
                 if (outcome == AttemptOutcome.STREAMED
-                        && one.duty.finish(ResponseGuard.Final.STREAMED)) {
-                    one.meter.whole(ending.outToks());
+                        && one.duty.finish(ResponseGuard.FinalAnswer.COMPLETED)) {
+                    one.meter.whole(ending.outputTokens());
                     answered(one, "streamed");
-                    recorded(one, () -> one.client.streamed(ending));
+                    recorded(one, () -> one.client.completed(ending));
                 } else {
                     // A stream that breaks is lost: part of it has been seen, so no other attempt
                     // can go on with it.
-                    terminate(one, ResponseSink.Cause.BROKEN);
+                    terminate(one, ResponseSink.FailureCause.UPSTREAM_FAILED);
                 }
             }
             boolean over = one.duty.isDone();
             LOG.atDebug()
-                    .addKeyValue("generation", one.gen.label)
+                    .addKeyValue("generation", one.gen.id)
                     .addKeyValue("attempt", trip.attempt.number)
                     .addKeyValue("engine", trip.attempt.engine.label)
                     .log(outcome.name());
-            guarded(one, () -> choice.ended(trip.attempt, outcome, report, over));
+            guarded(one, () -> choice.attemptEnded(trip.attempt, outcome, report, over));
             settle(one);
         }
     }
@@ -858,7 +881,7 @@
         double left = one.lastPieceMs + site.limit.quietStreamMs - nowMs;
         if (one.paused || left > 1) {
             one.quietTimer =
-                    ground.in(one.paused ? site.limit.quietStreamMs : left, () -> quiet(one));
+                    ground.schedule(one.paused ? site.limit.quietStreamMs : left, () -> quiet(one));
         } else {
             meters.calledOff(number, stage(one.streaming), CancellationReason.SILENT_STREAM.tag());
             one.streaming.flight.expire();
@@ -868,18 +891,19 @@
     /**
      * A new complete list. An id at another address is another engine; the old one counts as gone.
      */
-    public void listed(List<EngineEntry> list) {
+    public void endpointsChanged(List<EngineEntry> list) {
         tick();
         List<EndpointUpdate> entries = new ArrayList<>();
         for (EngineEntry row : list) {
-            Engine engine = engines.computeIfAbsent(row.id(), Engine::new);
+            Engine engine = forEachEngine.computeIfAbsent(row.id(), Engine::new);
             EngineEntry before = rows.get(engine);
             if (before != null
                     && (before.port() != row.port() || !before.host().equals(row.host()))) {
-                // Danger: what is known of an address, and the attempts out there, are not those of
+                // Guards against: what is known of an address, and the attempts out there, are not
+                // those of
                 // the new one.
                 engine = new Engine(row.id());
-                engines.put(row.id(), engine);
+                forEachEngine.put(row.id(), engine);
             }
             rows.put(engine, row);
             entries.add(
@@ -891,21 +915,24 @@
                             row.zone(),
                             row.rack(),
                             row.role(),
-                            row.memoryToks()));
+                            row.memoryTokens()));
         }
-        guarded(null, () -> choice.listed(entries, true));
-        engines.values()
-                .removeIf(engine -> engine.mode == EndpointState.GONE && engine.attempts.isEmpty());
-        rows.keySet().removeIf(engine -> !engines.containsValue(engine));
+        guarded(null, () -> choice.endpointsChanged(entries, true));
+        forEachEngine
+                .values()
+                .removeIf(
+                        engine ->
+                                engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
+        rows.keySet().removeIf(engine -> !forEachEngine.containsValue(engine));
         settleAll();
     }
 
     /** The engines that the module knows, with where they listen; to be looked at only. */
-    public void engines(BiConsumer<Endpoint, Engine> each) {
+    public void forEachEngine(BiConsumer<Endpoint, Engine> each) {
         rows.forEach((engine, row) -> each.accept(new Endpoint(row.host(), row.port()), engine));
     }
 
-    public int openGenerations() {
+    public int generationsInFlight() {
         return open.size();
     }
 
@@ -915,16 +942,16 @@
      * Takes nothing new; what is open may end until the stop time, the rest is terminated. Then
      * runs done.
      */
-    public void stop(Runnable done) {
+    public void shutDown(Runnable done) {
         stopping = true;
         whenIdle = done;
-        ground.in(
+        ground.schedule(
                 site.limit.stopMs,
                 () -> {
                     tick();
                     for (InFlightRequest one : List.copyOf(open.values())) {
                         if (!one.duty.isDone()) {
-                            terminate(one, ResponseSink.Cause.STOPPING);
+                            terminate(one, ResponseSink.FailureCause.SHUTTING_DOWN);
                             abandon(one);
                         }
                     }
@@ -936,7 +963,7 @@
         if (whenIdle != null && inside == 0 && open.isEmpty()) {
             Runnable done = whenIdle;
             whenIdle = null;
-            ground.in(
+            ground.schedule(
                     Math.min(LAST_RELEASES_MS, site.releaseMs),
                     () -> closeLink(nowMs + site.releaseMs, done));
         }
@@ -949,7 +976,7 @@
     private void closeLink(double latestMs, Runnable done) {
         tick();
         if (link.isReleasing() && nowMs < latestMs) {
-            ground.in(RELEASE_LOOK_MS, () -> closeLink(latestMs, done));
+            ground.schedule(RELEASE_LOOK_MS, () -> closeLink(latestMs, done));
             return;
         }
         link.close();
@@ -984,8 +1011,8 @@
     }
 
     /**
-     * Danger: a fault of the module would lose the generation it was deciding on; that one is
-     * terminated.
+     * Guards against: a fault of the module would lose the generation it was deciding on; that one
+     * is terminated.
      */
     private void guarded(InFlightRequest one, Runnable step) {
         try {
@@ -994,8 +1021,8 @@
             meters.fault(number);
             LOG.error("the decision module failed", e);
             if (one != null) {
-                terminate(one, ResponseSink.Cause.INTERNAL);
-                one.gen.over = true;
+                terminate(one, ResponseSink.FailureCause.INTERNAL);
+                one.gen.finished = true;
             }
         }
     }
@@ -1004,7 +1031,7 @@
         if (open.size() > 0) {
             List<InFlightRequest> done = null;
             for (InFlightRequest one : open.values()) {
-                if (one.duty.isDone() && one.gen.attemptsOut == 0) {
+                if (one.duty.isDone() && one.gen.attemptsInFlight == 0) {
                     done = done == null ? new ArrayList<>() : done;
                     done.add(one);
                 }
@@ -1017,18 +1044,18 @@
 
     /** What it used is settled with its budget and written down, once. */
     private void bill(InFlightRequest one) {
-        // Danger: what was gathered for a client that left never went to its socket.
-        one.meter.notSent(one.client.gathered());
-        if (one.ask.whole() && one.duty.given() != ResponseGuard.Final.STREAMED) {
+        // Guards against: what was gathered for a client that left never went to its socket.
+        one.meter.notSent(one.client.pendingPieces());
+        if (one.ask.unstreamed() && one.duty.given() != ResponseGuard.FinalAnswer.COMPLETED) {
             one.meter.nothingSent();
         }
-        budgets.settle(one.charge, one.meter.used(), nowMs);
-        if (ledger == null || one.meter.used() + one.meter.wastedToks() <= 0) {
+        updateBudgets.settle(one.charge, one.meter.used(), nowMs);
+        if (ledger == null || one.meter.used() + one.meter.wastedTokens() <= 0) {
             return;
         }
         if (!one.recorded) {
             record(one, usage(one), null);
-        } else if (one.meter.wastedToks() > one.recordedWaste
+        } else if (one.meter.wastedTokens() > one.recordedWaste
                 || one.trips.size() > one.recordedAttempts) {
             // What a second attempt did that came home after the answer; its record is joined to
             // the first.
@@ -1037,13 +1064,13 @@
                     new Usage(
                             one.billId,
                             one.ask.tenant().name(),
-                            one.gen.product.name,
+                            one.gen.trafficClass.name,
                             (long) nowMs,
                             "waste",
                             0,
                             0,
                             0,
-                            one.meter.wastedToks() - one.recordedWaste,
+                            one.meter.wastedTokens() - one.recordedWaste,
                             one.trips.size() - one.recordedAttempts),
                     null);
         }
@@ -1053,13 +1080,13 @@
         return new Usage(
                 one.billId,
                 one.ask.tenant().name(),
-                one.gen.product.name,
+                one.gen.trafficClass.name,
                 (long) nowMs,
                 one.duty.given().name().toLowerCase(Locale.ROOT),
-                one.meter.promptToks(),
-                one.meter.keptToks(),
-                one.meter.outToks(),
-                one.meter.wastedToks(),
+                one.meter.promptTokens(),
+                one.meter.keptTokens(),
+                one.meter.outTokens(),
+                one.meter.wastedTokens(),
                 one.trips.size());
     }
 
@@ -1069,10 +1096,10 @@
         }
         meters.unbilled(number);
         LOG.atError()
-                .addKeyValue("generation", one.gen.label)
+                .addKeyValue("generation", one.gen.id)
                 .addKeyValue("tenant", usage.tenant())
-                .addKeyValue("prompt", usage.promptToks())
-                .addKeyValue("out", usage.outToks())
+                .addKeyValue("prompt", usage.promptTokens())
+                .addKeyValue("out", usage.outTokens())
                 .log("not written: the ledger's queue is full");
         return false;
     }
@@ -1087,7 +1114,7 @@
             end.run();
             return;
         }
-        one.client.soFar();
+        one.client.flush();
         boolean[] told = new boolean[1];
         Runnable once =
                 () -> {
@@ -1096,35 +1123,35 @@
                         end.run();
                     }
                 };
-        one.recorded = record(one, usage(one), () -> ground.later(once));
-        one.recordedWaste = one.meter.wastedToks();
+        one.recorded = record(one, usage(one), () -> ground.execute(once));
+        one.recordedWaste = one.meter.wastedTokens();
         one.recordedAttempts = one.trips.size();
         double wait = one.recorded ? site.answerWaitsMs : 0;
-        wait = one.ask.whole() ? Math.min(wait, one.wholeAtMs - LAST_RESORT_MS - nowMs) : wait;
+        wait = one.ask.unstreamed() ? Math.min(wait, one.wholeAtMs - LAST_RESORT_MS - nowMs) : wait;
         if (wait <= 0) {
             once.run();
         } else {
-            ground.in(wait, once);
+            ground.schedule(wait, once);
         }
     }
 
     /** Other budgets, from now on; what is in flight stays charged. */
-    public void budgets(Site changed) {
+    public void updateBudgets(Site changed) {
         tick();
-        changed.budgetsTo(budgets, nowMs);
+        changed.budgetsTo(updateBudgets, nowMs);
     }
 
     /** What a tenant has used this month by the ledger; told before anything is taken. */
-    public void remember(String tenant, String product, double used) {
-        budgets.remember(tenant, product, used, nowMs);
+    public void restoreUsage(String tenant, String product, double used) {
+        updateBudgets.remember(tenant, product, used, nowMs);
     }
 
     /** A generation that is answered and has no attempt out is let go of. */
     private void settle(InFlightRequest one) {
-        if (!one.duty.isDone() || one.gen.attemptsOut > 0 || open.get(one.gen) == null) {
+        if (!one.duty.isDone() || one.gen.attemptsInFlight > 0 || open.get(one.gen) == null) {
             return;
         }
-        release(one.gen);
+        releaseState(one.gen);
         open.remove(one.gen);
         if (one.sameAs != null) {
             same.remove(one.sameAs, one);
--- a/src/main/java/larchridge/router/Scheduler.java
+++ b/src/main/java/larchridge/router/Scheduler.java
@@ -9,16 +9,16 @@
     double nowMs();
 
     /** Runs a step on the loop after a time, 1 ms at least; the number is for {@link #cancel}. */
-    long in(double ms, Runnable step);
+    long schedule(double ms, Runnable step);
 
     void cancel(long number);
 
     /** Runs a step on the loop, never from inside the call; on any thread. */
-    void later(Runnable step);
+    void execute(Runnable step);
 
     /** Runs a step on the loop again and again. */
-    void every(double ms, Runnable step);
+    void scheduleAtFixedDelay(double ms, Runnable step);
 
     /** A part of names that no other front has, also one that starts in the same moment. */
-    String stem();
+    String uniqueIdPrefix();
 }
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -25,8 +25,8 @@
     }
 
     @Override
-    public SendRejection refusal() {
-        if (attempt.engine.mode != EndpointState.READY) {
+    public SendRejection rejection() {
+        if (attempt.engine.state != EndpointState.READY) {
             return SendRejection.ENGINE_LEFT;
         }
         if (open.duty.isDone() || open.duty.isBegun()) {
@@ -35,6 +35,6 @@
         if (!IdempotencyRule.mayWrite(attempt, ground.nowMs(), copiesAllowed)) {
             return SendRejection.MAY_REPEAT;
         }
-        return open.client.isGone() ? SendRejection.CLIENT_GONE : null;
+        return open.client.isDisconnected() ? SendRejection.CLIENT_GONE : null;
     }
 }
--- a/src/main/java/larchridge/router/VertxScheduler.java
+++ b/src/main/java/larchridge/router/VertxScheduler.java
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public long in(double ms, Runnable step) {
+    public long schedule(double ms, Runnable step) {
         return vertx.setTimer(Math.max(1, (long) Math.ceil(ms)), timer -> step.run());
     }
 
@@ -35,18 +35,19 @@
     }
 
     @Override
-    public void later(Runnable step) {
+    public void execute(Runnable step) {
         loop.runOnContext(v -> step.run());
     }
 
     @Override
-    public void every(double ms, Runnable step) {
+    public void scheduleAtFixedDelay(double ms, Runnable step) {
         vertx.setPeriodic(Math.max(1, (long) ms), timer -> step.run());
     }
 
     @Override
-    public String stem() {
-        // Danger: two fronts that start in one moment would name their attempts alike and let go of
+    public String uniqueIdPrefix() {
+        // Guards against: two fronts that start in one moment would name their attempts alike and
+        // let go of
         // each other's states.
         return Long.toString(System.currentTimeMillis(), 36)
                 + Long.toString(new SecureRandom().nextLong() & 0xFFFFFFFFFL, 36)
--- a/src/main/java/larchridge/router/VirtualTimeScheduler.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -25,7 +25,7 @@
     private final Set<Long> called = new HashSet<>();
     private double nowMs = START_MS;
     private long numbers;
-    private long ran;
+    private long stepsRun;
 
     public double nowMs() {
         return nowMs;
@@ -36,11 +36,11 @@
         return nowMs - START_MS;
     }
 
-    public long ran() {
-        return ran;
+    public long stepsRun() {
+        return stepsRun;
     }
 
-    public long in(double ms, Runnable run) {
+    public long schedule(double ms, Runnable run) {
         steps.add(new Step(nowMs + Math.max(0, ms), ++numbers, run));
         return numbers;
     }
@@ -56,7 +56,7 @@
             Step step = steps.poll();
             nowMs = step.ms;
             if (called.isEmpty() || !called.remove(step.number)) {
-                ran++;
+                stepsRun++;
                 step.run.run();
             }
         }
@@ -64,7 +64,7 @@
     }
 
     /** What one front stands on. */
-    public Scheduler ground(int front, long seed) {
+    public Scheduler schedulerOf(int front, long seed) {
         Random random = new Random(seed * 31 + front);
         return new Scheduler() {
             @Override
@@ -73,8 +73,8 @@
             }
 
             @Override
-            public long in(double ms, Runnable step) {
-                return VirtualTimeScheduler.this.in(Math.max(1, Math.ceil(ms)), step);
+            public long schedule(double ms, Runnable step) {
+                return VirtualTimeScheduler.this.schedule(Math.max(1, Math.ceil(ms)), step);
             }
 
             @Override
@@ -83,22 +83,22 @@
             }
 
             @Override
-            public void later(Runnable step) {
-                VirtualTimeScheduler.this.in(0, step);
+            public void execute(Runnable step) {
+                VirtualTimeScheduler.this.schedule(0, step);
             }
 
             @Override
-            public void every(double ms, Runnable step) {
-                VirtualTimeScheduler.this.in(
+            public void scheduleAtFixedDelay(double ms, Runnable step) {
+                VirtualTimeScheduler.this.schedule(
                         ms,
                         () -> {
                             step.run();
-                            every(ms, step);
+                            scheduleAtFixedDelay(ms, step);
                         });
             }
 
             @Override
-            public String stem() {
+            public String uniqueIdPrefix() {
                 return "f" + front + Long.toString(random.nextLong() & 0xFFFFFF, 36) + "-";
             }
         };
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -77,7 +77,8 @@
         this.site = site;
         this.points = points;
         if (site.seed == 0) {
-            // Danger: with the same chance draws at every front, fronts that see the same would all
+            // Guards against: with the same chance draws at every front, fronts that see the same
+            // would all
             // choose the same.
             site.seed = System.nanoTime() ^ ProcessHandle.current().pid() << 40;
         }
@@ -86,7 +87,7 @@
                         site.limit.countCacheBytes,
                         site.limit.countThreads,
                         site.limit.countWaits,
-                        site.limit.bytesPerTok);
+                        site.limit.bytesPerToken);
         RouterMetrics.counts(
                 registry, counters.cache::size, counters.cache::found, counters.cache::missed);
         vertx =
@@ -131,7 +132,10 @@
                                 fronts.forEach(
                                         front ->
                                                 front.loop()
-                                                        .runOnContext(v -> front.listed(rows))));
+                                                        .runOnContext(
+                                                                v ->
+                                                                        front.endpointsChanged(
+                                                                                rows))));
         List<EngineEntry> first = follower.first();
         if (site.ledger != null) {
             ledger = Ledger.open(site.ledger, site.ledgerWaits);
@@ -156,7 +160,7 @@
                             front.loop()
                                     .runOnContext(
                                             v ->
-                                                    front.loans(
+                                                    front.setQuotaClient(
                                                             new LeaseClient(
                                                                     vertx,
                                                                     site.lenderHost,
@@ -260,7 +264,7 @@
 
     /** Takes the budgets of a changed site file; the rest of it counts from the next start. */
     public void budgets(Site changed) {
-        fronts.forEach(front -> front.loop().runOnContext(v -> front.budgets(changed)));
+        fronts.forEach(front -> front.loop().runOnContext(v -> front.updateBudgets(changed)));
         if (site.lends) {
             adminLoop.runOnContext(v -> changed.budgetsTo(lender, monotonicMs()));
         }
@@ -288,7 +292,7 @@
                             v -> {
                                 seat.server.shutdown(
                                         (long) site.limit.stopMs + 1000, TimeUnit.MILLISECONDS);
-                                seat.front.stop(ended::tryComplete);
+                                seat.front.shutDown(ended::tryComplete);
                             });
             ends.add(ended.future());
         }
@@ -346,11 +350,11 @@
                             ledger);
             used.forEach(
                     (line, total) ->
-                            front.remember(
+                            front.restoreUsage(
                                     line.tenant(),
                                     line.product(),
-                                    total.promptToks() + total.outToks()));
-            front.listed(first);
+                                    total.promptTokens() + total.outTokens()));
+            front.endpointsChanged(first);
             fronts.add(front);
             server =
                     vertx.createHttpServer(
--- a/src/main/java/larchridge/simulatedengine/EngineProfile.java
+++ b/src/main/java/larchridge/simulatedengine/EngineProfile.java
@@ -5,12 +5,12 @@
 /**
  * What a stand-in engine is like. The figures are made up for drills; they measure no real machine.
  *
- * @param readToksPerMs prompt tokens read a millisecond when warm
+ * @param readTokensPerMs prompt tokens read a millisecond when warm
  * @param readsAtOnce prompts read side by side
  * @param streams answers written side by side
  * @param queue attempts that may wait
- * @param tokMs time between two tokens of a stream
- * @param moveToksPerMs how fast a state moves within the rack; slower across racks and zones
+ * @param tokenMs time between two tokens of a stream
+ * @param moveTokensPerMs how fast a state moves within the rack; slower across racks and zones
  * @param lapseMs when a state that nobody fetches is dropped
  */
 public record EngineProfile(
@@ -18,13 +18,13 @@
         Role role,
         String zone,
         long rack,
-        double readToksPerMs,
+        double readTokensPerMs,
         int readsAtOnce,
         int streams,
         int queue,
-        double memoryToks,
-        double tokMs,
-        double moveToksPerMs,
+        double memoryTokens,
+        double tokenMs,
+        double moveTokensPerMs,
         double coldShare,
         double coldMs,
         double lapseMs) {
@@ -41,13 +41,13 @@
                 role,
                 zone,
                 rack,
-                readToksPerMs * factor,
+                readTokensPerMs * factor,
                 readsAtOnce,
                 streams,
                 queue,
-                memoryToks,
-                tokMs / factor,
-                moveToksPerMs * factor,
+                memoryTokens,
+                tokenMs / factor,
+                moveTokensPerMs * factor,
                 coldShare,
                 coldMs,
                 lapseMs);
--- a/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
+++ b/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
@@ -71,7 +71,7 @@
     private final List<Job> waiting = new ArrayList<>();
     private final List<Job> running = new ArrayList<>();
     private final Map<String, State> states = new LinkedHashMap<>();
-    private double usedToks;
+    private double usedTokens;
 
     /**
      * Chunks of prompts that are kept, by the hash of all up to their end; the one unused for
@@ -90,19 +90,19 @@
     private final List<String> pages = new ArrayList<>();
     private final Map<HttpServerResponse, Runnable> open = new HashMap<>();
 
-    private record State(String rid, String tag, double toks, double sinceMs) {}
+    private record State(String rid, String tag, double tokens, double sinceMs) {}
 
     /** An attempt that is here. */
     private final class Job {
         final String rid;
         final String tag;
         final HttpServerResponse response;
-        final double toks;
+        final double tokens;
         final int most;
         final JsonNode handle;
         final boolean reads;
         double unread;
-        double keptToks;
+        double keptTokens;
         double credit;
         int sent;
         int length;
@@ -117,14 +117,14 @@
                 String rid,
                 String tag,
                 HttpServerResponse response,
-                double toks,
+                double tokens,
                 int most,
                 JsonNode handle,
                 boolean reads) {
             this.rid = rid;
             this.tag = tag;
             this.response = response;
-            this.toks = toks;
+            this.tokens = tokens;
             this.most = most;
             this.handle = handle;
             this.reads = reads;
@@ -185,7 +185,11 @@
         }
         for (State state : states.values()) {
             witness.saw(
-                    TrafficRecorder.Sight.STATE_GONE, make.id(), state.rid, state.tag, state.toks);
+                    TrafficRecorder.Sight.STATE_GONE,
+                    make.id(),
+                    state.rid,
+                    state.tag,
+                    state.tokens);
         }
         states.clear();
         reading.clear();
@@ -194,7 +198,7 @@
         kept.clear();
         pages.clear();
         open.clear();
-        usedToks = 0;
+        usedTokens = 0;
         witness.saw(TrafficRecorder.Sight.STOPPED, make.id(), null, null, 0);
         return server.close();
     }
@@ -283,7 +287,7 @@
                 make.id(),
                 rid,
                 job.tag,
-                job.toks);
+                job.tokens);
         Runnable out = () -> leave(job);
         open.put(
                 response,
@@ -319,9 +323,12 @@
         }
         job.length = Math.min(job.most, wanted);
         if (reads || handle == null) {
-            job.keptToks =
-                    keep(prompt) * job.toks * CHARS_A_TOK / Math.max(CHARS_A_TOK, prompt.length());
-            job.unread = Math.max(1, job.toks - job.keptToks);
+            job.keptTokens =
+                    keep(prompt)
+                            * job.tokens
+                            * CHARS_A_TOK
+                            / Math.max(CHARS_A_TOK, prompt.length());
+            job.unread = Math.max(1, job.tokens - job.keptTokens);
             reading.add(job);
         } else {
             waiting.add(job);
@@ -338,7 +345,7 @@
         waiting.remove(job);
         running.remove(job);
         if (job.counted) {
-            usedToks -= job.toks;
+            usedTokens -= job.tokens;
         }
         witness.saw(TrafficRecorder.Sight.LEG_OUT, make.id(), job.rid, job.tag, job.sent);
     }
@@ -365,8 +372,8 @@
     private boolean drop(String rid) {
         State state = states.remove(rid);
         if (state != null) {
-            usedToks -= state.toks;
-            witness.saw(TrafficRecorder.Sight.STATE_GONE, make.id(), rid, state.tag, state.toks);
+            usedTokens -= state.tokens;
+            witness.saw(TrafficRecorder.Sight.STATE_GONE, make.id(), rid, state.tag, state.tokens);
         }
         return state != null;
     }
@@ -405,7 +412,7 @@
                 + ",named_metrics.num_requests_waiting="
                 + waiting.size()
                 + ",named_metrics.kv_cache_usage_perc="
-                + Math.min(1, usedToks / make.memoryToks())
+                + Math.min(1, usedTokens / make.memoryTokens())
                 + ",named_metrics.prompt_tokens_waiting="
                 + unread();
     }
@@ -416,7 +423,7 @@
             unread += job.unread;
         }
         for (Job job : waiting) {
-            unread += job.toks;
+            unread += job.tokens;
         }
         return unread;
     }
@@ -427,7 +434,7 @@
                 + "\nvllm:num_requests_waiting "
                 + waiting.size()
                 + "\nvllm:kv_cache_usage_perc "
-                + Math.min(1, usedToks / make.memoryToks())
+                + Math.min(1, usedTokens / make.memoryTokens())
                 + "\nvllm:prompt_tokens_waiting "
                 + unread()
                 + "\n";
@@ -464,16 +471,16 @@
     }
 
     private void read(double worth) {
-        double budget = worth * make.readToksPerMs();
+        double budget = worth * make.readTokensPerMs();
         Iterator<Job> next = List.copyOf(reading).iterator();
         for (int i = 0; i < make.readsAtOnce() && next.hasNext() && budget > 0; i++) {
             Job job = next.next();
             if (!job.counted) {
-                if (usedToks + job.toks > make.memoryToks()) {
+                if (usedTokens + job.tokens > make.memoryTokens()) {
                     return;
                 }
                 job.counted = true;
-                usedToks += job.toks;
+                usedTokens += job.tokens;
             }
             double part = Math.min(budget, job.unread);
             job.unread -= part;
@@ -491,9 +498,9 @@
 
     private void finishRead(Job job) {
         if (!mood.forgetful) {
-            states.put(job.rid, new State(job.rid, job.tag, job.toks, now()));
+            states.put(job.rid, new State(job.rid, job.tag, job.tokens, now()));
             job.counted = false;
-            witness.saw(TrafficRecorder.Sight.STATE_HELD, make.id(), job.rid, job.tag, job.toks);
+            witness.saw(TrafficRecorder.Sight.STATE_HELD, make.id(), job.rid, job.tag, job.tokens);
         }
         if (job.lost) {
             return;
@@ -506,10 +513,10 @@
                 .put("text", "")
                 .put("finish_reason", "length");
         json.putObject("usage")
-                .put("prompt_tokens", (int) job.toks)
+                .put("prompt_tokens", (int) job.tokens)
                 .put("completion_tokens", 1)
                 .putObject("prompt_tokens_details")
-                .put("cached_tokens", (int) job.keptToks);
+                .put("cached_tokens", (int) job.keptTokens);
         json.putObject("kv_transfer_params")
                 .put("do_remote_prefill", true)
                 .put("remote_engine_id", make.id())
@@ -531,11 +538,11 @@
     private void admit() {
         for (Job job : List.copyOf(waiting)) {
             if (running.size() >= make.streams()
-                    || !job.counted && usedToks + job.toks > make.memoryToks()) {
+                    || !job.counted && usedTokens + job.tokens > make.memoryTokens()) {
                 return;
             }
             waiting.remove(job);
-            usedToks += job.counted ? 0 : job.toks;
+            usedTokens += job.counted ? 0 : job.tokens;
             job.counted = true;
             running.add(job);
             if (job.handle == null) {
@@ -548,7 +555,7 @@
     }
 
     private void ran(Job job) {
-        witness.saw(TrafficRecorder.Sight.RAN, make.id(), job.rid, job.tag, job.toks);
+        witness.saw(TrafficRecorder.Sight.RAN, make.id(), job.rid, job.tag, job.tokens);
     }
 
     private void fetch(Job job) {
@@ -560,7 +567,7 @@
                         : job.handle.path("remote_rack").asLong() != make.rack()
                                 ? RACK_SLOWDOWN
                                 : 1;
-        long moveMs = 1 + (long) (job.toks / make.moveToksPerMs() * slowdown);
+        long moveMs = 1 + (long) (job.tokens / make.moveTokensPerMs() * slowdown);
         RequestOptions to =
                 new RequestOptions()
                         .setMethod(HttpMethod.POST)
@@ -602,7 +609,7 @@
         if (job.begun && job.response.writeQueueFull()) {
             return;
         }
-        job.credit += worth / make.tokMs();
+        job.credit += worth / make.tokenMs();
         if (!job.begun) {
             job.begun = true;
             job.credit = Math.max(1, job.credit);
@@ -631,7 +638,7 @@
             ObjectNode usage = MAPPER.createObjectNode();
             usage.putArray("choices");
             usage.putObject("usage")
-                    .put("prompt_tokens", (int) job.toks)
+                    .put("prompt_tokens", (int) job.tokens)
                     .put("completion_tokens", job.sent);
             write(job, "data: " + usage + "\n\ndata: [DONE]\n\n");
             running.remove(job);
--- a/src/main/java/larchridge/simulation/SimulatedCluster.java
+++ b/src/main/java/larchridge/simulation/SimulatedCluster.java
@@ -75,15 +75,15 @@
     /** An engine of a script's make: its speed and room, in the form of the emulator. */
     static EngineHardware silicon(EngineProfile make) {
         boolean reads = make.role() == Role.READER;
-        int batch = (int) Math.max(256, make.readToksPerMs() * 12);
+        int batch = (int) Math.max(256, make.readTokensPerMs() * 12);
         return new EngineHardware(
-                reads ? 0.5 : 0.6 * make.tokMs(),
-                1 / make.readToksPerMs(),
-                0.4 * make.tokMs() / make.streams(),
+                reads ? 0.5 : 0.6 * make.tokenMs(),
+                1 / make.readTokensPerMs(),
+                0.4 * make.tokenMs() / make.streams(),
                 0,
                 0,
                 BLOCK_TOKS,
-                (int) (make.memoryToks() / BLOCK_TOKS),
+                (int) (make.memoryTokens() / BLOCK_TOKS),
                 batch,
                 reads ? make.readsAtOnce() : make.streams(),
                 make.queue() + make.readsAtOnce(),
@@ -101,7 +101,7 @@
         talks.remove(text);
     }
 
-    static int blockToks() {
+    static int blockTokens() {
         return BLOCK_TOKS;
     }
 
@@ -124,7 +124,7 @@
                                 make.zone(),
                                 make.rack(),
                                 1,
-                                make.memoryToks(),
+                                make.memoryTokens(),
                                 seat.listedStartMs,
                                 seat.drains ? EndpointState.DRAINING : EndpointState.READY));
             }
@@ -171,7 +171,7 @@
                             silicon(make), cold ? startedMs : startedMs - make.coldMs(), this);
             log.add(TrafficEvent.Kind.STARTED, make.id(), null, null, cold ? 1 : 0, null);
             int mine = life;
-            world.in(LAPSE_LOOK_MS, () -> lapse(mine));
+            world.schedule(LAPSE_LOOK_MS, () -> lapse(mine));
         }
 
         void crash() {
@@ -186,7 +186,7 @@
                 log.add(
                         TrafficEvent.Kind.LEG_OUT,
                         make.id(),
-                        visit.order.rid(),
+                        visit.order.attemptId(),
                         visit.talk.tag,
                         visit.job.made(),
                         null);
@@ -198,7 +198,7 @@
                         make.id(),
                         state.rid,
                         ((Visit) state.owner).talk.tag,
-                        state.prompt.toks,
+                        state.prompt.tokens,
                         null);
             }
             states.clear();
@@ -222,7 +222,7 @@
         private void lapse(int mine) {
             if (mine == life && up) {
                 model.lapse(world.nowMs());
-                world.in(LAPSE_LOOK_MS, () -> lapse(mine));
+                world.schedule(LAPSE_LOOK_MS, () -> lapse(mine));
             }
         }
 
@@ -233,7 +233,7 @@
             double wait = pausedUntilMs - world.nowMs();
             if (wait > 0) {
                 int mine = life;
-                world.in(
+                world.schedule(
                         wait,
                         () -> {
                             if (mine == life) {
@@ -246,7 +246,7 @@
             if (!Double.isNaN(ms)) {
                 stepping = true;
                 int mine = life;
-                world.in(ms, () -> step(mine));
+                world.schedule(ms, () -> step(mine));
             }
         }
 
@@ -256,7 +256,7 @@
             }
             double wait = pausedUntilMs - world.nowMs();
             if (wait > 0) {
-                world.in(wait, () -> step(mine));
+                world.schedule(wait, () -> step(mine));
                 return;
             }
             stepping = false;
@@ -285,9 +285,9 @@
                             ? TrafficEvent.Kind.READ_IN
                             : TrafficEvent.Kind.WRITE_IN,
                     make.id(),
-                    visit.order.rid(),
+                    visit.order.attemptId(),
                     visit.talk.tag,
-                    visit.talk.prompt.toks,
+                    visit.talk.prompt.tokens,
                     null);
             visits.add(visit);
             boolean wrong =
@@ -316,7 +316,7 @@
                 log.add(
                         TrafficEvent.Kind.LEG_OUT,
                         make.id(),
-                        visit.order.rid(),
+                        visit.order.attemptId(),
                         visit.talk.tag,
                         visit.job.made(),
                         null);
@@ -337,7 +337,7 @@
                         make.id(),
                         rid,
                         ((Visit) state.owner).talk.tag,
-                        state.prompt.toks,
+                        state.prompt.tokens,
                         null);
                 kick();
             }
@@ -352,7 +352,7 @@
             log.add(
                     TrafficEvent.Kind.LEG_OUT,
                     make.id(),
-                    visit.order.rid(),
+                    visit.order.attemptId(),
                     visit.talk.tag,
                     visit.job.made(),
                     null);
@@ -366,7 +366,7 @@
                     make.id(),
                     job.rid,
                     visit.talk.tag,
-                    job.prompt.toks,
+                    job.prompt.tokens,
                     null);
             if (!visit.lost) {
                 answered(visit);
@@ -382,7 +382,7 @@
                                 visit.read(
                                         new Waiting(make.id(), job.rid),
                                         job.kept(),
-                                        job.prompt.toks,
+                                        job.prompt.tokens,
                                         report));
             }
         }
@@ -392,14 +392,14 @@
             Visit visit = (Visit) job.owner;
             Seat from = seats.get(visit.from.engine);
             if (!from.up || !from.model.holds(visit.from.rid)) {
-                world.in(2 * NEAR_MS, () -> leave(visit, AttemptOutcome.NO_STATE));
+                world.schedule(2 * NEAR_MS, () -> leave(visit, AttemptOutcome.NO_STATE));
                 return;
             }
             int mine = life;
             visit.move =
                     links.begin(
                             world.nowMs(),
-                            job.prompt.toks,
+                            job.prompt.tokens,
                             way(from.make, make),
                             () -> {
                                 visit.move = null;
@@ -416,7 +416,7 @@
                                         make.id(),
                                         job.rid,
                                         visit.talk.tag,
-                                        job.prompt.toks,
+                                        job.prompt.tokens,
                                         null);
                                 model.fetched(job);
                                 kick();
@@ -433,7 +433,7 @@
                         make.id(),
                         job.rid,
                         visit.talk.tag,
-                        job.prompt.toks,
+                        job.prompt.tokens,
                         null);
             }
             if (job.made() > visit.breakAfter) {
@@ -471,7 +471,7 @@
                         make.id(),
                         job.rid,
                         ((Visit) job.owner).talk.tag,
-                        job.prompt.toks,
+                        job.prompt.tokens,
                         null);
             }
         }
@@ -479,17 +479,18 @@
 
     private List<SharedLinks.Link> way(EngineProfile from, EngineProfile to) {
         List<SharedLinks.Link> way = new ArrayList<>();
-        way.add(links.link("engine " + from.id(), from.moveToksPerMs()));
+        way.add(links.link("engine " + from.id(), from.moveTokensPerMs()));
         if (!from.zone().equals(to.zone())) {
             way.add(
                     links.link(
                             "zone " + from.zone() + " to " + to.zone(),
-                            ZONE_LINK * from.moveToksPerMs()));
+                            ZONE_LINK * from.moveTokensPerMs()));
         }
         if (from.rack() != to.rack() || !from.zone().equals(to.zone())) {
             way.add(
                     links.link(
-                            "rack " + from.zone() + from.rack(), RACK_LINK * from.moveToksPerMs()));
+                            "rack " + from.zone() + from.rack(),
+                            RACK_LINK * from.moveTokensPerMs()));
         }
         return way;
     }
@@ -506,7 +507,7 @@
         if (next < Double.POSITIVE_INFINITY) {
             linkWakeMs = next;
             linkWake =
-                    world.in(
+                    world.schedule(
                             next - world.nowMs(),
                             () -> {
                                 linkWake = -1;
@@ -522,12 +523,12 @@
     UpstreamClient link(String zone) {
         return new UpstreamClient() {
             @Override
-            public Flight read(AttemptRequest order, AttemptListener hearing) {
+            public AttemptHandle read(AttemptRequest order, AttemptListener hearing) {
                 return new Visit(order, hearing, zone, Job.Kind.READ);
             }
 
             @Override
-            public Flight write(AttemptRequest order, AttemptListener hearing) {
+            public AttemptHandle write(AttemptRequest order, AttemptListener hearing) {
                 return new Visit(
                         order,
                         hearing,
@@ -536,9 +537,9 @@
             }
 
             @Override
-            public void release(Endpoint spot, String rid) {
-                Seat seat = seats.get((long) spot.port());
-                world.in(
+            public void release(Endpoint endpoint, String rid) {
+                Seat seat = seats.get((long) endpoint.port());
+                world.schedule(
                         wayMs(zone, seat),
                         () -> {
                             if (seat.up) {
@@ -548,18 +549,18 @@
             }
 
             @Override
-            public void probe(Endpoint spot, Told told) {
-                Seat seat = seats.get((long) spot.port());
+            public void probe(Endpoint endpoint, ProbeListener told) {
+                Seat seat = seats.get((long) endpoint.port());
                 double ms = wayMs(zone, seat);
-                world.in(
+                world.schedule(
                         ms,
                         () -> {
                             LoadReport report = seat.up ? seat.report() : null;
                             double wait = Math.max(0, seat.pausedUntilMs - world.nowMs());
-                            world.in(
+                            world.schedule(
                                     wait + ms,
                                     () ->
-                                            told.told(
+                                            told.completed(
                                                     wait <= 500 && report != null,
                                                     wait > 500 ? null : report));
                         });
@@ -578,7 +579,7 @@
     }
 
     /** An attempt on its way, at its engine, and on its way back. */
-    private final class Visit implements UpstreamClient.Flight {
+    private final class Visit implements UpstreamClient.AttemptHandle {
         final AttemptRequest order;
         final Talk talk;
         final Job job;
@@ -597,24 +598,29 @@
             this.hearing = hearing;
             talk = talks.get(order.prompt());
             from = (Waiting) order.state();
-            seat = seats.get((long) order.spot().port());
+            seat = seats.get((long) order.endpoint().port());
             ms = wayMs(zone, seat);
-            job = new Job(order.rid(), kind, talk.prompt, Math.min(order.maxToks(), talk.length));
+            job =
+                    new Job(
+                            order.attemptId(),
+                            kind,
+                            talk.prompt,
+                            Math.min(order.maxTokens(), talk.length));
             job.owner = this;
-            world.in(
+            world.schedule(
                     0,
                     () -> {
-                        if (!isOver && order.check().refusal() != null) {
+                        if (!isOver && order.sendCheck().rejection() != null) {
                             over(AttemptOutcome.NOT_SENT);
                         } else {
-                            world.in(ms, () -> seat.arrive(this));
+                            world.schedule(ms, () -> seat.arrive(this));
                         }
                     });
         }
 
         /** Back to the front, if that still listens then. */
         void back(Runnable what) {
-            world.in(
+            world.schedule(
                     ms,
                     () -> {
                         if (!isOver) {
@@ -623,33 +629,33 @@
                     });
         }
 
-        void read(Waiting state, int kept, int toks, LoadReport report) {
+        void read(Waiting state, int kept, int tokens, LoadReport report) {
             isOver = true;
-            hearing.read(state, kept, toks, report);
+            hearing.readCompleted(state, kept, tokens, report);
         }
 
         void piece(int number) {
             if (!begun) {
                 begun = true;
-                hearing.begun();
+                hearing.responseStarted();
             }
             if (!isOver) {
-                hearing.piece("w" + number + " ");
-                hearing.soFar();
+                hearing.textReceived("w" + number + " ");
+                hearing.batchCompleted();
             }
         }
 
         void done(Job job, LoadReport report) {
             isOver = true;
-            hearing.ended(
+            hearing.attemptEnded(
                     AttemptOutcome.STREAMED,
                     report,
                     new Completion(
-                            job.length < order.maxToks()
-                                    ? Completion.Why.END_OF_TURN
-                                    : Completion.Why.MOST_TOKENS,
+                            job.length < order.maxTokens()
+                                    ? Completion.FinishReason.END_OF_TURN
+                                    : Completion.FinishReason.MAX_TOKENS,
                             null,
-                            talk.prompt.toks,
+                            talk.prompt.tokens,
                             job.made()));
         }
 
@@ -659,7 +665,7 @@
 
         void over(AttemptOutcome outcome, LoadReport report) {
             isOver = true;
-            hearing.ended(outcome, report, null);
+            hearing.attemptEnded(outcome, report, null);
         }
 
         @Override
@@ -677,8 +683,8 @@
                 return;
             }
             isOver = true;
-            world.in(0, () -> hearing.ended(outcome, null, null));
-            world.in(
+            world.schedule(0, () -> hearing.attemptEnded(outcome, null, null));
+            world.schedule(
                     ms,
                     () -> {
                         if (move != null) {
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -108,7 +108,7 @@
             // Figures of so many fronts are nobody's; what was seen is the witness.
             fronts.add(
                     new Router(
-                            world.ground(i, script.seed()),
+                            world.schedulerOf(i, script.seed()),
                             site,
                             i,
                             town.link(zone),
@@ -131,7 +131,7 @@
         long start = System.nanoTime();
         tell();
         for (TestScript.Trouble trouble : script.troubles()) {
-            world.in(trouble.atMs(), () -> begin(trouble));
+            world.schedule(trouble.atMs(), () -> begin(trouble));
         }
         next();
         double end = script.durationMs() + TAIL_MS;
@@ -144,13 +144,13 @@
                 ResultCounts.of(all, script),
                 town.sums(),
                 log.digest(),
-                world.ran(),
+                world.stepsRun(),
                 end,
                 realMs);
     }
 
     private void tell() {
-        fronts.forEach(front -> front.listed(town.rows()));
+        fronts.forEach(front -> front.endpointsChanged(town.rows()));
     }
 
     // ------------------------------------------------------------------ load
@@ -159,7 +159,7 @@
         if (world.sinceMs() >= script.durationMs()) {
             return;
         }
-        world.in(
+        world.schedule(
                 -Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rate),
                 () -> {
                     if (world.sinceMs() < script.durationMs()) {
@@ -173,13 +173,13 @@
         Session session = session();
         String name = "op" + ++operations;
         boolean whole = random.nextDouble() < script.clients().wholeShare();
-        int out = 1 + (int) (session.mix.outToks() * (0.5 + random.nextDouble()));
-        int toks =
+        int out = 1 + (int) (session.mix.outTokens() * (0.5 + random.nextDouble()));
+        int tokens =
                 Math.max(
                         1,
-                        session.mix.promptToks() / 2
-                                + random.nextInt(session.mix.promptToks() + 1));
-        new Try(session, name, 0, ++texts, toks, whole, out, random.nextInt(fronts.size())).ask();
+                        session.mix.promptTokens() / 2
+                                + random.nextInt(session.mix.promptTokens() + 1));
+        new Try(session, name, 0, ++texts, tokens, whole, out, random.nextInt(fronts.size())).ask();
     }
 
     private Session session() {
@@ -204,7 +204,7 @@
         private final String operation;
         private final int number;
         private final long text;
-        private final int toks;
+        private final int tokens;
         private final boolean whole;
         private final int out;
         private final int front;
@@ -220,7 +220,7 @@
                 String operation,
                 int number,
                 long text,
-                int toks,
+                int tokens,
                 boolean whole,
                 int out,
                 int front) {
@@ -228,7 +228,7 @@
             this.operation = operation;
             this.number = number;
             this.text = text;
-            this.toks = toks;
+            this.tokens = tokens;
             this.whole = whole;
             this.out = out;
             this.front = front;
@@ -238,20 +238,20 @@
         void ask() {
             TestScript.Mix mix = session.mix;
             log.add(TrafficEvent.Kind.ASKED, front, session.tenant, tag, mix.limitMs(), mix.name());
-            world.in(WAY_MS, this::arrive);
+            world.schedule(WAY_MS, this::arrive);
             if (random.nextDouble() < script.clients().leaveShare()) {
-                world.in(1 + random.nextInt((int) mix.limitMs()), this::leave);
+                world.schedule(1 + random.nextInt((int) mix.limitMs()), this::leave);
             }
         }
 
         private void arrive() {
             Router at = fronts.get(front);
-            if (!at.enter()) {
+            if (!at.tryAdmit()) {
                 answer("throttled");
                 return;
             }
             TestScript.Mix mix = session.mix;
-            int shared = mix.sharedToks();
+            int shared = mix.sharedTokens();
             List<Long> of = new ArrayList<>();
             List<Integer> lengths = new ArrayList<>();
             if (shared > 0) {
@@ -261,24 +261,24 @@
             of.addAll(session.texts);
             lengths.addAll(session.lengths);
             of.add(1L << 40 | text);
-            lengths.add(toks);
+            lengths.add(tokens);
             Prompt prompt =
                     Prompt.of(
                             of.stream().mapToLong(Long::longValue).toArray(),
                             lengths.stream().mapToInt(Integer::intValue).toArray(),
-                            SimulatedCluster.blockToks());
+                            SimulatedCluster.blockTokens());
             String body = tag;
             town.talk(body, new SimulatedCluster.Talk(prompt, out, tag));
-            world.in(KEEP_TALK_MS, () -> town.forget(body));
+            world.schedule(KEEP_TALK_MS, () -> town.forget(body));
             GenerationRequest ask =
                     new GenerationRequest(
                             site.offersByModel.get(mix.name()),
                             site.tenantNamed(session.tenant),
                             mix.name(),
                             body,
-                            prompt.toks,
+                            prompt.tokens,
                             shared,
-                            2 * mix.outToks() + 2,
+                            2 * mix.outTokens() + 2,
                             List.of(),
                             new AttemptRequest.Sampling(null, null, null),
                             shared > 0 ? mix.name() + session.prefix : null,
@@ -287,14 +287,14 @@
                             session.opening + "/" + text,
                             whole,
                             number > 0,
-                            mix.limitMs() + (whole ? (2 * mix.outToks() + 2) * 60 : 0),
+                            mix.limitMs() + (whole ? (2 * mix.outTokens() + 2) * 60 : 0),
                             operation,
                             0,
                             ignored -> {},
                             null);
-            at.take(ask, this, taken -> open = taken);
+            at.submit(ask, this, taken -> open = taken);
             if (left && open != null) {
-                open.gone();
+                open.clientDisconnected();
             }
         }
 
@@ -302,13 +302,13 @@
             if (!finished && !left) {
                 left = true;
                 log.add(TrafficEvent.Kind.LEFT, front, session.tenant, tag, got, null);
-                world.in(
+                world.schedule(
                         WAY_MS,
                         () -> {
                             if (!finished && open != null) {
                                 finished = true;
-                                open.gone();
-                                fronts.get(front).leave();
+                                open.clientDisconnected();
+                                fronts.get(front).exchangeEnded();
                             }
                         });
             }
@@ -323,11 +323,11 @@
                 return;
             }
             finished = true;
-            fronts.get(front).leave();
+            fronts.get(front).exchangeEnded();
             if (left) {
                 return;
             }
-            world.in(
+            world.schedule(
                     WAY_MS,
                     () -> {
                         if (whole && word.equals("streamed")) {
@@ -337,7 +337,7 @@
                         if (!word.equals("streamed")
                                 && mayRetry
                                 && number < script.clients().retries()) {
-                            world.in(
+                            world.schedule(
                                     Math.max(1, script.clients().retryMs() * (1 << number)),
                                     () ->
                                             new Try(
@@ -345,7 +345,7 @@
                                                             operation,
                                                             number + 1,
                                                             text,
-                                                            toks,
+                                                            tokens,
                                                             whole,
                                                             out,
                                                             random.nextInt(fronts.size()))
@@ -358,7 +358,7 @@
             log.add(TrafficEvent.Kind.FINAL, front, session.tenant, tag, got, word);
             if (word.equals("streamed") && --session.left > 0 && sessions.size() < MOST_SESSIONS) {
                 session.texts.add(1L << 40 | text);
-                session.lengths.add(toks);
+                session.lengths.add(tokens);
                 session.texts.add(1L << 41 | text);
                 session.lengths.add(Math.max(1, out));
                 session.last = session.opening + "/" + text;
@@ -367,13 +367,13 @@
         }
 
         @Override
-        public void begun(int keptToks) {
+        public void responseStarted(int keptTokens) {
             // Told to clients with the first piece.
             return;
         }
 
         @Override
-        public boolean piece(String text) {
+        public boolean textReceived(String text) {
             if (left || finished) {
                 return false;
             }
@@ -381,7 +381,7 @@
             if (!begun) {
                 begun = true;
                 if (!whole) {
-                    world.in(
+                    world.schedule(
                             WAY_MS,
                             () -> log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null));
                 }
@@ -390,32 +390,32 @@
         }
 
         @Override
-        public boolean isGone() {
+        public boolean isDisconnected() {
             return left;
         }
 
         @Override
-        public void overBudget(BudgetDecision budget) {
+        public void rejectedOverBudget(BudgetDecision budget) {
             end("throttled", true);
         }
 
         @Override
-        public void streamed(Completion ending) {
+        public void completed(Completion ending) {
             end("streamed", false);
         }
 
         @Override
-        public void throttled(double comeBackMs) {
+        public void rejected(double comeBackMs) {
             end("throttled", true);
         }
 
         @Override
-        public void terminated(Cause cause, boolean mayRetry) {
+        public void failed(FailureCause cause, boolean mayRetry) {
             end("terminated", mayRetry && !begun);
         }
 
         @Override
-        public void cut() {
+        public void aborted() {
             end("terminated", false);
         }
     }
@@ -427,7 +427,7 @@
         switch (trouble.kind()) {
             case "burst" -> {
                 rate = trouble.size();
-                world.in(trouble.forMs(), () -> rate = 1);
+                world.schedule(trouble.forMs(), () -> rate = 1);
             }
             case "drain", "remove" -> {
                 boolean drains = trouble.kind().equals("drain");
@@ -443,7 +443,7 @@
                             drains ? "draining" : "gone");
                 }
                 tell();
-                world.in(
+                world.schedule(
                         trouble.forMs(),
                         () -> {
                             for (long id : trouble.engines()) {
@@ -459,7 +459,7 @@
                 for (long id : trouble.engines()) {
                     SimulatedCluster.Seat seat = town.seat(id);
                     ail(trouble, seat);
-                    world.in(
+                    world.schedule(
                             trouble.forMs(),
                             () -> {
                                 seat.clear();
@@ -487,19 +487,19 @@
 
     private void crash(TestScript.Trouble trouble, SimulatedCluster.Seat seat) {
         seat.crash();
-        world.in(
+        world.schedule(
                 script.listLagMs(),
                 () -> {
                     seat.listed = false;
                     log.add(TrafficEvent.Kind.LISTED, seat.make.id(), null, null, 0, "gone");
                     tell();
                 });
-        world.in(
+        world.schedule(
                 Math.max(script.listLagMs() + 200, trouble.forMs()),
                 () -> {
                     seat.start(true);
                     seat.clear();
-                    world.in(
+                    world.schedule(
                             50,
                             () -> {
                                 seat.listed = true;
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -14,8 +14,8 @@
     public final String engineModel;
 
     public final double limitMs;
-    public final double limitMsPerTok;
-    public final int mostToks;
+    public final double limitMsPerToken;
+    public final int mostTokens;
     public final Measure measure;
 
     /** Whether it is batch work, for which nobody waits. */
@@ -26,10 +26,10 @@
             TrafficClass borrowed,
             String engineModel,
             double limitMs,
-            double limitMsPerTok,
-            int mostToks,
+            double limitMsPerToken,
+            int mostTokens,
             Measure measure) {
-        this(product, borrowed, engineModel, limitMs, limitMsPerTok, mostToks, measure, false);
+        this(product, borrowed, engineModel, limitMs, limitMsPerToken, mostTokens, measure, false);
     }
 
     private ProductOffering(
@@ -37,8 +37,8 @@
             TrafficClass borrowed,
             String engineModel,
             double limitMs,
-            double limitMsPerTok,
-            int mostToks,
+            double limitMsPerToken,
+            int mostTokens,
             Measure measure,
             boolean isBatch) {
         this.isBatch = isBatch;
@@ -46,8 +46,8 @@
         this.borrowed = borrowed;
         this.engineModel = engineModel;
         this.limitMs = limitMs;
-        this.limitMsPerTok = limitMsPerTok;
-        this.mostToks = mostToks;
+        this.limitMsPerToken = limitMsPerToken;
+        this.mostTokens = mostTokens;
         this.measure = measure;
     }
 
@@ -57,30 +57,30 @@
                 new TrafficClass(
                         product.name,
                         product.effect,
-                        product.span,
-                        product.memoryMs,
+                        product.deduplicationScope,
+                        product.deduplicationWindowMs,
                         product.revenue * worth,
                         1,
                         lineMs / 2,
-                        product.sloMsPerTok,
-                        product.tokMs);
+                        product.sloMsPerToken,
+                        product.tokenMs);
         TrafficClass slower =
                 new TrafficClass(
                         product.name,
                         product.effect,
-                        product.span,
-                        product.memoryMs,
+                        product.deduplicationScope,
+                        product.deduplicationWindowMs,
                         borrowed.revenue * worth,
                         1,
                         lineMs / 2,
-                        product.sloMsPerTok,
-                        product.tokMs);
+                        product.sloMsPerToken,
+                        product.tokenMs);
         return new ProductOffering(
-                slow, slower, engineModel, lineMs, limitMsPerTok, mostToks, measure, true);
+                slow, slower, engineModel, lineMs, limitMsPerToken, mostTokens, measure, true);
     }
 
     /** How long a client waits for the first token of a prompt, in milliseconds. */
-    public double patienceMs(int promptToks) {
-        return limitMs + limitMsPerTok * promptToks;
+    public double patienceMs(int promptTokens) {
+        return limitMs + limitMsPerToken * promptTokens;
     }
 }
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -128,7 +128,7 @@
         Budgets budgets =
                 new Budgets(
                         budget,
-                        terms.fronts,
+                        terms.routers,
                         fixedShare,
                         giveBackMs,
                         new Random(termsOf(front).seed ^ 0x5DEECE66DL));
--- a/src/main/java/larchridge/site/SiteLimits.java
+++ b/src/main/java/larchridge/site/SiteLimits.java
@@ -18,7 +18,7 @@
     public double quietStreamMs;
     public double stopMs;
     public int answerBytes;
-    public double bytesPerTok;
+    public double bytesPerToken;
     public double connectMs;
     public double keepAliveMs;
     public int connectionsPerEngine;
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -173,8 +173,8 @@
                             product.revenue * worth,
                             product.lateRevenue,
                             product.sloMs,
-                            product.sloMsPerTok,
-                            product.tokMs);
+                            product.sloMsPerToken,
+                            product.tokenMs);
             site.prices.put(
                     name,
                     new Price(
@@ -219,7 +219,7 @@
         return new Measure(
                 vocabulary,
                 (int) at.number("window_tokens", Integer.MAX_VALUE, 1, Integer.MAX_VALUE),
-                (int) at.number("image_tokens", Measure.GUESSED.imageToks(), 0, 1e6),
+                (int) at.number("image_tokens", Measure.GUESSED.imageTokens(), 0, 1e6),
                 (int) at.number("message_tokens", 0, 0, 1000));
     }
 
@@ -375,8 +375,8 @@
             QuotaGrant whole,
             String of) {
         if (part.hasRate() && whole.hasRate()) {
-            double sum = rates.merge(under, part.toksPerMs(), Double::sum);
-            if (sum > whole.toksPerMs() * (1 + 1e-9)) {
+            double sum = rates.merge(under, part.tokensPerMs(), Double::sum);
+            if (sum > whole.tokensPerMs() * (1 + 1e-9)) {
                 at.fault(
                         "budget",
                         "tokens_per_second under "
@@ -384,7 +384,7 @@
                                 + " add up to "
                                 + plain(sum * 1000)
                                 + ", over its "
-                                + plain(whole.toksPerMs() * 1000));
+                                + plain(whole.tokensPerMs() * 1000));
             }
         }
     }
@@ -435,26 +435,26 @@
         limit.quietStreamMs = at.number("quiet_stream_ms", 15_000, 10, 1e7);
         limit.stopMs = at.number("stop_ms", 20_000, 0, 1e7);
         limit.answerBytes = (int) at.number("answer_bytes", 4 << 20, 1000, 1 << 30);
-        limit.bytesPerTok = at.number("bytes_per_token", 4, 0.5, 20);
+        limit.bytesPerToken = at.number("bytes_per_token", 4, 0.5, 20);
     }
 
     private void engines(At root, SiteText form, Site site) {
         At at = root.one("engines", false);
-        site.terms.fronts = (int) root.number("fronts_of_service", site.fronts, site.fronts, 1e6);
+        site.terms.routers = (int) root.number("fronts_of_service", site.fronts, site.fronts, 1e6);
         site.terms.zone = root.text("zone", "");
         site.terms.maxAttempts = (int) at.number("attempts", 5, 2, 100);
-        site.terms.mayCancel = true;
-        site.terms.mayProbe = form.getEngines().getMayProbe();
-        site.terms.maySendCopies = form.getEngines().getSecondCopies();
-        site.terms.writersRead = form.getEngines().getWritersRead();
+        site.terms.cancellationAllowed = true;
+        site.terms.probesAllowed = form.getEngines().getMayProbe();
+        site.terms.hedgingAllowed = form.getEngines().getSecondCopies();
+        site.terms.writersCanRead = form.getEngines().getWritersRead();
         site.terms.reportsWithAnswers = form.getEngines().getReportsWithAnswers();
         site.terms.reportsWithProbes = form.getEngines().getReportsWithProbes();
-        site.terms.coldShare = at.number("cold_share", 0.3, 0.001, 1);
-        site.terms.coldMs = at.number("cold_ms", 15_000, 0, 1e7);
-        site.terms.tipMultiple = at.number("tip_multiple", 2.5, 0.1, 100);
-        site.terms.tipMs = at.number("tip_ms", 1_000, 1, 1e6);
-        site.terms.overShareRevenue = 1;
-        site.terms.comeBackMaxMs =
+        site.terms.slowStartShare = at.number("cold_share", 0.3, 0.001, 1);
+        site.terms.slowStartMs = at.number("cold_ms", 15_000, 0, 1e7);
+        site.terms.overloadMultiple = at.number("tip_multiple", 2.5, 0.1, 100);
+        site.terms.overloadMs = at.number("tip_ms", 1_000, 1, 1e6);
+        site.terms.overQuotaRevenue = 1;
+        site.terms.retryAfterMaxMs =
                 root.one("limits", false).number("longest_retry_after_ms", 0, 0, 1e7);
         site.drainGraceMs = at.number("drain_grace_ms", 250, 1, 1e6);
         site.releaseMs = at.number("release_ms", 1000, 10, 1e6);
--- a/src/main/java/larchridge/state/Attempt.java
+++ b/src/main/java/larchridge/state/Attempt.java
@@ -2,88 +2,89 @@
 
 /** One send of a generation to one engine. */
 public final class Attempt {
-    public final Generation gen;
+    public final Generation generation;
     public final Engine engine;
     public final int number;
     public final boolean read;
     public final double sentMs;
 
     /** What this attempt was counted at on its engine: prompt tokens to read, or tokens to hold. */
-    public final double toks;
+    public final double countedTokens;
 
     /** Prompt tokens that are still to be read there for it. */
-    public double unreadToks;
+    public double unreadTokens;
 
     /** The start of the engine's process this attempt went to. */
     public final double engineStartMs;
 
     /** For how long its engine may be silent over it. */
-    public double patienceMs;
+    public double silenceTimeoutMs;
 
-    public boolean out = true;
+    public boolean inFlight = true;
     public boolean cancelled;
 
     /** Whether it was counted as a late move before it began. */
-    public boolean toldLate;
+    public boolean countedAsLateMove;
 
     public AttemptOutcome outcome;
 
     public Attempt(
-            Generation gen,
+            Generation generation,
             Engine engine,
             boolean read,
             double sentMs,
-            double toks,
-            double unreadToks) {
-        this.gen = gen;
+            double countedTokens,
+            double unreadTokens) {
+        this.generation = generation;
         this.engine = engine;
-        this.number = gen.attempts.size();
+        this.number = generation.attempts.size();
         this.read = read;
         this.sentMs = sentMs;
-        this.toks = toks;
-        this.unreadToks = unreadToks;
+        this.countedTokens = countedTokens;
+        this.unreadTokens = unreadTokens;
         this.engineStartMs = engine.startMs;
     }
 
     /** Whether it was at a writer and is not proved to have had no effect. */
     public boolean mayHaveRun() {
-        return !read && (outcome == null || !outcome.neverRan);
+        return !read && (outcome == null || !outcome.provesNotRun);
     }
 
     /** Whether what it left at its engine is gone with the engine or its process. */
     public boolean isLost() {
-        return engine.mode == EndpointState.GONE || engine.startMs != engineStartMs;
+        return engine.state == EndpointState.REMOVED || engine.startMs != engineStartMs;
     }
 
     /** Counts this attempt at its generation and engine. */
     public void open() {
-        gen.attempts.add(this);
-        gen.attemptsOut++;
+        generation.attempts.add(this);
+        generation.attemptsInFlight++;
         engine.attempts.add(this);
-        engine.unreadToks += unreadToks;
+        engine.unreadTokens += unreadTokens;
         if (!read) {
-            engine.writeToks += toks;
+            engine.writeTokens += countedTokens;
             engine.streams++;
         }
     }
 
     /** Takes its prompt off what is unread there. */
     public void markRead() {
-        engine.unreadToks = Math.max(0, engine.unreadToks - unreadToks);
-        unreadToks = 0;
+        engine.unreadTokens = Math.max(0, engine.unreadTokens - unreadTokens);
+        unreadTokens = 0;
     }
 
     /** Takes this attempt off the counts; false if that was done before. */
     public boolean close() {
-        if (!out) {
+        if (!inFlight) {
             return false;
         }
-        out = false;
-        gen.attemptsOut--;
+        inFlight = false;
+        generation.attemptsInFlight--;
         markRead();
         engine.attempts.remove(this);
         if (!read) {
-            engine.writeToks = engine.attempts.isEmpty() ? 0 : Math.max(0, engine.writeToks - toks);
+            engine.writeTokens =
+                    engine.attempts.isEmpty() ? 0 : Math.max(0, engine.writeTokens - countedTokens);
             engine.streams = Math.max(0, engine.streams - 1);
         }
         return true;
--- a/src/main/java/larchridge/state/AttemptOutcome.java
+++ b/src/main/java/larchridge/state/AttemptOutcome.java
@@ -13,9 +13,9 @@
     NOT_SENT(true);
 
     /** Whether this outcome is proof that the attempt had no effect. */
-    public final boolean neverRan;
+    public final boolean provesNotRun;
 
-    AttemptOutcome(boolean neverRan) {
-        this.neverRan = neverRan;
+    AttemptOutcome(boolean provesNotRun) {
+        this.provesNotRun = provesNotRun;
     }
 }
--- a/src/main/java/larchridge/state/CachedPrefix.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -8,36 +8,36 @@
  * share.
  */
 public final class CachedPrefix {
-    public final String label;
+    public final String id;
     private final List<Copy> copies = new ArrayList<>(2);
 
-    private record Copy(Engine engine, double sentMs, int toks) {}
+    private record Copy(Engine engine, double sentMs, int tokens) {}
 
-    public CachedPrefix(String label) {
-        this.label = label;
+    public CachedPrefix(String id) {
+        this.id = id;
     }
 
     /**
      * Notes that this many tokens of the text go to an engine, which is its last reader from now
      * on.
      */
-    public void sentTo(Engine engine, int toks, double nowMs) {
+    public void recordSent(Engine engine, int tokens, double nowMs) {
         copies.removeIf(copy -> copy.engine == engine || copy.sentMs < copy.engine.textsSinceMs);
-        copies.add(new Copy(engine, nowMs, toks));
+        copies.add(new Copy(engine, nowMs, tokens));
     }
 
     /** How much of it an engine was sent since it last lost its texts. */
-    public int toksAt(Engine engine) {
+    public int tokensAt(Engine engine) {
         for (Copy copy : copies) {
             if (copy.engine == engine && copy.sentMs >= engine.textsSinceMs) {
-                return copy.toks;
+                return copy.tokens;
             }
         }
         return 0;
     }
 
     /** The engine that read this text last, or null if that has lost its texts since. */
-    public Engine keeper() {
+    public Engine lastReader() {
         if (copies.isEmpty()) {
             return null;
         }
@@ -47,7 +47,7 @@
 
     /** A fixed figure for this text and an engine, alike at every front. */
     public long affinity(Engine engine) {
-        long mixed = label.hashCode() * 0x9E3779B97F4A7C15L ^ engine.label * 0xC2B2AE3D27D4EB4FL;
+        long mixed = id.hashCode() * 0x9E3779B97F4A7C15L ^ engine.label * 0xC2B2AE3D27D4EB4FL;
         mixed = (mixed ^ mixed >>> 31) * 0xD6E8FEB86659FD93L;
         return mixed ^ mixed >>> 32;
     }
--- a/src/main/java/larchridge/state/EndpointState.java
+++ b/src/main/java/larchridge/state/EndpointState.java
@@ -4,5 +4,5 @@
 public enum EndpointState {
     READY,
     DRAINING,
-    GONE
+    REMOVED
 }
--- a/src/main/java/larchridge/state/EndpointUpdate.java
+++ b/src/main/java/larchridge/state/EndpointUpdate.java
@@ -3,10 +3,10 @@
 /** One entry of the engine list. */
 public record EndpointUpdate(
         Engine engine,
-        EndpointState mode,
+        EndpointState state,
         double startMs,
         double units,
         String zone,
         long rack,
         Role role,
-        double memoryToks) {}
+        double memoryTokens) {}
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -7,21 +7,21 @@
 public final class Engine {
     public final long label;
     public Role role;
-    public EndpointState mode;
+    public EndpointState state;
     public String zone;
     public long rack;
     public double units = 1;
-    public double memoryToks;
+    public double memoryTokens;
     public double startMs;
 
     /** This front's attempts out there, in the order sent. */
     public final List<Attempt> attempts = new ArrayList<>();
 
     /** Prompt tokens sent there and not yet read. */
-    public double unreadToks;
+    public double unreadTokens;
 
     /** Tokens of the answers sent there, with their number. */
-    public double writeToks;
+    public double writeTokens;
 
     public int streams;
 
@@ -36,13 +36,13 @@
     /** Whether this process has told its load. */
     public boolean reports;
 
-    public double othersToks;
+    public double othersTokens;
 
     /** Prompt tokens of others that waited there by the last report. */
-    public double othersUnreadToks;
+    public double othersUnreadTokens;
 
     /** Own answers' tokens sent so lately that no report tells of them yet. */
-    public final SlidingWindow freshToks = new SlidingWindow(5, 100);
+    public final SlidingWindow freshTokens = new SlidingWindow(5, 100);
 
     public final SlidingWindow freshStreams = new SlidingWindow(5, 100);
 
@@ -76,21 +76,21 @@
     /** When the oldest attempt with an unread prompt was sent there; NaN if there is none. */
     public double unreadSinceMs() {
         for (Attempt attempt : attempts) {
-            if (attempt.unreadToks > 0) {
+            if (attempt.unreadTokens > 0) {
                 return attempt.sentMs;
             }
         }
         return Double.NaN;
     }
 
-    public void take(EndpointUpdate entry) {
-        mode = entry.mode();
+    public void apply(EndpointUpdate entry) {
+        state = entry.state();
         startMs = entry.startMs();
         units = entry.units() > 0 ? entry.units() : 1;
         zone = entry.zone();
         rack = entry.rack();
         role = entry.role();
-        memoryToks = entry.memoryToks();
+        memoryTokens = entry.memoryTokens();
     }
 
     /** Drops what was learned of a process that has ended. */
@@ -98,7 +98,7 @@
         textsSinceMs = nowMs;
         reads.clear();
         speeds.clear();
-        othersToks = 0;
+        othersTokens = 0;
         othersStreams = 0;
         toldStreams = 0;
         reports = false;
--- a/src/main/java/larchridge/state/EngineRegistry.java
+++ b/src/main/java/larchridge/state/EngineRegistry.java
@@ -10,38 +10,40 @@
     public final List<Engine> writers = new ArrayList<>();
 
     /** How many lists or changes were taken. */
-    public int lists;
+    public int revision;
 
     private final List<Engine> engines = new ArrayList<>();
 
     /** A complete list counts as news of the end of every engine that it lacks. */
-    public void take(List<EndpointUpdate> entries, boolean complete, double nowMs) {
+    public void apply(List<EndpointUpdate> entries, boolean complete, double nowMs) {
         if (complete) {
-            engines.forEach(engine -> engine.mode = EndpointState.GONE);
+            engines.forEach(engine -> engine.state = EndpointState.REMOVED);
         }
         for (EndpointUpdate entry : entries) {
             Engine engine = entry.engine();
             if (!engines.contains(engine)) {
                 engines.add(engine);
             }
-            if (entry.mode() == EndpointState.GONE) {
-                engine.mode = EndpointState.GONE;
+            if (entry.state() == EndpointState.REMOVED) {
+                engine.state = EndpointState.REMOVED;
                 continue;
             }
-            // Danger: a new process under an old id keeps nothing of what the old one was known
+            // Guards against: a new process under an old id keeps nothing of what the old one was
+            // known
             // for.
             if (engine.startMs != entry.startMs()) {
                 engine.forgetProcess(nowMs);
             }
-            engine.take(entry);
+            engine.apply(entry);
         }
-        engines.removeIf(engine -> engine.mode == EndpointState.GONE && engine.attempts.isEmpty());
+        engines.removeIf(
+                engine -> engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
         engines.sort(Comparator.comparingLong(engine -> engine.label));
-        lists++;
+        revision++;
         readers.clear();
         writers.clear();
         for (Engine engine : engines) {
-            if (engine.mode == EndpointState.READY) {
+            if (engine.state == EndpointState.READY) {
                 (engine.role == Role.READER ? readers : writers).add(engine);
             }
         }
--- a/src/main/java/larchridge/state/Generation.java
+++ b/src/main/java/larchridge/state/Generation.java
@@ -5,26 +5,26 @@
 
 /** A generation: one prompt that is owed one final answer. */
 public final class Generation {
-    public final String label;
-    public final TrafficClass product;
-    public final TenantQuota account;
+    public final String id;
+    public final TrafficClass trafficClass;
+    public final TenantQuota tenantQuota;
     public final CachedPrefix session;
     public final CachedPrefix prefix;
-    public final int promptToks;
-    public final int sharedToks;
-    public final int maxToks;
+    public final int promptTokens;
+    public final int sharedTokens;
+    public final int maxTokens;
 
     /** The hinted length of the answer, or NaN. */
-    public final double hintToks;
+    public final double hintTokens;
 
-    public final boolean resent;
+    public final boolean clientRetry;
     public final double arrivedMs;
-    public final double limitMs;
+    public final double deadlineMs;
 
     public final List<Attempt> attempts = new ArrayList<>(3);
-    public int attemptsOut;
-    public boolean over;
-    public boolean begun;
+    public int attemptsInFlight;
+    public boolean finished;
+    public boolean responseStarted;
 
     /** The attempt whose read state waits to be fetched, or null. */
     public Attempt state;
@@ -33,7 +33,7 @@
     public boolean stateReleased;
 
     /** Whether a state may be held for it anywhere. */
-    public boolean held;
+    public boolean mayHoldState;
 
     public boolean waiting;
 
@@ -46,49 +46,49 @@
     public double nextAttemptMs = Double.NEGATIVE_INFINITY;
 
     /** The readers whose load was asked for it, and when. */
-    public final List<Engine> asked = new ArrayList<>(2);
+    public final List<Engine> probedReaders = new ArrayList<>(2);
 
-    public double askedMs = Double.NEGATIVE_INFINITY;
+    public double readersProbedMs = Double.NEGATIVE_INFINITY;
 
     /** The readers that hashes name for it, best first, by which list. */
-    public final List<Engine> homes = new ArrayList<>(4);
+    public final List<Engine> affinityReaders = new ArrayList<>(4);
 
-    public int homesOfList = -1;
+    public int affinityRevision = -1;
 
     /** Why it was given up, or null. */
-    public GiveUpReason givenUp;
+    public GiveUpReason giveUpReason;
 
     /** A draw between 0 and 1 that stays with it. */
-    public double chance;
+    public double randomShare;
 
     /** The fewest tokens that any reader must read for it. */
-    public double leastReadToks;
+    public double leastReadTokens;
 
     public Generation(
-            String label,
-            TrafficClass product,
-            TenantQuota account,
+            String id,
+            TrafficClass trafficClass,
+            TenantQuota tenantQuota,
             CachedPrefix session,
             CachedPrefix prefix,
-            int promptToks,
-            int sharedToks,
-            int maxToks,
-            double hintToks,
-            boolean resent,
+            int promptTokens,
+            int sharedTokens,
+            int maxTokens,
+            double hintTokens,
+            boolean clientRetry,
             double arrivedMs,
-            double limitMs) {
-        this.label = label;
-        this.product = product;
-        this.account = account;
+            double deadlineMs) {
+        this.id = id;
+        this.trafficClass = trafficClass;
+        this.tenantQuota = tenantQuota;
         this.session = session;
         this.prefix = prefix;
-        this.promptToks = promptToks;
-        this.sharedToks = sharedToks;
-        this.maxToks = maxToks;
-        this.hintToks = hintToks;
-        this.resent = resent;
+        this.promptTokens = promptTokens;
+        this.sharedTokens = sharedTokens;
+        this.maxTokens = maxTokens;
+        this.hintTokens = hintTokens;
+        this.clientRetry = clientRetry;
         this.arrivedMs = arrivedMs;
-        this.limitMs = limitMs;
+        this.deadlineMs = deadlineMs;
     }
 
     /** Attempts that count against the most that are allowed. */
@@ -96,13 +96,13 @@
         return attempts.size() - attemptsNotSent;
     }
 
-    public double sloAtMs() {
-        return arrivedMs + product.sloMs + product.sloMsPerTok * promptToks;
+    public double sloDeadlineMs() {
+        return arrivedMs + trafficClass.sloMs + trafficClass.sloMsPerToken * promptTokens;
     }
 
     /** Whether an attempt at a writer is out and not called off. */
     public boolean isAtWriter() {
         return attempts.stream()
-                .anyMatch(attempt -> attempt.out && !attempt.read && !attempt.cancelled);
+                .anyMatch(attempt -> attempt.inFlight && !attempt.read && !attempt.cancelled);
     }
 }
--- a/src/main/java/larchridge/state/RoutingSettings.java
+++ b/src/main/java/larchridge/state/RoutingSettings.java
@@ -6,45 +6,45 @@
  */
 public final class RoutingSettings {
     public long seed;
-    public int fronts;
+    public int routers;
     public String zone;
     public int maxAttempts;
-    public boolean mayCancel;
-    public boolean mayProbe;
-    public boolean maySendCopies;
-    public boolean writersRead;
-    public boolean listIsAsked;
+    public boolean cancellationAllowed;
+    public boolean probesAllowed;
+    public boolean hedgingAllowed;
+    public boolean writersCanRead;
+    public boolean endpointListPolled;
     public boolean reportsWithAnswers;
     public boolean reportsWithProbes;
 
     /** The longest advice to stay away that a client honours; 0 where there is none. */
-    public double comeBackMaxMs;
+    public double retryAfterMaxMs;
 
-    public double coldShare;
-    public double coldMs;
-    public double tipMultiple;
-    public double tipMs;
-    public double overShareRevenue;
+    public double slowStartShare;
+    public double slowStartMs;
+    public double overloadMultiple;
+    public double overloadMs;
+    public double overQuotaRevenue;
 
     public RoutingSettings copy() {
         RoutingSettings copy = new RoutingSettings();
         copy.seed = seed;
-        copy.fronts = fronts;
+        copy.routers = routers;
         copy.zone = zone;
         copy.maxAttempts = maxAttempts;
-        copy.mayCancel = mayCancel;
-        copy.mayProbe = mayProbe;
-        copy.maySendCopies = maySendCopies;
-        copy.writersRead = writersRead;
-        copy.listIsAsked = listIsAsked;
+        copy.cancellationAllowed = cancellationAllowed;
+        copy.probesAllowed = probesAllowed;
+        copy.hedgingAllowed = hedgingAllowed;
+        copy.writersCanRead = writersCanRead;
+        copy.endpointListPolled = endpointListPolled;
         copy.reportsWithAnswers = reportsWithAnswers;
         copy.reportsWithProbes = reportsWithProbes;
-        copy.comeBackMaxMs = comeBackMaxMs;
-        copy.coldShare = coldShare;
-        copy.coldMs = coldMs;
-        copy.tipMultiple = tipMultiple;
-        copy.tipMs = tipMs;
-        copy.overShareRevenue = overShareRevenue;
+        copy.retryAfterMaxMs = retryAfterMaxMs;
+        copy.slowStartShare = slowStartShare;
+        copy.slowStartMs = slowStartMs;
+        copy.overloadMultiple = overloadMultiple;
+        copy.overloadMs = overloadMs;
+        copy.overQuotaRevenue = overQuotaRevenue;
         return copy;
     }
 }
--- a/src/main/java/larchridge/state/SlidingWindow.java
+++ b/src/main/java/larchridge/state/SlidingWindow.java
@@ -17,14 +17,14 @@
     }
 
     /** Keeps the highest amount of the running bucket. */
-    public void raise(double nowMs, double amount) {
+    public void addMax(double nowMs, double amount) {
         turnTo(nowMs);
         int i = (int) Math.floorMod(newest, (long) sums.length);
         sums[i] = Math.max(sums[i], amount);
     }
 
     /** The highest bucket of the last full span of the ring. */
-    public double most(double nowMs) {
+    public double max(double nowMs) {
         turnTo(nowMs);
         return java.util.Arrays.stream(sums).max().getAsDouble();
     }
--- a/src/main/java/larchridge/state/TrafficClass.java
+++ b/src/main/java/larchridge/state/TrafficClass.java
@@ -4,32 +4,32 @@
 public final class TrafficClass {
     public final String name;
     public final Effect effect;
-    public final DeduplicationScope span;
-    public final double memoryMs;
+    public final DeduplicationScope deduplicationScope;
+    public final double deduplicationWindowMs;
     public final double revenue;
     public final double lateRevenue;
     public final double sloMs;
-    public final double sloMsPerTok;
-    public final double tokMs;
+    public final double sloMsPerToken;
+    public final double tokenMs;
 
     public TrafficClass(
             String name,
             Effect effect,
-            DeduplicationScope span,
-            double memoryMs,
+            DeduplicationScope deduplicationScope,
+            double deduplicationWindowMs,
             double revenue,
             double lateRevenue,
             double sloMs,
-            double sloMsPerTok,
-            double tokMs) {
+            double sloMsPerToken,
+            double tokenMs) {
         this.name = name;
         this.effect = effect;
-        this.span = span;
-        this.memoryMs = memoryMs;
+        this.deduplicationScope = deduplicationScope;
+        this.deduplicationWindowMs = deduplicationWindowMs;
         this.revenue = revenue;
         this.lateRevenue = lateRevenue;
         this.sloMs = sloMs;
-        this.sloMsPerTok = sloMsPerTok;
-        this.tokMs = tokMs;
+        this.sloMsPerToken = sloMsPerToken;
+        this.tokenMs = tokenMs;
     }
 }
--- a/src/main/java/larchridge/systemtest/BenchDayReader.java
+++ b/src/main/java/larchridge/systemtest/BenchDayReader.java
@@ -105,8 +105,8 @@
         double readers =
                 groups.getOrDefault("reader", List.of()).size()
                         + groups.getOrDefault("both", List.of()).size();
-        double readToks =
-                mixes.stream().mapToDouble(m -> m.share() * m.promptToks()).sum()
+        double readTokens =
+                mixes.stream().mapToDouble(m -> m.share() * m.promptTokens()).sum()
                         / mixes.stream().mapToDouble(TestScript.Mix::share).sum();
         // Load is the day's share of what its readers can do; a stand-in reader does 60 tokens a
         // millisecond.
@@ -117,7 +117,7 @@
                                 * readers
                                 * 60_000
                                 * scale
-                                / Math.max(1, readToks)
+                                / Math.max(1, readTokens)
                                 / 20);
         leftOut.add(
                 "absolute speeds: stand-ins are faster than the day's engines; a twentieth of their reading "
--- a/src/main/java/larchridge/systemtest/BillingChecker.java
+++ b/src/main/java/larchridge/systemtest/BillingChecker.java
@@ -47,7 +47,7 @@
          */
         public int unwritten;
 
-        public long unwrittenToks;
+        public long unwrittenTokens;
         public int differ;
 
         Row(String tenant, String product) {
@@ -124,15 +124,15 @@
             for (Usage usage :
                     byBill.getOrDefault(
                             "key " + Site.sha256(one.tenant + '\n' + entry.getKey()), List.of())) {
-                out = Math.max(out, usage.outToks());
-                row.prompt += usage.promptToks();
-                row.wasted += usage.wastedToks();
+                out = Math.max(out, usage.outTokens());
+                row.prompt += usage.promptTokens();
+                row.wasted += usage.wastedTokens();
             }
             if (one.lost) {
                 row.held++;
             } else if (one.nearKill && out < one.got) {
                 row.unwritten++;
-                row.unwrittenToks += one.got - out;
+                row.unwrittenTokens += one.got - out;
             } else if (one.left) {
                 row.left++;
                 row.leftUnderBilled += out < one.got ? 1 : 0;
--- a/src/main/java/larchridge/systemtest/ClientLoad.java
+++ b/src/main/java/larchridge/systemtest/ClientLoad.java
@@ -113,8 +113,9 @@
         String name = "op" + operations;
         String question = "Pregunta " + random.nextInt(1_000_000) + " ";
         boolean whole = random.nextDouble() < script.clients().wholeShare();
-        int out = 1 + (int) (session.mix.outToks() * (0.5 + random.nextDouble()));
-        int quarter = session.mix.promptToks() / 2 + random.nextInt(session.mix.promptToks() + 1);
+        int out = 1 + (int) (session.mix.outTokens() * (0.5 + random.nextDouble()));
+        int quarter =
+                session.mix.promptTokens() / 2 + random.nextInt(session.mix.promptTokens() + 1);
         String filler = session.mix.text().equals("log") ? readings(4 * quarter) : text(quarter);
         new Try(session, name, 0, question + filler, whole, out, random.nextInt(ports.size()))
                 .ask();
@@ -151,12 +152,12 @@
         return text.toString();
     }
 
-    private static String text(int toks) {
+    private static String text(int tokens) {
         StringBuilder text = new StringBuilder();
-        while (text.length() < toks * 4) {
+        while (text.length() < tokens * 4) {
             text.append(WORDS);
         }
-        text.setLength(toks * 4);
+        text.setLength(tokens * 4);
         return text.toString();
     }
 
@@ -212,16 +213,19 @@
             ObjectNode body =
                     MAPPER.createObjectNode()
                             .put("model", mix.name())
-                            .put("max_tokens", 2 * mix.outToks() + 2)
+                            .put("max_tokens", 2 * mix.outTokens() + 2)
                             .put("stream", !whole);
-            if (mix.sharedToks() > 0) {
+            if (mix.sharedTokens() > 0) {
                 ObjectNode system =
                         body.putArray("system")
                                 .addObject()
                                 .put("type", "text")
                                 .put(
                                         "text",
-                                        "Cuenca " + session.prefix + ". " + text(mix.sharedToks()));
+                                        "Cuenca "
+                                                + session.prefix
+                                                + ". "
+                                                + text(mix.sharedTokens()));
                 system.putObject("cache_control").put("type", "ephemeral");
             }
             ArrayNode messages = session.messages.deepCopy();
@@ -245,7 +249,7 @@
             if (number > 0) {
                 to.putHeader("x-stainless-retry-count", Integer.toString(number));
             }
-            double patience = mix.limitMs() + (whole ? (2 * mix.outToks() + 2) * 60 : 0);
+            double patience = mix.limitMs() + (whole ? (2 * mix.outTokens() + 2) * 60 : 0);
             http.request(to)
                     .onComplete(
                             connected -> {
@@ -378,9 +382,9 @@
             }
         }
 
-        private void checkText(String text, int toks) {
+        private void checkText(String text, int tokens) {
             StringBuilder expected = new StringBuilder();
-            for (int i = 1; i <= toks; i++) {
+            for (int i = 1; i <= tokens; i++) {
                 expected.append('w').append(i).append(' ');
             }
             if (!expected.toString().equals(text)) {
@@ -389,8 +393,8 @@
                         front,
                         null,
                         tag,
-                        toks,
-                        "the text is not the " + toks + " tokens of the answer");
+                        tokens,
+                        "the text is not the " + tokens + " tokens of the answer");
             }
         }
 
--- a/src/main/java/larchridge/systemtest/LoadGenerator.java
+++ b/src/main/java/larchridge/systemtest/LoadGenerator.java
@@ -40,8 +40,8 @@
     }
 
     private final int clients;
-    private final int toks;
-    private final int promptToks;
+    private final int tokens;
+    private final int promptTokens;
     private final boolean multiplexed;
     private final double overS;
     private final String host;
@@ -61,8 +61,8 @@
             String host,
             int[] ports,
             int clients,
-            int promptToks,
-            int toks,
+            int promptTokens,
+            int tokens,
             boolean multiplexed,
             double overS) {
         this.host = host;
@@ -70,8 +70,8 @@
         this.overS = overS;
         this.ports = ports;
         this.clients = clients;
-        this.promptToks = promptToks;
-        this.toks = toks;
+        this.promptTokens = promptTokens;
+        this.tokens = tokens;
         done = new CountDownLatch(clients);
     }
 
@@ -123,16 +123,16 @@
         }
         long number = numbers.incrementAndGet();
         String prompt =
-                ("Aforo " + number + " ").repeat(Math.max(1, promptToks / 3))
+                ("Aforo " + number + " ").repeat(Math.max(1, promptTokens / 3))
                         + "[out:"
-                        + toks
+                        + tokens
                         + "]";
         long asked = System.nanoTime();
         if (ports.length == 1) {
             ObjectNode body =
                     MAPPER.createObjectNode()
                             .put("model", "consulta")
-                            .put("max_tokens", toks)
+                            .put("max_tokens", tokens)
                             .put("stream", true);
             body.putArray("messages").addObject().put("role", "user").put("content", prompt);
             stream(http, ports[0], "/v1/messages", body, asked, "event: content_block_delta");
@@ -161,7 +161,7 @@
                                     MAPPER.createObjectNode()
                                             .put("model", "m")
                                             .put("prompt", prompt)
-                                            .put("max_tokens", toks)
+                                            .put("max_tokens", tokens)
                                             .put("stream", true);
                             write.set(
                                     "kv_transfer_params",
