--- a/src/main/java/larchridge/systemtest/RuleChecker.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -178,12 +178,13 @@
                 EngineProfile first = figures.makes.get(runs.get(0).where());
                 EngineProfile again = figures.makes.get(runs.get(i).where());
                 boolean together =
-                        product.span == DeduplicationScope.ALL
-                                || product.span == DeduplicationScope.ZONE
+                        product.deduplicationScope == DeduplicationScope.ALL
+                                || product.deduplicationScope == DeduplicationScope.ZONE
                                         && first.zone().equals(again.zone())
-                                || product.span == DeduplicationScope.RACK
+                                || product.deduplicationScope == DeduplicationScope.RACK
                                         && first.rack() == again.rack();
-                if (!together || runs.get(i).ms() - runs.get(0).ms() > product.memoryMs) {
+                if (!together
+                        || runs.get(i).ms() - runs.get(0).ms() > product.deduplicationWindowMs) {
                     breaches.add(
                             new Breach(
                                     2,
@@ -199,7 +200,8 @@
     private static boolean mayRepeatAnywhere(TrafficClass product) {
         return product == null
                 || product.effect == Effect.IDEMPOTENT
-                || product.effect == Effect.DEDUPLICATED && product.span == DeduplicationScope.ALL;
+                || product.effect == Effect.DEDUPLICATED
+                        && product.deduplicationScope == DeduplicationScope.ALL;
     }
 
     /**
@@ -238,12 +240,12 @@
      */
     static void coldNotPushed(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
         double reads = 0;
-        double readToks = 0;
+        double readTokens = 0;
         for (TrafficEvent seen : log) {
             reads += seen.kind() == TrafficEvent.Kind.READ_IN ? 1 : 0;
-            readToks += seen.kind() == TrafficEvent.Kind.READ_IN ? seen.amount() : 0;
+            readTokens += seen.kind() == TrafficEvent.Kind.READ_IN ? seen.amount() : 0;
         }
-        double meanRead = reads > 0 ? readToks / reads : 0;
+        double meanRead = reads > 0 ? readTokens / reads : 0;
         Map<Long, Double> started = new HashMap<>();
         Map<Long, ArrayDeque<Double>> late = new HashMap<>();
         Set<Long> told = new HashSet<>();
@@ -276,8 +278,8 @@
             // allow.
             double attemptsPerMs =
                     make.role() == Role.READER
-                            ? make.readToksPerMs() / Math.max(1, meanRead)
-                            : make.streams() / (30 * make.tokMs());
+                            ? make.readTokensPerMs() / Math.max(1, meanRead)
+                            : make.streams() / (30 * make.tokenMs());
             double budget = figures.tipMultiple * share * attemptsPerMs * figures.tipMs + 2;
             if (window.size() > budget && told.add(seen.where())) {
                 breaches.add(
--- a/src/main/java/larchridge/systemtest/SimulatedFleet.java
+++ b/src/main/java/larchridge/systemtest/SimulatedFleet.java
@@ -133,7 +133,7 @@
                             Locale.ROOT,
                             "    rack: %d%n    memory_tokens: %d%n    start: %.0f%n    mode: %s%n",
                             make.rack(),
-                            (long) make.memoryToks(),
+                            (long) make.memoryTokens(),
                             about.startMs,
                             about.mode));
         }
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -302,13 +302,13 @@
                             "tenant { name: \"%s\" key_sha256: \"%s\"",
                             tenant.name(),
                             Site.sha256(tenant.name())));
-            if (tenant.toksPerS() > 0) {
+            if (tenant.tokensPerS() > 0) {
                 text.append(
                         String.format(
                                 Locale.ROOT,
                                 " budget { tokens_per_second: %f burst_tokens: %f }",
-                                tenant.toksPerS(),
-                                tenant.burstToks()));
+                                tenant.tokensPerS(),
+                                tenant.burstTokens()));
             }
             text.append(" }\n");
         }
--- a/src/main/java/larchridge/systemtest/TestScript.java
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -42,8 +42,8 @@
     public record Tenant(
             @JsonProperty("name") String name,
             @JsonProperty("share") double share,
-            @JsonProperty("tokens_per_second") double toksPerS,
-            @JsonProperty("burst_tokens") double burstToks) {}
+            @JsonProperty("tokens_per_second") double tokensPerS,
+            @JsonProperty("burst_tokens") double burstTokens) {}
 
     /** A product by its share of the load. */
     public Mix anyMix(Random random) {
@@ -170,10 +170,10 @@
             @JsonProperty("revenue") double revenue,
             @JsonProperty("slo_ms") double sloMs,
             @JsonProperty("time_limit_ms") double limitMs,
-            @JsonProperty("prompt_tokens") int promptToks,
-            @JsonProperty("shared_tokens") int sharedToks,
+            @JsonProperty("prompt_tokens") int promptTokens,
+            @JsonProperty("shared_tokens") int sharedTokens,
             @JsonProperty("prefixes") int prefixes,
-            @JsonProperty("output_tokens") int outToks,
+            @JsonProperty("output_tokens") int outTokens,
             @JsonProperty("turns") double turns,
             @JsonProperty("text") String text) {}
 
@@ -185,8 +185,8 @@
             @JsonProperty("at_ms") double atMs,
             @JsonProperty("lines") int lines,
             @JsonProperty("product") String product,
-            @JsonProperty("prompt_tokens") int promptToks,
-            @JsonProperty("output_tokens") int outToks) {}
+            @JsonProperty("prompt_tokens") int promptTokens,
+            @JsonProperty("output_tokens") int outTokens) {}
 
     /** What clients do: shares of all tries. */
     public record Clients(
--- a/src/main/java/larchridge/systemtest/TestScriptReader.java
+++ b/src/main/java/larchridge/systemtest/TestScriptReader.java
@@ -97,10 +97,10 @@
                             or(mix.revenue(), 1),
                             or(mix.sloMs(), 600),
                             or(mix.limitMs(), 2500),
-                            (int) or(mix.promptToks(), 400),
-                            mix.sharedToks(),
+                            (int) or(mix.promptTokens(), 400),
+                            mix.sharedTokens(),
                             Math.max(1, mix.prefixes()),
-                            (int) or(mix.outToks(), 24),
+                            (int) or(mix.outTokens(), 24),
                             or(mix.turns(), 1),
                             mix.text() == null ? "prose" : mix.text()));
         }
@@ -153,8 +153,8 @@
                     new TestScript.Tenant(
                             tenant.name(),
                             or(tenant.share(), 1),
-                            tenant.toksPerS(),
-                            or(tenant.burstToks(), tenant.toksPerS() * 5)));
+                            tenant.tokensPerS(),
+                            or(tenant.burstTokens(), tenant.tokensPerS() * 5)));
         }
         List<TestScript.Batch> batches = new ArrayList<>();
         for (TestScript.Batch batch :
@@ -173,8 +173,8 @@
                             batch.atMs(),
                             Math.max(1, batch.lines()),
                             batch.product(),
-                            (int) or(batch.promptToks(), 200),
-                            (int) or(batch.outToks(), 12)));
+                            (int) or(batch.promptTokens(), 200),
+                            (int) or(batch.outTokens(), 12)));
         }
         TestScript.Clients clients =
                 raw.clients() == null ? new TestScript.Clients(0, 100, 0, 0, 0) : raw.clients();
--- a/src/main/java/larchridge/tokens/Counting.java
+++ b/src/main/java/larchridge/tokens/Counting.java
@@ -31,7 +31,7 @@
         final int from;
         final int to;
         final CountCache.Key key;
-        int toks = -1;
+        int tokens = -1;
 
         Part(int from, int to, CountCache.Key key) {
             this.from = from;
@@ -40,7 +40,7 @@
         }
 
         int missingChars() {
-            return toks < 0 && key != null ? to - from : 0;
+            return tokens < 0 && key != null ? to - from : 0;
         }
     }
 
@@ -67,7 +67,7 @@
             return new Part(from, to, null);
         }
         Part part = new Part(from, to, CountCache.key(text.substring(from, to), vocabulary.name()));
-        part.toks = cache.get(part.key);
+        part.tokens = cache.get(part.key);
         return part;
     }
 
@@ -89,19 +89,19 @@
             }
             Part part = i < parts.size() ? parts.get(i) : toMark;
             if (part.missingChars() > 0) {
-                part.toks = vocabulary.count(text.substring(part.from, part.to));
-                cache.put(part.key, part.toks);
+                part.tokens = vocabulary.count(text.substring(part.from, part.to));
+                cache.put(part.key, part.tokens);
                 chars += part.to - part.from;
             }
         }
         if (chars > 0) {
-            int toks = 0;
+            int tokens = 0;
             int ofChars = 0;
             for (Part part : parts) {
-                toks += Math.max(0, part.toks);
-                ofChars += part.toks < 0 ? 0 : part.to - part.from;
+                tokens += Math.max(0, part.tokens);
+                ofChars += part.tokens < 0 ? 0 : part.to - part.from;
             }
-            pace.counted(chars, System.nanoTime() - start, toks, ofChars);
+            pace.counted(chars, System.nanoTime() - start, tokens, ofChars);
         }
         return true;
     }
@@ -115,24 +115,24 @@
      * What is known now of the text: the count if nothing is missing, a guess for the rest at so
      * many tokens a character.
      */
-    public TokenCount count(double toksAChar) {
-        return sum(parts, toksAChar);
+    public TokenCount count(double tokensAChar) {
+        return sum(parts, tokensAChar);
     }
 
     /** The same of its beginning. */
-    public TokenCount beginning(double toksAChar) {
+    public TokenCount beginning(double tokensAChar) {
         List<Part> own = new ArrayList<>(parts.subList(0, beforeMark));
         own.add(toMark);
-        return sum(own, toksAChar);
+        return sum(own, tokensAChar);
     }
 
-    private TokenCount sum(List<Part> some, double toksAChar) {
+    private TokenCount sum(List<Part> some, double tokensAChar) {
         int known = 0;
         int unknownChars = 0;
         int unknownBytes = 0;
         for (Part part : some) {
-            if (part.toks >= 0) {
-                known += part.toks;
+            if (part.tokens >= 0) {
+                known += part.tokens;
             } else {
                 unknownChars += part.to - part.from;
                 unknownBytes += bytes(part);
@@ -142,9 +142,9 @@
                 known
                         + (unknownChars == 0
                                 ? 0
-                                : Math.max(1, unknownBytes / vocabulary.longestTokBytes()));
+                                : Math.max(1, unknownBytes / vocabulary.longestTokenBytes()));
         int most = known + unknownBytes;
-        double guess = known + toksAChar * unknownChars;
+        double guess = known + tokensAChar * unknownChars;
         return new TokenCount(
                 (int) Math.max(least, Math.min(most, Math.round(guess))),
                 least,
--- a/src/main/java/larchridge/tokens/CountingPolicy.java
+++ b/src/main/java/larchridge/tokens/CountingPolicy.java
@@ -40,11 +40,15 @@
      * @param sloMs the generation's SLO time
      */
     public static Way of(
-            double countMs, double waitMs, double guessToks, double readToksPerMs, double sloMs) {
+            double countMs,
+            double waitMs,
+            double guessTokens,
+            double readTokensPerMs,
+            double sloMs) {
         if (countMs <= LOOP_MS) {
             return Way.NOW;
         }
-        double wrongMs = GUESS_ERROR * guessToks / Math.max(1e-9, readToksPerMs);
+        double wrongMs = GUESS_ERROR * guessTokens / Math.max(1e-9, readTokensPerMs);
         double may = Math.min(PART * wrongMs, SLO_PART * sloMs);
         return countMs + waitMs <= may ? Way.ASIDE : Way.GUESS;
     }
--- a/src/main/java/larchridge/tokens/CountingRate.java
+++ b/src/main/java/larchridge/tokens/CountingRate.java
@@ -8,27 +8,28 @@
     private static final double KEPT = 0.9;
 
     private volatile double nsAChar = 100;
-    private volatile double toksAChar;
+    private volatile double tokensAChar;
 
     /** Begins with what a site believes of its texts. */
-    public CountingRate(double toksAChar) {
-        this.toksAChar = toksAChar;
+    public CountingRate(double tokensAChar) {
+        this.tokensAChar = tokensAChar;
     }
 
     /**
      * So many characters took so long; the text that they are of has so many tokens in so many
      * characters.
      */
-    void counted(int chars, long ns, int toks, int ofChars) {
+    void counted(int chars, long ns, int tokens, int ofChars) {
         nsAChar = KEPT * nsAChar + (1 - KEPT) * ns / chars;
-        toksAChar = ofChars > 0 ? KEPT * toksAChar + (1 - KEPT) * toks / ofChars : toksAChar;
+        tokensAChar =
+                ofChars > 0 ? KEPT * tokensAChar + (1 - KEPT) * tokens / ofChars : tokensAChar;
     }
 
     public double msFor(int chars) {
         return chars * nsAChar / 1e6;
     }
 
-    public double toksAChar() {
-        return toksAChar;
+    public double tokensAChar() {
+        return tokensAChar;
     }
 }
--- a/src/main/java/larchridge/tokens/LibraryVocabulary.java
+++ b/src/main/java/larchridge/tokens/LibraryVocabulary.java
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Danger: the library throws at half a pair of surrogates, which JSON may well hold; engines
-     * get a '?' for it.
+     * Guards against: the library throws at half a pair of surrogates, which JSON may well hold;
+     * engines get a '?' for it.
      */
     private static String whole(String text) {
         StringBuilder mended = null;
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public int longestTokBytes() {
+    public int longestTokenBytes() {
         return longest;
     }
 }
--- a/src/main/java/larchridge/tokens/MergesVocabulary.java
+++ b/src/main/java/larchridge/tokens/MergesVocabulary.java
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public int longestTokBytes() {
+    public int longestTokenBytes() {
         return longest;
     }
 
@@ -181,22 +181,22 @@
         }
         int count = raw.length;
         while (!spots.isEmpty()) {
-            Spot spot = spots.poll();
+            Spot endpoint = spots.poll();
             // One of the two may have been merged since, or the left one has another neighbour.
-            if (symbols[spot.left] != spot.leftIs
-                    || next[spot.left] != spot.right
-                    || symbols[spot.right] != spot.rightIs) {
+            if (symbols[endpoint.left] != endpoint.leftIs
+                    || next[endpoint.left] != endpoint.right
+                    || symbols[endpoint.right] != endpoint.rightIs) {
                 continue;
             }
-            symbols[spot.left] = spot.into;
-            symbols[spot.right] = -1;
-            next[spot.left] = next[spot.right];
-            if (next[spot.left] >= 0) {
-                before[next[spot.left]] = spot.left;
-                spot(spots, symbols, spot.left, next[spot.left]);
+            symbols[endpoint.left] = endpoint.into;
+            symbols[endpoint.right] = -1;
+            next[endpoint.left] = next[endpoint.right];
+            if (next[endpoint.left] >= 0) {
+                before[next[endpoint.left]] = endpoint.left;
+                spot(spots, symbols, endpoint.left, next[endpoint.left]);
             }
-            if (before[spot.left] >= 0) {
-                spot(spots, symbols, before[spot.left], spot.left);
+            if (before[endpoint.left] >= 0) {
+                spot(spots, symbols, before[endpoint.left], endpoint.left);
             }
             count--;
         }
--- a/src/main/java/larchridge/tokens/TokenCounters.java
+++ b/src/main/java/larchridge/tokens/TokenCounters.java
@@ -10,17 +10,17 @@
 public final class TokenCounters implements AutoCloseable {
     public final CountCache cache;
     public final CountingWorkers workers;
-    private final double toksAChar;
+    private final double tokensAChar;
     private final Map<String, CountingRate> paces = new ConcurrentHashMap<>();
 
-    public TokenCounters(long cacheBytes, int threads, int mostWaiting, double bytesPerTok) {
+    public TokenCounters(long cacheBytes, int threads, int mostWaiting, double bytesPerToken) {
         cache = new CountCache(cacheBytes);
         workers = new CountingWorkers(threads, mostWaiting);
-        toksAChar = 1 / bytesPerTok;
+        tokensAChar = 1 / bytesPerToken;
     }
 
     public CountingRate pace(Vocabulary vocabulary) {
-        return paces.computeIfAbsent(vocabulary.name(), name -> new CountingRate(toksAChar));
+        return paces.computeIfAbsent(vocabulary.name(), name -> new CountingRate(tokensAChar));
     }
 
     @Override
--- a/src/main/java/larchridge/tokens/VocabularyReader.java
+++ b/src/main/java/larchridge/tokens/VocabularyReader.java
@@ -86,7 +86,8 @@
             }
             ranks.put(token, Integer.parseInt(parts[1]));
         }
-        // Danger: a file cut short would count far too many tokens; single bytes come first, the
+        // Guards against: a file cut short would count far too many tokens; single bytes come
+        // first, the
         // end is not marked.
         for (int i = 0; i < 256; i++) {
             if (!lines.containsKey(Base64.getEncoder().encodeToString(new byte[] {(byte) i}))) {
--- a/src/main/java/larchridge/upstream/AttemptClassifier.java
+++ b/src/main/java/larchridge/upstream/AttemptClassifier.java
@@ -70,7 +70,8 @@
     /** The outcome, once nothing more can come. */
     AttemptOutcome outcome() {
         if (finished && !garbled && status == 200) {
-            // Danger: an engine that dies between the last token and the end of its stream has
+            // Guards against: an engine that dies between the last token and the end of its stream
+            // has
             // answered in full.
             return AttemptOutcome.STREAMED;
         }
@@ -83,7 +84,8 @@
         if (garbled) {
             return AttemptOutcome.FAULT;
         }
-        // Danger: a connection that was kept and closes before any byte looks as if nothing was
+        // Guards against: a connection that was kept and closes before any byte looks as if nothing
+        // was
         // sent; the engine
         // may have read it and died. It proves nothing.
         if (status == 0 || !clean) {
--- a/src/main/java/larchridge/upstream/AttemptListener.java
+++ b/src/main/java/larchridge/upstream/AttemptListener.java
@@ -9,29 +9,29 @@
  */
 public interface AttemptListener {
     /** The prompt is read and its state waits; the last call for this attempt. */
-    void read(StateHandle state, int keptToks, int promptToks, LoadReport report);
+    void readCompleted(StateHandle state, int keptTokens, int promptTokens, LoadReport report);
 
     /** The answer begins; pieces follow. */
-    void begun();
+    void responseStarted();
 
     /** A piece of the answer. */
-    void piece(String text);
+    void textReceived(String text);
 
     /**
      * Whole events of the answer that go on as they came; only from links that pass requests on.
      */
-    default void events(byte[] whole) {
+    default void eventsReceived(byte[] whole) {
         throw new UnsupportedOperationException("nobody here passes events on");
     }
 
     /** All that came in one go is told; what was gathered of it may go on now, in one write. */
-    void soFar();
+    void batchCompleted();
 
     /**
      * The engine says that the request itself can't be used, by whomever; the end of the attempt
      * follows.
      */
-    default void unusable() {
+    default void answerUnusable() {
         return;
     }
 
@@ -50,5 +50,5 @@
     }
 
     /** The last call for this attempt; ending is given with STREAMED only. */
-    void ended(AttemptOutcome outcome, LoadReport report, Completion ending);
+    void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion ending);
 }
--- a/src/main/java/larchridge/upstream/AttemptRequest.java
+++ b/src/main/java/larchridge/upstream/AttemptRequest.java
@@ -5,26 +5,26 @@
 /**
  * What one attempt asks of an engine.
  *
- * @param rid names the attempt at the engine, also for its release
- * @param spot where the engine listens
+ * @param attemptId names the attempt at the engine, also for its release
+ * @param endpoint where the engine listens
  * @param state the read state to fetch, or null to read in place (or to read only)
- * @param repeatKey what engines drop repeats by, or null
- * @param passage what goes on as it came, or null
- * @param check asked at the last moment before the attempt is written; a refusal keeps it from
+ * @param idempotencyKey what engines drop repeats by, or null
+ * @param forwardedRequest what goes on as it came, or null
+ * @param sendCheck asked at the last moment before the attempt is written; a refusal keeps it from
  *     being sent
  */
 public record AttemptRequest(
-        String rid,
-        Endpoint spot,
+        String attemptId,
+        Endpoint endpoint,
         String model,
         String prompt,
-        int maxToks,
+        int maxTokens,
         List<String> stops,
         Sampling sampling,
         StateHandle state,
-        String repeatKey,
-        ForwardedRequest passage,
-        SendCheck check) {
+        String idempotencyKey,
+        ForwardedRequest forwardedRequest,
+        SendCheck sendCheck) {
 
     /** How tokens are drawn; null leaves a figure to the engine. */
     public record Sampling(Double temperature, Double topP, Integer topK) {}
--- a/src/main/java/larchridge/upstream/Completion.java
+++ b/src/main/java/larchridge/upstream/Completion.java
@@ -3,16 +3,17 @@
 /**
  * How an answer came to its end.
  *
- * @param why what stopped it
- * @param stop the stop text that was met, or null
- * @param promptToks prompt tokens as the engine counted them, or -1
- * @param outToks answer tokens as the engine counted them, else pieces
+ * @param finishReason what stopped it
+ * @param stopSequence the stop text that was met, or null
+ * @param promptTokens prompt tokens as the engine counted them, or -1
+ * @param outputTokens answer tokens as the engine counted them, else pieces
  */
-public record Completion(Why why, String stop, int promptToks, int outToks) {
+public record Completion(
+        FinishReason finishReason, String stopSequence, int promptTokens, int outputTokens) {
     /** What stops an answer. */
-    public enum Why {
+    public enum FinishReason {
         END_OF_TURN,
-        MOST_TOKENS,
-        STOP_TEXT
+        MAX_TOKENS,
+        STOP_SEQUENCE
     }
 }
--- a/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
+++ b/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public Flight read(AttemptRequest order, AttemptListener hearing) {
+    public AttemptHandle read(AttemptRequest order, AttemptListener hearing) {
         ObjectNode body = body(order);
         body.put("max_tokens", 1);
         body.put("stream", false);
@@ -78,9 +78,9 @@
     }
 
     @Override
-    public Flight write(AttemptRequest order, AttemptListener hearing) {
+    public AttemptHandle write(AttemptRequest order, AttemptListener hearing) {
         ObjectNode body = body(order);
-        body.put("max_tokens", order.maxToks());
+        body.put("max_tokens", order.maxTokens());
         body.put("stream", true);
         body.putObject("stream_options").put("include_usage", true);
         if (order.state() instanceof Handle handle) {
@@ -119,21 +119,22 @@
      * logged and left to that lapse too.
      */
     @Override
-    public void release(Endpoint spot, String rid) {
+    public void release(Endpoint endpoint, String rid) {
         if (releases >= MOST_RELEASES) {
             LOG.atWarn()
-                    .addKeyValue("engine", spot)
+                    .addKeyValue("engine", endpoint)
                     .addKeyValue("attempt", rid)
                     .log("too many releases at once");
             return;
         }
         releases++;
-        release(spot, rid, RELEASE_TRIES);
+        release(endpoint, rid, RELEASE_TRIES);
     }
 
-    private void release(Endpoint spot, String rid, int tries) {
+    private void release(Endpoint endpoint, String rid, int tries) {
         RequestOptions options =
-                options(spot, HttpMethod.POST, "/abort_request").setTimeout((long) limit.probeMs);
+                options(endpoint, HttpMethod.POST, "/abort_request")
+                        .setTimeout((long) limit.probeMs);
         Buffer body = Buffer.buffer(MAPPER.createObjectNode().put("rid", rid).toString());
         client.request(options)
                 .compose(
@@ -146,11 +147,11 @@
                             } else if (tries > 1) {
                                 vertx.setTimer(
                                         RELEASE_AGAIN_MS * (1 + RELEASE_TRIES - tries),
-                                        timer -> release(spot, rid, tries - 1));
+                                        timer -> release(endpoint, rid, tries - 1));
                             } else {
                                 releases--;
                                 LOG.atWarn()
-                                        .addKeyValue("engine", spot)
+                                        .addKeyValue("engine", endpoint)
                                         .addKeyValue("attempt", rid)
                                         .log(
                                                 "state not released; the engine's own lapse must free it");
@@ -159,9 +160,9 @@
     }
 
     @Override
-    public void probe(Endpoint spot, Told told) {
+    public void probe(Endpoint endpoint, ProbeListener told) {
         RequestOptions options =
-                options(spot, HttpMethod.GET, "/metrics").setTimeout((long) limit.probeMs);
+                options(endpoint, HttpMethod.GET, "/metrics").setTimeout((long) limit.probeMs);
         client.request(options)
                 .compose(HttpClientRequest::send)
                 .compose(
@@ -175,7 +176,7 @@
                                                                         body.toString())))
                 .onComplete(
                         done ->
-                                told.told(
+                                told.completed(
                                         done.succeeded() && done.result() != null,
                                         done.succeeded() ? done.result() : null));
     }
@@ -185,17 +186,17 @@
         client.close();
     }
 
-    private RequestOptions options(Endpoint spot, HttpMethod method, String path) {
+    private RequestOptions options(Endpoint endpoint, HttpMethod method, String path) {
         return new RequestOptions()
                 .setMethod(method)
-                .setHost(spot.host())
-                .setPort(spot.port())
+                .setHost(endpoint.host())
+                .setPort(endpoint.port())
                 .setURI(path)
                 .setConnectTimeout((long) limit.connectMs);
     }
 
     /** One attempt on its way. */
-    private final class Out implements Flight {
+    private final class Out implements AttemptHandle {
         private final AttemptRequest order;
         private final AttemptListener hearing;
         private final boolean reads;
@@ -207,10 +208,10 @@
         private boolean paused;
         private boolean begun;
         private boolean tellsSoFar;
-        private Completion.Why why = Completion.Why.END_OF_TURN;
+        private Completion.FinishReason why = Completion.FinishReason.END_OF_TURN;
         private String stop;
-        private int promptToks = -1;
-        private int outToks = -1;
+        private int promptTokens = -1;
+        private int outTokens = -1;
         private int pieces;
         private Buffer whole;
 
@@ -221,11 +222,11 @@
         }
 
         void start(ObjectNode body) {
-            RequestOptions options = options(order.spot(), HttpMethod.POST, "/v1/completions");
+            RequestOptions options = options(order.endpoint(), HttpMethod.POST, "/v1/completions");
             options.putHeader("content-type", "application/json")
-                    .putHeader("x-request-id", order.rid());
-            if (order.repeatKey() != null) {
-                options.putHeader("idempotency-key", order.repeatKey());
+                    .putHeader("x-request-id", order.attemptId());
+            if (order.idempotencyKey() != null) {
+                options.putHeader("idempotency-key", order.idempotencyKey());
             }
             client.request(options)
                     .onComplete(
@@ -247,9 +248,10 @@
                                     return;
                                 }
                                 request = connected.result();
-                                // Danger: an attempt that waited for a connection would reach an
+                                // Guards against: an attempt that waited for a connection would
+                                // reach an
                                 // engine that has begun to drain since.
-                                if (order.check().refusal() != null) {
+                                if (order.sendCheck().rejection() != null) {
                                     verdict.unfit();
                                     request.reset();
                                     later(verdict.outcome());
@@ -323,7 +325,7 @@
                         v -> {
                             tellsSoFar = false;
                             if (!done) {
-                                hearing.soFar();
+                                hearing.batchCompleted();
                             }
                         });
             }
@@ -349,7 +351,7 @@
             }
             done = true;
             JsonNode usage = json.path("usage");
-            hearing.read(
+            hearing.readCompleted(
                     new Handle(params),
                     usage.path("prompt_tokens_details").path("cached_tokens").asInt(0),
                     usage.path("prompt_tokens").asInt(-1),
@@ -374,19 +376,19 @@
             }
             JsonNode usage = json.path("usage");
             if (usage.isObject()) {
-                promptToks = usage.path("prompt_tokens").asInt(-1);
-                outToks = usage.path("completion_tokens").asInt(-1);
+                promptTokens = usage.path("prompt_tokens").asInt(-1);
+                outTokens = usage.path("completion_tokens").asInt(-1);
             }
             JsonNode choice = json.path("choices").path(0);
             String text = choice.path("text").asText("");
             String reason = choice.path("finish_reason").asText("");
             if (!begun && (!text.isEmpty() || !reason.isEmpty())) {
                 begun = true;
-                hearing.begun();
+                hearing.responseStarted();
             }
             if (!text.isEmpty() && !done) {
                 pieces++;
-                hearing.piece(text);
+                hearing.textReceived(text);
             }
             if (!reason.isEmpty() && !reason.equals("null")) {
                 stop =
@@ -395,10 +397,10 @@
                                 : null;
                 why =
                         reason.equals("length")
-                                ? Completion.Why.MOST_TOKENS
+                                ? Completion.FinishReason.MAX_TOKENS
                                 : stop != null
-                                        ? Completion.Why.STOP_TEXT
-                                        : Completion.Why.END_OF_TURN;
+                                        ? Completion.FinishReason.STOP_SEQUENCE
+                                        : Completion.FinishReason.END_OF_TURN;
                 verdict.finished();
             }
         }
@@ -430,9 +432,10 @@
             done = true;
             Completion ending =
                     outcome == AttemptOutcome.STREAMED
-                            ? new Completion(why, stop, promptToks, outToks >= 0 ? outToks : pieces)
+                            ? new Completion(
+                                    why, stop, promptTokens, outTokens >= 0 ? outTokens : pieces)
                             : null;
-            hearing.ended(outcome, report, ending);
+            hearing.attemptEnded(outcome, report, ending);
         }
 
         @Override
--- a/src/main/java/larchridge/upstream/UpstreamClient.java
+++ b/src/main/java/larchridge/upstream/UpstreamClient.java
@@ -5,24 +5,24 @@
 /** How engines are spoken to; one implementation a protocol, one instance a front. */
 public interface UpstreamClient {
     /** Sends an attempt that reads a prompt and leaves its state there. */
-    Flight read(AttemptRequest order, AttemptListener hearing);
+    AttemptHandle read(AttemptRequest order, AttemptListener hearing);
 
     /** Sends an attempt that writes the answer. */
-    Flight write(AttemptRequest order, AttemptListener hearing);
+    AttemptHandle write(AttemptRequest order, AttemptListener hearing);
 
     /** Lets go of the state that a read attempt left or may have left. */
-    void release(Endpoint spot, String rid);
+    void release(Endpoint endpoint, String rid);
 
     /** Asks an engine for its load. */
-    void probe(Endpoint spot, Told told);
+    void probe(Endpoint endpoint, ProbeListener told);
 
     /** Hears what an engine answered to a probe. */
-    interface Told {
+    interface ProbeListener {
         /**
          * Whether it answered in time, and the load that it told, or null: an engine may answer
          * without knowing it yet.
          */
-        void told(boolean answered, LoadReport report);
+        void completed(boolean answered, LoadReport report);
     }
 
     /** Whether a release is under way that no engine has taken yet. */
@@ -34,7 +34,7 @@
     void close();
 
     /** An attempt that is out. */
-    interface Flight {
+    interface AttemptHandle {
         /** Stops waiting; its outcome still comes, unless it has come. */
         void cancel();
 
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -44,7 +44,7 @@
         engines.put(WRITER, new AuditedEngine(true, Role.WRITER, "a", 1, 1, 0));
         engines.put(OTHER_RACK, new AuditedEngine(true, Role.WRITER, "a", 2, 1, 0));
         engines.put(COLD, new AuditedEngine(true, Role.WRITER, "a", 1, 1, nowMs - 10));
-        audit.listed(engines);
+        audit.endpointsChanged(engines);
     }
 
     private void accept(String id, Effect effect, DeduplicationScope span) {
@@ -54,19 +54,19 @@
                 nowMs + TOLD_MS);
     }
 
-    private int write(String id, Endpoint spot, boolean reads) {
-        return audit.attemptWritten(id, spot, reads, 100);
+    private int write(String id, Endpoint endpoint, boolean reads) {
+        return audit.attemptWritten(id, endpoint, reads, 100);
     }
 
     private void readAndHold() {
         accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-        audit.read(ID, write(ID, READER, true));
+        audit.readCompleted(ID, write(ID, READER, true));
     }
 
     private void writeThatMayHaveRun(Effect effect, DeduplicationScope span) {
         accept(ID, effect, span);
-        audit.read(ID, write(ID, READER, true));
-        audit.ended(ID, write(ID, WRITER, false), "CUT", false, false);
+        audit.readCompleted(ID, write(ID, READER, true));
+        audit.attemptEnded(ID, write(ID, WRITER, false), "CUT", false, false);
     }
 
     @Test
@@ -74,10 +74,10 @@
         readAndHold();
         int attempt = write(ID, WRITER, false);
         nowMs += 500;
-        audit.begun(ID, attempt);
+        audit.responseStarted(ID, attempt);
         nowMs += 5000;
         audit.answered(ID, "streamed");
-        audit.ended(ID, attempt, "STREAMED", false, true);
+        audit.attemptEnded(ID, attempt, "STREAMED", false, true);
         audit.check();
         assertEquals(0, violations.total());
         assertEquals(0, audit.openRequests());
@@ -88,11 +88,11 @@
         readAndHold();
         int attempt = write(ID, WRITER, false);
         nowMs += RELEASE_MS;
-        audit.released(ID);
+        audit.stateReleased(ID);
         nowMs += RELEASE_MS;
         audit.check();
-        audit.ended(ID, attempt, "NO_STATE", true, true);
-        audit.released(ID);
+        audit.attemptEnded(ID, attempt, "NO_STATE", true, true);
+        audit.stateReleased(ID);
         audit.answered(ID, "throttled");
         assertEquals(0, violations.total());
     }
@@ -132,7 +132,7 @@
             case NO_SEND_PAST_GRACE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 engines.put(READER, new AuditedEngine(false, Role.READER, "a", 1, 1, 0));
-                audit.listed(engines);
+                audit.endpointsChanged(engines);
                 nowMs += GRACE_MS + 1;
                 write(ID, READER, true);
             }
@@ -185,7 +185,7 @@
         writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         write(ID, OTHER_RACK, false);
         assertEquals(1, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
-        audit.ended(ID, 2, "CUT", false, false);
+        audit.attemptEnded(ID, 2, "CUT", false, false);
         nowMs += WINDOW_MS + 1;
         write(ID, WRITER, false);
         assertEquals(3, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -215,7 +215,8 @@
                                 told.streamed(
                                         "w1 w2 ",
                                         0,
-                                        new Completion(Completion.Why.END_OF_TURN, null, 10, 2));
+                                        new Completion(
+                                                Completion.FinishReason.END_OF_TURN, null, 10, 2));
                             }
                         });
             }
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Danger: a line that is read again to be sent would move the place at which the rest of a
-     * large input is read.
+     * Guards against: a line that is read again to be sent would move the place at which the rest
+     * of a large input is read.
      */
     @Test
     void inputLargerThanAnyBufferIsReadWhole() throws Exception {
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Danger: a disk that is full for a while must cost no line its record. */
+    /** Guards against: a disk that is full for a while must cost no line its record. */
     @Test
     void diskThatFailsForAWhileLosesNothing() throws Exception {
         for (String failing :
--- a/src/test/java/larchridge/batch/LineReaderTest.java
+++ b/src/test/java/larchridge/batch/LineReaderTest.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Danger: a batch goes on at a place in the middle of its input; that must give the same lines
-     * as from the start.
+     * Guards against: a batch goes on at a place in the middle of its input; that must give the
+     * same lines as from the start.
      */
     @Property(tries = 100, seed = "20261201")
     void readingFromAnyLineGivesTheSame(
--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -26,9 +26,9 @@
         List<double[]> taken = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             now += random.nextDouble() * 40;
-            double toks = 1 + random.nextInt(most);
-            if (budgets.ask("a", "p", toks, now).isIn()) {
-                taken.add(new double[] {now, toks});
+            double tokens = 1 + random.nextInt(most);
+            if (budgets.ask("a", "p", tokens, now).isAdmitted()) {
+                taken.add(new double[] {now, tokens});
             }
         }
         for (int i = 0; i < taken.size(); i++) {
@@ -53,7 +53,7 @@
         Random random = new Random(seed);
         double rate = 2;
         double burst = 4000;
-        double gen = 1000;
+        double generation = 1000;
         List<Budgets> all = new ArrayList<>();
         double now = 1e12;
         for (int i = 0; i < fronts; i++) {
@@ -65,17 +65,18 @@
         double sum = 0;
         for (int i = 0; i < 4000; i++) {
             now += 10;
-            if (all.get(random.nextInt(fronts)).ask("a", "p", gen, now).isIn()) {
-                sum += gen;
+            if (all.get(random.nextInt(fronts)).ask("a", "p", generation, now).isAdmitted()) {
+                sum += generation;
             }
         }
         double budget = burst + rate * (now - start);
-        double deviation = Math.sqrt(budget / gen) * gen;
+        double deviation = Math.sqrt(budget / generation) * generation;
         assertTrue(
-                sum <= budget + 5 * deviation + gen,
+                sum <= budget + 5 * deviation + generation,
                 sum + " over " + budget + " with " + fronts + " fronts");
         assertTrue(
-                sum >= 0.5 * Math.min(budget, 4000 * gen) - 5 * deviation, sum + " of " + budget);
+                sum >= 0.5 * Math.min(budget, 4000 * generation) - 5 * deviation,
+                sum + " of " + budget);
     }
 
     /** Asking more often never gets more in by its mean: the draws use up what has gathered. */
@@ -90,7 +91,7 @@
                 one.tenant("a", null, new QuotaGrant(1, 2000, INF, INF), now);
                 for (int i = 0; i < 2000; i++) {
                     now += 10;
-                    if ((way == 0 || i % 20 == 0) && one.ask("a", "p", 1000, now).isIn()) {
+                    if ((way == 0 || i % 20 == 0) && one.ask("a", "p", 1000, now).isAdmitted()) {
                         sums[way] += 1000;
                     }
                 }
--- a/src/test/java/larchridge/budget/BudgetsTest.java
+++ b/src/test/java/larchridge/budget/BudgetsTest.java
@@ -17,32 +17,32 @@
         return new QuotaGrant(perS / 1000, burst, INF, INF);
     }
 
-    private BudgetDecision ask(String tenant, double toks) {
-        return budgets.ask(tenant, "p", toks, now);
+    private BudgetDecision ask(String tenant, double tokens) {
+        return budgets.ask(tenant, "p", tokens, now);
     }
 
     @Test
     void burstComesInAndThenTheRate() {
         Budgets alone = new Budgets(QuotaGrant.NONE, 1, 1, 500, new Random(1));
         alone.tenant("a", null, rate(1000, 500), now);
-        assertTrue(alone.ask("a", "p", 500, now).isIn());
+        assertTrue(alone.ask("a", "p", 500, now).isAdmitted());
         BudgetDecision no = alone.ask("a", "p", 300, now);
-        assertFalse(no.isIn());
-        assertEquals(300, no.backInMs(), 1e-6);
-        now += no.backInMs() + 0.001;
-        assertTrue(alone.ask("a", "p", 300, now).isIn());
+        assertFalse(no.isAdmitted());
+        assertEquals(300, no.retryAfterMs(), 1e-6);
+        now += no.retryAfterMs() + 0.001;
+        assertTrue(alone.ask("a", "p", 300, now).isAdmitted());
     }
 
     @Test
     void promptOverTheBurstComesInOnAFullBucketAndIsPaidOff() {
         Budgets alone = new Budgets(QuotaGrant.NONE, 1, 1, 500, new Random(1));
         alone.tenant("a", null, rate(1000, 500), now);
-        assertTrue(alone.ask("a", "p", 5000, now).isIn());
+        assertTrue(alone.ask("a", "p", 5000, now).isAdmitted());
         now += 4900;
         BudgetDecision no = alone.ask("a", "p", 5000, now);
-        assertFalse(no.isIn());
-        now += no.backInMs() + 0.001;
-        assertTrue(alone.ask("a", "p", 5000, now).isIn());
+        assertFalse(no.isAdmitted());
+        now += no.retryAfterMs() + 0.001;
+        assertTrue(alone.ask("a", "p", 5000, now).isAdmitted());
     }
 
     @Test
@@ -52,24 +52,24 @@
         Charge charge = alone.ask("a", "p", 500, now).charge();
         alone.settle(charge, 100, now);
         alone.settle(charge, 100, now);
-        assertTrue(alone.ask("a", "p", 400, now).isIn());
-        assertFalse(alone.ask("a", "p", 10, now).isIn());
+        assertTrue(alone.ask("a", "p", 400, now).isAdmitted());
+        assertFalse(alone.ask("a", "p", 10, now).isAdmitted());
     }
 
     @Test
     void ceilingHoldsUntilSomethingLands() {
         budgets.tenant("a", null, new QuotaGrant(INF, INF, 1000, INF), now);
         Charge first = ask("a", 800).charge();
-        assertFalse(ask("a", 300).isIn());
+        assertFalse(ask("a", 300).isAdmitted());
         budgets.settle(first, 800, now);
-        assertTrue(ask("a", 300).isIn());
+        assertTrue(ask("a", 300).isAdmitted());
     }
 
     @Test
     void promptOverTheCeilingFliesAlone() {
         budgets.tenant("a", null, new QuotaGrant(INF, INF, 1000, INF), now);
-        assertTrue(ask("a", 4000).isIn());
-        assertFalse(ask("a", 1).isIn());
+        assertTrue(ask("a", 4000).isAdmitted());
+        assertFalse(ask("a", 1).isAdmitted());
     }
 
     @Test
@@ -77,29 +77,29 @@
         budgets.tenant("a", null, new QuotaGrant(INF, INF, INF, 1000), now);
         budgets.settle(ask("a", 900).charge(), 900, now);
         BudgetDecision no = ask("a", 200);
-        assertFalse(no.isIn());
-        now += no.backInMs();
-        assertTrue(ask("a", 200).isIn());
+        assertFalse(no.isAdmitted());
+        now += no.retryAfterMs();
+        assertTrue(ask("a", 200).isAdmitted());
     }
 
     @Test
     void whatTheLedgerRemembersCounts() {
         budgets.tenant("a", null, new QuotaGrant(INF, INF, INF, 1000), now);
         budgets.remember("a", "p", 950, now);
-        assertFalse(ask("a", 100).isIn());
+        assertFalse(ask("a", 100).isAdmitted());
     }
 
     @Test
     void spareMeansAreBorrowedButNotWhatOthersAreOwed() {
         budgets.tenant("a", null, rate(100, 1000), now);
         budgets.tenant("b", null, rate(800, 8000), now);
-        assertTrue(ask("a", 1000).isIn());
+        assertTrue(ask("a", 1000).isAdmitted());
         // The service has 9000 left, of which b may ask for 8000 now and 400 within the give-back
         // time.
         BudgetDecision borrowed = ask("a", 600);
-        assertTrue(borrowed.isIn() && borrowed.charge().isBorrowed());
-        assertFalse(ask("a", 600).isIn());
-        assertTrue(ask("b", 8000).isIn());
+        assertTrue(borrowed.isAdmitted() && borrowed.charge().isBorrowed());
+        assertFalse(ask("a", 600).isAdmitted());
+        assertTrue(ask("b", 8000).isAdmitted());
     }
 
     @Test
@@ -111,7 +111,7 @@
             ask("a", 50);
             if (i % 1000 == 999) {
                 // Its whole share of a second, asked for at once, whatever the other takes.
-                assertTrue(ask("b", 500).isIn(), "second " + i / 1000);
+                assertTrue(ask("b", 500).isAdmitted(), "second " + i / 1000);
             }
         }
     }
@@ -122,10 +122,10 @@
         alone.tenant("a", null, new QuotaGrant(1, 10_000, 10_000, INF), now);
         Charge open = alone.ask("a", "p", 9000, now).charge();
         alone.tenant("a", null, new QuotaGrant(0.1, 100, 100, INF), now);
-        assertFalse(alone.ask("a", "p", 10, now).isIn());
+        assertFalse(alone.ask("a", "p", 10, now).isAdmitted());
         alone.settle(open, 9000, now);
         now += 1000;
-        assertTrue(alone.ask("a", "p", 90, now).isIn());
+        assertTrue(alone.ask("a", "p", 90, now).isAdmitted());
     }
 
     @Test
@@ -135,9 +135,9 @@
         alone.ask("a", "p", 500, now);
         for (int i = 0; i < 100; i++) {
             now -= 100;
-            assertFalse(alone.ask("a", "p", 100, now).isIn());
+            assertFalse(alone.ask("a", "p", 100, now).isAdmitted());
             now += 100;
-            assertFalse(alone.ask("a", "p", 100, now).isIn());
+            assertFalse(alone.ask("a", "p", 100, now).isAdmitted());
         }
     }
 
@@ -146,22 +146,22 @@
         budgets.tenant("a", null, rate(900, 9000), now);
         budgets.product("a", "short", rate(100, 1000), now);
         budgets.product("a", "long", rate(100, 1000), now);
-        assertTrue(budgets.ask("a", "long", 1000, now).isIn());
-        assertTrue(budgets.ask("a", "short", 1000, now).isIn());
+        assertTrue(budgets.ask("a", "long", 1000, now).isAdmitted());
+        assertTrue(budgets.ask("a", "short", 1000, now).isAdmitted());
     }
 
     @Test
     void tenantNobodyKnowsHasTheServicesBudget() {
-        assertTrue(ask("stranger", 10_000).isIn());
-        assertFalse(ask("stranger", 10_000).isIn());
+        assertTrue(ask("stranger", 10_000).isAdmitted());
+        assertFalse(ask("stranger", 10_000).isAdmitted());
     }
 
     @Test
     void tenantWithoutARateOfItsOwnIsHeldByTheServices() {
         budgets.tenant("free", null, QuotaGrant.NONE, now);
         budgets.tenant("b", null, rate(500, 5000), now);
-        assertTrue(ask("free", 4500).isIn());
-        assertFalse(ask("free", 4500).isIn());
-        assertTrue(ask("b", 5000).isIn());
+        assertTrue(ask("free", 4500).isAdmitted());
+        assertFalse(ask("free", 4500).isAdmitted());
+        assertTrue(ask("b", 5000).isAdmitted());
     }
 }
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -88,7 +88,7 @@
 
     /** As a front does it: what it lacks it asks of the lender. */
     private boolean isIn(Budgets front, QuotaLender lender, boolean troubled, double now) {
-        if (front.ask("a", "p", GEN, now).isIn()) {
+        if (front.ask("a", "p", GEN, now).isAdmitted()) {
             return true;
         }
         // Now and then the lender is away for a while: the first fifth of each quarter of a minute.
@@ -98,10 +98,11 @@
             return false;
         }
         QuotaRequest want = front.want("a", "p", GEN, now);
-        double lent = lender.lend(want.purse(), want.need(), want.wish(), now);
+        double lent = lender.lend(want.budget(), want.neededTokens(), want.desiredTokens(), now);
         // One answer in twenty is lost: what was lent then is used by nobody.
-        front.lent(want.purse(), troubled && random.nextDouble() < 0.05 ? 0 : lent, now + LAPSE_MS);
-        return front.ask("a", "p", GEN, now).isIn();
+        front.lent(
+                want.budget(), troubled && random.nextDouble() < 0.05 ? 0 : lent, now + LAPSE_MS);
+        return front.ask("a", "p", GEN, now).isAdmitted();
     }
 
     private static Budgets front(Way way, int fronts, int seed, double nowMs) {
--- a/src/test/java/larchridge/budget/UsageMeterTest.java
+++ b/src/test/java/larchridge/budget/UsageMeterTest.java
@@ -15,10 +15,10 @@
         for (int i = 0; i < 7; i++) {
             meter.sent();
         }
-        assertEquals(110, meter.promptToks());
-        assertEquals(30, meter.keptToks());
-        assertEquals(7, meter.outToks());
-        assertEquals(110, meter.wastedToks());
+        assertEquals(110, meter.promptTokens());
+        assertEquals(30, meter.keptTokens());
+        assertEquals(7, meter.outTokens());
+        assertEquals(110, meter.wastedTokens());
     }
 
     @Test
@@ -27,13 +27,13 @@
         meter.sent();
         meter.sent();
         meter.whole(5);
-        assertEquals(5, meter.outToks());
+        assertEquals(5, meter.outTokens());
         meter.whole(-3);
-        assertEquals(2, meter.outToks());
+        assertEquals(2, meter.outTokens());
         meter.whole(51);
-        assertEquals(2, meter.outToks());
+        assertEquals(2, meter.outTokens());
         meter.whole(1);
-        assertEquals(2, meter.outToks());
+        assertEquals(2, meter.outTokens());
     }
 
     @Test
@@ -48,7 +48,7 @@
     void answerThatNeverBeganBillsNothing() {
         meter.read(110);
         assertEquals(0, meter.used());
-        assertEquals(110, meter.wastedToks());
+        assertEquals(110, meter.wastedTokens());
     }
 
     @Test
@@ -57,14 +57,14 @@
         meter.sent();
         meter.nothingSent();
         assertEquals(0, meter.used());
-        assertEquals(111, meter.wastedToks());
+        assertEquals(111, meter.wastedTokens());
     }
 
     @Test
     void secondBeginningChangesNothing() {
         meter.begun(meter.read(110), 10, true);
         meter.begun(90, 0, true);
-        assertEquals(110, meter.promptToks());
+        assertEquals(110, meter.promptTokens());
     }
 
     @Test
@@ -74,6 +74,6 @@
         meter.sent();
         meter.sent();
         meter.notSent(1);
-        assertEquals(1, meter.outToks());
+        assertEquals(1, meter.outTokens());
     }
 }
--- a/src/test/java/larchridge/emulator/EmulatorTest.java
+++ b/src/test/java/larchridge/emulator/EmulatorTest.java
@@ -21,8 +21,8 @@
             new EngineHardware(
                     2, 0.02, 0.05, 0.00002, 0, 16, 2000, 512, 32, 1000, 5000, 1, 0, false);
 
-    private static Prompt prompt(long text, int toks) {
-        return Prompt.of(new long[] {text}, new int[] {toks}, 16);
+    private static Prompt prompt(long text, int tokens) {
+        return Prompt.of(new long[] {text}, new int[] {tokens}, 16);
     }
 
     /** One engine, stepped to the end of its work, with what it told. */
@@ -132,7 +132,7 @@
         assertEquals(4, bench.done.size());
         jobs.forEach(job -> assertEquals(200, job.made()));
         assertTrue(bench.model.sums().preemptions() > 0);
-        assertEquals(800, bench.model.sums().toksOut());
+        assertEquals(800, bench.model.sums().tokensOut());
         assertEquals(0, bench.model.heldShare());
     }
 
@@ -225,14 +225,19 @@
     /** What one engine did of an open-loop load. */
     private record Load(
             double perS,
-            double firstTokMs,
-            double tokMs,
+            double firstTokenMs,
+            double tokenMs,
             double inMean,
             double awayMean,
             long evictions) {}
 
     private static Load load(
-            EngineHardware silicon, double perS, int promptToks, int length, int texts, long seed) {
+            EngineHardware silicon,
+            double perS,
+            int promptTokens,
+            int length,
+            int texts,
+            long seed) {
         Random random = new Random(seed);
         Bench bench = new Bench(silicon);
         PriorityQueue<double[]> arrivals =
@@ -247,7 +252,7 @@
         List<Double> came = new ArrayList<>();
         List<Double> first = new ArrayList<>();
         double firstSum = 0;
-        double tokSum = 0;
+        double tokenSum = 0;
         double awaySum = 0;
         double inSum = 0;
         int doneCount = 0;
@@ -260,7 +265,7 @@
                                 Job.Kind.BOTH,
                                 Prompt.of(
                                         new long[] {(long) one[1], (long) (1e6 + one[0] * 1000)},
-                                        new int[] {promptToks / 2, promptToks / 2},
+                                        new int[] {promptTokens / 2, promptTokens / 2},
                                         16),
                                 length);
                 if (bench.model.submit(job)) {
@@ -281,7 +286,7 @@
                 }
                 if (here.get(i).made() >= length) {
                     firstSum += first.get(i) - came.get(i);
-                    tokSum += (bench.now - first.get(i)) / (length - 1);
+                    tokenSum += (bench.now - first.get(i)) / (length - 1);
                     awaySum += bench.now - Math.max(came.get(i), 0);
                     doneCount++;
                     here.remove(i);
@@ -293,7 +298,7 @@
         return new Load(
                 doneCount / bench.now * 1000,
                 firstSum / doneCount,
-                tokSum / doneCount,
+                tokenSum / doneCount,
                 inSum / bench.now,
                 awaySum / doneCount,
                 bench.model.sums().evictions());
@@ -310,7 +315,7 @@
         assertEquals(10, calm.perS, 1.5);
         assertEquals(30, busy.perS, 3);
         assertTrue(more.perS < 1.15 * over.perS, "goes on growing");
-        assertTrue(over.firstTokMs > 10 * calm.firstTokMs, "no knee");
+        assertTrue(over.firstTokenMs > 10 * calm.firstTokenMs, "no knee");
     }
 
     @Test
@@ -328,9 +333,9 @@
 
     @Test
     void smallerChunksMakeTokensSteadierAndFirstOnesLater() {
-        Load large = load(SILICON.withBatchToks(8192), 8, 8000, 60, 1000, 4);
-        Load small = load(SILICON.withBatchToks(256), 8, 8000, 60, 1000, 4);
+        Load large = load(SILICON.withBatchTokens(8192), 8, 8000, 60, 1000, 4);
+        Load small = load(SILICON.withBatchTokens(256), 8, 8000, 60, 1000, 4);
         System.out.println("chunks of 8192 and 256 (simulated): " + large + "\n" + small);
-        assertTrue(small.firstTokMs > large.firstTokMs);
+        assertTrue(small.firstTokenMs > large.firstTokenMs);
     }
 }
--- a/src/test/java/larchridge/lease/LeaseClientTest.java
+++ b/src/test/java/larchridge/lease/LeaseClientTest.java
@@ -51,9 +51,10 @@
                     boolean all = true;
                     for (int i = 0; i < times; i++) {
                         all &=
-                                link.ask(
+                                link.request(
                                         new QuotaRequest("t", 100, 0),
-                                        (toks, back) -> told.add((int) toks + " " + (int) back));
+                                        (tokens, back) ->
+                                                told.add((int) tokens + " " + (int) back));
                     }
                     taken.complete(all);
                 });
--- a/src/test/java/larchridge/ledger/LedgerTest.java
+++ b/src/test/java/larchridge/ledger/LedgerTest.java
@@ -155,7 +155,7 @@
             assertTrue(ledger.offer(usage("a", 10), () -> told.complete(null)));
             told.get(5, java.util.concurrent.TimeUnit.SECONDS);
             try (Ledger copy = Ledger.look(killed("copy"))) {
-                assertEquals(10, sum(copy).outToks());
+                assertEquals(10, sum(copy).outTokens());
             }
         }
     }
--- a/src/test/java/larchridge/messages/MessagesReaderTest.java
+++ b/src/test/java/larchridge/messages/MessagesReaderTest.java
@@ -92,7 +92,7 @@
         assertEquals(first.talkNow(), second.talkBefore());
         assertEquals(first.opening(), second.opening());
         assertEquals(first.prefix(), second.prefix());
-        assertTrue(first.sharedToks() > 0 && first.sharedToks() < first.promptToks());
+        assertTrue(first.sharedTokens() > 0 && first.sharedTokens() < first.promptTokens());
     }
 
     @Test
--- a/src/test/java/larchridge/node/upstream/ConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/ConnectionTest.java
@@ -48,9 +48,9 @@
     private boolean connects = true;
     private final ForwardingUpstreamClient link =
             new ForwardingUpstreamClient(
-                    time.ground(0, 1),
+                    time.schedulerOf(0, 1),
                     new UpstreamLimits(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of()),
-                    (spot, handlers) -> {
+                    (endpoint, handlers) -> {
                         EmbeddedChannel engine = new EmbeddedChannel(handlers);
                         opened.add(engine);
                         ChannelPromise promise = engine.newPromise();
@@ -64,32 +64,33 @@
         private int reads;
 
         @Override
-        public void read(StateHandle state, int keptToks, int promptToks, LoadReport report) {
+        public void readCompleted(
+                StateHandle state, int keptTokens, int promptTokens, LoadReport report) {
             reads++;
         }
 
         @Override
-        public void begun() {
+        public void responseStarted() {
             throw new AssertionError("a read begins no answer");
         }
 
         @Override
-        public void piece(String text) {
+        public void textReceived(String text) {
             throw new AssertionError("a read brings no piece");
         }
 
         @Override
-        public void soFar() {
+        public void batchCompleted() {
             return;
         }
 
         @Override
-        public void ended(AttemptOutcome outcome, LoadReport report, Completion ending) {
+        public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion ending) {
             outcomes.add(outcome);
         }
     }
 
-    private UpstreamClient.Flight read(String id, boolean stillMay, Heard heard) {
+    private UpstreamClient.AttemptHandle read(String id, boolean stillMay, Heard heard) {
         ForwardedRequest passage =
                 new ForwardedRequest(
                         "POST",
@@ -150,7 +151,7 @@
     void connectionThatComesUpForAnAttemptThatWasCalledOffIsNotWrittenTo() {
         connects = false;
         Heard heard = new Heard();
-        UpstreamClient.Flight flight = read("9b1f03aa5c7e2d41", true, heard);
+        UpstreamClient.AttemptHandle flight = read("9b1f03aa5c7e2d41", true, heard);
         flight.cancel();
         connecting.get(0).trySuccess();
         run(10);
@@ -161,7 +162,7 @@
     @Test
     void lateAnswerOfAnAttemptThatWasCalledOffEndsNoOther() {
         Heard first = new Heard();
-        UpstreamClient.Flight flight = read("9b1f03aa5c7e2d41", true, first);
+        UpstreamClient.AttemptHandle flight = read("9b1f03aa5c7e2d41", true, first);
         assertTrue(sent(opened.get(0)).startsWith("POST "));
         flight.cancel();
         Heard second = new Heard();
--- a/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
+++ b/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
@@ -34,11 +34,11 @@
     @Test
     void withoutTheEnginesWordNothingProvesThatItNeverRan() {
         for (int status : new int[] {503, 504, 410, 429, 404}) {
-            assertFalse(written(status, false).outcome().neverRan, "status " + status);
+            assertFalse(written(status, false).outcome().provesNotRun, "status " + status);
         }
         ForwardedAttemptClassifier noise = written(503, true);
         noise.garbled();
-        assertFalse(noise.outcome().neverRan);
+        assertFalse(noise.outcome().provesNotRun);
     }
 
     @Test
@@ -51,7 +51,7 @@
         assertEquals(AttemptOutcome.TIMED_OUT, late.outcome());
         ForwardedAttemptClassifier early = new ForwardedAttemptClassifier();
         early.called(false);
-        assertTrue(early.outcome().neverRan);
+        assertTrue(early.outcome().provesNotRun);
     }
 
     @Test
--- a/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
+++ b/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
@@ -16,8 +16,8 @@
     void figuresAreReadByTheirNames() {
         LoadReport report = loads.read("concurrent=7,x0=0.61,x1=1.5,other=4");
         assertEquals(7, report.inflight());
-        assertEquals(0.61, report.heldShare());
-        assertEquals(1500, report.toRead());
+        assertEquals(0.61, report.memoryShare());
+        assertEquals(1500, report.pendingTokens());
         assertTrue(Double.isNaN(report.queue()));
     }
 
--- a/src/test/java/larchridge/node/upstream/ReleaseTest.java
+++ b/src/test/java/larchridge/node/upstream/ReleaseTest.java
@@ -21,16 +21,16 @@
     private final List<Endpoint> tried = new ArrayList<>();
     private final ForwardingUpstreamClient link =
             new ForwardingUpstreamClient(
-                    time.ground(0, 1),
+                    time.schedulerOf(0, 1),
                     new UpstreamLimits(250, 15_000, 1000, 100, 50, List.of()),
-                    (spot, handlers) -> {
-                        tried.add(spot);
+                    (endpoint, handlers) -> {
+                        tried.add(endpoint);
                         EmbeddedChannel engine = new EmbeddedChannel(handlers);
-                        if (!up.containsKey(spot)) {
+                        if (!up.containsKey(endpoint)) {
                             // Its connection never comes up.
                             return engine.newPromise();
                         }
-                        up.put(spot, engine);
+                        up.put(endpoint, engine);
                         return engine.newSucceededFuture();
                     });
 
@@ -39,10 +39,10 @@
     }
 
     /** An engine that is asked for its load and answers. */
-    private EmbeddedChannel hears(Endpoint spot) {
-        up.put(spot, null);
-        link.probe(spot, (answered, report) -> {});
-        EmbeddedChannel engine = up.get(spot);
+    private EmbeddedChannel hears(Endpoint endpoint) {
+        up.put(endpoint, null);
+        link.probe(endpoint, (answered, report) -> {});
+        EmbeddedChannel engine = up.get(endpoint);
         engine.writeInbound(
                 Unpooled.copiedBuffer(
                         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -23,7 +23,7 @@
     private static final Endpoint OTHER = new Endpoint("10.0.0.2", 8443);
 
     private final VirtualTimeScheduler time = new VirtualTimeScheduler();
-    private final Scheduler ground = time.ground(0, 1);
+    private final Scheduler ground = time.schedulerOf(0, 1);
     private final List<Double> sentMs = new ArrayList<>();
     private ControlCallResult result = ControlCallResult.ANSWERED;
     private final StateReleaser releases =
@@ -33,13 +33,13 @@
                     new StateReleaser.Transport() {
                         @Override
                         public void release(
-                                Endpoint spot,
+                                Endpoint endpoint,
                                 String requestId,
                                 double limitMs,
                                 Consumer<ControlCallResult> told) {
                             sentMs.add(time.sinceMs());
                             ControlCallResult now = result;
-                            ground.in(
+                            ground.schedule(
                                     now == ControlCallResult.UNANSWERED ? limitMs : 1,
                                     () -> told.accept(now));
                         }
--- a/src/test/java/larchridge/planner/BatchPlannerTest.java
+++ b/src/test/java/larchridge/planner/BatchPlannerTest.java
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Danger: each blow of a storm would lower the place to which the limit comes back, and it
-     * would take minutes.
+     * Guards against: each blow of a storm would lower the place to which the limit comes back, and
+     * it would take minutes.
      */
     @Test
     void limitIsSoonBackAfterAStorm() {
@@ -88,7 +88,7 @@
         assertTrue(gap.limit(now) > 0.5 * before, gap.limit(now) + " of " + before);
     }
 
-    /** Danger: trouble that is not of its making would keep batch work out for ever. */
+    /** Guards against: trouble that is not of its making would keep batch work out for ever. */
     @Test
     void troubleWhileNothingIsOpenClosesNothing() {
         BatchConcurrencyLimiter gap = new BatchConcurrencyLimiter(100);
@@ -160,8 +160,8 @@
     }
 
     /**
-     * Danger: who had nothing to do would come back with a claim on all that it did not use, and
-     * starve the others.
+     * Guards against: who had nothing to do would come back with a claim on all that it did not
+     * use, and starve the others.
      */
     @Test
     void tenantThatComesLaterHasNoClaimOnThePast() {
--- a/src/test/java/larchridge/policy/IdempotencyRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -19,8 +19,8 @@
 
     private final Engine engine = new Engine(1);
 
-    private Attempt attempt(Generation gen, double sentMs) {
-        Attempt attempt = new Attempt(gen, engine, false, sentMs, 10, 0);
+    private Attempt attempt(Generation generation, double sentMs) {
+        Attempt attempt = new Attempt(generation, engine, false, sentMs, 10, 0);
         attempt.open();
         return attempt;
     }
@@ -28,7 +28,7 @@
     private Generation cutOnce(Effect effect) {
         TrafficClass product =
                 new TrafficClass("p", effect, DeduplicationScope.ALL, WINDOW_MS, 1, 0, 1000, 0, 60);
-        Generation gen =
+        Generation generation =
                 new Generation(
                         "g",
                         product,
@@ -42,18 +42,18 @@
                         false,
                         SENT_MS,
                         SENT_MS + 9000);
-        Attempt first = attempt(gen, SENT_MS);
+        Attempt first = attempt(generation, SENT_MS);
         first.outcome = AttemptOutcome.CUT;
         first.close();
-        return gen;
+        return generation;
     }
 
     /** Its connection came up so late that engines have forgotten the first attempt by then. */
     @Test
     void repeatDecidedInsideTheWindowIsNotWrittenAfterIt() {
-        Generation gen = cutOnce(Effect.DEDUPLICATED);
-        assertTrue(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 790, false));
-        Attempt again = attempt(gen, SENT_MS + 790);
+        Generation generation = cutOnce(Effect.DEDUPLICATED);
+        assertTrue(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 790, false));
+        Attempt again = attempt(generation, SENT_MS + 790);
         assertTrue(IdempotencyRule.mayWrite(again, SENT_MS + 800, false));
         assertFalse(IdempotencyRule.mayWrite(again, SENT_MS + 1040, false));
     }
@@ -61,8 +61,9 @@
     /** Between reading the clock and writing a process may be held up for 0.15 s. */
     @Test
     void shortWindowLeavesRoomForAProcessThatIsHeldUp() {
-        Generation gen = cutOnce(Effect.DEDUPLICATED);
-        assertFalse(IdempotencyRule.mayWrite(attempt(gen, SENT_MS + 860), SENT_MS + 860, false));
+        Generation generation = cutOnce(Effect.DEDUPLICATED);
+        assertFalse(
+                IdempotencyRule.mayWrite(attempt(generation, SENT_MS + 860), SENT_MS + 860, false));
         TrafficClass brief =
                 new TrafficClass(
                         "b", Effect.DEDUPLICATED, DeduplicationScope.ALL, 400, 1, 0, 1000, 0, 60);
@@ -83,22 +84,22 @@
         Attempt first = attempt(other, SENT_MS);
         first.outcome = AttemptOutcome.CUT;
         first.close();
-        assertTrue(IdempotencyRule.mayDecide(other, engine, SENT_MS + 240, false));
-        assertFalse(IdempotencyRule.mayDecide(other, engine, SENT_MS + 260, false));
+        assertTrue(IdempotencyRule.mayAttempt(other, engine, SENT_MS + 240, false));
+        assertFalse(IdempotencyRule.mayAttempt(other, engine, SENT_MS + 260, false));
     }
 
     @Test
     void whatMayHaveHadAnEffectIsNeverRepeated() {
-        Generation gen = cutOnce(Effect.SIDE_EFFECTING);
-        assertFalse(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 1, true));
-        assertFalse(IdempotencyRule.mayWrite(attempt(gen, SENT_MS + 1), SENT_MS + 1, true));
+        Generation generation = cutOnce(Effect.SIDE_EFFECTING);
+        assertFalse(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 1, true));
+        assertFalse(IdempotencyRule.mayWrite(attempt(generation, SENT_MS + 1), SENT_MS + 1, true));
     }
 
     @Test
     void copiesOfAnIdempotentOneGoOnlyWhereTheyAreAllowed() {
-        Generation gen = cutOnce(Effect.IDEMPOTENT);
-        attempt(gen, SENT_MS + 1);
-        assertTrue(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 2, true));
-        assertFalse(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 2, false));
+        Generation generation = cutOnce(Effect.IDEMPOTENT);
+        attempt(generation, SENT_MS + 1);
+        assertTrue(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 2, true));
+        assertFalse(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 2, false));
     }
 }
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -26,17 +26,17 @@
     RoutingPolicy choice;
 
     RoutingPolicyFixture() {
-        terms.fronts = 2;
+        terms.routers = 2;
         terms.zone = "z";
         terms.maxAttempts = 5;
-        terms.mayCancel = true;
-        terms.mayProbe = true;
-        terms.maySendCopies = true;
+        terms.cancellationAllowed = true;
+        terms.probesAllowed = true;
+        terms.hedgingAllowed = true;
         terms.reportsWithAnswers = true;
-        terms.coldShare = 0.3;
-        terms.coldMs = 10_000;
-        terms.tipMultiple = 2.5;
-        terms.tipMs = 1000;
+        terms.slowStartShare = 0.3;
+        terms.slowStartMs = 10_000;
+        terms.overloadMultiple = 2.5;
+        terms.overloadMs = 1000;
     }
 
     RoutingPolicy start() {
@@ -60,7 +60,7 @@
                             EndpointState.READY,
                             0));
         }
-        choice.listed(list, true);
+        choice.endpointsChanged(list, true);
         return fleet;
     }
 
@@ -72,14 +72,14 @@
         return gen(label, product(Effect.IDEMPOTENT, DeduplicationScope.ALL), null, 1000);
     }
 
-    Generation gen(String label, TrafficClass product, CachedPrefix session, int promptToks) {
+    Generation gen(String label, TrafficClass product, CachedPrefix session, int promptTokens) {
         return new Generation(
                 label,
                 product,
                 null,
                 session,
                 null,
-                promptToks,
+                promptTokens,
                 0,
                 200,
                 Double.NaN,
@@ -97,48 +97,48 @@
     }
 
     @Override
-    public double now() {
+    public double nowMs() {
         return now;
     }
 
     @Override
     public void send(Attempt attempt) {
         sent.add(attempt);
-        said.add("send " + attempt.gen.label + " " + attempt.engine.label);
+        said.add("send " + attempt.generation.id + " " + attempt.engine.label);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        said.add("cancel " + attempt.gen.label + " " + attempt.number);
+        said.add("cancel " + attempt.generation.id + " " + attempt.number);
     }
 
     @Override
-    public void release(Generation gen) {
-        said.add("release " + gen.label);
+    public void releaseState(Generation generation) {
+        said.add("release " + generation.id);
     }
 
     @Override
-    public void throttle(Generation gen, double comeBackMs) {
-        said.add("throttle " + gen.label);
+    public void reject(Generation generation, double comeBackMs) {
+        said.add("throttle " + generation.id);
     }
 
     @Override
-    public void terminate(Generation gen) {
-        said.add("terminate " + gen.label);
+    public void fail(Generation generation) {
+        said.add("terminate " + generation.id);
     }
 
     @Override
-    public void probe(Engine engine) {
+    public void probeLoad(Engine engine) {
         said.add("probe " + engine.label);
     }
 
     @Override
-    public void wake(double atMs) {
+    public void wakeAt(double atMs) {
         wakes++;
     }
 
     @Override
-    public void followList() {
+    public void watchEndpoints() {
         said.add("follow");
     }
 
--- a/src/test/java/larchridge/policy/RoutingPolicyTest.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyTest.java
@@ -28,8 +28,8 @@
     @Test
     void takesTheReaderWithFewestTokens() {
         Engine[] fleet = stage.fleet(2, 1);
-        fleet[0].unreadToks = 900;
-        choice.arrived(stage.gen("a"));
+        fleet[0].unreadTokens = 900;
+        choice.requestArrived(stage.gen("a"));
         assertSame(fleet[1], stage.last().engine);
     }
 
@@ -37,8 +37,8 @@
     void prefersTheLastReaderOfTheSession() {
         Engine[] fleet = stage.fleet(3, 1);
         CachedPrefix session = new CachedPrefix("s");
-        session.sentTo(fleet[2], 500, stage.now);
-        choice.arrived(
+        session.recordSent(fleet[2], 500, stage.now);
+        choice.requestArrived(
                 stage.gen(
                         "a",
                         RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
@@ -50,19 +50,19 @@
     @Test
     void picksTheWriterOnlyWhenTheReadEnds() {
         Engine[] fleet = stage.fleet(1, 2);
-        choice.arrived(stage.gen("a"));
+        choice.requestArrived(stage.gen("a"));
         fleet[1].streams = 3;
-        choice.readDone(stage.last(), 0, null, false);
+        choice.readCompleted(stage.last(), 0, null, false);
         assertSame(fleet[2], stage.last().engine);
     }
 
     @Test
     void readThatEndsAfterItsGenerationLeavesNothingPinned() {
         stage.fleet(1, 1);
-        Generation gen = stage.gen("a");
-        choice.arrived(gen);
-        choice.departed(gen);
-        choice.readDone(stage.last(), 0, null, true);
+        Generation generation = stage.gen("a");
+        choice.requestArrived(generation);
+        choice.clientDisconnected(generation);
+        choice.readCompleted(stage.last(), 0, null, true);
         assertTrue(stage.heardOf("release a"));
         assertEquals(1, stage.sent.size());
     }
@@ -70,15 +70,15 @@
     @Test
     void sideEffectingRunsNoSecondTime() {
         stage.fleet(1, 2);
-        choice.arrived(
+        choice.requestArrived(
                 stage.gen(
                         "a",
                         RoutingPolicyFixture.product(Effect.SIDE_EFFECTING, DeduplicationScope.ALL),
                         null,
                         1000));
-        choice.readDone(stage.last(), 0, null, false);
+        choice.readCompleted(stage.last(), 0, null, false);
         Attempt write = stage.last();
-        choice.ended(write, AttemptOutcome.CUT, null, false);
+        choice.attemptEnded(write, AttemptOutcome.CUT, null, false);
         assertSame(write, stage.last());
         assertTrue(stage.heardOf("terminate a"));
         assertFalse(stage.heardOf("throttle"));
@@ -87,17 +87,17 @@
     @Test
     void sendsNothingToAnEngineThatDrains() {
         Engine[] fleet = stage.fleet(2, 1);
-        choice.listed(
+        choice.endpointsChanged(
                 List.of(stage.listing(fleet[0], Role.READER, EndpointState.DRAINING, 0)), false);
-        choice.arrived(stage.gen("a"));
-        choice.arrived(stage.gen("b"));
+        choice.requestArrived(stage.gen("a"));
+        choice.requestArrived(stage.gen("b"));
         assertTrue(stage.sent.stream().allMatch(attempt -> attempt.engine == fleet[1]));
         assertEquals(2, stage.sent.size());
     }
 
     @Test
     void manyFrontsTogetherKeepToTheBudgetOfAColdEngine() {
-        stage.terms.fronts = 150;
+        stage.terms.routers = 150;
         int attempts = 0;
         for (int front = 0; front < 150; front++) {
             stage.terms.seed = front;
@@ -105,20 +105,20 @@
             Engine[] fleet = stage.fleet(3, 1);
             for (int i = 0; i < 30; i++) {
                 stage.now += 1000;
-                stage.choice.readDone(
+                stage.choice.readCompleted(
                         new Attempt(stage.gen("w"), fleet[i % 2], true, stage.now, 9, 9),
                         0,
                         null,
                         true);
             }
-            stage.choice.listed(
+            stage.choice.endpointsChanged(
                     List.of(
                             stage.listing(
                                     fleet[2], Role.READER, EndpointState.READY, stage.now - 500)),
                     false);
             for (int i = 0; i < 4; i++) {
                 stage.now += 1000;
-                stage.choice.arrived(stage.gen("g" + i));
+                stage.choice.requestArrived(stage.gen("g" + i));
             }
             attempts += fleet[2].attempts.size();
         }
@@ -134,13 +134,13 @@
         int fronts = 120;
         int[] answers = new int[4];
         for (int front = 0; front < fronts; front++) {
-            stage.terms.fronts = fronts;
+            stage.terms.routers = fronts;
             stage.terms.seed = front;
-            stage.terms.mayProbe = false;
+            stage.terms.probesAllowed = false;
             stage.start();
             Engine[] fleet = stage.fleet(1, answers.length);
-            stage.choice.arrived(stage.gen("g"));
-            stage.choice.readDone(stage.last(), 0, null, false);
+            stage.choice.requestArrived(stage.gen("g"));
+            stage.choice.readCompleted(stage.last(), 0, null, false);
             for (int i = 0; i < answers.length; i++) {
                 answers[i] += stage.last().engine == fleet[1 + i] ? 1 : 0;
             }
@@ -155,23 +155,23 @@
     @Test
     void finalAnswerComesBeforeTheTimeLimit() {
         stage.fleet(1, 1);
-        Generation gen = stage.gen("a");
-        choice.arrived(gen);
-        stage.now = gen.limitMs - 1;
-        choice.woken();
-        assertTrue(gen.over);
+        Generation generation = stage.gen("a");
+        choice.requestArrived(generation);
+        stage.now = generation.deadlineMs - 1;
+        choice.wakeUp();
+        assertTrue(generation.finished);
         assertTrue(stage.heardOf("throttle a"));
     }
 
     @Test
     void stateOfAReaderThatLeftIsReleasedBeforeItIsReadAnew() {
         Engine[] fleet = stage.fleet(2, 1);
-        Generation gen = stage.gen("a");
-        choice.arrived(gen);
+        Generation generation = stage.gen("a");
+        choice.requestArrived(generation);
         Attempt read = stage.last();
-        choice.listed(
-                List.of(stage.listing(read.engine, Role.READER, EndpointState.GONE, 0)), false);
-        choice.readDone(read, 0, null, false);
+        choice.endpointsChanged(
+                List.of(stage.listing(read.engine, Role.READER, EndpointState.REMOVED, 0)), false);
+        choice.readCompleted(read, 0, null, false);
         assertTrue(stage.heardOf("release a"));
         assertSame(read.engine == fleet[0] ? fleet[1] : fleet[0], stage.last().engine);
     }
@@ -179,30 +179,30 @@
     @Test
     void longPromptAtAnIdleReaderIsNotOverdue() {
         stage.fleet(2, 1);
-        choice.arrived(
+        choice.requestArrived(
                 stage.gen(
                         "a",
                         RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
                         null,
                         20_000));
         stage.now += 1500;
-        choice.woken();
+        choice.wakeUp();
         assertFalse(stage.heardOf("cancel"));
     }
 
     @Test
     void whatCanNoLongerMakeItsSloTimeIsGivenUpFromTheWait() {
         Engine[] fleet = stage.fleet(1, 1);
-        choice.arrived(
+        choice.requestArrived(
                 stage.gen(
                         "big",
                         RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
                         null,
                         20_000));
-        Generation gen = stage.gen("a");
-        choice.arrived(gen);
+        Generation generation = stage.gen("a");
+        choice.requestArrived(generation);
         stage.now += 1000;
-        choice.woken();
+        choice.wakeUp();
         assertTrue(stage.heardOf("throttle a"));
         assertEquals(1, fleet[0].attempts.size());
     }
@@ -210,14 +210,14 @@
     @Test
     void revenueGoesFirstWhenReadersAreShort() {
         stage.fleet(1, 1);
-        choice.arrived(
+        choice.requestArrived(
                 stage.gen(
                         "big",
                         RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
                         null,
                         11_000));
         Attempt big = stage.last();
-        choice.arrived(stage.gen("cheap"));
+        choice.requestArrived(stage.gen("cheap"));
         TrafficClass dear =
                 new TrafficClass(
                         "d",
@@ -229,33 +229,33 @@
                         1000,
                         0.04,
                         60);
-        choice.arrived(stage.gen("dear", dear, null, 8_000));
+        choice.requestArrived(stage.gen("dear", dear, null, 8_000));
         stage.now += 300;
-        choice.readDone(big, 0, null, false);
-        assertEquals("dear", stage.sent.get(2).gen.label);
+        choice.readCompleted(big, 0, null, false);
+        assertEquals("dear", stage.sent.get(2).generation.id);
     }
 
     @Test
     void generationThatWaitsAgainIsSentOnce() {
         Engine[] fleet = stage.fleet(1, 1);
-        choice.arrived(stage.gen("a"));
-        fleet[0].unreadToks = 50_000;
-        choice.ended(stage.last(), AttemptOutcome.FAULT, null, false);
-        choice.woken();
+        choice.requestArrived(stage.gen("a"));
+        fleet[0].unreadTokens = 50_000;
+        choice.attemptEnded(stage.last(), AttemptOutcome.FAULT, null, false);
+        choice.wakeUp();
         assertEquals(1, stage.sent.size());
-        fleet[0].unreadToks = 0;
-        choice.woken();
-        choice.woken();
+        fleet[0].unreadTokens = 0;
+        choice.wakeUp();
+        choice.wakeUp();
         assertEquals(2, stage.sent.size());
     }
 
     @Test
     void newGenerationsWaitWhileTheWritersHaveNoRoomForWhatIsRead() {
         Engine[] fleet = stage.fleet(2, 1);
-        fleet[2].othersToks = 200_000 - 4000;
+        fleet[2].othersTokens = 200_000 - 4000;
         fleet[2].reportMs = stage.now;
         for (int i = 0; i < 5; i++) {
-            choice.arrived(stage.gen("g" + i));
+            choice.requestArrived(stage.gen("g" + i));
         }
         assertEquals(3, stage.sent.size());
     }
@@ -263,7 +263,7 @@
     @Test
     void retryIsReadByShortReadersOnly() {
         Engine[] fleet = stage.fleet(1, 1);
-        fleet[0].unreadToks = 4000;
+        fleet[0].unreadTokens = 4000;
         Generation retry =
                 new Generation(
                         "r",
@@ -278,20 +278,20 @@
                         true,
                         stage.now,
                         stage.now + 5000);
-        choice.arrived(retry);
+        choice.requestArrived(retry);
         assertTrue(stage.sent.isEmpty());
-        fleet[0].unreadToks = 2000;
-        choice.woken();
-        assertSame(retry, stage.last().gen);
+        fleet[0].unreadTokens = 2000;
+        choice.wakeUp();
+        assertSame(retry, stage.last().generation);
     }
 
     @Test
     void sessionStaysWithItsReaderWhereReadingAnewTakesMore() {
         Engine[] fleet = stage.fleet(2, 1);
         CachedPrefix session = new CachedPrefix("s");
-        session.sentTo(fleet[0], 9_000, stage.now);
+        session.recordSent(fleet[0], 9_000, stage.now);
         new Attempt(stage.gen("x"), fleet[0], true, stage.now, 4_000, 4_000).open();
-        choice.arrived(
+        choice.requestArrived(
                 stage.gen(
                         "a",
                         RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
@@ -307,7 +307,7 @@
             stage.terms.seed = front;
             stage.start();
             stage.fleet(8, 2);
-            stage.choice.arrived(
+            stage.choice.requestArrived(
                     new Generation(
                             "g",
                             RoutingPolicyFixture.product(Effect.IDEMPOTENT, DeduplicationScope.ALL),
@@ -329,24 +329,24 @@
     @Test
     void stateOfALostAnswerIsReleasedAfterTheLastAttempt() {
         stage.fleet(1, 1);
-        Generation gen = stage.gen("a");
-        choice.arrived(gen);
-        choice.departed(gen);
+        Generation generation = stage.gen("a");
+        choice.requestArrived(generation);
+        choice.clientDisconnected(generation);
         stage.said.clear();
-        choice.ended(stage.last(), AttemptOutcome.CANCELLED, null, true);
+        choice.attemptEnded(stage.last(), AttemptOutcome.CANCELLED, null, true);
         assertTrue(stage.heardOf("release a"));
     }
 
     @Test
     void stateThatComesDuringAnInPlaceAttemptIsUsedWhenThatFails() {
         Engine[] fleet = stage.fleet(1, 2);
-        choice.arrived(stage.gen("a"));
+        choice.requestArrived(stage.gen("a"));
         Attempt read = stage.last();
-        Attempt inPlace = new Attempt(read.gen, fleet[1], false, stage.now, 1100, 1000);
+        Attempt inPlace = new Attempt(read.generation, fleet[1], false, stage.now, 1100, 1000);
         inPlace.open();
-        choice.readDone(read, 0, null, false);
+        choice.readCompleted(read, 0, null, false);
         assertFalse(stage.heardOf("release"));
-        choice.ended(inPlace, AttemptOutcome.FAULT, null, false);
+        choice.attemptEnded(inPlace, AttemptOutcome.FAULT, null, false);
         assertEquals(2, stage.sent.size());
         assertSame(Role.WRITER, stage.last().engine.role);
     }
@@ -356,11 +356,11 @@
         Engine[] fleet = stage.fleet(1, 2);
         fleet[1].role = Role.BOTH;
         fleet[2].streams = 20;
-        fleet[0].unreadToks = 50_000;
-        choice.arrived(stage.gen("a"));
+        fleet[0].unreadTokens = 50_000;
+        choice.requestArrived(stage.gen("a"));
         assertSame(fleet[1], stage.last().engine);
         fleet[1].streams = 20;
-        choice.arrived(stage.gen("b"));
+        choice.requestArrived(stage.gen("b"));
         assertEquals(1, stage.sent.size());
     }
 
@@ -369,29 +369,29 @@
         stage.terms.reportsWithProbes = true;
         RoutingPolicy asking = stage.start();
         stage.fleet(4, 10);
-        asking.arrived(stage.gen("a"));
+        asking.requestArrived(stage.gen("a"));
         for (int i = 0; i < 15; i++) {
             stage.now += 20;
-            asking.woken();
+            asking.wakeUp();
         }
         assertEquals(3, stage.said.stream().filter(line -> line.startsWith("probe")).count());
     }
 
     @Test
     void oneOwnSendDoesNotOutweighAReportWhereFrontsAreMany() {
-        stage.terms.fronts = 150;
+        stage.terms.routers = 150;
         RoutingPolicy one = stage.start();
         Engine[] fleet = stage.fleet(1, 3);
-        one.arrived(stage.gen("a"));
-        one.readDone(stage.last(), 0, new LoadReport(0, 0, 0, 0), false);
+        one.requestArrived(stage.gen("a"));
+        one.readCompleted(stage.last(), 0, new LoadReport(0, 0, 0, 0), false);
         Engine first = stage.last().engine;
         for (int i = 1; i <= 3; i++) {
             fleet[i].reportMs = stage.now;
             fleet[i].othersStreams = fleet[i] == first ? 4 : 30;
-            fleet[i].othersToks = 1000 * fleet[i].othersStreams;
+            fleet[i].othersTokens = 1000 * fleet[i].othersStreams;
         }
-        one.arrived(stage.gen("b"));
-        one.readDone(stage.last(), 0, null, false);
+        one.requestArrived(stage.gen("b"));
+        one.readCompleted(stage.last(), 0, null, false);
         assertSame(first, stage.last().engine);
     }
 
@@ -399,23 +399,23 @@
     void prefixCountsAsKeptAtEveryReaderItWentTo() {
         Engine[] fleet = stage.fleet(2, 1);
         CachedPrefix text = new CachedPrefix("t");
-        text.sentTo(fleet[0], 900, 1);
-        text.sentTo(fleet[1], 900, 2);
-        assertEquals(900, text.toksAt(fleet[0]));
-        assertSame(fleet[1], text.keeper());
+        text.recordSent(fleet[0], 900, 1);
+        text.recordSent(fleet[1], 900, 2);
+        assertEquals(900, text.tokensAt(fleet[0]));
+        assertSame(fleet[1], text.lastReader());
     }
 
     @Test
     void readAtASilentEngineGetsASecondBesideIt() {
         Engine[] fleet = stage.fleet(2, 1);
-        choice.arrived(stage.gen("a"));
+        choice.requestArrived(stage.gen("a"));
         Attempt silent = stage.last();
         silent.engine.heardMs = stage.now + 100;
         stage.now += 400;
-        choice.woken();
+        choice.wakeUp();
         assertSame(silent, stage.last());
         stage.now += 400;
-        choice.woken();
+        choice.wakeUp();
         assertFalse(stage.heardOf("cancel a"));
         assertSame(silent.engine == fleet[0] ? fleet[1] : fleet[0], stage.last().engine);
     }
@@ -423,19 +423,19 @@
     @Test
     void deduplicatedRunsAgainOnlyWithinItsGroup() {
         Engine[] fleet = stage.fleet(1, 2);
-        choice.arrived(
+        choice.requestArrived(
                 stage.gen(
                         "a",
                         RoutingPolicyFixture.product(Effect.DEDUPLICATED, DeduplicationScope.RACK),
                         null,
                         1000));
-        choice.readDone(stage.last(), 0, null, false);
+        choice.readCompleted(stage.last(), 0, null, false);
         Attempt write = stage.last();
         (write.engine == fleet[1] ? fleet[2] : fleet[1]).rack = 7;
         write.engine.rack = 3;
-        while (stage.last().out) {
+        while (stage.last().inFlight) {
             assertSame(write.engine, stage.last().engine);
-            choice.ended(stage.last(), AttemptOutcome.CUT, null, false);
+            choice.attemptEnded(stage.last(), AttemptOutcome.CUT, null, false);
         }
         assertTrue(stage.heardOf("terminate a"));
     }
@@ -444,8 +444,9 @@
     void restartedEngineIsForgottenAlsoAfterItLeftTheList() {
         Engine[] fleet = stage.fleet(1, 1);
         fleet[0].suspectUntilMs = stage.now + 60_000;
-        choice.listed(List.of(stage.listing(fleet[0], Role.READER, EndpointState.GONE, 0)), false);
-        choice.listed(
+        choice.endpointsChanged(
+                List.of(stage.listing(fleet[0], Role.READER, EndpointState.REMOVED, 0)), false);
+        choice.endpointsChanged(
                 List.of(stage.listing(fleet[0], Role.READER, EndpointState.READY, stage.now - 1)),
                 false);
         assertEquals(0, fleet[0].suspectUntilMs);
@@ -453,43 +454,43 @@
 
     @Test
     void listIsAskedForAgainAfterAFailureOnly() {
-        stage.terms.listIsAsked = true;
+        stage.terms.endpointListPolled = true;
         RoutingPolicy asking = stage.start();
         stage.now += 20_000;
-        asking.woken();
+        asking.wakeUp();
         assertEquals(1, stage.said.stream().filter("follow"::equals).count());
-        asking.listFailed();
+        asking.endpointWatchFailed();
         stage.now += 1001;
-        asking.woken();
+        asking.wakeUp();
         assertEquals(2, stage.said.stream().filter("follow"::equals).count());
     }
 
     @Test
     void answerStaysAtASilentWriterWhileNoOtherHasRoom() {
         Engine[] fleet = stage.fleet(1, 2);
-        choice.arrived(stage.gen("a"));
-        choice.readDone(stage.last(), 0, null, false);
+        choice.requestArrived(stage.gen("a"));
+        choice.readCompleted(stage.last(), 0, null, false);
         Attempt write = stage.last();
-        fleet[1].othersToks = 200_000;
-        fleet[2].othersToks = 200_000;
+        fleet[1].othersTokens = 200_000;
+        fleet[2].othersTokens = 200_000;
         fleet[1].reportMs = stage.now + 1500;
         fleet[2].reportMs = stage.now + 1500;
         stage.now += 1500;
-        choice.woken();
+        choice.wakeUp();
         assertSame(write, stage.last());
-        (write.engine == fleet[1] ? fleet[2] : fleet[1]).othersToks = 0;
-        choice.woken();
+        (write.engine == fleet[1] ? fleet[2] : fleet[1]).othersTokens = 0;
+        choice.wakeUp();
         assertEquals(3, stage.sent.size());
     }
 
     @Test
     void othersPromptsCountWhileTheirReportIsFresh() {
         Engine[] fleet = stage.fleet(2, 1);
-        fleet[0].othersUnreadToks = 5000;
+        fleet[0].othersUnreadTokens = 5000;
         fleet[0].reportMs = stage.now;
         fleet[0].heardMs = stage.now;
-        fleet[1].unreadToks = 800;
-        choice.arrived(stage.gen("a"));
+        fleet[1].unreadTokens = 800;
+        choice.requestArrived(stage.gen("a"));
         assertSame(fleet[1], stage.last().engine);
     }
 
@@ -497,33 +498,34 @@
     void frontThatSawSlowBeginningsTriesAgainWhenTheyAreLongPast() {
         stage.fleet(1, 1);
         for (int i = 0; i < 200; i++) {
-            choice.arrived(stage.gen("slow" + i));
+            choice.requestArrived(stage.gen("slow" + i));
             Attempt read = stage.last();
-            choice.readDone(read, 0, null, false);
+            choice.readCompleted(read, 0, null, false);
             Attempt write = stage.last();
             stage.now += 3000;
-            choice.begun(write);
-            choice.ended(write, AttemptOutcome.STREAMED, null, true);
+            choice.responseStarted(write);
+            choice.attemptEnded(write, AttemptOutcome.STREAMED, null, true);
         }
         stage.now += 20_000;
         int sent = stage.sent.size();
-        choice.arrived(stage.gen("a"));
-        choice.woken();
+        choice.requestArrived(stage.gen("a"));
+        choice.wakeUp();
         assertEquals(sent + 1, stage.sent.size());
     }
 
     @Test
     void thousandsThatWaitAreNotAllTriedWheneverOneEnds() {
         Engine[] fleet = stage.fleet(1, 1);
-        fleet[0].unreadToks = 50_000;
+        fleet[0].unreadTokens = 50_000;
         List<Generation> gens = new java.util.ArrayList<>();
         for (int i = 0; i < 500; i++) {
             gens.add(stage.gen("g" + i));
-            choice.arrived(gens.get(i));
+            choice.requestArrived(gens.get(i));
         }
-        gens.forEach(gen -> gen.leastReadToks = -1);
-        choice.woken();
-        assertEquals(100, gens.stream().filter(gen -> gen.leastReadToks >= 0).count());
+        gens.forEach(generation -> generation.leastReadTokens = -1);
+        choice.wakeUp();
+        assertEquals(
+                100, gens.stream().filter(generation -> generation.leastReadTokens >= 0).count());
     }
 
     @Test
@@ -532,15 +534,15 @@
         RoutingPolicy choice = stage.start();
         Engine[] fleet = stage.fleet(2, 0);
         for (int i = 0; i < 3; i++) {
-            choice.arrived(stage.gen("g" + i));
-            while (stage.last().out && stage.last().engine == fleet[0]) {
-                choice.ended(stage.last(), AttemptOutcome.FAULT, null, false);
-                choice.probed(fleet[0], true, null);
+            choice.requestArrived(stage.gen("g" + i));
+            while (stage.last().inFlight && stage.last().engine == fleet[0]) {
+                choice.attemptEnded(stage.last(), AttemptOutcome.FAULT, null, false);
+                choice.loadProbed(fleet[0], true, null);
             }
             stage.now += 10;
         }
         int before = stage.sent.size();
-        choice.arrived(stage.gen("last"));
+        choice.requestArrived(stage.gen("last"));
         assertEquals(before + 1, stage.sent.size());
         assertEquals(fleet[1], stage.last().engine);
         assertTrue(stage.sent.stream().filter(attempt -> attempt.engine == fleet[0]).count() <= 2);
@@ -553,7 +555,7 @@
         Engine reader = new Engine(1);
         Engine near = new Engine(2);
         Engine far = new Engine(3);
-        choice.listed(
+        choice.endpointsChanged(
                 List.of(
                         new EndpointUpdate(
                                 reader, EndpointState.READY, 0, 1, "z", 0, Role.READER, 200_000),
@@ -564,21 +566,21 @@
                 true);
         // The near one holds more than Z, so that answers go out of the rack.
         for (int i = 0; i < 4; i++) {
-            Generation gen = stage.gen("near" + i);
-            new Attempt(gen, near, false, stage.now, 2000, 0).open();
+            Generation generation = stage.gen("near" + i);
+            new Attempt(generation, near, false, stage.now, 2000, 0).open();
         }
-        choice.arrived(stage.gen("first"));
-        choice.readDone(stage.last(), 0, null, false);
+        choice.requestArrived(stage.gen("first"));
+        choice.readCompleted(stage.last(), 0, null, false);
         assertEquals(far, stage.last().engine);
         stage.now += 500;
-        choice.woken();
-        choice.arrived(stage.gen("second"));
-        choice.readDone(stage.last(), 0, null, false);
+        choice.wakeUp();
+        choice.requestArrived(stage.gen("second"));
+        choice.readCompleted(stage.last(), 0, null, false);
         assertEquals(near, stage.last().engine);
         // Some seconds without any late one, and they go out again.
         stage.now += 5000;
-        choice.arrived(stage.gen("third"));
-        choice.readDone(stage.last(), 0, null, false);
+        choice.requestArrived(stage.gen("third"));
+        choice.readCompleted(stage.last(), 0, null, false);
         assertEquals(far, stage.last().engine);
     }
 
@@ -587,11 +589,11 @@
         RoutingPolicyFixture stage = new RoutingPolicyFixture();
         RoutingPolicy choice = stage.start();
         Engine[] fleet = stage.fleet(2, 0);
-        choice.arrived(stage.gen("a"));
-        choice.ended(stage.last(), AttemptOutcome.CUT, null, false);
+        choice.requestArrived(stage.gen("a"));
+        choice.attemptEnded(stage.last(), AttemptOutcome.CUT, null, false);
         assertEquals(0, fleet[0].suspectUntilMs);
-        while (stage.last().out && stage.last().engine == fleet[0]) {
-            choice.ended(stage.last(), AttemptOutcome.CUT, null, false);
+        while (stage.last().inFlight && stage.last().engine == fleet[0]) {
+            choice.attemptEnded(stage.last(), AttemptOutcome.CUT, null, false);
         }
         assertEquals(fleet[1], stage.last().engine);
         assertTrue(fleet[0].suspectUntilMs > stage.now);
@@ -602,8 +604,8 @@
         RoutingPolicyFixture stage = new RoutingPolicyFixture();
         RoutingPolicy choice = stage.start();
         Engine[] fleet = stage.fleet(2, 0);
-        choice.arrived(stage.gen("a"));
-        choice.ended(stage.last(), AttemptOutcome.FULL, null, false);
+        choice.requestArrived(stage.gen("a"));
+        choice.attemptEnded(stage.last(), AttemptOutcome.FULL, null, false);
         assertEquals(2, stage.sent.size());
         assertEquals(fleet[1], stage.last().engine);
     }
@@ -614,18 +616,18 @@
     @Test
     void answerWhoseStateWasReleasedBesideItStaysUntilItsPromptIsReadAnew() {
         stage.fleet(2, 2);
-        Generation gen = stage.gen("a");
-        choice.arrived(gen);
-        choice.readDone(stage.last(), 0, null, false);
+        Generation generation = stage.gen("a");
+        choice.requestArrived(generation);
+        choice.readCompleted(stage.last(), 0, null, false);
         Attempt waits = stage.last();
         choice.stateReleased(waits);
-        waits.patienceMs = 100;
-        stage.now += waits.patienceMs + 1;
-        choice.woken();
+        waits.silenceTimeoutMs = 100;
+        stage.now += waits.silenceTimeoutMs + 1;
+        choice.wakeUp();
         Attempt again = stage.last();
         assertTrue(again.read, "the prompt is read anew before the answer moves");
         assertFalse(stage.heardOf("cancel a"));
-        choice.readDone(again, 0, null, false);
+        choice.readCompleted(again, 0, null, false);
         assertFalse(stage.last().read);
         assertTrue(waits.cancelled);
     }
@@ -634,10 +636,10 @@
     @Test
     void regularLookGoesOnAfterAFault() {
         stage.fleet(1, 1);
-        choice.arrived(stage.gen("a"));
+        choice.requestArrived(stage.gen("a"));
         stage.wakes = 0;
-        stage.last().gen.attempts.set(0, null);
-        assertThrows(NullPointerException.class, choice::woken);
+        stage.last().generation.attempts.set(0, null);
+        assertThrows(NullPointerException.class, choice::wakeUp);
         assertEquals(1, stage.wakes);
     }
 }
--- a/src/test/java/larchridge/router/DeadlinePolicyTest.java
+++ b/src/test/java/larchridge/router/DeadlinePolicyTest.java
@@ -20,20 +20,20 @@
     void streamWaitsAsTheProductSaysForItsFirstTokenOnly() {
         DeadlinePolicy patience =
                 DeadlinePolicy.of(offer, 200, 100, false, Double.POSITIVE_INFINITY);
-        assertEquals(5200, patience.firstTokMs);
+        assertEquals(5200, patience.firstTokenMs);
         assertTrue(Double.isInfinite(patience.wholeMs));
     }
 
     @Test
     void lessPatientClientIsAnsweredBeforeItLeaves() {
-        assertTrue(DeadlinePolicy.of(offer, 200, 100, false, 900).firstTokMs < 900);
+        assertTrue(DeadlinePolicy.of(offer, 200, 100, false, 900).firstTokenMs < 900);
     }
 
     @Test
     void wholeAnswerMustEndBeforeTheClientDoes() {
         DeadlinePolicy patience = DeadlinePolicy.of(offer, 0, 100, true, 3000);
         assertTrue(patience.wholeMs < 3000);
-        assertTrue(patience.firstTokMs <= patience.wholeMs);
+        assertTrue(patience.firstTokenMs <= patience.wholeMs);
     }
 
     @Test
--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -12,28 +12,31 @@
 
     @Test
     void oneFinalAnswerAndNoSecond() {
-        assertTrue(duty.finish(ResponseGuard.Final.TERMINATED));
-        for (ResponseGuard.Final more : ResponseGuard.Final.values()) {
+        assertTrue(duty.finish(ResponseGuard.FinalAnswer.FAILED));
+        for (ResponseGuard.FinalAnswer more : ResponseGuard.FinalAnswer.values()) {
             assertFalse(duty.finish(more));
         }
-        assertEquals(ResponseGuard.Final.TERMINATED, duty.given());
+        assertEquals(ResponseGuard.FinalAnswer.FAILED, duty.given());
     }
 
     @Test
     void nothingBeginsAfterTheFinalAnswer() {
-        duty.finish(ResponseGuard.Final.GONE);
+        duty.finish(ResponseGuard.FinalAnswer.DISCONNECTED);
         assertFalse(duty.begin());
     }
 
     @Test
     void throttledIsNoAnswerToWhatHasBegun() {
         duty.begin();
-        assertThrows(IllegalStateException.class, () -> duty.finish(ResponseGuard.Final.THROTTLED));
-        assertTrue(duty.finish(ResponseGuard.Final.STREAMED));
+        assertThrows(
+                IllegalStateException.class, () -> duty.finish(ResponseGuard.FinalAnswer.REJECTED));
+        assertTrue(duty.finish(ResponseGuard.FinalAnswer.COMPLETED));
     }
 
     @Test
     void streamedNeedsABeginning() {
-        assertThrows(IllegalStateException.class, () -> duty.finish(ResponseGuard.Final.STREAMED));
+        assertThrows(
+                IllegalStateException.class,
+                () -> duty.finish(ResponseGuard.FinalAnswer.COMPLETED));
     }
 }
--- a/src/test/java/larchridge/serve/BatchTest.java
+++ b/src/test/java/larchridge/serve/BatchTest.java
@@ -85,15 +85,15 @@
         return records;
     }
 
-    static String line(String id, String model, int toks) {
+    static String line(String id, String model, int tokens) {
         return "{\"custom_id\":\""
                 + id
                 + "\",\"method\":\"POST\",\"url\":\"/v1/chat/completions\",\"body\":{\"model\":\""
                 + model
                 + "\",\"max_tokens\":"
-                + toks
+                + tokens
                 + ",\"messages\":[{\"role\":\"user\",\"content\":\"[out:"
-                + toks
+                + tokens
                 + "] [tag:"
                 + id
                 + "#0]\"}]}}\n";
--- a/src/test/java/larchridge/serve/BillingTest.java
+++ b/src/test/java/larchridge/serve/BillingTest.java
@@ -36,10 +36,10 @@
                     town.ask(town.options(), ServiceFixture.call("free", true, 7));
             EventStreamChecker order = ServiceFixture.order(answer.body());
             UsageTotal total = bill(town);
-            assertEquals(order.outputTokens(), total.outToks());
-            assertEquals(7, total.outToks());
-            assertEquals(0, total.wastedToks());
-            assertTrue(total.promptToks() > 0);
+            assertEquals(order.outputTokens(), total.outTokens());
+            assertEquals(7, total.outTokens());
+            assertEquals(0, total.wastedTokens());
+            assertTrue(total.promptTokens() > 0);
         }
     }
 
@@ -65,7 +65,7 @@
                                         });
                             });
             UsageTotal total = bill(town);
-            assertTrue(total.outToks() >= 9 && total.outToks() < 5000, total.toString());
+            assertTrue(total.outTokens() >= 9 && total.outTokens() < 5000, total.toString());
         }
     }
 
@@ -80,7 +80,7 @@
             ServiceFixture.await(() -> town.service.written() == 3);
             UsageTotal total = bill(town);
             assertEquals(1, total.generations());
-            assertEquals(7, total.outToks());
+            assertEquals(7, total.outTokens());
         }
     }
 
@@ -177,8 +177,8 @@
             ServiceFixture.await(() -> town.service.written() == 2);
             UsageTotal total = bill(town);
             assertEquals(1, total.generations());
-            assertEquals(60, total.outToks());
-            assertTrue(total.wastedToks() > 0);
+            assertEquals(60, total.outTokens());
+            assertTrue(total.wastedTokens() > 0);
         }
     }
 
@@ -193,7 +193,7 @@
             }
             UsageTotal total = bill(town);
             assertEquals(6, total.generations());
-            assertEquals(3 * 6 + 21, total.outToks());
+            assertEquals(3 * 6 + 21, total.outTokens());
         }
     }
 }
--- a/src/test/java/larchridge/serve/CountingTest.java
+++ b/src/test/java/larchridge/serve/CountingTest.java
@@ -32,7 +32,7 @@
                 .toString();
     }
 
-    private static int toks(ServiceFixture.Answer answer) {
+    private static int tokens(ServiceFixture.Answer answer) {
         assertEquals(200, answer.status(), answer.body());
         return new JsonObject(answer.body()).getInteger("input_tokens");
     }
@@ -47,7 +47,7 @@
                 assertEquals(
                         vocabulary.count(
                                 "<|user|>\n" + text.replace('\uD83C', '?') + "\n<|assistant|>\n"),
-                        toks(answer));
+                        tokens(answer));
             }
             assertEquals(0, town.count("READ 1"));
         }
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Danger: the time in which a body is read and counted is the client's time too. */
+    /** Guards against: the time in which a body is read and counted is the client's time too. */
     @Test
     void clientWhoseTimeRanOutWhileItsBodyWasCountedGetsNoAttempt() throws Exception {
         String large = "El caudal del Nalón sube. ".repeat(300_000);
--- a/src/test/java/larchridge/serve/ServiceFixture.java
+++ b/src/test/java/larchridge/serve/ServiceFixture.java
@@ -141,8 +141,8 @@
                 : "";
     }
 
-    static String call(String model, boolean stream, int toks) {
-        return CALL.formatted(model, toks, stream, toks);
+    static String call(String model, boolean stream, int tokens) {
+        return CALL.formatted(model, tokens, stream, tokens);
     }
 
     HttpClient http2() {
--- a/src/test/java/larchridge/simulation/SimulationRunTest.java
+++ b/src/test/java/larchridge/simulation/SimulationRunTest.java
@@ -55,10 +55,11 @@
         for (EngineModel.Sums sums : day.sums()) {
             // Each prompt that came was kept, read, read again after a preemption, or left unread
             // when it was called off.
-            assertTrue(sums.promptToksRead() + sums.promptToksKept() >= 0);
+            assertTrue(sums.promptTokensRead() + sums.promptTokensKept() >= 0);
             assertTrue(
                     sums.preemptions() > 0
-                            || sums.promptToksRead() + sums.promptToksKept() <= sums.promptToksIn(),
+                            || sums.promptTokensRead() + sums.promptTokensKept()
+                                    <= sums.promptTokensIn(),
                     sums.toString());
         }
     }
--- a/src/test/java/larchridge/systemtest/FaultyRouter.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouter.java
@@ -180,9 +180,9 @@
     }
 
     private void answer(HttpServerResponse response, Buffer stream) {
-        int toks = stream.toString().split("\"text\":\"w").length - 1;
+        int tokens = stream.toString().split("\"text\":\"w").length - 1;
         StringBuilder text = new StringBuilder();
-        for (int i = 1; i <= toks; i++) {
+        for (int i = 1; i <= tokens; i++) {
             text.append('w').append(i).append(' ');
         }
         String events =
@@ -195,7 +195,7 @@
                         + event(
                                 "message_delta",
                                 "\"delta\":{\"stop_reason\":\"end_turn\"},\"usage\":{\"output_tokens\":"
-                                        + toks
+                                        + tokens
                                         + "}")
                         + event("message_stop", "\"x\":1");
         if (wrong == Wrong.ANSWERS_TWICE) {
--- a/src/test/java/larchridge/tokens/CountingPolicyTest.java
+++ b/src/test/java/larchridge/tokens/CountingPolicyTest.java
@@ -20,10 +20,10 @@
     void countsWhereThatTakesLessThanAGuessCosts(
             double countMs,
             double waitMs,
-            double toks,
+            double tokens,
             double speed,
             double sloMs,
             CountingPolicy.Way way) {
-        assertEquals(way, CountingPolicy.of(countMs, waitMs, toks, speed, sloMs));
+        assertEquals(way, CountingPolicy.of(countMs, waitMs, tokens, speed, sloMs));
     }
 }
--- a/src/test/java/larchridge/tokens/CountingTest.java
+++ b/src/test/java/larchridge/tokens/CountingTest.java
@@ -30,7 +30,7 @@
         }
 
         @Override
-        public int longestTokBytes() {
+        public int longestTokenBytes() {
             return 20;
         }
     }
@@ -54,7 +54,7 @@
         assertTrue(next.missingChars() < 2 * TextChunker.CHARS, next.missingChars() + " missing");
         next.finish(pace);
         assertTrue(vocabulary.chars - before < 2 * TextChunker.CHARS);
-        assertEquals(20_100, next.count(0.25).toks());
+        assertEquals(20_100, next.count(0.25).tokens());
     }
 
     @Test
@@ -64,10 +64,10 @@
                 new int[] {0, 1, 4096, 4097, 4102, 9000, text.length() - 1, text.length()}) {
             Counting counting = new Counting(text, mark, new Words(), new CountCache(1 << 20));
             counting.finish(pace);
-            assertEquals(3000, counting.count(0).toks());
+            assertEquals(3000, counting.count(0).tokens());
             assertEquals(
                     (int) text.substring(0, mark).chars().filter(c -> c == ' ').count(),
-                    counting.beginning(0).toks(),
+                    counting.beginning(0).tokens(),
                     "mark " + mark);
         }
     }
@@ -79,8 +79,8 @@
         TokenCount low = counting.count(0);
         TokenCount high = counting.count(99);
         assertFalse(low.exact());
-        assertEquals(15_000, low.toks());
-        assertEquals(300_000, high.toks());
+        assertEquals(15_000, low.tokens());
+        assertEquals(300_000, high.tokens());
     }
 
     @Test
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Danger: with plain LRU a flood of prompts that come once would push out what comes all the
-     * time.
+     * Guards against: with plain LRU a flood of prompts that come once would push out what comes
+     * all the time.
      */
     @Test
     void floodOfUniqueTextsLeavesWhatIsHot() {
--- a/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
+++ b/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
@@ -133,9 +133,11 @@
         Counting counting = new Counting(text, 0, vocabulary, cache);
         CountingRate pace = new CountingRate(0.25);
         assertTrue(counting.finish(pace));
-        TokenCount count = counting.count(pace.toksAChar());
-        assertTrue(count.least() <= count.toks() && count.toks() <= count.most(), count.toString());
+        TokenCount count = counting.count(pace.tokensAChar());
+        assertTrue(
+                count.least() <= count.tokens() && count.tokens() <= count.most(),
+                count.toString());
         assertTrue(count.exact());
-        assertEquals(vocabulary.count(text), count.toks());
+        assertEquals(vocabulary.count(text), count.tokens());
     }
 }
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -66,7 +66,7 @@
         assertEquals("piece a\u00e1", wire.next());
         assertEquals("piece b", wire.next());
         assertEquals("STREAMED", wire.next());
-        assertEquals(Completion.Why.END_OF_TURN, wire.ending.why());
+        assertEquals(Completion.FinishReason.END_OF_TURN, wire.ending.finishReason());
     }
 
     @Test
@@ -74,7 +74,7 @@
         String pieces = CompletionsUpstreamFixture.piece("a", null).repeat(50);
         wire.engine =
                 (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + pieces);
-        UpstreamClient.Flight flight = wire.send(false, true);
+        UpstreamClient.AttemptHandle flight = wire.send(false, true);
         assertEquals("begun", wire.next());
         for (int i = 0; i < 50; i++) {
             assertEquals("piece a", wire.next());
@@ -217,8 +217,8 @@
         assertEquals("begun", wire.next());
         assertEquals("piece a", wire.next());
         assertEquals("STREAMED", wire.next());
-        assertEquals(Completion.Why.MOST_TOKENS, wire.ending.why());
-        assertEquals(1, wire.ending.outToks());
+        assertEquals(Completion.FinishReason.MAX_TOKENS, wire.ending.finishReason());
+        assertEquals(1, wire.ending.outputTokens());
     }
 
     @Test
@@ -230,7 +230,7 @@
                     socket.closeHandler(v -> closed.complete(null));
                     arrived.complete(null);
                 };
-        UpstreamClient.Flight flight = wire.send(false, true);
+        UpstreamClient.AttemptHandle flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
         wire.on(
                 () -> {
@@ -248,7 +248,7 @@
     void timeUpIsTimedOut() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
         wire.engine = (socket, request) -> arrived.complete(null);
-        UpstreamClient.Flight flight = wire.send(false, true);
+        UpstreamClient.AttemptHandle flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
         wire.on(
                 () -> {
@@ -261,7 +261,7 @@
     @Test
     void calledOffWhileItWaitsForAConnectionWasNeverSent() throws Exception {
         wire.send(true, true);
-        UpstreamClient.Flight waits = wire.send(true, true);
+        UpstreamClient.AttemptHandle waits = wire.send(true, true);
         wire.on(
                 () -> {
                     waits.cancel();
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -100,7 +100,7 @@
     final java.util.concurrent.atomic.AtomicInteger soFar =
             new java.util.concurrent.atomic.AtomicInteger();
 
-    UpstreamClient.Flight send(boolean read, boolean mayBeSent) throws Exception {
+    UpstreamClient.AttemptHandle send(boolean read, boolean mayBeSent) throws Exception {
         AttemptRequest order =
                 new AttemptRequest(
                         "g.0",
@@ -117,29 +117,30 @@
         AttemptListener ears =
                 new AttemptListener() {
                     @Override
-                    public void read(
-                            StateHandle state, int keptToks, int promptToks, LoadReport told2) {
+                    public void readCompleted(
+                            StateHandle state, int keptTokens, int promptTokens, LoadReport told2) {
                         report = told2;
-                        told.add("read " + keptToks);
+                        told.add("read " + keptTokens);
                     }
 
                     @Override
-                    public void begun() {
+                    public void responseStarted() {
                         told.add("begun");
                     }
 
                     @Override
-                    public void piece(String text) {
+                    public void textReceived(String text) {
                         told.add("piece " + text);
                     }
 
                     @Override
-                    public void soFar() {
+                    public void batchCompleted() {
                         soFar.incrementAndGet();
                     }
 
                     @Override
-                    public void ended(AttemptOutcome outcome, LoadReport told2, Completion how) {
+                    public void attemptEnded(
+                            AttemptOutcome outcome, LoadReport told2, Completion how) {
                         ending = how;
                         report = told2;
                         told.add(outcome.name());
--- a/src/test/java/larchridge/upstream/LoadReportParserTest.java
+++ b/src/test/java/larchridge/upstream/LoadReportParserTest.java
@@ -38,7 +38,7 @@
                         "# HELP x\nvllm:num_requests_running{model_name=\"a b\"} 4.0\n"
                                 + "vllm:num_requests_waiting 1\nvllm:gpu_cache_usage_perc 0.25\nvllm:other nan\n");
         assertEquals(5, page.inflight());
-        assertEquals(0.25, page.heldShare());
-        assertTrue(Double.isNaN(page.toRead()));
+        assertEquals(0.25, page.memoryShare());
+        assertTrue(Double.isNaN(page.pendingTokens()));
     }
 }
