--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -7,10 +7,20 @@
 final class ResponseGuard {
     /** The three final answers, and the end of a client that wants none. */
     enum FinalAnswer {
-        COMPLETED,
-        REJECTED,
-        FAILED,
-        DISCONNECTED
+        COMPLETED("streamed"),
+        REJECTED("throttled"),
+        FAILED("terminated"),
+        DISCONNECTED("gone");
+
+        /**
+         * The name under which usage records in the ledger tell the answer; stored, so never
+         * changed.
+         */
+        final String recordedName;
+
+        FinalAnswer(String recordedName) {
+            this.recordedName = recordedName;
+        }
     }
 
     private FinalAnswer given;
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -1082,7 +1082,7 @@
                 one.ask.tenant().name(),
                 one.gen.trafficClass.name,
                 (long) nowMs,
-                one.duty.given().name().toLowerCase(Locale.ROOT),
+                one.duty.given().recordedName,
                 one.meter.promptTokens(),
                 one.meter.keptTokens(),
                 one.meter.outTokens(),
