--- a/deploy/node.sh
+++ b/deploy/node.sh
@@ -7,7 +7,7 @@
 archive=target/node.jsa
 machine="-XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:ReservedCodeCacheSize=24m -XX:MaxMetaspaceSize=48m -Xss256k -XX:-UsePerfData -Dio.netty.jfr.enabled=false -Djava.net.preferIPv4Stack=true"
 if [ "$1" = archive ]; then
-    exec java $machine -Xmx64m -XX:ArchiveClassesAtExit=$archive -Xlog:cds=off -Xlog:cds+dynamic=off -jar $jar node rehearse
+    exec java $machine -Xmx64m -XX:ArchiveClassesAtExit=$archive -Xlog:cds=off -Xlog:cds+dynamic=off -jar $jar node training-run
 fi
 
 # The number behind "memory_mb", whatever the order of members, the spaces and the lines; 192 where there is none. The text
--- a/src/main/java/larchridge/audit/AuditedEngine.java
+++ b/src/main/java/larchridge/audit/AuditedEngine.java
@@ -3,8 +3,9 @@
 import larchridge.state.Role;
 
 /**
- * An engine as the newest list tells it.
+ * An engine as the newest list names it.
  *
+ * @param units its capacity relative to others of its role
  * @param startMs when its process started, in the node's clock; 0 means long ago
  */
 public record AuditedEngine(
--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -6,55 +6,79 @@
 import java.util.List;
 import larchridge.state.TrafficClass;
 
-/** What was seen of one request, and its last steps. */
+/** What was seen of one request, and its last transitions. */
 final class AuditedRequest {
-    private static final int STEPS = 32;
+    private static final int MAX_TRANSITIONS = 32;
+    private static final double NOT_HELD = Double.NaN;
 
     final String id;
-    final TrafficClass product;
-    final double limitMs;
+    final TrafficClass trafficClass;
+
+    /** When the client stops waiting for its first event. */
+    final double deadlineMs;
+
     final List<AuditedAttempt> attempts = new ArrayList<>(2);
-    private final Deque<Transition> steps = new ArrayDeque<>();
-    boolean begun;
+    private final Deque<Transition> transitions = new ArrayDeque<>();
+
+    boolean responseStarted;
     boolean answered;
     double answeredMs;
     boolean clientClosed;
 
-    /** When a state began to be held with the time running, or NaN. */
-    double heldMs = Double.NaN;
-
     /**
-     * Whether a state that was released may still be there, since a request in an engine's queue
-     * waits for it.
+     * Whether a state that was released may still exist, since a request in an engine's queue waits
+     * for it.
      */
     boolean releasedBesideAttempt;
 
-    /** Violations that are told once a request, not at each look. */
-    boolean toldLate;
+    /** Violations that are reported once a request, not at each check. */
+    boolean lateAnswerReported;
 
-    boolean toldHeld;
-    boolean toldLeft;
+    boolean lateReleaseReported;
+    boolean leftoverReported;
 
-    AuditedRequest(String id, TrafficClass product, double limitMs) {
+    private double heldSinceMs = NOT_HELD;
+
+    AuditedRequest(String id, TrafficClass trafficClass, double deadlineMs) {
         this.id = id;
-        this.product = product;
-        this.limitMs = limitMs;
+        this.trafficClass = trafficClass;
+        this.deadlineMs = deadlineMs;
     }
 
-    void step(double ms, Transition.Kind kind, int attempt, Object detail) {
-        if (steps.size() >= STEPS) {
-            steps.removeFirst();
+    void record(double ms, Transition.Kind kind, int attempt, Object detail) {
+        if (transitions.size() >= MAX_TRANSITIONS) {
+            transitions.removeFirst();
         }
-        steps.addLast(new Transition(ms, kind, attempt, detail));
+        transitions.addLast(new Transition(ms, kind, attempt, detail));
+    }
+
+    /** The last transitions as text, for the log. */
+    String transitions() {
+        return transitions.toString();
+    }
+
+    /** Starts the time in which the state has to be fetched or released. */
+    void holdSince(double ms) {
+        heldSinceMs = ms;
+    }
+
+    void clearHeld() {
+        heldSinceMs = NOT_HELD;
+    }
+
+    boolean isHeld() {
+        return !Double.isNaN(heldSinceMs);
     }
 
-    String steps() {
-        return steps.toString();
+    /** For how long the state has been held; NaN if none is. */
+    double heldForMs(double nowMs) {
+        return nowMs - heldSinceMs;
     }
 
-    boolean isOver() {
+    /** Whether nothing of the request is left at the client or any engine. */
+    boolean isComplete() {
         return (answered || clientClosed)
-                && Double.isNaN(heldMs)
-                && attempts.stream().allMatch(one -> one.ended);
+                && !isHeld()
+                && attempts.stream().allMatch(AuditedAttempt::hasEnded);
     }
 }
--- a/src/main/java/larchridge/audit/ConnectionSide.java
+++ b/src/main/java/larchridge/audit/ConnectionSide.java
@@ -1,7 +1,9 @@
 package larchridge.audit;
 
-/** Whom a connection goes to. */
+/** The peer of a connection. */
 public enum ConnectionSide {
+    /** A client of this node. */
     CLIENT,
+    /** An engine that this node sends to. */
     ENGINE
 }
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -5,65 +5,62 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.DoubleSupplier;
-import larchridge.state.DeduplicationScope;
-import larchridge.state.Effect;
 import larchridge.state.TrafficClass;
 import larchridge.upstream.Endpoint;
 
 /**
- * Follows every request from its acceptance to its end by what goes over the sockets, and counts
- * what breaks an invariant. Keeps data of its own: neither the module's nor the link's word is
- * taken. All methods run on the loop.
+ * Follows every request from its acceptance to its end by what goes over the sockets, and reports
+ * what violates an invariant. It keeps data of its own and relies on neither the policy nor the
+ * upstream client. All methods run on the event loop.
  */
 public final class RequestAudit implements RequestEvents {
-    /** Beside the platform's time limits. */
-    private static final double LATE_ANSWER_MS = 500;
+    /** Tolerances beside the platform's time limits. */
+    private static final double ANSWER_TOLERANCE_MS = 500;
 
-    private static final double LATE_RELEASE_MS = 300;
-    private static final double TOLD_SLACK_MS = 150;
+    private static final double RELEASE_TOLERANCE_MS = 300;
+    private static final double ANNOUNCED_TOLERANCE_MS = 150;
 
-    /** Attempts of a request that is answered are called off, and end, long before that. */
-    private static final double GIVEN_BACK_MS = 30_000;
+    /** Attempts of a request that is answered are cancelled, and end, long before that. */
+    private static final double LEFTOVER_TIMEOUT_MS = 30_000;
 
-    /**
-     * Requests that have ended stay for so many others, so that what comes after their end is seen.
-     */
-    private static final int ENDED_KEPT = 512;
+    /** Complete requests are kept until so many others, so that later events are noticed. */
+    private static final int MAX_COMPLETE = 512;
 
-    private static final int OPEN_MOST = 20_000;
+    private static final int MAX_OPEN = 20_000;
+    private static final int NO_ATTEMPT = -1;
 
-    private final AuditSettings terms;
+    private final AuditSettings settings;
     private final DoubleSupplier clockMs;
     private final Violations violations;
     private final CloseCounters closeCounters;
-    private final ColdBudgetAudit coldBudget;
+    private final EndpointAudit endpoints;
+    private final RetryAudit retries;
     private final Map<String, AuditedRequest> open = new HashMap<>();
-    private final Map<String, AuditedRequest> ended =
+    private final Map<String, AuditedRequest> complete =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, AuditedRequest> eldest) {
-                    return size() > ENDED_KEPT;
+                    return size() > MAX_COMPLETE;
                 }
             };
-    private Map<Endpoint, AuditedEngine> engines = Map.of();
-
-    /** When an engine was first told to drain or to be gone. */
-    private final Map<Endpoint, Double> leftMs = new LinkedHashMap<>();
 
+    /** An audit in which no request is open and no list is known. */
     public RequestAudit(
-            AuditSettings terms,
+            AuditSettings settings,
             DoubleSupplier clockMs,
             Violations violations,
             CloseCounters closeCounters) {
-        this.terms = terms;
+        this.settings = settings;
         this.clockMs = clockMs;
         this.violations = violations;
         this.closeCounters = closeCounters;
-        coldBudget = new ColdBudgetAudit(terms, clockMs.getAsDouble());
+        endpoints = new EndpointAudit(settings, violations, clockMs.getAsDouble());
+        retries = new RetryAudit(settings.hedgingAllowed(), violations);
     }
 
+    /** Requests that are not complete. */
     public int openRequests() {
         return open.size();
     }
@@ -71,13 +68,13 @@
     // ------------------------------------------------------------------ clients
 
     @Override
-    public void accepted(String id, TrafficClass product, double limitMs) {
-        if (open.size() >= OPEN_MOST) {
+    public void accepted(String id, TrafficClass trafficClass, double deadlineMs) {
+        if (open.size() >= MAX_OPEN) {
             return;
         }
-        AuditedRequest request = new AuditedRequest(id, product, limitMs);
+        AuditedRequest request = new AuditedRequest(id, trafficClass, deadlineMs);
         open.put(id, request);
-        request.step(clockMs.getAsDouble(), Transition.Kind.ACCEPTED, -1, product.name);
+        record(request, Transition.Kind.ACCEPTED, NO_ATTEMPT, trafficClass.name);
     }
 
     @Override
@@ -85,8 +82,8 @@
         AuditedRequest request = find(id);
         if (request != null) {
             request.clientClosed = true;
-            request.step(clockMs.getAsDouble(), Transition.Kind.CLIENT_CLOSED, -1, null);
-            endIfOver(request);
+            record(request, Transition.Kind.CLIENT_CLOSED, NO_ATTEMPT, null);
+            moveIfComplete(request);
         }
     }
 
@@ -96,134 +93,63 @@
         if (request == null) {
             return;
         }
-        request.step(clockMs.getAsDouble(), Transition.Kind.ANSWERED, -1, kind);
+        record(request, Transition.Kind.ANSWERED, NO_ATTEMPT, kind);
         if (request.answered || request.clientClosed) {
-            violated(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request's end");
+            report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request's end");
         }
-        if (!request.begun) {
-            checkInTime(request);
+        if (!request.responseStarted) {
+            checkDeadline(request);
         }
         request.answered = true;
         request.answeredMs = clockMs.getAsDouble();
-        endIfOver(request);
+        moveIfComplete(request);
     }
 
     // ------------------------------------------------------------------ attempts
 
     @Override
-    public int attemptWritten(String id, Endpoint endpoint, boolean reads, long toldMs) {
-        double now = clockMs.getAsDouble();
+    public int attemptWritten(String id, Endpoint endpoint, boolean reads, long announcedMs) {
+        double nowMs = clockMs.getAsDouble();
         AuditedRequest request = find(id);
-        AuditedEngine engine = engines.get(endpoint);
-        checkEngine(id, request, endpoint, engine, now);
+        endpoints.checkWrite(id, request, endpoint, nowMs);
         if (request == null) {
-            return -1;
+            return NO_ATTEMPT;
         }
         int number = request.attempts.size();
-        request.step(now, Transition.Kind.WRITTEN, number, endpoint);
-        checkRequest(request, now, toldMs);
-        AuditedAttempt attempt = new AuditedAttempt(number, endpoint, engine, reads, now);
-        checkRepeat(request, attempt);
+        request.record(nowMs, Transition.Kind.WRITTEN, number, endpoint);
+        checkWrite(request, announcedMs, nowMs);
+        AuditedAttempt attempt =
+                new AuditedAttempt(number, endpoint, endpoints.engineAt(endpoint), reads, nowMs);
+        retries.checkAttempt(request, attempt);
         request.attempts.add(attempt);
         return number;
     }
 
-    private void checkEngine(
-            String id,
-            AuditedRequest request,
-            Endpoint endpoint,
-            AuditedEngine engine,
-            double now) {
-        Double left = leftMs.get(endpoint);
-        if (left != null && now > left + terms.drainGraceMs() || left == null && engine == null) {
-            violated(
-                    Invariant.NO_SEND_PAST_GRACE,
-                    id,
-                    request,
-                    "written to "
-                            + endpoint
-                            + (left == null
-                                    ? ", which no list names"
-                                    : " "
-                                            + Math.round(now - left)
-                                            + " ms after it was told to leave"));
-        }
-        if (engine != null && !coldBudget.written(endpoint, engine, engines, now)) {
-            violated(
-                    Invariant.COLD_BUDGET,
-                    id,
-                    request,
-                    "too many to " + endpoint + ", which is cold");
-        }
-    }
-
-    private void checkRequest(AuditedRequest request, double now, long toldMs) {
+    private void checkWrite(AuditedRequest request, long announcedMs, double nowMs) {
         if (request.clientClosed) {
-            violated(
+            report(
                     Invariant.NO_ATTEMPT_AFTER_CLOSE,
                     request,
                     "written for a client that has closed");
         }
-        if (request.answered || request.begun) {
-            violated(Invariant.NO_ATTEMPT_AFTER_ANSWER, request, "written after the answer");
+        if (request.answered || request.responseStarted) {
+            report(Invariant.NO_ATTEMPT_AFTER_ANSWER, request, "written after the answer");
         }
-        double leftMs = request.limitMs - now;
-        if (toldMs > Math.max(0, leftMs) + TOLD_SLACK_MS) {
-            violated(
-                    Invariant.TIME_TOLD,
+        double remainingMs = request.deadlineMs - nowMs;
+        if (announcedMs > Math.max(0, remainingMs) + ANNOUNCED_TOLERANCE_MS) {
+            report(
+                    Invariant.DEADLINE_PROPAGATED,
                     request,
-                    "told " + toldMs + " ms of " + Math.round(leftMs));
-        }
-    }
-
-    private void checkRepeat(AuditedRequest request, AuditedAttempt attempt) {
-        TrafficClass product = request.product;
-        boolean idempotent = product.effect == Effect.IDEMPOTENT;
-        for (AuditedAttempt earlier : request.attempts) {
-            if (!earlier.ended && !(idempotent && terms.copies())) {
-                violated(
-                        Invariant.NO_FORBIDDEN_COPY,
-                        request,
-                        "attempt " + earlier.number + " is still out");
-            }
-            if (!idempotent
-                    && earlier.mayHaveRun()
-                    && !attempt.reads
-                    && !mayFollow(product, earlier, attempt)) {
-                violated(
-                        Invariant.NO_FORBIDDEN_REPEAT,
-                        request,
-                        "attempt "
-                                + earlier.number
-                                + " may have run "
-                                + Math.round(attempt.writtenMs - earlier.writtenMs)
-                                + " ms before");
-            }
+                    "announced " + announcedMs + " ms of " + Math.round(remainingMs));
         }
     }
 
-    private static boolean mayFollow(
-            TrafficClass product, AuditedAttempt earlier, AuditedAttempt attempt) {
-        if (product.effect == Effect.SIDE_EFFECTING
-                || attempt.writtenMs - earlier.writtenMs > product.deduplicationWindowMs) {
-            return false;
-        }
-        if (earlier.engine == null
-                || attempt.engine == null
-                || product.deduplicationScope == DeduplicationScope.ALL) {
-            return true;
-        }
-        return product.deduplicationScope == DeduplicationScope.ZONE
-                ? earlier.engine.zone().equals(attempt.engine.zone())
-                : earlier.engine.rack() == attempt.engine.rack();
-    }
-
     @Override
     public void readCompleted(String id, int attempt) {
-        AuditedRequest request = end(id, attempt, Transition.Kind.READ, null);
+        AuditedRequest request = endAttempt(id, attempt, Transition.Kind.READ_COMPLETED, null);
         if (request != null) {
             hold(request);
-            endIfOver(request);
+            moveIfComplete(request);
         }
     }
 
@@ -233,38 +159,39 @@
         if (request == null) {
             return;
         }
-        request.step(clockMs.getAsDouble(), Transition.Kind.BEGUN, attempt, null);
+        record(request, Transition.Kind.RESPONSE_STARTED, attempt, null);
         if (!request.answered && !request.clientClosed) {
-            checkInTime(request);
+            checkDeadline(request);
         }
-        request.begun = true;
-        request.heldMs = Double.NaN;
+        request.responseStarted = true;
+        request.clearHeld();
     }
 
     @Override
     public void attemptEnded(
-            String id, int attempt, String outcome, boolean neverRan, boolean heard) {
-        AuditedRequest request = end(id, attempt, Transition.Kind.ENDED, outcome);
+            String id, int attempt, String outcome, boolean neverRan, boolean engineAnswered) {
+        AuditedRequest request = endAttempt(id, attempt, Transition.Kind.ENDED, outcome);
         if (request == null || attempt < 0) {
             return;
         }
-        AuditedAttempt one = request.attempts.get(attempt);
-        one.neverRan = neverRan;
-        boolean mayHaveRead = one.reads && !neverRan;
+        AuditedAttempt ended = request.attempts.get(attempt);
+        ended.setNeverRan(neverRan);
+        boolean mayHaveBegunHolding = ended.mayHaveRead() && !request.isHeld();
         boolean mayStillBeHeld =
-                request.releasedBesideAttempt || heard && !Double.isNaN(request.heldMs);
-        if (!request.begun && (mayHaveRead && Double.isNaN(request.heldMs) || mayStillBeHeld)) {
+                request.releasedBesideAttempt || engineAnswered && request.isHeld();
+        if (!request.responseStarted && (mayHaveBegunHolding || mayStillBeHeld)) {
             hold(request);
         }
-        endIfOver(request);
+        moveIfComplete(request);
     }
 
-    private AuditedRequest end(String id, int attempt, Transition.Kind kind, Object detail) {
+    /** Ends an attempt; gives its request, or null if that is not followed. */
+    private AuditedRequest endAttempt(String id, int attempt, Transition.Kind kind, Object detail) {
         AuditedRequest request = find(id);
         if (request != null) {
-            request.step(clockMs.getAsDouble(), kind, attempt, detail);
+            record(request, kind, attempt, detail);
             if (attempt >= 0) {
-                request.attempts.get(attempt).ended = true;
+                request.attempts.get(attempt).end();
             }
         }
         return request;
@@ -273,11 +200,12 @@
     // ------------------------------------------------------------------ held states
 
     private void hold(AuditedRequest request) {
-        request.heldMs = clockMs.getAsDouble();
+        double nowMs = clockMs.getAsDouble();
+        request.holdSince(nowMs);
         request.releasedBesideAttempt = false;
-        request.toldHeld = false;
-        request.step(request.heldMs, Transition.Kind.HELD, -1, null);
-        if (ended.remove(request.id) != null) {
+        request.lateReleaseReported = false;
+        request.record(nowMs, Transition.Kind.HELD, NO_ATTEMPT, null);
+        if (complete.remove(request.id) != null) {
             open.put(request.id, request);
         }
     }
@@ -286,11 +214,12 @@
     public void stateReleased(String id) {
         AuditedRequest request = find(id);
         if (request != null) {
-            request.step(clockMs.getAsDouble(), Transition.Kind.RELEASED, -1, null);
+            record(request, Transition.Kind.RELEASED, NO_ATTEMPT, null);
             checkHeld(request, clockMs.getAsDouble());
-            request.heldMs = Double.NaN;
-            request.releasedBesideAttempt = request.attempts.stream().anyMatch(one -> !one.ended);
-            endIfOver(request);
+            request.clearHeld();
+            request.releasedBesideAttempt =
+                    request.attempts.stream().anyMatch(attempt -> !attempt.hasEnded());
+            moveIfComplete(request);
         }
     }
 
@@ -298,91 +227,81 @@
 
     @Override
     public void connectionClosed(ConnectionSide side, CloseReason reason) {
-        closeCounters.closed(side, reason);
+        closeCounters.increment(side, reason);
     }
 
     @Override
-    public void endpointsChanged(Map<Endpoint, AuditedEngine> now) {
-        double ms = clockMs.getAsDouble();
-        engines.forEach(
-                (endpoint, engine) -> {
-                    AuditedEngine newer = now.get(endpoint);
-                    if (engine.serving() && (newer == null || !newer.serving())) {
-                        leftMs.putIfAbsent(endpoint, ms);
-                    }
-                });
-        now.forEach(
-                (endpoint, engine) -> {
-                    if (engine.serving()) {
-                        leftMs.remove(endpoint);
-                    } else {
-                        leftMs.putIfAbsent(endpoint, ms);
-                    }
-                });
-        while (leftMs.size() > OPEN_MOST) {
-            leftMs.remove(leftMs.keySet().iterator().next());
-        }
-        engines = Map.copyOf(now);
-        coldBudget.listed(engines);
+    public void endpointsChanged(Map<Endpoint, AuditedEngine> engines) {
+        endpoints.endpointsChanged(engines, clockMs.getAsDouble());
     }
 
-    // ------------------------------------------------------------------ the regular look
+    // ------------------------------------------------------------------ the periodic check
 
-    /** Looks for what should have happened and has not. */
+    /** Checks for what should have happened by now and has not. */
     public void check() {
-        double now = clockMs.getAsDouble();
+        double nowMs = clockMs.getAsDouble();
         for (AuditedRequest request : List.copyOf(open.values())) {
-            if (!request.begun && !request.answered && !request.clientClosed) {
-                checkInTime(request);
-            }
-            checkHeld(request, now);
-            if (request.answered && now - request.answeredMs > GIVEN_BACK_MS && !request.toldLeft) {
-                request.toldLeft = true;
-                violated(
-                        Invariant.ALL_GIVEN_BACK,
-                        request,
-                        "attempts are out long after its answer");
+            if (!request.responseStarted && !request.answered && !request.clientClosed) {
+                checkDeadline(request);
             }
+            checkHeld(request, nowMs);
+            checkLeftover(request, nowMs);
         }
     }
 
-    private void checkInTime(AuditedRequest request) {
-        double lateMs = clockMs.getAsDouble() - request.limitMs;
-        if (lateMs > LATE_ANSWER_MS && !request.toldLate) {
-            request.toldLate = true;
-            violated(
-                    Invariant.ANSWER_IN_TIME,
+    private void checkDeadline(AuditedRequest request) {
+        double lateMs = clockMs.getAsDouble() - request.deadlineMs;
+        if (lateMs > ANSWER_TOLERANCE_MS && !request.lateAnswerReported) {
+            request.lateAnswerReported = true;
+            report(
+                    Invariant.ANSWERED_BY_DEADLINE,
                     request,
-                    "no answer " + Math.round(lateMs) + " ms after its time");
+                    "no answer " + Math.round(lateMs) + " ms after its deadline");
         }
     }
 
-    private void checkHeld(AuditedRequest request, double now) {
-        if (now - request.heldMs > terms.releaseMs() + LATE_RELEASE_MS && !request.toldHeld) {
-            request.toldHeld = true;
-            violated(
+    private void checkHeld(AuditedRequest request, double nowMs) {
+        double heldForMs = request.heldForMs(nowMs);
+        if (heldForMs > settings.releaseMs() + RELEASE_TOLERANCE_MS
+                && !request.lateReleaseReported) {
+            request.lateReleaseReported = true;
+            report(
                     Invariant.STATE_RELEASED,
                     request,
-                    "a state is held for " + Math.round(now - request.heldMs) + " ms");
+                    "a state is held for " + Math.round(heldForMs) + " ms");
         }
     }
 
+    private void checkLeftover(AuditedRequest request, double nowMs) {
+        if (request.answered
+                && nowMs - request.answeredMs > LEFTOVER_TIMEOUT_MS
+                && !request.leftoverReported) {
+            request.leftoverReported = true;
+            report(
+                    Invariant.RESOURCES_RELEASED,
+                    request,
+                    "attempts are in flight long after its answer");
+        }
+    }
+
+    // ------------------------------------------------------------------ helpers
+
     private AuditedRequest find(String id) {
         AuditedRequest request = open.get(id);
-        return request != null ? request : ended.get(id);
+        return request != null ? request : complete.get(id);
     }
 
-    private void endIfOver(AuditedRequest request) {
-        if (request.isOver() && open.remove(request.id) != null) {
-            ended.put(request.id, request);
+    private void moveIfComplete(AuditedRequest request) {
+        if (request.isComplete() && open.remove(request.id) != null) {
+            complete.put(request.id, request);
         }
     }
 
-    private void violated(Invariant invariant, AuditedRequest request, String what) {
-        violations.count(invariant, request.id, what, request.steps());
+    private void record(AuditedRequest request, Transition.Kind kind, int attempt, Object detail) {
+        request.record(clockMs.getAsDouble(), kind, attempt, detail);
     }
 
-    private void violated(Invariant invariant, String id, AuditedRequest request, String what) {
-        violations.count(invariant, id, what, request == null ? null : request.steps());
+    private void report(Invariant invariant, AuditedRequest request, String problem) {
+        violations.report(invariant, request.id, problem, request.transitions());
     }
 }
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -5,45 +5,54 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * What the sides of a node tell of a request as it happens on their sockets; called on the loop.
+ * What the connections of a node report of a request as it happens on their sockets. All methods
+ * are called on the event loop.
  */
 public interface RequestEvents {
-    /** Events that nobody wants. */
+    /** Ignores all events. */
     RequestEvents IGNORED = new RequestEvents() {};
 
-    /** A request was taken from a client that waits until limitMs for its first event. */
-    default void accepted(String id, TrafficClass product, double limitMs) {}
+    /** A request was accepted from a client that waits for its first event until the deadline. */
+    default void accepted(String id, TrafficClass trafficClass, double deadlineMs) {}
 
     /** The client has closed before its final answer. */
     default void clientClosed(String id) {}
 
-    /** A final answer, or the cut of a stream, was written to the client. */
+    /** A final answer was written to the client, or its stream was cut; kind says which. */
     default void answered(String id, String kind) {}
 
     /**
-     * An attempt is written to an engine that is told so many milliseconds; its number is given
-     * back.
+     * An attempt is written to an engine.
+     *
+     * @param reads whether it reads the prompt rather than writes the answer
+     * @param announcedMs the time that the attempt announces to the engine
+     * @return the attempt's number, or -1 if nobody follows the request
      */
-    default int attemptWritten(String id, Endpoint endpoint, boolean reads, long toldMs) {
+    default int attemptWritten(String id, Endpoint endpoint, boolean reads, long announcedMs) {
         return -1;
     }
 
     /** The prompt was read, and its state is held. */
     default void readCompleted(String id, int attempt) {}
 
-    /** The answer has begun. */
+    /** The first event of the answer has arrived. */
     default void responseStarted(String id, int attempt) {}
 
-    /** An attempt has ended otherwise; heard tells whether its engine answered anything. */
+    /**
+     * An attempt has ended otherwise.
+     *
+     * @param neverRan whether the end proves that the engine has not run it
+     * @param engineAnswered whether the engine has answered anything
+     */
     default void attemptEnded(
-            String id, int attempt, String outcome, boolean neverRan, boolean heard) {}
+            String id, int attempt, String outcome, boolean neverRan, boolean engineAnswered) {}
 
-    /** An engine has taken the release of all that is held for the request. */
+    /** An engine has confirmed the release of all that is held for the request. */
     default void stateReleased(String id) {}
 
-    /** A connection has ended, or this side ends it. */
+    /** A connection was closed, by the peer or by this side. */
     default void connectionClosed(ConnectionSide side, CloseReason reason) {}
 
-    /** The newest list of engines. */
+    /** The endpoint list has changed; the map holds all of it. */
     default void endpointsChanged(Map<Endpoint, AuditedEngine> engines) {}
 }
--- /dev/null
+++ b/src/main/java/larchridge/audit/RetryAudit.java
@@ -0,0 +1,62 @@
+package larchridge.audit;
+
+import larchridge.state.DeduplicationScope;
+import larchridge.state.Effect;
+import larchridge.state.TrafficClass;
+
+/** Checks an attempt against the earlier ones of its request: hedging and retries. */
+final class RetryAudit {
+    private final boolean hedgingAllowed;
+    private final Violations violations;
+
+    RetryAudit(boolean hedgingAllowed, Violations violations) {
+        this.hedgingAllowed = hedgingAllowed;
+        this.violations = violations;
+    }
+
+    /** Checks an attempt that is not yet one of the request's attempts. */
+    void checkAttempt(AuditedRequest request, AuditedAttempt attempt) {
+        TrafficClass trafficClass = request.trafficClass;
+        boolean idempotent = trafficClass.effect == Effect.IDEMPOTENT;
+        for (AuditedAttempt earlier : request.attempts) {
+            if (!earlier.hasEnded() && !(idempotent && hedgingAllowed)) {
+                violations.report(
+                        Invariant.NO_FORBIDDEN_HEDGE,
+                        request.id,
+                        "attempt " + earlier.number + " is still in flight",
+                        request.transitions());
+            }
+            if (!idempotent
+                    && earlier.mayHaveRun()
+                    && !attempt.reads
+                    && !isDeduplicated(trafficClass, earlier, attempt)) {
+                violations.report(
+                        Invariant.NO_FORBIDDEN_RETRY,
+                        request.id,
+                        "attempt "
+                                + earlier.number
+                                + " may have run "
+                                + Math.round(attempt.writtenMs - earlier.writtenMs)
+                                + " ms before",
+                        request.transitions());
+            }
+        }
+    }
+
+    /** Whether the engines recognize the attempt as a repeat of an earlier one. */
+    private static boolean isDeduplicated(
+            TrafficClass trafficClass, AuditedAttempt earlier, AuditedAttempt attempt) {
+        if (trafficClass.effect == Effect.SIDE_EFFECTING
+                || attempt.writtenMs - earlier.writtenMs > trafficClass.deduplicationWindowMs) {
+            return false;
+        }
+        if (earlier.engine == null
+                || attempt.engine == null
+                || trafficClass.deduplicationScope == DeduplicationScope.ALL) {
+            return true;
+        }
+        return trafficClass.deduplicationScope == DeduplicationScope.ZONE
+                ? earlier.engine.zone().equals(attempt.engine.zone())
+                : earlier.engine.rack() == attempt.engine.rack();
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
@@ -0,0 +1,93 @@
+package larchridge.audit;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.Map;
+import larchridge.state.Role;
+import larchridge.state.SlidingWindow;
+import larchridge.upstream.Endpoint;
+
+/**
+ * Compares what this node writes to warming engines with its part of their budget. A node sees its
+ * own sends alone: its part is the rate at which it sends to a warm engine of the role, times the
+ * overload multiple and the share that a warming engine can take. The allowance for chance is that
+ * of the platform's rule.
+ */
+final class SlowStartBudgetAudit {
+    private static final int RATE_WINDOW_SECONDS = 30;
+    private static final double SECOND_MS = 1000;
+
+    /** Budgets below this many writes get the platform's allowance for small counts. */
+    private static final double SMALL_BUDGET = 30;
+
+    private final AuditSettings settings;
+    private final double startMs;
+    private final SlidingWindow warmReads = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
+    private final SlidingWindow warmWrites = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
+
+    /** Times of the writes to each warming engine within the overload window. */
+    private final Map<Endpoint, Deque<Double>> recentWrites = new HashMap<>();
+
+    SlowStartBudgetAudit(AuditSettings settings, double nowMs) {
+        this.settings = settings;
+        startMs = nowMs;
+    }
+
+    /** Counts a write; false if the engine is warming and has got more than this node's part. */
+    boolean isWithinBudget(
+            Endpoint endpoint,
+            AuditedEngine engine,
+            Map<Endpoint, AuditedEngine> engines,
+            double nowMs) {
+        boolean reads = engine.role() == Role.READER;
+        if (!isWarming(engine, nowMs)) {
+            recentWrites.remove(endpoint);
+            (reads ? warmReads : warmWrites).add(nowMs, 1);
+            return true;
+        }
+        Deque<Double> recent = recentWrites.computeIfAbsent(endpoint, key -> new ArrayDeque<>());
+        recent.addLast(nowMs);
+        while (recent.peekFirst() < nowMs - settings.overloadWindowMs()) {
+            recent.removeFirst();
+        }
+        return recent.size() <= allowedWrites(engine, engines, nowMs);
+    }
+
+    private double allowedWrites(
+            AuditedEngine engine, Map<Endpoint, AuditedEngine> engines, double nowMs) {
+        boolean reads = engine.role() == Role.READER;
+        double warmUnits =
+                engines.values().stream()
+                        .filter(AuditedEngine::serving)
+                        .filter(
+                                other ->
+                                        (other.role() == Role.READER) == reads
+                                                && !isWarming(other, nowMs))
+                        .mapToDouble(AuditedEngine::units)
+                        .sum();
+        SlidingWindow warm = reads ? warmReads : warmWrites;
+        double spanMs = Math.max(SECOND_MS, Math.min(warm.spanMs(), nowMs - startMs));
+        double ratePerUnit = warm.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units());
+        double warmedPart = Math.min(1, (nowMs - engine.startMs()) / settings.slowStartMs());
+        double share = settings.slowStartShare() + (1 - settings.slowStartShare()) * warmedPart;
+        double budget =
+                settings.overloadMultiple()
+                        * share
+                        * ratePerUnit
+                        * engine.units()
+                        * settings.overloadWindowMs();
+        return budget < SMALL_BUDGET
+                ? budget + 3 * Math.sqrt(budget) + 3
+                : budget + 2 * Math.sqrt(budget) + 2;
+    }
+
+    private boolean isWarming(AuditedEngine engine, double nowMs) {
+        return engine.startMs() > 0 && nowMs < engine.startMs() + settings.slowStartMs();
+    }
+
+    /** Forgets engines that the list no longer names. */
+    void retainListed(Map<Endpoint, AuditedEngine> engines) {
+        recentWrites.keySet().retainAll(engines.keySet());
+    }
+}
--- a/src/main/java/larchridge/audit/Transition.java
+++ b/src/main/java/larchridge/audit/Transition.java
@@ -1,13 +1,13 @@
 package larchridge.audit;
 
-/** One step in the life of a request, as kept for the log of a violation. */
+/** One transition of a request, as kept for the log of a violation. */
 record Transition(double ms, Kind kind, int attempt, Object detail) {
-    /** The kinds of steps. */
+    /** The kinds of transitions; their names are logged. */
     enum Kind {
         ACCEPTED,
         WRITTEN,
-        READ,
-        BEGUN,
+        READ_COMPLETED,
+        RESPONSE_STARTED,
         ENDED,
         HELD,
         RELEASED,
--- a/src/main/java/larchridge/audit/Violations.java
+++ b/src/main/java/larchridge/audit/Violations.java
@@ -7,19 +7,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts violations by invariant, and logs them with what led there. The process goes on. */
+/** Counts violations by invariant and logs them with what led there. The process goes on. */
 public final class Violations {
-    /** The message of each line, by which it is found. */
+    /** The message of each log line, by which it is found. */
     public static final String MESSAGE = "invariant violated";
 
-    /** Lines of one invariant; beyond it violations are only counted. */
-    private static final int MOST_LINES = 100;
+    /** Log lines of one invariant; beyond it violations are only counted. */
+    private static final int MAX_LOG_LINES = 100;
 
     private static final Logger LOG = LoggerFactory.getLogger(Violations.class);
 
     private final Map<Invariant, Counter> counters = new EnumMap<>(Invariant.class);
-    private final Map<Invariant, Integer> lines = new EnumMap<>(Invariant.class);
+    private final Map<Invariant, Integer> logLines = new EnumMap<>(Invariant.class);
 
+    /** Registers a counter for each invariant. */
     public Violations(MeterRegistry registry) {
         for (Invariant invariant : Invariant.values()) {
             counters.put(
@@ -30,19 +31,30 @@
         }
     }
 
-    /** A violation; id is the request's, or null, and steps its last transitions, or null. */
-    public void count(Invariant invariant, String id, String what, String steps) {
+    /** Reports a violation that belongs to no request. */
+    public void report(Invariant invariant, String problem) {
+        report(invariant, null, problem, null);
+    }
+
+    /**
+     * Reports a violation.
+     *
+     * @param requestId the request, or null
+     * @param transitions the request's last transitions, or null
+     */
+    public void report(Invariant invariant, String requestId, String problem, String transitions) {
         counters.get(invariant).increment();
-        if (lines.merge(invariant, 1, Integer::sum) <= MOST_LINES) {
+        if (logLines.merge(invariant, 1, Integer::sum) <= MAX_LOG_LINES) {
             LOG.atError()
                     .addKeyValue("invariant", invariant.tag())
-                    .addKeyValue("id", id)
-                    .addKeyValue("what", what)
-                    .addKeyValue("steps", steps)
+                    .addKeyValue("id", requestId)
+                    .addKeyValue("what", problem)
+                    .addKeyValue("steps", transitions)
                     .log(MESSAGE);
         }
     }
 
+    /** The violations of one invariant so far. */
     public long count(Invariant invariant) {
         return (long) counters.get(invariant).count();
     }
--- a/src/main/java/larchridge/cli/Main.java
+++ b/src/main/java/larchridge/cli/Main.java
@@ -1,7 +1,8 @@
 package larchridge.cli;
 
 import java.util.concurrent.Callable;
-import larchridge.node.Node;
+import larchridge.node.NodeMain;
+import larchridge.node.NodeTrainingRun;
 import picocli.AutoComplete;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -44,10 +45,10 @@
         }
         if (args.length == 1 && args[0].equals("node")) {
             // A node's memory and start are counted too.
-            System.exit(Node.run(System.getenv(), System.err));
+            System.exit(NodeMain.run(System.getenv(), System.err));
         }
-        if (args.length == 2 && args[0].equals("node") && args[1].equals("rehearse")) {
-            System.exit(Node.rehearse());
+        if (args.length == 2 && args[0].equals("node") && args[1].equals("training-run")) {
+            System.exit(NodeTrainingRun.run());
         }
         int code =
                 new CommandLine(new Main()).setCaseInsensitiveEnumValuesAllowed(true).execute(args);
--- a/src/main/java/larchridge/cli/NodeCommand.java
+++ b/src/main/java/larchridge/cli/NodeCommand.java
@@ -1,7 +1,7 @@
 package larchridge.cli;
 
 import java.util.concurrent.Callable;
-import larchridge.node.Node;
+import larchridge.node.NodeMain;
 import picocli.CommandLine.Command;
 
 /** Serves as a front node of a platform. */
@@ -15,6 +15,6 @@
 final class NodeCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-        return Node.run(System.getenv(), System.err);
+        return NodeMain.run(System.getenv(), System.err);
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/node/ListenRetry.java
@@ -0,0 +1,42 @@
+package larchridge.node;
+
+import java.io.IOException;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import larchridge.node.server.HttpServer;
+import larchridge.upstream.Endpoint;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Opens the listener, with retries where its address is taken: the process before this one may have
+ * been killed and not have exited yet.
+ */
+final class ListenRetry {
+    private static final Logger LOG = LoggerFactory.getLogger(ListenRetry.class);
+    private static final long PAUSE_MS = 50;
+    private static final long TIMEOUT_MS = 15_000;
+
+    private ListenRetry() {}
+
+    /** Returns once the server listens, or when cancelled; not on the event loop. */
+    static void listen(HttpServer server, Endpoint address, BooleanSupplier cancelled)
+            throws NodeStartException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+        while (!cancelled.getAsBoolean()) {
+            try {
+                server.listen(address.host(), address.port());
+                return;
+            } catch (IOException e) {
+                if (System.nanoTime() > deadlineNanos) {
+                    throw new NodeStartException(
+                            "listen: " + address + " can't be had (" + e.getMessage() + ")");
+                }
+                LOG.atDebug()
+                        .addKeyValue("fault", e.getMessage())
+                        .log("the listen address is taken; it is retried");
+                TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+            }
+        }
+    }
+}
--- a/src/main/java/larchridge/node/NettyScheduler.java
+++ b/src/main/java/larchridge/node/NettyScheduler.java
@@ -9,74 +9,83 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The node's one event loop as a front's ground. */
+/** Clock and timers of a node on its one Netty event loop. */
 final class NettyScheduler implements Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(NettyScheduler.class);
+    private static final double MILLISECOND_NANOS = 1e6;
+    private static final double MIN_DELAY_MS = 1;
 
     private final EventLoop loop;
-    private final String stem;
-    private final double clockBaseMs = System.currentTimeMillis() - System.nanoTime() / 1e6;
+    private final String idPrefix;
+    private final double clockBaseMs =
+            System.currentTimeMillis() - System.nanoTime() / MILLISECOND_NANOS;
     private final Map<Long, Future<?>> timers = new HashMap<>();
-    private long last;
+    private long lastTimer;
 
-    /** On this loop; stem is the part of names that no other start of any node has. */
-    NettyScheduler(EventLoop loop, String stem) {
+    /**
+     * @param idPrefix the part of ids that no other start of any node has
+     */
+    NettyScheduler(EventLoop loop, String idPrefix) {
         this.loop = loop;
-        this.stem = stem;
+        this.idPrefix = idPrefix;
+    }
+
+    EventLoop loop() {
+        return loop;
     }
 
     @Override
     public double nowMs() {
-        return clockBaseMs + System.nanoTime() / 1e6;
+        return clockBaseMs + System.nanoTime() / MILLISECOND_NANOS;
     }
 
     @Override
-    public long schedule(double ms, Runnable step) {
-        long number = ++last;
+    public long schedule(double ms, Runnable task) {
+        long timer = ++lastTimer;
         timers.put(
-                number,
+                timer,
                 loop.schedule(
                         () -> {
-                            timers.remove(number);
-                            safely(step);
+                            timers.remove(timer);
+                            runSafely(task);
                         },
-                        (long) (Math.max(1, ms) * 1e6),
+                        (long) (Math.max(MIN_DELAY_MS, ms) * MILLISECOND_NANOS),
                         TimeUnit.NANOSECONDS));
-        return number;
+        return timer;
     }
 
     @Override
-    public void cancel(long number) {
-        Future<?> timer = timers.remove(number);
-        if (timer != null) {
-            timer.cancel(false);
+    public void cancel(long timer) {
+        Future<?> scheduled = timers.remove(timer);
+        if (scheduled != null) {
+            scheduled.cancel(false);
         }
     }
 
     @Override
-    public void execute(Runnable step) {
-        loop.execute(() -> safely(step));
+    public void execute(Runnable task) {
+        loop.execute(() -> runSafely(task));
     }
 
     @Override
-    public void scheduleAtFixedDelay(double ms, Runnable step) {
-        // A process that was stopped for a while does not make up for the turns it has missed.
-        loop.scheduleWithFixedDelay(
-                () -> safely(step), (long) (ms * 1e6), (long) (ms * 1e6), TimeUnit.NANOSECONDS);
+    public void scheduleAtFixedDelay(double ms, Runnable task) {
+        long nanos = (long) (ms * MILLISECOND_NANOS);
+        // A fixed delay: a process that was stopped for a while does not catch up on missed runs.
+        loop.scheduleWithFixedDelay(() -> runSafely(task), nanos, nanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
     public String uniqueIdPrefix() {
-        return stem;
+        return idPrefix;
     }
 
     /**
-     * Guards against: a step that throws would end its timer for good, and an error the process's
-     * work.
+     * Guards against: a task that throws would end its periodic timer for good, and an error the
+     * process's work.
      */
-    private static void safely(Runnable step) {
+    private static void runSafely(Runnable task) {
         try {
-            step.run();
+            task.run();
         } catch (RuntimeException | Error e) {
             LOG.error("a step on the loop failed", e);
         }
--- /dev/null
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -0,0 +1,202 @@
+package larchridge.node;
+
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import java.util.ArrayList;
+import java.util.List;
+import larchridge.inventory.EngineEntry;
+import larchridge.node.discovery.DiscoveryClient;
+import larchridge.node.discovery.EndpointListReader;
+import larchridge.node.discovery.InvalidEndpointListException;
+import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerLimits;
+import larchridge.node.upstream.ForwardingUpstreamClient;
+import larchridge.node.upstream.UpstreamLimits;
+import larchridge.policy.PolicyEvents;
+import larchridge.router.Router;
+import larchridge.settings.RoutingSettingsReader;
+import larchridge.site.Site;
+import larchridge.upstream.Endpoint;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Builds the parts of a node on its event loop, with limits from the configuration. */
+final class NodeAssembler {
+    private static final Logger LOG = LoggerFactory.getLogger(NodeAssembler.class);
+
+    /**
+     * Fractions of the descriptors that connections of clients and to engines may take; the rest is
+     * kept in reserve.
+     */
+    private static final double CLIENT_SOCKETS_FRACTION = 0.42;
+
+    private static final double ENGINE_SOCKETS_FRACTION = 0.45;
+
+    /** One engine may take this part of the connections to engines. */
+    private static final int ENGINE_SOCKETS_DIVISOR = 2;
+
+    private static final int MAX_BODY_BYTES = 256 << 10;
+    private static final double MEGABYTE = 1048576.0;
+
+    /**
+     * The fraction of the memory that bodies may take, and what is assumed for one open generation
+     * beside.
+     */
+    private static final double BODIES_FRACTION = 0.2;
+
+    private static final int GENERATION_BYTES = 16 << 10;
+    private static final int MIN_OPEN_GENERATIONS = 16;
+    private static final double REQUEST_TIMEOUT_MS = 2000;
+
+    /**
+     * A client that stops in the middle has to get its error 3 s after it connected; the rest is
+     * for the check that notices it.
+     */
+    private static final double COMPLETE_REQUEST_TIMEOUT_MS = 2600;
+
+    /**
+     * A client has this long to read an answer and end its side, before what it still sends ends
+     * the connection.
+     */
+    private static final double LINGER_MS = 1000;
+
+    /** No client waits on a silent stream for longer, though the platform allows a little more. */
+    private static final double SILENT_STREAM_TIMEOUT_MS = 4500;
+
+    private static final double SLOW_CLIENT_TIMEOUT_MS = 4500;
+
+    /** Stopping may take this many times the longest time that a client waits. */
+    private static final int STOP_TIMEOUT_MULTIPLE = 10;
+
+    private static final double ENGINE_STATE_LOG_INTERVAL_MS = 1000;
+
+    private final NodeConfiguration configuration;
+    private final RoutingSettingsReader settings;
+    private final EventLoopGroup group;
+    private final EventLoop loop;
+    private final ByteBufAllocator allocator;
+    private final NettyScheduler scheduler;
+    private final long bodiesBytes;
+
+    NodeAssembler(
+            NodeConfiguration configuration,
+            EventLoopGroup group,
+            ByteBufAllocator allocator,
+            NettyScheduler scheduler) {
+        this.configuration = configuration;
+        this.settings = configuration.settings();
+        this.group = group;
+        this.loop = scheduler.loop();
+        this.allocator = allocator;
+        this.scheduler = scheduler;
+        double memoryBytes =
+                Math.min(Runtime.getRuntime().maxMemory(), configuration.memoryMb() * MEGABYTE);
+        bodiesBytes = (long) (memoryBytes * BODIES_FRACTION);
+    }
+
+    /** Builds all parts and starts to follow discovery. */
+    NodeComponents build() {
+        Site site = site();
+        NodeAudit audit = new NodeAudit(scheduler, settings);
+        ForwardingUpstreamClient upstream =
+                new ForwardingUpstreamClient(
+                        loop, scheduler, allocator, upstreamLimits(), audit.events());
+        Router router =
+                new Router(scheduler, site, 0, upstream, audit.meters(), PolicyEvents::choice);
+        audit.compareCounts(scheduler, router, upstream);
+        HttpServer server =
+                new HttpServer(
+                        group,
+                        allocator,
+                        scheduler,
+                        router,
+                        site,
+                        settings.products.values(),
+                        serverLimits(),
+                        audit.events(),
+                        audit.meters());
+        DiscoveryClient discovery = discovery(audit, upstream, router);
+        NodeComponents components = new NodeComponents(audit, upstream, router, server, discovery);
+        if (LOG.isDebugEnabled()) {
+            EngineStateLog engineStates = new EngineStateLog(components, scheduler);
+            scheduler.scheduleAtFixedDelay(ENGINE_STATE_LOG_INTERVAL_MS, engineStates::write);
+        }
+        return components;
+    }
+
+    private Site site() {
+        Site site = Site.plain(settings.terms);
+        site.releaseMs = settings.releaseMs;
+        site.drainGraceMs = settings.drainGraceMs;
+        site.limit.openGenerations =
+                (int) Math.max(MIN_OPEN_GENERATIONS, bodiesBytes / GENERATION_BYTES);
+        site.limit.slowClientMs = SLOW_CLIENT_TIMEOUT_MS;
+        site.limit.quietStreamMs = SILENT_STREAM_TIMEOUT_MS;
+        site.limit.stopMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
+        return site;
+    }
+
+    private double longestTimeLimitMs() {
+        return settings.patienceMs.values().stream().mapToDouble(ms -> ms).max().orElse(0);
+    }
+
+    private UpstreamLimits upstreamLimits() {
+        double engineSockets = configuration.sockets() * ENGINE_SOCKETS_FRACTION;
+        return new UpstreamLimits(
+                settings.connectMs,
+                settings.keepAliveMs,
+                settings.releaseMs,
+                (int) engineSockets,
+                (int) (engineSockets / ENGINE_SOCKETS_DIVISOR),
+                settings.reportFields);
+    }
+
+    private ServerLimits serverLimits() {
+        return new ServerLimits(
+                (int) (configuration.sockets() * CLIENT_SOCKETS_FRACTION),
+                MAX_BODY_BYTES,
+                bodiesBytes,
+                REQUEST_TIMEOUT_MS,
+                COMPLETE_REQUEST_TIMEOUT_MS,
+                settings.keepAliveMs,
+                LINGER_MS);
+    }
+
+    private DiscoveryClient discovery(
+            NodeAudit audit, ForwardingUpstreamClient upstream, Router router) {
+        EndpointListReader reader = new EndpointListReader(settings.roles, settings.memory);
+        DiscoveryClient discovery =
+                new DiscoveryClient(
+                        loop,
+                        allocator,
+                        scheduler,
+                        reader,
+                        settings.drainGraceMs,
+                        entries -> publish(entries, audit, upstream, router));
+        if (configuration.knownEndpoints().isObject()) {
+            try {
+                discovery.apply(reader.read(configuration.knownEndpoints()));
+            } catch (InvalidEndpointListException e) {
+                LOG.atWarn()
+                        .addKeyValue("fault", e.getMessage())
+                        .log("the known endpoint list is invalid; discovery is waited for");
+            }
+        }
+        discovery.follow(configuration.discovery());
+        return discovery;
+    }
+
+    /** Hands a new engine list to all parts that keep one; to the router last, since it sends. */
+    private static void publish(
+            List<EngineEntry> entries,
+            NodeAudit audit,
+            ForwardingUpstreamClient upstream,
+            Router router) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        entries.forEach(entry -> endpoints.add(new Endpoint(entry.host(), entry.port())));
+        upstream.engines(endpoints);
+        audit.endpointsChanged(entries);
+        router.endpointsChanged(entries);
+    }
+}
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -19,7 +19,6 @@
 import larchridge.audit.Violations;
 import larchridge.inventory.EngineEntry;
 import larchridge.metrics.RouterMetrics;
-import larchridge.node.server.HttpServer;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
@@ -31,32 +30,37 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * A node's figures and run-time checks: what no side can see alone, and the last counts at the end
- * of the process.
+ * A node's metrics and run-time checks: those that need several parts of the node, and the final
+ * counts at the end of the process.
  */
 final class NodeAudit {
-    private static final double CHECK_MS = 500;
-    private static final double COUNTS_MS = 2000;
     private static final Logger LOG = LoggerFactory.getLogger(NodeAudit.class);
+    private static final double REQUESTS_CHECK_INTERVAL_MS = 500;
+    private static final double COUNTS_CHECK_INTERVAL_MS = 2000;
+
+    /** A tag that is the same in all counters of a process. */
+    private static final String ROUTER_TAG = "front";
 
     private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
     private final Violations violations;
     private final RequestAudit requests;
 
-    NodeAudit(Scheduler ground, RoutingSettingsReader given) {
+    NodeAudit(Scheduler scheduler, RoutingSettingsReader settings) {
         registry.config().meterFilter(new WithoutPercentiles());
         violations = new Violations(registry);
-        AuditSettings terms =
+        AuditSettings auditSettings =
                 new AuditSettings(
-                        given.drainGraceMs,
-                        given.releaseMs,
-                        given.terms.slowStartMs,
-                        given.terms.slowStartShare,
-                        given.terms.overloadMultiple,
-                        given.terms.overloadMs,
-                        given.terms.hedgingAllowed);
-        requests = new RequestAudit(terms, ground::nowMs, violations, new CloseCounters(registry));
-        ground.scheduleAtFixedDelay(CHECK_MS, requests::check);
+                        settings.drainGraceMs,
+                        settings.releaseMs,
+                        settings.terms.slowStartMs,
+                        settings.terms.slowStartShare,
+                        settings.terms.overloadMultiple,
+                        settings.terms.overloadMs,
+                        settings.terms.hedgingAllowed);
+        requests =
+                new RequestAudit(
+                        auditSettings, scheduler::nowMs, violations, new CloseCounters(registry));
+        scheduler.scheduleAtFixedDelay(REQUESTS_CHECK_INTERVAL_MS, requests::check);
     }
 
     /** Percentiles over time take memory that a node does not have. */
@@ -71,70 +75,75 @@
         }
     }
 
+    /** New metrics of a router in this node's registry. */
     RouterMetrics meters() {
         return new RouterMetrics(registry);
     }
 
+    /** Where connections report what happens on their sockets. */
     RequestEvents events() {
         return requests;
     }
 
-    long violationsSoFar() {
+    /** Violations of invariants so far; on any thread. */
+    long violations() {
         return violations.total();
     }
 
-    /** The newest list of engines. */
-    void listed(List<EngineEntry> rows) {
+    /** The endpoint list has changed. */
+    void endpointsChanged(List<EngineEntry> entries) {
         Map<Endpoint, AuditedEngine> engines = new HashMap<>();
-        for (EngineEntry row : rows) {
+        for (EngineEntry entry : entries) {
             engines.put(
-                    new Endpoint(row.host(), row.port()),
+                    new Endpoint(entry.host(), entry.port()),
                     new AuditedEngine(
-                            row.mode() == EndpointState.READY,
-                            row.role(),
-                            row.zone(),
-                            row.rack(),
-                            row.units() > 0 ? row.units() : 1,
-                            row.startMs()));
+                            entry.mode() == EndpointState.READY,
+                            entry.role(),
+                            entry.zone(),
+                            entry.rack(),
+                            entry.units() > 0 ? entry.units() : 1,
+                            entry.startMs()));
         }
         requests.endpointsChanged(engines);
     }
 
-    /** Looks now and then whether the module and the link count the same attempts. */
-    void compareCounts(Scheduler ground, Router front, ForwardingUpstreamClient link) {
-        ground.scheduleAtFixedDelay(
-                COUNTS_MS,
+    /** Checks periodically whether the policy and the upstream client count the same attempts. */
+    void compareCounts(Scheduler scheduler, Router router, ForwardingUpstreamClient upstream) {
+        scheduler.scheduleAtFixedDelay(
+                COUNTS_CHECK_INTERVAL_MS,
                 () ->
-                        front.forEachEngine(
-                                (endpoint, engine) -> {
-                                    int module = engine.attempts.size();
-                                    int own = link.attemptsOut(endpoint);
-                                    if (module != own) {
-                                        violations.count(
-                                                Invariant.COUNTS_AGREE,
-                                                null,
-                                                endpoint
-                                                        + ": "
-                                                        + module
-                                                        + " attempts by the module, "
-                                                        + own
-                                                        + " by the link",
-                                                null);
-                                    }
-                                }));
+                        router.forEachEngine(
+                                (endpoint, engine) ->
+                                        compareCounts(
+                                                endpoint,
+                                                engine.attempts.size(),
+                                                upstream.attemptsOut(endpoint))));
+    }
+
+    private void compareCounts(Endpoint endpoint, int policyCount, int upstreamCount) {
+        if (policyCount != upstreamCount) {
+            violations.report(
+                    Invariant.ATTEMPT_COUNTS_AGREE,
+                    endpoint
+                            + ": "
+                            + policyCount
+                            + " attempts by the policy, "
+                            + upstreamCount
+                            + " by the upstream client");
+        }
     }
 
-    /** At the end of the process nothing may be left. */
-    void atEnd(Router front, ForwardingUpstreamClient link, HttpServer door) {
-        Map<String, Long> left = new TreeMap<>();
-        left.put("generations", (long) front.generationsInFlight());
-        left.put("requests of the link", (long) link.openRequests());
-        left.put("ids", (long) door.openIds());
-        left.put("bytes of bodies", door.heldBytes());
-        left.put("requests audited", (long) requests.openRequests());
-        left.values().removeIf(count -> count == 0);
-        if (!left.isEmpty()) {
-            violations.count(Invariant.ALL_GIVEN_BACK, null, "left at the end: " + left, null);
+    /** Checks that nothing is left at the end of the process, and logs the final counts. */
+    void checkAtEnd(NodeComponents components) {
+        Map<String, Long> leftovers = new TreeMap<>();
+        leftovers.put("generations", (long) components.router().generationsInFlight());
+        leftovers.put("upstream requests", (long) components.upstream().openRequests());
+        leftovers.put("ids", (long) components.server().openIds());
+        leftovers.put("bytes of bodies", components.server().heldBytes());
+        leftovers.put("audited requests", (long) requests.openRequests());
+        leftovers.values().removeIf(count -> count == 0);
+        if (!leftovers.isEmpty()) {
+            violations.report(Invariant.RESOURCES_RELEASED, "left at the end: " + leftovers);
         }
         logCounts();
     }
@@ -143,23 +152,23 @@
         Map<String, Long> counts = new TreeMap<>();
         for (Meter meter : registry.getMeters()) {
             if (meter instanceof Counter counter && counter.count() > 0) {
-                counts.put(name(meter.getId()), (long) counter.count());
+                counts.put(logKey(meter.getId()), (long) counter.count());
             }
         }
         LoggingEventBuilder line = LOG.atInfo();
         for (Map.Entry<String, Long> count : counts.entrySet()) {
             line = line.addKeyValue(count.getKey(), count.getValue());
         }
-        line.log("last counts");
+        line.log("final counts");
     }
 
-    private static String name(Meter.Id id) {
-        StringBuilder name = new StringBuilder(id.getName());
+    private static String logKey(Meter.Id id) {
+        StringBuilder key = new StringBuilder(id.getName());
         for (Tag tag : id.getTags()) {
-            if (!tag.getKey().equals("front")) {
-                name.append('.').append(tag.getValue());
+            if (!tag.getKey().equals(ROUTER_TAG)) {
+                key.append('.').append(tag.getValue());
             }
         }
-        return name.toString();
+        return key.toString();
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/node/ShutdownSequence.java
@@ -0,0 +1,73 @@
+package larchridge.node;
+
+import larchridge.router.Scheduler;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The graceful end of a node, step by step: it stops being ready, accepts late requests for a
+ * while, closes the listener, lets the router answer and release all, stops discovery, and ends
+ * once no client is connected.
+ */
+final class ShutdownSequence {
+    private static final Logger LOG = LoggerFactory.getLogger(ShutdownSequence.class);
+
+    /**
+     * For this long after the signal, clients may still connect. What comes later than 0.7 s after
+     * it must not be found in progress when the process is killed; the signal itself may be handled
+     * 0.15 s late.
+     */
+    private static final double ACCEPT_GRACE_MS = 500;
+
+    private final Scheduler scheduler;
+    private final Runnable onEnded;
+
+    /** Set on the event loop; the thread that starts the node reads it. */
+    private volatile boolean begun;
+
+    ShutdownSequence(Scheduler scheduler, Runnable onEnded) {
+        this.scheduler = scheduler;
+        this.onEnded = onEnded;
+    }
+
+    /** Whether the node has been told to end; on any thread. */
+    boolean hasBegun() {
+        return begun;
+    }
+
+    /** Begins the end of a node whose components may not be built yet, or never; only once. */
+    void begin(NodeComponents components) {
+        if (begun) {
+            return;
+        }
+        begun = true;
+        LOG.info("shutting down");
+        if (components == null) {
+            // The signal came before anything was built, and nothing will be.
+            onEnded.run();
+            return;
+        }
+        components.server().close();
+        scheduler.schedule(ACCEPT_GRACE_MS, () -> stopAccepting(components));
+    }
+
+    private void stopAccepting(NodeComponents components) {
+        components.server().shut();
+        components.server().close();
+        components.router().shutDown(() -> finish(components));
+    }
+
+    private void finish(NodeComponents components) {
+        components.discovery().stop();
+        // Guards against: the end of the process closes over what clients still send, and resets
+        // answers on their way.
+        components.server().close();
+        components
+                .server()
+                .whenEmpty(
+                        () -> {
+                            components.audit().checkAtEnd(components);
+                            onEnded.run();
+                        });
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/node/WarmupClients.java
@@ -0,0 +1,122 @@
+package larchridge.node;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.util.AttributeKey;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import larchridge.node.server.HttpServer;
+
+/** The clients of a warm-up: connections in memory that send requests, good and bad. */
+final class WarmupClients {
+    private static final AttributeKey<Boolean> BUSY = AttributeKey.valueOf("warmup.busy");
+    private static final String HEAD = "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\n";
+    private static final String BODY =
+            "{\"model\":\"p\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\""
+                    + "abcd".repeat(500)
+                    + "\"}]}";
+
+    /** What bad clients send; each then closes. */
+    private static final List<String> BAD_REQUESTS =
+            List.of(
+                    HEAD + "Content-Length: -4\r\n\r\n",
+                    HEAD + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
+                    HEAD + "Content-Length: 60000000\r\n\r\n",
+                    HEAD + "Req-Id: x\r\nContent-Length: 2\r\n\r\n{}",
+                    "\u0001\u0002\u0003\r\n\r\n",
+                    HEAD + "A: " + "b".repeat(20_000),
+                    HEAD + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+                    HEAD + "Content-Length: 20\r\n\r\nhalf");
+
+    private static final String LAST_CHUNK = "0\r\n\r\n";
+    private static final int KEYS = 40;
+    private static final int PREFIXES = 9;
+
+    private final HttpServer server;
+    private final List<EmbeddedChannel> connections = new ArrayList<>();
+    private int sent;
+    private int complete;
+
+    WarmupClients(HttpServer server) {
+        this.server = server;
+    }
+
+    /** Good requests sent so far. */
+    int sent() {
+        return sent;
+    }
+
+    /** Of these, the ones whose answer came to its end. */
+    int complete() {
+        return complete;
+    }
+
+    /** Sends a good request, on a connection that has none in flight. */
+    void send() {
+        EmbeddedChannel client =
+                connections.stream()
+                        .filter(connection -> connection.attr(BUSY).get() == null)
+                        .findFirst()
+                        .orElse(null);
+        if (client == null) {
+            client = new EmbeddedChannel();
+            connections.add(client);
+            server.enter(client);
+        }
+        client.attr(BUSY).set(true);
+        client.writeInbound(
+                EmbeddedBytes.of(
+                        HEAD
+                                + "Req-Id: "
+                                + String.format("%016x", sent)
+                                + "\r\nReq-Kind: p\r\nReq-Key: k"
+                                + sent % KEYS
+                                + "\r\nReq-Deadline-Ms: 4800\r\nReq-Extra: prefix=x"
+                                + sent % PREFIXES
+                                + ",prompt_len=2000,prefix_len=1000,max_out=200\r\nContent-Length: "
+                                + BODY.length()
+                                + "\r\n\r\n"
+                                + BODY));
+        sent++;
+    }
+
+    /** A client sends what is rejected, or leaves in the middle. */
+    void sendBad(int number) {
+        EmbeddedChannel client = new EmbeddedChannel();
+        server.enter(client);
+        client.writeInbound(EmbeddedBytes.of(BAD_REQUESTS.get(number % BAD_REQUESTS.size())));
+        client.runPendingTasks();
+        ByteBuf answer = EmbeddedBytes.readOutbound(client);
+        if (answer != null) {
+            answer.release();
+        }
+        client.close();
+    }
+
+    /** Takes what was answered on each connection. */
+    void step() {
+        for (EmbeddedChannel client : List.copyOf(connections)) {
+            client.runPendingTasks();
+            ByteBuf answer = EmbeddedBytes.readOutbound(client);
+            if (answer != null) {
+                String text = answer.toString(StandardCharsets.ISO_8859_1);
+                answer.release();
+                takeAnswer(client, text);
+            }
+            if (!client.isOpen()) {
+                connections.remove(client);
+            }
+        }
+    }
+
+    private void takeAnswer(EmbeddedChannel client, String text) {
+        boolean ended = text.endsWith(LAST_CHUNK);
+        if (ended) {
+            complete++;
+        }
+        if (ended || text.contains("HTTP/1.1 50")) {
+            client.attr(BUSY).set(null);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/node/WarmupEngines.java
@@ -0,0 +1,136 @@
+package larchridge.node;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import larchridge.router.VirtualTimeScheduler;
+
+/**
+ * The engines of a warm-up: connections in memory that answer what they are sent, some of it badly.
+ */
+final class WarmupEngines {
+    private static final String EVENT =
+            "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abcd\"},"
+                    + "\"finish_reason\":null}]}\n\n";
+    private static final String LAST_EVENTS =
+            "data: {\"choices\":[],\"usage\":{\"completion_tokens\":2}}\n\ndata: [DONE]\n\n";
+    private static final String STREAM_HEAD =
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String LOAD_REPORT = "concurrent=3,depth=1,x0=0.2,x1=1.5";
+    private static final String READ_RESULT = "{\"cached_tokens\":1000}";
+    private static final List<String> BAD_ANSWERS =
+            List.of(
+                    "\u0001noise\r\n\r\n",
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+                    "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
+    private static final int EVENTS_PER_STREAM = 12;
+
+    /** One in this many answers is bad. */
+    private static final int BAD_ANSWER_PERIOD = 8;
+
+    /** One in this many connections can't be opened for want of a descriptor. */
+    private static final int FAILED_CONNECTION_PERIOD = 4;
+
+    private static final int REQUEST_ID_LENGTH = "Req-Id: 0123456789abcdef".length();
+
+    private final VirtualTimeScheduler time;
+
+    /** How long an engine takes for an answer or an event, in virtual time. */
+    private final double latencyMs;
+
+    private final List<EmbeddedChannel> connections = new ArrayList<>();
+    private final Set<EmbeddedChannel> answering = new HashSet<>();
+
+    /** Requests whose prompt was read already. */
+    private final Set<String> readRequests = new HashSet<>();
+
+    private int answers;
+    private int opened;
+
+    WarmupEngines(VirtualTimeScheduler time, double latencyMs) {
+        this.time = time;
+        this.latencyMs = latencyMs;
+    }
+
+    /** Opens a connection, or fails as for want of a descriptor. */
+    ChannelFuture open(ChannelInitializer<Channel> handlers) {
+        EmbeddedChannel connection = new EmbeddedChannel(handlers);
+        if (++opened % FAILED_CONNECTION_PERIOD == 0) {
+            // The classes for this could not be loaded any more where there really is no
+            // descriptor left.
+            return connection.newFailedFuture(new ChannelException("warm-up: no descriptor"));
+        }
+        connections.add(connection);
+        return connection.newSucceededFuture();
+    }
+
+    /** Takes what was sent on each connection and begins to answer it. */
+    void step() {
+        for (EmbeddedChannel connection : List.copyOf(connections)) {
+            connection.runPendingTasks();
+            ByteBuf request = EmbeddedBytes.readOutbound(connection);
+            if (request != null) {
+                String text = request.toString(StandardCharsets.ISO_8859_1);
+                request.release();
+                if (answering.add(connection)) {
+                    time.schedule(latencyMs, () -> answer(connection, text));
+                }
+            }
+            if (!connection.isOpen()) {
+                connections.remove(connection);
+            }
+        }
+    }
+
+    private void answer(EmbeddedChannel connection, String request) {
+        answering.remove(connection);
+        if (!connection.isOpen()) {
+            return;
+        }
+        if (++answers % BAD_ANSWER_PERIOD == 0) {
+            send(connection, BAD_ANSWERS.get(answers % BAD_ANSWERS.size()));
+        } else if (request.startsWith("GET")) {
+            send(connection, withLength("HTTP/1.1 200 OK", LOAD_REPORT));
+        } else if (request.startsWith("DELETE")) {
+            send(connection, "HTTP/1.1 204 No Content\r\n\r\n");
+        } else if (readRequests.add(requestId(request))) {
+            send(connection, withLength("HTTP/1.1 202 Accepted", READ_RESULT));
+        } else {
+            streamEvent(connection, 0);
+        }
+    }
+
+    private static String requestId(String request) {
+        int start = request.indexOf("Req-Id");
+        return request.substring(start, start + REQUEST_ID_LENGTH);
+    }
+
+    private void streamEvent(EmbeddedChannel connection, int sent) {
+        if (!connection.isOpen()) {
+            return;
+        }
+        boolean last = sent >= EVENTS_PER_STREAM;
+        String events = last ? LAST_EVENTS : EVENT;
+        String chunk = Integer.toHexString(events.length()) + "\r\n" + events + "\r\n";
+        send(connection, (sent == 0 ? STREAM_HEAD : "") + chunk + (last ? "0\r\n\r\n" : ""));
+        if (!last) {
+            time.schedule(latencyMs, () -> streamEvent(connection, sent + 1));
+        }
+    }
+
+    private static String withLength(String statusLine, String body) {
+        return statusLine + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    private static void send(EmbeddedChannel connection, String text) {
+        connection.writeInbound(EmbeddedBytes.of(text));
+    }
+}
--- a/src/main/java/larchridge/node/WholeMillisecondIoHandler.java
+++ b/src/main/java/larchridge/node/WholeMillisecondIoHandler.java
@@ -8,17 +8,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets an event loop sleep until its next timer is due, in whole milliseconds. Netty's NIO handler
- * rounds the wait to the nearest millisecond: with less than half of one to go it polls its
- * selector without a wait, turn after turn, until the timer is due. On a small share of a processor
- * these turns cost more than all requests, and answers wait behind them.
+ * Makes an event loop wait for its next timer in whole milliseconds. Netty's NIO handler rounds the
+ * wait to the nearest millisecond: with less than half of one to go it polls its selector without a
+ * wait, turn after turn, until the timer is due. On a small share of a processor these turns cost
+ * more than all requests, and answers wait behind them.
  */
 final class WholeMillisecondIoHandler implements IoHandler {
     private static final long MILLISECOND_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandler handler;
 
-    /** Waits as told here, and does all else as the handler that is given. */
+    /** Rounds waits up, and delegates all else to the given handler. */
     WholeMillisecondIoHandler(IoHandler handler) {
         this.handler = handler;
     }
@@ -30,7 +30,7 @@
 
     @Override
     public int run(IoHandlerContext context) {
-        return handler.run(new RoundedUp(context));
+        return handler.run(new RoundedUpContext(context));
     }
 
     @Override
@@ -64,7 +64,7 @@
     }
 
     /** The loop's context, with the time to the next timer rounded up. */
-    private record RoundedUp(IoHandlerContext context) implements IoHandlerContext {
+    private record RoundedUpContext(IoHandlerContext context) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return context.canBlock();
--- /dev/null
+++ b/src/main/java/larchridge/node/discovery/DiscoveryCall.java
@@ -0,0 +1,236 @@
+package larchridge.node.discovery;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpClientCodec;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import larchridge.node.transport.Connecting;
+import larchridge.router.Scheduler;
+import larchridge.upstream.Endpoint;
+
+/**
+ * One connection to the discovery agent, and the polls on it: a snapshot, then one watch after the
+ * other until it fails or is closed.
+ */
+final class DiscoveryCall extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private static final String LIST_PATH = "/discovery/hosts";
+    private static final int MAX_LIST_BYTES = 4 << 20;
+
+    /**
+     * How long the agent may hold a watch, and how much later a watch without an answer counts as
+     * silent. Guards against: what a silent watch misses counts as known 6 s after it fell silent,
+     * and 4 s after a new configuration; a wait, its silence, a connection that is not established
+     * and a second one have to fit in there. The agent is on the same machine, and polling costs it
+     * nothing.
+     */
+    private static final int WATCH_WAIT_MS = 2000;
+
+    private static final double SILENCE_TIMEOUT_MS = 1000;
+
+    /** An answer that keeps arriving in pieces must be complete this long after its poll. */
+    private static final double SNAPSHOT_TIMEOUT_MS = 10_000;
+
+    /** The same for a watch, beside the agent's wait. */
+    private static final double WATCH_TIMEOUT_MS = 1500;
+
+    /** The least time between polls, also where each is answered at once. */
+    private static final double MIN_POLL_INTERVAL_MS = 20;
+
+    private static final long NO_TIMER = -1;
+
+    /** Where the call is in its lifecycle. */
+    private enum State {
+        /** The connection is being established. */
+        CONNECTING,
+        /** A poll was sent; nothing of its answer has arrived. */
+        AWAITING_ANSWER,
+        /** A part of an answer has arrived. */
+        RECEIVING,
+        /** An answer was applied; the next poll waits for the least interval to pass. */
+        BETWEEN_POLLS,
+        /** Closed for good; whatever still happens on the connection is ignored. */
+        CLOSED
+    }
+
+    private final DiscoveryClient client;
+    private final Scheduler scheduler;
+    private final Endpoint agent;
+    private State state = State.CONNECTING;
+
+    /** Null before the connection is opened, and where no socket could be had. */
+    private Channel channel;
+
+    private double polledMs;
+    private double progressMs;
+    private long silenceTimer = NO_TIMER;
+
+    DiscoveryCall(DiscoveryClient client, Scheduler scheduler, Endpoint agent) {
+        this.client = client;
+        this.scheduler = scheduler;
+        this.agent = agent;
+    }
+
+    /** Connects to the agent and sends the first poll. */
+    void open(Bootstrap bootstrap) {
+        ChannelFuture opening =
+                bootstrap
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) SILENCE_TIMEOUT_MS)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel opened) {
+                                        opened.pipeline()
+                                                .addLast(
+                                                        new ReadProgressHandler(
+                                                                DiscoveryCall.this::bytesReceived),
+                                                        new HttpClientCodec(),
+                                                        new HttpObjectAggregator(MAX_LIST_BYTES),
+                                                        DiscoveryCall.this);
+                                    }
+                                })
+                        .connect(agent.host(), agent.port());
+        channel = Connecting.channelOf(opening);
+        Connecting.whenDone(
+                opening, scheduler, this::poll, failure -> fail("no connection: " + failure));
+    }
+
+    boolean isClosed() {
+        return state == State.CLOSED;
+    }
+
+    /** Whether a part of an answer has arrived. */
+    boolean isReceiving() {
+        return state == State.RECEIVING || state == State.BETWEEN_POLLS;
+    }
+
+    /** Whether bytes of a recent poll's answer have arrived within the time given. */
+    boolean isProgressing(double withinMs) {
+        double nowMs = scheduler.nowMs();
+        return isReceiving()
+                && nowMs - progressMs < withinMs
+                && nowMs - polledMs < SILENCE_TIMEOUT_MS;
+    }
+
+    private void poll() {
+        if (isClosed()) {
+            return;
+        }
+        boolean snapshot = client.isSnapshotNeeded();
+        String target =
+                snapshot
+                        ? LIST_PATH
+                        : LIST_PATH + "?after=" + client.version() + "&wait_ms=" + WATCH_WAIT_MS;
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, target, Unpooled.EMPTY_BUFFER);
+        request.headers().set(HttpHeaderNames.HOST, agent.toString());
+        channel.writeAndFlush(request);
+        polledMs = scheduler.nowMs();
+        state = State.AWAITING_ANSWER;
+        startSilenceTimer(SILENCE_TIMEOUT_MS + (snapshot ? 0 : WATCH_WAIT_MS));
+    }
+
+    /** Some bytes of an answer have arrived. */
+    private void bytesReceived() {
+        if (isClosed()) {
+            return;
+        }
+        progressMs = scheduler.nowMs();
+        if (!isReceiving()) {
+            if (!client.admitReceiving(this)) {
+                close();
+                return;
+            }
+            state = State.RECEIVING;
+        }
+        double timeoutMs =
+                client.isSnapshotNeeded() ? SNAPSHOT_TIMEOUT_MS : WATCH_WAIT_MS + WATCH_TIMEOUT_MS;
+        startSilenceTimer(Math.min(SILENCE_TIMEOUT_MS, polledMs + timeoutMs - progressMs));
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+        if (isClosed()) {
+            return;
+        }
+        stopSilenceTimer();
+        if (response.decoderResult().isFailure() || response.status().code() != 200) {
+            fail("answer " + response.status().code());
+            return;
+        }
+        if (!client.applyAnswer(this, ByteBufUtil.getBytes(response.content()))) {
+            return;
+        }
+        if (!HttpUtil.isKeepAlive(response)) {
+            fail("the agent closes the connection");
+            return;
+        }
+        double pauseMs = polledMs + MIN_POLL_INTERVAL_MS - scheduler.nowMs();
+        if (pauseMs > 0) {
+            state = State.BETWEEN_POLLS;
+            scheduler.schedule(pauseMs, this::poll);
+        } else {
+            poll();
+        }
+    }
+
+    /** Closes the call after a failure, so that another one follows; a closed one ignores it. */
+    void fail(String reason) {
+        if (isClosed()) {
+            return;
+        }
+        close();
+        client.callFailed(reason);
+    }
+
+    /** Closes the call; nothing follows it. */
+    void close() {
+        state = State.CLOSED;
+        client.callClosed(this);
+        stopSilenceTimer();
+        if (channel != null) {
+            channel.close();
+        }
+    }
+
+    private void startSilenceTimer(double ms) {
+        stopSilenceTimer();
+        silenceTimer =
+                scheduler.schedule(
+                        ms,
+                        () -> {
+                            silenceTimer = NO_TIMER;
+                            fail("silent");
+                        });
+    }
+
+    private void stopSilenceTimer() {
+        if (silenceTimer != NO_TIMER) {
+            scheduler.cancel(silenceTimer);
+            silenceTimer = NO_TIMER;
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+        fail("connection closed");
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        fail(String.valueOf(cause.getMessage()));
+    }
+}
--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -2,443 +2,243 @@
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufAllocator;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 import larchridge.inventory.EngineEntry;
-import larchridge.node.transport.Connecting;
 import larchridge.router.Scheduler;
-import larchridge.state.EndpointState;
+import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The engine list as discovery's agent tells it: first the whole list, then watches, one directly
- * behind the other. The list that was told last stays while the agent is silent or what it says
- * can't be read. All methods run on the loop.
+ * Keeps the engine list as the discovery agent sends it: first a snapshot, then watches, one
+ * directly after the other. The last list stays while the agent is silent or sends an invalid one.
+ * All methods run on the event loop.
  */
 public final class DiscoveryClient {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
-    private static final int LIST_BYTES = 4 << 20;
 
     /**
-     * A watch waits so long, and is silent when nothing has come that much later. Guards against:
-     * what a silent watch misses counts as told 6 s after it fell silent, and 4 s after a new
-     * configuration; a wait, its silence, a connection that does not come up and a second one have
-     * to fit in there. The agent is on the same machine, and asking costs it nothing.
+     * An agent that has the list answers at once; silence for this part of the drain grace is taken
+     * for no answer. The other half is for connecting, the answer and reading it. Guards against:
+     * each call is a new connection and costs milliseconds of a small processor share, so that
+     * calls at shorter intervals would delay streams.
      */
-    private static final int WAIT_MS = 2000;
+    private static final double DRAIN_GRACE_FRACTION = 0.5;
 
-    private static final double SILENT_MS = 1000;
-    private static final long NO_TIMER = -1;
-    private static final double AGAIN_FIRST_MS = 50;
+    private static final double MIN_SNAPSHOT_INTERVAL_MS = 20;
 
-    /**
-     * An agent that has the list answers at once; silence for this part of the grace of a drain is
-     * taken for none. The other half is for connecting, answer and reading. Guards against: each
-     * call is a new connection and costs milliseconds of a small processor share, so that calls at
-     * shorter turns would hold up streams.
-     */
-    private static final double GRACE_PART = 0.5;
-
-    private static final double AGAIN_LEAST_MS = 20;
-
-    /** As many calls for the whole list may be open at a time; then the oldest is ended. */
-    private static final int OPEN_MOST = 16;
-
-    /**
-     * Of these, as many may be receiving their answers: each may take the memory of a whole list.
-     */
-    private static final int RECEIVING_MOST = 2;
-
-    /**
-     * An answer that keeps coming in pieces must have ended so long after it was asked for, beside
-     * a watch's wait.
-     */
-    private static final double ANSWER_MOST_MS = 10_000;
-
-    private static final double WATCH_ANSWER_MOST_MS = 1500;
+    /** Snapshot calls that may be open at a time; beyond it the oldest is closed. */
+    private static final int MAX_OPEN_CALLS = 16;
 
-    /**
-     * Watches are asked at most this often, also by one that is answered at once again and again.
-     */
-    private static final double WATCH_GAP_MS = 20;
+    /** Of these, the ones that may receive: each may take the memory of a whole list. */
+    private static final int MAX_RECEIVING_CALLS = 2;
 
     private final EventLoop loop;
-    private final ByteBufAllocator buffers;
-    private final Scheduler ground;
+    private final ByteBufAllocator allocator;
+    private final Scheduler scheduler;
     private final EndpointListReader reader;
     private final Consumer<List<EngineEntry>> onChange;
-    private final double againMostMs;
-    private final Map<String, EngineEntry> rows = new LinkedHashMap<>();
-    private final StartTimeConverter startTimes;
-    private final RemovedEndpoints departed = new RemovedEndpoints();
-    private String host;
-    private int port;
+    private final double snapshotIntervalMs;
+    private final PollBackoff backoff;
+    private final EndpointCatalog catalog = new EndpointCatalog(System::currentTimeMillis);
 
-    /** The oldest first. More than one only while the whole list is asked for. */
-    private final List<Call> open = new ArrayList<>();
+    /** The oldest first. More than one only while a snapshot is requested. */
+    private final List<DiscoveryCall> openCalls = new ArrayList<>();
 
+    private Endpoint agent;
     private boolean stopped;
-    private long index;
-
-    /** Whether the next call asks for the whole list. */
-    private boolean whole = true;
 
-    private double againMs = AGAIN_FIRST_MS;
+    /** Whether the next poll requests the full list rather than a watch. */
+    private boolean snapshotNeeded = true;
 
-    /** Whether the agent has told a list since the start, and who waits for that. */
-    private boolean updated;
+    /** Whether the agent has sent a list since the start. */
+    private boolean agentHeard;
 
+    /** Waits for the agent's first list; null if nobody does. */
     private Runnable firstUpdateWaiter;
 
     /**
-     * @param graceMs how long an engine may still be sent to once it is told to drain
-     * @param onChange is given the complete list after each change
+     * @param drainGraceMs how long an engine may still be sent to once it is set to drain
+     * @param onChange receives the complete list after each change
      */
     public DiscoveryClient(
             EventLoop loop,
-            ByteBufAllocator buffers,
-            Scheduler ground,
+            ByteBufAllocator allocator,
+            Scheduler scheduler,
             EndpointListReader reader,
-            double graceMs,
+            double drainGraceMs,
             Consumer<List<EngineEntry>> onChange) {
         this.loop = loop;
-        this.buffers = buffers;
-        this.ground = ground;
+        this.allocator = allocator;
+        this.scheduler = scheduler;
         this.reader = reader;
         this.onChange = onChange;
-        startTimes = new StartTimeConverter(System::currentTimeMillis);
-        againMostMs = Math.max(AGAIN_LEAST_MS, graceMs * GRACE_PART);
+        snapshotIntervalMs =
+                Math.max(MIN_SNAPSHOT_INTERVAL_MS, drainGraceMs * DRAIN_GRACE_FRACTION);
+        backoff = new PollBackoff(snapshotIntervalMs);
     }
 
-    /** Takes a list that was kept, and what comes on a watch. */
-    public void take(EndpointListReader.Update list) {
-        Map<String, EngineEntry> before = new LinkedHashMap<>(rows);
-        if (list.whole()) {
-            rows.clear();
-        }
-        double now = ground.nowMs();
-        list.rows()
-                .forEach(
-                        (name, row) -> {
-                            if (row.mode() == EndpointState.REMOVED) {
-                                rows.remove(name);
-                            } else {
-                                rows.put(
-                                        name,
-                                        departed.keep(
-                                                name,
-                                                row.startedAt(
-                                                        startTimes.of(name, row.startMs(), now)),
-                                                list.index()));
-                            }
-                        });
-        departed.note(before, rows, list.index());
-        if (updated) {
-            startTimes.confirmed(now);
-        }
-        index = list.index();
-        if (list.whole() || !list.rows().isEmpty()) {
-            onChange.accept(new ArrayList<>(rows.values()));
+    /** Applies a list: one from the configuration, or an answer of the agent. */
+    public void apply(EndpointListUpdate update) {
+        if (catalog.apply(update, scheduler.nowMs(), agentHeard)) {
+            onChange.accept(catalog.entries());
         }
     }
 
-    /** Runs once the agent has told a list of its own, or when so long has passed without one. */
-    public void whenFirstUpdated(double mostMs, Runnable then) {
-        Runnable waiting =
+    /** Runs an action once the agent has sent a list of its own, or the timeout has passed. */
+    public void whenFirstUpdated(double timeoutMs, Runnable action) {
+        Runnable waiter =
                 () -> {
                     if (firstUpdateWaiter != null) {
                         firstUpdateWaiter = null;
-                        then.run();
+                        action.run();
                     }
                 };
-        firstUpdateWaiter = waiting;
-        if (updated) {
-            waiting.run();
+        firstUpdateWaiter = waiter;
+        if (agentHeard) {
+            waiter.run();
         } else {
-            ground.schedule(mostMs, waiting);
+            scheduler.schedule(timeoutMs, waiter);
         }
     }
 
-    /** Asks there from now on, at once and for the whole list. */
-    public void follow(String toHost, int toPort) {
-        host = toHost;
-        port = toPort;
-        whole = true;
-        againMs = AGAIN_FIRST_MS;
-        abandonAll();
+    /** Polls the agent at this address from now on, beginning at once with a snapshot. */
+    public void follow(Endpoint newAgent) {
+        agent = newAgent;
+        snapshotNeeded = true;
+        backoff.reset();
+        closeAll();
         openCall();
     }
 
+    /** Ends all polling for good. */
     public void stop() {
         stopped = true;
-        abandonAll();
+        closeAll();
     }
 
-    private void abandonAll() {
-        List.copyOf(open).forEach(Call::abandon);
+    private void closeAll() {
+        List.copyOf(openCalls).forEach(DiscoveryCall::close);
     }
 
     private void openCall() {
         if (stopped) {
             return;
         }
-        if (open.size() >= OPEN_MOST) {
-            open.get(0).abandon();
-        }
-        Call next = new Call();
-        open.add(next);
-        next.open();
+        if (openCalls.size() >= MAX_OPEN_CALLS) {
+            openCalls.get(0).close();
+        }
+        DiscoveryCall call = new DiscoveryCall(this, scheduler, agent);
+        openCalls.add(call);
+        call.open(
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.ALLOCATOR, allocator)
+                        .option(ChannelOption.TCP_NODELAY, true));
+        scheduler.schedule(snapshotIntervalMs, () -> openAnother(call));
     }
 
-    /** One connection to the agent. */
-    private final class Call extends SimpleChannelInboundHandler<FullHttpResponse> {
-        /** Null where no socket could be had. */
-        private Channel channel;
-
-        private boolean abandoned;
-        private boolean receiving;
-        private double askedMs;
-        private double progressMs;
-        private long timer = NO_TIMER;
-
-        void open() {
-            ChannelFuture opening =
-                    new Bootstrap()
-                            .group(loop)
-                            .channel(NioSocketChannel.class)
-                            .option(ChannelOption.ALLOCATOR, buffers)
-                            .option(ChannelOption.TCP_NODELAY, true)
-                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) SILENT_MS)
-                            .handler(
-                                    new ChannelInitializer<Channel>() {
-                                        @Override
-                                        protected void initChannel(Channel own) {
-                                            own.pipeline()
-                                                    .addLast(
-                                                            new ProgressHandler(
-                                                                    Call.this::progress),
-                                                            new HttpClientCodec(),
-                                                            new HttpObjectAggregator(LIST_BYTES),
-                                                            Call.this);
-                                        }
-                                    })
-                            .connect(host, port);
-            channel = Connecting.channelOf(opening);
-            Connecting.whenDone(
-                    opening,
-                    ground,
-                    () -> {
-                        if (!abandoned) {
-                            ask();
-                        }
-                    },
-                    failure -> failed("no connection: " + failure));
-            ground.schedule(againMostMs, this::openAnother);
-        }
-
-        /**
-         * An agent that was silent may never answer what it was asked meanwhile, and once it speaks
-         * again what it has counts as told at once. So another call begins while this one stays
-         * open, since its answer may come in slow pieces.
-         */
-        private void openAnother() {
-            if (abandoned || !whole || open.get(open.size() - 1) != this) {
-                return;
-            }
-            double now = ground.nowMs();
-            if (receiving && now - progressMs < againMostMs && now - askedMs < SILENT_MS) {
-                ground.schedule(againMostMs, this::openAnother);
-            } else {
-                openCall();
-            }
-        }
-
-        private void ask() {
-            String target =
-                    whole
-                            ? "/discovery/hosts"
-                            : "/discovery/hosts?after=" + index + "&wait_ms=" + WAIT_MS;
-            DefaultFullHttpRequest request =
-                    new DefaultFullHttpRequest(
-                            HttpVersion.HTTP_1_1, HttpMethod.GET, target, Unpooled.EMPTY_BUFFER);
-            request.headers().set(HttpHeaderNames.HOST, host + ":" + port);
-            channel.writeAndFlush(request);
-            askedMs = ground.nowMs();
-            receiving = false;
-            startTimer(SILENT_MS + (whole ? 0 : WAIT_MS));
-        }
-
-        /** Some bytes of an answer have come. */
-        private void progress() {
-            if (abandoned) {
-                return;
-            }
-            progressMs = ground.nowMs();
-            if (!receiving && !mayReceive()) {
-                abandon();
-                return;
-            }
-            double mostMs = whole ? ANSWER_MOST_MS : WAIT_MS + WATCH_ANSWER_MOST_MS;
-            startTimer(Math.min(SILENT_MS, askedMs + mostMs - progressMs));
-        }
-
-        /**
-         * An agent that comes back may answer all calls at once: the first ones are received, the
-         * others are given up. Those that have come in part stay, since a list that always comes in
-         * slow pieces would else never be whole.
-         */
-        private boolean mayReceive() {
-            List<Call> others = open.stream().filter(other -> other != this).toList();
-            if (others.stream().filter(other -> other.receiving).count() >= RECEIVING_MOST) {
-                return false;
-            }
-            others.stream().filter(other -> !other.receiving).forEach(Call::abandon);
-            receiving = true;
-            return true;
+    /**
+     * An agent that was silent may never answer what it was sent meanwhile, and once it speaks
+     * again its list counts as known at once. So another call begins while this one stays open,
+     * since its answer may come in slow pieces.
+     */
+    private void openAnother(DiscoveryCall call) {
+        if (call.isClosed() || !snapshotNeeded || openCalls.get(openCalls.size() - 1) != call) {
+            return;
         }
-
-        @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (abandoned) {
-                return;
-            }
-            stopTimer();
-            if (response.decoderResult().isFailure() || response.status().code() != 200) {
-                failed("answer " + response.status().code());
-                return;
-            }
-            if (!takeAnswer(response)) {
-                return;
-            }
-            if (!HttpUtil.isKeepAlive(response)) {
-                failed("closed");
-                return;
-            }
-            double early = askedMs + WATCH_GAP_MS - ground.nowMs();
-            if (early > 0) {
-                ground.schedule(
-                        early,
-                        () -> {
-                            if (!abandoned) {
-                                ask();
-                            }
-                        });
-            } else {
-                ask();
-            }
+        if (call.isProgressing(snapshotIntervalMs)) {
+            scheduler.schedule(snapshotIntervalMs, () -> openAnother(call));
+        } else {
+            openCall();
         }
+    }
 
-        /** False if the answer could not be used, and the call has failed. */
-        private boolean takeAnswer(FullHttpResponse response) {
-            EndpointListReader.Update list;
-            try {
-                list = reader.read(ByteBufUtil.getBytes(response.content()));
-            } catch (EndpointListReader.BadList e) {
-                LOG.atWarn()
-                        .addKeyValue("fault", e.getMessage())
-                        .log("a list from discovery can't be read; the last one stays");
-                // What it would have changed is not known any more; only a whole list mends that.
-                whole = true;
-                failed("unreadable");
-                return false;
-            }
-            if (whole && !list.whole()) {
-                failed("changes where the whole list was asked for");
-                return false;
-            }
-            if (!whole && list.index() < index) {
-                // It is older than what is known; taken, it would tell engines to serve that have
-                // begun to drain.
-                failed("an older list");
-                return false;
-            }
-            List.copyOf(open).stream().filter(other -> other != this).forEach(Call::abandon);
-            updated = true;
-            take(list);
-            whole = false;
-            againMs = AGAIN_FIRST_MS;
-            if (firstUpdateWaiter != null) {
-                firstUpdateWaiter.run();
-            }
-            return true;
-        }
+    // ------------------------------------------------------------------ called by calls
 
-        private void failed(String why) {
-            if (abandoned) {
-                return;
-            }
-            abandon();
-            LOG.atDebug().addKeyValue("why", why).log("discovery is asked again");
-            double wait = againMs;
-            againMs = Math.min(againMostMs, 2 * againMs);
-            // A gap in the watch may hide changes; after one the whole list is asked for.
-            whole = true;
-            ground.schedule(
-                    wait,
-                    () -> {
-                        if (open.isEmpty()) {
-                            openCall();
-                        }
-                    });
-        }
+    /** Whether the next poll requests the full list rather than a watch. */
+    boolean isSnapshotNeeded() {
+        return snapshotNeeded;
+    }
 
-        void abandon() {
-            abandoned = true;
-            open.remove(this);
-            stopTimer();
-            if (channel != null) {
-                channel.close();
-            }
-        }
+    /** The version that a watch waits to be exceeded. */
+    long version() {
+        return catalog.version();
+    }
 
-        private void startTimer(double ms) {
-            stopTimer();
-            timer =
-                    ground.schedule(
-                            ms,
-                            () -> {
-                                timer = NO_TIMER;
-                                failed("silent");
-                            });
+    /**
+     * Whether a call may receive its answer. An agent that comes back may answer all calls at once:
+     * the first ones are received, the others are closed. Those that have received a part stay,
+     * since a list that always comes in slow pieces would otherwise never be complete.
+     */
+    boolean admitReceiving(DiscoveryCall call) {
+        List<DiscoveryCall> others = openCalls.stream().filter(other -> other != call).toList();
+        if (others.stream().filter(DiscoveryCall::isReceiving).count() >= MAX_RECEIVING_CALLS) {
+            return false;
         }
+        others.stream().filter(other -> !other.isReceiving()).forEach(DiscoveryCall::close);
+        return true;
+    }
 
-        private void stopTimer() {
-            if (timer != NO_TIMER) {
-                ground.cancel(timer);
-                timer = NO_TIMER;
-            }
-        }
+    /** Applies the body of an answer; false if it could not be used and the call has failed. */
+    boolean applyAnswer(DiscoveryCall call, byte[] body) {
+        EndpointListUpdate update;
+        try {
+            update = reader.read(body);
+        } catch (InvalidEndpointListException e) {
+            LOG.atWarn()
+                    .addKeyValue("fault", e.getMessage())
+                    .log("the endpoint list from discovery is invalid; the last one stays");
+            // What it would have changed is unknown; only a snapshot restores that.
+            snapshotNeeded = true;
+            call.fail("invalid list");
+            return false;
+        }
+        if (snapshotNeeded && !update.snapshot()) {
+            call.fail("changes where a snapshot was requested");
+            return false;
+        }
+        if (!snapshotNeeded && update.version() < catalog.version()) {
+            // Applied, it would return engines to service that have begun to drain.
+            call.fail("an older list");
+            return false;
+        }
+        List.copyOf(openCalls).stream()
+                .filter(other -> other != call)
+                .forEach(DiscoveryCall::close);
+        agentHeard = true;
+        apply(update);
+        snapshotNeeded = false;
+        backoff.reset();
+        if (firstUpdateWaiter != null) {
+            firstUpdateWaiter.run();
+        }
+        return true;
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext context) {
-            failed("connection ended");
-        }
+    /** A call was closed by either side, or has failed. */
+    void callClosed(DiscoveryCall call) {
+        openCalls.remove(call);
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            failed(String.valueOf(cause.getMessage()));
-        }
+    /** A call has failed and was closed; another one follows after a pause. */
+    void callFailed(String reason) {
+        LOG.atDebug().addKeyValue("reason", reason).log("discovery call failed; it is retried");
+        double pauseMs = backoff.nextMs();
+        // A gap between watches may hide changes; only a snapshot shows them.
+        snapshotNeeded = true;
+        scheduler.schedule(
+                pauseMs,
+                () -> {
+                    if (openCalls.isEmpty()) {
+                        openCall();
+                    }
+                });
     }
 }
--- a/src/main/java/larchridge/node/discovery/EndpointListReader.java
+++ b/src/main/java/larchridge/node/discovery/EndpointListReader.java
@@ -10,105 +10,110 @@
 import larchridge.state.Role;
 import larchridge.upstream.Endpoint;
 
-/** Reads lists of engines in discovery's form. A list with a fault anywhere is refused whole. */
+/** Reads endpoint lists in the agent's JSON form. A list with any fault is rejected as a whole. */
 public final class EndpointListReader {
     private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final double MAX_WEIGHT = 1e9;
+    private static final double MAX_START_MS = 1e15;
+    private static final long FNV1A_OFFSET_BASIS = 0xCBF29CE484222325L;
+    private static final long FNV1A_PRIME = 0x100000001B3L;
 
-    private final Map<String, Role> roles;
-    private final Map<String, Double> memory;
-
-    /** What kinds of engines do, and tokens that they have memory for. */
-    public EndpointListReader(Map<String, Role> roles, Map<String, Double> memory) {
-        this.roles = roles;
-        this.memory = memory;
-    }
+    private final Map<String, Role> rolesByType;
+    private final Map<String, Double> memoryTokensByType;
 
     /**
-     * A list: all there is, or what has changed. Rows are by name; those that are gone bear that
-     * mode.
+     * @param rolesByType what the engines of each type do; others do both
+     * @param memoryTokensByType the tokens that engines of each type have memory for
      */
-    public record Update(long index, boolean whole, Map<String, EngineEntry> rows) {}
-
-    /** A list that can't be used. */
-    public static final class BadList extends Exception {
-        private static final long serialVersionUID = 1;
-
-        BadList(String what) {
-            super(what);
-        }
+    public EndpointListReader(
+            Map<String, Role> rolesByType, Map<String, Double> memoryTokensByType) {
+        this.rolesByType = rolesByType;
+        this.memoryTokensByType = memoryTokensByType;
     }
 
-    public Update read(byte[] body) throws BadList {
+    /** Reads a list from the body of an answer. */
+    public EndpointListUpdate read(byte[] body) throws InvalidEndpointListException {
         try {
             return read(MAPPER.readTree(body));
         } catch (IOException e) {
-            throw new BadList("no JSON (" + e.getMessage().lines().findFirst().orElse("") + ")");
+            throw new InvalidEndpointListException(
+                    "no JSON (" + e.getMessage().lines().findFirst().orElse("") + ")");
         }
     }
 
-    public Update read(JsonNode node) throws BadList {
-        if (node == null || !node.path("index").isIntegralNumber()) {
-            throw new BadList("index is missing; expected a whole number");
+    /** Reads a list from parsed JSON. */
+    public EndpointListUpdate read(JsonNode list) throws InvalidEndpointListException {
+        if (list == null || !list.path("index").isIntegralNumber()) {
+            throw new InvalidEndpointListException("index is missing; expected a whole number");
         }
-        if (!node.path("endpoints").isArray()) {
-            throw new BadList("endpoints is missing; expected a list");
+        if (!list.path("endpoints").isArray()) {
+            throw new InvalidEndpointListException("endpoints is missing; expected a list");
         }
-        Map<String, EngineEntry> rows = new LinkedHashMap<>();
+        Map<String, EngineEntry> entries = new LinkedHashMap<>();
         int i = 0;
-        for (JsonNode entry : node.path("endpoints")) {
+        for (JsonNode entry : list.path("endpoints")) {
+            String member = "endpoints[" + i + "]";
             String name = entry.path("name").asText("");
             if (name.isEmpty()) {
-                throw new BadList("endpoints[" + i + "].name is missing; expected a name");
+                throw new InvalidEndpointListException(
+                        member + ".name is missing; expected a name");
             }
-            rows.put(name, row(entry, name, "endpoints[" + i + "]"));
+            entries.put(name, readEntry(entry, name, member));
             i++;
         }
-        return new Update(
-                node.path("index").longValue(), node.path("snapshot").asBoolean(false), rows);
+        return new EndpointListUpdate(
+                list.path("index").longValue(), list.path("snapshot").asBoolean(false), entries);
     }
 
-    private EngineEntry row(JsonNode entry, String name, String where) throws BadList {
-        EndpointState mode =
-                switch (entry.path("status").asText("")) {
-                    case "SERVING" -> EndpointState.READY;
-                    case "DRAINING" -> EndpointState.DRAINING;
-                    case "DELETED" -> EndpointState.REMOVED;
-                    default ->
-                            throw new BadList(
-                                    where
-                                            + ".status is '"
-                                            + entry.path("status").asText("")
-                                            + "'; expected SERVING, DRAINING or DELETED");
-                };
+    private EngineEntry readEntry(JsonNode entry, String name, String member)
+            throws InvalidEndpointListException {
+        EndpointState state = readState(entry, member);
         String address = entry.path("address").asText("");
         Endpoint endpoint = Endpoint.parse(address);
-        if ((endpoint == null || endpoint.port() == 0) && mode != EndpointState.REMOVED) {
-            throw new BadList(where + ".address is '" + address + "'; expected host:port");
+        if ((endpoint == null || endpoint.port() == 0) && state != EndpointState.REMOVED) {
+            throw new InvalidEndpointListException(
+                    member + ".address is '" + address + "'; expected host:port");
         }
         double weight = entry.path("weight").asDouble(1);
-        double start = entry.path("since_ms").asDouble(0);
-        if (!(weight >= 0 && weight < 1e9) || !(start >= 0 && start < 1e15)) {
-            throw new BadList(where + ": weight or since_ms is out of range");
+        double startMs = entry.path("since_ms").asDouble(0);
+        if (!(weight >= 0 && weight < MAX_WEIGHT) || !(startMs >= 0 && startMs < MAX_START_MS)) {
+            throw new InvalidEndpointListException(member + ": weight or since_ms is out of range");
         }
-        String kind = entry.path("type").asText("");
+        String type = entry.path("type").asText("");
         return new EngineEntry(
-                number(name),
+                idOf(name),
                 endpoint == null ? "" : endpoint.host(),
                 endpoint == null ? -1 : endpoint.port(),
-                roles.getOrDefault(kind, Role.BOTH),
+                rolesByType.getOrDefault(type, Role.BOTH),
                 entry.path("zone").asText(""),
                 entry.path("group").asLong(0),
                 weight,
-                memory.getOrDefault(kind, Double.NaN),
-                start,
-                mode);
+                memoryTokensByType.getOrDefault(type, Double.NaN),
+                startMs,
+                state);
+    }
+
+    private static EndpointState readState(JsonNode entry, String member)
+            throws InvalidEndpointListException {
+        String status = entry.path("status").asText("");
+        return switch (status) {
+            case "SERVING" -> EndpointState.READY;
+            case "DRAINING" -> EndpointState.DRAINING;
+            case "DELETED" -> EndpointState.REMOVED;
+            default ->
+                    throw new InvalidEndpointListException(
+                            member
+                                    + ".status is '"
+                                    + status
+                                    + "'; expected SERVING, DRAINING or DELETED");
+        };
     }
 
-    /** A number for a name, alike at every node: FNV-1a of 64 bits. */
-    static long number(String name) {
-        long hash = 0xCBF29CE484222325L;
+    /** The number of an engine's name, the same at every node: FNV-1a with 64 bits. */
+    static long idOf(String name) {
+        long hash = FNV1A_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
-            hash = (hash ^ name.charAt(i)) * 0x100000001B3L;
+            hash = (hash ^ name.charAt(i)) * FNV1A_PRIME;
         }
         return hash;
     }
--- a/src/main/java/larchridge/node/discovery/ProgressHandler.java
+++ b/src/main/java/larchridge/node/discovery/ReadProgressHandler.java
@@ -3,17 +3,17 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells that bytes have come, before anything is made of them. */
-final class ProgressHandler extends ChannelInboundHandlerAdapter {
-    private final Runnable progress;
+/** Reports that bytes have arrived, before they are decoded. */
+final class ReadProgressHandler extends ChannelInboundHandlerAdapter {
+    private final Runnable onBytes;
 
-    ProgressHandler(Runnable progress) {
-        this.progress = progress;
+    ReadProgressHandler(Runnable onBytes) {
+        this.onBytes = onBytes;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        progress.run();
+        onBytes.run();
         context.fireChannelRead(message);
     }
 }
--- a/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
+++ b/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
@@ -7,46 +7,55 @@
 import larchridge.state.EndpointState;
 
 /**
- * Remembers the engines that were told to drain or to be gone, with the version that told so. An
- * older list, from a replica that lags or from another agent after a new configuration, must not
- * bring one of them back to service. A process that started anew is another one. Without I/O.
+ * Remembers the engines that were set to drain or were removed, with the version of the list that
+ * did so. An older list, from a replica that lags or from another agent after a new configuration,
+ * must not bring one of them back to service. A process that has started anew counts as another
+ * engine. Without I/O.
  */
 final class RemovedEndpoints {
-    private static final int MOST = 4096;
+    private static final int CAPACITY = 4096;
 
-    private record Departure(long index, double startMs) {}
+    /** Which list ended an engine, and the start time of the process that it ended. */
+    private record Removal(long version, double startMs) {}
 
-    private final Map<String, Departure> departures = new LinkedHashMap<>();
+    /** By name, the oldest removal first. */
+    private final Map<String, Removal> removals = new LinkedHashMap<>();
 
     /**
-     * The row as it may be used: one that serves by an older list than the one that told of its
-     * leaving drains on.
+     * The entry as it may be used: one that serves by an older list than the one that ended it goes
+     * on draining.
      */
-    EngineEntry keep(String name, EngineEntry row, long index) {
-        Departure departure = departures.get(name);
-        if (row.mode() != EndpointState.READY || departure == null) {
-            return row;
+    EngineEntry restrict(String name, EngineEntry entry, long version) {
+        Removal removal = removals.get(name);
+        if (entry.mode() != EndpointState.READY || removal == null) {
+            return entry;
         }
-        if (index < departure.index && row.startMs() == departure.startMs) {
-            return row.inMode(EndpointState.DRAINING);
+        if (version < removal.version && entry.startMs() == removal.startMs) {
+            return entry.inMode(EndpointState.DRAINING);
         }
-        departures.remove(name);
-        return row;
+        removals.remove(name);
+        return entry;
     }
 
-    /** Notes what a list has ended. */
-    void note(Map<String, EngineEntry> before, Map<String, EngineEntry> after, long index) {
+    /** Records the engines that served before a list and do not serve after it. */
+    void recordEnded(
+            Map<String, EngineEntry> before, Map<String, EngineEntry> after, long version) {
         before.forEach(
-                (name, row) -> {
-                    EngineEntry now = after.get(name);
-                    if (row.mode() == EndpointState.READY
-                            && (now == null || now.mode() != EndpointState.READY)) {
-                        departures.remove(name);
-                        departures.put(name, new Departure(index, row.startMs()));
+                (name, entry) -> {
+                    EngineEntry current = after.get(name);
+                    boolean serves = current != null && current.mode() == EndpointState.READY;
+                    if (entry.mode() == EndpointState.READY && !serves) {
+                        // Removed first, so that it becomes the newest in the map's order.
+                        removals.remove(name);
+                        removals.put(name, new Removal(version, entry.startMs()));
                     }
                 });
-        Iterator<String> oldest = departures.keySet().iterator();
-        for (int over = departures.size() - MOST; over > 0; over--) {
+        dropOldest();
+    }
+
+    private void dropOldest() {
+        Iterator<String> oldest = removals.keySet().iterator();
+        for (int excess = removals.size() - CAPACITY; excess > 0; excess--) {
             oldest.next();
             oldest.remove();
         }
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -23,11 +23,11 @@
     private static final Endpoint READER = new Endpoint("10.0.0.1", 8443);
     private static final Endpoint WRITER = new Endpoint("10.0.0.2", 8443);
     private static final Endpoint OTHER_RACK = new Endpoint("10.0.0.3", 8443);
-    private static final Endpoint COLD = new Endpoint("10.0.0.4", 8443);
+    private static final Endpoint WARMING = new Endpoint("10.0.0.4", 8443);
     private static final double GRACE_MS = 250;
     private static final double RELEASE_MS = 1000;
     private static final double WINDOW_MS = 2000;
-    private static final long TOLD_MS = 4000;
+    private static final long TIME_LIMIT_MS = 4000;
 
     private double nowMs = 1_000_000;
     private final Violations violations = new Violations(new SimpleMeterRegistry());
@@ -43,7 +43,7 @@
         engines.put(READER, new AuditedEngine(true, Role.READER, "a", 1, 1, 0));
         engines.put(WRITER, new AuditedEngine(true, Role.WRITER, "a", 1, 1, 0));
         engines.put(OTHER_RACK, new AuditedEngine(true, Role.WRITER, "a", 2, 1, 0));
-        engines.put(COLD, new AuditedEngine(true, Role.WRITER, "a", 1, 1, nowMs - 10));
+        engines.put(WARMING, new AuditedEngine(true, Role.WRITER, "a", 1, 1, nowMs - 10));
         audit.endpointsChanged(engines);
     }
 
@@ -51,7 +51,7 @@
         audit.accepted(
                 id,
                 new TrafficClass("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60),
-                nowMs + TOLD_MS);
+                nowMs + TIME_LIMIT_MS);
     }
 
     private int write(String id, Endpoint endpoint, boolean reads) {
@@ -105,9 +105,9 @@
                 audit.answered(ID, "throttled");
                 audit.answered(ID, "throttled");
             }
-            case ANSWER_IN_TIME -> {
+            case ANSWERED_BY_DEADLINE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                nowMs += TOLD_MS + 600;
+                nowMs += TIME_LIMIT_MS + 600;
                 audit.check();
             }
             case NO_ATTEMPT_AFTER_CLOSE -> {
@@ -120,31 +120,31 @@
                 audit.answered(ID, "throttled");
                 write(ID, READER, true);
             }
-            case NO_FORBIDDEN_COPY -> {
+            case NO_FORBIDDEN_HEDGE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 write(ID, READER, true);
                 write(ID, READER, true);
             }
-            case NO_FORBIDDEN_REPEAT -> {
+            case NO_FORBIDDEN_RETRY -> {
                 writeThatMayHaveRun(Effect.SIDE_EFFECTING, DeduplicationScope.ALL);
                 write(ID, WRITER, false);
             }
-            case NO_SEND_PAST_GRACE -> {
+            case NO_SEND_PAST_DRAIN_GRACE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 engines.put(READER, new AuditedEngine(false, Role.READER, "a", 1, 1, 0));
                 audit.endpointsChanged(engines);
                 nowMs += GRACE_MS + 1;
                 write(ID, READER, true);
             }
-            case COLD_BUDGET -> {
+            case SLOW_START_BUDGET -> {
                 for (int i = 0; i < 4; i++) {
                     accept(ID + i, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                    write(ID + i, COLD, false);
+                    write(ID + i, WARMING, false);
                 }
             }
-            case TIME_TOLD -> {
+            case DEADLINE_PROPAGATED -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                audit.attemptWritten(ID, READER, true, TOLD_MS + 151);
+                audit.attemptWritten(ID, READER, true, TIME_LIMIT_MS + 151);
             }
             case STATE_RELEASED -> {
                 readAndHold();
@@ -152,14 +152,15 @@
                 nowMs += RELEASE_MS + 301;
                 audit.check();
             }
-            case ALL_GIVEN_BACK -> {
+            case RESOURCES_RELEASED -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 write(ID, READER, true);
                 audit.answered(ID, "throttled");
                 nowMs += 31_000;
                 audit.check();
             }
-            case COUNTS_AGREE -> violations.count(Invariant.COUNTS_AGREE, null, "1 and 2", null);
+            case ATTEMPT_COUNTS_AGREE ->
+                    violations.report(Invariant.ATTEMPT_COUNTS_AGREE, "1 and 2");
             default -> throw new AssertionError(invariant);
         }
     }
@@ -177,23 +178,23 @@
         writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         nowMs += WINDOW_MS - 1;
         write(ID, WRITER, false);
-        assertEquals(0, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
+        assertEquals(0, violations.count(Invariant.NO_FORBIDDEN_RETRY));
     }
 
     @Test
     void repeatAfterItsWindowOrOutsideItsGroupIsCounted() {
         writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         write(ID, OTHER_RACK, false);
-        assertEquals(1, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
+        assertEquals(1, violations.count(Invariant.NO_FORBIDDEN_RETRY));
         audit.attemptEnded(ID, 2, "CUT", false, false);
         nowMs += WINDOW_MS + 1;
         write(ID, WRITER, false);
-        assertEquals(3, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
+        assertEquals(3, violations.count(Invariant.NO_FORBIDDEN_RETRY));
     }
 
     @Test
     void engineThatNoListNamesIsCounted() {
         write(ID, new Endpoint("10.0.0.9", 8443), true);
-        assertEquals(1, violations.count(Invariant.NO_SEND_PAST_GRACE));
+        assertEquals(1, violations.count(Invariant.NO_SEND_PAST_DRAIN_GRACE));
     }
 }
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -135,7 +135,7 @@
             scene.reader.script = second.script;
             scene.listed.add(NodeFixture.row("r2", second.port(), "lectura", "SERVING", 0));
             scene.changed();
-            while (scene.node.engines() < 3) {
+            while (scene.inspector.engines() < 3) {
                 scene.settled();
             }
             NodeFixture.RawClient client = scene.client();
@@ -164,7 +164,7 @@
             scene.settled();
             close(client, resets);
             assertTrue(!reached(scene.reader, id));
-            assertEquals(0, scene.node.openRequests());
+            assertEquals(0, scene.inspector.openRequests());
         }
     }
 }
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -170,7 +170,7 @@
                         }
                         return new Reply(seen.target().contains("after=60") ? old : now, true);
                     };
-            scene.node.readAgain();
+            scene.node.reload();
             NodeFixture.await(wholeAgain);
             scene.settled();
             servedBy(other, scene.reader);
@@ -230,7 +230,7 @@
                 call = scene.discovery.next("GET");
             }
             scene.configure(moved.port());
-            scene.node.readAgain();
+            scene.node.reload();
             awaitCall(moved, true);
             scene.settled();
             servedBy(other, scene.reader);
@@ -300,10 +300,10 @@
                                                                 writer),
                                                 true))) {
             scene.configure(before.port());
-            scene.node.readAgain();
+            scene.node.reload();
             NodeFixture.await(asked);
             scene.configure(moved.port());
-            scene.node.readAgain();
+            scene.node.reload();
             awaitCall(moved, true);
             open.countDown();
             before.settled();
@@ -353,7 +353,7 @@
                                             true);
                                 })) {
             scene.configure(moved.port());
-            scene.node.readAgain();
+            scene.node.reload();
             awaitCall(moved, true);
             open.countDown();
             moved.settled();
@@ -368,7 +368,7 @@
         int port = taken.getLocalPort();
         taken.close();
         scene.configure(port);
-        scene.node.readAgain();
+        scene.node.reload();
         // Long enough for the pauses between tries to have grown to their most.
         TimeUnit.MILLISECONDS.sleep(600);
         try (NodeFixture.Actor moved = new NodeFixture.Actor(scene.discovery.script, port)) {
--- a/src/test/java/larchridge/node/NarrowMomentsTest.java
+++ b/src/test/java/larchridge/node/NarrowMomentsTest.java
@@ -42,7 +42,7 @@
     void requestThatComesLongAfterTheWordToEndIsNotTakenOn() throws Exception {
         NodeFixture.RawClient fresh = scene.client();
         scene.settled();
-        scene.node.end();
+        scene.node.shutDown();
         sleep(TAKEN_AFTER_TERM_MS - 150);
         fresh.send(NodeFixture.ask(NodeFixture.id(), ""));
         assertTrue(fresh.answer().startsWith("HTTP/1.1 503 "));
@@ -61,7 +61,7 @@
                 if (halfWritten) {
                     Files.writeString(scene.file, "{\"name\":\"n1\",");
                 }
-                scene.node.readAgain();
+                scene.node.reload();
                 scene.settled();
                 moved.seen.clear();
                 scene.configure(moved.port());
--- a/src/test/java/larchridge/node/NodeFixture.java
+++ b/src/test/java/larchridge/node/NodeFixture.java
@@ -47,6 +47,7 @@
     final List<String> listed = new CopyOnWriteArrayList<>();
     final Path file;
     final Node node;
+    final NodeInspector inspector;
     private final AtomicInteger index = new AtomicInteger(1);
     private final List<AutoCloseable> opened = new ArrayList<>();
 
@@ -82,6 +83,7 @@
         file = folder.resolve("config.json");
         configure(discovery.port());
         node = Node.open(Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1"));
+        inspector = new NodeInspector(node);
     }
 
     void configure(int discoveryPort) throws IOException {
@@ -261,7 +263,7 @@
     /** Returns once the node has read what its sockets held, and has done what followed from it. */
     void settled() throws Exception {
         for (int i = 0; i < 3; i++) {
-            node.connections();
+            inspector.connections();
         }
     }
 
@@ -270,7 +272,7 @@
         for (AutoCloseable one : opened) {
             one.close();
         }
-        node.end();
+        node.shutDown();
         node.awaitEnd();
         reader.close();
         writer.close();
--- a/src/test/java/larchridge/node/NodeFixtureTest.java
+++ b/src/test/java/larchridge/node/NodeFixtureTest.java
@@ -20,6 +20,7 @@
     @AfterEach
     void close() throws Exception {
         scene.close();
-        assertEquals(0, scene.node.violations(), "invariants violated; the log has the requests");
+        assertEquals(
+                0, scene.inspector.violations(), "invariants violated; the log has the requests");
     }
 }
--- /dev/null
+++ b/src/test/java/larchridge/node/NodeInspector.java
@@ -0,0 +1,65 @@
+package larchridge.node;
+
+import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
+import larchridge.node.upstream.ForwardingUpstreamClient;
+
+/** Reads counts of a started node on its event loop, from any thread. */
+final class NodeInspector {
+    private final Node node;
+
+    NodeInspector(Node node) {
+        this.node = node;
+    }
+
+    private <T> T onLoop(Callable<T> read) throws InterruptedException, ExecutionException {
+        return node.loop().submit(read).get();
+    }
+
+    /** Client connections. */
+    int connections() throws InterruptedException, ExecutionException {
+        return onLoop(() -> node.components().server().connections());
+    }
+
+    /** Engines on the list. */
+    int engines() throws InterruptedException, ExecutionException {
+        return onLoop(
+                () -> {
+                    int[] count = new int[1];
+                    node.components().router().forEachEngine((endpoint, engine) -> count[0]++);
+                    return count[0];
+                });
+    }
+
+    /** Requests that the upstream client still knows. */
+    int openRequests() throws InterruptedException, ExecutionException {
+        return onLoop(() -> node.components().upstream().openRequests());
+    }
+
+    /** Violations of invariants so far. */
+    long violations() {
+        return node.components() == null ? 0 : node.components().audit().violations();
+    }
+
+    /** Attempts in flight by the policy's count, or -1 if the upstream client's count differs. */
+    int attemptsInFlight() throws InterruptedException, ExecutionException {
+        ForwardingUpstreamClient upstream = node.components().upstream();
+        return onLoop(
+                () -> {
+                    int[] attempts = new int[1];
+                    node.components()
+                            .router()
+                            .forEachEngine(
+                                    (endpoint, engine) -> {
+                                        boolean same =
+                                                engine.attempts.size()
+                                                        == upstream.attemptsOut(endpoint);
+                                        attempts[0] =
+                                                same && attempts[0] >= 0
+                                                        ? attempts[0] + engine.attempts.size()
+                                                        : -1;
+                                    });
+                    return attempts[0];
+                });
+    }
+}
--- a/src/test/java/larchridge/node/NodeTest.java
+++ b/src/test/java/larchridge/node/NodeTest.java
@@ -376,7 +376,7 @@
             for (int j = 0; j < 100; j++) {
                 scene.client();
             }
-            most = Math.max(most, scene.node.connections());
+            most = Math.max(most, scene.inspector.connections());
         }
         assertTrue(
                 most > 100 && most <= 126,
@@ -398,7 +398,7 @@
                 scene.client().send(part);
             }
             scene.settled();
-            int connections = scene.node.connections();
+            int connections = scene.inspector.connections();
             assertTrue(
                     connections <= 126,
                     "connections " + connections + " where 0.42 of 300 are allowed");
@@ -415,7 +415,7 @@
             stays.send(NodeFixture.UP);
             assertTrue(stays.answer().startsWith("HTTP/1.1 200 "), "connection " + i);
         }
-        assertEquals(126, scene.node.connections());
+        assertEquals(126, scene.inspector.connections());
     }
 
     @Test
@@ -451,7 +451,7 @@
         Function<Seen, Reply> script = scene.discovery.script;
         scene.discovery.script = seen -> new Reply(null, true);
         scene.discovery.seen.clear();
-        scene.node.readAgain();
+        scene.node.reload();
         while (scene.discovery.next("GET").target().contains("after=")) {
             // A watch that was asked for before.
         }
@@ -507,7 +507,7 @@
             Node node =
                     Node.open(Map.of("PROXY_CONFIG", scene.file.toString(), "PROXY_NAME", "n1"));
             assertEquals(0, open.getCount());
-            node.end();
+            node.shutDown();
             node.awaitEnd();
         }
     }
@@ -516,9 +516,9 @@
     void newConfigurationMovesDiscoveryAndABrokenOneChangesNothing() throws Exception {
         try (NodeFixture.Actor moved = new NodeFixture.Actor(scene.discovery.script)) {
             Files.writeString(scene.file, "{broken");
-            scene.node.readAgain();
+            scene.node.reload();
             scene.configure(moved.port());
-            scene.node.readAgain();
+            scene.node.reload();
             assertEquals("/discovery/hosts", moved.next("GET").target());
             assertTrue(moved.next("GET").target().startsWith("/discovery/hosts?after="));
         }
@@ -531,7 +531,7 @@
         rests.send(NodeFixture.UP);
         assertTrue(rests.answer().startsWith("HTTP/1.1 200 "));
         NodeFixture.RawClient busy = scene.held(gate, NodeFixture.id());
-        scene.node.end();
+        scene.node.shutDown();
         assertEquals("", rests.rest());
         NodeFixture.RawClient late = scene.client();
         late.send(NodeFixture.UP);
@@ -566,7 +566,7 @@
         for (int i = 0; i < 40; i++) {
             NodeFixture.RawClient client = scene.client();
             client.send(NodeFixture.ask(NodeFixture.id(), 600, ""));
-            int attempts = scene.node.attemptsOut();
+            int attempts = scene.inspector.attemptsInFlight();
             assertNotEquals(-1, attempts, "at request " + i);
             most = Math.max(most, attempts);
             if (i % 5 == 0) {
@@ -576,7 +576,7 @@
             } else {
                 unanswered.add(client);
             }
-            assertNotEquals(-1, scene.node.attemptsOut(), "after request " + i);
+            assertNotEquals(-1, scene.inspector.attemptsInFlight(), "after request " + i);
         }
         assertTrue(most > 0);
         // A request that is unread yet, or waits before its read, is none of the link's: each has
@@ -584,10 +584,10 @@
         for (NodeFixture.RawClient client : unanswered) {
             assertNotNull(client.until("\r\n\r\n"));
         }
-        while (scene.node.openRequests() > 0) {
-            assertNotEquals(-1, scene.node.attemptsOut());
+        while (scene.inspector.openRequests() > 0) {
+            assertNotEquals(-1, scene.inspector.attemptsInFlight());
         }
-        assertEquals(0, scene.node.attemptsOut());
+        assertEquals(0, scene.inspector.attemptsInFlight());
     }
 
     @Test
@@ -602,7 +602,7 @@
             scene.reader.seen.clear();
             scene.writer.seen.clear();
         }
-        assertEquals(0, scene.node.openRequests());
+        assertEquals(0, scene.inspector.openRequests());
     }
 
     @Test
--- a/src/test/java/larchridge/node/NodeWarmupTest.java
+++ b/src/test/java/larchridge/node/NodeWarmupTest.java
@@ -7,6 +7,6 @@
 class NodeWarmupTest {
     @Test
     void nearlyEveryGenerationIsServedWholeThoughSomeAnswersAreBad() {
-        assertTrue(NodeWarmup.play(120, 60_000) >= 110);
+        assertTrue(NodeWarmup.run(120, 60_000) >= 110);
     }
 }
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -15,7 +15,7 @@
 @Timeout(30)
 class ShutdownTest extends NodeFixtureTest {
     private void tellToEnd() throws Exception {
-        scene.node.end();
+        scene.node.shutDown();
         scene.settled();
     }
 
@@ -80,7 +80,7 @@
         NodeFixture.RawClient client = resting();
         CountDownLatch goOn = scene.holdLoop();
         client.send(NodeFixture.ask(NodeFixture.id(), ""));
-        scene.node.end();
+        scene.node.shutDown();
         goOn.countDown();
         NodeFixture.served(client);
     }
@@ -150,14 +150,14 @@
             scene.listed.add(0, NodeFixture.row("r2", second.port(), "lectura", "SERVING", 0));
             scene.listed.add(0, NodeFixture.row("r3", third.port(), "lectura", "SERVING", 0));
             scene.changed();
-            while (scene.node.engines() < 4) {
+            while (scene.inspector.engines() < 4) {
                 scene.settled();
             }
             String id = NodeFixture.id();
             NodeFixture.RawClient client = scene.client();
             client.send(NodeFixture.ask(id, 700, ""));
             scene.settled();
-            scene.node.end();
+            scene.node.shutDown();
             assertTrue(client.answer().matches("(?s)HTTP/1.1 50[34] .*"));
             scene.node.awaitEnd();
             assertEquals("/v1/holds/" + id, scene.writer.next("DELETE").target());
@@ -166,8 +166,8 @@
 
     @Test
     void wordToEndBeforeAnythingIsBuiltEndsTheNode() throws Exception {
-        Node node = Node.make(Map.of("PROXY_CONFIG", scene.file.toString(), "PROXY_NAME", "n1"));
-        node.end();
+        Node node = Node.create(Map.of("PROXY_CONFIG", scene.file.toString(), "PROXY_NAME", "n1"));
+        node.shutDown();
         node.start();
         node.awaitEnd();
     }
@@ -183,12 +183,12 @@
                         })) {
             scene.configure(silent.port());
             Node node =
-                    Node.make(Map.of("PROXY_CONFIG", scene.file.toString(), "PROXY_NAME", "n1"));
+                    Node.create(Map.of("PROXY_CONFIG", scene.file.toString(), "PROXY_NAME", "n1"));
             Thread telling =
                     new Thread(
                             () -> {
                                 NodeFixture.await(asked);
-                                node.end();
+                                node.shutDown();
                             });
             telling.start();
             node.start();
@@ -200,14 +200,14 @@
     void wordToEndGivenAgainAndANewConfigurationWhileEndingChangeNothing() throws Exception {
         NodeFixture.Gate gate = scene.gateReads();
         NodeFixture.RawClient client = scene.held(gate, NodeFixture.id());
-        scene.node.end();
-        scene.node.readAgain();
-        scene.node.end();
+        scene.node.shutDown();
+        scene.node.reload();
+        scene.node.shutDown();
         scene.settled();
         gate.open().countDown();
         NodeFixture.served(client);
         scene.node.awaitEnd();
-        scene.node.end();
-        scene.node.readAgain();
+        scene.node.shutDown();
+        scene.node.reload();
     }
 }
--- a/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -17,8 +17,8 @@
 
     @Test
     void rightClockTellsAnEnginesAge() {
-        assertEquals(NOW_MS - 3000, starts.of("a", WALL_MS - 3000, NOW_MS));
-        assertEquals(0, starts.of("b", 0, NOW_MS));
+        assertEquals(NOW_MS - 3000, starts.toLocalMs("a", WALL_MS - 3000, NOW_MS));
+        assertEquals(0, starts.toLocalMs("b", 0, NOW_MS));
     }
 
     /**
@@ -30,21 +30,21 @@
     void engineThatJoinedIsAsOldAsItsListAtMostAfterAStep(double stepMs) {
         starts.confirmed(NOW_MS);
         wallMs = WALL_MS + 2000 + stepMs;
-        double local = starts.of("a", WALL_MS + 1500, NOW_MS + 2000);
+        double local = starts.toLocalMs("a", WALL_MS + 1500, NOW_MS + 2000);
         assertEquals(Math.min(NOW_MS + 2000, Math.max(NOW_MS, NOW_MS + 1500 - stepMs)), local);
     }
 
     @Test
     void engineKnownBeforeAStepStaysAsOldAsItWas() {
-        double before = starts.of("a", WALL_MS - 60_000, NOW_MS);
+        double before = starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS);
         starts.confirmed(NOW_MS);
         wallMs = WALL_MS + HOUR_MS;
-        assertEquals(before, starts.of("a", WALL_MS - 60_000, NOW_MS + 5000));
+        assertEquals(before, starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS + 5000));
     }
 
     @Test
     void clockThatIsBehindAtTheStartTakesNoEngineForOneOfTheFuture() {
         wallMs = WALL_MS - HOUR_MS;
-        assertEquals(NOW_MS, starts.of("a", WALL_MS - 60_000, NOW_MS));
+        assertEquals(NOW_MS, starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS));
     }
 }
