--- a/src/main/java/larchridge/upstream/AttemptClassifier.java
+++ b/src/main/java/larchridge/upstream/AttemptClassifier.java
@@ -1,102 +1,118 @@
 package larchridge.upstream;
 
+import static java.net.HttpURLConnection.HTTP_BAD_REQUEST;
+import static java.net.HttpURLConnection.HTTP_OK;
+import static java.net.HttpURLConnection.HTTP_UNAVAILABLE;
+
+import io.vertx.core.http.ConnectionPoolTooBusyException;
 import larchridge.state.AttemptOutcome;
 
 /**
- * What became of an attempt, judged from what was seen of it. Rule 2 rests on this: an outcome that
- * proves an attempt never ran is only given where the engine could not have seen it or says so
- * itself.
+ * Decides the outcome of one attempt from what was observed of it. Safe retries rest on this class:
+ * an outcome that proves the attempt never ran is given only where the engine cannot have seen the
+ * request, or says itself that it did not run it.
  */
 public final class AttemptClassifier {
-    /** The engine's own word that it knows no such state. */
+    /** The error code by which an engine says that it does not hold the requested state. */
     static final String STATE_UNKNOWN = "kv_state_unknown";
 
-    private boolean written;
-    private int status;
-    private boolean garbled;
-    private boolean finished;
-    private boolean called;
-    private boolean expired;
-    private boolean unfit;
-    private boolean clean;
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
+    private static final int NO_RESPONSE = 0;
+
+    private boolean requestWritten;
+    private int status = NO_RESPONSE;
+    private boolean responseMalformed;
+    private boolean answerComplete;
+    private boolean bodyEnded;
+    private boolean cancelled;
+    private boolean deadlineExpired;
+    private boolean sendRejected;
     private String errorCode;
 
-    /** No connection could be had. */
-    static AttemptOutcome noConnection(boolean queueFull) {
-        return queueFull ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
+    /** The outcome of an attempt for which no connection could be acquired. */
+    static AttemptOutcome connectionFailed(Throwable cause) {
+        return cause instanceof ConnectionPoolTooBusyException
+                ? AttemptOutcome.NOT_SENT
+                : AttemptOutcome.UNREACHABLE;
     }
 
-    /** Handed to the socket: from here on the engine may have it. */
-    void written() {
-        written = true;
+    /** The request was handed to the socket: from here on the engine may have it. */
+    void requestWritten() {
+        requestWritten = true;
     }
 
-    /** The head of an answer came. */
-    void answered(int code) {
-        status = code;
+    /** The head of a response arrived. */
+    void responseReceived(int responseStatus) {
+        status = responseStatus;
     }
 
-    /** The engine's code in the body of an error. */
-    void errorCode(String code) {
+    /** The body of an error response carries this error code; null if it carries none. */
+    void errorCodeReceived(String code) {
         errorCode = code;
     }
 
-    /** What came can't be read. */
-    void garbled() {
-        garbled = true;
+    /** The response cannot be parsed. */
+    void responseMalformed() {
+        responseMalformed = true;
+    }
+
+    /** The engine said that the answer, or the reading of the prompt, is complete. */
+    void answerCompleted() {
+        answerComplete = true;
     }
 
-    /** The engine said that the answer is whole, or the read done. */
-    void finished() {
-        finished = true;
+    /** The body ended as its framing announced. */
+    void bodyEnded() {
+        bodyEnded = true;
     }
 
-    /** The body ended as it should. */
-    void clean() {
-        clean = true;
+    /** The caller cancelled the attempt. */
+    void cancelled() {
+        cancelled = true;
     }
 
-    /** The sender does not want it any more. */
-    void called(boolean timeIsUp) {
-        called = true;
-        expired = timeIsUp;
+    /** The caller cancelled the attempt because its time ran out. */
+    void deadlineExpired() {
+        cancelled = true;
+        deadlineExpired = true;
     }
 
-    /** It was kept from being written. */
-    void unfit() {
-        unfit = true;
+    /** The attempt was rejected before it was written. */
+    void sendRejected() {
+        sendRejected = true;
     }
 
-    /** The outcome, once nothing more can come. */
+    /** The outcome, once nothing more can arrive. */
     AttemptOutcome outcome() {
-        if (finished && !garbled && status == 200) {
+        if (answerComplete && !responseMalformed && status == HTTP_OK) {
             // Guards against: an engine that dies between the last token and the end of its stream
-            // has
-            // answered in full.
+            // has answered in full.
             return AttemptOutcome.STREAMED;
         }
-        if (!written) {
-            return unfit || called ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
+        if (!requestWritten) {
+            return sendRejected || cancelled ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
-        if (called) {
-            return expired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
+        if (cancelled) {
+            return deadlineExpired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
-        if (garbled) {
+        if (responseMalformed) {
             return AttemptOutcome.FAULT;
         }
-        // Guards against: a connection that was kept and closes before any byte looks as if nothing
-        // was
-        // sent; the engine
-        // may have read it and died. It proves nothing.
-        if (status == 0 || !clean) {
+        // Guards against: a pooled connection that closes before any byte of the response looks as
+        // if nothing was sent; the engine may have read the request and died. It proves nothing.
+        if (status == NO_RESPONSE || !bodyEnded) {
             return AttemptOutcome.CUT;
         }
-        if (status == 429 || status == 503) {
+        return outcomeByStatus();
+    }
+
+    private AttemptOutcome outcomeByStatus() {
+        if (status == STATUS_TOO_MANY_REQUESTS || status == HTTP_UNAVAILABLE) {
             return AttemptOutcome.FULL;
         }
-        if (status >= 400 && STATE_UNKNOWN.equals(errorCode)) {
+        if (status >= HTTP_BAD_REQUEST && STATE_UNKNOWN.equals(errorCode)) {
             return AttemptOutcome.NO_STATE;
         }
-        return status == 200 ? AttemptOutcome.CUT : AttemptOutcome.FAULT;
+        return status == HTTP_OK ? AttemptOutcome.CUT : AttemptOutcome.FAULT;
     }
 }
--- a/src/main/java/larchridge/upstream/AttemptRequest.java
+++ b/src/main/java/larchridge/upstream/AttemptRequest.java
@@ -3,15 +3,19 @@
 import java.util.List;
 
 /**
- * What one attempt asks of an engine.
+ * What one attempt requests of an engine.
  *
- * @param attemptId names the attempt at the engine, also for its release
+ * @param attemptId identifies the attempt at the engine, also for the release of its state
  * @param endpoint where the engine listens
+ * @param model the model's name as the engine knows it
+ * @param prompt the prompt's text
+ * @param maxTokens the most tokens that may be written
+ * @param stops texts that end the answer
+ * @param sampling how tokens are sampled
  * @param state the read state to fetch, or null to read in place (or to read only)
- * @param idempotencyKey what engines drop repeats by, or null
- * @param forwardedRequest what goes on as it came, or null
- * @param sendCheck asked at the last moment before the attempt is written; a refusal keeps it from
- *     being sent
+ * @param idempotencyKey the key by which engines drop duplicates, or null
+ * @param forwardedRequest the client's request where it is forwarded unchanged, or null
+ * @param sendCheck consulted at the last moment before the attempt is written
  */
 public record AttemptRequest(
         String attemptId,
@@ -26,6 +30,12 @@
         ForwardedRequest forwardedRequest,
         SendCheck sendCheck) {
 
-    /** How tokens are drawn; null leaves a figure to the engine. */
+    /**
+     * How tokens are sampled; null leaves a parameter to the engine's default.
+     *
+     * @param temperature the sampling temperature
+     * @param topP the probability mass to sample from
+     * @param topK the number of candidates to sample from
+     */
     public record Sampling(Double temperature, Double topP, Integer topK) {}
 }
--- /dev/null
+++ b/src/main/java/larchridge/upstream/CompletionsAttempt.java
@@ -0,0 +1,353 @@
+package larchridge.upstream;
+
+import static java.net.HttpURLConnection.HTTP_OK;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.vertx.core.AsyncResult;
+import io.vertx.core.Context;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClient;
+import io.vertx.core.http.HttpClientRequest;
+import io.vertx.core.http.HttpClientResponse;
+import io.vertx.core.http.HttpMethod;
+import io.vertx.core.http.RequestOptions;
+import io.vertx.core.parsetools.RecordParser;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.LoadReport;
+
+/**
+ * One attempt in flight over the completions API: writes the request, decodes the response and
+ * notifies the listener. All events are handled on the event loop of the client.
+ */
+final class CompletionsAttempt implements UpstreamClient.AttemptHandle {
+    /** What an attempt requests of its engine. */
+    enum Kind {
+        /** Reads the prompt and leaves its state; answered in one body. */
+        READ,
+        /** Writes the answer; answered as a stream of events. */
+        WRITE
+    }
+
+    private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final int MAX_BODY_OR_LINE_BYTES = 1 << 20;
+    private static final String EVENT_PREFIX = "data:";
+    private static final String END_OF_STREAM = "[DONE]";
+
+    private final AttemptRequest attemptRequest;
+    private final AttemptListener listener;
+    private final Kind kind;
+    private final Context loop;
+    private final AttemptClassifier classifier = new AttemptClassifier();
+    private HttpClientRequest request;
+    private HttpClientResponse response;
+    private LoadReport loadReport;
+
+    /** Whether the last call to the listener was made, or is scheduled. */
+    private boolean done;
+
+    private boolean paused;
+    private boolean responseStarted;
+    private boolean batchNotificationScheduled;
+    private Completion.FinishReason finishReason = Completion.FinishReason.END_OF_TURN;
+    private String stopSequence;
+    private int promptTokens = Completion.TOKENS_UNREPORTED;
+    private int outputTokens = Completion.TOKENS_UNREPORTED;
+    private int textEvents;
+
+    /** The body of a response that is not streamed. */
+    private Buffer completeBody;
+
+    CompletionsAttempt(
+            AttemptRequest attemptRequest, AttemptListener listener, Kind kind, Context loop) {
+        this.attemptRequest = attemptRequest;
+        this.listener = listener;
+        this.kind = kind;
+        this.loop = loop;
+    }
+
+    /** Acquires a connection and sends the request over it. */
+    void start(HttpClient client, RequestOptionsFactory requestOptions, ObjectNode body) {
+        RequestOptions options =
+                requestOptions.create(
+                        attemptRequest.endpoint(), HttpMethod.POST, "/v1/completions");
+        options.putHeader("content-type", "application/json")
+                .putHeader("x-request-id", attemptRequest.attemptId());
+        if (attemptRequest.idempotencyKey() != null) {
+            options.putHeader("idempotency-key", attemptRequest.idempotencyKey());
+        }
+        client.request(options).onComplete(connection -> connected(connection, body));
+    }
+
+    private void connected(AsyncResult<HttpClientRequest> connection, ObjectNode body) {
+        if (done) {
+            // Cancelled while it waited for a connection: nothing was written.
+            if (connection.succeeded()) {
+                connection.result().reset();
+            }
+            return;
+        }
+        if (connection.failed()) {
+            finishLater(AttemptClassifier.connectionFailed(connection.cause()));
+            return;
+        }
+        request = connection.result();
+        // Guards against: an attempt that waited for a connection would reach an engine that has
+        // begun to drain since.
+        if (attemptRequest.sendCheck().rejection() != null) {
+            classifier.sendRejected();
+            request.reset();
+            finishLater(classifier.outcome());
+            return;
+        }
+        request.exceptionHandler(e -> connectionLost());
+        request.response()
+                .onComplete(
+                        arrival -> {
+                            if (arrival.succeeded()) {
+                                responseReceived(arrival.result());
+                            } else {
+                                connectionLost();
+                            }
+                        });
+        classifier.requestWritten();
+        request.end(Buffer.buffer(body.toString()));
+    }
+
+    private void responseReceived(HttpClientResponse received) {
+        if (done) {
+            return;
+        }
+        response = received;
+        classifier.responseReceived(response.statusCode());
+        loadReport = LoadReportParser.fromHeader(response.getHeader(LoadReportParser.HEADER));
+        response.exceptionHandler(e -> connectionLost());
+        if (kind == Kind.READ || response.statusCode() != HTTP_OK) {
+            aggregateBody();
+        } else {
+            decodeEvents();
+        }
+    }
+
+    private void aggregateBody() {
+        completeBody = Buffer.buffer();
+        response.handler(
+                part -> {
+                    completeBody.appendBuffer(part);
+                    if (completeBody.length() > MAX_BODY_OR_LINE_BYTES) {
+                        malformed();
+                    }
+                });
+        response.endHandler(end -> bodyCompleted());
+    }
+
+    private void decodeEvents() {
+        RecordParser lines = RecordParser.newDelimited("\n", line -> lineReceived(line.toString()));
+        lines.maxRecordSize(MAX_BODY_OR_LINE_BYTES);
+        lines.exceptionHandler(e -> malformed());
+        response.handler(
+                part -> {
+                    if (!done) {
+                        lines.handle(part);
+                        scheduleBatchNotification();
+                    }
+                });
+        response.endHandler(
+                end -> {
+                    if (!done) {
+                        classifier.bodyEnded();
+                        finish(classifier.outcome());
+                    }
+                });
+        if (paused) {
+            response.pause();
+        }
+    }
+
+    /**
+     * An engine sends each token as a chunk of its own, and many arrive in one read: the listener
+     * is notified when the event loop has handled them all.
+     */
+    private void scheduleBatchNotification() {
+        if (responseStarted && !done && !batchNotificationScheduled) {
+            batchNotificationScheduled = true;
+            loop.runOnContext(
+                    v -> {
+                        batchNotificationScheduled = false;
+                        if (!done) {
+                            listener.batchCompleted();
+                        }
+                    });
+        }
+    }
+
+    private void bodyCompleted() {
+        if (done) {
+            return;
+        }
+        classifier.bodyEnded();
+        JsonNode body = parseObject(completeBody.toString());
+        if (response.statusCode() != HTTP_OK) {
+            classifier.errorCodeReceived(
+                    body == null ? null : body.path("error").path("code").asText(null));
+            finish(classifier.outcome());
+            return;
+        }
+        JsonNode parameters =
+                body == null ? null : body.get(CompletionsRequestEncoder.TRANSFER_PARAMETERS);
+        if (parameters == null || !parameters.isObject()) {
+            classifier.responseMalformed();
+            finish(classifier.outcome());
+            return;
+        }
+        done = true;
+        JsonNode usage = body.path("usage");
+        listener.readCompleted(
+                new CompletionsRequestEncoder.TransferHandle(parameters),
+                usage.path("prompt_tokens_details").path("cached_tokens").asInt(0),
+                usage.path("prompt_tokens").asInt(Completion.TOKENS_UNREPORTED),
+                loadReport);
+    }
+
+    private void lineReceived(String line) {
+        if (done || !line.startsWith(EVENT_PREFIX)) {
+            return;
+        }
+        String data = line.substring(EVENT_PREFIX.length()).strip();
+        if (data.equals(END_OF_STREAM)) {
+            if (responseStarted) {
+                classifier.answerCompleted();
+            }
+            return;
+        }
+        JsonNode event = parseObject(data);
+        if (event == null || event.has("error")) {
+            malformed();
+            return;
+        }
+        JsonNode usage = event.path("usage");
+        if (usage.isObject()) {
+            promptTokens = usage.path("prompt_tokens").asInt(Completion.TOKENS_UNREPORTED);
+            outputTokens = usage.path("completion_tokens").asInt(Completion.TOKENS_UNREPORTED);
+        }
+        choiceReceived(event.path("choices").path(0));
+    }
+
+    private void choiceReceived(JsonNode choice) {
+        String text = choice.path("text").asText("");
+        String reason = choice.path("finish_reason").asText("");
+        if (!responseStarted && (!text.isEmpty() || !reason.isEmpty())) {
+            responseStarted = true;
+            listener.responseStarted();
+        }
+        if (!text.isEmpty() && !done) {
+            textEvents++;
+            listener.textReceived(text);
+        }
+        if (!reason.isEmpty() && !reason.equals("null")) {
+            JsonNode stopReason = choice.path("stop_reason");
+            stopSequence = stopReason.isTextual() ? stopReason.asText() : null;
+            finishReason = finishReason(reason);
+            classifier.answerCompleted();
+        }
+    }
+
+    private Completion.FinishReason finishReason(String reason) {
+        if (reason.equals("length")) {
+            return Completion.FinishReason.MAX_TOKENS;
+        }
+        return stopSequence != null
+                ? Completion.FinishReason.STOP_SEQUENCE
+                : Completion.FinishReason.END_OF_TURN;
+    }
+
+    /** The JSON object that a text holds; null if it holds none. */
+    private static JsonNode parseObject(String text) {
+        try {
+            JsonNode json = MAPPER.readTree(text);
+            return json != null && json.isObject() ? json : null;
+        } catch (JsonProcessingException e) {
+            return null;
+        }
+    }
+
+    private void malformed() {
+        if (!done) {
+            classifier.responseMalformed();
+            request.reset();
+            finish(classifier.outcome());
+        }
+    }
+
+    private void connectionLost() {
+        if (!done) {
+            finish(classifier.outcome());
+        }
+    }
+
+    private void finish(AttemptOutcome outcome) {
+        done = true;
+        listener.attemptEnded(
+                outcome, loadReport, outcome == AttemptOutcome.STREAMED ? completion() : null);
+    }
+
+    private Completion completion() {
+        return new Completion(
+                finishReason,
+                stopSequence,
+                promptTokens,
+                outputTokens >= 0 ? outputTokens : textEvents);
+    }
+
+    /**
+     * Ends the attempt on the next turn of the event loop: the caller that sends or cancels is in
+     * the middle of a decision and must not be re-entered.
+     */
+    private void finishLater(AttemptOutcome outcome) {
+        done = true;
+        loop.runOnContext(v -> finish(outcome));
+    }
+
+    @Override
+    public void cancel() {
+        if (!done) {
+            classifier.cancelled();
+            abort();
+        }
+    }
+
+    @Override
+    public void expire() {
+        if (!done) {
+            classifier.deadlineExpired();
+            abort();
+        }
+    }
+
+    private void abort() {
+        // Set before the reset, whose events must not end the attempt a second time.
+        done = true;
+        if (request != null) {
+            request.reset();
+        }
+        finishLater(classifier.outcome());
+    }
+
+    @Override
+    public void pause() {
+        paused = true;
+        if (response != null) {
+            response.pause();
+        }
+    }
+
+    @Override
+    public void resume() {
+        paused = false;
+        if (response != null) {
+            response.resume();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
@@ -0,0 +1,72 @@
+package larchridge.upstream;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+
+/** Encodes attempts as request bodies of the completions API. */
+final class CompletionsRequestEncoder {
+    /** The field that carries the hand-over of a read state, in requests and in responses. */
+    static final String TRANSFER_PARAMETERS = "kv_transfer_params";
+
+    private static final String LEAVE_STATE = "do_remote_decode";
+    private static final String FETCH_STATE = "do_remote_prefill";
+    private static final ObjectMapper MAPPER = new ObjectMapper();
+
+    private CompletionsRequestEncoder() {}
+
+    /**
+     * A state held at a reader.
+     *
+     * @param transferParameters what the reader returned, to be passed to the writer unchanged
+     */
+    record TransferHandle(JsonNode transferParameters) implements StateHandle {}
+
+    /** The body of an attempt that reads the prompt and leaves its state at the reader. */
+    static ObjectNode readBody(AttemptRequest attemptRequest) {
+        ObjectNode body = commonBody(attemptRequest);
+        body.put("max_tokens", 1);
+        body.put("stream", false);
+        body.putObject(TRANSFER_PARAMETERS).put(LEAVE_STATE, true).put(FETCH_STATE, false);
+        return body;
+    }
+
+    /** The body of an attempt that writes the answer as a stream of events. */
+    static ObjectNode writeBody(AttemptRequest attemptRequest) {
+        ObjectNode body = commonBody(attemptRequest);
+        body.put("max_tokens", attemptRequest.maxTokens());
+        body.put("stream", true);
+        body.putObject("stream_options").put("include_usage", true);
+        if (attemptRequest.state() instanceof TransferHandle handle) {
+            ObjectNode parameters = handle.transferParameters.deepCopy();
+            parameters.put(FETCH_STATE, true).put(LEAVE_STATE, false);
+            body.set(TRANSFER_PARAMETERS, parameters);
+        }
+        return body;
+    }
+
+    /** The body of a release of the state that an attempt left. */
+    static String releaseBody(String attemptId) {
+        return MAPPER.createObjectNode().put("rid", attemptId).toString();
+    }
+
+    private static ObjectNode commonBody(AttemptRequest attemptRequest) {
+        ObjectNode body = MAPPER.createObjectNode();
+        body.put("model", attemptRequest.model());
+        body.put("prompt", attemptRequest.prompt());
+        if (!attemptRequest.stops().isEmpty()) {
+            attemptRequest.stops().forEach(body.putArray("stop")::add);
+        }
+        AttemptRequest.Sampling sampling = attemptRequest.sampling();
+        if (sampling.temperature() != null) {
+            body.put("temperature", sampling.temperature());
+        }
+        if (sampling.topP() != null) {
+            body.put("top_p", sampling.topP());
+        }
+        if (sampling.topK() != null) {
+            body.put("top_k", sampling.topK());
+        }
+        return body;
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
@@ -0,0 +1,87 @@
+package larchridge.upstream;
+
+import static java.net.HttpURLConnection.HTTP_INTERNAL_ERROR;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClient;
+import io.vertx.core.http.HttpMethod;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Releases read states at engines, with retries, since a state that is not released occupies the
+ * engine's memory; after the last retry the engine's own timeout frees it. At most {@value
+ * #MAX_PENDING_RELEASES} releases are pending at once; one beyond that is logged and left to the
+ * engine's timeout too.
+ */
+final class CompletionsStateReleaser {
+    private static final Logger LOG = LoggerFactory.getLogger(CompletionsStateReleaser.class);
+    private static final int MAX_PENDING_RELEASES = 20_000;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int BACKOFF_STEP_MS = 60;
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
+
+    private final Vertx vertx;
+    private final HttpClient client;
+    private final RequestOptionsFactory requestOptions;
+    private final long timeoutMs;
+    private int pendingReleases;
+
+    CompletionsStateReleaser(
+            Vertx vertx, HttpClient client, RequestOptionsFactory requestOptions, long timeoutMs) {
+        this.vertx = vertx;
+        this.client = client;
+        this.requestOptions = requestOptions;
+        this.timeoutMs = timeoutMs;
+    }
+
+    /** Releases the state that an attempt left, or may have left, at an engine. */
+    void release(Endpoint endpoint, String attemptId) {
+        if (pendingReleases >= MAX_PENDING_RELEASES) {
+            LOG.atWarn()
+                    .addKeyValue("engine", endpoint)
+                    .addKeyValue("attempt", attemptId)
+                    .log("too many releases at once");
+            return;
+        }
+        pendingReleases++;
+        send(endpoint, attemptId, MAX_ATTEMPTS);
+    }
+
+    private void send(Endpoint endpoint, String attemptId, int attemptsLeft) {
+        Buffer body = Buffer.buffer(CompletionsRequestEncoder.releaseBody(attemptId));
+        client.request(
+                        requestOptions
+                                .create(endpoint, HttpMethod.POST, "/abort_request")
+                                .setTimeout(timeoutMs))
+                .compose(
+                        request -> request.putHeader("content-type", "application/json").send(body))
+                .compose(response -> response.body().map(response.statusCode()))
+                .onComplete(
+                        result -> {
+                            if (result.succeeded() && isAcknowledged(result.result())) {
+                                pendingReleases--;
+                            } else if (attemptsLeft > 1) {
+                                vertx.setTimer(
+                                        BACKOFF_STEP_MS * (1 + MAX_ATTEMPTS - attemptsLeft),
+                                        timer -> send(endpoint, attemptId, attemptsLeft - 1));
+                            } else {
+                                pendingReleases--;
+                                logUnreleased(endpoint, attemptId);
+                            }
+                        });
+    }
+
+    /** Any answer but a server error or "busy": an engine that does not know the state is done. */
+    private static boolean isAcknowledged(int status) {
+        return status < HTTP_INTERNAL_ERROR && status != STATUS_TOO_MANY_REQUESTS;
+    }
+
+    private static void logUnreleased(Endpoint endpoint, String attemptId) {
+        LOG.atWarn()
+                .addKeyValue("engine", endpoint)
+                .addKeyValue("attempt", attemptId)
+                .log("state not released; the engine's own timeout must free it");
+    }
+}
--- a/src/main/java/larchridge/upstream/Endpoint.java
+++ b/src/main/java/larchridge/upstream/Endpoint.java
@@ -1,16 +1,20 @@
 package larchridge.upstream;
 
-/** Where an engine listens. */
+/**
+ * Where an engine listens.
+ *
+ * @param host host name or address
+ * @param port TCP port
+ */
 public record Endpoint(String host, int port) {
-    /**
-     * The place that a text such as {@code host:8443} names, port 0 to 65535; null if it names
-     * none.
-     */
+    private static final int MAX_PORT = 65_535;
+
+    /** Parses {@code host:port}, port 0 to 65535; null if the text is not of that form. */
     public static Endpoint parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            return colon > 0 && port >= 0 && port < 65536
+            return colon > 0 && port >= 0 && port <= MAX_PORT
                     ? new Endpoint(text.substring(0, colon), port)
                     : null;
         } catch (NumberFormatException e) {
--- a/src/main/java/larchridge/upstream/ForwardedRequest.java
+++ b/src/main/java/larchridge/upstream/ForwardedRequest.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * A request that goes on to engines as it came, where clients and engines speak one protocol: what
- * must stay unchanged of it, with the client's own name for it.
+ * A client's request that is forwarded to engines unchanged, where clients and engines speak the
+ * same protocol.
  *
  * @param method HTTP method
  * @param target path and query
  * @param id the client's id of the request
- * @param headers the client's headers that concern the engine too, in their order
- * @param body the body's bytes, never changed
- * @param firstTokenDeadlineMs when nobody waits for its first token any more, in the front's clock
+ * @param headers the client's headers that are forwarded, in their order
+ * @param body the body's bytes, never modified
+ * @param firstTokenDeadlineMs when the client stops waiting for the first token, milliseconds in
+ *     the router's clock
  */
 public record ForwardedRequest(
         String method,
@@ -20,6 +21,11 @@
         List<Header> headers,
         byte[] body,
         double firstTokenDeadlineMs) {
-    /** One header line. */
+    /**
+     * One header line.
+     *
+     * @param name the header's name as the client wrote it
+     * @param value the header's value
+     */
     public record Header(String name, String value) {}
 }
--- a/src/main/java/larchridge/upstream/LoadReportParser.java
+++ b/src/main/java/larchridge/upstream/LoadReportParser.java
@@ -8,51 +8,65 @@
 import larchridge.state.LoadReport;
 
 /**
- * Reads what engines tell of their load: the ORCA header {@code endpoint-load-metrics} of answers
- * in its text and JSON forms, and the page that a probe gets (Prometheus text). Unknown figures are
- * NaN; what can't be read is null.
+ * Parses the load that engines report: the ORCA header {@code endpoint-load-metrics} of responses
+ * in its text and JSON forms, and the metrics page that a probe fetches (Prometheus text). Figures
+ * that are not reported are NaN; a report that can't be parsed is null.
  */
 final class LoadReportParser {
+    /** The response header that carries a load report. */
     static final String HEADER = "endpoint-load-metrics";
+
+    private static final String TEXT_FORM = "TEXT ";
+    private static final String JSON_FORM = "JSON ";
+
+    private static final String HEADER_RUNNING = "named_metrics.num_requests_running";
+    private static final String HEADER_WAITING = "named_metrics.num_requests_waiting";
+    private static final String HEADER_CACHE_USAGE = "named_metrics.kv_cache_usage_perc";
+    private static final String HEADER_PENDING_TOKENS = "named_metrics.prompt_tokens_waiting";
+
+    private static final String PAGE_RUNNING = "vllm:num_requests_running";
+    private static final String PAGE_WAITING = "vllm:num_requests_waiting";
+    private static final String PAGE_CACHE_USAGE = "vllm:kv_cache_usage_perc";
+
+    /** The name that earlier engine versions give to {@link #PAGE_CACHE_USAGE}. */
+    private static final String PAGE_GPU_CACHE_USAGE = "vllm:gpu_cache_usage_perc";
+
+    private static final String PAGE_PENDING_TOKENS = "vllm:prompt_tokens_waiting";
+
+    /** Figures from here on are not plausible and count as not reported. */
+    private static final double IMPLAUSIBLE_VALUE = 1e15;
+
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private LoadReportParser() {}
 
-    static LoadReport ofHeader(String header) {
+    /** The load in a response's header; null if the header is missing or can't be parsed. */
+    static LoadReport fromHeader(String header) {
         if (header == null) {
             return null;
         }
-        Map<String, Double> named = new HashMap<>();
-        if (header.startsWith("TEXT ")) {
-            for (String pair : header.substring(5).split(",")) {
-                int equals = pair.indexOf('=');
-                if (equals > 0) {
-                    put(
-                            named,
-                            pair.substring(0, equals).strip(),
-                            pair.substring(equals + 1).strip());
-                }
-            }
-        } else if (header.startsWith("JSON ")) {
+        Map<String, Double> metrics = new HashMap<>();
+        if (header.startsWith(TEXT_FORM)) {
+            addPairs(metrics, header.substring(TEXT_FORM.length()));
+        } else if (header.startsWith(JSON_FORM)) {
             try {
-                flatten(named, "", MAPPER.readTree(header.substring(5)));
+                addFields(metrics, "", MAPPER.readTree(header.substring(JSON_FORM.length())));
             } catch (JsonProcessingException e) {
                 return null;
             }
         } else {
             return null;
         }
-        double running = named.getOrDefault("named_metrics.num_requests_running", Double.NaN);
-        double waiting = named.getOrDefault("named_metrics.num_requests_waiting", Double.NaN);
         return report(
-                running,
-                waiting,
-                named.getOrDefault("named_metrics.kv_cache_usage_perc", Double.NaN),
-                named.getOrDefault("named_metrics.prompt_tokens_waiting", Double.NaN));
+                metrics.getOrDefault(HEADER_RUNNING, Double.NaN),
+                metrics.getOrDefault(HEADER_WAITING, Double.NaN),
+                metrics.getOrDefault(HEADER_CACHE_USAGE, Double.NaN),
+                metrics.getOrDefault(HEADER_PENDING_TOKENS, Double.NaN));
     }
 
-    static LoadReport ofPage(String page) {
-        Map<String, Double> named = new HashMap<>();
+    /** The load on a metrics page in Prometheus text form; null if the page does not show it. */
+    static LoadReport fromMetricsPage(String page) {
+        Map<String, Double> metrics = new HashMap<>();
         for (String line : page.split("\n")) {
             if (line.isEmpty() || line.charAt(0) == '#') {
                 continue;
@@ -60,52 +74,58 @@
             int space = line.lastIndexOf(' ');
             int brace = line.indexOf('{');
             if (space > 0) {
-                put(
-                        named,
-                        line.substring(0, brace >= 0 && brace < space ? brace : space),
-                        line.substring(space + 1));
+                int nameEnd = brace >= 0 && brace < space ? brace : space;
+                add(metrics, line.substring(0, nameEnd), line.substring(space + 1));
             }
         }
-        double share =
-                named.getOrDefault(
-                        "vllm:kv_cache_usage_perc",
-                        named.getOrDefault("vllm:gpu_cache_usage_perc", Double.NaN));
         return report(
-                named.getOrDefault("vllm:num_requests_running", Double.NaN),
-                named.getOrDefault("vllm:num_requests_waiting", Double.NaN),
-                share,
-                named.getOrDefault("vllm:prompt_tokens_waiting", Double.NaN));
+                metrics.getOrDefault(PAGE_RUNNING, Double.NaN),
+                metrics.getOrDefault(PAGE_WAITING, Double.NaN),
+                metrics.getOrDefault(
+                        PAGE_CACHE_USAGE, metrics.getOrDefault(PAGE_GPU_CACHE_USAGE, Double.NaN)),
+                metrics.getOrDefault(PAGE_PENDING_TOKENS, Double.NaN));
     }
 
-    private static LoadReport report(double running, double waiting, double share, double toRead) {
-        if (Double.isNaN(running) && Double.isNaN(waiting) && Double.isNaN(share)) {
+    private static LoadReport report(
+            double running, double waiting, double cacheUsage, double pendingTokens) {
+        if (Double.isNaN(running) && Double.isNaN(waiting) && Double.isNaN(cacheUsage)) {
             return null;
         }
-        return new LoadReport(
-                running + (Double.isNaN(waiting) ? 0 : waiting), waiting, share, toRead);
+        double inFlight = running + (Double.isNaN(waiting) ? 0 : waiting);
+        return new LoadReport(inFlight, waiting, cacheUsage, pendingTokens);
     }
 
-    private static void put(Map<String, Double> named, String name, String value) {
-        try {
-            double figure = Double.parseDouble(value);
-            if (figure >= 0 && figure < 1e15) {
-                named.put(name, figure);
+    private static void addPairs(Map<String, Double> metrics, String pairs) {
+        for (String pair : pairs.split(",")) {
+            int equals = pair.indexOf('=');
+            if (equals > 0) {
+                add(metrics, pair.substring(0, equals).strip(), pair.substring(equals + 1).strip());
             }
-        } catch (NumberFormatException e) {
-            // A figure that is none is not told; the others are.
-            return;
         }
     }
 
-    private static void flatten(Map<String, Double> named, String path, JsonNode node) {
+    private static void addFields(Map<String, Double> metrics, String path, JsonNode node) {
         node.fields()
                 .forEachRemaining(
                         field -> {
+                            String name = path + field.getKey();
                             if (field.getValue().isObject()) {
-                                flatten(named, path + field.getKey() + ".", field.getValue());
+                                addFields(metrics, name + ".", field.getValue());
                             } else if (field.getValue().isNumber()) {
-                                put(named, path + field.getKey(), field.getValue().asText());
+                                add(metrics, name, field.getValue().asText());
                             }
                         });
     }
+
+    private static void add(Map<String, Double> metrics, String name, String text) {
+        try {
+            double value = Double.parseDouble(text);
+            if (value >= 0 && value < IMPLAUSIBLE_VALUE) {
+                metrics.put(name, value);
+            }
+        } catch (NumberFormatException e) {
+            // One malformed figure does not invalidate the others.
+            return;
+        }
+    }
 }
--- a/src/main/java/larchridge/upstream/SendCheck.java
+++ b/src/main/java/larchridge/upstream/SendCheck.java
@@ -1,7 +1,7 @@
 package larchridge.upstream;
 
-/** Asked at the last moment before an attempt is written. */
+/** Decides at the last moment before an attempt is written whether it may still be sent. */
 public interface SendCheck {
-    /** Why it must not be written any more, or null if it may. */
+    /** Why the attempt must not be sent any more, or null if it may be sent. */
     SendRejection rejection();
 }
--- a/src/main/java/larchridge/upstream/StateHandle.java
+++ b/src/main/java/larchridge/upstream/StateHandle.java
@@ -1,4 +1,4 @@
 package larchridge.upstream;
 
-/** Names a read state that waits at a reader; only the link that gave it can read it. */
+/** Identifies a read state held at a reader; opaque to all but the client that returned it. */
 public interface StateHandle {}
--- a/src/main/java/larchridge/upstream/UpstreamClient.java
+++ b/src/main/java/larchridge/upstream/UpstreamClient.java
@@ -2,48 +2,55 @@
 
 import larchridge.state.LoadReport;
 
-/** How engines are spoken to; one implementation a protocol, one instance a front. */
+/**
+ * Sends attempts, releases and load probes to engines. One implementation for each protocol, one
+ * instance for each router; all calls are made on the router's event loop.
+ */
 public interface UpstreamClient {
-    /** Sends an attempt that reads a prompt and leaves its state there. */
-    AttemptHandle read(AttemptRequest order, AttemptListener hearing);
+    /** Sends an attempt that reads a prompt and leaves its state at the reader. */
+    AttemptHandle read(AttemptRequest attemptRequest, AttemptListener listener);
 
     /** Sends an attempt that writes the answer. */
-    AttemptHandle write(AttemptRequest order, AttemptListener hearing);
+    AttemptHandle write(AttemptRequest attemptRequest, AttemptListener listener);
 
-    /** Lets go of the state that a read attempt left or may have left. */
-    void release(Endpoint endpoint, String rid);
+    /** Releases the state that a read attempt left, or may have left, at an engine. */
+    void release(Endpoint endpoint, String attemptId);
 
-    /** Asks an engine for its load. */
-    void probe(Endpoint endpoint, ProbeListener told);
+    /** Probes an engine for its load. */
+    void probe(Endpoint endpoint, ProbeListener listener);
 
-    /** Hears what an engine answered to a probe. */
+    /** Receives the result of a probe. */
     interface ProbeListener {
         /**
-         * Whether it answered in time, and the load that it told, or null: an engine may answer
-         * without knowing it yet.
+         * The probe ended.
+         *
+         * @param answered whether the engine answered in time
+         * @param report the load that it reported; null if it did not answer, or answered without
+         *     knowing its load yet
          */
         void completed(boolean answered, LoadReport report);
     }
 
-    /** Whether a release is under way that no engine has taken yet. */
+    /** Whether a release is pending that no engine has acknowledged yet. */
     default boolean hasPendingReleases() {
         return false;
     }
 
-    /** Closes what is open. */
+    /** Closes all connections. */
     void close();
 
-    /** An attempt that is out. */
+    /** An attempt in flight. */
     interface AttemptHandle {
-        /** Stops waiting; its outcome still comes, unless it has come. */
+        /** Cancels the attempt; its outcome is still delivered, unless it was delivered already. */
         void cancel();
 
-        /** As cancel, but the outcome says that its time ran out. */
+        /** Cancels the attempt with the outcome that its time ran out. */
         void expire();
 
-        /** Holds back further pieces, up to the engine's socket. */
+        /** Suspends delivery of the answer, with back pressure to the engine's socket. */
         void pause();
 
+        /** Resumes delivery after {@link #pause()}. */
         void resume();
     }
 }
--- a/src/test/java/larchridge/upstream/AttemptClassifierTest.java
+++ b/src/test/java/larchridge/upstream/AttemptClassifierTest.java
@@ -6,85 +6,85 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptClassifierTest {
-    private final AttemptClassifier verdict = new AttemptClassifier();
+    private final AttemptClassifier classifier = new AttemptClassifier();
 
-    private void answered(int status, String code) {
-        verdict.written();
-        verdict.answered(status);
-        verdict.errorCode(code);
-        verdict.clean();
+    private void responseEnded(int status, String code) {
+        classifier.requestWritten();
+        classifier.responseReceived(status);
+        classifier.errorCodeReceived(code);
+        classifier.bodyEnded();
     }
 
     @Test
-    void neverWrittenIsProofOfNoRun() {
-        assertEquals(AttemptOutcome.UNREACHABLE, verdict.outcome());
-        verdict.called(false);
-        assertEquals(AttemptOutcome.NOT_SENT, verdict.outcome());
+    void attemptNeverWrittenProvablyDidNotRun() {
+        assertEquals(AttemptOutcome.UNREACHABLE, classifier.outcome());
+        classifier.cancelled();
+        assertEquals(AttemptOutcome.NOT_SENT, classifier.outcome());
     }
 
     @Test
-    void closedBeforeAnyByteMayHaveRun() {
-        verdict.written();
-        assertEquals(AttemptOutcome.CUT, verdict.outcome());
+    void connectionClosedBeforeAnyByteIsCut() {
+        classifier.requestWritten();
+        assertEquals(AttemptOutcome.CUT, classifier.outcome());
     }
 
     @Test
-    void fullOnlyWhereTheWholeRefusalCame() {
-        verdict.written();
-        verdict.answered(503);
-        assertEquals(AttemptOutcome.CUT, verdict.outcome());
-        verdict.clean();
-        assertEquals(AttemptOutcome.FULL, verdict.outcome());
+    void fullOnlyAfterACompleteRejection() {
+        classifier.requestWritten();
+        classifier.responseReceived(503);
+        assertEquals(AttemptOutcome.CUT, classifier.outcome());
+        classifier.bodyEnded();
+        assertEquals(AttemptOutcome.FULL, classifier.outcome());
     }
 
     @Test
-    void stateUnknownOnlyInTheEnginesOwnWord() {
-        answered(404, "not_found");
-        assertEquals(AttemptOutcome.FAULT, verdict.outcome());
-        verdict.errorCode(AttemptClassifier.STATE_UNKNOWN);
-        assertEquals(AttemptOutcome.NO_STATE, verdict.outcome());
+    void noStateOnlyByTheEnginesErrorCode() {
+        responseEnded(404, "not_found");
+        assertEquals(AttemptOutcome.FAULT, classifier.outcome());
+        classifier.errorCodeReceived(AttemptClassifier.STATE_UNKNOWN);
+        assertEquals(AttemptOutcome.NO_STATE, classifier.outcome());
     }
 
     @Test
-    void serverErrorMayHaveRun() {
-        answered(500, null);
-        assertEquals(AttemptOutcome.FAULT, verdict.outcome());
+    void serverErrorIsAFault() {
+        responseEnded(500, null);
+        assertEquals(AttemptOutcome.FAULT, classifier.outcome());
     }
 
     @Test
-    void streamThatEndsEarlyIsCutAlsoIfCleanly() {
-        answered(200, null);
-        assertEquals(AttemptOutcome.CUT, verdict.outcome());
+    void streamThatEndsEarlyIsCutEvenIfItsBodyEnded() {
+        responseEnded(200, null);
+        assertEquals(AttemptOutcome.CUT, classifier.outcome());
     }
 
     @Test
-    void brokenAfterTheLastTokenIsWhole() {
-        verdict.written();
-        verdict.answered(200);
-        verdict.finished();
-        assertEquals(AttemptOutcome.STREAMED, verdict.outcome());
+    void connectionLostAfterTheLastTokenIsStreamed() {
+        classifier.requestWritten();
+        classifier.responseReceived(200);
+        classifier.answerCompleted();
+        assertEquals(AttemptOutcome.STREAMED, classifier.outcome());
     }
 
     @Test
-    void calledOffAfterTheLastTokenIsWhole() {
-        verdict.written();
-        verdict.answered(200);
-        verdict.finished();
-        verdict.called(false);
-        assertEquals(AttemptOutcome.STREAMED, verdict.outcome());
+    void cancelledAfterTheLastTokenIsStreamed() {
+        classifier.requestWritten();
+        classifier.responseReceived(200);
+        classifier.answerCompleted();
+        classifier.cancelled();
+        assertEquals(AttemptOutcome.STREAMED, classifier.outcome());
     }
 
     @Test
-    void timeUpAndCalledOffMayHaveRun() {
-        verdict.written();
-        verdict.called(true);
-        assertEquals(AttemptOutcome.TIMED_OUT, verdict.outcome());
+    void expiredDeadlineIsTimedOut() {
+        classifier.requestWritten();
+        classifier.deadlineExpired();
+        assertEquals(AttemptOutcome.TIMED_OUT, classifier.outcome());
     }
 
     @Test
-    void garbageMayHaveRun() {
-        answered(200, null);
-        verdict.garbled();
-        assertEquals(AttemptOutcome.FAULT, verdict.outcome());
+    void malformedResponseIsAFault() {
+        responseEnded(200, null);
+        classifier.responseMalformed();
+        assertEquals(AttemptOutcome.FAULT, classifier.outcome());
     }
 }
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -14,266 +14,267 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Every outcome, caused on a socket. */
+/** Each outcome of an attempt, provoked on a real socket. */
 class CompletionsUpstreamClientTest {
-    private CompletionsUpstreamFixture wire;
+    private CompletionsUpstreamFixture fixture;
 
     @BeforeEach
     void start() throws Exception {
-        wire = new CompletionsUpstreamFixture();
+        fixture = new CompletionsUpstreamFixture();
     }
 
     @AfterEach
     void stop() throws Exception {
-        wire.close();
+        fixture.close();
     }
 
-    private void answer(String text) {
-        wire.engine = (socket, request) -> socket.write(text);
+    private void respondWith(String text) {
+        fixture.engine = (socket, request) -> socket.write(text);
     }
 
     @Test
-    void readLeavesAStateAndTellsWhatWasKept() throws Exception {
+    void readReportsItsStateAndCachedTokens() throws Exception {
         String body =
                 "{\"kv_transfer_params\":{\"a\":1},\"usage\":{\"prompt_tokens\":9,"
                         + "\"prompt_tokens_details\":{\"cached_tokens\":5}}}";
-        answer(
+        respondWith(
                 "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.num_requests_running=2\r\n"
                         + "content-length: "
                         + body.length()
                         + "\r\n\r\n"
                         + body);
-        wire.send(true, true);
-        assertEquals("read 5", wire.next());
-        assertEquals(2, wire.report.inflight());
-        String asked = wire.asked.take();
+        fixture.sendRead();
+        assertEquals("read 5", fixture.nextNotification());
+        assertEquals(2, fixture.report.inflight());
+        String request = fixture.requests.take();
         assertTrue(
-                asked.contains("\"do_remote_decode\":true") && asked.contains("\"max_tokens\":1"),
-                asked);
+                request.contains("\"do_remote_decode\":true")
+                        && request.contains("\"max_tokens\":1"),
+                request);
     }
 
     @Test
-    void streamIsToldPieceByPieceAlsoWhenTorn() throws Exception {
-        String whole =
+    void streamIsDeliveredEventByEventAlsoInSmallParts() throws Exception {
+        String response =
                 CompletionsUpstreamFixture.STREAM_HEAD
                         + CompletionsUpstreamFixture.piece("a\u00e1", null)
                         + CompletionsUpstreamFixture.piece("b", "stop")
                         + CompletionsUpstreamFixture.chunk("data: [DONE]\n\n")
                         + "0\r\n\r\n";
-        wire.engine = (socket, request) -> tear(socket, Buffer.buffer(whole), 0);
-        wire.send(false, true);
-        assertEquals("begun", wire.next());
-        assertEquals("piece a\u00e1", wire.next());
-        assertEquals("piece b", wire.next());
-        assertEquals("STREAMED", wire.next());
-        assertEquals(Completion.FinishReason.END_OF_TURN, wire.ending.finishReason());
+        fixture.engine = (socket, request) -> writeInSmallParts(socket, Buffer.buffer(response), 0);
+        fixture.sendWrite();
+        assertEquals("begun", fixture.nextNotification());
+        assertEquals("piece a\u00e1", fixture.nextNotification());
+        assertEquals("piece b", fixture.nextNotification());
+        assertEquals("STREAMED", fixture.nextNotification());
+        assertEquals(Completion.FinishReason.END_OF_TURN, fixture.completion.finishReason());
     }
 
     @Test
-    void piecesThatComeTogetherAreHandedOnTogether() throws Exception {
+    void eventsThatArriveTogetherAreBatched() throws Exception {
         String pieces = CompletionsUpstreamFixture.piece("a", null).repeat(50);
-        wire.engine =
+        fixture.engine =
                 (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + pieces);
-        UpstreamClient.AttemptHandle flight = wire.send(false, true);
-        assertEquals("begun", wire.next());
+        UpstreamClient.AttemptHandle attempt = fixture.sendWrite();
+        assertEquals("begun", fixture.nextNotification());
         for (int i = 0; i < 50; i++) {
-            assertEquals("piece a", wire.next());
+            assertEquals("piece a", fixture.nextNotification());
         }
-        wire.on(() -> null);
-        int soFar = wire.on(wire.soFar::get);
-        assertTrue(soFar >= 1 && soFar < 25, soFar + " times");
-        wire.on(
+        fixture.onLoop(() -> null);
+        int batchesCompleted = fixture.onLoop(fixture.batchesCompleted::get);
+        assertTrue(batchesCompleted >= 1 && batchesCompleted < 25, batchesCompleted + " times");
+        fixture.onLoop(
                 () -> {
-                    flight.cancel();
+                    attempt.cancel();
                     return null;
                 });
-        assertEquals("CANCELLED", wire.next());
+        assertEquals("CANCELLED", fixture.nextNotification());
     }
 
-    private void tear(NetSocket socket, Buffer bytes, int from) {
+    private void writeInSmallParts(NetSocket socket, Buffer bytes, int from) {
         if (from < bytes.length()) {
             socket.write(bytes.getBuffer(from, Math.min(bytes.length(), from + 7)))
-                    .onSuccess(v -> tear(socket, bytes, from + 7));
+                    .onSuccess(v -> writeInSmallParts(socket, bytes, from + 7));
         }
     }
 
     @Test
     void refusedConnectionIsUnreachable() throws Exception {
-        wire.spot = new Endpoint("127.0.0.1", 1);
-        wire.send(true, true);
-        assertEquals("UNREACHABLE", wire.next());
+        fixture.endpoint = new Endpoint("127.0.0.1", 1);
+        fixture.sendRead();
+        assertEquals("UNREACHABLE", fixture.nextNotification());
     }
 
     @Test
-    void fullPoolIsNotSent() throws Exception {
-        wire.send(true, true);
-        wire.send(true, true);
-        wire.send(true, true);
-        assertEquals("NOT_SENT", wire.next());
+    void exhaustedPoolIsNotSent() throws Exception {
+        fixture.sendRead();
+        fixture.sendRead();
+        fixture.sendRead();
+        assertEquals("NOT_SENT", fixture.nextNotification());
     }
 
     @Test
-    void engineThatBeganToDrainIsNotSentTo() throws Exception {
-        wire.send(true, false);
-        assertEquals("NOT_SENT", wire.next());
-        assertTrue(wire.asked.isEmpty());
+    void attemptRejectedBeforeItIsWrittenIsNotSent() throws Exception {
+        fixture.sendReadRejectedByCheck();
+        assertEquals("NOT_SENT", fixture.nextNotification());
+        assertTrue(fixture.requests.isEmpty());
     }
 
     @Test
-    void fullIsFull() throws Exception {
-        answer(CompletionsUpstreamFixture.status(429, "{}"));
-        wire.send(true, true);
-        assertEquals("FULL", wire.next());
+    void tooManyRequestsIsFull() throws Exception {
+        respondWith(CompletionsUpstreamFixture.status(429, "{}"));
+        fixture.sendRead();
+        assertEquals("FULL", fixture.nextNotification());
     }
 
     @Test
-    void refusalCutShortProvesNothing() throws Exception {
-        wire.engine =
+    void truncatedRejectionIsCut() throws Exception {
+        fixture.engine =
                 (socket, request) ->
                         socket.write("HTTP/1.1 503 X\r\ncontent-length: 10\r\n\r\n{")
                                 .onSuccess(v -> socket.close());
-        wire.send(true, true);
-        assertEquals("CUT", wire.next());
+        fixture.sendRead();
+        assertEquals("CUT", fixture.nextNotification());
     }
 
     @Test
-    void stateUnknownIsNoState() throws Exception {
-        answer(
+    void unknownStateIsNoState() throws Exception {
+        respondWith(
                 CompletionsUpstreamFixture.status(
                         409, "{\"error\":{\"code\":\"kv_state_unknown\"}}"));
-        wire.send(false, true);
-        assertEquals("NO_STATE", wire.next());
+        fixture.sendWrite();
+        assertEquals("NO_STATE", fixture.nextNotification());
     }
 
     @Test
-    void errorIsAFault() throws Exception {
-        answer(CompletionsUpstreamFixture.status(500, "oops"));
-        wire.send(false, true);
-        assertEquals("FAULT", wire.next());
+    void serverErrorIsAFault() throws Exception {
+        respondWith(CompletionsUpstreamFixture.status(500, "oops"));
+        fixture.sendWrite();
+        assertEquals("FAULT", fixture.nextNotification());
     }
 
     @Test
-    void garbageIsAFault() throws Exception {
-        answer(CompletionsUpstreamFixture.json("{\"choices\":["));
-        wire.send(true, true);
-        assertEquals("FAULT", wire.next());
-        answer(
+    void malformedResponseIsAFault() throws Exception {
+        respondWith(CompletionsUpstreamFixture.json("{\"choices\":["));
+        fixture.sendRead();
+        assertEquals("FAULT", fixture.nextNotification());
+        respondWith(
                 CompletionsUpstreamFixture.STREAM_HEAD
                         + CompletionsUpstreamFixture.chunk("data: {\"choices\":[{\"te\n\n"));
-        wire.send(false, true);
-        assertEquals("FAULT", wire.next());
+        fixture.sendWrite();
+        assertEquals("FAULT", fixture.nextNotification());
     }
 
     @Test
-    void readWithoutAHandleIsAFault() throws Exception {
-        answer(CompletionsUpstreamFixture.json("{\"choices\":[]}"));
-        wire.send(true, true);
-        assertEquals("FAULT", wire.next());
+    void readWithoutAStateHandleIsAFault() throws Exception {
+        respondWith(CompletionsUpstreamFixture.json("{\"choices\":[]}"));
+        fixture.sendRead();
+        assertEquals("FAULT", fixture.nextNotification());
     }
 
     @Test
-    void keptConnectionThatClosesBeforeAByteIsCut() throws Exception {
-        answer(CompletionsUpstreamFixture.status(429, "{}"));
-        wire.send(true, true);
-        assertEquals("FULL", wire.next());
-        wire.engine = (socket, request) -> socket.close();
-        wire.send(true, true);
-        assertEquals("CUT", wire.next());
+    void pooledConnectionThatClosesBeforeAByteIsCut() throws Exception {
+        respondWith(CompletionsUpstreamFixture.status(429, "{}"));
+        fixture.sendRead();
+        assertEquals("FULL", fixture.nextNotification());
+        fixture.engine = (socket, request) -> socket.close();
+        fixture.sendRead();
+        assertEquals("CUT", fixture.nextNotification());
     }
 
     @Test
-    void streamBrokenBeforeItsFirstTokenIsCut() throws Exception {
-        wire.engine =
+    void streamLostBeforeItsFirstTokenIsCut() throws Exception {
+        fixture.engine =
                 (socket, request) ->
                         socket.write(CompletionsUpstreamFixture.STREAM_HEAD)
                                 .onSuccess(v -> socket.close());
-        wire.send(false, true);
-        assertEquals("CUT", wire.next());
+        fixture.sendWrite();
+        assertEquals("CUT", fixture.nextNotification());
     }
 
     @Test
-    void streamBrokenInTheMiddleIsCut() throws Exception {
-        wire.engine =
+    void streamLostInTheMiddleIsCut() throws Exception {
+        fixture.engine =
                 (socket, request) ->
                         socket.write(
                                         CompletionsUpstreamFixture.STREAM_HEAD
                                                 + CompletionsUpstreamFixture.piece("a", null))
                                 .onSuccess(v -> socket.close());
-        wire.send(false, true);
-        assertEquals("begun", wire.next());
-        assertEquals("piece a", wire.next());
-        assertEquals("CUT", wire.next());
+        fixture.sendWrite();
+        assertEquals("begun", fixture.nextNotification());
+        assertEquals("piece a", fixture.nextNotification());
+        assertEquals("CUT", fixture.nextNotification());
     }
 
     @Test
-    void streamBrokenAfterItsLastTokenIsWhole() throws Exception {
-        wire.engine =
+    void streamLostAfterItsLastTokenIsStreamed() throws Exception {
+        fixture.engine =
                 (socket, request) ->
                         socket.write(
                                         CompletionsUpstreamFixture.STREAM_HEAD
                                                 + CompletionsUpstreamFixture.piece("a", "length"))
                                 .onSuccess(v -> socket.close());
-        wire.send(false, true);
-        assertEquals("begun", wire.next());
-        assertEquals("piece a", wire.next());
-        assertEquals("STREAMED", wire.next());
-        assertEquals(Completion.FinishReason.MAX_TOKENS, wire.ending.finishReason());
-        assertEquals(1, wire.ending.outputTokens());
+        fixture.sendWrite();
+        assertEquals("begun", fixture.nextNotification());
+        assertEquals("piece a", fixture.nextNotification());
+        assertEquals("STREAMED", fixture.nextNotification());
+        assertEquals(Completion.FinishReason.MAX_TOKENS, fixture.completion.finishReason());
+        assertEquals(1, fixture.completion.outputTokens());
     }
 
     @Test
-    void calledOffClosesTheConnectionAndTellsOnce() throws Exception {
+    void cancelClosesTheConnectionAndNotifiesOnce() throws Exception {
         CompletableFuture<Void> closed = new CompletableFuture<>();
         CompletableFuture<Void> arrived = new CompletableFuture<>();
-        wire.engine =
+        fixture.engine =
                 (socket, request) -> {
                     socket.closeHandler(v -> closed.complete(null));
                     arrived.complete(null);
                 };
-        UpstreamClient.AttemptHandle flight = wire.send(false, true);
+        UpstreamClient.AttemptHandle attempt = fixture.sendWrite();
         arrived.get(5, TimeUnit.SECONDS);
-        wire.on(
+        fixture.onLoop(
                 () -> {
-                    flight.cancel();
-                    flight.cancel();
-                    flight.expire();
+                    attempt.cancel();
+                    attempt.cancel();
+                    attempt.expire();
                     return null;
                 });
-        assertEquals("CANCELLED", wire.next());
+        assertEquals("CANCELLED", fixture.nextNotification());
         closed.get(5, TimeUnit.SECONDS);
-        assertEquals(null, wire.told.poll(50, TimeUnit.MILLISECONDS));
+        assertEquals(null, fixture.notifications.poll(50, TimeUnit.MILLISECONDS));
     }
 
     @Test
-    void timeUpIsTimedOut() throws Exception {
+    void expiredAttemptIsTimedOut() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
-        wire.engine = (socket, request) -> arrived.complete(null);
-        UpstreamClient.AttemptHandle flight = wire.send(false, true);
+        fixture.engine = (socket, request) -> arrived.complete(null);
+        UpstreamClient.AttemptHandle attempt = fixture.sendWrite();
         arrived.get(5, TimeUnit.SECONDS);
-        wire.on(
+        fixture.onLoop(
                 () -> {
-                    flight.expire();
+                    attempt.expire();
                     return null;
                 });
-        assertEquals("TIMED_OUT", wire.next());
+        assertEquals("TIMED_OUT", fixture.nextNotification());
     }
 
     @Test
-    void calledOffWhileItWaitsForAConnectionWasNeverSent() throws Exception {
-        wire.send(true, true);
-        UpstreamClient.AttemptHandle waits = wire.send(true, true);
-        wire.on(
+    void attemptCancelledWhileWaitingForAConnectionIsNotSent() throws Exception {
+        fixture.sendRead();
+        UpstreamClient.AttemptHandle waiting = fixture.sendRead();
+        fixture.onLoop(
                 () -> {
-                    waits.cancel();
+                    waiting.cancel();
                     return null;
                 });
-        assertEquals("NOT_SENT", wire.next());
+        assertEquals("NOT_SENT", fixture.nextNotification());
     }
 
     @Test
-    void releaseIsTriedAgainUntilItIsHeard() throws Exception {
+    void releaseIsRetriedUntilAcknowledged() throws Exception {
         AtomicInteger times = new AtomicInteger();
-        wire.engine =
+        fixture.engine =
                 (socket, request) -> {
                     if (times.incrementAndGet() < 3) {
                         socket.close();
@@ -281,37 +282,40 @@
                         socket.write(CompletionsUpstreamFixture.status(200, "{}"));
                     }
                 };
-        wire.on(
+        fixture.onLoop(
                 () -> {
-                    wire.link().release(wire.spot, "g.0");
+                    fixture.client().release(fixture.endpoint, "g.0");
                     return null;
                 });
         for (int i = 0; i < 3; i++) {
-            String asked = wire.asked.poll(5, TimeUnit.SECONDS);
-            assertNotNull(asked);
+            String request = fixture.requests.poll(5, TimeUnit.SECONDS);
+            assertNotNull(request);
             assertTrue(
-                    asked.startsWith("POST /abort_request") && asked.contains("\"rid\":\"g.0\""),
-                    asked);
+                    request.startsWith("POST /abort_request")
+                            && request.contains("\"rid\":\"g.0\""),
+                    request);
         }
     }
 
     @Test
-    void probeTellsTheLoadOrNothing() throws Exception {
-        answer(
+    void probeReportsTheLoadOrNothing() throws Exception {
+        respondWith(
                 CompletionsUpstreamFixture.status(
                         200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
-        CompletableFuture<LoadReport> told = new CompletableFuture<>();
-        wire.on(
+        CompletableFuture<LoadReport> probed = new CompletableFuture<>();
+        fixture.onLoop(
                 () -> {
-                    wire.link().probe(wire.spot, (answered, report) -> told.complete(report));
+                    fixture.client()
+                            .probe(fixture.endpoint, (answered, report) -> probed.complete(report));
                     return null;
                 });
-        assertEquals(4, told.get(5, TimeUnit.SECONDS).inflight());
-        wire.engine = (socket, request) -> {};
+        assertEquals(4, probed.get(5, TimeUnit.SECONDS).inflight());
+        fixture.engine = (socket, request) -> {};
         CompletableFuture<LoadReport> silent = new CompletableFuture<>();
-        wire.on(
+        fixture.onLoop(
                 () -> {
-                    wire.link().probe(wire.spot, (answered, report) -> silent.complete(report));
+                    fixture.client()
+                            .probe(fixture.endpoint, (answered, report) -> silent.complete(report));
                     return null;
                 });
         assertEquals(null, silent.get(5, TimeUnit.SECONDS));
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -7,10 +7,12 @@
 import io.vertx.core.net.NetSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import larchridge.site.SiteLimits;
@@ -18,74 +20,76 @@
 import larchridge.state.LoadReport;
 
 /**
- * An engine whose every byte a test decides, a link to it, and ears that write down what the link
- * tells.
+ * An engine whose every byte a test decides, a client connected to it, and a listener that records
+ * its notifications as text.
  */
 final class CompletionsUpstreamFixture implements AutoCloseable {
+    static final String STREAM_HEAD =
+            "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
+                    + "transfer-encoding: chunked\r\n\r\n";
     static final String JSON_HEAD = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n";
     final Vertx vertx = Vertx.vertx();
-    final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-    final SiteLimits limit = new SiteLimits();
+    final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+    final AtomicInteger batchesCompleted = new AtomicInteger();
+    final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+    final SiteLimits limits = new SiteLimits();
     volatile BiConsumer<NetSocket, String> engine = (socket, request) -> {};
-    volatile Completion ending;
+    volatile Completion completion;
     volatile LoadReport report;
-    Endpoint spot;
+    Endpoint endpoint;
     private final Context loop = vertx.getOrCreateContext();
+    private final AttemptListener listener = new RecordingListener();
     private final NetServer server;
-    private CompletionsUpstreamClient link;
+    private CompletionsUpstreamClient client;
 
     CompletionsUpstreamFixture() throws Exception {
-        limit.connectMs = 400;
-        limit.keepAliveMs = 5000;
-        limit.connectionsPerEngine = 1;
-        limit.connectionWaits = 1;
-        limit.probeMs = 300;
-        server =
-                vertx.createNetServer()
-                        .connectHandler(
-                                socket -> {
-                                    Buffer seen = Buffer.buffer();
-                                    socket.exceptionHandler(e -> {});
-                                    socket.handler(
-                                            part -> {
-                                                seen.appendBuffer(part);
-                                                String text = seen.toString();
-                                                int head = text.indexOf("\r\n\r\n");
-                                                int length = head < 0 ? -1 : length(text);
-                                                if (head >= 0
-                                                        && text.length() >= head + 4 + length) {
-                                                    asked.add(text);
-                                                    String whole = text;
-                                                    seen.setString(0, "");
-                                                    engine.accept(socket, whole);
-                                                }
-                                            });
-                                });
+        limits.connectMs = 400;
+        limits.keepAliveMs = 5000;
+        limits.connectionsPerEngine = 1;
+        limits.connectionWaits = 1;
+        limits.probeMs = 300;
+        server = vertx.createNetServer().connectHandler(this::connected);
         server.listen(0, "127.0.0.1")
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(5, TimeUnit.SECONDS);
-        spot = new Endpoint("127.0.0.1", server.actualPort());
-        on(() -> link = new CompletionsUpstreamClient(vertx, limit));
+        endpoint = new Endpoint("127.0.0.1", server.actualPort());
+        onLoop(() -> client = new CompletionsUpstreamClient(vertx, limits));
+    }
+
+    private void connected(NetSocket socket) {
+        Buffer received = Buffer.buffer();
+        socket.exceptionHandler(e -> {});
+        socket.handler(
+                part -> {
+                    received.appendBuffer(part);
+                    String text = received.toString();
+                    int headEnd = text.indexOf("\r\n\r\n");
+                    int length = headEnd < 0 ? -1 : contentLength(text);
+                    if (headEnd >= 0 && text.length() >= headEnd + 4 + length) {
+                        requests.add(text);
+                        received.setString(0, "");
+                        engine.accept(socket, text);
+                    }
+                });
     }
 
-    private static int length(String text) {
+    private static int contentLength(String text) {
         for (String line : text.split("\r\n")) {
-            if (line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")) {
+            if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
                 return Integer.parseInt(line.substring(15).strip());
             }
         }
         return 0;
     }
 
-    /** Runs something on the link's loop. */
-    <T> T on(Supplier<T> act) throws Exception {
+    /** Runs an action on the client's event loop. */
+    <T> T onLoop(Supplier<T> action) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.runOnContext(
                 v -> {
                     try {
-                        done.complete(act.get());
+                        done.complete(action.get());
                     } catch (RuntimeException e) {
                         done.completeExceptionally(e);
                     }
@@ -93,68 +97,45 @@
         return done.get(5, TimeUnit.SECONDS);
     }
 
-    CompletionsUpstreamClient link() {
-        return link;
-    }
-
-    final java.util.concurrent.atomic.AtomicInteger soFar =
-            new java.util.concurrent.atomic.AtomicInteger();
-
-    UpstreamClient.AttemptHandle send(boolean read, boolean mayBeSent) throws Exception {
-        AttemptRequest order =
-                new AttemptRequest(
-                        "g.0",
-                        spot,
-                        "m",
-                        "p",
-                        4,
-                        List.of(),
-                        new AttemptRequest.Sampling(null, null, null),
-                        null,
-                        null,
-                        null,
-                        () ->
-                                mayBeSent
-                                        ? null
-                                        : larchridge.upstream.SendRejection.ENDPOINT_UNAVAILABLE);
-        AttemptListener ears =
-                new AttemptListener() {
-                    @Override
-                    public void readCompleted(
-                            StateHandle state, int keptTokens, int promptTokens, LoadReport told2) {
-                        report = told2;
-                        told.add("read " + keptTokens);
-                    }
+    CompletionsUpstreamClient client() {
+        return client;
+    }
 
-                    @Override
-                    public void responseStarted() {
-                        told.add("begun");
-                    }
+    /** Sends an attempt that reads. */
+    UpstreamClient.AttemptHandle sendRead() throws Exception {
+        return onLoop(() -> client.read(attemptRequest(null), listener));
+    }
 
-                    @Override
-                    public void textReceived(String text) {
-                        told.add("piece " + text);
-                    }
+    /** Sends an attempt that reads, which the check before writing rejects. */
+    UpstreamClient.AttemptHandle sendReadRejectedByCheck() throws Exception {
+        return onLoop(
+                () -> client.read(attemptRequest(SendRejection.ENDPOINT_UNAVAILABLE), listener));
+    }
 
-                    @Override
-                    public void batchCompleted() {
-                        soFar.incrementAndGet();
-                    }
+    /** Sends an attempt that writes. */
+    UpstreamClient.AttemptHandle sendWrite() throws Exception {
+        return onLoop(() -> client.write(attemptRequest(null), listener));
+    }
 
-                    @Override
-                    public void attemptEnded(
-                            AttemptOutcome outcome, LoadReport told2, Completion how) {
-                        ending = how;
-                        report = told2;
-                        told.add(outcome.name());
-                    }
-                };
-        return on(() -> read ? link.read(order, ears) : link.write(order, ears));
+    private AttemptRequest attemptRequest(SendRejection rejection) {
+        return new AttemptRequest(
+                "g.0",
+                endpoint,
+                "m",
+                "p",
+                4,
+                List.of(),
+                new AttemptRequest.Sampling(null, null, null),
+                null,
+                null,
+                null,
+                () -> rejection);
     }
 
-    String next() throws InterruptedException {
-        String word = told.poll(5, TimeUnit.SECONDS);
-        return word == null ? "nothing" : word;
+    /** The next notification of the listener, "nothing" if none arrives. */
+    String nextNotification() throws InterruptedException {
+        String notification = notifications.poll(5, TimeUnit.SECONDS);
+        return notification == null ? "nothing" : notification;
     }
 
     static String json(String body) {
@@ -165,10 +146,6 @@
         return "HTTP/1.1 " + status + " X\r\ncontent-length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static final String STREAM_HEAD =
-            "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
-                    + "transfer-encoding: chunked\r\n\r\n";
-
     static String chunk(String data) {
         return Integer.toHexString(data.getBytes(StandardCharsets.UTF_8).length)
                 + "\r\n"
@@ -189,4 +166,36 @@
     public void close() throws Exception {
         vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     }
+
+    private final class RecordingListener implements AttemptListener {
+        @Override
+        public void readCompleted(
+                StateHandle state, int cachedTokens, int promptTokens, LoadReport loadReport) {
+            report = loadReport;
+            notifications.add("read " + cachedTokens);
+        }
+
+        @Override
+        public void responseStarted() {
+            notifications.add("begun");
+        }
+
+        @Override
+        public void textReceived(String text) {
+            notifications.add("piece " + text);
+        }
+
+        @Override
+        public void batchCompleted() {
+            batchesCompleted.incrementAndGet();
+        }
+
+        @Override
+        public void attemptEnded(
+                AttemptOutcome outcome, LoadReport loadReport, Completion endedCompletion) {
+            completion = endedCompletion;
+            report = loadReport;
+            notifications.add(outcome.name());
+        }
+    }
 }
--- a/src/test/java/larchridge/upstream/LoadReportParserTest.java
+++ b/src/test/java/larchridge/upstream/LoadReportParserTest.java
@@ -9,13 +9,13 @@
 
 class LoadReportParserTest {
     @Test
-    void headerInBothFormsIsRead() {
+    void headerIsParsedInBothForms() {
         LoadReport text =
-                LoadReportParser.ofHeader(
+                LoadReportParser.fromHeader(
                         "TEXT named_metrics.num_requests_running=3, "
                                 + "named_metrics.num_requests_waiting=2,named_metrics.kv_cache_usage_perc=0.5");
         LoadReport json =
-                LoadReportParser.ofHeader(
+                LoadReportParser.fromHeader(
                         "JSON {\"named_metrics\":{\"num_requests_running\":3,"
                                 + "\"num_requests_waiting\":2,\"kv_cache_usage_perc\":0.5}}");
         assertEquals(new LoadReport(5, 2, 0.5, Double.NaN), text);
@@ -23,18 +23,18 @@
     }
 
     @Test
-    void nonsenseTellsNothing() {
-        assertNull(LoadReportParser.ofHeader(null));
-        assertNull(LoadReportParser.ofHeader("JSON {"));
-        assertNull(LoadReportParser.ofHeader("BIN abc"));
-        assertNull(LoadReportParser.ofHeader("TEXT named_metrics.num_requests_running=-1"));
-        assertNull(LoadReportParser.ofPage("<html>"));
+    void unparsableReportIsNull() {
+        assertNull(LoadReportParser.fromHeader(null));
+        assertNull(LoadReportParser.fromHeader("JSON {"));
+        assertNull(LoadReportParser.fromHeader("BIN abc"));
+        assertNull(LoadReportParser.fromHeader("TEXT named_metrics.num_requests_running=-1"));
+        assertNull(LoadReportParser.fromMetricsPage("<html>"));
     }
 
     @Test
-    void pageWithLabelsAndCommentsIsRead() {
+    void metricsPageWithLabelsAndCommentsIsParsed() {
         LoadReport page =
-                LoadReportParser.ofPage(
+                LoadReportParser.fromMetricsPage(
                         "# HELP x\nvllm:num_requests_running{model_name=\"a b\"} 4.0\n"
                                 + "vllm:num_requests_waiting 1\nvllm:gpu_cache_usage_perc 0.25\nvllm:other nan\n");
         assertEquals(5, page.inflight());
