--- /dev/null
+++ b/src/test/java/larchridge/virtual/PolicyActionsTest.java
@@ -0,0 +1,100 @@
+package larchridge.virtual;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import larchridge.drill.Script;
+import larchridge.drill.ScriptReader;
+import larchridge.virtual.PolicyRecorder.Variant;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Every event and every action of the routing policy over seeded simulated runs, as written down when these digests were
+ * taken. A change of an action, of its time, of a random draw or of their order changes a digest; where such a change is
+ * meant, the new digests belong in its commit. With {@code -Dpolicy.actions.dir=DIR} the lines of each run are written
+ * there, to be compared.
+ */
+class PolicyActionsTest {
+    /** One run: a script of deploy/, its seed, the variant, the digest of its lines and their number. */
+    private record Run(String script, long seed, Variant variant, long lines, String sha256) { }
+
+    private static final Run[] RUNS = {
+        new Run("bad-day", 1, Variant.AS_SCRIPTED, 20913,
+                "6a6bad080c52fbf4039e4b8225749d9fb8104c608faf1101aa3391623f6171cb"),
+        new Run("bad-day", 2, Variant.AS_SCRIPTED, 20828,
+                "7688319ce442d6eb9851f84b778a660e5f0870dc1566f8b1bdc1c7770eb8bfcc"),
+        new Run("bad-day+probes", 4, Variant.AS_SCRIPTED, 21853,
+                "97a42b41933b6ee1273bb911b4e6542b73d297ff40a17059cbd21b57377a83c3"),
+        new Run("bad-day", 5, Variant.NO_REPORTS, 21346,
+                "34a70d21b22e953767c8b865ae62af16b90580a435094cb32c1f2937e205e3b2"),
+        new Run("bad-day", 6, Variant.NO_CANCELLING, 20738,
+                "0a392af9c73a85085333968943810f0791170a28552add72ad55fac3dbe87aed"),
+        new Run("bad-day", 7, Variant.NO_HEDGING, 21031,
+                "55621605fada1374233f31e7fdda75c1e93a2677b0e8cb7f8a31d47ec001b319"),
+        new Run("bad-day", 8, Variant.WRITERS_READ, 20826,
+                "14fb6e49f528947227d380b3cb8d2bfcb6a07ececb857c4e8aa0c9e80a87af41"),
+        new Run("bad-day", 9, Variant.INJECTED_EVENTS, 20875,
+                "06e16826c5c70211c1439503c21f91eb118bddf3d5cbdf20bae0fe86458b7105"),
+        new Run("bad-day+large", 10, Variant.AS_SCRIPTED, 46191,
+                "5aa0d3308bb45fef9e10c3be074052985d5e7aa5ca84af5c86f9ccb3075a38a2"),
+        new Run("storm-of-one", 1, Variant.AS_SCRIPTED, 5874,
+                "9cdb12af748a3cbc87dcd35ea3341a56713aefded371e63ae5de7f0d0af5a507"),
+        new Run("batch-storm", 1, Variant.AS_SCRIPTED, 19334,
+                "c9857400548c0678abd6e97ade1a02b89da7932ce3cdd9d7053cae605ed5c991"),
+        new Run("searched/full-pools", 1, Variant.AS_SCRIPTED, 15553,
+                "6d522efb843b02cb72c9c9987d1e9f63d4fb7ca31e0cf268ecce0077e7284646"),
+        new Run("searched/faulty-writers", 1, Variant.AS_SCRIPTED, 15490,
+                "c83ad7fae20cbb86aa648732a63cdd09328397e29bc20d7df3254a6012c5e291"),
+        new Run("searched/forgetful-readers", 1, Variant.AS_SCRIPTED, 22285,
+                "056aa4eda4b01910e5789ab91b3bb82591038f6d69e2649eb95e818a1a989441"),
+    };
+
+    @Test
+    void everyActionOfSeededRunsIsAsRecorded() throws Exception {
+        StringBuilder expected = new StringBuilder();
+        StringBuilder actual = new StringBuilder();
+        Map<String, Integer> kinds = new TreeMap<>();
+        for (Run run : RUNS) {
+            PolicyRecorder recorder = play(run);
+            recorder.counts().forEach((kind, count) -> kinds.merge(kind, count, Integer::sum));
+            String name = run.script + " " + run.seed + " " + run.variant + " ";
+            expected.append(name).append(run.lines).append(' ').append(run.sha256).append('\n');
+            actual.append(name).append(recorder.lines()).append(' ').append(recorder.sha256()).append('\n');
+        }
+        System.out.println("lines by kind: " + kinds);
+        assertEquals(expected.toString(), actual.toString());
+        assertEquals(new TreeSet<>(Set.of("in:arrived", "in:begun", "in:departed", "in:ended", "in:entry", "in:list-failed",
+                "in:listed", "in:probed", "in:read-done", "in:state-released", "in:woken", "out:cancel", "out:follow-list",
+                "out:log", "out:probe", "out:release", "out:send", "out:sent-to-cold", "out:terminate", "out:throttle",
+                "out:wake")), new TreeSet<>(kinds.keySet()), "every kind of event and action is played");
+    }
+
+    private static PolicyRecorder play(Run run) throws Exception {
+        String directory = System.getProperty("policy.actions.dir");
+        PolicyRecorder recorder = new PolicyRecorder(run.variant, directory != null);
+        Day.play(script(run), recorder);
+        if (directory != null) {
+            String file = (run.script + "-" + run.seed + "-" + run.variant).replace('/', '-') + ".txt";
+            Files.writeString(Path.of(directory, file), recorder.text());
+        }
+        return recorder;
+    }
+
+    private static Script script(Run run) throws Exception {
+        String[] parts = run.script.split("\\+");
+        Path file = Path.of("deploy/" + parts[0] + ".yaml");
+        Script script = ScriptReader.read(file);
+        if (parts.length > 1 && parts[1].equals("probes")) {
+            script = ScriptReader.read(parts[0], Files.readString(file).replace("fronts: 3", "fronts: 3\nprobes: true"));
+        } else if (parts.length > 1) {
+            // Many routers over many engines: each sees little of the load itself.
+            script = script.scaled(2, 2, 8);
+        }
+        return script.withSeed(run.seed);
+    }
+}
