--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -4,14 +4,14 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import larchridge.state.Product;
+import larchridge.state.TrafficClass;
 
 /** What was seen of one request, and its last steps. */
 final class AuditedRequest {
     private static final int STEPS = 32;
 
     final String id;
-    final Product product;
+    final TrafficClass product;
     final double limitMs;
     final List<AuditedAttempt> attempts = new ArrayList<>(2);
     private final Deque<Transition> steps = new ArrayDeque<>();
@@ -19,16 +19,23 @@
     boolean answered;
     double answeredMs;
     boolean clientClosed;
+
     /** When a state began to be held with the time running, or NaN. */
     double heldMs = Double.NaN;
-    /** Whether a state that was released may still be there, since a request in an engine's queue waits for it. */
+
+    /**
+     * Whether a state that was released may still be there, since a request in an engine's queue
+     * waits for it.
+     */
     boolean releasedBesideAttempt;
+
     /** Violations that are told once a request, not at each look. */
     boolean toldLate;
+
     boolean toldHeld;
     boolean toldLeft;
 
-    AuditedRequest(String id, Product product, double limitMs) {
+    AuditedRequest(String id, TrafficClass product, double limitMs) {
         this.id = id;
         this.product = product;
         this.limitMs = limitMs;
@@ -46,6 +53,8 @@
     }
 
     boolean isOver() {
-        return (answered || clientClosed) && Double.isNaN(heldMs) && attempts.stream().allMatch(one -> one.ended);
+        return (answered || clientClosed)
+                && Double.isNaN(heldMs)
+                && attempts.stream().allMatch(one -> one.ended);
     }
 }
--- a/src/main/java/larchridge/budget/Purse.java
+++ b/src/main/java/larchridge/budget/TenantBudget.java
@@ -9,37 +9,43 @@
 import java.util.Random;
 
 /**
- * One budget of the tree: the whole service, a group of tenants, a tenant, or a tenant's product. Without I/O, clock or
- * threads.
+ * One budget of the tree: the whole service, a group of tenants, a tenant, or a tenant's product.
+ * Without I/O, clock or threads.
  */
-final class Purse {
+final class TenantBudget {
     static final String SERVICE = "service";
     private static final int MOST_LOANS = 64;
     private static final double SLOT_MS = 100;
     private static final double DEMAND_KEPT = 0.7;
 
     final String name;
-    final Purse above;
-    final List<Purse> below = new ArrayList<>();
-    private Grant grant;
-    private final Bucket bucket;
+    final TenantBudget above;
+    final List<TenantBudget> below = new ArrayList<>();
+    private QuotaGrant grant;
+    private final TokenBucket bucket;
     private double inFlight;
     private double monthUsed;
-    /** Tokens lent to it with the time at which each lapses; the oldest first, at most {@value #MOST_LOANS}. */
+
+    /**
+     * Tokens lent to it with the time at which each lapses; the oldest first, at most {@value
+     * #MOST_LOANS}.
+     */
     private final ArrayDeque<Loan> loans = new ArrayDeque<>();
+
     /** Tokens asked for in this slot of time, and in a slot as it was of late. */
     private double askedToks;
+
     private double slotMs;
     private double demandToks;
     private YearMonth month;
 
-    private record Loan(double toks, double untilMs) { }
+    private record Loan(double toks, double untilMs) {}
 
-    Purse(String name, Purse above, Grant grant, boolean alone, Random random) {
+    TenantBudget(String name, TenantBudget above, QuotaGrant grant, boolean alone, Random random) {
         this.name = name;
         this.above = above;
         this.grant = grant;
-        bucket = new Bucket(grant.toksPerMs(), grant.burstToks(), alone, random);
+        bucket = new TokenBucket(grant.toksPerMs(), grant.burstToks(), alone, random);
         if (above != null) {
             above.below.add(this);
         }
@@ -57,16 +63,16 @@
         return "tenant " + tenant + ", " + product;
     }
 
-    Grant grant() {
+    QuotaGrant grant() {
         return grant;
     }
 
-    void change(Grant next, double nowMs) {
+    void change(QuotaGrant next, double nowMs) {
         grant = next;
         bucket.change(next.toksPerMs(), next.burstToks(), nowMs);
     }
 
-    Bucket bucket() {
+    TokenBucket bucket() {
         return bucket;
     }
 
@@ -91,13 +97,16 @@
 
     double untilNextMonthMs(double nowMs) {
         turn(nowMs);
-        return month.plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli() - nowMs;
+        return month.plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
+                - nowMs;
     }
 
     void asked(double toks, double nowMs) {
         if (nowMs - slotMs >= SLOT_MS || nowMs < slotMs) {
             double slots = nowMs < slotMs ? 1 : Math.floor((nowMs - slotMs) / SLOT_MS);
-            demandToks = (DEMAND_KEPT * demandToks + (1 - DEMAND_KEPT) * askedToks) * Math.pow(DEMAND_KEPT, slots - 1);
+            demandToks =
+                    (DEMAND_KEPT * demandToks + (1 - DEMAND_KEPT) * askedToks)
+                            * Math.pow(DEMAND_KEPT, slots - 1);
             askedToks = 0;
             slotMs = nowMs;
         }
@@ -105,10 +114,11 @@
     }
 
     /** What it would have lent so that a generation may come in. */
-    Want want(double toks, double nowMs) {
+    QuotaRequest want(double toks, double nowMs) {
         double has = lent(nowMs) + Math.max(0, bucket.level(nowMs));
-        // Danger: little lent to each of many fronts would lapse there, and nobody could use the budget.
-        return new Want(name, Math.max(1, toks - has), demandToks >= toks ? demandToks : 0);
+        // Danger: little lent to each of many fronts would lapse there, and nobody could use the
+        // budget.
+        return new QuotaRequest(name, Math.max(1, toks - has), demandToks >= toks ? demandToks : 0);
     }
 
     void lend(double toks, double untilMs) {
@@ -124,7 +134,10 @@
         return loans.stream().mapToDouble(Loan::toks).sum();
     }
 
-    /** Takes so much from what was lent, the oldest first, and what lacks from the bucket; nothing if both lack it. */
+    /**
+     * Takes so much from what was lent, the oldest first, and what lacks from the bucket; nothing
+     * if both lack it.
+     */
     boolean takeLent(double toks, double nowMs) {
         double lent = lent(nowMs);
         if (lent <= 0 || lent + Math.max(0, bucket.level(nowMs)) < toks) {
--- a/src/main/java/larchridge/cli/CheckCommand.java
+++ b/src/main/java/larchridge/cli/CheckCommand.java
@@ -2,17 +2,20 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import larchridge.inventory.BadList;
-import larchridge.inventory.ListFollower;
-import larchridge.site.BadSite;
+import larchridge.inventory.EngineListWatcher;
+import larchridge.inventory.InvalidEngineListException;
+import larchridge.site.InvalidSiteException;
 import larchridge.site.Site;
 import larchridge.site.SiteReader;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
 /** Checks a site file and the engine list that it names. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Check a site file and its engine list; each fault names file, line and field.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Check a site file and its engine list; each fault names file, line and field.")
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "site file")
     private Path file;
@@ -21,11 +24,18 @@
     public Integer call() {
         try {
             Site site = SiteReader.read(file);
-            int engines = new ListFollower(site.inventory, null).first().size();
-            System.out.println(file + ": good; " + site.fronts + " fronts, " + site.offersByModel.size()
-                    + " models, " + engines + " engines");
+            int engines = new EngineListWatcher(site.inventory, null).first().size();
+            System.out.println(
+                    file
+                            + ": good; "
+                            + site.fronts
+                            + " fronts, "
+                            + site.offersByModel.size()
+                            + " models, "
+                            + engines
+                            + " engines");
             return 0;
-        } catch (BadSite | BadList e) {
+        } catch (InvalidSiteException | InvalidEngineListException e) {
             System.err.println(e.getMessage());
             return 1;
         }
--- a/src/main/java/larchridge/faults/RigEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -1,4 +1,4 @@
-package larchridge.faults;
+package larchridge.faultinjection;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -29,29 +29,37 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import larchridge.drill.Seen;
-import larchridge.drill.TrafficLog;
-import larchridge.standin.Make;
+import larchridge.simulatedengine.EngineProfile;
 import larchridge.state.Role;
+import larchridge.systemtest.TrafficEvent;
+import larchridge.systemtest.TrafficLog;
 
 /**
- * A simulated engine that speaks the platform's protocol: it reads prompts and holds their states, or fetches a state and
- * streams an answer. What its sockets see goes into the traffic log. All methods run on the rig's loop.
+ * A simulated engine that speaks the platform's protocol: it reads prompts and holds their states,
+ * or fetches a state and streams an answer. What its sockets see goes into the traffic log. All
+ * methods run on the rig's loop.
  */
-final class RigEngine {
+final class TestEngine {
     /** How an engine behaves. */
-    enum Mood { GOOD, HANGS, ERRS, DECLINES }
+    enum Mood {
+        GOOD,
+        HANGS,
+        ERRS,
+        DECLINES
+    }
 
     private static final int BODY_BYTES = 1 << 20;
     private static final int EVENTS = 6;
-    private static final String EVENT = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abcd\"},\"finish_reason\":null}]}\n\n";
-    private static final String END = "data: {\"choices\":[],\"usage\":{\"completion_tokens\":24}}\n\ndata: [DONE]\n\n";
+    private static final String EVENT =
+            "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abcd\"},\"finish_reason\":null}]}\n\n";
+    private static final String END =
+            "data: {\"choices\":[],\"usage\":{\"completion_tokens\":24}}\n\ndata: [DONE]\n\n";
 
     final long number;
-    final Make make;
+    final EngineProfile make;
     private final EventLoopGroup loop;
     private final TrafficLog log;
-    private final RigStates states;
+    private final TestReservations states;
     private final Random random;
     private final Set<Channel> connections = new HashSet<>();
     private final Deque<Job> queue = new ArrayDeque<>();
@@ -60,14 +68,19 @@
     private double startedMs = Double.NEGATIVE_INFINITY;
     private long life;
     Mood mood = Mood.GOOD;
+
     /** Planted: releases are answered and nothing is released. */
     boolean ignoresReleases;
+
     /** Planted: every request runs twice. */
     boolean runsTwice;
+
     /** Unix time of its last start, or 0 for long ago. */
     long sinceMs;
+
     /** The start that the list tells. */
     long toldSinceMs;
+
     String status = "SERVING";
 
     /** One request that has arrived and has not ended. */
@@ -84,22 +97,40 @@
         }
     }
 
-    RigEngine(Make make, EventLoopGroup loop, TrafficLog log, RigStates states, long seed) throws InterruptedException {
+    TestEngine(
+            EngineProfile make,
+            EventLoopGroup loop,
+            TrafficLog log,
+            TestReservations states,
+            long seed)
+            throws InterruptedException {
         number = make.id();
         this.make = make;
         this.loop = loop;
         this.log = log;
         this.states = states;
         random = new Random(seed);
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_BYTES), new Handler());
-                    }
-                }).bind("127.0.0.1", 0).sync().channel();
-        log.add(Seen.Kind.STARTED, number, null, null, 0, null);
+        listener =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(BODY_BYTES),
+                                                        new Handler());
+                                    }
+                                })
+                        .bind("127.0.0.1", 0)
+                        .sync()
+                        .channel();
+        log.add(TrafficEvent.Kind.STARTED, number, null, null, 0, null);
     }
 
     int port() {
@@ -120,12 +151,14 @@
         Set.copyOf(connections).forEach(Channel::close);
         startedMs = log.now();
         sinceMs = System.currentTimeMillis();
-        log.add(Seen.Kind.STARTED, number, null, null, 1, null);
+        log.add(TrafficEvent.Kind.STARTED, number, null, null, 1, null);
     }
 
     private double speed() {
         double age = log.now() - startedMs;
-        return age >= make.coldMs() ? 1 : make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
+        return age >= make.coldMs()
+                ? 1
+                : make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
     }
 
     private void in(double ms, Runnable step) {
@@ -178,7 +211,13 @@
 
     private void arrive(Job job) {
         boolean reads = make.role() == Role.READER;
-        log.add(reads ? Seen.Kind.READ_IN : Seen.Kind.WRITE_IN, number, job.id, tag(job.id), 400, null);
+        log.add(
+                reads ? TrafficEvent.Kind.READ_IN : TrafficEvent.Kind.WRITE_IN,
+                number,
+                job.id,
+                tag(job.id),
+                400,
+                null);
         if (mood == Mood.HANGS) {
             return;
         }
@@ -244,32 +283,50 @@
             leaveSlot(job);
             return;
         }
-        in(5, () -> {
-            if (job.over || job.life != life || mood == Mood.HANGS) {
-                leaveSlot(job);
-                return;
-            }
-            states.drop(job.id);
-            ran(job);
-            DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
-                    .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            job.channel.write(head);
-            stream(job, 0);
-        });
+        in(
+                5,
+                () -> {
+                    if (job.over || job.life != life || mood == Mood.HANGS) {
+                        leaveSlot(job);
+                        return;
+                    }
+                    states.drop(job.id);
+                    ran(job);
+                    DefaultHttpResponse head =
+                            new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+                    head.headers()
+                            .set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
+                            .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+                    job.channel.write(head);
+                    stream(job, 0);
+                });
     }
 
     private void ran(Job job) {
         for (int i = 0; i < (runsTwice ? 2 : 1); i++) {
-            log.add(Seen.Kind.RAN, number, job.id, tag(job.id), 0, null);
+            log.add(TrafficEvent.Kind.RAN, number, job.id, tag(job.id), 0, null);
         }
     }
 
     /** What the engine is judged as. */
-    Make judgedMake(Plant plant) {
-        return plant != Plant.COLD_STARTS_HIDDEN ? make : new Make(make.id(), make.role(), make.zone(), make.rack(),
-                make.readToksPerMs(), make.readsAtOnce(), make.streams(), make.queue(), make.memoryToks(), make.tokMs(),
-                make.moveToksPerMs(), 0, 1e9, make.lapseMs());
+    EngineProfile judgedMake(PlantedFault plant) {
+        return plant != PlantedFault.COLD_STARTS_HIDDEN
+                ? make
+                : new EngineProfile(
+                        make.id(),
+                        make.role(),
+                        make.zone(),
+                        make.rack(),
+                        make.readToksPerMs(),
+                        make.readsAtOnce(),
+                        make.streams(),
+                        make.queue(),
+                        make.memoryToks(),
+                        make.tokMs(),
+                        make.moveToksPerMs(),
+                        0,
+                        1e9,
+                        make.lapseMs());
     }
 
     private void stream(Job job, int event) {
@@ -291,7 +348,7 @@
     private void end(Job job) {
         if (!job.over) {
             job.over = true;
-            log.add(Seen.Kind.LEG_OUT, number, job.id, tag(job.id), 0, null);
+            log.add(TrafficEvent.Kind.LEG_OUT, number, job.id, tag(job.id), 0, null);
             if (queue.remove(job) && make.role() != Role.READER) {
                 states.waits(job.id, false);
             }
@@ -302,10 +359,13 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private static void answer(Channel channel, HttpResponseStatus status, String body, boolean declined) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes(body));
+    private static void answer(
+            Channel channel, HttpResponseStatus status, String body, boolean declined) {
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes(body));
         if (status.code() != HttpResponseStatus.NO_CONTENT.code()) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         }
         if (declined) {
             response.headers().set("Srv-Declined", "1");
--- /dev/null
+++ b/src/main/java/larchridge/inventory/EngineEntry.java
@@ -0,0 +1,36 @@
+package larchridge.inventory;
+
+import larchridge.state.EndpointState;
+import larchridge.state.Role;
+
+/**
+ * One engine as the list names it.
+ *
+ * @param startMs when its process started, milliseconds of Unix time, or 0 where the list does not
+ *     tell
+ * @param units how much it can do beside others of its role
+ * @param memoryToks its memory in tokens, or NaN where the list does not tell
+ */
+public record EngineEntry(
+        long id,
+        String host,
+        int port,
+        Role role,
+        String zone,
+        long rack,
+        double units,
+        double memoryToks,
+        double startMs,
+        EndpointState mode) {
+    /** The same engine with another start time. */
+    public EngineEntry startedAt(double otherStartMs) {
+        return new EngineEntry(
+                id, host, port, role, zone, rack, units, memoryToks, otherStartMs, mode);
+    }
+
+    /** The same engine in another mode. */
+    public EngineEntry inMode(EndpointState otherMode) {
+        return new EngineEntry(
+                id, host, port, role, zone, rack, units, memoryToks, startMs, otherMode);
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/messages/MessageBodies.java
@@ -0,0 +1,91 @@
+package larchridge.messages;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.concurrent.Executor;
+import larchridge.router.GenerationRequest;
+import larchridge.site.ProductOffering;
+import larchridge.site.Site;
+import larchridge.tokens.TokenCounters;
+import larchridge.upstream.Completion;
+
+/**
+ * Bodies of the API that come otherwise than through its door, and their answers in one piece.
+ * Their prompts are always counted where there is a vocabulary: nobody waits for them. All on one
+ * thread.
+ */
+public final class MessageBodies {
+    private final MessagesReader reader;
+    private final PromptLengths lengths;
+    private final Executor thread;
+
+    /** Thread: runs what engines report of lengths where all else here runs. */
+    public MessageBodies(Site site, TokenCounters counters, Executor thread) {
+        reader = new MessagesReader(site);
+        lengths = new PromptLengths(counters);
+        this.thread = thread;
+    }
+
+    /** How an offer is taken. */
+    public interface Terms {
+        ProductOffering of(ProductOffering offer);
+    }
+
+    /** Reads a body into what a front is asked. */
+    public GenerationRequest ask(
+            JsonNode json,
+            double mostTemperature,
+            Site.Tenant tenant,
+            Terms terms,
+            String repeatKey)
+            throws ApiException {
+        MessagesReader.Body read = reader.read(json, false, mostTemperature);
+        PromptLengths.Measuring measuring =
+                read.countable() == null ? null : lengths.new Measuring(read);
+        int expected = -1;
+        if (measuring != null) {
+            measuring.finish();
+            read = lengths.measured(measuring, false);
+            expected = PromptLengths.expected(measuring);
+        }
+        int due = expected;
+        String model = read.engineModel();
+        return new GenerationRequest(
+                terms.of(read.offer()),
+                tenant,
+                model,
+                read.prompt(),
+                read.promptToks(),
+                read.sharedToks(),
+                read.maxToks(),
+                read.stops(),
+                read.sampling(),
+                read.prefix(),
+                read.opening(),
+                read.talkBefore(),
+                // Like a client's late retry it goes to short readers only: others wait there for
+                // their first token.
+                read.talkNow(),
+                true,
+                true,
+                Double.POSITIVE_INFINITY,
+                repeatKey,
+                0,
+                toks -> thread.execute(() -> lengths.reported(model, due, toks)),
+                null);
+    }
+
+    /** A whole answer as the API words it. */
+    public static ObjectNode message(
+            String id,
+            String model,
+            GenerationRequest ask,
+            int keptToks,
+            String text,
+            Completion ending) {
+        int kept = Math.min(keptToks, ask.promptToks());
+        int created = ask.prefix() == null ? 0 : Math.max(0, ask.sharedToks() - kept);
+        return MessageEvents.whole(
+                MessageEvents.message(id, model, ask.promptToks(), kept, created), text, ending);
+    }
+}
--- a/src/main/java/larchridge/messages/Events.java
+++ b/src/main/java/larchridge/messages/MessageEvents.java
@@ -3,27 +3,33 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import larchridge.enginelink.Ending;
+import larchridge.upstream.Completion;
 
 /** The JSON that the API speaks: messages, the events of a stream, and errors. */
-final class Events {
+final class MessageEvents {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private Events() { }
+    private MessageEvents() {}
 
-    static ObjectNode message(String id, String model, int inputToks, int keptToks, int createdToks) {
+    static ObjectNode message(
+            String id, String model, int inputToks, int keptToks, int createdToks) {
         ObjectNode message = MAPPER.createObjectNode();
-        message.put("id", "msg_" + id).put("type", "message").put("role", "assistant").put("model", model);
+        message.put("id", "msg_" + id)
+                .put("type", "message")
+                .put("role", "assistant")
+                .put("model", model);
         message.putArray("content");
         message.putNull("stop_reason").putNull("stop_sequence");
-        message.putObject("usage").put("input_tokens", Math.max(0, inputToks - keptToks - createdToks))
-                .put("cache_creation_input_tokens", createdToks).put("cache_read_input_tokens", keptToks)
+        message.putObject("usage")
+                .put("input_tokens", Math.max(0, inputToks - keptToks - createdToks))
+                .put("cache_creation_input_tokens", createdToks)
+                .put("cache_read_input_tokens", keptToks)
                 .put("output_tokens", 0);
         return message;
     }
 
     /** Fills in what is known only when the answer is whole. */
-    static ObjectNode whole(ObjectNode message, String text, Ending ending) {
+    static ObjectNode whole(ObjectNode message, String text, Completion ending) {
         message.withArray("content").addObject().put("type", "text").put("text", text);
         message.put("stop_reason", stopReason(ending)).put("stop_sequence", ending.stop());
         message.withObject("/usage").put("output_tokens", ending.outToks());
@@ -44,7 +50,8 @@
 
     /** Written by hand but for the text: it is most of what a front writes. */
     static void textDelta(StringBuilder to, String text) {
-        to.append("event: content_block_delta\ndata: {\"type\":\"content_block_delta\",\"index\":0,\"delta\":")
+        to.append(
+                        "event: content_block_delta\ndata: {\"type\":\"content_block_delta\",\"index\":0,\"delta\":")
                 .append("{\"type\":\"text_delta\",\"text\":\"");
         JsonStringEncoder.getInstance().quoteAsString(text, to);
         to.append("\"}}\n\n");
@@ -54,7 +61,7 @@
         return framed("content_block_stop", event("content_block_stop").put("index", 0));
     }
 
-    static String messageDelta(Ending ending) {
+    static String messageDelta(Completion ending) {
         ObjectNode event = event("message_delta");
         ObjectNode delta = event.putObject("delta").put("stop_reason", stopReason(ending));
         delta.put("stop_sequence", ending.stop());
@@ -70,17 +77,17 @@
         return framed("ping", event("ping"));
     }
 
-    static ObjectNode error(ApiFault fault, String requestId) {
+    static ObjectNode error(ApiException fault, String requestId) {
         ObjectNode error = event("error");
         error.putObject("error").put("type", fault.type).put("message", fault.getMessage());
         return error.put("request_id", requestId);
     }
 
-    static String errorEvent(ApiFault fault, String requestId) {
+    static String errorEvent(ApiException fault, String requestId) {
         return framed("error", error(fault, requestId));
     }
 
-    static String stopReason(Ending ending) {
+    static String stopReason(Completion ending) {
         return switch (ending.why()) {
             case END_OF_TURN -> "end_turn";
             case MOST_TOKENS -> "max_tokens";
--- a/src/main/java/larchridge/messages/MessagesReader.java
+++ b/src/main/java/larchridge/messages/MessagesReader.java
@@ -12,84 +12,134 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import larchridge.enginelink.Order;
-import larchridge.site.Limit;
-import larchridge.site.Offer;
+import larchridge.site.ProductOffering;
 import larchridge.site.Site;
+import larchridge.site.SiteLimits;
+import larchridge.upstream.AttemptRequest;
 
 /**
- * Reads the body of {@code POST /v1/messages} by the public specification into a prompt and what the router has to
- * know of it. The prompt is rendered with one plain template, tools first, then system, then the turns, so that equal
- * beginnings of bodies are equal beginnings of prompts.
+ * Reads the body of {@code POST /v1/messages} by the public specification into a prompt and what
+ * the router has to know of it. The prompt is rendered with one plain template, tools first, then
+ * system, then the turns, so that equal beginnings of bodies are equal beginnings of prompts.
  */
 final class MessagesReader {
     private static final int MOST_TOOLS = 512;
     private static final int MOST_STOPS = 64;
-    private static final Set<String> BLOCKS = Set.of("text", "image", "document", "tool_use", "tool_result",
-            "thinking", "redacted_thinking");
+    private static final Set<String> BLOCKS =
+            Set.of(
+                    "text",
+                    "image",
+                    "document",
+                    "tool_use",
+                    "tool_result",
+                    "thinking",
+                    "redacted_thinking");
 
     private final Site site;
     private final ObjectMapper mapper;
 
     /** A body as read: the front's ask without what the headers tell. */
-    record Body(Offer offer, String model, String engineModel, String prompt, int promptToks, int sharedToks,
-                int maxToks, List<String> stops, Order.Sampling sampling, String prefix, String opening,
-                String talkBefore, String talkNow, boolean stream, Countable countable) {
+    record Body(
+            ProductOffering offer,
+            String model,
+            String engineModel,
+            String prompt,
+            int promptToks,
+            int sharedToks,
+            int maxToks,
+            List<String> stops,
+            AttemptRequest.Sampling sampling,
+            String prefix,
+            String opening,
+            String talkBefore,
+            String talkNow,
+            boolean stream,
+            Countable countable) {
         /** The same with lengths that are known better. */
         Body withToks(int prompt, int shared) {
-            return new Body(offer, model, engineModel, this.prompt, Math.max(1, prompt), Math.min(shared, prompt),
-                    maxToks, stops, sampling, prefix, opening, talkBefore, talkNow, stream, null);
+            return new Body(
+                    offer,
+                    model,
+                    engineModel,
+                    this.prompt,
+                    Math.max(1, prompt),
+                    Math.min(shared, prompt),
+                    maxToks,
+                    stops,
+                    sampling,
+                    prefix,
+                    opening,
+                    talkBefore,
+                    talkNow,
+                    stream,
+                    null);
         }
     }
 
-    /** What is to be counted: the prompt without images, how much of it is shared, and the images beside it. */
-    record Countable(String prompt, int sharedChars, int images, int sharedImages, int messages) { }
+    /**
+     * What is to be counted: the prompt without images, how much of it is shared, and the images
+     * beside it.
+     */
+    record Countable(String prompt, int sharedChars, int images, int sharedImages, int messages) {}
 
     MessagesReader(Site site) {
         this.site = site;
-        Limit limit = site.limit;
-        JsonFactory factory = JsonFactory.builder()
-                .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(limit.nesting)
-                        .maxStringLength((int) Math.min(Integer.MAX_VALUE, limit.bodyBytes)).maxNumberLength(100)
-                        .maxNameLength(10_000).build())
-                .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+        SiteLimits limit = site.limit;
+        JsonFactory factory =
+                JsonFactory.builder()
+                        .streamReadConstraints(
+                                StreamReadConstraints.builder()
+                                        .maxNestingDepth(limit.nesting)
+                                        .maxStringLength(
+                                                (int) Math.min(Integer.MAX_VALUE, limit.bodyBytes))
+                                        .maxNumberLength(100)
+                                        .maxNameLength(10_000)
+                                        .build())
+                        .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                        .build();
         mapper = new ObjectMapper(factory).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     }
 
-    Body read(byte[] bytes) throws ApiFault {
+    Body read(byte[] bytes) throws ApiException {
         return read(bytes, false);
     }
 
     /** Reads a body; one that is only to be counted needs no max_tokens. */
-    Body read(byte[] bytes, boolean onlyCounted) throws ApiFault {
+    Body read(byte[] bytes, boolean onlyCounted) throws ApiException {
         return read(parse(bytes), onlyCounted, 1);
     }
 
-    JsonNode parse(byte[] bytes) throws ApiFault {
+    JsonNode parse(byte[] bytes) throws ApiException {
         try {
             return mapper.readTree(bytes);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
             int column = e.getLocation() == null ? 0 : e.getLocation().getColumnNr();
-            throw ApiFault.invalid("body: not valid JSON at line " + line + ", column " + column + ": "
-                    + e.getOriginalMessage());
+            throw ApiException.invalid(
+                    "body: not valid JSON at line "
+                            + line
+                            + ", column "
+                            + column
+                            + ": "
+                            + e.getOriginalMessage());
         } catch (IOException e) {
-            throw ApiFault.invalid("body: can't be read");
+            throw ApiException.invalid("body: can't be read");
         }
     }
 
-    Body read(JsonNode root, boolean onlyCounted, double mostTemperature) throws ApiFault {
+    Body read(JsonNode root, boolean onlyCounted, double mostTemperature) throws ApiException {
         if (root == null || !root.isObject()) {
-            throw ApiFault.invalid("body: expected a JSON object");
+            throw ApiException.invalid("body: expected a JSON object");
         }
         String model = text(root, "model", "model");
-        Offer offer = site.offersByModel.get(model);
+        ProductOffering offer = site.offersByModel.get(model);
         if (offer == null) {
-            throw ApiFault.notFound("model: " + model);
+            throw ApiException.notFound("model: " + model);
         }
         int most = onlyCounted ? 1 : whole(root, "max_tokens", 1, Integer.MAX_VALUE);
         if (most > offer.mostToks) {
-            throw ApiFault.invalid("max_tokens: " + most + " > " + offer.mostToks + ", the most of " + model);
+            throw ApiException.invalid(
+                    "max_tokens: " + most + " > " + offer.mostToks + ", the most of " + model);
         }
         Rendered rendered = new Rendered();
         tools(root.path("tools"), rendered);
@@ -98,20 +148,39 @@
         rendered.markHead();
         String opener = messages(root.path("messages"), rendered);
         metadata(root.path("metadata"));
-        Order.Sampling sampling = new Order.Sampling(decimal(root, "temperature", 0,
-                mostTemperature),
-                decimal(root, "top_p", 0, 1), root.has("top_k") ? whole(root, "top_k", 0, 1_000_000) : null);
+        AttemptRequest.Sampling sampling =
+                new AttemptRequest.Sampling(
+                        decimal(root, "temperature", 0, mostTemperature),
+                        decimal(root, "top_p", 0, 1),
+                        root.has("top_k") ? whole(root, "top_k", 0, 1_000_000) : null);
         boolean stream = flag(root, "stream");
         String prompt = rendered.text.toString();
         int shared = rendered.sharedEnd();
-        return new Body(offer, model, offer.engineModel.isEmpty() ? model : offer.engineModel, prompt + opener,
-                toks(prompt, prompt.length()), toks(prompt, shared), most, stops(root.path("stop_sequences")),
-                sampling, shared == 0 ? null : Site.sha256(prompt.substring(0, shared)),
+        return new Body(
+                offer,
+                model,
+                offer.engineModel.isEmpty() ? model : offer.engineModel,
+                prompt + opener,
+                toks(prompt, prompt.length()),
+                toks(prompt, shared),
+                most,
+                stops(root.path("stop_sequences")),
+                sampling,
+                shared == 0 ? null : Site.sha256(prompt.substring(0, shared)),
                 Site.sha256(prompt.substring(0, rendered.openingEnd)),
-                rendered.beforeAssistant < 0 ? null : Site.sha256(prompt.substring(0, rendered.beforeAssistant)),
-                Site.sha256(prompt), stream, offer.measure.vocabulary() == null ? null : new Countable(
-                        rendered.withoutImages(prompt + opener), rendered.charsWithoutImages(shared),
-                        rendered.images(Integer.MAX_VALUE), rendered.images(shared), root.path("messages").size()));
+                rendered.beforeAssistant < 0
+                        ? null
+                        : Site.sha256(prompt.substring(0, rendered.beforeAssistant)),
+                Site.sha256(prompt),
+                stream,
+                offer.measure.vocabulary() == null
+                        ? null
+                        : new Countable(
+                                rendered.withoutImages(prompt + opener),
+                                rendered.charsWithoutImages(shared),
+                                rendered.images(Integer.MAX_VALUE),
+                                rendered.images(shared),
+                                root.path("messages").size()));
     }
 
     /** Tokens of the first chars of a prompt, by the site's bytes a token. */
@@ -147,7 +216,10 @@
             return rest.append(prompt, from, prompt.length()).toString();
         }
 
-        /** How much of the first chars is left without images; none is cut by a mark, which stands after a block. */
+        /**
+         * How much of the first chars is left without images; none is cut by a mark, which stands
+         * after a block.
+         */
         int charsWithoutImages(int chars) {
             int left = chars;
             for (int i = 0; i < images.size() && images.get(i) < chars; i += 2) {
@@ -169,15 +241,16 @@
         }
 
         /**
-         * Where the shared beginning ends: with tools and system; where there are none, with the last mark in the
-         * first turn. Marks in later turns move with the talk; they name no beginning that other sessions share.
+         * Where the shared beginning ends: with tools and system; where there are none, with the
+         * last mark in the first turn. Marks in later turns move with the talk; they name no
+         * beginning that other sessions share.
          */
         int sharedEnd() {
             return headEnd > 0 ? headEnd : Math.min(markedEnd, openingEnd);
         }
     }
 
-    private void tools(JsonNode tools, Rendered rendered) throws ApiFault {
+    private void tools(JsonNode tools, Rendered rendered) throws ApiException {
         if (tools.isMissingNode() || tools.isNull()) {
             return;
         }
@@ -186,8 +259,9 @@
             String path = "tools." + i;
             object(items.get(i), path);
             text(items.get(i), "name", path + ".name");
-            if (!items.get(i).path("type").isTextual() && !items.get(i).path("input_schema").isObject()) {
-                throw ApiFault.invalid(path + ".input_schema: Field required");
+            if (!items.get(i).path("type").isTextual()
+                    && !items.get(i).path("input_schema").isObject()) {
+                throw ApiException.invalid(path + ".input_schema: Field required");
             }
             cache(items.get(i), path, rendered);
         }
@@ -196,24 +270,25 @@
         }
     }
 
-    private void choice(JsonNode choice, boolean tools) throws ApiFault {
+    private void choice(JsonNode choice, boolean tools) throws ApiException {
         if (choice.isMissingNode() || choice.isNull()) {
             return;
         }
         object(choice, "tool_choice");
         String type = text(choice, "type", "tool_choice.type");
         if (!Set.of("auto", "any", "tool", "none").contains(type)) {
-            throw ApiFault.invalid("tool_choice.type: '" + type + "' is not auto, any, tool or none");
+            throw ApiException.invalid(
+                    "tool_choice.type: '" + type + "' is not auto, any, tool or none");
         }
         if (type.equals("tool")) {
             text(choice, "name", "tool_choice.name");
         }
         if (!tools) {
-            throw ApiFault.invalid("tool_choice: needs tools");
+            throw ApiException.invalid("tool_choice: needs tools");
         }
     }
 
-    private void system(JsonNode system, Rendered rendered) throws ApiFault {
+    private void system(JsonNode system, Rendered rendered) throws ApiException {
         if (system.isMissingNode() || system.isNull()) {
             return;
         }
@@ -226,7 +301,7 @@
                 String path = "system." + i;
                 object(items.get(i), path);
                 if (!text(items.get(i), "type", path + ".type").equals("text")) {
-                    throw ApiFault.invalid(path + ".type: expected 'text'");
+                    throw ApiException.invalid(path + ".type: expected 'text'");
                 }
                 rendered.text.append(text(items.get(i), "text", path + ".text"));
                 cache(items.get(i), path, rendered);
@@ -235,14 +310,16 @@
         rendered.text.append('\n');
     }
 
-    /** Renders the turns; returns what opens the turn to be written, which no later prompt repeats. */
-    private String messages(JsonNode messages, Rendered rendered) throws ApiFault {
+    /**
+     * Renders the turns; returns what opens the turn to be written, which no later prompt repeats.
+     */
+    private String messages(JsonNode messages, Rendered rendered) throws ApiException {
         if (messages.isMissingNode()) {
-            throw ApiFault.invalid("messages: Field required");
+            throw ApiException.invalid("messages: Field required");
         }
         List<JsonNode> items = items(messages, "messages", site.limit.messages);
         if (items.isEmpty()) {
-            throw ApiFault.invalid("messages: at least one message is required");
+            throw ApiException.invalid("messages: at least one message is required");
         }
         for (int i = 0; i < items.size(); i++) {
             String path = "messages." + i;
@@ -250,10 +327,10 @@
             object(message, path);
             String role = text(message, "role", path + ".role");
             if (!role.equals("user") && !role.equals("assistant")) {
-                throw ApiFault.invalid(path + ".role: '" + role + "' is not user or assistant");
+                throw ApiException.invalid(path + ".role: '" + role + "' is not user or assistant");
             }
             if (i == 0 && !role.equals("user")) {
-                throw ApiFault.invalid(path + ".role: first message must use the 'user' role");
+                throw ApiException.invalid(path + ".role: first message must use the 'user' role");
             }
             if (role.equals("assistant")) {
                 rendered.beforeAssistant = rendered.text.length();
@@ -272,16 +349,16 @@
         return prefilled ? "" : "<|assistant|>\n";
     }
 
-    private void content(JsonNode content, String path, Rendered rendered) throws ApiFault {
+    private void content(JsonNode content, String path, Rendered rendered) throws ApiException {
         if (content.isTextual()) {
             if (content.asText().isEmpty()) {
-                throw ApiFault.invalid(path + ": text content must not be empty");
+                throw ApiException.invalid(path + ": text content must not be empty");
             }
             rendered.text.append(content.asText());
             return;
         }
         if (content.isMissingNode()) {
-            throw ApiFault.invalid(path + ": Field required");
+            throw ApiException.invalid(path + ": Field required");
         }
         List<JsonNode> blocks = items(content, path, site.limit.messages);
         for (int i = 0; i < blocks.size(); i++) {
@@ -289,17 +366,17 @@
         }
     }
 
-    private void block(JsonNode block, String path, Rendered rendered) throws ApiFault {
+    private void block(JsonNode block, String path, Rendered rendered) throws ApiException {
         object(block, path);
         String type = text(block, "type", path + ".type");
         if (!BLOCKS.contains(type)) {
-            throw ApiFault.invalid(path + ".type: '" + type + "' is not a known block");
+            throw ApiException.invalid(path + ".type: '" + type + "' is not a known block");
         }
         switch (type) {
             case "text" -> {
                 String text = text(block, "text", path + ".text");
                 if (text.isEmpty()) {
-                    throw ApiFault.invalid(path + ".text: must not be empty");
+                    throw ApiException.invalid(path + ".text: must not be empty");
                 }
                 rendered.text.append(text);
             }
@@ -307,13 +384,20 @@
                 text(block, "id", path + ".id");
                 text(block, "name", path + ".name");
                 if (!block.path("input").isObject()) {
-                    throw ApiFault.invalid(path + ".input: expected an object");
+                    throw ApiException.invalid(path + ".input: expected an object");
                 }
-                rendered.text.append("<|tool_use|>").append(block.path("id").asText()).append(' ')
-                        .append(block.path("name").asText()).append(' ').append(block.path("input"));
+                rendered.text
+                        .append("<|tool_use|>")
+                        .append(block.path("id").asText())
+                        .append(' ')
+                        .append(block.path("name").asText())
+                        .append(' ')
+                        .append(block.path("input"));
             }
             case "tool_result" -> {
-                rendered.text.append("<|tool_result|>").append(text(block, "tool_use_id", path + ".tool_use_id"))
+                rendered.text
+                        .append("<|tool_result|>")
+                        .append(text(block, "tool_use_id", path + ".tool_use_id"))
                         .append(' ');
                 if (block.hasNonNull("content")) {
                     content(block.path("content"), path + ".content", rendered);
@@ -327,103 +411,117 @@
                 rendered.text.append("<|").append(type).append("|>").append(source);
                 rendered.images.add(rendered.text.length());
             }
-            default -> rendered.text.append("<|").append(type).append("|>")
-                    .append(block.path("thinking").asText(block.path("data").asText("")));
+            default ->
+                    rendered.text
+                            .append("<|")
+                            .append(type)
+                            .append("|>")
+                            .append(block.path("thinking").asText(block.path("data").asText("")));
         }
         cache(block, path, rendered);
     }
 
-    private static void cache(JsonNode holder, String path, Rendered rendered) throws ApiFault {
+    private static void cache(JsonNode holder, String path, Rendered rendered) throws ApiException {
         JsonNode mark = holder.path("cache_control");
         if (mark.isMissingNode() || mark.isNull()) {
             return;
         }
         if (!mark.path("type").asText().equals("ephemeral")) {
-            throw ApiFault.invalid(path + ".cache_control.type: expected 'ephemeral'");
+            throw ApiException.invalid(path + ".cache_control.type: expected 'ephemeral'");
         }
         rendered.markedEnd = rendered.text.length();
     }
 
-    private static void metadata(JsonNode metadata) throws ApiFault {
+    private static void metadata(JsonNode metadata) throws ApiException {
         if (metadata.isMissingNode() || metadata.isNull()) {
             return;
         }
         object(metadata, "metadata");
         JsonNode user = metadata.path("user_id");
-        if (!user.isMissingNode() && !user.isNull() && (!user.isTextual() || user.asText().length() > 256)) {
-            throw ApiFault.invalid("metadata.user_id: expected a text of at most 256 characters");
+        if (!user.isMissingNode()
+                && !user.isNull()
+                && (!user.isTextual() || user.asText().length() > 256)) {
+            throw ApiException.invalid(
+                    "metadata.user_id: expected a text of at most 256 characters");
         }
     }
 
-    private static List<String> stops(JsonNode stops) throws ApiFault {
+    private static List<String> stops(JsonNode stops) throws ApiException {
         List<String> read = new ArrayList<>();
         if (stops.isMissingNode() || stops.isNull()) {
             return read;
         }
         for (JsonNode stop : items(stops, "stop_sequences", MOST_STOPS)) {
             if (!stop.isTextual() || stop.asText().isBlank()) {
-                throw ApiFault.invalid("stop_sequences." + read.size() + ": each must contain non-whitespace");
+                throw ApiException.invalid(
+                        "stop_sequences." + read.size() + ": each must contain non-whitespace");
             }
             read.add(stop.asText());
         }
         return read;
     }
 
-    private static List<JsonNode> items(JsonNode node, String path, int most) throws ApiFault {
+    private static List<JsonNode> items(JsonNode node, String path, int most) throws ApiException {
         if (!node.isArray()) {
-            throw ApiFault.invalid(path + ": expected an array");
+            throw ApiException.invalid(path + ": expected an array");
         }
         if (node.size() > most) {
-            throw ApiFault.invalid(path + ": " + node.size() + " items; at most " + most);
+            throw ApiException.invalid(path + ": " + node.size() + " items; at most " + most);
         }
         List<JsonNode> items = new ArrayList<>(node.size());
         node.forEach(items::add);
         return items;
     }
 
-    private static void object(JsonNode node, String path) throws ApiFault {
+    private static void object(JsonNode node, String path) throws ApiException {
         if (!node.isObject()) {
-            throw ApiFault.invalid(path + (node.isMissingNode() ? ": Field required" : ": expected an object"));
+            throw ApiException.invalid(
+                    path + (node.isMissingNode() ? ": Field required" : ": expected an object"));
         }
     }
 
-    private static String text(JsonNode holder, String field, String path) throws ApiFault {
+    private static String text(JsonNode holder, String field, String path) throws ApiException {
         JsonNode value = holder.path(field);
         if (value.isMissingNode()) {
-            throw ApiFault.invalid(path + ": Field required");
+            throw ApiException.invalid(path + ": Field required");
         }
         if (!value.isTextual()) {
-            throw ApiFault.invalid(path + ": expected a text");
+            throw ApiException.invalid(path + ": expected a text");
         }
         return value.asText();
     }
 
-    private static int whole(JsonNode holder, String field, int least, int most) throws ApiFault {
+    private static int whole(JsonNode holder, String field, int least, int most)
+            throws ApiException {
         JsonNode value = holder.path(field);
         if (value.isMissingNode()) {
-            throw ApiFault.invalid(field + ": Field required");
+            throw ApiException.invalid(field + ": Field required");
         }
-        if (!value.isIntegralNumber() || !value.canConvertToInt() || value.asInt() < least || value.asInt() > most) {
-            throw ApiFault.invalid(field + ": expected a whole number of at least " + least);
+        if (!value.isIntegralNumber()
+                || !value.canConvertToInt()
+                || value.asInt() < least
+                || value.asInt() > most) {
+            throw ApiException.invalid(field + ": expected a whole number of at least " + least);
         }
         return value.asInt();
     }
 
-    private static Double decimal(JsonNode holder, String field, double least, double most) throws ApiFault {
+    private static Double decimal(JsonNode holder, String field, double least, double most)
+            throws ApiException {
         JsonNode value = holder.path(field);
         if (value.isMissingNode() || value.isNull()) {
             return null;
         }
         if (!value.isNumber() || value.asDouble() < least || value.asDouble() > most) {
-            throw ApiFault.invalid(field + ": expected a number from " + least + " to " + most);
+            throw ApiException.invalid(field + ": expected a number from " + least + " to " + most);
         }
         return value.asDouble();
     }
 
-    private static boolean flag(JsonNode holder, String field) throws ApiFault {
+    private static boolean flag(JsonNode holder, String field) throws ApiException {
         JsonNode value = holder.path(field);
         if (!value.isMissingNode() && !value.isBoolean()) {
-            throw ApiFault.invalid(field + ": expected true or false");
+            throw ApiException.invalid(field + ": expected true or false");
         }
         return value.asBoolean(false);
     }
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -10,27 +10,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import larchridge.audit.AuditTerms;
+import larchridge.audit.AuditSettings;
 import larchridge.audit.AuditedEngine;
 import larchridge.audit.CloseCounters;
 import larchridge.audit.Invariant;
 import larchridge.audit.RequestAudit;
 import larchridge.audit.RequestEvents;
 import larchridge.audit.Violations;
-import larchridge.enginelink.Spot;
-import larchridge.front.Front;
-import larchridge.front.Ground;
-import larchridge.inventory.Row;
-import larchridge.metrics.Meters;
-import larchridge.node.door.Door;
-import larchridge.node.link.PassageLink;
-import larchridge.state.Mode;
-import larchridge.terms.Given;
+import larchridge.inventory.EngineEntry;
+import larchridge.metrics.RouterMetrics;
+import larchridge.node.server.HttpServer;
+import larchridge.node.upstream.ForwardingUpstreamClient;
+import larchridge.router.Router;
+import larchridge.router.Scheduler;
+import larchridge.settings.RoutingSettingsReader;
+import larchridge.state.EndpointState;
+import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** A node's figures and run-time checks: what no side can see alone, and the last counts at the end of the process. */
+/**
+ * A node's figures and run-time checks: what no side can see alone, and the last counts at the end
+ * of the process.
+ */
 final class NodeAudit {
     private static final double CHECK_MS = 500;
     private static final double COUNTS_MS = 2000;
@@ -40,11 +43,18 @@
     private final Violations violations;
     private final RequestAudit requests;
 
-    NodeAudit(Ground ground, Given given) {
+    NodeAudit(Scheduler ground, RoutingSettingsReader given) {
         registry.config().meterFilter(new WithoutPercentiles());
         violations = new Violations(registry);
-        AuditTerms terms = new AuditTerms(given.drainGraceMs, given.releaseMs, given.terms.coldMs, given.terms.coldShare,
-                given.terms.tipMultiple, given.terms.tipMs, given.terms.maySendCopies);
+        AuditSettings terms =
+                new AuditSettings(
+                        given.drainGraceMs,
+                        given.releaseMs,
+                        given.terms.coldMs,
+                        given.terms.coldShare,
+                        given.terms.tipMultiple,
+                        given.terms.tipMs,
+                        given.terms.maySendCopies);
         requests = new RequestAudit(terms, ground::nowMs, violations, new CloseCounters(registry));
         ground.every(CHECK_MS, requests::check);
     }
@@ -52,13 +62,17 @@
     /** Percentiles over time take memory that a node does not have. */
     private static final class WithoutPercentiles implements MeterFilter {
         @Override
-        public DistributionStatisticConfig configure(Meter.Id id, DistributionStatisticConfig config) {
-            return DistributionStatisticConfig.builder().percentiles(new double[0]).build().merge(config);
+        public DistributionStatisticConfig configure(
+                Meter.Id id, DistributionStatisticConfig config) {
+            return DistributionStatisticConfig.builder()
+                    .percentiles(new double[0])
+                    .build()
+                    .merge(config);
         }
     }
 
-    Meters meters() {
-        return new Meters(registry);
+    RouterMetrics meters() {
+        return new RouterMetrics(registry);
     }
 
     RequestEvents events() {
@@ -70,29 +84,48 @@
     }
 
     /** The newest list of engines. */
-    void listed(List<Row> rows) {
-        Map<Spot, AuditedEngine> engines = new HashMap<>();
-        for (Row row : rows) {
-            engines.put(new Spot(row.host(), row.port()), new AuditedEngine(row.mode() == Mode.READY, row.role(), row.zone(),
-                    row.rack(), row.units() > 0 ? row.units() : 1, row.startMs()));
+    void listed(List<EngineEntry> rows) {
+        Map<Endpoint, AuditedEngine> engines = new HashMap<>();
+        for (EngineEntry row : rows) {
+            engines.put(
+                    new Endpoint(row.host(), row.port()),
+                    new AuditedEngine(
+                            row.mode() == EndpointState.READY,
+                            row.role(),
+                            row.zone(),
+                            row.rack(),
+                            row.units() > 0 ? row.units() : 1,
+                            row.startMs()));
         }
         requests.listed(engines);
     }
 
     /** Looks now and then whether the module and the link count the same attempts. */
-    void compareCounts(Ground ground, Front front, PassageLink link) {
-        ground.every(COUNTS_MS, () -> front.engines((spot, engine) -> {
-            int module = engine.attempts.size();
-            int own = link.attemptsOut(spot);
-            if (module != own) {
-                violations.count(Invariant.COUNTS_AGREE, null, spot + ": " + module + " attempts by the module, " + own
-                        + " by the link", null);
-            }
-        }));
+    void compareCounts(Scheduler ground, Router front, ForwardingUpstreamClient link) {
+        ground.every(
+                COUNTS_MS,
+                () ->
+                        front.engines(
+                                (spot, engine) -> {
+                                    int module = engine.attempts.size();
+                                    int own = link.attemptsOut(spot);
+                                    if (module != own) {
+                                        violations.count(
+                                                Invariant.COUNTS_AGREE,
+                                                null,
+                                                spot
+                                                        + ": "
+                                                        + module
+                                                        + " attempts by the module, "
+                                                        + own
+                                                        + " by the link",
+                                                null);
+                                    }
+                                }));
     }
 
     /** At the end of the process nothing may be left. */
-    void atEnd(Front front, PassageLink link, Door door) {
+    void atEnd(Router front, ForwardingUpstreamClient link, HttpServer door) {
         Map<String, Long> left = new TreeMap<>();
         left.put("generations", (long) front.openGenerations());
         left.put("requests of the link", (long) link.openRequests());
--- a/src/main/java/larchridge/node/discovery/EndpointReader.java
+++ b/src/main/java/larchridge/node/discovery/EndpointListReader.java
@@ -5,26 +5,29 @@
 import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import larchridge.enginelink.Spot;
-import larchridge.inventory.Row;
-import larchridge.state.Mode;
+import larchridge.inventory.EngineEntry;
+import larchridge.state.EndpointState;
 import larchridge.state.Role;
+import larchridge.upstream.Endpoint;
 
 /** Reads lists of engines in discovery's form. A list with a fault anywhere is refused whole. */
-public final class EndpointReader {
+public final class EndpointListReader {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final Map<String, Role> roles;
     private final Map<String, Double> memory;
 
     /** What kinds of engines do, and tokens that they have memory for. */
-    public EndpointReader(Map<String, Role> roles, Map<String, Double> memory) {
+    public EndpointListReader(Map<String, Role> roles, Map<String, Double> memory) {
         this.roles = roles;
         this.memory = memory;
     }
 
-    /** A list: all there is, or what has changed. Rows are by name; those that are gone bear that mode. */
-    public record Update(long index, boolean whole, Map<String, Row> rows) { }
+    /**
+     * A list: all there is, or what has changed. Rows are by name; those that are gone bear that
+     * mode.
+     */
+    public record Update(long index, boolean whole, Map<String, EngineEntry> rows) {}
 
     /** A list that can't be used. */
     public static final class BadList extends Exception {
@@ -50,7 +53,7 @@
         if (!node.path("endpoints").isArray()) {
             throw new BadList("endpoints is missing; expected a list");
         }
-        Map<String, Row> rows = new LinkedHashMap<>();
+        Map<String, EngineEntry> rows = new LinkedHashMap<>();
         int i = 0;
         for (JsonNode entry : node.path("endpoints")) {
             String name = entry.path("name").asText("");
@@ -60,20 +63,26 @@
             rows.put(name, row(entry, name, "endpoints[" + i + "]"));
             i++;
         }
-        return new Update(node.path("index").longValue(), node.path("snapshot").asBoolean(false), rows);
+        return new Update(
+                node.path("index").longValue(), node.path("snapshot").asBoolean(false), rows);
     }
 
-    private Row row(JsonNode entry, String name, String where) throws BadList {
-        Mode mode = switch (entry.path("status").asText("")) {
-            case "SERVING" -> Mode.READY;
-            case "DRAINING" -> Mode.DRAINING;
-            case "DELETED" -> Mode.GONE;
-            default -> throw new BadList(where + ".status is '" + entry.path("status").asText("")
-                    + "'; expected SERVING, DRAINING or DELETED");
-        };
+    private EngineEntry row(JsonNode entry, String name, String where) throws BadList {
+        EndpointState mode =
+                switch (entry.path("status").asText("")) {
+                    case "SERVING" -> EndpointState.READY;
+                    case "DRAINING" -> EndpointState.DRAINING;
+                    case "DELETED" -> EndpointState.GONE;
+                    default ->
+                            throw new BadList(
+                                    where
+                                            + ".status is '"
+                                            + entry.path("status").asText("")
+                                            + "'; expected SERVING, DRAINING or DELETED");
+                };
         String address = entry.path("address").asText("");
-        Spot spot = Spot.parse(address);
-        if ((spot == null || spot.port() == 0) && mode != Mode.GONE) {
+        Endpoint spot = Endpoint.parse(address);
+        if ((spot == null || spot.port() == 0) && mode != EndpointState.GONE) {
             throw new BadList(where + ".address is '" + address + "'; expected host:port");
         }
         double weight = entry.path("weight").asDouble(1);
@@ -82,9 +91,17 @@
             throw new BadList(where + ": weight or since_ms is out of range");
         }
         String kind = entry.path("type").asText("");
-        return new Row(number(name), spot == null ? "" : spot.host(), spot == null ? -1 : spot.port(),
-                roles.getOrDefault(kind, Role.BOTH), entry.path("zone").asText(""), entry.path("group").asLong(0),
-                weight, memory.getOrDefault(kind, Double.NaN), start, mode);
+        return new EngineEntry(
+                number(name),
+                spot == null ? "" : spot.host(),
+                spot == null ? -1 : spot.port(),
+                roles.getOrDefault(kind, Role.BOTH),
+                entry.path("zone").asText(""),
+                entry.path("group").asLong(0),
+                weight,
+                memory.getOrDefault(kind, Double.NaN),
+                start,
+                mode);
     }
 
     /** A number for a name, alike at every node: FNV-1a of 64 bits. */
--- a/src/main/java/larchridge/node/door/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -1,4 +1,4 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -29,13 +29,13 @@
 import java.util.Arrays;
 import java.util.Deque;
 import larchridge.audit.CloseReason;
-import larchridge.budget.Answer;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.Passage;
-import larchridge.front.Ask;
-import larchridge.front.Client;
-import larchridge.front.Open;
-import larchridge.site.Offer;
+import larchridge.budget.BudgetDecision;
+import larchridge.router.GenerationRequest;
+import larchridge.router.InFlightRequest;
+import larchridge.router.ResponseSink;
+import larchridge.site.ProductOffering;
+import larchridge.upstream.Completion;
+import larchridge.upstream.ForwardedRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,13 +45,14 @@
     private static final String PATH = "/v1/chat/completions";
     private static final int FIRST_BYTES = 4096;
 
-    private final Door door;
+    private final HttpServer door;
     private final Channel channel;
     private final StrictDecoder decoder = new StrictDecoder(this::requestStarted);
     private final double enteredMs;
     private boolean served;
     private int requestsBegun;
     private double idleSinceMs;
+
     /** Why this side ends the connection; null as long as it does not. */
     private CloseReason closeReason;
 
@@ -61,16 +62,22 @@
     private byte[] body = new byte[0];
     private int length;
     private Exchange exchange;
+
     /** Nothing more is taken from this connection; what comes is read and dropped. */
     private boolean over;
+
     /** When this side said that it sends no more; NaN as long as it has not. */
     private double endedMs = Double.NaN;
+
     private final Deque<HttpObject> ahead = new ArrayDeque<>();
     private int aheadBytes;
-    /** More was sent ahead than is kept: the connection ends when what is kept has been answered. */
+
+    /**
+     * More was sent ahead than is kept: the connection ends when what is kept has been answered.
+     */
     private boolean overrun;
 
-    ClientConnection(Door door, Channel channel) {
+    ClientConnection(HttpServer door, Channel channel) {
         this.door = door;
         this.channel = channel;
         enteredMs = door.ground.nowMs();
@@ -110,8 +117,9 @@
     }
 
     /**
-     * Keeps what is sent ahead, within a bound. Danger: a connection that is not read on hides that its client has gone,
-     * and the request before it would be sent on for nobody; so what is beyond the bound is read and dropped.
+     * Keeps what is sent ahead, within a bound. Danger: a connection that is not read on hides that
+     * its client has gone, and the request before it would be sent on for nobody; so what is beyond
+     * the bound is read and dropped.
      */
     private void ahead(HttpObject part) {
         int bytes = aheadBytes(part);
@@ -126,7 +134,9 @@
     }
 
     private static int aheadBytes(HttpObject part) {
-        return part instanceof HttpContent content ? content.content().readableBytes() : FIRST_BYTES;
+        return part instanceof HttpContent content
+                ? content.content().readableBytes()
+                : FIRST_BYTES;
     }
 
     private HttpObject nextAhead() {
@@ -140,7 +150,7 @@
     private void take(HttpObject part) {
         if (part.decoderResult().isFailure()) {
             boolean tooLong = part.decoderResult().cause() instanceof TooLongFrameException;
-            refuse(tooLong ? RequestRefusal.HEAD_TOO_LONG : RequestRefusal.UNREADABLE);
+            refuse(tooLong ? RequestRejection.HEAD_TOO_LONG : RequestRejection.UNREADABLE);
             return;
         }
         if (part instanceof HttpRequest request) {
@@ -164,39 +174,50 @@
         requestsBegun++;
         HttpHeaders headers = request.headers();
         if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-            refuse(RequestRefusal.OTHER_VERSION);
+            refuse(RequestRejection.OTHER_VERSION);
             return;
         }
         boolean chunks = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        if (chunks && (headers.contains(HttpHeaderNames.CONTENT_LENGTH)
-                || headers.getAll(HttpHeaderNames.TRANSFER_ENCODING).size() != 1
-                || !headers.get(HttpHeaderNames.TRANSFER_ENCODING).strip().equalsIgnoreCase("chunked"))) {
-            refuse(RequestRefusal.TWO_LENGTHS);
+        if (chunks
+                && (headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+                        || headers.getAll(HttpHeaderNames.TRANSFER_ENCODING).size() != 1
+                        || !headers.get(HttpHeaderNames.TRANSFER_ENCODING)
+                                .strip()
+                                .equalsIgnoreCase("chunked"))) {
+            refuse(RequestRejection.TWO_LENGTHS);
             return;
         }
         if (!chunks && HttpUtil.getContentLength(request, 0L) > door.bounds.bodyBytes()) {
-            refuse(RequestRefusal.BODY_TOO_LONG);
+            refuse(RequestRejection.BODY_TOO_LONG);
             return;
         }
         if (HttpUtil.is100ContinueExpected(request)) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
-                    Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            HttpResponseStatus.CONTINUE,
+                            Unpooled.EMPTY_BUFFER));
         }
     }
 
     private void gather(HttpContent content) {
         int more = content.content().readableBytes();
         if (length + more > door.bounds.bodyBytes()) {
-            refuse(RequestRefusal.BODY_TOO_LONG);
+            refuse(RequestRejection.BODY_TOO_LONG);
             return;
         }
         if (!door.mayHold(more)) {
-            refuse(RequestRefusal.NO_MEMORY);
+            refuse(RequestRejection.NO_MEMORY);
             return;
         }
         if (length + more > body.length) {
             // It grows with what comes: a length that is only promised costs nothing.
-            body = Arrays.copyOf(body, Math.max(length + more, Math.min(2 * body.length, door.bounds.bodyBytes())));
+            body =
+                    Arrays.copyOf(
+                            body,
+                            Math.max(
+                                    length + more,
+                                    Math.min(2 * body.length, door.bounds.bodyBytes())));
         }
         content.content().getBytes(content.content().readerIndex(), body, length, more);
         length += more;
@@ -224,76 +245,107 @@
         String path = query < 0 ? target : target.substring(0, query);
         if (path.equals("/up") && request.method().name().equals("GET")) {
             drop();
-            answer(door.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "", 0,
+            answer(
+                    door.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    "",
+                    0,
                     !HttpUtil.isKeepAlive(request));
             return;
         }
         if (!path.equals(PATH)) {
-            refuse(RequestRefusal.NOT_FOUND);
+            refuse(RequestRejection.NOT_FOUND);
             return;
         }
         if (!request.method().name().equals("POST")) {
-            refuse(RequestRefusal.OTHER_METHOD);
+            refuse(RequestRejection.OTHER_METHOD);
             return;
         }
         RequestHead asked;
         try {
             asked = RequestHead.read(request.headers());
         } catch (RequestHead.BadHead e) {
-            refuse(RequestRefusal.BAD_HEADER, e.getMessage());
+            refuse(RequestRejection.BAD_HEADER, e.getMessage());
             return;
         }
-        Offer offer = door.offers.get(asked.product());
+        ProductOffering offer = door.offers.get(asked.product());
         if (offer == null) {
-            refuse(RequestRefusal.NO_SUCH_CLASS);
+            refuse(RequestRejection.NO_SUCH_CLASS);
             return;
         }
         if (length == 0) {
-            refuse(RequestRefusal.NO_BODY);
+            refuse(RequestRejection.NO_BODY);
             return;
         }
         if (!door.front.enter()) {
             drop();
-            RequestRefusal refusal = RequestRefusal.NOT_ADMITTED;
+            RequestRejection refusal = RequestRejection.NOT_ADMITTED;
             door.refused(refusal);
             answer(refusal.status, refusal.message, 0, !HttpUtil.isKeepAlive(request));
             return;
         }
         if (!door.takeId(asked.id())) {
             door.front.leave();
-            refuse(RequestRefusal.ID_USED);
+            refuse(RequestRejection.ID_USED);
             return;
         }
-        Passage passage = new Passage("POST", target, asked.id(), ForwardedHeaders.of(request.headers()), body(),
-                headMs + asked.deadlineMs());
-        Exchange own = new Exchange(asked.id(), passage.body().length, !HttpUtil.isKeepAlive(request));
+        ForwardedRequest passage =
+                new ForwardedRequest(
+                        "POST",
+                        target,
+                        asked.id(),
+                        ForwardedHeaders.of(request.headers()),
+                        body(),
+                        headMs + asked.deadlineMs());
+        Exchange own =
+                new Exchange(asked.id(), passage.body().length, !HttpUtil.isKeepAlive(request));
         exchange = own;
         door.serving(this);
         double receivedMs = headMs;
-        // A client that closes right behind its request has gone: the close is read before anything is sent on.
+        // A client that closes right behind its request has gone: the close is read before anything
+        // is sent on.
         door.ground.later(() -> submit(own, asked, offer, passage, receivedMs));
     }
 
-    private void submit(Exchange own, RequestHead asked, Offer offer, Passage passage, double receivedMs) {
+    private void submit(
+            Exchange own,
+            RequestHead asked,
+            ProductOffering offer,
+            ForwardedRequest passage,
+            double receivedMs) {
         if (own.done || hasLeft()) {
             return;
         }
         try {
             door.events.accepted(asked.id(), offer.product, passage.limitMs());
-            door.front.take(Ask.passing(offer, door.site.guest, passage, asked.promptToks(), asked.sharedToks(),
-                    asked.maxToks(), asked.prefix(), asked.session(), asked.resent(), asked.deadlineMs(),
-                    door.ground.nowMs() - receivedMs), own, open -> own.open = open);
+            door.front.take(
+                    GenerationRequest.passing(
+                            offer,
+                            door.site.guest,
+                            passage,
+                            asked.promptToks(),
+                            asked.sharedToks(),
+                            asked.maxToks(),
+                            asked.prefix(),
+                            asked.session(),
+                            asked.resent(),
+                            asked.deadlineMs(),
+                            door.ground.nowMs() - receivedMs),
+                    own,
+                    open -> own.open = open);
         } catch (RuntimeException | Error e) {
             // Without this the client would wait for an answer that nobody owes it any more.
-            LOG.atError().addKeyValue("id", asked.id()).setCause(e).log("a request could not be taken");
-            own.terminated(Client.Cause.INTERNAL, false);
+            LOG.atError()
+                    .addKeyValue("id", asked.id())
+                    .setCause(e)
+                    .log("a request could not be taken");
+            own.terminated(ResponseSink.Cause.INTERNAL, false);
         }
     }
 
     /**
-     * Whether the client has closed, judged after all has been read that its socket holds. Without this an attempt could
-     * start for a client whose close waits unread behind other connections' events in the same turn of the loop. Not to be
-     * called while this connection is being read.
+     * Whether the client has closed, judged after all has been read that its socket holds. Without
+     * this an attempt could start for a client whose close waits unread behind other connections'
+     * events in the same turn of the loop. Not to be called while this connection is being read.
      */
     private boolean hasLeft() {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
@@ -303,26 +355,39 @@
     }
 
     /** An error that ends the connection: what follows can't be trusted. */
-    private void refuse(RequestRefusal refusal) {
+    private void refuse(RequestRejection refusal) {
         refuse(refusal, refusal.message);
     }
 
-    private void refuse(RequestRefusal refusal, String message) {
+    private void refuse(RequestRejection refusal, String message) {
         door.refused(refusal);
-        closeReason = refusal == RequestRefusal.TOO_SLOW ? CloseReason.REQUEST_TIMEOUT : CloseReason.BAD_INPUT;
+        closeReason =
+                refusal == RequestRejection.TOO_SLOW
+                        ? CloseReason.REQUEST_TIMEOUT
+                        : CloseReason.BAD_INPUT;
         dropAll();
         answer(refusal.status, message, 0, true);
     }
 
     private void answer(HttpResponseStatus status, String why, double comeBackMs, boolean last) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(
-                why.isEmpty() ? new byte[0] : ("{\"error\":{\"message\":\"" + why + "\"}}").getBytes(StandardCharsets.UTF_8)));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        status,
+                        Unpooled.wrappedBuffer(
+                                why.isEmpty()
+                                        ? new byte[0]
+                                        : ("{\"error\":{\"message\":\"" + why + "\"}}")
+                                                .getBytes(StandardCharsets.UTF_8)));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         if (!why.isEmpty()) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         }
         if (comeBackMs > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, Double.toString(Math.round(comeBackMs) / 1000.0));
+            response.headers()
+                    .set(
+                            HttpHeaderNames.RETRY_AFTER,
+                            Double.toString(Math.round(comeBackMs) / 1000.0));
         }
         if (last || isLastAnswer()) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -356,7 +421,10 @@
         }
     }
 
-    /** At the end of the process a connection is kept only for requests that have come on it, in part at least. */
+    /**
+     * At the end of the process a connection is kept only for requests that have come on it, in
+     * part at least.
+     */
     private boolean isLastAnswer() {
         return door.isClosing() && ahead.isEmpty() && !decoder.isReceiving();
     }
@@ -373,7 +441,10 @@
 
     // ------------------------------------------------------------------ the connection
 
-    /** The regular look: a request that does not come, or not to its end, and a rest that is too long. */
+    /**
+     * The regular look: a request that does not come, or not to its end, and a rest that is too
+     * long.
+     */
     void checkTimeouts(double now) {
         if (now - endedMs > door.bounds.lingerMs()) {
             closeNow(CloseReason.LINGER_OVER);
@@ -383,28 +454,34 @@
         }
         boolean receiving = decoder.isReceiving();
         if (isRequestOverdue(now, receiving)) {
-            refuse(RequestRefusal.TOO_SLOW);
+            refuse(RequestRejection.TOO_SLOW);
         } else if (head == null && !receiving && now - idleSinceMs > door.bounds.idleMs()) {
             closeGracefully(CloseReason.IDLE);
         }
     }
 
     /**
-     * Head and body have a time each, and both together one that is counted from the connection's start, or from the first
-     * byte of a later request: a client that is slow with its head and then stops would else stay for both.
+     * Head and body have a time each, and both together one that is counted from the connection's
+     * start, or from the first byte of a later request: a client that is slow with its head and
+     * then stops would else stay for both.
      */
     private boolean isRequestOverdue(double now, boolean receiving) {
         if (head == null && !receiving && served) {
             return false;
         }
-        double startedMs = requestsBegun <= (head == null ? 0 : 1) ? enteredMs : Math.max(requestStartedMs, idleSinceMs);
+        double startedMs =
+                requestsBegun <= (head == null ? 0 : 1)
+                        ? enteredMs
+                        : Math.max(requestStartedMs, idleSinceMs);
         double partStartedMs = head != null ? headMs : startedMs;
-        return now - partStartedMs > door.bounds.requestMs() || now - startedMs > door.bounds.wholeRequestMs();
+        return now - partStartedMs > door.bounds.requestMs()
+                || now - startedMs > door.bounds.wholeRequestMs();
     }
 
     /**
-     * The process is to end: ends the connection if it has been served and rests. One that has not been asked on yet is
-     * kept for its first request, within the bound on that: closed now, its client would lose the request under way.
+     * The process is to end: ends the connection if it has been served and rests. One that has not
+     * been asked on yet is kept for its first request, within the bound on that: closed now, its
+     * client would lose the request under way.
      */
     void closeIfServed() {
         if (served && !hasLeft() && !over && exchange == null && !decoder.isReceiving()) {
@@ -433,8 +510,9 @@
     }
 
     /**
-     * Says that nothing more comes, reads on until the client has ended its side too, or for a while, and closes.
-     * Danger: a close over bytes that were not read resets the connection, and the answer before it may go with them.
+     * Says that nothing more comes, reads on until the client has ended its side too, or for a
+     * while, and closes. Danger: a close over bytes that were not read resets the connection, and
+     * the answer before it may go with them.
      */
     private void halfClose(CloseReason reason) {
         noteReason(reason);
@@ -444,13 +522,15 @@
         }
         endedMs = door.ground.nowMs();
         door.ending(this);
-        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
-            if (channel instanceof DuplexChannel duplex && done.isSuccess()) {
-                duplex.shutdownOutput();
-            } else {
-                closeNow(CloseReason.IO_FAILURE);
-            }
-        });
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
+                .addListener(
+                        done -> {
+                            if (channel instanceof DuplexChannel duplex && done.isSuccess()) {
+                                duplex.shutdownOutput();
+                            } else {
+                                closeNow(CloseReason.IO_FAILURE);
+                            }
+                        });
     }
 
     @Override
@@ -477,7 +557,10 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            LOG.atError().setCause(cause).log("a client's connection is closed, since what came on it could not be handled");
+            LOG.atError()
+                    .setCause(cause)
+                    .log(
+                            "a client's connection is closed, since what came on it could not be handled");
         }
         closeNow(CloseReason.IO_FAILURE);
     }
@@ -485,13 +568,14 @@
     // ------------------------------------------------------------------ answers
 
     /** One generation's exchange with this client. */
-    private final class Exchange implements Client {
+    private final class Exchange implements ResponseSink {
         private final String id;
         private final int bytes;
         private final boolean last;
-        private Open open;
+        private InFlightRequest open;
         private boolean done;
         private boolean begun;
+
         /** Whether the head of the answer said that the connection ends behind it. */
         private boolean saidClose;
 
@@ -525,8 +609,10 @@
         @Override
         public void begun(int keptToks) {
             begun = true;
-            HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
+            HttpResponse response =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
                     .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             saidClose = last || isLastAnswer();
             if (saidClose) {
@@ -556,12 +642,12 @@
         }
 
         @Override
-        public void overBudget(Answer budget) {
+        public void overBudget(BudgetDecision budget) {
             throttled(0);
         }
 
         @Override
-        public void streamed(Ending ending) {
+        public void streamed(Completion ending) {
             if (!finish()) {
                 return;
             }
@@ -589,9 +675,15 @@
                 cut();
             } else if (finish()) {
                 door.events.answered(id, cause.name());
-                answer(cause == Cause.TIME_UP ? HttpResponseStatus.GATEWAY_TIMEOUT
-                        : cause == Cause.UNUSABLE ? HttpResponseStatus.BAD_REQUEST
-                        : HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed", 0, last || cause == Cause.UNUSABLE);
+                answer(
+                        cause == Cause.TIME_UP
+                                ? HttpResponseStatus.GATEWAY_TIMEOUT
+                                : cause == Cause.UNUSABLE
+                                        ? HttpResponseStatus.BAD_REQUEST
+                                        : HttpResponseStatus.INTERNAL_SERVER_ERROR,
+                        "failed",
+                        0,
+                        last || cause == Cause.UNUSABLE);
             }
         }
 
--- a/src/main/java/larchridge/node/door/RequestRefusal.java
+++ b/src/main/java/larchridge/node/server/RequestRejection.java
@@ -1,10 +1,10 @@
-package larchridge.node.door;
+package larchridge.node.server;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
 
 /** Why a request is refused before it is taken, and what its client is told. */
-enum RequestRefusal {
+enum RequestRejection {
     UNREADABLE(HttpResponseStatus.BAD_REQUEST, "the request can't be read"),
     HEAD_TOO_LONG(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the request can't be read"),
     OTHER_VERSION(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here"),
@@ -19,14 +19,17 @@
     NO_BODY(HttpResponseStatus.BAD_REQUEST, "a body is expected"),
     /** The process ends, or takes no more for now. */
     NOT_ADMITTED(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once"),
-    /** A second request under an open one's id would be its second copy, and its release the other's. */
+    /**
+     * A second request under an open one's id would be its second copy, and its release the
+     * other's.
+     */
     ID_USED(HttpResponseStatus.CONFLICT, "Req-Id: was used before"),
     TOO_SLOW(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
 
     final HttpResponseStatus status;
     final String message;
 
-    RequestRefusal(HttpResponseStatus status, String message) {
+    RequestRejection(HttpResponseStatus status, String message) {
         this.status = status;
         this.message = message;
     }
--- a/src/main/java/larchridge/node/link/EventCutter.java
+++ b/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import io.netty.buffer.ByteBuf;
 import java.io.ByteArrayOutputStream;
@@ -6,10 +6,11 @@
 import java.util.Arrays;
 
 /**
- * Cuts a stream of events into whole ones. Events go on byte by byte as they came; comments do not, but a load report in
- * one is kept. What is no event is noise, and nothing after it is believed. Without I/O, clock or threads.
+ * Cuts a stream of events into whole ones. Events go on byte by byte as they came; comments do not,
+ * but a load report in one is kept. What is no event is noise, and nothing after it is believed.
+ * Without I/O, clock or threads.
  */
-final class EventCutter {
+final class EventStreamSplitter {
     private static final byte[] DONE = "data: [DONE]".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] DATA = "data: {".getBytes(StandardCharsets.US_ASCII);
 
@@ -24,10 +25,10 @@
     /**
      * A cutter for one stream.
      *
-     * @param mostBytes  the longest event that is waited for
+     * @param mostBytes the longest event that is waited for
      * @param reportName what a load report's comment begins with, after the colon
      */
-    EventCutter(int mostBytes, String reportName) {
+    EventStreamSplitter(int mostBytes, String reportName) {
         this.mostBytes = mostBytes;
         this.reportName = reportName;
     }
@@ -67,10 +68,15 @@
         return whole == null ? null : whole.toByteArray();
     }
 
-    /** Whether the block of lines between two places is an event to go on; notes noise, the end and a report. */
+    /**
+     * Whether the block of lines between two places is an event to go on; notes noise, the end and
+     * a report.
+     */
     private boolean take(int start, int end) {
         if (held[start] == ':') {
-            String comment = new String(held, start + 1, end - start - 1, StandardCharsets.ISO_8859_1).strip();
+            String comment =
+                    new String(held, start + 1, end - start - 1, StandardCharsets.ISO_8859_1)
+                            .strip();
             if (comment.startsWith(reportName + ":")) {
                 report = comment.substring(reportName.length() + 1).strip();
             }
--- a/src/main/java/larchridge/node/link/Verdict.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -1,12 +1,13 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
-import larchridge.state.Outcome;
+import larchridge.state.AttemptOutcome;
 
 /**
- * What became of an attempt, judged from what was seen of it; without I/O, clock or threads. Rule 2 rests on this: an outcome
- * that proves an attempt never ran is only given where the engine can't have started it or says so itself.
+ * What became of an attempt, judged from what was seen of it; without I/O, clock or threads. Rule 2
+ * rests on this: an outcome that proves an attempt never ran is only given where the engine can't
+ * have started it or says so itself.
  */
-final class Verdict {
+final class ForwardedAttemptClassifier {
     private boolean written;
     private int status;
     private boolean declined;
@@ -21,7 +22,10 @@
         written = true;
     }
 
-    /** The head of the answer came; declined is the engine's own word that it did not run the request. */
+    /**
+     * The head of the answer came; declined is the engine's own word that it did not run the
+     * request.
+     */
     void head(int code, boolean saysNotRun) {
         status = code;
         declined = saysNotRun;
@@ -54,30 +58,38 @@
 
     /** Whether the engine says that nobody can use the request as it is. */
     boolean isUnusable() {
-        return !declined && !garbled && !called && status >= 400 && status < 500 && status != 408 && status != 429;
+        return !declined
+                && !garbled
+                && !called
+                && status >= 400
+                && status < 500
+                && status != 408
+                && status != 429;
     }
 
     /** The outcome, once nothing more can come. */
-    Outcome outcome() {
+    AttemptOutcome outcome() {
         if (whole && !garbled && status == 200) {
-            return Outcome.STREAMED;
+            return AttemptOutcome.STREAMED;
         }
         if (!written && status == 0) {
-            return unfit || called ? Outcome.NOT_SENT : Outcome.UNREACHABLE;
+            return unfit || called ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
         if (declined && !garbled && (status == 503 || status == 504)) {
-            return Outcome.FULL;
+            return AttemptOutcome.FULL;
         }
         if (declined && !garbled && status == 410) {
-            return Outcome.NO_STATE;
+            return AttemptOutcome.NO_STATE;
         }
         if (called) {
-            return expired ? Outcome.TIMED_OUT : Outcome.CANCELLED;
+            return expired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
         // Danger: noise in place of an answer proves nothing about what ran before it.
         if (garbled) {
-            return Outcome.FAULT;
+            return AttemptOutcome.FAULT;
         }
-        return status == 0 || status == 200 || status == 202 ? Outcome.CUT : Outcome.FAULT;
+        return status == 0 || status == 200 || status == 202
+                ? AttemptOutcome.CUT
+                : AttemptOutcome.FAULT;
     }
 }
--- a/src/main/java/larchridge/node/link/Call.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -1,12 +1,15 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import larchridge.node.transport.ConnectFailure;
 
-/** One request on a connection and what comes back; called on the loop, never from inside the call that started it. */
-interface Call {
+/**
+ * One request on a connection and what comes back; called on the loop, never from inside the call
+ * that started it.
+ */
+interface UpstreamExchange {
     /** The request as it goes out, worded at the last moment; null if it must not go any more. */
     FullHttpRequest request();
 
--- a/src/main/java/larchridge/planner/Work.java
+++ b/src/main/java/larchridge/planner/BatchWork.java
@@ -1,20 +1,23 @@
 package larchridge.planner;
 
 /** One batch as the planner sees it. */
-public final class Work {
+public final class BatchWork {
     public final String name;
-    final Shares.Tenant tenant;
+    final BatchQuotas.Tenant tenant;
     final double expiresMs;
     final long number;
+
     /** Lines that are not answered yet. */
     double left;
+
     /** Lines of it, and their cost in tokens, that were handed out. */
     double handed;
+
     double handedToks;
     boolean ready;
     boolean atRisk;
 
-    Work(String name, Shares.Tenant tenant, double expiresMs, long number, double left) {
+    BatchWork(String name, BatchQuotas.Tenant tenant, double expiresMs, long number, double left) {
         this.name = name;
         this.tenant = tenant;
         this.expiresMs = expiresMs;
--- a/src/main/java/larchridge/planner/Feeling.java
+++ b/src/main/java/larchridge/planner/LatencySample.java
@@ -1,9 +1,10 @@
 package larchridge.planner;
 
 /** What the generations that are not batch work lived through at one front in a short time. */
-public final class Feeling {
+public final class LatencySample {
     /** Tenths of the SLO time, the last for all beyond. */
     static final int PARTS = 40;
+
     static final double PART = 0.05;
 
     final int[] firstToks = new int[PARTS];
@@ -21,7 +22,10 @@
         turnedAway++;
     }
 
-    /** So many are open, and the one that has waited longest for a reader has waited this share of its SLO time. */
+    /**
+     * So many are open, and the one that has waited longest for a reader has waited this share of
+     * its SLO time.
+     */
     public void waiting(int openNow, double shareOfSlo) {
         open = openNow;
         longestWait = shareOfSlo;
--- a/src/main/java/larchridge/front/Open.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -1,45 +1,52 @@
-package larchridge.front;
+package larchridge.router;
 
 import java.util.ArrayList;
 import java.util.List;
 import larchridge.budget.Charge;
-import larchridge.budget.Meter;
+import larchridge.budget.UsageMeter;
 import larchridge.state.Attempt;
-import larchridge.state.Gen;
+import larchridge.state.Generation;
 
-/** A generation that this front has taken, with its client and its trips; a dialect's handle on it. */
-public final class Open {
-    final Front front;
-    final Ask ask;
-    final Client client;
-    final Duty duty = new Duty();
-    final List<Trip> trips = new ArrayList<>(2);
-    final Patience patience;
-    final Meter meter;
+/**
+ * A generation that this front has taken, with its client and its trips; a dialect's handle on it.
+ */
+public final class InFlightRequest {
+    final Router front;
+    final GenerationRequest ask;
+    final ResponseSink client;
+    final ResponseGuard duty = new ResponseGuard();
+    final List<InFlightAttempt> trips = new ArrayList<>(2);
+    final DeadlinePolicy patience;
+    final UsageMeter meter;
     Charge charge;
     String billId;
+
     /** What it asks, where it has no key. */
     String sameAs;
-    Gen gen;
-    Trip streaming;
+
+    Generation gen;
+    InFlightAttempt streaming;
     boolean paused;
     double pausedMs;
     double lastPieceMs;
     double limitAtMs;
     double wholeAtMs;
+
     /** Whether its use is in the ledger already, and the waste and attempts of that record. */
     boolean recorded;
+
     long recordedWaste;
     int recordedAttempts;
     long limitTimer = -1;
     long quietTimer = -1;
 
-    Open(Front front, Ask ask, Client client, Patience patience) {
+    InFlightRequest(
+            Router front, GenerationRequest ask, ResponseSink client, DeadlinePolicy patience) {
         this.front = front;
         this.ask = ask;
         this.client = client;
         this.patience = patience;
-        meter = new Meter(ask.promptToks(), ask.maxToks());
+        meter = new UsageMeter(ask.promptToks(), ask.maxToks());
     }
 
     /** The client has left or broken off. */
@@ -61,7 +68,7 @@
         return gen.label;
     }
 
-    Trip tripOf(Attempt attempt) {
+    InFlightAttempt tripOf(Attempt attempt) {
         return trips.get(attempt.number);
     }
 }
--- a/src/main/java/larchridge/front/Client.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -1,17 +1,26 @@
-package larchridge.front;
+package larchridge.router;
 
-import larchridge.budget.Answer;
-import larchridge.enginelink.Ending;
+import larchridge.budget.BudgetDecision;
+import larchridge.upstream.Completion;
 
-/** One client's exchange, as a dialect carries it; called on the front's loop. Exactly one final answer comes. */
-public interface Client {
+/**
+ * One client's exchange, as a dialect carries it; called on the front's loop. Exactly one final
+ * answer comes.
+ */
+public interface ResponseSink {
     /** The answer begins; this many prompt tokens were kept from before. */
     void begun(int keptToks);
 
-    /** A piece of the answer, to be kept until {@link #soFar} or a final answer; false if it can't go to the client. */
+    /**
+     * A piece of the answer, to be kept until {@link #soFar} or a final answer; false if it can't
+     * go to the client.
+     */
     boolean piece(String text);
 
-    /** Whole events that go on as they came, to be kept like pieces; only to clients whose requests were passed on. */
+    /**
+     * Whole events that go on as they came, to be kept like pieces; only to clients whose requests
+     * were passed on.
+     */
     default void events(byte[] whole) {
         throw new UnsupportedOperationException("events are not this dialect's");
     }
@@ -30,15 +39,18 @@
     boolean isGone();
 
     /** What the tenant has left, before anything else is told. */
-    default void budget(Answer budget) {
+    default void budget(BudgetDecision budget) {
         return;
     }
 
-    /** Final: the tenant is beyond its budget; coming back after the time told is harmless and, if alone, let in. */
-    void overBudget(Answer budget);
+    /**
+     * Final: the tenant is beyond its budget; coming back after the time told is harmless and, if
+     * alone, let in.
+     */
+    void overBudget(BudgetDecision budget);
 
     /** Final: the answer is whole. */
-    void streamed(Ending ending);
+    void streamed(Completion ending);
 
     /** Final: not now, and trying again is harmless; after so long, if more than 0. */
     void throttled(double comeBackMs);
@@ -50,5 +62,11 @@
     void cut();
 
     /** Why a generation was terminated. */
-    enum Cause { TIME_UP, BROKEN, STOPPING, INTERNAL, UNUSABLE }
+    enum Cause {
+        TIME_UP,
+        BROKEN,
+        STOPPING,
+        INTERNAL,
+        UNUSABLE
+    }
 }
--- a/src/main/java/larchridge/front/LoopGround.java
+++ b/src/main/java/larchridge/router/VertxScheduler.java
@@ -1,16 +1,16 @@
-package larchridge.front;
+package larchridge.router;
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.security.SecureRandom;
 
 /** The event loop on which it was made. */
-final class LoopGround implements Ground {
+final class VertxScheduler implements Scheduler {
     private final Vertx vertx;
     private final Context loop;
     private final double clockBaseMs = System.currentTimeMillis() - System.nanoTime() / 1e6;
 
-    LoopGround(Vertx vertx) {
+    VertxScheduler(Vertx vertx) {
         this.vertx = vertx;
         loop = vertx.getOrCreateContext();
     }
@@ -46,8 +46,10 @@
 
     @Override
     public String stem() {
-        // Danger: two fronts that start in one moment would name their attempts alike and let go of each other's states.
-        return Long.toString(System.currentTimeMillis(), 36) + Long.toString(new SecureRandom().nextLong() & 0xFFFFFFFFFL, 36)
+        // Danger: two fronts that start in one moment would name their attempts alike and let go of
+        // each other's states.
+        return Long.toString(System.currentTimeMillis(), 36)
+                + Long.toString(new SecureRandom().nextLong() & 0xFFFFFFFFFL, 36)
                 + "-";
     }
 }
--- a/src/main/java/larchridge/front/World.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -1,4 +1,4 @@
-package larchridge.front;
+package larchridge.router;
 
 import java.util.Comparator;
 import java.util.HashSet;
@@ -6,15 +6,22 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Virtual time: steps run in the order of their times and, in one moment, in the order in which they were asked for. */
-public final class World {
-    /** The moment at which it begins, as Unix time: engines that start at 0 are those whose start nobody knows. */
+/**
+ * Virtual time: steps run in the order of their times and, in one moment, in the order in which
+ * they were asked for.
+ */
+public final class VirtualTimeScheduler {
+    /**
+     * The moment at which it begins, as Unix time: engines that start at 0 are those whose start
+     * nobody knows.
+     */
     public static final double START_MS = 1_000_000_000;
 
-    private record Step(double ms, long number, Runnable run) { }
+    private record Step(double ms, long number, Runnable run) {}
 
-    private final PriorityQueue<Step> steps = new PriorityQueue<>(Comparator.comparingDouble(Step::ms)
-            .thenComparingLong(Step::number));
+    private final PriorityQueue<Step> steps =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Step::ms).thenComparingLong(Step::number));
     private final Set<Long> called = new HashSet<>();
     private double nowMs = START_MS;
     private long numbers;
@@ -57,9 +64,9 @@
     }
 
     /** What one front stands on. */
-    public Ground ground(int front, long seed) {
+    public Scheduler ground(int front, long seed) {
         Random random = new Random(seed * 31 + front);
-        return new Ground() {
+        return new Scheduler() {
             @Override
             public double nowMs() {
                 return nowMs;
@@ -67,25 +74,27 @@
 
             @Override
             public long in(double ms, Runnable step) {
-                return World.this.in(Math.max(1, Math.ceil(ms)), step);
+                return VirtualTimeScheduler.this.in(Math.max(1, Math.ceil(ms)), step);
             }
 
             @Override
             public void cancel(long number) {
-                World.this.cancel(number);
+                VirtualTimeScheduler.this.cancel(number);
             }
 
             @Override
             public void later(Runnable step) {
-                World.this.in(0, step);
+                VirtualTimeScheduler.this.in(0, step);
             }
 
             @Override
             public void every(double ms, Runnable step) {
-                World.this.in(ms, () -> {
-                    step.run();
-                    every(ms, step);
-                });
+                VirtualTimeScheduler.this.in(
+                        ms,
+                        () -> {
+                            step.run();
+                            every(ms, step);
+                        });
             }
 
             @Override
--- a/src/main/java/larchridge/state/Attempt.java
+++ b/src/main/java/larchridge/state/Attempt.java
@@ -2,26 +2,39 @@
 
 /** One send of a generation to one engine. */
 public final class Attempt {
-    public final Gen gen;
+    public final Generation gen;
     public final Engine engine;
     public final int number;
     public final boolean read;
     public final double sentMs;
+
     /** What this attempt was counted at on its engine: prompt tokens to read, or tokens to hold. */
     public final double toks;
+
     /** Prompt tokens that are still to be read there for it. */
     public double unreadToks;
+
     /** The start of the engine's process this attempt went to. */
     public final double engineStartMs;
+
     /** For how long its engine may be silent over it. */
     public double patienceMs;
+
     public boolean out = true;
     public boolean cancelled;
+
     /** Whether it was counted as a late move before it began. */
     public boolean toldLate;
-    public Outcome outcome;
 
-    public Attempt(Gen gen, Engine engine, boolean read, double sentMs, double toks, double unreadToks) {
+    public AttemptOutcome outcome;
+
+    public Attempt(
+            Generation gen,
+            Engine engine,
+            boolean read,
+            double sentMs,
+            double toks,
+            double unreadToks) {
         this.gen = gen;
         this.engine = engine;
         this.number = gen.attempts.size();
@@ -39,7 +52,7 @@
 
     /** Whether what it left at its engine is gone with the engine or its process. */
     public boolean isLost() {
-        return engine.mode == Mode.GONE || engine.startMs != engineStartMs;
+        return engine.mode == EndpointState.GONE || engine.startMs != engineStartMs;
     }
 
     /** Counts this attempt at its generation and engine. */
--- /dev/null
+++ b/src/main/java/larchridge/state/EndpointUpdate.java
@@ -0,0 +1,12 @@
+package larchridge.state;
+
+/** One entry of the engine list. */
+public record EndpointUpdate(
+        Engine engine,
+        EndpointState mode,
+        double startMs,
+        double units,
+        String zone,
+        long rack,
+        Role role,
+        double memoryToks) {}
--- a/src/main/java/larchridge/state/Terms.java
+++ b/src/main/java/larchridge/state/RoutingSettings.java
@@ -1,7 +1,10 @@
 package larchridge.state;
 
-/** What a front is told when it starts: what is owed to whom, and what is allowed. Times are milliseconds. */
-public final class Terms {
+/**
+ * What a front is told when it starts: what is owed to whom, and what is allowed. Times are
+ * milliseconds.
+ */
+public final class RoutingSettings {
     public long seed;
     public int fronts;
     public String zone;
@@ -13,16 +16,18 @@
     public boolean listIsAsked;
     public boolean reportsWithAnswers;
     public boolean reportsWithProbes;
+
     /** The longest advice to stay away that a client honours; 0 where there is none. */
     public double comeBackMaxMs;
+
     public double coldShare;
     public double coldMs;
     public double tipMultiple;
     public double tipMs;
     public double overShareRevenue;
 
-    public Terms copy() {
-        Terms copy = new Terms();
+    public RoutingSettings copy() {
+        RoutingSettings copy = new RoutingSettings();
         copy.seed = seed;
         copy.fronts = fronts;
         copy.zone = zone;
--- a/src/main/java/larchridge/store/Incoming.java
+++ b/src/main/java/larchridge/store/IncomingFile.java
@@ -12,34 +12,41 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Bytes on their way to becoming a file: written aside, digested as they come, synced before anyone is told of them. */
-public final class Incoming implements AutoCloseable {
+/**
+ * Bytes on their way to becoming a file: written aside, digested as they come, synced before anyone
+ * is told of them.
+ */
+public final class IncomingFile implements AutoCloseable {
     final Path path;
     private final FileChannel channel;
     private final OutputStream out;
     private final MessageDigest digest;
-    private final Points points;
+    private final CrashPoints points;
     private long bytes;
     private String name;
 
-    Incoming(Path path, Points points) throws IOException {
+    IncomingFile(Path path, CrashPoints points) throws IOException {
         this.path = path;
         this.points = points;
         channel = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        out = new BufferedOutputStream(new OutputStream() {
-            @Override
-            public void write(int b) throws IOException {
-                write(new byte[] {(byte) b}, 0, 1);
-            }
+        out =
+                new BufferedOutputStream(
+                        new OutputStream() {
+                            @Override
+                            public void write(int b) throws IOException {
+                                write(new byte[] {(byte) b}, 0, 1);
+                            }
 
-            @Override
-            public void write(byte[] part, int from, int length) throws IOException {
-                ByteBuffer buffer = ByteBuffer.wrap(part, from, length);
-                while (buffer.hasRemaining()) {
-                    channel.write(buffer);
-                }
-            }
-        }, 1 << 16);
+                            @Override
+                            public void write(byte[] part, int from, int length)
+                                    throws IOException {
+                                ByteBuffer buffer = ByteBuffer.wrap(part, from, length);
+                                while (buffer.hasRemaining()) {
+                                    channel.write(buffer);
+                                }
+                            }
+                        },
+                        1 << 16);
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -58,7 +65,7 @@
     }
 
     /** Makes the bytes last; may take long, and so belongs on a thread that may wait. */
-    public Incoming synced() throws IOException {
+    public IncomingFile synced() throws IOException {
         points.at("sync incoming");
         out.flush();
         channel.force(true);
--- a/src/main/java/larchridge/drill/Tally.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,8 +8,11 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What clients got, from the traffic log alone: service by time and product, and times to the first token. */
-public final class Tally {
+/**
+ * What clients got, from the traffic log alone: service by time and product, and times to the first
+ * token.
+ */
+public final class ResultCounts {
     /** Service of one span of time. */
     public static final class Row {
         public final String name;
@@ -36,22 +39,25 @@
 
     /** One operation: its tries belong to it, and its SLO time runs from the first. */
     private static final class Operation {
-        Seen asked;
-        Seen begun;
+        TrafficEvent asked;
+        TrafficEvent begun;
         String answer;
         boolean left;
         boolean lost;
     }
 
-    private Tally() { }
+    private ResultCounts() {}
 
-    /** Rows in all, by product, and by tenant where there are several; and for each trouble before, during and after it. */
-    public static List<Row> of(List<Seen> log, Script script) {
+    /**
+     * Rows in all, by product, and by tenant where there are several; and for each trouble before,
+     * during and after it.
+     */
+    public static List<Row> of(List<TrafficEvent> log, TestScript script) {
         Map<String, Operation> operations = new LinkedHashMap<>();
-        Map<String, Script.Mix> mixes = new HashMap<>();
+        Map<String, TestScript.Mix> mixes = new HashMap<>();
         script.products().forEach(mix -> mixes.put(mix.name(), mix));
-        for (Seen seen : log) {
-            if (seen.tag() == null || seen.kind().ordinal() < Seen.Kind.ASKED.ordinal()) {
+        for (TrafficEvent seen : log) {
+            if (seen.tag() == null || seen.kind().ordinal() < TrafficEvent.Kind.ASKED.ordinal()) {
                 continue;
             }
             Operation one = operations.computeIfAbsent(seen.operation(), key -> new Operation());
@@ -61,27 +67,37 @@
                 case FINAL -> one.answer = seen.word();
                 case LEFT -> one.left = true;
                 case LOST -> one.lost = true;
-                default -> { }
+                default -> {}
             }
         }
         List<Row> rows = new ArrayList<>();
         Row all = new Row("all");
         rows.add(all);
         Map<String, Row> byProduct = new LinkedHashMap<>();
-        for (Script.Mix mix : script.products()) {
+        for (TestScript.Mix mix : script.products()) {
             byProduct.put(mix.name(), new Row(mix.name()));
         }
         rows.addAll(byProduct.values());
         Map<String, Row> byTenant = new LinkedHashMap<>();
         if (script.tenants().size() > 1) {
-            script.tenants().forEach(tenant -> byTenant.put(tenant.name(), new Row("tenant " + tenant.name())));
+            script.tenants()
+                    .forEach(
+                            tenant ->
+                                    byTenant.put(
+                                            tenant.name(), new Row("tenant " + tenant.name())));
             rows.addAll(byTenant.values());
         }
         List<Row> spans = new ArrayList<>();
-        for (Script.Trouble trouble : script.troubles()) {
+        for (TestScript.Trouble trouble : script.troubles()) {
             for (String part : new String[] {"before", "during", "after"}) {
-                spans.add(new Row(String.format(Locale.ROOT, "%s at %.1f s, %s", trouble.kind(),
-                        trouble.atMs() / 1000, part)));
+                spans.add(
+                        new Row(
+                                String.format(
+                                        Locale.ROOT,
+                                        "%s at %.1f s, %s",
+                                        trouble.kind(),
+                                        trouble.atMs() / 1000,
+                                        part)));
             }
         }
         rows.addAll(spans);
@@ -89,7 +105,7 @@
             if (one.asked == null) {
                 continue;
             }
-            Script.Mix mix = mixes.get(one.asked.word());
+            TestScript.Mix mix = mixes.get(one.asked.word());
             // Lines of batches have no SLO time; their product's row tells what became of them.
             boolean isLine = one.asked.tag().startsWith(BatchLoad.NAME);
             if (!isLine) {
@@ -103,12 +119,15 @@
                 count(byTenant.get(one.asked.rid()), one, mix);
             }
             for (int i = 0; i < script.troubles().size(); i++) {
-                Script.Trouble trouble = script.troubles().get(i);
+                TestScript.Trouble trouble = script.troubles().get(i);
                 double at = one.asked.ms();
                 int part = at < trouble.atMs() ? 0 : at < trouble.atMs() + trouble.forMs() ? 1 : 2;
-                // As long before and after as during: the rest of the day says nothing of this trouble.
-                boolean near = part == 0 ? at >= trouble.atMs() - trouble.forMs()
-                        : part == 1 || at < trouble.atMs() + 2 * trouble.forMs();
+                // As long before and after as during: the rest of the day says nothing of this
+                // trouble.
+                boolean near =
+                        part == 0
+                                ? at >= trouble.atMs() - trouble.forMs()
+                                : part == 1 || at < trouble.atMs() + 2 * trouble.forMs();
                 if (near) {
                     count(spans.get(3 * i + part), one, mix);
                 }
@@ -117,7 +136,7 @@
         return rows;
     }
 
-    private static void count(Row row, Operation one, Script.Mix mix) {
+    private static void count(Row row, Operation one, TestScript.Mix mix) {
         row.asked++;
         row.left += one.left ? 1 : 0;
         row.lost += one.lost ? 1 : 0;
@@ -139,13 +158,36 @@
     }
 
     public static String table(List<Row> rows) {
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "%-34s %6s %8s %8s %9s %10s %5s %5s %7s %7s%n", "span", "asked", "service", "streamed", "throttled",
-                "terminated", "left", "lost", "p50 ms", "p99 ms"));
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "%-34s %6s %8s %8s %9s %10s %5s %5s %7s %7s%n",
+                                "span",
+                                "asked",
+                                "service",
+                                "streamed",
+                                "throttled",
+                                "terminated",
+                                "left",
+                                "lost",
+                                "p50 ms",
+                                "p99 ms"));
         for (Row row : rows) {
-            text.append(String.format(Locale.ROOT, "%-34s %6d %8.3f %8d %9d %10d %5d %5d %7d %7d%n", row.name,
-                    row.asked, row.service(), row.streamed, row.throttled, row.terminated, row.left, row.lost,
-                    row.firstToken.getValueAtPercentile(50), row.firstToken.getValueAtPercentile(99)));
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%-34s %6d %8.3f %8d %9d %10d %5d %5d %7d %7d%n",
+                            row.name,
+                            row.asked,
+                            row.service(),
+                            row.streamed,
+                            row.throttled,
+                            row.terminated,
+                            row.left,
+                            row.lost,
+                            row.firstToken.getValueAtPercentile(50),
+                            row.firstToken.getValueAtPercentile(99)));
         }
         return text.toString();
     }
--- /dev/null
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -0,0 +1,502 @@
+package larchridge.systemtest;
+
+import io.vertx.core.Vertx;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
+import larchridge.inventory.InvalidEngineListException;
+import larchridge.ledger.Ledger;
+import larchridge.ledger.LedgerException;
+import larchridge.ledger.Usage;
+import larchridge.serve.Service;
+import larchridge.simulatedengine.EngineProfile;
+import larchridge.site.InvalidSiteException;
+import larchridge.site.Site;
+import larchridge.site.SiteReader;
+import larchridge.state.DeduplicationScope;
+import larchridge.state.Effect;
+import larchridge.state.Role;
+import larchridge.state.TrafficClass;
+import larchridge.tokens.InvalidVocabularyException;
+import larchridge.tokens.Vocabulary;
+import larchridge.tokens.VocabularyReader;
+
+/**
+ * Plays a script: real fronts, stand-in engines and clients over loopback, then the rules from the
+ * traffic.
+ */
+public final class SystemTest {
+    private static final double DRAIN_GRACE_MS = 250;
+    private static final double RELEASE_MS = 1000;
+    private static final double TIP_MULTIPLE = 2.5;
+    private static final double TIP_MS = 1000;
+    private static final double COLD_SHARE = 0.3;
+    private static final double COLD_MS = 3000;
+    private static final double SLACK_MS = 150;
+
+    /** For the last releases, after the last answer. */
+    private static final long TAIL_MS = 1500;
+
+    private static final long LAST_ANSWERS_MS = 12_000;
+
+    /** What is drilled: the real service, or in tests one that breaks a rule. */
+    public interface Fronts {
+        List<Integer> ports();
+
+        String figures();
+
+        /** The port of the batch API, where it is served. */
+        default int batchPort() {
+            return -1;
+        }
+
+        void stop() throws InterruptedException;
+
+        /** Starts fronts for a site. */
+        interface Maker {
+            Fronts make(Site site)
+                    throws InvalidEngineListException, LedgerException, InterruptedException;
+        }
+    }
+
+    /** What a run gave. */
+    public record Result(
+            List<TrafficEvent> log,
+            List<RuleChecker.Breach> breaches,
+            List<ResultCounts.Row> rows,
+            List<BillingChecker.Row> bills,
+            String figures) {
+        public ResultCounts.Row all() {
+            return rows.get(0);
+        }
+    }
+
+    private final TestScript script;
+    private final Fronts.Maker maker;
+    private final TrafficLog log = new TrafficLog();
+    private final Map<Long, EngineProfile> makes = new HashMap<>();
+    private SimulatedFleet fleet;
+    private RouterProcesses processes;
+    private Path list;
+    private ClientLoad load;
+
+    /** Null where the script has no batches. */
+    private BatchLoad batchLoad;
+
+    private Vertx vertx;
+
+    private SystemTest(TestScript script, Fronts.Maker maker) {
+        this.script = script;
+        this.maker = maker;
+    }
+
+    /** Plays a script to its end through the real fronts and judges it. */
+    public static Result play(TestScript script) throws InterruptedException, IOException {
+        return play(script, SystemTest::service);
+    }
+
+    /** Plays a script through fronts made otherwise. */
+    public static Result play(TestScript script, Fronts.Maker maker)
+            throws InterruptedException, IOException {
+        return new SystemTest(script, maker).run();
+    }
+
+    private static Fronts service(Site site)
+            throws InvalidEngineListException, LedgerException, InterruptedException {
+        Service service = Service.start(site);
+        return new Fronts() {
+            @Override
+            public List<Integer> ports() {
+                return service.ports();
+            }
+
+            @Override
+            public String figures() {
+                return service.figures().scrape();
+            }
+
+            @Override
+            public int batchPort() {
+                return service.batchPort();
+            }
+
+            @Override
+            public void stop() throws InterruptedException {
+                service.stop();
+            }
+        };
+    }
+
+    private Result run() throws InterruptedException, IOException {
+        Path folder = Files.createTempDirectory("larchridge-drill");
+        list = folder.resolve("engines.yaml");
+        makes(script).forEach(make -> makes.put(make.id(), make));
+        fleet = SimulatedFleet.start(makes(script), log, script.seed());
+        fleet.writeList(list);
+        vertx = Vertx.vertx();
+        Fronts fronts = null;
+        try {
+            if (script.encoding() != null) {
+                Vocabulary vocabulary = VocabularyReader.named("v", script.encoding());
+                makes.keySet()
+                        .forEach(id -> fleet.on(id, engine -> engine.counts = vocabulary::count));
+            }
+            if (script.processes()) {
+                processes = new RouterProcesses(folder, site(script), script.fronts());
+                fronts = processes;
+            } else {
+                fronts =
+                        maker.make(
+                                SiteReader.read(
+                                        "drill",
+                                        "listen { host: \"127.0.0.1\" port: 0 }\n"
+                                                + "own_ports: true\nseed: "
+                                                + Math.max(1, script.seed())
+                                                + "\nfronts: "
+                                                + script.fronts()
+                                                + "\n"
+                                                + site(script),
+                                        folder));
+            }
+            load = new ClientLoad(vertx, script, fronts.ports(), log);
+            CountDownLatch done = new CountDownLatch(1);
+            vertx.runOnContext(
+                    v -> {
+                        log.begin();
+                        for (TestScript.Trouble trouble : script.troubles()) {
+                            vertx.setTimer(
+                                    Math.max(1, (long) trouble.atMs()), timer -> begin(trouble));
+                        }
+                        load.start(done::countDown);
+                    });
+            if (!script.batches().isEmpty()) {
+                batchLoad = new BatchLoad(script, fronts.batchPort(), log);
+                batchLoad.start();
+            }
+            if (!done.await((long) script.durationMs() + LAST_ANSWERS_MS, TimeUnit.MILLISECONDS)) {
+                log.add(
+                        TrafficEvent.Kind.TROUBLE,
+                        0,
+                        null,
+                        null,
+                        0,
+                        "clients still open after the run");
+            }
+            if (batchLoad != null) {
+                batchLoad.join(LAST_ANSWERS_MS);
+            }
+            Thread.sleep(TAIL_MS);
+            String figures = fronts.figures();
+            List<TrafficEvent> all = log.all();
+            List<BillingChecker.Row> bills = List.of();
+            if (processes != null) {
+                fronts.stop();
+                bills = BillingChecker.of(all, records());
+            }
+            return new Result(
+                    all,
+                    RuleChecker.judge(all, figures(script)),
+                    ResultCounts.of(all, script),
+                    bills,
+                    figures);
+        } catch (InvalidSiteException
+                | InvalidEngineListException
+                | LedgerException
+                | InvalidVocabularyException e) {
+            throw new IllegalStateException(
+                    "the drill's own site is not good: " + e.getMessage(), e);
+        } finally {
+            if (fronts != null) {
+                fronts.stop();
+            }
+            vertx.close();
+            fleet.close();
+            try (Stream<Path> files = Files.walk(folder)) {
+                for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(file);
+                }
+            }
+        }
+    }
+
+    private List<Usage> records() {
+        List<Usage> records = new ArrayList<>();
+        for (Path folder : processes.ledgers()) {
+            try (Ledger ledger = Ledger.look(folder)) {
+                ledger.records(records::add);
+                List<String> faults = ledger.verify();
+                if (!faults.isEmpty()) {
+                    throw new IllegalStateException(folder + ": " + faults);
+                }
+            } catch (LedgerException e) {
+                throw new IllegalStateException(e);
+            }
+        }
+        return records;
+    }
+
+    /** The engines of a script. */
+    public static List<EngineProfile> makes(TestScript script) {
+        List<EngineProfile> all = new ArrayList<>();
+        long id = 1;
+        for (TestScript.Group group : script.engines()) {
+            for (int i = 0; i < group.count(); i++) {
+                String zone = group.zones().get(i % group.zones().size());
+                long rack =
+                        10L * (i % group.zones().size()) + i / group.zones().size() % group.racks();
+                all.add(
+                        EngineProfile.of(
+                                        id++,
+                                        Role.valueOf(group.role().toUpperCase(Locale.ROOT)),
+                                        zone,
+                                        rack)
+                                .scaled(group.speed()));
+            }
+        }
+        return all;
+    }
+
+    /** The site that the fronts of this drill serve. */
+    public static String site(TestScript script) {
+        StringBuilder text = new StringBuilder();
+        text.append("zone: \"")
+                .append(script.engines().get(0).zones().get(0))
+                .append("\"\n")
+                .append("inventory { file: \"engines.yaml\" poll_ms: 40 }\n")
+                .append(
+                        "limits { longest_retry_after_ms: 400 stop_ms: 1000 ping_ms: 500 quiet_stream_ms: 3000 }\n")
+                .append("engines { second_copies: true reports_with_answers: ")
+                .append(!script.probes())
+                .append(" reports_with_probes: ")
+                .append(script.probes())
+                .append(" may_probe: ")
+                .append(script.probes());
+        text.append(
+                String.format(
+                        Locale.ROOT,
+                        " drain_grace_ms: %f release_ms: %f cold_share: %f cold_ms: %f"
+                                + " tip_multiple: %f tip_ms: %f }%n",
+                        DRAIN_GRACE_MS,
+                        RELEASE_MS,
+                        COLD_SHARE,
+                        COLD_MS,
+                        TIP_MULTIPLE,
+                        TIP_MS));
+        if (!script.batches().isEmpty()) {
+            text.append(
+                    "batch { listen { host: \"127.0.0.1\" port: 0 } folder: \"store\" line_ms: 8000 }\n");
+        }
+        for (TestScript.Tenant tenant : script.tenants()) {
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "tenant { name: \"%s\" key_sha256: \"%s\"",
+                            tenant.name(),
+                            Site.sha256(tenant.name())));
+            if (tenant.toksPerS() > 0) {
+                text.append(
+                        String.format(
+                                Locale.ROOT,
+                                " budget { tokens_per_second: %f burst_tokens: %f }",
+                                tenant.toksPerS(),
+                                tenant.burstToks()));
+            }
+            text.append(" }\n");
+        }
+        boolean counted = script.counted() && script.encoding() != null;
+        if (counted) {
+            text.append("vocabulary { name: \"v\" encoding: \"")
+                    .append(script.encoding())
+                    .append("\" }\n");
+        }
+        for (TestScript.Mix mix : script.products()) {
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "product { name: \"%s\" model: \"%s\" effect: %s revenue: %f"
+                                    + " slo_ms: %f time_limit_ms: %f token_ms: 60",
+                            mix.name(),
+                            mix.name(),
+                            mix.effect(),
+                            mix.revenue(),
+                            mix.sloMs(),
+                            mix.limitMs()));
+            if (mix.effect().equals("DEDUPLICATED")) {
+                text.append(
+                        String.format(
+                                Locale.ROOT,
+                                " dedup_span: %s dedup_memory_ms: %f",
+                                mix.span(),
+                                mix.memoryMs()));
+            }
+            text.append(counted ? " vocabulary: \"v\" }\n" : " }\n");
+        }
+        return text.toString();
+    }
+
+    /** What the rules of a script's drill are stated in. */
+    public static RuleChecker.Figures figures(TestScript script) {
+        Map<Long, EngineProfile> makes = new HashMap<>();
+        makes(script).forEach(make -> makes.put(make.id(), make));
+        Map<String, TrafficClass> products = new HashMap<>();
+        for (TestScript.Mix mix : script.products()) {
+            products.put(
+                    mix.name(),
+                    new TrafficClass(
+                            mix.name(),
+                            Effect.valueOf(mix.effect()),
+                            DeduplicationScope.valueOf(mix.span()),
+                            mix.memoryMs(),
+                            mix.revenue(),
+                            0.1,
+                            mix.sloMs(),
+                            0,
+                            60));
+        }
+        return new RuleChecker.Figures(
+                DRAIN_GRACE_MS, RELEASE_MS, TIP_MULTIPLE, TIP_MS, SLACK_MS, products, makes);
+    }
+
+    // ------------------------------------------------------------------ troubles
+
+    private void begin(TestScript.Trouble trouble) {
+        log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
+        if (!trouble.kind().equals("kill_front")) {
+            trouble.engines().forEach(id -> begin(trouble, id));
+        }
+        switch (trouble.kind()) {
+            case "burst" -> {
+                load.rate(trouble.size());
+                vertx.setTimer((long) trouble.forMs(), timer -> load.rate(1));
+            }
+            case "bad_list" -> {
+                write("engines:\n  - id: 1\n    host: 127.0.0.1\n    por");
+                vertx.setTimer((long) trouble.forMs(), timer -> write(null));
+            }
+            case "kill_front" -> {
+                for (long front : trouble.engines()) {
+                    log.add(TrafficEvent.Kind.FRONT_KILLED, front - 1, null, null, 0, null);
+                    processes.kill((int) front - 1);
+                    vertx.setTimer(
+                            (long) Math.max(1, trouble.forMs()),
+                            timer ->
+                                    vertx.executeBlocking(
+                                            () -> {
+                                                processes.again((int) front - 1);
+                                                return null;
+                                            }));
+                }
+            }
+            case "drain", "remove" -> {
+                write(null);
+                tellList(trouble.engines(), trouble.kind().equals("drain") ? "draining" : "gone");
+                vertx.setTimer(
+                        (long) trouble.forMs(),
+                        timer -> {
+                            for (long id : trouble.engines()) {
+                                fleet.say(id, "ready", true, fleet.said(id).startMs());
+                            }
+                            tellList(trouble.engines(), "ready");
+                            write(null);
+                        });
+            }
+            default -> {}
+        }
+    }
+
+    private void begin(TestScript.Trouble trouble, long id) {
+        switch (trouble.kind()) {
+            case "crash" -> crash(trouble, id);
+            case "drain" -> fleet.say(id, "draining", true, fleet.said(id).startMs());
+            case "remove" -> fleet.say(id, "ready", false, fleet.said(id).startMs());
+            case "flush" -> fleet.on(id, engine -> engine.flush());
+            case "bad_list", "burst" -> {}
+            default -> {
+                fleet.on(
+                        id,
+                        engine -> {
+                            switch (trouble.kind()) {
+                                case "pause" ->
+                                        engine.mood.pausedUntilMs =
+                                                System.currentTimeMillis() + trouble.forMs();
+                                case "slow" -> engine.mood.slowness = trouble.size();
+                                case "stall" -> engine.mood.stallsAbove = (int) trouble.size();
+                                case "lost" -> engine.mood.lostShare = Math.min(1, trouble.size());
+                                case "full" -> engine.mood.full = true;
+                                case "faulty" -> engine.mood.faulty = true;
+                                case "broken" ->
+                                        engine.mood.brokenShare = Math.min(1, trouble.size());
+                                case "torn" -> engine.mood.torn = true;
+                                case "garbled" ->
+                                        engine.mood.garbledShare = Math.min(1, trouble.size());
+                                case "forgetful" -> engine.mood.forgetful = true;
+                                case "lag" -> engine.mood.reportLagMs = trouble.size();
+                                default -> throw new IllegalStateException(trouble.kind());
+                            }
+                        });
+                vertx.setTimer(
+                        Math.max(1, (long) trouble.forMs()),
+                        timer -> fleet.on(id, e -> e.mood.clear()));
+            }
+        }
+    }
+
+    /** Dies at once; the list tells of it late, and of its cold return when that is over. */
+    private void crash(TestScript.Trouble trouble, long id) {
+        fleet.on(id, engine -> engine.crash());
+        vertx.setTimer(
+                (long) script.listLagMs(),
+                timer -> {
+                    fleet.say(id, "ready", false, 0);
+                    write(null);
+                    tellList(List.of(id), "gone");
+                });
+        vertx.setTimer(
+                (long) Math.max(script.listLagMs() + 200, trouble.forMs()),
+                timer ->
+                        fleet.on(
+                                id,
+                                engine ->
+                                        engine.start(0, true)
+                                                .onSuccess(
+                                                        port -> {
+                                                            double startedMs = engine.startedMs();
+                                                            vertx.setTimer(
+                                                                    50,
+                                                                    told -> {
+                                                                        fleet.say(
+                                                                                id, "ready", true,
+                                                                                startedMs);
+                                                                        tellList(
+                                                                                List.of(id),
+                                                                                "ready");
+                                                                        write(null);
+                                                                    });
+                                                        })));
+    }
+
+    private void tellList(List<Long> ids, String mode) {
+        ids.forEach(id -> log.add(TrafficEvent.Kind.LISTED, id, null, null, 0, mode));
+    }
+
+    private void write(String broken) {
+        try {
+            if (broken == null) {
+                fleet.writeList(list);
+            } else {
+                Files.writeString(list, broken);
+            }
+        } catch (IOException e) {
+            throw new IllegalStateException("the list can't be written", e);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -0,0 +1,209 @@
+package larchridge.systemtest;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import java.util.List;
+import java.util.Random;
+
+/**
+ * A drill: engines, load and troubles against time, milliseconds from the start. Fields that a file
+ * leaves out have the defaults of {@link TestScriptReader}. Engines count by the encoding, or four
+ * characters a token where there is none; fronts count by it too if counted, or guess from bytes.
+ */
+public record TestScript(
+        @JsonProperty("seed") long seed,
+        @JsonProperty("fronts") int fronts,
+        @JsonProperty("duration_ms") double durationMs,
+        @JsonProperty("rate_per_s") double ratePerS,
+        @JsonProperty("list_lag_ms") double listLagMs,
+        @JsonProperty("probes") boolean probes,
+        @JsonProperty("processes") boolean processes,
+        @JsonProperty("encoding") String encoding,
+        @JsonProperty("counted") boolean counted,
+        @JsonProperty("tenants") List<Tenant> tenants,
+        @JsonProperty("engines") List<Group> engines,
+        @JsonProperty("products") List<Mix> products,
+        @JsonProperty("batches") List<Batch> batches,
+        @JsonProperty("clients") Clients clients,
+        @JsonProperty("troubles") List<Trouble> troubles) {
+
+    /**
+     * So many engines of one role; they are spread over the zones, and in each zone over its racks.
+     */
+    public record Group(
+            @JsonProperty("role") String role,
+            @JsonProperty("count") int count,
+            @JsonProperty("zones") List<String> zones,
+            @JsonProperty("racks") int racks,
+            @JsonProperty("speed") double speed) {}
+
+    /**
+     * A tenant's part of the load, and its budget in tokens a second with its burst; 0 is no limit.
+     */
+    public record Tenant(
+            @JsonProperty("name") String name,
+            @JsonProperty("share") double share,
+            @JsonProperty("tokens_per_second") double toksPerS,
+            @JsonProperty("burst_tokens") double burstToks) {}
+
+    /** A product by its share of the load. */
+    public Mix anyMix(Random random) {
+        double draw = random.nextDouble() * products.stream().mapToDouble(Mix::share).sum();
+        for (Mix one : products) {
+            draw -= one.share();
+            if (draw <= 0) {
+                return one;
+            }
+        }
+        return products.get(products.size() - 1);
+    }
+
+    /** A tenant by its share of the load. */
+    public Tenant anyTenant(Random random) {
+        double draw = random.nextDouble() * tenants.stream().mapToDouble(Tenant::share).sum();
+        for (Tenant one : tenants) {
+            draw -= one.share();
+            if (draw <= 0) {
+                return one;
+            }
+        }
+        return tenants.get(tenants.size() - 1);
+    }
+
+    /** The same script with another seed. */
+    public TestScript withSeed(long other) {
+        return new TestScript(
+                other,
+                fronts,
+                durationMs,
+                ratePerS,
+                listLagMs,
+                probes,
+                processes,
+                encoding,
+                counted,
+                tenants,
+                engines,
+                products,
+                batches,
+                clients,
+                troubles);
+    }
+
+    /** The same script with so many times the load and the engines, and so many fronts. */
+    public TestScript scaled(double load, double fleet, int others) {
+        List<Group> groups =
+                engines.stream()
+                        .map(
+                                group ->
+                                        new Group(
+                                                group.role,
+                                                (int) Math.max(1, Math.round(group.count * fleet)),
+                                                group.zones,
+                                                group.racks,
+                                                group.speed))
+                        .toList();
+        return new TestScript(
+                seed,
+                others,
+                durationMs,
+                ratePerS * load,
+                listLagMs,
+                probes,
+                processes,
+                encoding,
+                counted,
+                tenants,
+                groups,
+                products,
+                batches,
+                clients,
+                troubles);
+    }
+
+    /** The same script with other troubles. */
+    public TestScript withTroubles(List<Trouble> others) {
+        return new TestScript(
+                seed,
+                fronts,
+                durationMs,
+                ratePerS,
+                listLagMs,
+                probes,
+                processes,
+                encoding,
+                counted,
+                tenants,
+                engines,
+                products,
+                batches,
+                clients,
+                others);
+    }
+
+    /** The same script without its batches. */
+    public TestScript withoutBatches() {
+        return new TestScript(
+                seed,
+                fronts,
+                durationMs,
+                ratePerS,
+                listLagMs,
+                probes,
+                processes,
+                encoding,
+                counted,
+                tenants,
+                engines,
+                products,
+                List.of(),
+                clients,
+                troubles);
+    }
+
+    /** A product's part of the load. */
+    public record Mix(
+            @JsonProperty("name") String name,
+            @JsonProperty("share") double share,
+            @JsonProperty("effect") String effect,
+            @JsonProperty("span") String span,
+            @JsonProperty("memory_ms") double memoryMs,
+            @JsonProperty("revenue") double revenue,
+            @JsonProperty("slo_ms") double sloMs,
+            @JsonProperty("time_limit_ms") double limitMs,
+            @JsonProperty("prompt_tokens") int promptToks,
+            @JsonProperty("shared_tokens") int sharedToks,
+            @JsonProperty("prefixes") int prefixes,
+            @JsonProperty("output_tokens") int outToks,
+            @JsonProperty("turns") double turns,
+            @JsonProperty("text") String text) {}
+
+    /**
+     * A batch of one of the products; what is not done when the drill's time is over is cancelled
+     * then.
+     */
+    public record Batch(
+            @JsonProperty("at_ms") double atMs,
+            @JsonProperty("lines") int lines,
+            @JsonProperty("product") String product,
+            @JsonProperty("prompt_tokens") int promptToks,
+            @JsonProperty("output_tokens") int outToks) {}
+
+    /** What clients do: shares of all tries. */
+    public record Clients(
+            @JsonProperty("retries") int retries,
+            @JsonProperty("retry_ms") double retryMs,
+            @JsonProperty("leave_share") double leaveShare,
+            @JsonProperty("slow_share") double slowShare,
+            @JsonProperty("whole_share") double wholeShare) {}
+
+    /**
+     * A trouble: from when, for how long, what, on which engines (ids; fronts, from 1, for
+     * kill_front), how strong.
+     */
+    public record Trouble(
+            @JsonProperty("at_ms") double atMs,
+            @JsonProperty("for_ms") double forMs,
+            @JsonProperty("kind") String kind,
+            @JsonProperty("engines") List<Long> engines,
+            @JsonProperty("size") double size) {}
+}
--- a/src/main/java/larchridge/enginelink/EngineLink.java
+++ b/src/main/java/larchridge/upstream/UpstreamClient.java
@@ -1,25 +1,28 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 
 /** How engines are spoken to; one implementation a protocol, one instance a front. */
-public interface EngineLink {
+public interface UpstreamClient {
     /** Sends an attempt that reads a prompt and leaves its state there. */
-    Flight read(Order order, Hearing hearing);
+    Flight read(AttemptRequest order, AttemptListener hearing);
 
     /** Sends an attempt that writes the answer. */
-    Flight write(Order order, Hearing hearing);
+    Flight write(AttemptRequest order, AttemptListener hearing);
 
     /** Lets go of the state that a read attempt left or may have left. */
-    void release(Spot spot, String rid);
+    void release(Endpoint spot, String rid);
 
     /** Asks an engine for its load. */
-    void probe(Spot spot, Told told);
+    void probe(Endpoint spot, Told told);
 
     /** Hears what an engine answered to a probe. */
     interface Told {
-        /** Whether it answered in time, and the load that it told, or null: an engine may answer without knowing it yet. */
-        void told(boolean answered, Report report);
+        /**
+         * Whether it answered in time, and the load that it told, or null: an engine may answer
+         * without knowing it yet.
+         */
+        void told(boolean answered, LoadReport report);
     }
 
     /** Whether a release is under way that no engine has taken yet. */
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -5,22 +5,25 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import larchridge.enginelink.Spot;
+import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
-import larchridge.state.Product;
 import larchridge.state.Role;
-import larchridge.state.Span;
+import larchridge.state.TrafficClass;
+import larchridge.upstream.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each invariant is broken once by events as the sockets would tell them, and counted; an orderly day breaks none. */
+/**
+ * Each invariant is broken once by events as the sockets would tell them, and counted; an orderly
+ * day breaks none.
+ */
 class RequestAuditTest {
     private static final String ID = "9b1f03aa5c7e2d41";
-    private static final Spot READER = new Spot("10.0.0.1", 8443);
-    private static final Spot WRITER = new Spot("10.0.0.2", 8443);
-    private static final Spot OTHER_RACK = new Spot("10.0.0.3", 8443);
-    private static final Spot COLD = new Spot("10.0.0.4", 8443);
+    private static final Endpoint READER = new Endpoint("10.0.0.1", 8443);
+    private static final Endpoint WRITER = new Endpoint("10.0.0.2", 8443);
+    private static final Endpoint OTHER_RACK = new Endpoint("10.0.0.3", 8443);
+    private static final Endpoint COLD = new Endpoint("10.0.0.4", 8443);
     private static final double GRACE_MS = 250;
     private static final double RELEASE_MS = 1000;
     private static final double WINDOW_MS = 2000;
@@ -28,9 +31,13 @@
 
     private double nowMs = 1_000_000;
     private final Violations violations = new Violations(new SimpleMeterRegistry());
-    private final RequestAudit audit = new RequestAudit(new AuditTerms(GRACE_MS, RELEASE_MS, 8000, 0.3, 4, 1500, false),
-            () -> nowMs, violations, new CloseCounters(new SimpleMeterRegistry()));
-    private final Map<Spot, AuditedEngine> engines = new LinkedHashMap<>();
+    private final RequestAudit audit =
+            new RequestAudit(
+                    new AuditSettings(GRACE_MS, RELEASE_MS, 8000, 0.3, 4, 1500, false),
+                    () -> nowMs,
+                    violations,
+                    new CloseCounters(new SimpleMeterRegistry()));
+    private final Map<Endpoint, AuditedEngine> engines = new LinkedHashMap<>();
 
     RequestAuditTest() {
         engines.put(READER, new AuditedEngine(true, Role.READER, "a", 1, 1, 0));
@@ -40,20 +47,23 @@
         audit.listed(engines);
     }
 
-    private void accept(String id, Effect effect, Span span) {
-        audit.accepted(id, new Product("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60), nowMs + TOLD_MS);
+    private void accept(String id, Effect effect, DeduplicationScope span) {
+        audit.accepted(
+                id,
+                new TrafficClass("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60),
+                nowMs + TOLD_MS);
     }
 
-    private int write(String id, Spot spot, boolean reads) {
+    private int write(String id, Endpoint spot, boolean reads) {
         return audit.attemptWritten(id, spot, reads, 100);
     }
 
     private void readAndHold() {
-        accept(ID, Effect.IDEMPOTENT, Span.ALL);
+        accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
         audit.read(ID, write(ID, READER, true));
     }
 
-    private void writeThatMayHaveRun(Effect effect, Span span) {
+    private void writeThatMayHaveRun(Effect effect, DeduplicationScope span) {
         accept(ID, effect, span);
         audit.read(ID, write(ID, READER, true));
         audit.ended(ID, write(ID, WRITER, false), "CUT", false, false);
@@ -91,36 +101,36 @@
     private void breach(Invariant invariant) {
         switch (invariant) {
             case ONE_FINAL_ANSWER -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.answered(ID, "throttled");
                 audit.answered(ID, "throttled");
             }
             case ANSWER_IN_TIME -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 nowMs += TOLD_MS + 600;
                 audit.check();
             }
             case NO_ATTEMPT_AFTER_CLOSE -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.clientClosed(ID);
                 write(ID, READER, true);
             }
             case NO_ATTEMPT_AFTER_ANSWER -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.answered(ID, "throttled");
                 write(ID, READER, true);
             }
             case NO_FORBIDDEN_COPY -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 write(ID, READER, true);
                 write(ID, READER, true);
             }
             case NO_FORBIDDEN_REPEAT -> {
-                writeThatMayHaveRun(Effect.SIDE_EFFECTING, Span.ALL);
+                writeThatMayHaveRun(Effect.SIDE_EFFECTING, DeduplicationScope.ALL);
                 write(ID, WRITER, false);
             }
             case NO_SEND_PAST_GRACE -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 engines.put(READER, new AuditedEngine(false, Role.READER, "a", 1, 1, 0));
                 audit.listed(engines);
                 nowMs += GRACE_MS + 1;
@@ -128,12 +138,12 @@
             }
             case COLD_BUDGET -> {
                 for (int i = 0; i < 4; i++) {
-                    accept(ID + i, Effect.IDEMPOTENT, Span.ALL);
+                    accept(ID + i, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                     write(ID + i, COLD, false);
                 }
             }
             case TIME_TOLD -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.attemptWritten(ID, READER, true, TOLD_MS + 151);
             }
             case STATE_RELEASED -> {
@@ -143,7 +153,7 @@
                 audit.check();
             }
             case ALL_GIVEN_BACK -> {
-                accept(ID, Effect.IDEMPOTENT, Span.ALL);
+                accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 write(ID, READER, true);
                 audit.answered(ID, "throttled");
                 nowMs += 31_000;
@@ -164,7 +174,7 @@
 
     @Test
     void repeatInItsGroupAndWindowBreaksNothing() {
-        writeThatMayHaveRun(Effect.DEDUPLICATED, Span.RACK);
+        writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         nowMs += WINDOW_MS - 1;
         write(ID, WRITER, false);
         assertEquals(0, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
@@ -172,7 +182,7 @@
 
     @Test
     void repeatAfterItsWindowOrOutsideItsGroupIsCounted() {
-        writeThatMayHaveRun(Effect.DEDUPLICATED, Span.RACK);
+        writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         write(ID, OTHER_RACK, false);
         assertEquals(1, violations.count(Invariant.NO_FORBIDDEN_REPEAT));
         audit.ended(ID, 2, "CUT", false, false);
@@ -183,7 +193,7 @@
 
     @Test
     void engineThatNoListNamesIsCounted() {
-        write(ID, new Spot("10.0.0.9", 8443), true);
+        write(ID, new Endpoint("10.0.0.9", 8443), true);
         assertEquals(1, violations.count(Invariant.NO_SEND_PAST_GRACE));
     }
 }
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -16,7 +16,10 @@
 import larchridge.store.form.StateForm;
 import org.junit.jupiter.api.Test;
 
-/** Batches in virtual time: their ways, their ends, a disk that fails, and a process that ends at each place it writes. */
+/**
+ * Batches in virtual time: their ways, their ends, a disk that fails, and a process that ends at
+ * each place it writes.
+ */
 class BatchesTest {
     private static final double HOUR = 3_600_000;
 
@@ -30,27 +33,32 @@
 
     @Test
     void eachLineHasItsRecordInOrderOfTheInput() throws Exception {
-        try (BatchStage stage = new BatchStage()) {
-            BatchForm batch = stage.make(stage.upload(BatchStage.file(40)), HOUR);
+        try (BatchFixture stage = new BatchFixture()) {
+            BatchForm batch = stage.make(stage.upload(BatchFixture.file(40)), HOUR);
             stage.loop.run(60_000);
             BatchForm done = stage.batches.batch(batch.getId());
             assertEquals(StateForm.COMPLETED, done.getState());
             assertEquals(ids(40), stage.records(done.getOutput()).keySet());
             assertEquals("", done.getErrors());
-            assertEquals("w1 w2 ", stage.records(done).get("c7").at("/response/body/content/0/text").asText());
+            assertEquals(
+                    "w1 w2 ",
+                    stage.records(done).get("c7").at("/response/body/content/0/text").asText());
             assertTrue(stage.mostOut <= 8, "out at a time: " + stage.mostOut);
             assertEquals(List.of(), stage.store.verify());
         }
     }
 
-    /** Danger: a line that is read again to be sent would move the place at which the rest of a large input is read. */
+    /**
+     * Danger: a line that is read again to be sent would move the place at which the rest of a
+     * large input is read.
+     */
     @Test
     void inputLargerThanAnyBufferIsReadWhole() throws Exception {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 300; i++) {
-            text.append(BatchStage.line("c" + i, "free", "ok " + "y".repeat(1500))).append('\n');
+            text.append(BatchFixture.line("c" + i, "free", "ok " + "y".repeat(1500))).append('\n');
         }
-        try (BatchStage stage = new BatchStage()) {
+        try (BatchFixture stage = new BatchFixture()) {
             BatchForm batch = stage.make(stage.upload(text.toString()), HOUR);
             stage.loop.run(120_000);
             assertEquals(300, stage.records(stage.batches.batch(batch.getId()).getOutput()).size());
@@ -59,19 +67,39 @@
 
     @Test
     void brokenLinesFailTheBatchBeforeAnythingRuns() throws Exception {
-        String good = BatchStage.line("a", "free", "ok");
-        String text = "\uFEFF" + good + "\r\n\n{\"custom_id\": \n" + good + "\n" + "x".repeat(5000) + "\n"
-                + good.replace("\"a\"", "\"b\"").replace("POST", "GET") + "\n"
-                + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
-        try (BatchStage stage = new BatchStage()) {
+        String good = BatchFixture.line("a", "free", "ok");
+        String text =
+                "\uFEFF"
+                        + good
+                        + "\r\n\n{\"custom_id\": \n"
+                        + good
+                        + "\n"
+                        + "x".repeat(5000)
+                        + "\n"
+                        + good.replace("\"a\"", "\"b\"").replace("POST", "GET")
+                        + "\n"
+                        + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
+        try (BatchFixture stage = new BatchFixture()) {
             BatchForm batch = stage.make(stage.upload(text), HOUR);
             stage.loop.run(1000);
             BatchForm failed = stage.batches.batch(batch.getId());
             assertEquals(StateForm.FAILED, failed.getState());
-            assertEquals(List.of("3 invalid_json_line", "4 duplicate_custom_id custom_id", "5 line_too_long",
-                    "6 invalid_method method", "7 mismatched_endpoint url"), failed.getFaultList().stream()
-                    .map(f -> (f.getLine() + " " + f.getCode() + " " + f.getField()).strip()).toList());
-            assertTrue(failed.getFault(1).getMessage().endsWith("of line 1"), failed.getFault(1).getMessage());
+            assertEquals(
+                    List.of(
+                            "3 invalid_json_line",
+                            "4 duplicate_custom_id custom_id",
+                            "5 line_too_long",
+                            "6 invalid_method method",
+                            "7 mismatched_endpoint url"),
+                    failed.getFaultList().stream()
+                            .map(
+                                    f ->
+                                            (f.getLine() + " " + f.getCode() + " " + f.getField())
+                                                    .strip())
+                            .toList());
+            assertTrue(
+                    failed.getFault(1).getMessage().endsWith("of line 1"),
+                    failed.getFault(1).getMessage());
             assertTrue(stage.ran.isEmpty());
             assertTrue(stage.store.delete(stage.store.file(failed.getInput())));
         }
@@ -79,10 +107,19 @@
 
     @Test
     void linesThatFailGoAgainByTheirEffect() throws Exception {
-        String text = BatchStage.line("free2", "free", "fail 2") + "\n" + BatchStage.line("free9", "free", "fail 9") + "\n"
-                + BatchStage.line("once", "once", "fail 1") + "\n" + BatchStage.line("busy", "once", "busy 5") + "\n"
-                + BatchStage.line("dedup", "dedup", "fail 1") + "\n" + BatchStage.line("nobody", "unknown", "ok");
-        try (BatchStage stage = new BatchStage()) {
+        String text =
+                BatchFixture.line("free2", "free", "fail 2")
+                        + "\n"
+                        + BatchFixture.line("free9", "free", "fail 9")
+                        + "\n"
+                        + BatchFixture.line("once", "once", "fail 1")
+                        + "\n"
+                        + BatchFixture.line("busy", "once", "busy 5")
+                        + "\n"
+                        + BatchFixture.line("dedup", "dedup", "fail 1")
+                        + "\n"
+                        + BatchFixture.line("nobody", "unknown", "ok");
+        try (BatchFixture stage = new BatchFixture()) {
             BatchForm batch = stage.make(stage.upload(text), HOUR);
             stage.loop.run(300_000);
             BatchForm done = stage.batches.batch(batch.getId());
@@ -93,7 +130,8 @@
             assertEquals("may_have_run", errors.get("once").at("/error/code").asText());
             assertEquals("may_have_run", errors.get("dedup").at("/error/code").asText());
             assertEquals(404, errors.get("nobody").at("/response/status_code").asInt());
-            assertEquals(Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1), stage.ran);
+            assertEquals(
+                    Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1), stage.ran);
             assertEquals(2, done.getDone());
             assertEquals(4, done.getFailed());
         }
@@ -101,8 +139,8 @@
 
     @Test
     void cancelledBatchKeepsWhatWasAnsweredAndNamesTheRest() throws Exception {
-        try (BatchStage stage = new BatchStage()) {
-            BatchForm batch = stage.make(stage.upload(BatchStage.file(400)), HOUR);
+        try (BatchFixture stage = new BatchFixture()) {
+            BatchForm batch = stage.make(stage.upload(BatchFixture.file(400)), HOUR);
             stage.loop.run(300);
             assertEquals(StateForm.CANCELLING, stage.batches.cancel(batch.getId()).getState());
             stage.loop.run(5000);
@@ -110,15 +148,17 @@
             assertEquals(StateForm.CANCELLED, done.getState());
             assertEquals(ids(400), stage.records(done).keySet());
             assertTrue(done.getDone() > 0 && done.getFailed() > 0, done.toString());
-            assertEquals("batch_cancelled", stage.records(done.getErrors()).get("c399").at("/error/code").asText());
+            assertEquals(
+                    "batch_cancelled",
+                    stage.records(done.getErrors()).get("c399").at("/error/code").asText());
             assertNull(stage.batches.cancel(batch.getId()));
         }
     }
 
     @Test
     void batchThatExpiresWithLinesOutSaysThatTheyMayHaveRun() throws Exception {
-        String text = BatchStage.file(3) + BatchStage.line("long", "free", "never") + "\n";
-        try (BatchStage stage = new BatchStage()) {
+        String text = BatchFixture.file(3) + BatchFixture.line("long", "free", "never") + "\n";
+        try (BatchFixture stage = new BatchFixture()) {
             BatchForm batch = stage.make(stage.upload(text), 10_000);
             stage.loop.run(11_000);
             BatchForm done = stage.batches.batch(batch.getId());
@@ -133,8 +173,8 @@
 
     @Test
     void inputIsNotDeletedWhileItIsRead() throws Exception {
-        try (BatchStage stage = new BatchStage()) {
-            FileForm input = stage.upload(BatchStage.file(3));
+        try (BatchFixture stage = new BatchFixture()) {
+            FileForm input = stage.upload(BatchFixture.file(3));
             stage.make(input, HOUR);
             assertFalse(stage.store.delete(input));
             stage.loop.run(60_000);
@@ -145,15 +185,22 @@
     /** Danger: a disk that is full for a while must cost no line its record. */
     @Test
     void diskThatFailsForAWhileLosesNothing() throws Exception {
-        for (String failing : List.of("record flight", "record answers", "sync incoming", "finish batch", "update batch")) {
-            try (BatchStage stage = new BatchStage()) {
-                BatchForm batch = stage.make(stage.upload(BatchStage.file(30)), HOUR);
+        for (String failing :
+                List.of(
+                        "record flight",
+                        "record answers",
+                        "sync incoming",
+                        "finish batch",
+                        "update batch")) {
+            try (BatchFixture stage = new BatchFixture()) {
+                BatchForm batch = stage.make(stage.upload(BatchFixture.file(30)), HOUR);
                 double from = stage.loop.nowMs();
-                stage.points = name -> {
-                    if (name.equals(failing) && stage.loop.nowMs() < from + 5000) {
-                        throw new IOException("No space left on device");
-                    }
-                };
+                stage.points =
+                        name -> {
+                            if (name.equals(failing) && stage.loop.nowMs() < from + 5000) {
+                                throw new IOException("No space left on device");
+                            }
+                        };
                 stage.loop.run(60_000);
                 BatchForm done = stage.batches.batch(batch.getId());
                 assertEquals(StateForm.COMPLETED, done.getState(), failing);
@@ -165,8 +212,8 @@
 
     @Test
     void manySmallBatchesAllEnd() throws Exception {
-        try (BatchStage stage = new BatchStage()) {
-            FileForm input = stage.upload(BatchStage.file(2));
+        try (BatchFixture stage = new BatchFixture()) {
+            FileForm input = stage.upload(BatchFixture.file(2));
             for (int i = 0; i < 300; i++) {
                 stage.make(input, HOUR);
             }
@@ -178,14 +225,30 @@
 
     // ------------------------------------------------------------------ ends of the process
 
-    private static final String MIXED = BatchStage.line("ok1", "free", "ok") + "\n\n" + BatchStage.line("once1", "once", "ok")
-            + "\n" + BatchStage.line("fail1", "free", "fail 1") + "\n" + BatchStage.line("busy1", "once", "busy 1") + "\n"
-            + BatchStage.line("bad", "unknown", "ok") + "\n" + BatchStage.line("once2", "once", "slow 300") + "\n"
-            + BatchStage.line("ok2", "free", "slow 200") + "\n";
-    private static final Set<String> MIXED_IDS = Set.of("ok1", "once1", "fail1", "busy1", "bad", "once2", "ok2");
+    private static final String MIXED =
+            BatchFixture.line("ok1", "free", "ok")
+                    + "\n\n"
+                    + BatchFixture.line("once1", "once", "ok")
+                    + "\n"
+                    + BatchFixture.line("fail1", "free", "fail 1")
+                    + "\n"
+                    + BatchFixture.line("busy1", "once", "busy 1")
+                    + "\n"
+                    + BatchFixture.line("bad", "unknown", "ok")
+                    + "\n"
+                    + BatchFixture.line("once2", "once", "slow 300")
+                    + "\n"
+                    + BatchFixture.line("ok2", "free", "slow 200")
+                    + "\n";
+    private static final Set<String> MIXED_IDS =
+            Set.of("ok1", "once1", "fail1", "busy1", "bad", "once2", "ok2");
 
-    /** One client's day: it uploads, makes a batch, and after each end of the process looks for what it was promised. */
-    private static BatchForm play(BatchStage stage, boolean cancels, int atMost) throws Exception {
+    /**
+     * One client's day: it uploads, makes a batch, and after each end of the process looks for what
+     * it was promised.
+     */
+    private static BatchForm play(BatchFixture stage, boolean cancels, int atMost)
+            throws Exception {
         FileForm input = null;
         BatchForm batch = null;
         boolean asked = false;
@@ -197,7 +260,10 @@
                 }
                 if (batch == null) {
                     List<String> kept = stage.store.page("g", 'b', -1, 10);
-                    batch = kept.isEmpty() ? stage.make(input, HOUR) : stage.batches.batch(kept.get(0));
+                    batch =
+                            kept.isEmpty()
+                                    ? stage.make(input, HOUR)
+                                    : stage.batches.batch(kept.get(0));
                 }
                 if (cancels && !asked) {
                     stage.loop.run(60);
@@ -206,7 +272,7 @@
                 }
                 stage.loop.run(120_000);
                 return stage.batches.batch(batch.getId());
-            } catch (BatchStage.Halt e) {
+            } catch (BatchFixture.Halt e) {
                 stage.store.close();
                 reopen(stage);
             }
@@ -214,23 +280,25 @@
         throw new AssertionError("did not end");
     }
 
-    private static void reopen(BatchStage stage) throws Exception {
+    private static void reopen(BatchFixture stage) throws Exception {
         while (true) {
             try {
                 stage.begin();
                 return;
-            } catch (BatchStage.Halt e) {
+            } catch (BatchFixture.Halt e) {
                 stage.store.close();
             }
         }
     }
 
-    private static void whole(BatchStage stage, BatchForm done, String about) throws Exception {
+    private static void whole(BatchFixture stage, BatchForm done, String about) throws Exception {
         assertEquals(MIXED_IDS, stage.records(done).keySet(), about);
         assertEquals(MIXED_IDS.size(), done.getDone() + done.getFailed(), about);
         assertEquals(List.of(), stage.store.verify(), about);
         for (String once : List.of("once1", "once2", "busy1")) {
-            assertTrue(stage.ran.getOrDefault(once, 0) <= 1, about + ": " + once + " ran " + stage.ran.get(once) + " times");
+            assertTrue(
+                    stage.ran.getOrDefault(once, 0) <= 1,
+                    about + ": " + once + " ran " + stage.ran.get(once) + " times");
         }
         assertTrue(stage.store.active().isEmpty(), about);
     }
@@ -238,18 +306,25 @@
     @Test
     void processThatEndsAtAnyWriteLosesNoLineAndDoublesNone() throws Exception {
         for (boolean cancels : new boolean[] {false, true}) {
-            BatchStage.HaltAt count = new BatchStage.HaltAt(-1);
-            try (BatchStage stage = new BatchStage()) {
+            BatchFixture.HaltAt count = new BatchFixture.HaltAt(-1);
+            try (BatchFixture stage = new BatchFixture()) {
                 stage.points = count;
                 whole(stage, play(stage, cancels, 1), "undisturbed");
             }
             assertTrue(count.passed.size() > 30, "only " + count.passed.size() + " writes");
             for (int at = 1; at <= count.passed.size(); at++) {
-                try (BatchStage stage = new BatchStage()) {
-                    BatchStage.HaltAt halt = new BatchStage.HaltAt(at);
+                try (BatchFixture stage = new BatchFixture()) {
+                    BatchFixture.HaltAt halt = new BatchFixture.HaltAt(at);
                     stage.points = halt;
-                    whole(stage, play(stage, cancels, 3), "ended at write " + at + " (" + count.passed.get(at - 1) + "), cancels "
-                            + cancels);
+                    whole(
+                            stage,
+                            play(stage, cancels, 3),
+                            "ended at write "
+                                    + at
+                                    + " ("
+                                    + count.passed.get(at - 1)
+                                    + "), cancels "
+                                    + cancels);
                 }
             }
         }
@@ -260,14 +335,15 @@
         int all = 0;
         for (long seed = 1; seed <= 3; seed++) {
             java.util.Random random = new java.util.Random(seed);
-            try (BatchStage stage = new BatchStage()) {
+            try (BatchFixture stage = new BatchFixture()) {
                 int[] ends = new int[1];
-                stage.points = name -> {
-                    if (ends[0] < 25 && random.nextInt(6) == 0) {
-                        ends[0]++;
-                        throw new BatchStage.Halt();
-                    }
-                };
+                stage.points =
+                        name -> {
+                            if (ends[0] < 25 && random.nextInt(6) == 0) {
+                                ends[0]++;
+                                throw new BatchFixture.Halt();
+                            }
+                        };
                 whole(stage, play(stage, false, 60), "seed " + seed);
                 all += ends[0];
             }
--- a/src/test/java/larchridge/experiment/ExperimentTest.java
+++ b/src/test/java/larchridge/experiment/ExperimentTest.java
@@ -10,8 +10,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import larchridge.drill.Script;
-import larchridge.drill.ScriptReader;
+import larchridge.systemtest.TestScript;
+import larchridge.systemtest.TestScriptReader;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,9 @@
     @BeforeEach
     void make() throws Exception {
         folder = Files.createTempDirectory("larchridge-experiment");
-        Files.writeString(folder.resolve("s.yaml"), """
+        Files.writeString(
+                folder.resolve("s.yaml"),
+                """
                 duration_ms: 1500
                 rate_per_s: 60
                 engines:
@@ -31,7 +33,9 @@
                 products:
                   - {name: consulta, slo_ms: 600, time_limit_ms: 2500, prompt_tokens: 300, output_tokens: 8}
                 """);
-        Files.writeString(folder.resolve("p.yaml"), """
+        Files.writeString(
+                folder.resolve("p.yaml"),
+                """
                 script: s.yaml
                 seeds: [1, 2]
                 policies: [choice, random]
@@ -50,24 +54,26 @@
 
     @Test
     void planThatWasStoppedGoesOnWhereItWas() throws Exception {
-        Plan plan = Plan.read(folder.resolve("p.yaml"));
+        ExperimentPlan plan = ExperimentPlan.read(folder.resolve("p.yaml"));
         Path table = folder.resolve("results.csv");
-        List<Runs.Row> rows = Runs.run(plan, table, 2);
+        List<ExperimentRunner.Row> rows = ExperimentRunner.run(plan, table, 2);
         assertEquals(8, rows.size());
         String whole = Files.readString(table);
         // Cut in the middle of its last line, as by a kill.
         Files.writeString(table, whole.substring(0, whole.length() - 7));
-        List<Runs.Row> again = Runs.run(plan, table, 2);
-        assertEquals(rows.stream().map(Runs.Row::digest).toList(), again.stream().map(Runs.Row::digest).toList());
+        List<ExperimentRunner.Row> again = ExperimentRunner.run(plan, table, 2);
+        assertEquals(
+                rows.stream().map(ExperimentRunner.Row::digest).toList(),
+                again.stream().map(ExperimentRunner.Row::digest).toList());
         assertEquals(9, Files.readAllLines(table).size());
-        Page.write(plan, rows, folder);
+        ReportPage.write(plan, rows, folder);
         assertTrue(Files.readString(folder.resolve("service.svg")).contains("<svg"));
     }
 
     @Test
     void differencesAreTakenSeedBySeedAndNoiseIsCalledSo() {
-        Page.Mean noise = Page.Mean.of(List.of(0.1, -0.1, 0.05, -0.04));
-        Page.Mean real = Page.Mean.of(List.of(0.1, 0.11, 0.09, 0.1));
+        ReportPage.Mean noise = ReportPage.Mean.of(List.of(0.1, -0.1, 0.05, -0.04));
+        ReportPage.Mean real = ReportPage.Mean.of(List.of(0.1, 0.11, 0.09, 0.1));
         assertFalse(noise.isMoreThanNoise());
         assertTrue(real.isMoreThanNoise());
         assertEquals(0.1, real.value(), 1e-9);
@@ -77,19 +83,27 @@
 
     @Test
     void searchFindsTheSameFromOneSeedAndItsScriptCanBePlayedAgain() throws Exception {
-        Script script = ScriptReader.read(folder.resolve("s.yaml"));
-        Search.Found one = Search.run(script, 3, 6, 2);
-        assertEquals(one, Search.run(script, 3, 6, 2));
-        Files.writeString(folder.resolve("found.yaml"), Search.yaml(one.script()));
-        assertEquals(one.script().troubles(), ScriptReader.read(folder.resolve("found.yaml")).troubles());
+        TestScript script = TestScriptReader.read(folder.resolve("s.yaml"));
+        FaultSearch.Found one = FaultSearch.run(script, 3, 6, 2);
+        assertEquals(one, FaultSearch.run(script, 3, 6, 2));
+        Files.writeString(folder.resolve("found.yaml"), FaultSearch.yaml(one.script()));
+        assertEquals(
+                one.script().troubles(),
+                TestScriptReader.read(folder.resolve("found.yaml")).troubles());
     }
 
     @Test
     void badPlanNamesFileAndField() throws Exception {
         Path bad = folder.resolve("bad.yaml");
         Files.writeString(bad, "script: s.yaml\npolicies: [best]\n");
-        assertTrue(assertThrows(Plan.BadPlan.class, () -> Plan.read(bad)).getMessage().contains("bad.yaml: policies: 'best'"));
+        assertTrue(
+                assertThrows(ExperimentPlan.BadPlan.class, () -> ExperimentPlan.read(bad))
+                        .getMessage()
+                        .contains("bad.yaml: policies: 'best'"));
         Files.writeString(bad, "script: s.yaml\nseed: [1\n");
-        assertTrue(assertThrows(Plan.BadPlan.class, () -> Plan.read(bad)).getMessage().contains("bad.yaml:"));
+        assertTrue(
+                assertThrows(ExperimentPlan.BadPlan.class, () -> ExperimentPlan.read(bad))
+                        .getMessage()
+                        .contains("bad.yaml:"));
     }
 }
--- a/src/test/java/larchridge/inventory/ListReaderTest.java
+++ b/src/test/java/larchridge/inventory/EngineListReaderTest.java
@@ -4,12 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import larchridge.state.Mode;
+import larchridge.state.EndpointState;
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-class ListReaderTest {
-    private static final String GOOD = """
+class EngineListReaderTest {
+    private static final String GOOD =
+            """
             engines:
               - id: 1
                 host: 10.0.0.1
@@ -22,16 +23,29 @@
             """;
 
     private static void fault(String text, String expected) {
-        BadList bad = assertThrows(BadList.class, () -> ListReader.read("e", text));
+        InvalidEngineListException bad =
+                assertThrows(
+                        InvalidEngineListException.class, () -> EngineListReader.read("e", text));
         assertTrue(bad.getMessage().startsWith(expected), bad.getMessage());
     }
 
     @Test
-    void goodListIsRead() throws BadList {
-        Row first = ListReader.read("e", GOOD).get(0);
-        assertEquals(new Row(1, "10.0.0.1", 8000, Role.READER, "west", 3, 1, Double.NaN, 1769846400000.0,
-                Mode.READY), first);
-        assertEquals(Mode.DRAINING, ListReader.read("e", GOOD).get(1).mode());
+    void goodListIsRead() throws InvalidEngineListException {
+        EngineEntry first = EngineListReader.read("e", GOOD).get(0);
+        assertEquals(
+                new EngineEntry(
+                        1,
+                        "10.0.0.1",
+                        8000,
+                        Role.READER,
+                        "west",
+                        3,
+                        1,
+                        Double.NaN,
+                        1769846400000.0,
+                        EndpointState.READY),
+                first);
+        assertEquals(EndpointState.DRAINING, EngineListReader.read("e", GOOD).get(1).mode());
     }
 
     @Test
@@ -39,10 +53,10 @@
         for (int end = 0; end < GOOD.length(); end++) {
             String part = GOOD.substring(0, end);
             try {
-                for (Row row : ListReader.read("e", part)) {
+                for (EngineEntry row : EngineListReader.read("e", part)) {
                     assertTrue(row.port() > 0 && row.role() != null);
                 }
-            } catch (BadList e) {
+            } catch (InvalidEngineListException e) {
                 assertTrue(e.getMessage().startsWith("e:"), e.getMessage());
             }
         }
@@ -52,10 +66,14 @@
     void faultsNameLineAndField() {
         fault(GOOD.replace("role: reader", "role: reeder"), "e:5: engines[0].role: is 'reeder'");
         fault(GOOD.replace("    port: 8000\n", ""), "e:2: engines[0].port: missing");
-        fault(GOOD.replace("port: 8000", "port: x"), "e:4: engines[0].port: is 'x'; expected a number");
+        fault(
+                GOOD.replace("port: 8000", "port: x"),
+                "e:4: engines[0].port: is 'x'; expected a number");
         fault(GOOD.replace("id: 2", "id: 1"), "e:9: id: 1 is also the id of the engine on line 2");
         fault(GOOD.replace("zone: west", "zoon: west"), "e:6: engines[0].zoon: unknown field");
-        fault(GOOD.replace("8000Z", "x").replace("2026-01-31T08:00:00Z", "soon"), "e:8: engines[0].start");
+        fault(
+                GOOD.replace("8000Z", "x").replace("2026-01-31T08:00:00Z", "soon"),
+                "e:8: engines[0].start");
     }
 
     @Test
--- a/src/test/java/larchridge/node/DescriptorExhaustionTest.java
+++ b/src/test/java/larchridge/node/DescriptorExhaustionTest.java
@@ -11,14 +11,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import larchridge.node.Scene.Reply;
+import larchridge.node.NodeFixture.Reply;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node in a process of its own that may open fewer descriptors than it was promised, so that its system calls fail. */
+/**
+ * A node in a process of its own that may open fewer descriptors than it was promised, so that its
+ * system calls fail.
+ */
 @Timeout(60)
 class DescriptorExhaustionTest {
     private static final int DESCRIPTORS = 250;
@@ -26,8 +29,7 @@
     private static final long EXHAUSTED_MS = 1500;
     private static final double RECOVERED_WITHIN_MS = 1000;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private NodeProcess node;
 
     @BeforeEach
@@ -54,7 +56,10 @@
         }
     }
 
-    /** Each call to discovery fails at the socket call; once there are descriptors again the list has to be followed. */
+    /**
+     * Each call to discovery fails at the socket call; once there are descriptors again the list
+     * has to be followed.
+     */
     @Test
     void discoveryIsAskedAgainOnceThereAreDescriptors() throws Exception {
         List<Socket> clients = connectAll();
@@ -65,7 +70,9 @@
         node.discovery.seen.clear();
         closeAll(clients);
         long free = System.nanoTime();
-        assertTrue(node.discovery.seen.poll(8, TimeUnit.SECONDS) != null, "discovery was never asked again");
+        assertTrue(
+                node.discovery.seen.poll(8, TimeUnit.SECONDS) != null,
+                "discovery was never asked again");
         double tookMs = (System.nanoTime() - free) / 1e6;
         assertTrue(tookMs < RECOVERED_WITHIN_MS, "asked again after " + tookMs + " ms");
     }
@@ -77,21 +84,23 @@
         TimeUnit.MILLISECONDS.sleep(200);
         closeAll(clients);
         long free = System.nanoTime();
-        try (Scene.RawClient client = new Scene.RawClient(node.port)) {
-            client.send(Scene.UP);
+        try (NodeFixture.RawClient client = new NodeFixture.RawClient(node.port)) {
+            client.send(NodeFixture.UP);
             assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
         }
         double tookMs = (System.nanoTime() - free) / 1e6;
         assertTrue(tookMs < 500, "accepted after " + tookMs + " ms");
     }
 
-    /** A call for a socket that fails says nothing about the engine, and there is time to try again. */
+    /**
+     * A call for a socket that fails says nothing about the engine, and there is time to try again.
+     */
     @Test
     void requestIsServedWhoseAttemptsFindNoDescriptorForAMoment() throws Exception {
-        Scene.RawClient client = new Scene.RawClient(node.port);
+        NodeFixture.RawClient client = new NodeFixture.RawClient(node.port);
         List<Socket> clients = connectAll();
         TimeUnit.MILLISECONDS.sleep(200);
-        client.send(Scene.ask(Scene.id(), ""));
+        client.send(NodeFixture.ask(NodeFixture.id(), ""));
         TimeUnit.MILLISECONDS.sleep(500);
         closeAll(clients);
         client.socket.setSoTimeout(8000);
--- a/src/test/java/larchridge/node/discovery/StartTimesTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Start times of engines under wall clocks that step; the node's own clock begins at a million. */
-class StartTimesTest {
+class StartTimeConverterTest {
     private static final double HOUR_MS = 3_600_000;
     private static final double NOW_MS = 1_000_000;
     private static final double WALL_MS = 1_700_000_000_000.0;
 
     private double wallMs = WALL_MS;
-    private final StartTimes starts = new StartTimes(() -> (long) wallMs);
+    private final StartTimeConverter starts = new StartTimeConverter(() -> (long) wallMs);
 
     @Test
     void rightClockTellsAnEnginesAge() {
@@ -21,7 +21,10 @@
         assertEquals(0, starts.of("b", 0, NOW_MS));
     }
 
-    /** However the wall clock was stepped, an engine that was not on the last confirmed list has started since. */
+    /**
+     * However the wall clock was stepped, an engine that was not on the last confirmed list has
+     * started since.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR_MS, -5000, 5000, HOUR_MS})
     void engineThatJoinedIsAsOldAsItsListAtMostAfterAStep(double stepMs) {
