--- a/src/test/java/larchridge/node/link/ConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/ConnectionTest.java
@@ -1,4 +1,4 @@
-package larchridge.node.link;
+package larchridge.node.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,47 +12,59 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import larchridge.enginelink.Ending;
-import larchridge.enginelink.EngineLink;
-import larchridge.enginelink.Hearing;
-import larchridge.enginelink.Order;
-import larchridge.enginelink.Passage;
-import larchridge.enginelink.SendRefusal;
-import larchridge.enginelink.Spot;
-import larchridge.enginelink.StateHandle;
-import larchridge.front.World;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.router.VirtualTimeScheduler;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.LoadReport;
+import larchridge.upstream.AttemptListener;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.Completion;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.ForwardedRequest;
+import larchridge.upstream.SendRejection;
+import larchridge.upstream.StateHandle;
+import larchridge.upstream.UpstreamClient;
 import org.junit.jupiter.api.Test;
 
-/** Connections to engines between attempts, in virtual time: their age, and attempts that end before or beside them. */
+/**
+ * Connections to engines between attempts, in virtual time: their age, and attempts that end before
+ * or beside them.
+ */
 class ConnectionTest {
     private static final double KEEP_ALIVE_MS = 15_000;
-    /** A connection is closed at the next look after it has rested for its part of the time that engines allow. */
+
+    /**
+     * A connection is closed at the next look after it has rested for its part of the time that
+     * engines allow.
+     */
     private static final double CLOSED_MS = 0.8 * KEEP_ALIVE_MS + KEEP_ALIVE_MS / 20;
-    private static final Spot SPOT = new Spot("10.0.0.1", 8443);
-    private static final String READ = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":7}";
 
-    private final World time = new World();
+    private static final Endpoint SPOT = new Endpoint("10.0.0.1", 8443);
+    private static final String READ =
+            "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":7}";
+
+    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
     private final List<EmbeddedChannel> opened = new ArrayList<>();
     private final List<ChannelPromise> connecting = new ArrayList<>();
     private boolean connects = true;
-    private final PassageLink link = new PassageLink(time.ground(0, 1),
-            new LinkBounds(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of()), (spot, handlers) -> {
-                EmbeddedChannel engine = new EmbeddedChannel(handlers);
-                opened.add(engine);
-                ChannelPromise promise = engine.newPromise();
-                connecting.add(promise);
-                return connects ? promise.setSuccess() : promise;
-            });
+    private final ForwardingUpstreamClient link =
+            new ForwardingUpstreamClient(
+                    time.ground(0, 1),
+                    new UpstreamLimits(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of()),
+                    (spot, handlers) -> {
+                        EmbeddedChannel engine = new EmbeddedChannel(handlers);
+                        opened.add(engine);
+                        ChannelPromise promise = engine.newPromise();
+                        connecting.add(promise);
+                        return connects ? promise.setSuccess() : promise;
+                    });
 
     /** Hears one attempt. */
-    private static final class Heard implements Hearing {
-        private final List<Outcome> outcomes = new ArrayList<>();
+    private static final class Heard implements AttemptListener {
+        private final List<AttemptOutcome> outcomes = new ArrayList<>();
         private int reads;
 
         @Override
-        public void read(StateHandle state, int keptToks, int promptToks, Report report) {
+        public void read(StateHandle state, int keptToks, int promptToks, LoadReport report) {
             reads++;
         }
 
@@ -72,15 +84,34 @@
         }
 
         @Override
-        public void ended(Outcome outcome, Report report, Ending ending) {
+        public void ended(AttemptOutcome outcome, LoadReport report, Completion ending) {
             outcomes.add(outcome);
         }
     }
 
-    private EngineLink.Flight read(String id, boolean stillMay, Heard heard) {
-        Passage passage = new Passage("POST", "/v1/chat/completions", id, List.of(), new byte[] {'{', '}'}, time.nowMs() + 60_000);
-        return link.read(new Order(id + ".0", SPOT, "", "", 10, List.of(), null, null, null, passage,
-                () -> stillMay ? null : SendRefusal.ENGINE_LEFT), heard);
+    private UpstreamClient.Flight read(String id, boolean stillMay, Heard heard) {
+        ForwardedRequest passage =
+                new ForwardedRequest(
+                        "POST",
+                        "/v1/chat/completions",
+                        id,
+                        List.of(),
+                        new byte[] {'{', '}'},
+                        time.nowMs() + 60_000);
+        return link.read(
+                new AttemptRequest(
+                        id + ".0",
+                        SPOT,
+                        "",
+                        "",
+                        10,
+                        List.of(),
+                        null,
+                        null,
+                        null,
+                        passage,
+                        () -> stillMay ? null : SendRejection.ENGINE_LEFT),
+                heard);
     }
 
     private void run(double ms) {
@@ -108,9 +139,10 @@
         Heard second = new Heard();
         read("9b1f03aa5c7e2d42", false, second);
         run(CLOSED_MS - KEEP_ALIVE_MS / 2);
-        assertEquals(List.of(Outcome.NOT_SENT), second.outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), second.outcomes);
         assertEquals(1, opened.size());
-        // Its engine would close it after the whole time, and a request written then may have run for all that is known.
+        // Its engine would close it after the whole time, and a request written then may have run
+        // for all that is known.
         assertFalse(opened.get(0).isOpen());
     }
 
@@ -118,18 +150,18 @@
     void connectionThatComesUpForAnAttemptThatWasCalledOffIsNotWrittenTo() {
         connects = false;
         Heard heard = new Heard();
-        EngineLink.Flight flight = read("9b1f03aa5c7e2d41", true, heard);
+        UpstreamClient.Flight flight = read("9b1f03aa5c7e2d41", true, heard);
         flight.cancel();
         connecting.get(0).trySuccess();
         run(10);
         assertEquals("", sent(opened.get(0)));
-        assertEquals(List.of(Outcome.NOT_SENT), heard.outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), heard.outcomes);
     }
 
     @Test
     void lateAnswerOfAnAttemptThatWasCalledOffEndsNoOther() {
         Heard first = new Heard();
-        EngineLink.Flight flight = read("9b1f03aa5c7e2d41", true, first);
+        UpstreamClient.Flight flight = read("9b1f03aa5c7e2d41", true, first);
         assertTrue(sent(opened.get(0)).startsWith("POST "));
         flight.cancel();
         Heard second = new Heard();
@@ -139,14 +171,17 @@
         run(10);
         assertEquals(2, opened.size());
         assertEquals(0, first.reads + second.reads);
-        assertEquals(List.of(Outcome.CANCELLED), first.outcomes);
+        assertEquals(List.of(AttemptOutcome.CANCELLED), first.outcomes);
         assertTrue(second.outcomes.isEmpty());
         answer(opened.get(1));
         run(10);
         assertEquals(1, second.reads);
     }
 
-    /** Whether the last byte was written decides between an attempt that never ran and one that may have run. */
+    /**
+     * Whether the last byte was written decides between an attempt that never ran and one that may
+     * have run.
+     */
     @Test
     void connectionThatBreaksTellsThatAnAttemptNeverRanOnlyBeforeItsLastByteWasWritten() {
         connects = false;
@@ -155,14 +190,14 @@
         opened.get(0).close();
         connecting.get(0).tryFailure(new java.net.ConnectException("refused"));
         run(10);
-        assertEquals(List.of(Outcome.UNREACHABLE), before.outcomes);
+        assertEquals(List.of(AttemptOutcome.UNREACHABLE), before.outcomes);
         connects = true;
         Heard after = new Heard();
         read("9b1f03aa5c7e2d42", true, after);
         assertTrue(sent(opened.get(1)).startsWith("POST "));
         opened.get(1).close();
         run(10);
-        assertEquals(List.of(Outcome.CUT), after.outcomes);
+        assertEquals(List.of(AttemptOutcome.CUT), after.outcomes);
         assertNull(opened.get(1).readOutbound());
     }
 }
--- /dev/null
+++ b/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
@@ -0,0 +1,64 @@
+package larchridge.node.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import larchridge.state.AttemptOutcome;
+import org.junit.jupiter.api.Test;
+
+class ForwardedAttemptClassifierTest {
+    private static ForwardedAttemptClassifier written(int status, boolean declined) {
+        ForwardedAttemptClassifier verdict = new ForwardedAttemptClassifier();
+        verdict.written();
+        if (status > 0) {
+            verdict.head(status, declined);
+        }
+        return verdict;
+    }
+
+    @Test
+    void outcomesByThePagesTable() {
+        assertEquals(AttemptOutcome.FAULT, written(500, false).outcome());
+        assertEquals(AttemptOutcome.FULL, written(503, true).outcome());
+        assertEquals(AttemptOutcome.FULL, written(504, true).outcome());
+        assertEquals(AttemptOutcome.NO_STATE, written(410, true).outcome());
+        assertEquals(AttemptOutcome.UNREACHABLE, new ForwardedAttemptClassifier().outcome());
+        assertEquals(AttemptOutcome.CUT, written(0, false).outcome());
+        assertEquals(AttemptOutcome.CUT, written(200, false).outcome());
+        ForwardedAttemptClassifier whole = written(200, false);
+        whole.whole();
+        assertEquals(AttemptOutcome.STREAMED, whole.outcome());
+    }
+
+    @Test
+    void withoutTheEnginesWordNothingProvesThatItNeverRan() {
+        for (int status : new int[] {503, 504, 410, 429, 404}) {
+            assertFalse(written(status, false).outcome().neverRan, "status " + status);
+        }
+        ForwardedAttemptClassifier noise = written(503, true);
+        noise.garbled();
+        assertFalse(noise.outcome().neverRan);
+    }
+
+    @Test
+    void calledOffProvesNothingOnceWrittenAndAllBefore() {
+        ForwardedAttemptClassifier written = written(0, false);
+        written.called(false);
+        assertEquals(AttemptOutcome.CANCELLED, written.outcome());
+        ForwardedAttemptClassifier late = written(0, false);
+        late.called(true);
+        assertEquals(AttemptOutcome.TIMED_OUT, late.outcome());
+        ForwardedAttemptClassifier early = new ForwardedAttemptClassifier();
+        early.called(false);
+        assertTrue(early.outcome().neverRan);
+    }
+
+    @Test
+    void declinedAndGoneAreNoFaultOfTheRequest() {
+        assertTrue(written(400, false).isUnusable());
+        assertFalse(written(410, true).isUnusable());
+        assertFalse(written(503, true).isUnusable());
+        assertFalse(written(500, false).isUnusable());
+    }
+}
--- /dev/null
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -0,0 +1,104 @@
+package larchridge.policy;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.DeduplicationScope;
+import larchridge.state.Effect;
+import larchridge.state.Engine;
+import larchridge.state.Generation;
+import larchridge.state.TrafficClass;
+import org.junit.jupiter.api.Test;
+
+/** Repeats at the two moments at which they are judged. */
+class IdempotencyRuleTest {
+    private static final double WINDOW_MS = 1000;
+    private static final double SENT_MS = 50_000;
+
+    private final Engine engine = new Engine(1);
+
+    private Attempt attempt(Generation gen, double sentMs) {
+        Attempt attempt = new Attempt(gen, engine, false, sentMs, 10, 0);
+        attempt.open();
+        return attempt;
+    }
+
+    private Generation cutOnce(Effect effect) {
+        TrafficClass product =
+                new TrafficClass("p", effect, DeduplicationScope.ALL, WINDOW_MS, 1, 0, 1000, 0, 60);
+        Generation gen =
+                new Generation(
+                        "g",
+                        product,
+                        null,
+                        null,
+                        null,
+                        100,
+                        0,
+                        10,
+                        Double.NaN,
+                        false,
+                        SENT_MS,
+                        SENT_MS + 9000);
+        Attempt first = attempt(gen, SENT_MS);
+        first.outcome = AttemptOutcome.CUT;
+        first.close();
+        return gen;
+    }
+
+    /** Its connection came up so late that engines have forgotten the first attempt by then. */
+    @Test
+    void repeatDecidedInsideTheWindowIsNotWrittenAfterIt() {
+        Generation gen = cutOnce(Effect.DEDUPLICATED);
+        assertTrue(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 790, false));
+        Attempt again = attempt(gen, SENT_MS + 790);
+        assertTrue(IdempotencyRule.mayWrite(again, SENT_MS + 800, false));
+        assertFalse(IdempotencyRule.mayWrite(again, SENT_MS + 1040, false));
+    }
+
+    /** Between reading the clock and writing a process may be held up for 0.15 s. */
+    @Test
+    void shortWindowLeavesRoomForAProcessThatIsHeldUp() {
+        Generation gen = cutOnce(Effect.DEDUPLICATED);
+        assertFalse(IdempotencyRule.mayWrite(attempt(gen, SENT_MS + 860), SENT_MS + 860, false));
+        TrafficClass brief =
+                new TrafficClass(
+                        "b", Effect.DEDUPLICATED, DeduplicationScope.ALL, 400, 1, 0, 1000, 0, 60);
+        Generation other =
+                new Generation(
+                        "h",
+                        brief,
+                        null,
+                        null,
+                        null,
+                        100,
+                        0,
+                        10,
+                        Double.NaN,
+                        false,
+                        SENT_MS,
+                        SENT_MS + 9000);
+        Attempt first = attempt(other, SENT_MS);
+        first.outcome = AttemptOutcome.CUT;
+        first.close();
+        assertTrue(IdempotencyRule.mayDecide(other, engine, SENT_MS + 240, false));
+        assertFalse(IdempotencyRule.mayDecide(other, engine, SENT_MS + 260, false));
+    }
+
+    @Test
+    void whatMayHaveHadAnEffectIsNeverRepeated() {
+        Generation gen = cutOnce(Effect.SIDE_EFFECTING);
+        assertFalse(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 1, true));
+        assertFalse(IdempotencyRule.mayWrite(attempt(gen, SENT_MS + 1), SENT_MS + 1, true));
+    }
+
+    @Test
+    void copiesOfAnIdempotentOneGoOnlyWhereTheyAreAllowed() {
+        Generation gen = cutOnce(Effect.IDEMPOTENT);
+        attempt(gen, SENT_MS + 1);
+        assertTrue(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 2, true));
+        assertFalse(IdempotencyRule.mayDecide(gen, engine, SENT_MS + 2, false));
+    }
+}
--- /dev/null
+++ b/src/test/java/larchridge/router/DeadlinePolicyTest.java
@@ -0,0 +1,43 @@
+package larchridge.router;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import larchridge.site.ProductOffering;
+import larchridge.state.DeduplicationScope;
+import larchridge.state.Effect;
+import larchridge.state.TrafficClass;
+import org.junit.jupiter.api.Test;
+
+class DeadlinePolicyTest {
+    private final TrafficClass product =
+            new TrafficClass("p", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0, 1000, 0, 50);
+    private final ProductOffering offer =
+            new ProductOffering(
+                    product, product, "", 5000, 1, 100, larchridge.tokens.Measure.GUESSED);
+
+    @Test
+    void streamWaitsAsTheProductSaysForItsFirstTokenOnly() {
+        DeadlinePolicy patience =
+                DeadlinePolicy.of(offer, 200, 100, false, Double.POSITIVE_INFINITY);
+        assertEquals(5200, patience.firstTokMs);
+        assertTrue(Double.isInfinite(patience.wholeMs));
+    }
+
+    @Test
+    void lessPatientClientIsAnsweredBeforeItLeaves() {
+        assertTrue(DeadlinePolicy.of(offer, 200, 100, false, 900).firstTokMs < 900);
+    }
+
+    @Test
+    void wholeAnswerMustEndBeforeTheClientDoes() {
+        DeadlinePolicy patience = DeadlinePolicy.of(offer, 0, 100, true, 3000);
+        assertTrue(patience.wholeMs < 3000);
+        assertTrue(patience.firstTokMs <= patience.wholeMs);
+    }
+
+    @Test
+    void patienceIsNeverNegative() {
+        assertEquals(0, DeadlinePolicy.of(offer, 0, 100, true, 0).wholeMs);
+    }
+}
--- a/src/test/java/larchridge/virtual/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -1,4 +1,4 @@
-package larchridge.virtual;
+package larchridge.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -8,28 +8,33 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import larchridge.Choice;
-import larchridge.Host;
-import larchridge.front.Decider;
+import larchridge.policy.PolicyActions;
+import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.EndpointState;
+import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
-import larchridge.state.Gen;
+import larchridge.state.Generation;
 import larchridge.state.GiveUpReason;
-import larchridge.state.Listing;
-import larchridge.state.Mode;
-import larchridge.state.Outcome;
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 import larchridge.state.Role;
-import larchridge.state.Terms;
+import larchridge.state.RoutingSettings;
 
 /**
- * Wraps the routing policy of every router of one simulated run and writes down, in order, each event that goes into it
- * and each action that comes out, one a line. Times and amounts are written to the last bit of the double. The words of
- * the lines are this class's own, so that renaming a type or a constant changes no line.
+ * Wraps the routing policy of every router of one simulated run and writes down, in order, each
+ * event that goes into it and each action that comes out, one a line. Times and amounts are written
+ * to the last bit of the double. The words of the lines are this class's own, so that renaming a
+ * type or a constant changes no line.
  */
-final class PolicyRecorder implements Decider.Maker {
-    /** How long an attempt at a writer has been out before its state counts as released, where that is injected. */
+final class PolicyRecorder implements PolicyEvents.Factory {
+    /**
+     * How long an attempt at a writer has been out before its state counts as released, where that
+     * is injected.
+     */
     private static final double STATE_RELEASED_AFTER_MS = 40;
+
     /** How often the endpoint list fails, where that is injected. */
     private static final int LIST_FAILURES = 3;
 
@@ -45,8 +50,8 @@
         /** Writers that read prompts themselves, and clients that honour no Retry-After. */
         WRITERS_READ,
         /**
-         * The endpoint list is requested and fails at first; held states are released while a writer queues; attempts at
-         * engines that can't be reached count as never sent.
+         * The endpoint list is requested and fails at first; held states are released while a
+         * writer queues; attempts at engines that can't be reached count as never sent.
          */
         INJECTED_EVENTS
     }
@@ -54,8 +59,10 @@
     private final Variant variant;
     private final MessageDigest digest;
     private final Map<String, Integer> counts = new TreeMap<>();
+
     /** Null where only the digest is wanted. */
     private final StringBuilder text;
+
     private long lines;
     private int routers;
 
@@ -70,8 +77,8 @@
     }
 
     @Override
-    public Decider make(Terms terms, Host host) {
-        Terms own = terms.copy();
+    public PolicyEvents make(RoutingSettings terms, PolicyActions host) {
+        RoutingSettings own = terms.copy();
         switch (variant) {
             case NO_CANCELLING -> own.mayCancel = false;
             case NO_HEDGING -> own.maySendCopies = false;
@@ -80,7 +87,7 @@
                 own.comeBackMaxMs = 0;
             }
             case INJECTED_EVENTS -> own.listIsAsked = true;
-            default -> { }
+            default -> {}
         }
         return new Recorded(routers++, own, host);
     }
@@ -104,7 +111,13 @@
     }
 
     private void line(int router, double nowMs, String kind, Object... values) {
-        StringBuilder line = new StringBuilder().append(router).append(' ').append(nowMs).append(' ').append(kind);
+        StringBuilder line =
+                new StringBuilder()
+                        .append(router)
+                        .append(' ')
+                        .append(nowMs)
+                        .append(' ')
+                        .append(kind);
         for (Object value : values) {
             line.append(' ').append(value);
         }
@@ -117,12 +130,19 @@
         counts.merge(kind, 1, Integer::sum);
     }
 
-    private static String figures(Report report) {
-        return report == null ? "none" : report.inflight() + "/" + report.queue() + "/" + report.heldShare() + "/"
-                + report.toRead();
+    private static String figures(LoadReport report) {
+        return report == null
+                ? "none"
+                : report.inflight()
+                        + "/"
+                        + report.queue()
+                        + "/"
+                        + report.heldShare()
+                        + "/"
+                        + report.toRead();
     }
 
-    private static String named(Outcome outcome) {
+    private static String named(AttemptOutcome outcome) {
         return switch (outcome) {
             case STREAMED -> "streamed";
             case FAULT -> "fault";
@@ -137,12 +157,14 @@
     }
 
     private static String named(GiveUpReason reason) {
-        return reason == null ? "none" : switch (reason) {
-            case TIME_UP -> "time-up";
-            case TOO_LATE -> "too-late";
-            case ATTEMPTS_USED -> "attempts-used";
-            case NO_WRITER -> "no-writer";
-        };
+        return reason == null
+                ? "none"
+                : switch (reason) {
+                    case TIME_UP -> "time-up";
+                    case TOO_LATE -> "too-late";
+                    case ATTEMPTS_USED -> "attempts-used";
+                    case NO_WRITER -> "no-writer";
+                };
     }
 
     private static String named(Role role) {
@@ -153,7 +175,7 @@
         };
     }
 
-    private static String named(Mode mode) {
+    private static String named(EndpointState mode) {
         return switch (mode) {
             case READY -> "ready";
             case DRAINING -> "draining";
@@ -166,40 +188,53 @@
     }
 
     /** The policy of one router, with its events and actions written down. */
-    private final class Recorded implements Decider, Host {
+    private final class Recorded implements PolicyEvents, PolicyActions {
         private final int router;
-        private final Host host;
-        private final Choice policy;
+        private final PolicyActions host;
+        private final RoutingPolicy policy;
         private final List<Attempt> writes = new ArrayList<>();
         private boolean listRequested;
         private int listFailures;
 
-        Recorded(int router, Terms terms, Host host) {
+        Recorded(int router, RoutingSettings terms, PolicyActions host) {
             this.router = router;
             this.host = host;
-            policy = new Choice(terms, this);
+            policy = new RoutingPolicy(terms, this);
         }
 
         private void record(String kind, Object... values) {
             line(router, host.now(), kind, values);
         }
 
-        private Report seen(Report report) {
+        private LoadReport seen(LoadReport report) {
             return variant == Variant.NO_REPORTS ? null : report;
         }
 
         // ------------------------------------------------------------------ events
 
         @Override
-        public void arrived(Gen gen) {
-            record("in:arrived", gen.label, gen.promptToks, gen.sharedToks, gen.maxToks, gen.resent, gen.arrivedMs,
+        public void arrived(Generation gen) {
+            record(
+                    "in:arrived",
+                    gen.label,
+                    gen.promptToks,
+                    gen.sharedToks,
+                    gen.maxToks,
+                    gen.resent,
+                    gen.arrivedMs,
                     gen.limitMs);
             policy.arrived(gen);
         }
 
         @Override
-        public void readDone(Attempt attempt, int keptToks, Report report, boolean over) {
-            record("in:read-done", attempt.gen.label, attempt.number, keptToks, figures(seen(report)), over);
+        public void readDone(Attempt attempt, int keptToks, LoadReport report, boolean over) {
+            record(
+                    "in:read-done",
+                    attempt.gen.label,
+                    attempt.number,
+                    keptToks,
+                    figures(seen(report)),
+                    over);
             policy.readDone(attempt, keptToks, seen(report), over);
         }
 
@@ -210,10 +245,18 @@
         }
 
         @Override
-        public void ended(Attempt attempt, Outcome reported, Report report, boolean over) {
-            boolean injected = variant == Variant.INJECTED_EVENTS && reported == Outcome.UNREACHABLE;
-            Outcome outcome = injected ? Outcome.NOT_SENT : reported;
-            record("in:ended", attempt.gen.label, attempt.number, named(outcome), figures(seen(report)), over);
+        public void ended(
+                Attempt attempt, AttemptOutcome reported, LoadReport report, boolean over) {
+            boolean injected =
+                    variant == Variant.INJECTED_EVENTS && reported == AttemptOutcome.UNREACHABLE;
+            AttemptOutcome outcome = injected ? AttemptOutcome.NOT_SENT : reported;
+            record(
+                    "in:ended",
+                    attempt.gen.label,
+                    attempt.number,
+                    named(outcome),
+                    figures(seen(report)),
+                    over);
             policy.ended(attempt, outcome, seen(report), over);
         }
 
@@ -224,23 +267,31 @@
         }
 
         @Override
-        public void departed(Gen gen) {
+        public void departed(Generation gen) {
             record("in:departed", gen.label);
             policy.departed(gen);
         }
 
         @Override
-        public void probed(Engine engine, boolean answered, Report report) {
+        public void probed(Engine engine, boolean answered, LoadReport report) {
             record("in:probed", engine.label, answered, figures(seen(report)));
             policy.probed(engine, answered, seen(report));
         }
 
         @Override
-        public void listed(List<Listing> entries, boolean complete) {
+        public void listed(List<EndpointUpdate> entries, boolean complete) {
             record("in:listed", complete, entries.size());
-            for (Listing entry : entries) {
-                record("in:entry", entry.engine().label, named(entry.role()), named(entry.mode()), entry.startMs(),
-                        entry.units(), entry.zone(), entry.rack(), entry.memoryToks());
+            for (EndpointUpdate entry : entries) {
+                record(
+                        "in:entry",
+                        entry.engine().label,
+                        named(entry.role()),
+                        named(entry.mode()),
+                        entry.startMs(),
+                        entry.units(),
+                        entry.zone(),
+                        entry.rack(),
+                        entry.memoryToks());
             }
             policy.listed(entries, complete);
         }
@@ -279,8 +330,16 @@
 
         @Override
         public void send(Attempt attempt) {
-            record("out:send", attempt.gen.label, attempt.number, kind(attempt), attempt.engine.label, attempt.sentMs,
-                    attempt.toks, attempt.unreadToks, attempt.patienceMs);
+            record(
+                    "out:send",
+                    attempt.gen.label,
+                    attempt.number,
+                    kind(attempt),
+                    attempt.engine.label,
+                    attempt.sentMs,
+                    attempt.toks,
+                    attempt.unreadToks,
+                    attempt.patienceMs);
             if (!attempt.read) {
                 writes.add(attempt);
             }
@@ -297,19 +356,19 @@
         }
 
         @Override
-        public void release(Gen gen) {
+        public void release(Generation gen) {
             record("out:release", gen.label);
             host.release(gen);
         }
 
         @Override
-        public void throttle(Gen gen, double comeBackMs) {
+        public void throttle(Generation gen, double comeBackMs) {
             record("out:throttle", gen.label, comeBackMs, named(gen.givenUp));
             host.throttle(gen, comeBackMs);
         }
 
         @Override
-        public void terminate(Gen gen) {
+        public void terminate(Generation gen) {
             record("out:terminate", gen.label, named(gen.givenUp));
             host.terminate(gen);
         }
--- a/src/test/java/larchridge/site/SiteReaderTest.java
+++ b/src/test/java/larchridge/site/SiteReaderTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class SiteReaderTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             listen { host: "127.0.0.1" port: 8080 }
             fronts: 2
             fronts_of_service: 9
@@ -25,7 +26,9 @@
             """;
 
     private static List<String> faults(String text) {
-        return assertThrows(BadSite.class, () -> SiteReader.read("s", text, Path.of("/x"))).faults;
+        return assertThrows(
+                        InvalidSiteException.class, () -> SiteReader.read("s", text, Path.of("/x")))
+                .faults;
     }
 
     private static void fault(String text, String expected) {
@@ -34,7 +37,7 @@
     }
 
     @Test
-    void goodFileBecomesTermsOfEachFront() throws BadSite {
+    void goodFileBecomesTermsOfEachFront() throws InvalidSiteException {
         Site site = SiteReader.read("s", GOOD, Path.of("/x"));
         assertEquals(9, site.termsOf(0).fronts);
         assertTrue(site.termsOf(0).seed != site.termsOf(1).seed);
@@ -54,23 +57,32 @@
 
     @Test
     void valueOutOfRangeIsToldWithItsBounds() {
-        fault(GOOD.replace("port: 8080", "port: 80800"), "s:1: listen.port: is 80800.0; expected 0 to 65535");
+        fault(
+                GOOD.replace("port: 8080", "port: 80800"),
+                "s:1: listen.port: is 80800.0; expected 0 to 65535");
     }
 
     @Test
     void modelOfTwoProductsIsToldWithBothLines() {
-        fault(GOOD + "product { name: \"d\" model: \"c\" effect: IDEMPOTENT slo_ms: 1 time_limit_ms: 2 }\n",
+        fault(
+                GOOD
+                        + "product { name: \"d\" model: \"c\" effect: IDEMPOTENT slo_ms: 1 time_limit_ms: 2 }\n",
                 "s:13: product[1].model: 'c' is also a model of the product on line 8");
     }
 
     @Test
     void allFaultsAreToldAtOnce() {
-        assertEquals(2, faults(GOOD.replace("  effect: IDEMPOTENT\n", "").replace("  slo_ms: 1000\n", "")).size());
+        assertEquals(
+                2,
+                faults(GOOD.replace("  effect: IDEMPOTENT\n", "").replace("  slo_ms: 1000\n", ""))
+                        .size());
     }
 
     @Test
     void listLookedAtTooSeldomForTheGraceIsAFault() {
-        fault(GOOD.replace("engines.yaml\"", "engines.yaml\" poll_ms: 200"), "s:5: inventory.poll_ms");
+        fault(
+                GOOD.replace("engines.yaml\"", "engines.yaml\" poll_ms: 200"),
+                "s:5: inventory.poll_ms");
     }
 
     @Test
@@ -79,10 +91,15 @@
     }
 
     @Test
-    void keyOfNobodyIsTheGuestsOrNobodys() throws BadSite {
+    void keyOfNobodyIsTheGuestsOrNobodys() throws InvalidSiteException {
         String key = Site.sha256("secret");
-        Site site = SiteReader.read("s", GOOD.replace("guest: \"all\"", "tenant { name: \"t\" key_sha256: \""
-                + key + "\" }"), Path.of("/x"));
+        Site site =
+                SiteReader.read(
+                        "s",
+                        GOOD.replace(
+                                "guest: \"all\"",
+                                "tenant { name: \"t\" key_sha256: \"" + key + "\" }"),
+                        Path.of("/x"));
         assertEquals("t", site.tenant("secret").name());
         assertEquals(null, site.tenant("other"));
     }
--- a/src/test/java/larchridge/drill/WrongFrontTest.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouterTest.java
@@ -1,4 +1,4 @@
-package larchridge.drill;
+package larchridge.systemtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,8 +9,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Each checker catches, over sockets, a front that breaks its rule, and nothing else. */
-class WrongFrontTest {
-    private static final String SCRIPT = """
+class FaultyRouterTest {
+    private static final String SCRIPT =
+            """
             seed: 5
             duration_ms: 1500
             rate_per_s: 60
@@ -24,25 +25,39 @@
               - {at_ms: 500, for_ms: 900, kind: drain, engines: [1, 3]}
             """;
 
-    private static String broken(WrongFront.Wrong wrong, String effect) throws Exception {
-        Script script = ScriptReader.read("script", SCRIPT.formatted(effect));
-        Drill.Result result = Drill.play(script, site -> new WrongFront(site, wrong));
-        return result.breaches().stream().map(b -> Integer.toString(b.rule())).distinct().sorted()
+    private static String broken(FaultyRouter.Wrong wrong, String effect) throws Exception {
+        TestScript script = TestScriptReader.read("script", SCRIPT.formatted(effect));
+        SystemTest.Result result = SystemTest.play(script, site -> new FaultyRouter(site, wrong));
+        return result.breaches().stream()
+                .map(b -> Integer.toString(b.rule()))
+                .distinct()
+                .sorted()
                 .collect(Collectors.joining(","));
     }
 
     @ParameterizedTest
-    @CsvSource({"NOTHING,IDEMPOTENT,''", "LOSES,IDEMPOTENT,1", "ANSWERS_TWICE,IDEMPOTENT,1", "TOO_LATE,IDEMPOTENT,1",
-        "FORGETS_DRAINS,IDEMPOTENT,3", "PINS,IDEMPOTENT,5", "RUNS_TWICE,SIDE_EFFECTING,2",
-        "THROTTLES_AFTER_RUN,SIDE_EFFECTING,2"})
-    void wrongFrontIsCaught(WrongFront.Wrong wrong, String effect, String rules) throws Exception {
+    @CsvSource({
+        "NOTHING,IDEMPOTENT,''",
+        "LOSES,IDEMPOTENT,1",
+        "ANSWERS_TWICE,IDEMPOTENT,1",
+        "TOO_LATE,IDEMPOTENT,1",
+        "FORGETS_DRAINS,IDEMPOTENT,3",
+        "PINS,IDEMPOTENT,5",
+        "RUNS_TWICE,SIDE_EFFECTING,2",
+        "THROTTLES_AFTER_RUN,SIDE_EFFECTING,2"
+    })
+    void wrongFrontIsCaught(FaultyRouter.Wrong wrong, String effect, String rules)
+            throws Exception {
         assertEquals(rules, broken(wrong, effect));
     }
 
     @Test
     void herdAtAColdEngineIsCaught() throws Exception {
         // A front that takes its turns evenly sends a cold reader as much as a warm one.
-        Script script = ScriptReader.read("script", """
+        TestScript script =
+                TestScriptReader.read(
+                        "script",
+                        """
                 seed: 6
                 duration_ms: 2600
                 rate_per_s: 400
@@ -55,7 +70,10 @@
                 troubles:
                   - {at_ms: 300, for_ms: 300, kind: crash, engines: [1]}
                 """);
-        Drill.Result result = Drill.play(script, site -> new WrongFront(site, WrongFront.Wrong.NOTHING));
-        assertTrue(result.breaches().stream().anyMatch(b -> b.rule() == 4), result.breaches().toString());
+        SystemTest.Result result =
+                SystemTest.play(script, site -> new FaultyRouter(site, FaultyRouter.Wrong.NOTHING));
+        assertTrue(
+                result.breaches().stream().anyMatch(b -> b.rule() == 4),
+                result.breaches().toString());
     }
 }
--- a/src/test/java/larchridge/tokens/CountingTest.java
+++ b/src/test/java/larchridge/tokens/CountingTest.java
@@ -12,7 +12,7 @@
 
 class CountingTest {
     private final CountCache cache = new CountCache(1 << 20);
-    private final Pace pace = new Pace(0.25);
+    private final CountingRate pace = new CountingRate(0.25);
 
     /** A token a word, so that tests see what was counted. */
     private static final class Words implements Vocabulary {
@@ -51,21 +51,24 @@
         int before = vocabulary.chars;
         String second = first + words(100, "nivel");
         Counting next = new Counting(second, 0, vocabulary, cache);
-        assertTrue(next.missingChars() < 2 * Chunks.CHARS, next.missingChars() + " missing");
+        assertTrue(next.missingChars() < 2 * TextChunker.CHARS, next.missingChars() + " missing");
         next.finish(pace);
-        assertTrue(vocabulary.chars - before < 2 * Chunks.CHARS);
+        assertTrue(vocabulary.chars - before < 2 * TextChunker.CHARS);
         assertEquals(20_100, next.count(0.25).toks());
     }
 
     @Test
     void beginningIsCountedUpToItsMark() {
         String text = words(3000, "umbral");
-        for (int mark : new int[] {0, 1, 4096, 4097, 4102, 9000, text.length() - 1, text.length()}) {
+        for (int mark :
+                new int[] {0, 1, 4096, 4097, 4102, 9000, text.length() - 1, text.length()}) {
             Counting counting = new Counting(text, mark, new Words(), new CountCache(1 << 20));
             counting.finish(pace);
             assertEquals(3000, counting.count(0).toks());
-            assertEquals((int) text.substring(0, mark).chars().filter(c -> c == ' ').count(),
-                    counting.beginning(0).toks(), "mark " + mark);
+            assertEquals(
+                    (int) text.substring(0, mark).chars().filter(c -> c == ' ').count(),
+                    counting.beginning(0).toks(),
+                    "mark " + mark);
         }
     }
 
@@ -73,8 +76,8 @@
     void guessStaysWithinItsBounds() {
         Counting counting = new Counting("x".repeat(300_000), 0, new Words(), cache);
         counting.finish(pace);
-        Count low = counting.count(0);
-        Count high = counting.count(99);
+        TokenCount low = counting.count(0);
+        TokenCount high = counting.count(99);
         assertFalse(low.exact());
         assertEquals(15_000, low.toks());
         assertEquals(300_000, high.toks());
@@ -89,18 +92,22 @@
         assertEquals(0, vocabulary.chars);
     }
 
-    /** Danger: with plain LRU a flood of prompts that come once would push out what comes all the time. */
+    /**
+     * Danger: with plain LRU a flood of prompts that come once would push out what comes all the
+     * time.
+     */
     @Test
     void floodOfUniqueTextsLeavesWhatIsHot() {
         CountCache small = new CountCache(500L * CountCache.ENTRY_BYTES);
-        Map<Integer, Integer> lru = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1;
+        Map<Integer, Integer> lru =
+                new LinkedHashMap<>(16, 0.75f, true) {
+                    private static final long serialVersionUID = 1;
 
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<Integer, Integer> eldest) {
-                return size() > 500;
-            }
-        };
+                    @Override
+                    protected boolean removeEldestEntry(Map.Entry<Integer, Integer> eldest) {
+                        return size() > 500;
+                    }
+                };
         Random random = new Random(3);
         int asked = 0;
         int hits = 0;
@@ -125,8 +132,16 @@
             }
         }
         small.cleanUp();
-        System.out.println("hot texts found of " + asked + ": " + hits + ", plain LRU " + lruHits + " (seed 3)");
-        assertTrue(hits > 2 * lruHits && hits > asked / 2, hits + " and " + lruHits + " of " + asked);
+        System.out.println(
+                "hot texts found of "
+                        + asked
+                        + ": "
+                        + hits
+                        + ", plain LRU "
+                        + lruHits
+                        + " (seed 3)");
+        assertTrue(
+                hits > 2 * lruHits && hits > asked / 2, hits + " and " + lruHits + " of " + asked);
         assertTrue(small.size() <= 500);
     }
 
@@ -134,18 +149,21 @@
     void workersTakeSoManyAndNoMore() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(3);
-        try (Workers workers = new Workers(1, 2)) {
+        try (CountingWorkers workers = new CountingWorkers(1, 2)) {
             for (int i = 0; i < 3; i++) {
-                assertTrue(workers.take(10, () -> {
-                    try {
-                        gate.await();
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                    done.countDown();
-                }));
+                assertTrue(
+                        workers.take(
+                                10,
+                                () -> {
+                                    try {
+                                        gate.await();
+                                    } catch (InterruptedException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                    done.countDown();
+                                }));
             }
-            assertFalse(workers.take(10, () -> { }));
+            assertFalse(workers.take(10, () -> {}));
             assertEquals(30, workers.waitMs());
             gate.countDown();
             done.await();
--- a/src/test/java/larchridge/tokens/ExactTest.java
+++ b/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
@@ -16,9 +16,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ExactTest {
-    @TempDir
-    Path folder;
+class VocabularyExactnessTest {
+    @TempDir Path folder;
 
     @ParameterizedTest
     @CsvSource({"cl100k_base,26000", "o200k_base,26000", "r50k_base,26000", "p50k_base,26000"})
@@ -32,10 +31,15 @@
             int whole = vocabulary.count(text);
             boolean all = n % 20 == 0;
             for (int at = 1; at < text.length(); at++) {
-                if (Chunks.isCut(text, at) && (all || random.nextInt(12) == 0)) {
+                if (TextChunker.isCut(text, at) && (all || random.nextInt(12) == 0)) {
                     cuts++;
-                    int parts = vocabulary.count(text.substring(0, at)) + vocabulary.count(text.substring(at));
-                    assertEquals(whole, parts, "seed " + seed + ", text " + n + ", cut at " + at + ": " + text);
+                    int parts =
+                            vocabulary.count(text.substring(0, at))
+                                    + vocabulary.count(text.substring(at));
+                    assertEquals(
+                            whole,
+                            parts,
+                            "seed " + seed + ", text " + n + ", cut at " + at + ": " + text);
                 }
             }
         }
@@ -44,7 +48,8 @@
 
     @ParameterizedTest
     @CsvSource({"cl100k_base,CL100K", "o200k_base,O200K", "r50k_base,GPT2"})
-    void rankFileCountsAsTheLibrarysOwn(String encoding, Split split) throws Exception {
+    void rankFileCountsAsTheLibrarysOwn(String encoding, PretokenizerPattern split)
+            throws Exception {
         Vocabulary own = VocabularyReader.named("v", encoding);
         Vocabulary read = VocabularyReader.file("w", Corpus.ranks(folder, encoding), split);
         Random random = new Random(7);
@@ -54,7 +59,9 @@
         }
     }
 
-    /** Merges that the ranks imply, in their order, must count like the library counts the ranks. */
+    /**
+     * Merges that the ranks imply, in their order, must count like the library counts the ranks.
+     */
     @Test
     void mergesCountAsTheRanksFromWhichTheyFollow() throws Exception {
         List<String> lines = Files.readAllLines(Corpus.ranks(folder, "r50k_base")).subList(0, 6000);
@@ -76,22 +83,35 @@
                 int best = -1;
                 for (int i = 0; i + 1 < parts.size(); i++) {
                     Integer joined = rankOf.get(parts.get(i) + parts.get(i + 1));
-                    if (joined != null && (best < 0 || joined < rankOf.get(parts.get(best) + parts.get(best + 1)))) {
+                    if (joined != null
+                            && (best < 0
+                                    || joined
+                                            < rankOf.get(parts.get(best) + parts.get(best + 1)))) {
                         best = i;
                     }
                 }
                 parts.set(best, parts.get(best) + parts.remove(best + 1));
             }
             rankOf.put(spelled.toString(), rank);
-            vocab.append(vocab.length() == 0 ? "" : ",").append(json(spelled.toString())).append(':').append(rank);
+            vocab.append(vocab.length() == 0 ? "" : ",")
+                    .append(json(spelled.toString()))
+                    .append(':')
+                    .append(rank);
             if (parts.size() == 2) {
-                merges.append(merges.length() == 0 ? "" : ",").append(json(parts.get(0) + " " + parts.get(1)));
+                merges.append(merges.length() == 0 ? "" : ",")
+                        .append(json(parts.get(0) + " " + parts.get(1)));
             }
         }
         Path file = folder.resolve("tokenizer.json");
-        Files.writeString(file, "{\"pre_tokenizer\":{\"type\":\"ByteLevel\",\"add_prefix_space\":false},\"model\":{"
-                + "\"type\":\"BPE\",\"vocab\":{" + vocab + "},\"merges\":[" + merges + "]}}");
-        Vocabulary reference = VocabularyReader.file("r", ranks, Split.GPT2);
+        Files.writeString(
+                file,
+                "{\"pre_tokenizer\":{\"type\":\"ByteLevel\",\"add_prefix_space\":false},\"model\":{"
+                        + "\"type\":\"BPE\",\"vocab\":{"
+                        + vocab
+                        + "},\"merges\":["
+                        + merges
+                        + "]}}");
+        Vocabulary reference = VocabularyReader.file("r", ranks, PretokenizerPattern.GPT2);
         Vocabulary read = VocabularyReader.file("m", file, null);
         Random random = new Random(11);
         for (int n = 0; n < 8000; n++) {
@@ -111,9 +131,9 @@
         String text = unit.repeat(200_000 / unit.length());
         CountCache cache = new CountCache(1 << 20);
         Counting counting = new Counting(text, 0, vocabulary, cache);
-        Pace pace = new Pace(0.25);
+        CountingRate pace = new CountingRate(0.25);
         assertTrue(counting.finish(pace));
-        Count count = counting.count(pace.toksAChar());
+        TokenCount count = counting.count(pace.toksAChar());
         assertTrue(count.least() <= count.toks() && count.toks() <= count.most(), count.toString());
         assertTrue(count.exact());
         assertEquals(vocabulary.count(text), count.toks());
--- a/src/test/java/larchridge/enginelink/CompletionsLinkTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -1,4 +1,4 @@
-package larchridge.enginelink;
+package larchridge.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -9,18 +9,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import larchridge.state.Report;
+import larchridge.state.LoadReport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Every outcome, caused on a socket. */
-class CompletionsLinkTest {
-    private Wire wire;
+class CompletionsUpstreamClientTest {
+    private CompletionsUpstreamFixture wire;
 
     @BeforeEach
     void start() throws Exception {
-        wire = new Wire();
+        wire = new CompletionsUpstreamFixture();
     }
 
     @AfterEach
@@ -34,35 +34,47 @@
 
     @Test
     void readLeavesAStateAndTellsWhatWasKept() throws Exception {
-        String body = "{\"kv_transfer_params\":{\"a\":1},\"usage\":{\"prompt_tokens\":9,"
-                + "\"prompt_tokens_details\":{\"cached_tokens\":5}}}";
-        answer("HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.num_requests_running=2\r\n"
-                + "content-length: " + body.length() + "\r\n\r\n" + body);
+        String body =
+                "{\"kv_transfer_params\":{\"a\":1},\"usage\":{\"prompt_tokens\":9,"
+                        + "\"prompt_tokens_details\":{\"cached_tokens\":5}}}";
+        answer(
+                "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT named_metrics.num_requests_running=2\r\n"
+                        + "content-length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body);
         wire.send(true, true);
         assertEquals("read 5", wire.next());
         assertEquals(2, wire.report.inflight());
         String asked = wire.asked.take();
-        assertTrue(asked.contains("\"do_remote_decode\":true") && asked.contains("\"max_tokens\":1"), asked);
+        assertTrue(
+                asked.contains("\"do_remote_decode\":true") && asked.contains("\"max_tokens\":1"),
+                asked);
     }
 
     @Test
     void streamIsToldPieceByPieceAlsoWhenTorn() throws Exception {
-        String whole = Wire.STREAM_HEAD + Wire.piece("a\u00e1", null)
-                + Wire.piece("b", "stop") + Wire.chunk("data: [DONE]\n\n") + "0\r\n\r\n";
+        String whole =
+                CompletionsUpstreamFixture.STREAM_HEAD
+                        + CompletionsUpstreamFixture.piece("a\u00e1", null)
+                        + CompletionsUpstreamFixture.piece("b", "stop")
+                        + CompletionsUpstreamFixture.chunk("data: [DONE]\n\n")
+                        + "0\r\n\r\n";
         wire.engine = (socket, request) -> tear(socket, Buffer.buffer(whole), 0);
         wire.send(false, true);
         assertEquals("begun", wire.next());
         assertEquals("piece a\u00e1", wire.next());
         assertEquals("piece b", wire.next());
         assertEquals("STREAMED", wire.next());
-        assertEquals(Ending.Why.END_OF_TURN, wire.ending.why());
+        assertEquals(Completion.Why.END_OF_TURN, wire.ending.why());
     }
 
     @Test
     void piecesThatComeTogetherAreHandedOnTogether() throws Exception {
-        String pieces = Wire.piece("a", null).repeat(50);
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD + pieces);
-        EngineLink.Flight flight = wire.send(false, true);
+        String pieces = CompletionsUpstreamFixture.piece("a", null).repeat(50);
+        wire.engine =
+                (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + pieces);
+        UpstreamClient.Flight flight = wire.send(false, true);
         assertEquals("begun", wire.next());
         for (int i = 0; i < 50; i++) {
             assertEquals("piece a", wire.next());
@@ -70,10 +82,11 @@
         wire.on(() -> null);
         int soFar = wire.on(wire.soFar::get);
         assertTrue(soFar >= 1 && soFar < 25, soFar + " times");
-        wire.on(() -> {
-            flight.cancel();
-            return null;
-        });
+        wire.on(
+                () -> {
+                    flight.cancel();
+                    return null;
+                });
         assertEquals("CANCELLED", wire.next());
     }
 
@@ -86,7 +99,7 @@
 
     @Test
     void refusedConnectionIsUnreachable() throws Exception {
-        wire.spot = new Spot("127.0.0.1", 1);
+        wire.spot = new Endpoint("127.0.0.1", 1);
         wire.send(true, true);
         assertEquals("UNREACHABLE", wire.next());
     }
@@ -108,53 +121,59 @@
 
     @Test
     void fullIsFull() throws Exception {
-        answer(Wire.status(429, "{}"));
+        answer(CompletionsUpstreamFixture.status(429, "{}"));
         wire.send(true, true);
         assertEquals("FULL", wire.next());
     }
 
     @Test
     void refusalCutShortProvesNothing() throws Exception {
-        wire.engine = (socket, request) -> socket.write("HTTP/1.1 503 X\r\ncontent-length: 10\r\n\r\n{")
-                .onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) ->
+                        socket.write("HTTP/1.1 503 X\r\ncontent-length: 10\r\n\r\n{")
+                                .onSuccess(v -> socket.close());
         wire.send(true, true);
         assertEquals("CUT", wire.next());
     }
 
     @Test
     void stateUnknownIsNoState() throws Exception {
-        answer(Wire.status(409, "{\"error\":{\"code\":\"kv_state_unknown\"}}"));
+        answer(
+                CompletionsUpstreamFixture.status(
+                        409, "{\"error\":{\"code\":\"kv_state_unknown\"}}"));
         wire.send(false, true);
         assertEquals("NO_STATE", wire.next());
     }
 
     @Test
     void errorIsAFault() throws Exception {
-        answer(Wire.status(500, "oops"));
+        answer(CompletionsUpstreamFixture.status(500, "oops"));
         wire.send(false, true);
         assertEquals("FAULT", wire.next());
     }
 
     @Test
     void garbageIsAFault() throws Exception {
-        answer(Wire.json("{\"choices\":["));
+        answer(CompletionsUpstreamFixture.json("{\"choices\":["));
         wire.send(true, true);
         assertEquals("FAULT", wire.next());
-        answer(Wire.STREAM_HEAD + Wire.chunk("data: {\"choices\":[{\"te\n\n"));
+        answer(
+                CompletionsUpstreamFixture.STREAM_HEAD
+                        + CompletionsUpstreamFixture.chunk("data: {\"choices\":[{\"te\n\n"));
         wire.send(false, true);
         assertEquals("FAULT", wire.next());
     }
 
     @Test
     void readWithoutAHandleIsAFault() throws Exception {
-        answer(Wire.json("{\"choices\":[]}"));
+        answer(CompletionsUpstreamFixture.json("{\"choices\":[]}"));
         wire.send(true, true);
         assertEquals("FAULT", wire.next());
     }
 
     @Test
     void keptConnectionThatClosesBeforeAByteIsCut() throws Exception {
-        answer(Wire.status(429, "{}"));
+        answer(CompletionsUpstreamFixture.status(429, "{}"));
         wire.send(true, true);
         assertEquals("FULL", wire.next());
         wire.engine = (socket, request) -> socket.close();
@@ -164,15 +183,22 @@
 
     @Test
     void streamBrokenBeforeItsFirstTokenIsCut() throws Exception {
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD).onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) ->
+                        socket.write(CompletionsUpstreamFixture.STREAM_HEAD)
+                                .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("CUT", wire.next());
     }
 
     @Test
     void streamBrokenInTheMiddleIsCut() throws Exception {
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD + Wire.piece("a", null))
-                .onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) ->
+                        socket.write(
+                                        CompletionsUpstreamFixture.STREAM_HEAD
+                                                + CompletionsUpstreamFixture.piece("a", null))
+                                .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("begun", wire.next());
         assertEquals("piece a", wire.next());
@@ -181,13 +207,17 @@
 
     @Test
     void streamBrokenAfterItsLastTokenIsWhole() throws Exception {
-        wire.engine = (socket, request) -> socket.write(Wire.STREAM_HEAD + Wire.piece("a", "length"))
-                .onSuccess(v -> socket.close());
+        wire.engine =
+                (socket, request) ->
+                        socket.write(
+                                        CompletionsUpstreamFixture.STREAM_HEAD
+                                                + CompletionsUpstreamFixture.piece("a", "length"))
+                                .onSuccess(v -> socket.close());
         wire.send(false, true);
         assertEquals("begun", wire.next());
         assertEquals("piece a", wire.next());
         assertEquals("STREAMED", wire.next());
-        assertEquals(Ending.Why.MOST_TOKENS, wire.ending.why());
+        assertEquals(Completion.Why.MOST_TOKENS, wire.ending.why());
         assertEquals(1, wire.ending.outToks());
     }
 
@@ -195,18 +225,20 @@
     void calledOffClosesTheConnectionAndTellsOnce() throws Exception {
         CompletableFuture<Void> closed = new CompletableFuture<>();
         CompletableFuture<Void> arrived = new CompletableFuture<>();
-        wire.engine = (socket, request) -> {
-            socket.closeHandler(v -> closed.complete(null));
-            arrived.complete(null);
-        };
-        EngineLink.Flight flight = wire.send(false, true);
+        wire.engine =
+                (socket, request) -> {
+                    socket.closeHandler(v -> closed.complete(null));
+                    arrived.complete(null);
+                };
+        UpstreamClient.Flight flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
-        wire.on(() -> {
-            flight.cancel();
-            flight.cancel();
-            flight.expire();
-            return null;
-        });
+        wire.on(
+                () -> {
+                    flight.cancel();
+                    flight.cancel();
+                    flight.expire();
+                    return null;
+                });
         assertEquals("CANCELLED", wire.next());
         closed.get(5, TimeUnit.SECONDS);
         assertEquals(null, wire.told.poll(50, TimeUnit.MILLISECONDS));
@@ -216,62 +248,72 @@
     void timeUpIsTimedOut() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
         wire.engine = (socket, request) -> arrived.complete(null);
-        EngineLink.Flight flight = wire.send(false, true);
+        UpstreamClient.Flight flight = wire.send(false, true);
         arrived.get(5, TimeUnit.SECONDS);
-        wire.on(() -> {
-            flight.expire();
-            return null;
-        });
+        wire.on(
+                () -> {
+                    flight.expire();
+                    return null;
+                });
         assertEquals("TIMED_OUT", wire.next());
     }
 
     @Test
     void calledOffWhileItWaitsForAConnectionWasNeverSent() throws Exception {
         wire.send(true, true);
-        EngineLink.Flight waits = wire.send(true, true);
-        wire.on(() -> {
-            waits.cancel();
-            return null;
-        });
+        UpstreamClient.Flight waits = wire.send(true, true);
+        wire.on(
+                () -> {
+                    waits.cancel();
+                    return null;
+                });
         assertEquals("NOT_SENT", wire.next());
     }
 
     @Test
     void releaseIsTriedAgainUntilItIsHeard() throws Exception {
         AtomicInteger times = new AtomicInteger();
-        wire.engine = (socket, request) -> {
-            if (times.incrementAndGet() < 3) {
-                socket.close();
-            } else {
-                socket.write(Wire.status(200, "{}"));
-            }
-        };
-        wire.on(() -> {
-            wire.link().release(wire.spot, "g.0");
-            return null;
-        });
+        wire.engine =
+                (socket, request) -> {
+                    if (times.incrementAndGet() < 3) {
+                        socket.close();
+                    } else {
+                        socket.write(CompletionsUpstreamFixture.status(200, "{}"));
+                    }
+                };
+        wire.on(
+                () -> {
+                    wire.link().release(wire.spot, "g.0");
+                    return null;
+                });
         for (int i = 0; i < 3; i++) {
             String asked = wire.asked.poll(5, TimeUnit.SECONDS);
             assertNotNull(asked);
-            assertTrue(asked.startsWith("POST /abort_request") && asked.contains("\"rid\":\"g.0\""), asked);
+            assertTrue(
+                    asked.startsWith("POST /abort_request") && asked.contains("\"rid\":\"g.0\""),
+                    asked);
         }
     }
 
     @Test
     void probeTellsTheLoadOrNothing() throws Exception {
-        answer(Wire.status(200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
-        CompletableFuture<Report> told = new CompletableFuture<>();
-        wire.on(() -> {
-            wire.link().probe(wire.spot, (answered, report) -> told.complete(report));
-            return null;
-        });
+        answer(
+                CompletionsUpstreamFixture.status(
+                        200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
+        CompletableFuture<LoadReport> told = new CompletableFuture<>();
+        wire.on(
+                () -> {
+                    wire.link().probe(wire.spot, (answered, report) -> told.complete(report));
+                    return null;
+                });
         assertEquals(4, told.get(5, TimeUnit.SECONDS).inflight());
-        wire.engine = (socket, request) -> { };
-        CompletableFuture<Report> silent = new CompletableFuture<>();
-        wire.on(() -> {
-            wire.link().probe(wire.spot, (answered, report) -> silent.complete(report));
-            return null;
-        });
+        wire.engine = (socket, request) -> {};
+        CompletableFuture<LoadReport> silent = new CompletableFuture<>();
+        wire.on(
+                () -> {
+                    wire.link().probe(wire.spot, (answered, report) -> silent.complete(report));
+                    return null;
+                });
         assertEquals(null, silent.get(5, TimeUnit.SECONDS));
     }
 }
--- /dev/null
+++ b/src/test/java/larchridge/upstream/LoadReportParserTest.java
@@ -0,0 +1,44 @@
+package larchridge.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import larchridge.state.LoadReport;
+import org.junit.jupiter.api.Test;
+
+class LoadReportParserTest {
+    @Test
+    void headerInBothFormsIsRead() {
+        LoadReport text =
+                LoadReportParser.ofHeader(
+                        "TEXT named_metrics.num_requests_running=3, "
+                                + "named_metrics.num_requests_waiting=2,named_metrics.kv_cache_usage_perc=0.5");
+        LoadReport json =
+                LoadReportParser.ofHeader(
+                        "JSON {\"named_metrics\":{\"num_requests_running\":3,"
+                                + "\"num_requests_waiting\":2,\"kv_cache_usage_perc\":0.5}}");
+        assertEquals(new LoadReport(5, 2, 0.5, Double.NaN), text);
+        assertEquals(text, json);
+    }
+
+    @Test
+    void nonsenseTellsNothing() {
+        assertNull(LoadReportParser.ofHeader(null));
+        assertNull(LoadReportParser.ofHeader("JSON {"));
+        assertNull(LoadReportParser.ofHeader("BIN abc"));
+        assertNull(LoadReportParser.ofHeader("TEXT named_metrics.num_requests_running=-1"));
+        assertNull(LoadReportParser.ofPage("<html>"));
+    }
+
+    @Test
+    void pageWithLabelsAndCommentsIsRead() {
+        LoadReport page =
+                LoadReportParser.ofPage(
+                        "# HELP x\nvllm:num_requests_running{model_name=\"a b\"} 4.0\n"
+                                + "vllm:num_requests_waiting 1\nvllm:gpu_cache_usage_perc 0.25\nvllm:other nan\n");
+        assertEquals(5, page.inflight());
+        assertEquals(0.25, page.heldShare());
+        assertTrue(Double.isNaN(page.toRead()));
+    }
+}
