--- a/src/test/java/larchridge/simulation/PolicyActionsTest.java
+++ b/src/test/java/larchridge/simulation/PolicyActionsTest.java
@@ -26,7 +26,56 @@
      */
     private record Run(String script, long seed, Variant variant, long lines, String sha256) {}
 
+    /** Long prompts read in one zone and answered in another: the link between them is full. */
+    private static final String FULL_LINK =
+            """
+            seed: 1
+            fronts: 3
+            duration_ms: 5000
+            rate_per_s: 330
+            engines:
+              - {role: reader, count: 24, zones: [west]}
+              - {role: writer, count: 10, zones: [east]}
+              - {role: writer, count: 1, zones: [west]}
+              - {role: both, count: 1, zones: [west]}
+            products:
+              - {name: consulta, effect: IDEMPOTENT, slo_ms: 2500, time_limit_ms: 5000, prompt_tokens: 4000,
+                 output_tokens: 12}
+            clients: {retries: 1, retry_ms: 100}
+            """;
+
+    /**
+     * All engines slow at once, at little load: every estimate says too late, and nothing is sent.
+     */
+    private static final String ALL_SLOW =
+            """
+            seed: 1
+            fronts: 2
+            duration_ms: 14000
+            rate_per_s: 25
+            engines:
+              - {role: reader, count: 1}
+              - {role: writer, count: 1}
+            products:
+              - {name: consulta, effect: IDEMPOTENT, slo_ms: 600, time_limit_ms: 2500, prompt_tokens: 4000,
+                 output_tokens: 8}
+            troubles:
+              - {at_ms: 1000, for_ms: 5000, kind: slow, engines: [1, 2], size: 60}
+            """;
+
     private static final Run[] RUNS = {
+        new Run(
+                "full-link",
+                1,
+                Variant.AS_SCRIPTED,
+                11597,
+                "cc39f54f9db2cb4821ba724781daf974dab73b6082e00652fcbf1233160c9392"),
+        new Run(
+                "all-slow",
+                1,
+                Variant.AS_SCRIPTED,
+                4096,
+                "39a4f018e8e0310b45739bc37491eb903a597bee9b74f589eed6801d3ea29081"),
         new Run(
                 "bad-day",
                 1,
@@ -172,6 +221,12 @@
     }
 
     private static TestScript script(Run run) throws Exception {
+        if (run.script.equals("full-link")) {
+            return TestScriptReader.read(run.script, FULL_LINK).withSeed(run.seed);
+        }
+        if (run.script.equals("all-slow")) {
+            return TestScriptReader.read(run.script, ALL_SLOW).withSeed(run.seed);
+        }
         String[] parts = run.script.split("\\+");
         Path file = Path.of("deploy/" + parts[0] + ".yaml");
         TestScript script = TestScriptReader.read(file);
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -77,16 +77,16 @@
     }
 
     @Override
-    public PolicyEvents make(RoutingSettings terms, PolicyActions host) {
-        RoutingSettings own = terms.copy();
+    public PolicyEvents create(RoutingSettings settings, PolicyActions host) {
+        RoutingSettings own = settings.copy();
         switch (variant) {
-            case NO_CANCELLING -> own.mayCancel = false;
-            case NO_HEDGING -> own.maySendCopies = false;
+            case NO_CANCELLING -> own.cancellationAllowed = false;
+            case NO_HEDGING -> own.hedgingAllowed = false;
             case WRITERS_READ -> {
-                own.writersRead = true;
-                own.comeBackMaxMs = 0;
+                own.writersCanRead = true;
+                own.retryAfterMaxMs = 0;
             }
-            case INJECTED_EVENTS -> own.listIsAsked = true;
+            case INJECTED_EVENTS -> own.endpointListPolled = true;
             default -> {}
         }
         return new Recorded(routers++, own, host);
@@ -137,9 +137,9 @@
                         + "/"
                         + report.queue()
                         + "/"
-                        + report.heldShare()
+                        + report.memoryShare()
                         + "/"
-                        + report.toRead();
+                        + report.pendingTokens();
     }
 
     private static String named(AttemptOutcome outcome) {
@@ -179,7 +179,7 @@
         return switch (mode) {
             case READY -> "ready";
             case DRAINING -> "draining";
-            case GONE -> "removed";
+            case REMOVED -> "removed";
         };
     }
 
@@ -196,14 +196,14 @@
         private boolean listRequested;
         private int listFailures;
 
-        Recorded(int router, RoutingSettings terms, PolicyActions host) {
+        Recorded(int router, RoutingSettings settings, PolicyActions host) {
             this.router = router;
             this.host = host;
-            policy = new RoutingPolicy(terms, this);
+            policy = new RoutingPolicy(settings, this);
         }
 
         private void record(String kind, Object... values) {
-            line(router, host.now(), kind, values);
+            line(router, host.nowMs(), kind, values);
         }
 
         private LoadReport seen(LoadReport report) {
@@ -213,108 +213,109 @@
         // ------------------------------------------------------------------ events
 
         @Override
-        public void arrived(Generation gen) {
+        public void requestArrived(Generation generation) {
             record(
                     "in:arrived",
-                    gen.label,
-                    gen.promptToks,
-                    gen.sharedToks,
-                    gen.maxToks,
-                    gen.resent,
-                    gen.arrivedMs,
-                    gen.limitMs);
-            policy.arrived(gen);
+                    generation.id,
+                    generation.promptTokens,
+                    generation.sharedTokens,
+                    generation.maxTokens,
+                    generation.clientRetry,
+                    generation.arrivedMs,
+                    generation.deadlineMs);
+            policy.requestArrived(generation);
         }
 
         @Override
-        public void readDone(Attempt attempt, int keptToks, LoadReport report, boolean over) {
+        public void readCompleted(
+                Attempt attempt, int cachedTokens, LoadReport report, boolean over) {
             record(
                     "in:read-done",
-                    attempt.gen.label,
+                    attempt.generation.id,
                     attempt.number,
-                    keptToks,
+                    cachedTokens,
                     figures(seen(report)),
                     over);
-            policy.readDone(attempt, keptToks, seen(report), over);
+            policy.readCompleted(attempt, cachedTokens, seen(report), over);
         }
 
         @Override
-        public void begun(Attempt attempt) {
-            record("in:begun", attempt.gen.label, attempt.number);
-            policy.begun(attempt);
+        public void responseStarted(Attempt attempt) {
+            record("in:begun", attempt.generation.id, attempt.number);
+            policy.responseStarted(attempt);
         }
 
         @Override
-        public void ended(
+        public void attemptEnded(
                 Attempt attempt, AttemptOutcome reported, LoadReport report, boolean over) {
             boolean injected =
                     variant == Variant.INJECTED_EVENTS && reported == AttemptOutcome.UNREACHABLE;
             AttemptOutcome outcome = injected ? AttemptOutcome.NOT_SENT : reported;
             record(
                     "in:ended",
-                    attempt.gen.label,
+                    attempt.generation.id,
                     attempt.number,
                     named(outcome),
                     figures(seen(report)),
                     over);
-            policy.ended(attempt, outcome, seen(report), over);
+            policy.attemptEnded(attempt, outcome, seen(report), over);
         }
 
         @Override
         public void stateReleased(Attempt attempt) {
-            record("in:state-released", attempt.gen.label, attempt.number);
+            record("in:state-released", attempt.generation.id, attempt.number);
             policy.stateReleased(attempt);
         }
 
         @Override
-        public void departed(Generation gen) {
-            record("in:departed", gen.label);
-            policy.departed(gen);
+        public void clientDisconnected(Generation generation) {
+            record("in:departed", generation.id);
+            policy.clientDisconnected(generation);
         }
 
         @Override
-        public void probed(Engine engine, boolean answered, LoadReport report) {
+        public void loadProbed(Engine engine, boolean answered, LoadReport report) {
             record("in:probed", engine.label, answered, figures(seen(report)));
-            policy.probed(engine, answered, seen(report));
+            policy.loadProbed(engine, answered, seen(report));
         }
 
         @Override
-        public void listed(List<EndpointUpdate> entries, boolean complete) {
+        public void endpointsChanged(List<EndpointUpdate> entries, boolean complete) {
             record("in:listed", complete, entries.size());
             for (EndpointUpdate entry : entries) {
                 record(
                         "in:entry",
                         entry.engine().label,
                         named(entry.role()),
-                        named(entry.mode()),
+                        named(entry.state()),
                         entry.startMs(),
                         entry.units(),
                         entry.zone(),
                         entry.rack(),
-                        entry.memoryToks());
+                        entry.memoryTokens());
             }
-            policy.listed(entries, complete);
+            policy.endpointsChanged(entries, complete);
         }
 
         @Override
-        public void woken() {
+        public void wakeUp() {
             if (listRequested && listFailures < LIST_FAILURES) {
                 listRequested = false;
                 listFailures++;
                 record("in:list-failed");
-                policy.listFailed();
+                policy.endpointWatchFailed();
             }
             if (variant == Variant.INJECTED_EVENTS) {
                 releaseStates();
             }
             record("in:woken");
-            policy.woken();
+            policy.wakeUp();
         }
 
         private void releaseStates() {
-            writes.removeIf(attempt -> !attempt.out || attempt.gen.begun);
+            writes.removeIf(attempt -> !attempt.inFlight || attempt.generation.responseStarted);
             for (Attempt attempt : List.copyOf(writes)) {
-                if (host.now() - attempt.sentMs > STATE_RELEASED_AFTER_MS) {
+                if (host.nowMs() - attempt.sentMs > STATE_RELEASED_AFTER_MS) {
                     writes.remove(attempt);
                     stateReleased(attempt);
                 }
@@ -324,26 +325,26 @@
         // ------------------------------------------------------------------ actions
 
         @Override
-        public double now() {
-            return host.now();
+        public double nowMs() {
+            return host.nowMs();
         }
 
         @Override
         public void send(Attempt attempt) {
             record(
                     "out:send",
-                    attempt.gen.label,
+                    attempt.generation.id,
                     attempt.number,
                     kind(attempt),
                     attempt.engine.label,
                     attempt.sentMs,
-                    attempt.toks,
-                    attempt.unreadToks,
-                    attempt.patienceMs);
+                    attempt.countedTokens,
+                    attempt.unreadTokens,
+                    attempt.silenceTimeoutMs);
             if (!attempt.read) {
                 writes.add(attempt);
             }
-            if (attempt.engine.startMs > host.now() - 2500) {
+            if (attempt.engine.startMs > host.nowMs() - 2500) {
                 record("out:sent-to-cold", attempt.engine.label);
             }
             host.send(attempt);
@@ -351,45 +352,45 @@
 
         @Override
         public void cancel(Attempt attempt) {
-            record("out:cancel", attempt.gen.label, attempt.number);
+            record("out:cancel", attempt.generation.id, attempt.number);
             host.cancel(attempt);
         }
 
         @Override
-        public void release(Generation gen) {
-            record("out:release", gen.label);
-            host.release(gen);
+        public void releaseState(Generation generation) {
+            record("out:release", generation.id);
+            host.releaseState(generation);
         }
 
         @Override
-        public void throttle(Generation gen, double comeBackMs) {
-            record("out:throttle", gen.label, comeBackMs, named(gen.givenUp));
-            host.throttle(gen, comeBackMs);
+        public void reject(Generation generation, double retryAfterMs) {
+            record("out:throttle", generation.id, retryAfterMs, named(generation.giveUpReason));
+            host.reject(generation, retryAfterMs);
         }
 
         @Override
-        public void terminate(Generation gen) {
-            record("out:terminate", gen.label, named(gen.givenUp));
-            host.terminate(gen);
+        public void fail(Generation generation) {
+            record("out:terminate", generation.id, named(generation.giveUpReason));
+            host.fail(generation);
         }
 
         @Override
-        public void probe(Engine engine) {
+        public void probeLoad(Engine engine) {
             record("out:probe", engine.label);
-            host.probe(engine);
+            host.probeLoad(engine);
         }
 
         @Override
-        public void wake(double atMs) {
+        public void wakeAt(double atMs) {
             record("out:wake", atMs);
-            host.wake(atMs);
+            host.wakeAt(atMs);
         }
 
         @Override
-        public void followList() {
+        public void watchEndpoints() {
             record("out:follow-list");
             listRequested = true;
-            host.followList();
+            host.watchEndpoints();
         }
 
         @Override
