--- a/src/main/java/larchridge/experiment/ExperimentRunner.java
+++ b/src/main/java/larchridge/experiment/ExperimentRunner.java
@@ -17,6 +17,7 @@
 import larchridge.baseline.BaselinePolicy;
 import larchridge.emulator.EngineModel;
 import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.simulation.SimulationRun;
 
 /**
@@ -81,7 +82,7 @@
     private static Row one(ExperimentPlan plan, ExperimentPlan.Point point) {
         PolicyEvents.Factory module =
                 point.policy().equals(ExperimentPlan.CHOICE)
-                        ? PolicyEvents::choice
+                        ? RoutingPolicy::new
                         : (terms, host) ->
                                 new BaselinePolicy(
                                         ExperimentPlan.kind(point.policy()), terms, host);
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -23,7 +23,7 @@
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
-import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.site.Site;
 import larchridge.upstream.Endpoint;
@@ -360,7 +360,7 @@
                                     (int) (file.sockets * ENGINES_PART / 2),
                                     file.given.reportFields),
                             audit.events());
-            front = new Router(ground, site, 0, link, meters, PolicyEvents::choice);
+            front = new Router(ground, site, 0, link, meters, RoutingPolicy::new);
             audit.compareCounts(ground, front, link);
             door =
                     new HttpServer(
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -17,7 +17,7 @@
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
-import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
 import larchridge.router.VirtualTimeScheduler;
@@ -115,7 +115,7 @@
                             return engine.newSucceededFuture();
                         },
                         audit.events());
-        Router front = new Router(ground, site, 0, link, audit.meters(), PolicyEvents::choice);
+        Router front = new Router(ground, site, 0, link, audit.meters(), RoutingPolicy::new);
         door =
                 new HttpServer(
                         null,
--- /dev/null
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -0,0 +1,96 @@
+package larchridge.policy;
+
+import larchridge.state.Attempt;
+import larchridge.state.Engine;
+import larchridge.state.Generation;
+import larchridge.state.Role;
+import larchridge.state.RoutingSettings;
+
+/** Sends, closes and cancels attempts, and keeps the counts of load that go with them. */
+final class AttemptDispatcher {
+    private final PolicyActions actions;
+    private final PrefixAffinity affinity;
+    private final LoadEstimator load;
+    private final LatencyEstimator latency;
+    private final WriterCapacity capacity;
+    private final LoadProbes probes;
+    private final boolean cancellationAllowed;
+
+    AttemptDispatcher(
+            RoutingSettings settings,
+            PolicyActions actions,
+            EngineKnowledge known,
+            LoadProbes probes) {
+        this.actions = actions;
+        this.probes = probes;
+        affinity = known.affinity();
+        load = known.load();
+        latency = known.latency();
+        capacity = known.capacity();
+        cancellationAllowed = settings.cancellationAllowed;
+    }
+
+    /** Sends a generation to be read; an engine that is no mere reader also writes its answer. */
+    void sendRead(Generation generation, Engine engine) {
+        double nowMs = actions.nowMs();
+        double unread = affinity.tokensToRead(generation, engine);
+        boolean readOnly = engine.role == Role.READER;
+        double counted = readOnly ? unread : WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, counted, unread);
+        double readMs =
+                (load.unreadTokens(engine, nowMs) + unread) * latency.msPerToken(engine, nowMs);
+        attempt.silenceTimeoutMs =
+                readOnly
+                        ? HedgingPolicy.readTimeoutMs(readMs)
+                        : HedgingPolicy.writeTimeoutMs(readMs);
+        // Guards against: a read whose answer is lost leaves a state that no outcome reports.
+        generation.mayHoldState = true;
+        if (readOnly) {
+            capacity.reserve(generation);
+        }
+        affinity.recordSent(generation, engine, nowMs);
+        send(attempt);
+        if (readOnly) {
+            probes.probeSomeWriters();
+        }
+    }
+
+    /** Sends a generation whose state is held to the writer that fetches it. */
+    void sendWrite(Generation generation, Engine writer) {
+        double counted = WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), counted, 0);
+        attempt.silenceTimeoutMs = HedgingPolicy.writeTimeoutMs(latency.firstTokenMs());
+        generation.stateReleased = false;
+        send(attempt);
+    }
+
+    private void send(Attempt attempt) {
+        if (!attempt.read) {
+            load.recordWrite(attempt, actions.nowMs());
+        }
+        attempt.open();
+        actions.send(attempt);
+    }
+
+    /** Takes an attempt that has ended off the counts. */
+    void close(Attempt attempt) {
+        if (attempt.close() && attempt.read) {
+            capacity.release(attempt);
+        }
+    }
+
+    /** Cancels all attempts of a generation that are in flight. */
+    void cancelAll(Generation generation) {
+        cancelOthers(generation, null);
+    }
+
+    /** Cancels all attempts of a generation that are in flight, but one. */
+    void cancelOthers(Generation generation, Attempt kept) {
+        for (Attempt attempt : generation.attempts) {
+            if (attempt != kept && attempt.inFlight && !attempt.cancelled && cancellationAllowed) {
+                attempt.cancelled = true;
+                actions.cancel(attempt);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/policy/EngineKnowledge.java
@@ -0,0 +1,34 @@
+package larchridge.policy;
+
+import java.util.Random;
+import larchridge.state.EngineRegistry;
+import larchridge.state.RoutingSettings;
+
+/** What a policy knows of its engines, by the part that knows it. */
+record EngineKnowledge(
+        EngineRegistry registry,
+        OutlierDetector outliers,
+        SlowStart slowStart,
+        EligibleEngines eligible,
+        PrefixAffinity affinity,
+        LoadEstimator load,
+        LatencyEstimator latency,
+        WriterCapacity capacity) {
+
+    /** Knowledge of no engine yet; the random generator is shared with the rest of the policy. */
+    static EngineKnowledge create(RoutingSettings settings, PolicyActions actions, Random random) {
+        EngineRegistry registry = new EngineRegistry();
+        OutlierDetector outliers = new OutlierDetector(actions, random);
+        SlowStart slowStart = new SlowStart(settings, registry, random, actions.nowMs());
+        LoadEstimator load = new LoadEstimator(settings, actions, registry.writers);
+        return new EngineKnowledge(
+                registry,
+                outliers,
+                slowStart,
+                new EligibleEngines(settings, actions, outliers, slowStart),
+                new PrefixAffinity(settings, actions, registry),
+                load,
+                new LatencyEstimator(load),
+                new WriterCapacity(actions, load, registry.writers));
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -0,0 +1,108 @@
+package larchridge.policy;
+
+import java.util.Random;
+import larchridge.state.Engine;
+import larchridge.state.Role;
+
+/**
+ * Ejects engines that can't be reached, fall silent or answer with errors: such an engine gets no
+ * attempt for a while, then one as a trial, and is taken back as soon as anything is heard from it.
+ */
+final class OutlierDetector {
+    /** The first ejection, and the longest one, to which each further ejection doubles. */
+    private static final double FIRST_EJECTION_MS = 500;
+
+    private static final double LONGEST_EJECTION_MS = 4000;
+
+    /** What the newest answer counts in the share of an engine's errors. */
+    private static final double ERROR_WEIGHT = 0.25;
+
+    /** The share of errors from which on an engine is ejected: two in a row, not one. */
+    private static final double ERROR_SHARE_LIMIT = 0.4;
+
+    /**
+     * How long an engine that was full gets no more; shorter where reports tell its load exactly.
+     */
+    private static final double FULL_MS = 2000;
+
+    private static final double FULL_WITH_REPORTS_MS = 300;
+
+    private final PolicyActions actions;
+    private final Random random;
+
+    OutlierDetector(PolicyActions actions, Random random) {
+        this.actions = actions;
+        this.random = random;
+    }
+
+    /** Whether an engine may get an attempt. */
+    boolean isHealthy(Engine engine, double nowMs) {
+        // Guards against: an affinity reader that has just been full would be tried again until no
+        // attempt is left.
+        return nowMs >= engine.suspectUntilMs
+                && (!engine.onTrial || engine.attempts.isEmpty())
+                && (engine.role != Role.READER || nowMs >= engine.fullUntilMs);
+    }
+
+    /** Counts an answer that was none of an error. */
+    void recordSuccess(Engine engine) {
+        engine.errorShare += ERROR_WEIGHT * (0 - engine.errorShare);
+    }
+
+    /**
+     * Counts an error.
+     *
+     * <p>Guards against: an engine that fails at once is always idle and would draw one attempt
+     * after another, until its generations have used up their attempts; that it still answers,
+     * probes too, must not clear it.
+     */
+    void recordError(Engine engine) {
+        engine.errorShare += ERROR_WEIGHT * (1 - engine.errorShare);
+    }
+
+    /**
+     * Ejects an engine of whose answers too many were errors.
+     *
+     * <p>Guards against: a kept connection that breaks says little; were each to eject its engine,
+     * most engines would be ejected while connections are reset all over.
+     */
+    void ejectIfFailing(Engine engine) {
+        if (engine.errorShare >= ERROR_SHARE_LIMIT) {
+            eject(engine);
+        }
+    }
+
+    /** Takes an engine back that has answered, unless it answers with errors. */
+    void recordContact(Engine engine, double nowMs) {
+        engine.heardMs = nowMs;
+        if (engine.errorShare < ERROR_SHARE_LIMIT) {
+            engine.suspectUntilMs = 0;
+            engine.suspectForMs = 0;
+            engine.onTrial = false;
+        }
+    }
+
+    /** Spares an engine that had no capacity. */
+    void recordFull(Engine engine, double nowMs) {
+        engine.fullUntilMs = nowMs + (engine.reports ? FULL_WITH_REPORTS_MS : FULL_MS);
+    }
+
+    /** Ejects an engine that can't be reached or is silent, unless it is ejected already. */
+    void eject(Engine engine) {
+        double nowMs = actions.nowMs();
+        if (nowMs < engine.suspectUntilMs) {
+            return;
+        }
+        double ejectedMs = Math.max(FIRST_EJECTION_MS, 2 * engine.suspectForMs);
+        engine.suspectForMs = Math.min(LONGEST_EJECTION_MS, ejectedMs);
+        // Random, so that routers do not all come back in one moment.
+        engine.suspectUntilMs = nowMs + engine.suspectForMs * (0.75 + 0.5 * random.nextDouble());
+        engine.onTrial = true;
+        actions.log(
+                "engine "
+                        + engine.label
+                        + " suspect for "
+                        + Math.round(engine.suspectForMs)
+                        + " ms");
+    }
+}
--- a/src/main/java/larchridge/policy/PolicyEvents.java
+++ b/src/main/java/larchridge/policy/PolicyEvents.java
@@ -10,17 +10,32 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * What a front tells its decision module; in service that is {@link RoutingPolicy}, in experiments
- * also plain policies beside it.
+ * The events that a router reports to its policy, one call each and one at a time. In service the
+ * policy is {@link RoutingPolicy}; experiments also compare it with baseline policies.
  */
 public interface PolicyEvents {
+    /** A generation was admitted by its tenant's budget. */
     void requestArrived(Generation generation);
 
-    void readCompleted(Attempt attempt, int keptTokens, LoadReport report, boolean over);
+    /**
+     * A read has completed and its state is held at its reader.
+     *
+     * @param cachedTokens tokens of the prompt that were cached there
+     * @param report the engine's load, or null
+     * @param finished whether the generation has its final answer
+     */
+    void readCompleted(Attempt attempt, int cachedTokens, LoadReport report, boolean finished);
 
+    /** The first token of an answer has come from an attempt. */
     void responseStarted(Attempt attempt);
 
-    void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over);
+    /**
+     * An attempt has ended otherwise than with a completed read.
+     *
+     * @param report the engine's load, or null
+     * @param finished whether the generation has its final answer
+     */
+    void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean finished);
 
     /**
      * The state that an attempt is to fetch has been released beside it; only an attempt that has
@@ -30,69 +45,21 @@
         return;
     }
 
+    /** The client of a generation has left, or the router has ended the generation itself. */
     void clientDisconnected(Generation generation);
 
+    /** A probe of an engine's load was answered, with a report or null, or was not. */
     void loadProbed(Engine engine, boolean answered, LoadReport report);
 
+    /** The endpoint list has changed; a complete list also removes every engine that it lacks. */
     void endpointsChanged(List<EndpointUpdate> entries, boolean complete);
 
+    /** The time has come that {@link PolicyActions#wakeAt} named. */
     void wakeUp();
 
-    /** Makes a module for one front. */
+    /** Creates the policy of one router. */
     interface Factory {
-        PolicyEvents create(RoutingSettings terms, PolicyActions host);
-    }
-
-    /** The module of this program. */
-    static PolicyEvents choice(RoutingSettings terms, PolicyActions host) {
-        RoutingPolicy choice = new RoutingPolicy(terms, host);
-        return new PolicyEvents() {
-            @Override
-            public void requestArrived(Generation generation) {
-                choice.requestArrived(generation);
-            }
-
-            @Override
-            public void readCompleted(
-                    Attempt attempt, int keptTokens, LoadReport report, boolean over) {
-                choice.readCompleted(attempt, keptTokens, report, over);
-            }
-
-            @Override
-            public void responseStarted(Attempt attempt) {
-                choice.responseStarted(attempt);
-            }
-
-            @Override
-            public void attemptEnded(
-                    Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
-                choice.attemptEnded(attempt, outcome, report, over);
-            }
-
-            @Override
-            public void stateReleased(Attempt attempt) {
-                choice.stateReleased(attempt);
-            }
-
-            @Override
-            public void clientDisconnected(Generation generation) {
-                choice.clientDisconnected(generation);
-            }
-
-            @Override
-            public void loadProbed(Engine engine, boolean answered, LoadReport report) {
-                choice.loadProbed(engine, answered, report);
-            }
-
-            @Override
-            public void endpointsChanged(List<EndpointUpdate> entries, boolean complete) {
-                choice.endpointsChanged(entries, complete);
-            }
-
-            @Override
-            public void wakeUp() {
-                choice.wakeUp();
-            }
-        };
+        /** A policy by the settings that acts through the given actions. */
+        PolicyEvents create(RoutingSettings settings, PolicyActions actions);
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -0,0 +1,126 @@
+package larchridge.policy;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import larchridge.state.Attempt;
+import larchridge.state.CachedPrefix;
+import larchridge.state.Engine;
+import larchridge.state.EngineRegistry;
+import larchridge.state.Generation;
+import larchridge.state.RoutingSettings;
+import larchridge.state.SlidingWindowMean;
+
+/**
+ * Sends equal beginnings of prompts to the same few readers, so that they are found cached there,
+ * and estimates how much of a prompt is cached at a reader.
+ *
+ * <p>The readers are named by hashes of prefix and session that are alike at all routers: each
+ * router sees a sliver of the traffic, and only a common hash keeps one text in one place. A prefix
+ * has a few readers in each zone; a session prefers one of them.
+ */
+final class PrefixAffinity {
+    /** Readers of one prefix in a zone: two, so that one outlier does not lose its texts. */
+    private static final int READERS_PER_ZONE = 2;
+
+    /** The least that a read takes, in tokens, however much of its prompt is cached. */
+    private static final double LEAST_TOKENS_TO_READ = 32;
+
+    private final PolicyActions actions;
+    private final EngineRegistry registry;
+    private final String zone;
+
+    /** The part of a prompt that was cached at the first of its affinity readers. */
+    private final SlidingWindowMean cachedParts = new SlidingWindowMean(20, 1000);
+
+    PrefixAffinity(RoutingSettings settings, PolicyActions actions, EngineRegistry registry) {
+        this.actions = actions;
+        this.registry = registry;
+        zone = settings.zone;
+    }
+
+    /** What is left to read of a prompt. */
+    static double tokensToRead(int promptTokens, int cachedTokens) {
+        return Math.max(promptTokens - cachedTokens, LEAST_TOKENS_TO_READ);
+    }
+
+    /**
+     * The readers that the hashes name for a generation, best first, the router's own zone before
+     * others. The list is the generation's own and not to be changed.
+     */
+    List<Engine> readersOf(Generation generation) {
+        CachedPrefix first = generation.prefix != null ? generation.prefix : generation.session;
+        if (generation.affinityRevision != registry.revision && first != null) {
+            generation.affinityRevision = registry.revision;
+            generation.affinityReaders.clear();
+            addReaders(first, generation.affinityReaders);
+            CachedPrefix text = generation.session != null ? generation.session : first;
+            generation.affinityReaders.sort(
+                    Comparator.comparing((Engine engine) -> !engine.zone.equals(zone))
+                            .thenComparing(Comparator.comparingLong(text::affinity).reversed()));
+        }
+        return generation.affinityReaders;
+    }
+
+    private void addReaders(CachedPrefix text, List<Engine> chosen) {
+        List<Engine> byAffinity = new ArrayList<>(registry.readers);
+        byAffinity.sort(Comparator.comparingLong(text::affinity).reversed());
+        for (Engine reader : byAffinity) {
+            long inZone = chosen.stream().filter(e -> e.zone.equals(reader.zone)).count();
+            if (inZone < READERS_PER_ZONE) {
+                chosen.add(reader);
+            }
+        }
+    }
+
+    /** What a reader would have to read of a generation's prompt, as far as is known. */
+    double tokensToRead(Generation generation, Engine reader) {
+        int cached =
+                Math.max(
+                        cachedTokens(generation.prefix, reader, generation.sharedTokens),
+                        cachedTokens(generation.session, reader, generation.promptTokens));
+        List<Engine> readers = readersOf(generation);
+        if (readers.contains(reader)) {
+            cached =
+                    Math.max(
+                            cached,
+                            reader == readers.get(0)
+                                    ? usuallyCachedTokens(generation)
+                                    : generation.sharedTokens);
+        }
+        return tokensToRead(generation.promptTokens, cached);
+    }
+
+    /** The least that any reader would have to read of a generation's prompt; 0 without readers. */
+    double leastTokensToRead(Generation generation) {
+        return registry.readers.stream()
+                .mapToDouble(reader -> tokensToRead(generation, reader))
+                .min()
+                .orElse(0);
+    }
+
+    private static int cachedTokens(CachedPrefix text, Engine reader, int most) {
+        return text == null ? 0 : Math.min(text.tokensAt(reader), most);
+    }
+
+    private int usuallyCachedTokens(Generation generation) {
+        return (int) (cachedParts.at(actions.nowMs()) * generation.promptTokens);
+    }
+
+    /** Notes that a reader will have the texts of a generation cached. */
+    void recordSent(Generation generation, Engine reader, double nowMs) {
+        if (generation.session != null) {
+            generation.session.recordSent(reader, generation.promptTokens, nowMs);
+        }
+        if (generation.prefix != null) {
+            generation.prefix.recordSent(reader, generation.sharedTokens, nowMs);
+        }
+    }
+
+    /** Counts what of a prompt was cached, if its first affinity reader has read it. */
+    void recordRead(Attempt read, int cachedTokens, double nowMs) {
+        if (readersOf(read.generation).indexOf(read.engine) == 0) {
+            cachedParts.add(nowMs, cachedTokens, read.generation.promptTokens);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -0,0 +1,172 @@
+package larchridge.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import larchridge.state.Engine;
+import larchridge.state.Generation;
+import larchridge.state.Role;
+import larchridge.state.RoutingSettings;
+
+/**
+ * Chooses the reader of a prompt: the one that read the session or prefix last while its backlog is
+ * short, else the one with the fewest tokens among those that are short, else among those whose
+ * backlog is under the generation's own limit; none while all are overloaded.
+ */
+final class ReaderSelection {
+    /**
+     * Backlog up to which a reader is short (the paper's alpha): little beside SLO times of
+     * seconds.
+     */
+    private static final double ALPHA_MS = 250;
+
+    /**
+     * Backlog over which a reader is overloaded (the paper's beta): a queue longer misses the SLO.
+     */
+    private static final double BETA_MS = 1750;
+
+    /** An engine reads for itself while it has under this part of the mean streams. */
+    private static final double SELF_READ_STREAMS = 0.6;
+
+    /** The same while transfers are late, since answers then wait for their states elsewhere. */
+    private static final double SELF_READ_LATE_STREAMS = 1.5;
+
+    private final PolicyActions actions;
+    private final List<Engine> readers;
+    private final List<Engine> writers;
+    private final EligibleEngines eligible;
+    private final PrefixAffinity affinity;
+    private final LoadEstimator load;
+    private final LatencyEstimator latency;
+    private final WriterCapacity capacity;
+    private final String zone;
+    private final boolean writersCanRead;
+
+    ReaderSelection(RoutingSettings settings, PolicyActions actions, EngineKnowledge known) {
+        this.actions = actions;
+        readers = known.registry().readers;
+        writers = known.registry().writers;
+        eligible = known.eligible();
+        affinity = known.affinity();
+        load = known.load();
+        latency = known.latency();
+        capacity = known.capacity();
+        zone = settings.zone;
+        writersCanRead = settings.writersCanRead;
+    }
+
+    /** The engine to read a generation's prompt, or null where it has to wait. */
+    Engine select(Generation generation) {
+        return capacity.isAvailableFor(generation) ? selectFromPool(generation) : null;
+    }
+
+    private Engine selectFromPool(Generation generation) {
+        double nowMs = actions.nowMs();
+        List<Engine> fit = eligible.of(readers, generation);
+        List<Engine> candidates = new ArrayList<>(affinity.readersOf(generation));
+        candidates.retainAll(fit);
+        Engine last = generation.session == null ? null : generation.session.lastReader();
+        if (last == null || !fit.contains(last)) {
+            last = candidates.isEmpty() ? null : candidates.get(0);
+        } else if (!candidates.contains(last)) {
+            candidates.add(last);
+        }
+        if (last != null && isShort(last, nowMs) && !StateTransfers.areLate(last, nowMs)) {
+            return last;
+        }
+        // Deviation from the paper: only affinity readers read, while any is eligible. Guards
+        // against: text read anew elsewhere doubles the work and drives other texts out, until
+        // every read is long. Where no reader is short, an engine that reads for itself takes
+        // prompt
+        // and answer.
+        candidates = candidates.isEmpty() ? fit : candidates;
+        boolean late = candidates.stream().anyMatch(e -> StateTransfers.areLate(e, nowMs));
+        addSelfReaders(candidates, generation, late, nowMs);
+        return best(candidates, last, generation, late);
+    }
+
+    private boolean isShort(Engine engine, double nowMs) {
+        return latency.backlogMs(engine, nowMs) <= ALPHA_MS;
+    }
+
+    private void addSelfReaders(
+            List<Engine> candidates, Generation generation, boolean late, double nowMs) {
+        double mean = writers.stream().mapToDouble(load::streamsPerUnit).average().orElse(0);
+        for (Engine engine : eligible.of(writers, generation)) {
+            if ((engine.role == Role.BOTH || writersCanRead)
+                    && capacity.hasCapacity(engine, generation)
+                    && isShort(engine, nowMs)
+                    && load.streams(engine)
+                            <= (late ? SELF_READ_LATE_STREAMS : SELF_READ_STREAMS)
+                                    * mean
+                                    * engine.units) {
+                candidates.add(engine);
+            }
+        }
+    }
+
+    private Engine best(List<Engine> candidates, Engine last, Generation generation, boolean late) {
+        double nowMs = actions.nowMs();
+        double limitMs = backlogLimitMs(generation);
+        Engine best = null;
+        double bestTokens = 0;
+        int bestRank = 0;
+        for (Engine engine : candidates) {
+            double backlogMs = latency.backlogMs(engine, nowMs);
+            int rank = rank(engine, backlogMs, late, nowMs);
+            double unread = affinity.tokensToRead(generation, engine);
+            double tokens = load.unreadTokens(engine, nowMs) + unread;
+            double firstTokenAtMs =
+                    nowMs
+                            + backlogMs
+                            + unread * latency.msPerToken(engine, nowMs)
+                            + latency.firstTokenMs();
+            boolean inTime = generation.clientRetry || firstTokenAtMs < generation.sloDeadlineMs();
+            boolean better =
+                    best == null || rank < bestRank || rank == bestRank && tokens < bestTokens;
+            if (backlogMs <= limitMs && inTime && better) {
+                best = engine;
+                bestTokens = tokens;
+                bestRank = rank;
+            }
+        }
+        return best != null && last != null && isCheaper(last, bestTokens, generation, limitMs)
+                ? last
+                : best;
+    }
+
+    /**
+     * The backlog over which a reader is overloaded for a generation, between alpha and beta.
+     *
+     * <p>Guards against: routers that go by one late report would all stop and start at once; each
+     * generation has its own limit. A client's retry, which comes too late for full revenue, goes
+     * to short readers only.
+     */
+    private static double backlogLimitMs(Generation generation) {
+        return ALPHA_MS
+                + (generation.clientRetry ? 0 : generation.randomShare) * (BETA_MS - ALPHA_MS);
+    }
+
+    /** The order of preference, lowest first, before tokens count. */
+    private int rank(Engine engine, double backlogMs, boolean late, double nowMs) {
+        boolean near = engine.zone.equals(zone);
+        if (engine.role != Role.READER) {
+            return late ? 1 : near ? 2 : 3;
+        }
+        if (backlogMs > ALPHA_MS || StateTransfers.areLate(engine, nowMs)) {
+            return 2;
+        }
+        return near ? 0 : 1;
+    }
+
+    /**
+     * Deviation from the paper: a last reader that is not short still wins where reading all anew
+     * takes more tokens.
+     */
+    private boolean isCheaper(
+            Engine last, double bestTokens, Generation generation, double limitMs) {
+        double nowMs = actions.nowMs();
+        return latency.backlogMs(last, nowMs) <= limitMs
+                && load.unreadTokens(last, nowMs) + affinity.tokensToRead(generation, last)
+                        < bestTokens;
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/policy/StateReservations.java
@@ -0,0 +1,52 @@
+package larchridge.policy;
+
+import larchridge.state.Attempt;
+import larchridge.state.Generation;
+
+/** The read states that wait at readers to be fetched: held, fetched, released. */
+final class StateReservations {
+    private final PolicyActions actions;
+
+    StateReservations(PolicyActions actions) {
+        this.actions = actions;
+    }
+
+    /** A read has completed: its state is to be fetched, unless another one is already. */
+    void held(Attempt read) {
+        if (read.generation.state == null) {
+            read.generation.state = read;
+        }
+    }
+
+    /** An answer has started: its state has been fetched; other attempts may still leave one. */
+    void fetched(Generation generation) {
+        generation.state = null;
+        generation.mayHoldState = generation.attemptsInFlight > 1;
+    }
+
+    /** A state has been released beside the attempt that is to fetch it. */
+    void releasedBeside(Attempt write) {
+        Generation generation = write.generation;
+        if (write.inFlight
+                && !write.cancelled
+                && !generation.finished
+                && !generation.responseStarted) {
+            generation.state = null;
+            generation.stateReleased = true;
+        }
+    }
+
+    /**
+     * Releases what is held for a generation.
+     *
+     * <p>Guards against: a release frees nothing that an attempt still in flight may take; it is
+     * repeated after that.
+     */
+    void release(Generation generation) {
+        if (generation.mayHoldState) {
+            generation.mayHoldState = generation.attemptsInFlight > 0;
+            actions.releaseState(generation);
+        }
+        generation.state = null;
+    }
+}
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -20,6 +20,7 @@
 import larchridge.planner.LatencySample;
 import larchridge.policy.PolicyActions;
 import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.site.Site;
 import larchridge.state.Attempt;
 import larchridge.state.AttemptOutcome;
@@ -130,7 +131,7 @@
                 link,
                 meters,
                 ledger,
-                PolicyEvents::choice);
+                RoutingPolicy::new);
     }
 
     /**
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -9,6 +9,7 @@
 import larchridge.emulator.Prompt;
 import larchridge.metrics.RouterMetrics;
 import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.router.GenerationRequest;
 import larchridge.router.InFlightRequest;
 import larchridge.router.ResponseSink;
@@ -119,7 +120,7 @@
 
     /** Plays a script with the module of this program. */
     public static Result play(TestScript script) {
-        return play(script, PolicyEvents::choice);
+        return play(script, RoutingPolicy::new);
     }
 
     /** Plays a script with fronts that decide otherwise. */
