--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -228,7 +228,7 @@
 
     /** Client connections; on any thread, as of a moment. */
     int connections() throws InterruptedException, ExecutionException {
-        return loop.submit(door::connections).get();
+        return loop.submit(door::connectionCount).get();
     }
 
     /** Engines on the list; on any thread, as of a moment. */
@@ -297,7 +297,7 @@
         CountDownLatch told = new CountDownLatch(1);
         loop.execute(() -> discoveryClient.whenFirstUpdated(FIRST_LIST_MS, told::countDown));
         told.await();
-        loop.submit(door::ready).await();
+        loop.submit(door::markReady).await();
         LOG.atInfo()
                 .addKeyValue("generations", served)
                 .addKeyValue("ms", (System.nanoTime() - start) / 1_000_000)
@@ -420,7 +420,7 @@
         text.append("open ")
                 .append(front.generationsInFlight())
                 .append(" clients ")
-                .append(door.connections())
+                .append(door.connectionCount())
                 .append(" known ")
                 .append(link.openRequests());
         front.forEachEngine(
@@ -529,20 +529,20 @@
             ended.countDown();
             return;
         }
-        door.close();
+        door.startDraining();
         ground.schedule(
                 COMING_MS,
                 () -> {
-                    door.shut();
-                    door.close();
+                    door.stopAccepting();
+                    door.startDraining();
                     front.shutDown(
                             () -> {
                                 discoveryClient.stop();
                                 // Guards against: the end of the process closes over what clients
                                 // still
                                 // send, and resets answers on their way.
-                                door.close();
-                                door.whenEmpty(
+                                door.startDraining();
+                                door.whenNoConnections(
                                         () -> {
                                             audit.atEnd(front, link, door);
                                             ended.countDown();
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -129,8 +129,8 @@
         Map<String, Long> left = new TreeMap<>();
         left.put("generations", (long) front.generationsInFlight());
         left.put("requests of the link", (long) link.openRequests());
-        left.put("ids", (long) door.openIds());
-        left.put("bytes of bodies", door.heldBytes());
+        left.put("ids", (long) door.openRequestCount());
+        left.put("bytes of bodies", door.bufferedBodyBytes());
         left.put("requests audited", (long) requests.openRequests());
         left.values().removeIf(count -> count == 0);
         if (!left.isEmpty()) {
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -183,7 +183,7 @@
         if (client == null) {
             client = new EmbeddedChannel();
             clients.add(client);
-            door.enter(client);
+            door.addConnection(client);
         }
         client.attr(BUSY).set(true);
         String body =
@@ -220,7 +220,7 @@
                     default -> head + "Content-Length: 20\r\n\r\nhalf";
                 };
         EmbeddedChannel client = new EmbeddedChannel();
-        door.enter(client);
+        door.addConnection(client);
         client.writeInbound(bytes(text));
         client.runPendingTasks();
         ByteBuf answer = read(client);
--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -26,7 +26,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import larchridge.inventory.EngineEntry;
-import larchridge.node.transport.Connecting;
+import larchridge.node.transport.ConnectFutures;
 import larchridge.router.Scheduler;
 import larchridge.state.EndpointState;
 import org.slf4j.Logger;
@@ -245,8 +245,8 @@
                                         }
                                     })
                             .connect(host, port);
-            channel = Connecting.channelOf(opening);
-            Connecting.whenDone(
+            channel = ConnectFutures.usableChannel(opening);
+            ConnectFutures.whenComplete(
                     opening,
                     ground,
                     () -> {
--- a/src/main/java/larchridge/node/server/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -123,7 +123,7 @@
      */
     private void ahead(HttpObject part) {
         int bytes = aheadBytes(part);
-        overrun |= aheadBytes + bytes > door.bounds.bodyBytes() || !door.mayHold(bytes);
+        overrun |= aheadBytes + bytes > door.bounds.maxBodyBytes() || !door.mayHold(bytes);
         if (overrun) {
             ReferenceCountUtil.release(part);
             return;
@@ -187,7 +187,7 @@
             refuse(RequestRejection.TWO_LENGTHS);
             return;
         }
-        if (!chunks && HttpUtil.getContentLength(request, 0L) > door.bounds.bodyBytes()) {
+        if (!chunks && HttpUtil.getContentLength(request, 0L) > door.bounds.maxBodyBytes()) {
             refuse(RequestRejection.BODY_TOO_LONG);
             return;
         }
@@ -202,7 +202,7 @@
 
     private void gather(HttpContent content) {
         int more = content.content().readableBytes();
-        if (length + more > door.bounds.bodyBytes()) {
+        if (length + more > door.bounds.maxBodyBytes()) {
             refuse(RequestRejection.BODY_TOO_LONG);
             return;
         }
@@ -217,7 +217,7 @@
                             body,
                             Math.max(
                                     length + more,
-                                    Math.min(2 * body.length, door.bounds.bodyBytes())));
+                                    Math.min(2 * body.length, door.bounds.maxBodyBytes())));
         }
         content.content().getBytes(content.content().readerIndex(), body, length, more);
         length += more;
@@ -455,7 +455,7 @@
         boolean receiving = decoder.isReceiving();
         if (isRequestOverdue(now, receiving)) {
             refuse(RequestRejection.TOO_SLOW);
-        } else if (head == null && !receiving && now - idleSinceMs > door.bounds.idleMs()) {
+        } else if (head == null && !receiving && now - idleSinceMs > door.bounds.idleTimeoutMs()) {
             closeGracefully(CloseReason.IDLE);
         }
     }
@@ -474,8 +474,8 @@
                         ? enteredMs
                         : Math.max(requestStartedMs, idleSinceMs);
         double partStartedMs = head != null ? headMs : startedMs;
-        return now - partStartedMs > door.bounds.requestMs()
-                || now - startedMs > door.bounds.wholeRequestMs();
+        return now - partStartedMs > door.bounds.requestPartTimeoutMs()
+                || now - startedMs > door.bounds.requestTimeoutMs();
     }
 
     /**
--- a/src/main/java/larchridge/node/server/HttpServer.java
+++ b/src/main/java/larchridge/node/server/HttpServer.java
@@ -62,14 +62,14 @@
     private final Set<ClientConnection> all = new LinkedHashSet<>();
 
     /** Ids of open generations, and of those that ended last: none is taken twice. */
-    private final Set<String> openIds = new HashSet<>();
+    private final Set<String> openRequestCount = new HashSet<>();
 
     private final Set<String> endedIds = new LinkedHashSet<>();
     private Channel listener;
-    private long heldBytes;
-    private boolean ready;
+    private long bufferedBodyBytes;
+    private boolean markReady;
     private boolean closing;
-    private boolean shut;
+    private boolean stopAccepting;
 
     public HttpServer(
             EventLoopGroup loop,
@@ -124,7 +124,7 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        enter(channel);
+                                        addConnection(channel);
                                     }
                                 })
                         .bind(host, port)
@@ -139,7 +139,7 @@
     /** A node may be told to end while it opens its listener. */
     private void listens(Channel bound) {
         listener = bound;
-        if (shut) {
+        if (stopAccepting) {
             listener.close();
         }
     }
@@ -149,19 +149,19 @@
     }
 
     /** From now on the node says that it can serve. */
-    public void ready() {
-        ready = true;
+    public void markReady() {
+        markReady = true;
     }
 
     boolean isReady() {
-        return ready && !closing;
+        return markReady && !closing;
     }
 
     /**
      * Says that no more is wanted, still takes what comes, and keeps no connection that was served
      * and rests.
      */
-    public void close() {
+    public void startDraining() {
         closing = true;
         List.copyOf(idle).forEach(ClientConnection::closeIfServed);
     }
@@ -171,8 +171,8 @@
     }
 
     /** Takes no more connections. */
-    public void shut() {
-        shut = true;
+    public void stopAccepting() {
+        stopAccepting = true;
         if (listener != null) {
             listener.close();
         }
@@ -182,37 +182,37 @@
      * Runs once no client's connection is open any more; each that this side ends is gone after a
      * while at the latest.
      */
-    public void whenEmpty(Runnable then) {
+    public void whenNoConnections(Runnable then) {
         if (all.isEmpty()) {
             then.run();
         } else {
-            ground.schedule(EMPTY_LOOK_MS, () -> whenEmpty(then));
+            ground.schedule(EMPTY_LOOK_MS, () -> whenNoConnections(then));
         }
     }
 
-    public int connections() {
+    public int connectionCount() {
         return all.size();
     }
 
     /** Ids of requests that are open. */
-    public int openIds() {
-        return openIds.size();
+    public int openRequestCount() {
+        return openRequestCount.size();
     }
 
     /** Bytes of bodies in memory. */
-    public long heldBytes() {
-        return heldBytes;
+    public long bufferedBodyBytes() {
+        return bufferedBodyBytes;
     }
 
     // ------------------------------------------------------------------ connections
 
     /** Takes a client's connection. */
-    public void enter(Channel channel) {
+    public void addConnection(Channel channel) {
         ClientConnection client = new ClientConnection(this, channel);
         channel.pipeline().addLast(client.decoder(), new HttpResponseEncoder(), client);
         all.add(client);
         idle.add(client);
-        if (all.size() > bounds.connections()) {
+        if (all.size() > bounds.maxConnections()) {
             makeRoom(client);
         }
     }
@@ -296,20 +296,20 @@
     // ------------------------------------------------------------------ bodies and ids
 
     boolean mayHold(int bytes) {
-        return heldBytes + bytes <= bounds.heldBytes();
+        return bufferedBodyBytes + bytes <= bounds.maxBufferedBytes();
     }
 
     void holds(int bytes) {
-        heldBytes += bytes;
+        bufferedBodyBytes += bytes;
     }
 
     /** Notes an id as taken; false if it was taken lately or still is. */
     boolean takeId(String id) {
-        return !endedIds.contains(id) && openIds.add(id);
+        return !endedIds.contains(id) && openRequestCount.add(id);
     }
 
     void endId(String id) {
-        openIds.remove(id);
+        openRequestCount.remove(id);
         endedIds.add(id);
         if (endedIds.size() > IDS) {
             endedIds.remove(endedIds.iterator().next());
--- a/src/main/java/larchridge/node/transport/ConnectFailure.java
+++ b/src/main/java/larchridge/node/transport/ConnectFailure.java
@@ -5,25 +5,25 @@
 import java.net.NoRouteToHostException;
 import java.nio.channels.ClosedChannelException;
 
-/** Whose fault it is that a connection did not come up. */
+/** Which side caused the failure of a connection attempt. */
 public enum ConnectFailure {
-    /** The peer refused it, did not answer in time, or can't be reached. */
+    /** The peer refused the connection, did not answer in time, or is unreachable. */
     PEER,
     /**
-     * This machine could not even try: no descriptor, buffer, port or route for the moment. Says
+     * This machine could not attempt it: no descriptor, buffer, port or route at the moment. Says
      * nothing about the peer.
      */
     LOCAL;
 
     /**
-     * Linux tells ECONNREFUSED, ETIMEDOUT and EHOSTUNREACH of a peer; what else fails at socket or
-     * connect is local.
+     * Classifies a failure. Linux reports ECONNREFUSED, ETIMEDOUT and EHOSTUNREACH for a peer; any
+     * other failure of the socket or connect call is local.
      */
     static ConnectFailure of(Throwable cause) {
-        boolean ofPeer =
+        boolean causedByPeer =
                 cause instanceof ConnectException
                         || cause instanceof NoRouteToHostException
                         || cause instanceof ClosedChannelException;
-        return ofPeer && !(cause instanceof BindException) ? PEER : LOCAL;
+        return causedByPeer && !(cause instanceof BindException) ? PEER : LOCAL;
     }
 }
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -37,7 +37,7 @@
 import larchridge.audit.ConnectionSide;
 import larchridge.audit.RequestEvents;
 import larchridge.node.transport.ConnectFailure;
-import larchridge.node.transport.Connecting;
+import larchridge.node.transport.ConnectFutures;
 import larchridge.router.Scheduler;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.LoadReport;
@@ -203,8 +203,8 @@
                                         .addLast(wire);
                             }
                         });
-        wire.opened(Connecting.channelOf(opening));
-        Connecting.whenDone(opening, ground, () -> wire.start(call), wire::notConnected);
+        wire.opened(ConnectFutures.usableChannel(opening));
+        ConnectFutures.whenComplete(opening, ground, () -> wire.start(call), wire::notConnected);
         return wire;
     }
 
