--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -26,7 +26,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import larchridge.inventory.EngineEntry;
-import larchridge.node.transport.Connecting;
+import larchridge.node.transport.ConnectFutures;
 import larchridge.router.Scheduler;
 import larchridge.state.EndpointState;
 import org.slf4j.Logger;
@@ -142,14 +142,14 @@
         list.rows()
                 .forEach(
                         (name, row) -> {
-                            if (row.mode() == EndpointState.REMOVED) {
+                            if (row.state() == EndpointState.REMOVED) {
                                 rows.remove(name);
                             } else {
                                 rows.put(
                                         name,
                                         departed.keep(
                                                 name,
-                                                row.startedAt(
+                                                row.withStartMs(
                                                         startTimes.of(name, row.startMs(), now)),
                                                 list.index()));
                             }
@@ -245,8 +245,8 @@
                                         }
                                     })
                             .connect(host, port);
-            channel = Connecting.channelOf(opening);
-            Connecting.whenDone(
+            channel = ConnectFutures.usableChannel(opening);
+            ConnectFutures.whenComplete(
                     opening,
                     ground,
                     () -> {
