--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -17,7 +17,7 @@
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
-import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
 import larchridge.router.VirtualTimeScheduler;
@@ -115,7 +115,7 @@
                             return engine.newSucceededFuture();
                         },
                         audit.events());
-        Router front = new Router(ground, site, 0, link, audit.meters(), PolicyEvents::choice);
+        Router front = new Router(ground, site, 0, link, audit.meters(), RoutingPolicy::new);
         door =
                 new HttpServer(
                         null,
@@ -183,7 +183,7 @@
         if (client == null) {
             client = new EmbeddedChannel();
             clients.add(client);
-            door.enter(client);
+            door.addConnection(client);
         }
         client.attr(BUSY).set(true);
         String body =
@@ -220,7 +220,7 @@
                     default -> head + "Content-Length: 20\r\n\r\nhalf";
                 };
         EmbeddedChannel client = new EmbeddedChannel();
-        door.enter(client);
+        door.addConnection(client);
         client.writeInbound(bytes(text));
         client.runPendingTasks();
         ByteBuf answer = read(client);
--- /dev/null
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -0,0 +1,403 @@
+package larchridge.simulation;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import larchridge.policy.PolicyActions;
+import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
+import larchridge.state.Attempt;
+import larchridge.state.AttemptOutcome;
+import larchridge.state.EndpointState;
+import larchridge.state.EndpointUpdate;
+import larchridge.state.Engine;
+import larchridge.state.Generation;
+import larchridge.state.GiveUpReason;
+import larchridge.state.LoadReport;
+import larchridge.state.Role;
+import larchridge.state.RoutingSettings;
+
+/**
+ * Wraps the routing policy of every router of one simulated run and writes down, in order, each
+ * event that goes into it and each action that comes out, one a line. Times and amounts are written
+ * to the last bit of the double. The words of the lines are this class's own, so that renaming a
+ * type or a constant changes no line.
+ */
+final class PolicyRecorder implements PolicyEvents.Factory {
+    /**
+     * How long an attempt at a writer has been out before its state counts as released, where that
+     * is injected.
+     */
+    private static final double STATE_RELEASED_AFTER_MS = 40;
+
+    /** How often the endpoint list fails, where that is injected. */
+    private static final int LIST_FAILURES = 3;
+
+    /** Settings and events that the scripts of the simulator can't bring about. */
+    enum Variant {
+        AS_SCRIPTED,
+        /** Engines report no load. */
+        NO_REPORTS,
+        /** No cancelling, so neither hedged requests nor moves. */
+        NO_CANCELLING,
+        /** No two attempts of a generation side by side. */
+        NO_HEDGING,
+        /** Writers that read prompts themselves, and clients that honour no Retry-After. */
+        WRITERS_READ,
+        /**
+         * The endpoint list is requested and fails at first; held states are released while a
+         * writer queues; attempts at engines that can't be reached count as never sent.
+         */
+        INJECTED_EVENTS
+    }
+
+    private final Variant variant;
+    private final MessageDigest digest;
+    private final Map<String, Integer> counts = new TreeMap<>();
+
+    /** Null where only the digest is wanted. */
+    private final StringBuilder text;
+
+    private long lines;
+    private int routers;
+
+    PolicyRecorder(Variant variant, boolean keepText) {
+        this.variant = variant;
+        text = keepText ? new StringBuilder() : null;
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException("every Java has SHA-256", e);
+        }
+    }
+
+    @Override
+    public PolicyEvents create(RoutingSettings settings, PolicyActions host) {
+        RoutingSettings own = settings.copy();
+        switch (variant) {
+            case NO_CANCELLING -> own.cancellationAllowed = false;
+            case NO_HEDGING -> own.hedgingAllowed = false;
+            case WRITERS_READ -> {
+                own.writersCanRead = true;
+                own.retryAfterMaxMs = 0;
+            }
+            case INJECTED_EVENTS -> own.endpointListPolled = true;
+            default -> {}
+        }
+        return new Recorded(routers++, own, host);
+    }
+
+    long lines() {
+        return lines;
+    }
+
+    /** How many lines of each kind there were. */
+    Map<String, Integer> counts() {
+        return counts;
+    }
+
+    String text() {
+        return text.toString();
+    }
+
+    /** To be called once, at the end. */
+    String sha256() {
+        return HexFormat.of().formatHex(digest.digest());
+    }
+
+    private void line(int router, double nowMs, String kind, Object... values) {
+        StringBuilder line =
+                new StringBuilder()
+                        .append(router)
+                        .append(' ')
+                        .append(nowMs)
+                        .append(' ')
+                        .append(kind);
+        for (Object value : values) {
+            line.append(' ').append(value);
+        }
+        line.append('\n');
+        digest.update(line.toString().getBytes(StandardCharsets.UTF_8));
+        if (text != null) {
+            text.append(line);
+        }
+        lines++;
+        counts.merge(kind, 1, Integer::sum);
+    }
+
+    private static String figures(LoadReport report) {
+        return report == null
+                ? "none"
+                : report.inflight()
+                        + "/"
+                        + report.queue()
+                        + "/"
+                        + report.memoryShare()
+                        + "/"
+                        + report.pendingTokens();
+    }
+
+    private static String named(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case STREAMED -> "streamed";
+            case FAULT -> "fault";
+            case FULL -> "full";
+            case NO_STATE -> "no-state";
+            case TIMED_OUT -> "timed-out";
+            case UNREACHABLE -> "unreachable";
+            case CUT -> "cut";
+            case CANCELLED -> "cancelled";
+            case NOT_SENT -> "not-sent";
+        };
+    }
+
+    private static String named(GiveUpReason reason) {
+        return reason == null
+                ? "none"
+                : switch (reason) {
+                    case TIME_UP -> "time-up";
+                    case TOO_LATE -> "too-late";
+                    case ATTEMPTS_USED -> "attempts-used";
+                    case NO_WRITER -> "no-writer";
+                };
+    }
+
+    private static String named(Role role) {
+        return switch (role) {
+            case READER -> "reader";
+            case WRITER -> "writer";
+            case BOTH -> "both";
+        };
+    }
+
+    private static String named(EndpointState mode) {
+        return switch (mode) {
+            case READY -> "ready";
+            case DRAINING -> "draining";
+            case REMOVED -> "removed";
+        };
+    }
+
+    private static String kind(Attempt attempt) {
+        return attempt.read ? "read" : attempt.engine.role == Role.BOTH ? "write-both" : "write";
+    }
+
+    /** The policy of one router, with its events and actions written down. */
+    private final class Recorded implements PolicyEvents, PolicyActions {
+        private final int router;
+        private final PolicyActions host;
+        private final RoutingPolicy policy;
+        private final List<Attempt> writes = new ArrayList<>();
+        private boolean listRequested;
+        private int listFailures;
+
+        Recorded(int router, RoutingSettings settings, PolicyActions host) {
+            this.router = router;
+            this.host = host;
+            policy = new RoutingPolicy(settings, this);
+        }
+
+        private void record(String kind, Object... values) {
+            line(router, host.nowMs(), kind, values);
+        }
+
+        private LoadReport seen(LoadReport report) {
+            return variant == Variant.NO_REPORTS ? null : report;
+        }
+
+        // ------------------------------------------------------------------ events
+
+        @Override
+        public void requestArrived(Generation generation) {
+            record(
+                    "in:arrived",
+                    generation.id,
+                    generation.promptTokens,
+                    generation.sharedTokens,
+                    generation.maxTokens,
+                    generation.clientRetry,
+                    generation.arrivedMs,
+                    generation.deadlineMs);
+            policy.requestArrived(generation);
+        }
+
+        @Override
+        public void readCompleted(
+                Attempt attempt, int cachedTokens, LoadReport report, boolean over) {
+            record(
+                    "in:read-done",
+                    attempt.generation.id,
+                    attempt.number,
+                    cachedTokens,
+                    figures(seen(report)),
+                    over);
+            policy.readCompleted(attempt, cachedTokens, seen(report), over);
+        }
+
+        @Override
+        public void responseStarted(Attempt attempt) {
+            record("in:begun", attempt.generation.id, attempt.number);
+            policy.responseStarted(attempt);
+        }
+
+        @Override
+        public void attemptEnded(
+                Attempt attempt, AttemptOutcome reported, LoadReport report, boolean over) {
+            boolean injected =
+                    variant == Variant.INJECTED_EVENTS && reported == AttemptOutcome.UNREACHABLE;
+            AttemptOutcome outcome = injected ? AttemptOutcome.NOT_SENT : reported;
+            record(
+                    "in:ended",
+                    attempt.generation.id,
+                    attempt.number,
+                    named(outcome),
+                    figures(seen(report)),
+                    over);
+            policy.attemptEnded(attempt, outcome, seen(report), over);
+        }
+
+        @Override
+        public void stateReleased(Attempt attempt) {
+            record("in:state-released", attempt.generation.id, attempt.number);
+            policy.stateReleased(attempt);
+        }
+
+        @Override
+        public void clientDisconnected(Generation generation) {
+            record("in:departed", generation.id);
+            policy.clientDisconnected(generation);
+        }
+
+        @Override
+        public void loadProbed(Engine engine, boolean answered, LoadReport report) {
+            record("in:probed", engine.label, answered, figures(seen(report)));
+            policy.loadProbed(engine, answered, seen(report));
+        }
+
+        @Override
+        public void endpointsChanged(List<EndpointUpdate> entries, boolean complete) {
+            record("in:listed", complete, entries.size());
+            for (EndpointUpdate entry : entries) {
+                record(
+                        "in:entry",
+                        entry.engine().label,
+                        named(entry.role()),
+                        named(entry.state()),
+                        entry.startMs(),
+                        entry.units(),
+                        entry.zone(),
+                        entry.rack(),
+                        entry.memoryTokens());
+            }
+            policy.endpointsChanged(entries, complete);
+        }
+
+        @Override
+        public void wakeUp() {
+            if (listRequested && listFailures < LIST_FAILURES) {
+                listRequested = false;
+                listFailures++;
+                record("in:list-failed");
+                policy.endpointWatchFailed();
+            }
+            if (variant == Variant.INJECTED_EVENTS) {
+                releaseStates();
+            }
+            record("in:woken");
+            policy.wakeUp();
+        }
+
+        private void releaseStates() {
+            writes.removeIf(attempt -> !attempt.inFlight || attempt.generation.responseStarted);
+            for (Attempt attempt : List.copyOf(writes)) {
+                if (host.nowMs() - attempt.sentMs > STATE_RELEASED_AFTER_MS) {
+                    writes.remove(attempt);
+                    stateReleased(attempt);
+                }
+            }
+        }
+
+        // ------------------------------------------------------------------ actions
+
+        @Override
+        public double nowMs() {
+            return host.nowMs();
+        }
+
+        @Override
+        public void send(Attempt attempt) {
+            record(
+                    "out:send",
+                    attempt.generation.id,
+                    attempt.number,
+                    kind(attempt),
+                    attempt.engine.label,
+                    attempt.sentMs,
+                    attempt.countedTokens,
+                    attempt.unreadTokens,
+                    attempt.silenceTimeoutMs);
+            if (!attempt.read) {
+                writes.add(attempt);
+            }
+            if (attempt.engine.startMs > host.nowMs() - 2500) {
+                record("out:sent-to-cold", attempt.engine.label);
+            }
+            host.send(attempt);
+        }
+
+        @Override
+        public void cancel(Attempt attempt) {
+            record("out:cancel", attempt.generation.id, attempt.number);
+            host.cancel(attempt);
+        }
+
+        @Override
+        public void releaseState(Generation generation) {
+            record("out:release", generation.id);
+            host.releaseState(generation);
+        }
+
+        @Override
+        public void reject(Generation generation, double retryAfterMs) {
+            record("out:throttle", generation.id, retryAfterMs, named(generation.giveUpReason));
+            host.reject(generation, retryAfterMs);
+        }
+
+        @Override
+        public void fail(Generation generation) {
+            record("out:terminate", generation.id, named(generation.giveUpReason));
+            host.fail(generation);
+        }
+
+        @Override
+        public void probeLoad(Engine engine) {
+            record("out:probe", engine.label);
+            host.probeLoad(engine);
+        }
+
+        @Override
+        public void wakeAt(double atMs) {
+            record("out:wake", atMs);
+            host.wakeAt(atMs);
+        }
+
+        @Override
+        public void watchEndpoints() {
+            record("out:follow-list");
+            listRequested = true;
+            host.watchEndpoints();
+        }
+
+        @Override
+        public void log(String line) {
+            // The figures of the line count; its wording may change.
+            record("out:log", line.replaceAll("[^0-9]+", " ").trim());
+            host.log(line);
+        }
+    }
+}
