--- a/src/main/java/larchridge/node/EngineStateLog.java
+++ b/src/main/java/larchridge/node/EngineStateLog.java
@@ -39,7 +39,7 @@
         line.append("open ")
                 .append(router.generationsInFlight())
                 .append(" clients ")
-                .append(components.server().connections())
+                .append(components.server().connectionCount())
                 .append(" known ")
                 .append(upstream.openRequests());
         double nowMs = scheduler.nowMs();
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -117,7 +117,7 @@
         long startNanos = System.nanoTime();
         int served = NodeWarmup.run(WARMUP_GENERATIONS, WARMUP_MAX_MS);
         awaitFirstList();
-        loop.submit(components.server()::ready).await();
+        loop.submit(components.server()::markReady).await();
         LOG.atInfo()
                 .addKeyValue("generations", served)
                 .addKeyValue("ms", (System.nanoTime() - startNanos) / 1_000_000)
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -13,7 +13,7 @@
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
-import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.settings.RoutingSettingsReader;
 import larchridge.site.Site;
@@ -103,7 +103,7 @@
                 new ForwardingUpstreamClient(
                         loop, scheduler, allocator, upstreamLimits(), audit.events());
         Router router =
-                new Router(scheduler, site, 0, upstream, audit.meters(), PolicyEvents::choice);
+                new Router(scheduler, site, 0, upstream, audit.meters(), RoutingPolicy::new);
         audit.compareCounts(scheduler, router, upstream);
         HttpServer server =
                 new HttpServer(
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -97,11 +97,11 @@
             engines.put(
                     new Endpoint(entry.host(), entry.port()),
                     new AuditedEngine(
-                            entry.mode() == EndpointState.READY,
+                            entry.state() == EndpointState.READY,
                             entry.role(),
                             entry.zone(),
                             entry.rack(),
-                            entry.units() > 0 ? entry.units() : 1,
+                            entry.capacityUnits() > 0 ? entry.capacityUnits() : 1,
                             entry.startMs()));
         }
         requests.endpointsChanged(engines);
@@ -138,8 +138,8 @@
         Map<String, Long> leftovers = new TreeMap<>();
         leftovers.put("generations", (long) components.router().generationsInFlight());
         leftovers.put("upstream requests", (long) components.upstream().openRequests());
-        leftovers.put("ids", (long) components.server().openIds());
-        leftovers.put("bytes of bodies", components.server().heldBytes());
+        leftovers.put("ids", (long) components.server().openRequestCount());
+        leftovers.put("bytes of bodies", components.server().bufferedBodyBytes());
         leftovers.put("audited requests", (long) requests.openRequests());
         leftovers.values().removeIf(count -> count == 0);
         if (!leftovers.isEmpty()) {
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -9,7 +9,7 @@
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
-import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
 import larchridge.router.VirtualTimeScheduler;
@@ -63,7 +63,7 @@
                         (endpoint, handlers) -> engines.open(handlers),
                         audit.events());
         Router router =
-                new Router(scheduler, site, 0, upstream, audit.meters(), PolicyEvents::choice);
+                new Router(scheduler, site, 0, upstream, audit.meters(), RoutingPolicy::new);
         HttpServer server =
                 new HttpServer(
                         null,
--- a/src/main/java/larchridge/node/ShutdownSequence.java
+++ b/src/main/java/larchridge/node/ShutdownSequence.java
@@ -47,13 +47,13 @@
             onEnded.run();
             return;
         }
-        components.server().close();
+        components.server().startDraining();
         scheduler.schedule(ACCEPT_GRACE_MS, () -> stopAccepting(components));
     }
 
     private void stopAccepting(NodeComponents components) {
-        components.server().shut();
-        components.server().close();
+        components.server().stopAccepting();
+        components.server().startDraining();
         components.router().shutDown(() -> finish(components));
     }
 
@@ -61,10 +61,10 @@
         components.discovery().stop();
         // Guards against: the end of the process closes over what clients still send, and resets
         // answers on their way.
-        components.server().close();
+        components.server().startDraining();
         components
                 .server()
-                .whenEmpty(
+                .whenNoConnections(
                         () -> {
                             components.audit().checkAtEnd(components);
                             onEnded.run();
--- a/src/main/java/larchridge/node/WarmupClients.java
+++ b/src/main/java/larchridge/node/WarmupClients.java
@@ -62,7 +62,7 @@
         if (client == null) {
             client = new EmbeddedChannel();
             connections.add(client);
-            server.enter(client);
+            server.addConnection(client);
         }
         client.attr(BUSY).set(true);
         client.writeInbound(
@@ -84,7 +84,7 @@
     /** A client sends what is rejected, or leaves in the middle. */
     void sendBad(int number) {
         EmbeddedChannel client = new EmbeddedChannel();
-        server.enter(client);
+        server.addConnection(client);
         client.writeInbound(EmbeddedBytes.of(BAD_REQUESTS.get(number % BAD_REQUESTS.size())));
         client.runPendingTasks();
         ByteBuf answer = EmbeddedBytes.readOutbound(client);
--- a/src/main/java/larchridge/node/discovery/DiscoveryCall.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryCall.java
@@ -17,7 +17,7 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import larchridge.node.transport.Connecting;
+import larchridge.node.transport.ConnectFutures;
 import larchridge.router.Scheduler;
 import larchridge.upstream.Endpoint;
 
@@ -102,8 +102,8 @@
                                     }
                                 })
                         .connect(agent.host(), agent.port());
-        channel = Connecting.channelOf(opening);
-        Connecting.whenDone(
+        channel = ConnectFutures.usableChannel(opening);
+        ConnectFutures.whenComplete(
                 opening, scheduler, this::poll, failure -> fail("no connection: " + failure));
     }
 
--- a/src/main/java/larchridge/node/discovery/EndpointCatalog.java
+++ b/src/main/java/larchridge/node/discovery/EndpointCatalog.java
@@ -54,11 +54,12 @@
     }
 
     private void put(String name, EngineEntry entry, long updateVersion, double nowMs) {
-        if (entry.mode() == EndpointState.REMOVED) {
+        if (entry.state() == EndpointState.REMOVED) {
             entries.remove(name);
             return;
         }
         double startMs = startTimes.toLocalMs(name, entry.startMs(), nowMs);
-        entries.put(name, removedEndpoints.restrict(name, entry.startedAt(startMs), updateVersion));
+        entries.put(
+                name, removedEndpoints.restrict(name, entry.withStartMs(startMs), updateVersion));
     }
 }
--- a/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
+++ b/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
@@ -27,11 +27,11 @@
      */
     EngineEntry restrict(String name, EngineEntry entry, long version) {
         Removal removal = removals.get(name);
-        if (entry.mode() != EndpointState.READY || removal == null) {
+        if (entry.state() != EndpointState.READY || removal == null) {
             return entry;
         }
         if (version < removal.version && entry.startMs() == removal.startMs) {
-            return entry.inMode(EndpointState.DRAINING);
+            return entry.withState(EndpointState.DRAINING);
         }
         removals.remove(name);
         return entry;
@@ -43,8 +43,8 @@
         before.forEach(
                 (name, entry) -> {
                     EngineEntry current = after.get(name);
-                    boolean serves = current != null && current.mode() == EndpointState.READY;
-                    if (entry.mode() == EndpointState.READY && !serves) {
+                    boolean serves = current != null && current.state() == EndpointState.READY;
+                    if (entry.state() == EndpointState.READY && !serves) {
                         // Removed first, so that it becomes the newest in the map's order.
                         removals.remove(name);
                         removals.put(name, new Removal(version, entry.startMs()));
--- a/src/test/java/larchridge/node/NodeInspector.java
+++ b/src/test/java/larchridge/node/NodeInspector.java
@@ -18,7 +18,7 @@
 
     /** Client connections. */
     int connections() throws InterruptedException, ExecutionException {
-        return onLoop(() -> node.components().server().connections());
+        return onLoop(() -> node.components().server().connectionCount());
     }
 
     /** Engines on the list. */
