--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -101,7 +101,7 @@
         return node;
     }
 
-    /** Returns once the node serves, or at once if it has been told to shut down. */
+    /** Returns once the node serves, or at once if it is shutting down. */
     void start() throws NodeStartException, InterruptedException {
         loop.submit(this::build).await();
         if (shutdown.hasBegun()) {
--- a/src/main/java/larchridge/node/ShutdownSequence.java
+++ b/src/main/java/larchridge/node/ShutdownSequence.java
@@ -30,7 +30,7 @@
         this.onEnded = onEnded;
     }
 
-    /** Whether the node has been told to end; on any thread. */
+    /** Whether the node is shutting down; on any thread. */
     boolean hasBegun() {
         return begun;
     }
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Each invariant is broken once by events as the sockets would tell them, and counted; an orderly
- * day breaks none.
+ * Each invariant is violated once by events as the sockets would report them, and counted; an
+ * orderly day violates none.
  */
 class RequestAuditTest {
     private static final String ID = "9b1f03aa5c7e2d41";
@@ -47,10 +47,10 @@
         audit.endpointsChanged(engines);
     }
 
-    private void accept(String id, Effect effect, DeduplicationScope span) {
+    private void accept(String id, Effect effect, DeduplicationScope scope) {
         audit.accepted(
                 id,
-                new TrafficClass("p", effect, span, WINDOW_MS, 1, 0, 1000, 0, 60),
+                new TrafficClass("p", effect, scope, WINDOW_MS, 1, 0, 1000, 0, 60),
                 nowMs + TIME_LIMIT_MS);
     }
 
@@ -63,14 +63,14 @@
         audit.readCompleted(ID, write(ID, READER, true));
     }
 
-    private void writeThatMayHaveRun(Effect effect, DeduplicationScope span) {
-        accept(ID, effect, span);
+    private void writeThatMayHaveRun(Effect effect, DeduplicationScope scope) {
+        accept(ID, effect, scope);
         audit.readCompleted(ID, write(ID, READER, true));
         audit.attemptEnded(ID, write(ID, WRITER, false), "CUT", false, false);
     }
 
     @Test
-    void orderlyRequestBreaksNothing() {
+    void orderlyRequestViolatesNothing() {
         readAndHold();
         int attempt = write(ID, WRITER, false);
         nowMs += 500;
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void releaseInTimeBesideAnAttemptBreaksNothing() {
+    void releaseInTimeBesideAnAttemptViolatesNothing() {
         readAndHold();
         int attempt = write(ID, WRITER, false);
         nowMs += RELEASE_MS;
@@ -98,7 +98,7 @@
     }
 
     /** Does what the invariant forbids. */
-    private void breach(Invariant invariant) {
+    private void violate(Invariant invariant) {
         switch (invariant) {
             case ONE_FINAL_ANSWER -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
@@ -167,14 +167,14 @@
 
     @ParameterizedTest
     @EnumSource(Invariant.class)
-    void breachIsCountedOnceUnderItsName(Invariant invariant) {
-        breach(invariant);
+    void violationIsCountedOnceUnderItsName(Invariant invariant) {
+        violate(invariant);
         assertEquals(1, violations.count(invariant));
         assertEquals(1, violations.total());
     }
 
     @Test
-    void repeatInItsGroupAndWindowBreaksNothing() {
+    void retryInItsScopeAndWindowViolatesNothing() {
         writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         nowMs += WINDOW_MS - 1;
         write(ID, WRITER, false);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void repeatAfterItsWindowOrOutsideItsGroupIsCounted() {
+    void retryAfterItsWindowOrOutsideItsScopeIsCounted() {
         writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         write(ID, OTHER_RACK, false);
         assertEquals(1, violations.count(Invariant.NO_FORBIDDEN_RETRY));
--- a/src/test/java/larchridge/node/NodeFixtureTest.java
+++ b/src/test/java/larchridge/node/AbstractNodeTest.java
@@ -8,19 +8,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests that each have a node of their own between scripted engines, discovery and clients. */
-abstract class NodeFixtureTest {
+abstract class AbstractNodeTest {
     @TempDir Path folder;
-    NodeFixture scene;
+    NodeFixture fixture;
 
     @BeforeEach
     void open() throws Exception {
-        scene = new NodeFixture(folder);
+        fixture = new NodeFixture(folder);
     }
 
     @AfterEach
     void close() throws Exception {
-        scene.close();
+        fixture.close();
         assertEquals(
-                0, scene.inspector.violations(), "invariants violated; the log has the requests");
+                0, fixture.inspector.violations(), "invariants violated; the log has the requests");
     }
 }
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -1,12 +1,22 @@
 package larchridge.node;
 
+import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.NodeFixture.awaitCompleteStream;
+import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.WireMessages.EVENT;
+import static larchridge.node.WireMessages.LAST_EVENTS;
+import static larchridge.node.WireMessages.SHORT_STREAM;
+import static larchridge.node.WireMessages.STREAM_HEAD;
+import static larchridge.node.WireMessages.chunk;
+import static larchridge.node.WireMessages.generationRequest;
+import static larchridge.node.WireMessages.newRequestId;
+import static larchridge.node.WireMessages.readResponse;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import larchridge.node.NodeFixture.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -15,9 +25,9 @@
  * released.
  */
 @Timeout(30)
-class ClientCloseTest extends NodeFixtureTest {
+class ClientCloseTest extends AbstractNodeTest {
     /** Closes with a FIN, or with a reset that drops what the peer has not read. */
-    private static void close(NodeFixture.RawClient client, boolean resets) throws Exception {
+    private static void close(RawClient client, boolean resets) throws Exception {
         if (resets) {
             client.socket.setSoLinger(true, 0);
         }
@@ -28,27 +38,30 @@
      * Whether an engine got an attempt of this request, once a later request has been served from
      * end to end.
      */
-    private boolean reached(NodeFixture.Actor engine, String id) throws Exception {
-        NodeFixture.RawClient other = scene.client();
-        other.send(NodeFixture.ask(NodeFixture.id(), ""));
-        NodeFixture.served(other);
-        return engine.seen.stream()
-                .anyMatch(seen -> seen.method().equals("POST") && id.equals(seen.header("Req-Id")));
+    private boolean hasReceivedAttempt(ScriptedServer engine, String id) throws Exception {
+        RawClient other = fixture.newClient();
+        other.send(generationRequest(newRequestId(), ""));
+        awaitCompleteStream(other);
+        return engine.received.stream()
+                .anyMatch(
+                        request ->
+                                request.method().equals("POST")
+                                        && id.equals(request.header("Req-Id")));
     }
 
     @Test
-    void requestWhoseClientClosedRightBehindItIsNotSentOn() throws Exception {
-        NodeFixture.RawClient kept = scene.client();
-        kept.send(NodeFixture.ask(NodeFixture.id(), ""));
-        NodeFixture.served(kept);
-        for (NodeFixture.RawClient client : List.of(scene.client(), kept)) {
-            scene.settled();
-            CountDownLatch goOn = scene.holdLoop();
-            String id = NodeFixture.id();
-            client.send(NodeFixture.ask(id, ""));
+    void requestWhoseClientClosedRightBehindItIsNotForwarded() throws Exception {
+        RawClient idle = fixture.newClient();
+        idle.send(generationRequest(newRequestId(), ""));
+        awaitCompleteStream(idle);
+        for (RawClient client : List.of(fixture.newClient(), idle)) {
+            fixture.awaitEventLoop();
+            CountDownLatch resume = fixture.pauseEventLoop();
+            String id = newRequestId();
+            client.send(generationRequest(id, ""));
             client.close();
-            goOn.countDown();
-            assertTrue(!reached(scene.reader, id));
+            resume.countDown();
+            assertTrue(!hasReceivedAttempt(fixture.reader, id));
         }
     }
 
@@ -56,67 +69,60 @@
     void readThatEndsInTheTurnInWhichTheClientClosesIsReleasedAndNotWritten() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             CountDownLatch answered = new CountDownLatch(1);
-            CountDownLatch asked = new CountDownLatch(1);
+            CountDownLatch requested = new CountDownLatch(1);
             CountDownLatch open = new CountDownLatch(1);
-            scene.reader.script =
-                    seen -> {
-                        asked.countDown();
-                        NodeFixture.await(open);
-                        return new Reply(
-                                NodeFixture.read(0),
+            fixture.reader.script =
+                    request -> {
+                        requested.countDown();
+                        awaitLatch(open);
+                        return new ScriptedResponse(
+                                readResponse(0),
                                 true,
                                 () -> {
                                     answered.countDown();
                                     return "";
                                 });
                     };
-            String id = NodeFixture.id();
-            NodeFixture.RawClient client = scene.client();
-            client.send(NodeFixture.ask(id, ""));
-            NodeFixture.await(asked);
-            CountDownLatch goOn = scene.holdLoop();
+            String id = newRequestId();
+            RawClient client = fixture.newClient();
+            client.send(generationRequest(id, ""));
+            awaitLatch(requested);
+            CountDownLatch resume = fixture.pauseEventLoop();
             open.countDown();
-            NodeFixture.await(answered);
+            awaitLatch(answered);
             close(client, resets);
-            goOn.countDown();
-            assertEquals("/v1/holds/" + id, scene.reader.next("DELETE").target());
-            assertTrue(!reached(scene.writer, id), "resets " + resets);
+            resume.countDown();
+            assertEquals("/v1/holds/" + id, fixture.reader.awaitRequest("DELETE").target());
+            assertTrue(!hasReceivedAttempt(fixture.writer, id), "resets " + resets);
         }
     }
 
     @Test
-    void requestSentAheadOfTheAnswerIsNotSentOnForAClientThatClosedAsItCame() throws Exception {
+    void pipelinedRequestIsNotForwardedForAClientThatClosedAsItsTurnCame() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
-        scene.writer.script =
-                seen ->
-                        new Reply(
-                                NodeFixture.GOOD + NodeFixture.chunk(NodeFixture.EVENT),
+        fixture.writer.script =
+                request ->
+                        new ScriptedResponse(
+                                STREAM_HEAD + chunk(EVENT),
                                 true,
                                 () -> {
                                     begun.countDown();
-                                    NodeFixture.await(open);
-                                    return NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
-                                            + "0\r\n\r\n";
+                                    awaitLatch(open);
+                                    return chunk(EVENT + LAST_EVENTS) + "0\r\n\r\n";
                                 });
-        String ahead = NodeFixture.id();
-        NodeFixture.RawClient client = scene.client();
-        client.send(NodeFixture.ask(NodeFixture.id(), "") + NodeFixture.ask(ahead, ""));
-        NodeFixture.await(begun);
-        client.until("\"ab\"");
-        scene.writer.script =
-                seen ->
-                        new Reply(
-                                NodeFixture.GOOD
-                                        + NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
-                                        + "0\r\n\r\n",
-                                true);
-        CountDownLatch goOn = scene.holdLoop();
+        String ahead = newRequestId();
+        RawClient client = fixture.newClient();
+        client.send(generationRequest(newRequestId(), "") + generationRequest(ahead, ""));
+        awaitLatch(begun);
+        client.readUntil("\"ab\"");
+        fixture.writer.script = request -> new ScriptedResponse(SHORT_STREAM, true);
+        CountDownLatch resume = fixture.pauseEventLoop();
         open.countDown();
-        scene.writer.settled();
+        fixture.writer.awaitResponsesWritten();
         client.close();
-        goOn.countDown();
-        assertTrue(!reached(scene.reader, ahead));
+        resume.countDown();
+        assertTrue(!hasReceivedAttempt(fixture.reader, ahead));
     }
 
     /**
@@ -124,47 +130,47 @@
      * client's close.
      */
     @Test
-    void furtherAttemptThatFallsDueInTheTurnInWhichTheClientClosesIsNotSent() throws Exception {
+    void retryThatFallsDueInTheTurnInWhichTheClientClosesIsNotSent() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
-        try (NodeFixture.Actor second =
-                new NodeFixture.Actor(
-                        seen -> {
+        try (ScriptedServer second =
+                new ScriptedServer(
+                        request -> {
                             first.countDown();
-                            return new Reply(null, true);
+                            return new ScriptedResponse(null, true);
                         })) {
-            scene.reader.script = second.script;
-            scene.listed.add(NodeFixture.row("r2", second.port(), "lectura", "SERVING", 0));
-            scene.changed();
-            while (scene.inspector.engines() < 3) {
-                scene.settled();
+            fixture.reader.script = second.script;
+            fixture.endpointList.add(endpointJson("r2", second.port(), "lectura", "SERVING", 0));
+            fixture.endpointList.changed();
+            while (fixture.inspector.engines() < 3) {
+                fixture.awaitEventLoop();
             }
-            NodeFixture.RawClient client = scene.client();
-            client.send(NodeFixture.ask(NodeFixture.id(), ""));
-            NodeFixture.await(first);
-            CountDownLatch goOn = scene.holdLoop();
+            RawClient client = fixture.newClient();
+            client.send(generationRequest(newRequestId(), ""));
+            awaitLatch(first);
+            CountDownLatch resume = fixture.pauseEventLoop();
             // Longer than the module waits for a silent reader, so that the second attempt is due
-            // when the loop goes on.
+            // when the loop resumes.
             TimeUnit.MILLISECONDS.sleep(1500);
             client.close();
-            goOn.countDown();
-            scene.settled();
-            scene.settled();
-            long attempts = scene.reader.posts() + second.posts();
+            resume.countDown();
+            fixture.awaitEventLoop();
+            fixture.awaitEventLoop();
+            long attempts = fixture.reader.attemptCount() + second.attemptCount();
             assertEquals(1, attempts);
         }
     }
 
     @Test
-    void halfARequestThatIsClosedReachesNoEngine() throws Exception {
+    void incompleteRequestOfAClosedConnectionReachesNoEngine() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
-            String id = NodeFixture.id();
-            String request = NodeFixture.ask(id, "");
-            NodeFixture.RawClient client = scene.client();
+            String id = newRequestId();
+            String request = generationRequest(id, "");
+            RawClient client = fixture.newClient();
             client.send(request.substring(0, request.length() - 4));
-            scene.settled();
+            fixture.awaitEventLoop();
             close(client, resets);
-            assertTrue(!reached(scene.reader, id));
-            assertEquals(0, scene.inspector.openRequests());
+            assertTrue(!hasReceivedAttempt(fixture.reader, id));
+            assertEquals(0, fixture.inspector.openRequests());
         }
     }
 }
--- /dev/null
+++ b/src/test/java/larchridge/node/ClientConnectionLimitTest.java
@@ -0,0 +1,85 @@
+package larchridge.node;
+
+import static larchridge.node.NodeFixture.awaitCompleteStream;
+import static larchridge.node.WireMessages.HEALTH_REQUEST;
+import static larchridge.node.WireMessages.generationRequest;
+import static larchridge.node.WireMessages.newRequestId;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** More client connections than the node may hold, or ones that stay silent. */
+@Timeout(30)
+class ClientConnectionLimitTest extends AbstractNodeTest {
+    @Test
+    void hundredsOfSilentConnectionsAreClosedAndUsualClientsServedBesideThem() throws Exception {
+        long start = System.nanoTime();
+        RawClient half = fixture.newClient();
+        half.send(
+                "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\nContent-Length: 50\r\n\r\nhalf");
+        for (int i = 0; i < 300; i++) {
+            RawClient silent = fixture.newClient();
+            if (i % 50 == 0) {
+                RawClient usual = fixture.newClient();
+                usual.send(generationRequest(newRequestId(), ""));
+                awaitCompleteStream(usual);
+            }
+            if (i == 299) {
+                silent.readToEnd();
+            }
+        }
+        assertTrue(half.readToEnd().matches("(?s)HTTP/1.1 408.*"));
+        assertTrue(System.nanoTime() - start < 3_000e6);
+    }
+
+    @Test
+    void burstOfConnectionsTakesNoMoreThanItsPart() throws Exception {
+        int most = 0;
+        for (int i = 0; i < 8; i++) {
+            // Faster than they can be accepted one by one.
+            for (int j = 0; j < 100; j++) {
+                fixture.newClient();
+            }
+            most = Math.max(most, fixture.inspector.connections());
+        }
+        assertTrue(
+                most > 100 && most <= 126,
+                "connections " + most + " where 0.42 of 300 are allowed");
+        RawClient usual = fixture.newClient();
+        usual.send(generationRequest(newRequestId(), ""));
+        awaitCompleteStream(usual);
+    }
+
+    @Test
+    void burstOfIncompleteRequestsTakesNoMoreConnectionsThanItsPart() throws Exception {
+        String request = generationRequest(newRequestId(), "");
+        for (String part :
+                new String[] {
+                    request.substring(0, 40), request.substring(0, request.length() - 4)
+                }) {
+            for (int i = 0; i < 200; i++) {
+                fixture.newClient().send(part);
+            }
+            fixture.awaitEventLoop();
+            int connections = fixture.inspector.connections();
+            assertTrue(
+                    connections <= 126,
+                    "connections " + connections + " where 0.42 of 300 are allowed");
+            RawClient usual = fixture.newClient();
+            usual.send(generationRequest(newRequestId(), ""));
+            awaitCompleteStream(usual);
+        }
+    }
+
+    @Test
+    void newConnectionIsServedWhereAllOthersAreIdle() throws Exception {
+        for (int i = 0; i < 200; i++) {
+            RawClient stays = fixture.newClient();
+            stays.send(HEALTH_REQUEST);
+            assertTrue(stays.readResponse().startsWith("HTTP/1.1 200 "), "connection " + i);
+        }
+        assertEquals(126, fixture.inspector.connections());
+    }
+}
--- a/src/test/java/larchridge/node/DescriptorExhaustionTest.java
+++ b/src/test/java/larchridge/node/DescriptorExhaustionTest.java
@@ -1,5 +1,8 @@
 package larchridge.node;
 
+import static larchridge.node.WireMessages.HEALTH_REQUEST;
+import static larchridge.node.WireMessages.generationRequest;
+import static larchridge.node.WireMessages.newRequestId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,7 +14,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import larchridge.node.NodeFixture.Reply;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -61,20 +63,20 @@
      * has to be followed.
      */
     @Test
-    void discoveryIsAskedAgainOnceThereAreDescriptors() throws Exception {
+    void discoveryIsPolledAgainOnceThereAreDescriptors() throws Exception {
         List<Socket> clients = connectAll();
-        node.discovery.script = seen -> new Reply(null, false);
-        node.listChanged();
+        node.discovery.script = request -> new ScriptedResponse(null, false);
+        node.endpointList.changed();
         TimeUnit.MILLISECONDS.sleep(EXHAUSTED_MS);
-        node.discovery.script = node::list;
-        node.discovery.seen.clear();
+        node.discovery.script = node.endpointList::respond;
+        node.discovery.received.clear();
         closeAll(clients);
         long free = System.nanoTime();
         assertTrue(
-                node.discovery.seen.poll(8, TimeUnit.SECONDS) != null,
-                "discovery was never asked again");
+                node.discovery.received.poll(8, TimeUnit.SECONDS) != null,
+                "discovery was never polled again");
         double tookMs = (System.nanoTime() - free) / 1e6;
-        assertTrue(tookMs < RECOVERED_WITHIN_MS, "asked again after " + tookMs + " ms");
+        assertTrue(tookMs < RECOVERED_WITHIN_MS, "polled again after " + tookMs + " ms");
     }
 
     /** A failed accept is this machine's affair of a moment. */
@@ -84,9 +86,9 @@
         TimeUnit.MILLISECONDS.sleep(200);
         closeAll(clients);
         long free = System.nanoTime();
-        try (NodeFixture.RawClient client = new NodeFixture.RawClient(node.port)) {
-            client.send(NodeFixture.UP);
-            assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
+        try (RawClient client = new RawClient(node.port)) {
+            client.send(HEALTH_REQUEST);
+            assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
         }
         double tookMs = (System.nanoTime() - free) / 1e6;
         assertTrue(tookMs < 500, "accepted after " + tookMs + " ms");
@@ -97,21 +99,21 @@
      */
     @Test
     void requestIsServedWhoseAttemptsFindNoDescriptorForAMoment() throws Exception {
-        NodeFixture.RawClient client = new NodeFixture.RawClient(node.port);
+        RawClient client = new RawClient(node.port);
         List<Socket> clients = connectAll();
         TimeUnit.MILLISECONDS.sleep(200);
-        client.send(NodeFixture.ask(NodeFixture.id(), ""));
+        client.send(generationRequest(newRequestId(), ""));
         TimeUnit.MILLISECONDS.sleep(500);
         closeAll(clients);
         client.socket.setSoTimeout(8000);
         String head;
         try {
-            head = client.until("\r\n\r\n");
+            head = client.readUntil("\r\n\r\n");
         } catch (SocketTimeoutException e) {
             throw new AssertionError("no answer; the node's log: " + node.log(), e);
         }
         assertTrue(head != null && head.startsWith("HTTP/1.1 200 "), head);
-        assertEquals(1, node.writer.posts());
+        assertEquals(1, node.writer.attemptCount());
         client.close();
     }
 }
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -1,5 +1,12 @@
 package larchridge.node;
 
+import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.NodeFixture.awaitCompleteStream;
+import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.WireMessages.generationRequest;
+import static larchridge.node.WireMessages.newRequestId;
+import static larchridge.node.WireMessages.readResponse;
+import static larchridge.node.WireMessages.response;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,43 +16,41 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
-import larchridge.node.NodeFixture.Reply;
-import larchridge.node.NodeFixture.Seen;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Calls to discovery that break, fall silent, come late or tell old things; judged by where
+ * Calls to discovery that break, fall silent, come late or carry old lists; judged by where
  * requests go.
  */
 @Timeout(30)
-class DiscoveryTest extends NodeFixtureTest {
+class DiscoveryTest extends AbstractNodeTest {
     /**
      * What was missed has to act 6 s after a watch fell silent; a connection that does not come up,
      * and a retry, fit in too.
      */
-    private static final double ASKED_AGAIN_MS = 4000;
+    private static final double POLLED_AGAIN_MS = 4000;
 
-    private static boolean isWatch(Seen seen) {
-        return seen.target().contains("after=");
+    private static boolean isWatch(ReceivedRequest request) {
+        return request.target().contains("after=");
     }
 
     /** Waits for a call of the kind that comes after this moment. */
-    private void awaitCall(NodeFixture.Actor discovery, boolean watch) throws Exception {
-        Seen seen = discovery.next("GET");
-        while (isWatch(seen) != watch) {
-            seen = discovery.next("GET");
+    private void awaitCall(ScriptedServer discovery, boolean watch) throws Exception {
+        ReceivedRequest request = discovery.awaitRequest("GET");
+        while (isWatch(request) != watch) {
+            request = discovery.awaitRequest("GET");
         }
     }
 
-    private String list(String... rows) {
-        return list(50, rows);
+    private String listResponse(String... rows) {
+        return listResponse(50, rows);
     }
 
-    private static String list(int index, String... rows) {
-        return NodeFixture.answer(
+    private static String listResponse(int index, String... rows) {
+        return response(
                 "200 OK",
                 "{\"index\":"
                         + index
@@ -54,14 +59,14 @@
                         + "]}");
     }
 
-    private void servedBy(NodeFixture.Actor engine, NodeFixture.Actor notBy) throws Exception {
-        engine.seen.clear();
-        notBy.seen.clear();
-        NodeFixture.RawClient client = scene.client();
-        client.send(NodeFixture.ask(NodeFixture.id(), ""));
-        NodeFixture.served(client);
-        assertEquals(1, engine.posts());
-        assertEquals(0, notBy.posts());
+    private void assertServedBy(ScriptedServer engine, ScriptedServer notBy) throws Exception {
+        engine.received.clear();
+        notBy.received.clear();
+        RawClient client = fixture.newClient();
+        client.send(generationRequest(newRequestId(), ""));
+        awaitCompleteStream(client);
+        assertEquals(1, engine.attemptCount());
+        assertEquals(0, notBy.attemptCount());
     }
 
     @ParameterizedTest
@@ -71,137 +76,138 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"index\":60,\"snapshot\":true,\"endpoints\":["
             })
-    void watchThatFallsSilentInsideItsAnswerIsOpenedAnewInTime(String part) throws Exception {
-        Function<Seen, Reply> script = scene.discovery.script;
+    void watchThatFallsSilentWithinItsAnswerIsReopenedInTime(String part) throws Exception {
+        Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         AtomicInteger watches = new AtomicInteger();
-        scene.discovery.script =
-                seen ->
-                        isWatch(seen) && watches.getAndIncrement() == 0
-                                ? new Reply(part, true)
-                                : script.apply(seen);
-        scene.discovery.seen.clear();
-        scene.changed();
+        fixture.discovery.script =
+                request ->
+                        isWatch(request) && watches.getAndIncrement() == 0
+                                ? new ScriptedResponse(part, true)
+                                : script.apply(request);
+        fixture.discovery.received.clear();
+        fixture.endpointList.changed();
         while (watches.get() == 0) {
             Thread.onSpinWait();
         }
         long silent = System.nanoTime();
-        awaitCall(scene.discovery, false);
-        assertTrue((System.nanoTime() - silent) / 1e6 < ASKED_AGAIN_MS);
-        awaitCall(scene.discovery, true);
+        awaitCall(fixture.discovery, false);
+        assertTrue((System.nanoTime() - silent) / 1e6 < POLLED_AGAIN_MS);
+        awaitCall(fixture.discovery, true);
     }
 
     @Test
-    void watchThatIsResetIsFollowedByAWholeListAtOnce() throws Exception {
-        Function<Seen, Reply> script = scene.discovery.script;
+    void watchThatIsResetIsFollowedByASnapshotAtOnce() throws Exception {
+        Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         AtomicInteger watches = new AtomicInteger();
-        scene.discovery.script =
-                seen ->
-                        isWatch(seen) && watches.getAndIncrement() == 0
-                                ? new Reply(null, false)
-                                : script.apply(seen);
-        scene.discovery.seen.clear();
-        scene.changed();
+        fixture.discovery.script =
+                request ->
+                        isWatch(request) && watches.getAndIncrement() == 0
+                                ? new ScriptedResponse(null, false)
+                                : script.apply(request);
+        fixture.discovery.received.clear();
+        fixture.endpointList.changed();
         while (watches.get() == 0) {
             Thread.onSpinWait();
         }
         long reset = System.nanoTime();
-        awaitCall(scene.discovery, false);
+        awaitCall(fixture.discovery, false);
         assertTrue((System.nanoTime() - reset) / 1e6 < 500);
     }
 
     @Test
-    void indentedWholeListOnAWatchIsTaken() throws Exception {
-        try (NodeFixture.Actor other =
-                new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true))) {
+    void indentedSnapshotOnAWatchIsApplied() throws Exception {
+        try (ScriptedServer other =
+                new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true))) {
             String rows =
                     String.join(
                                     ",\n",
-                                    NodeFixture.row("r2", other.port(), "lectura", "SERVING", 0),
-                                    NodeFixture.row(
-                                            "w1", scene.writer.port(), "redaccion", "SERVING", 0))
+                                    endpointJson("r2", other.port(), "lectura", "SERVING", 0),
+                                    endpointJson(
+                                            "w1", fixture.writer.port(), "redaccion", "SERVING", 0))
                             .replace(",\"", " ,\r\n\t\t\"");
-            scene.discovery.script =
-                    seen ->
-                            new Reply(
-                                    NodeFixture.answer(
+            fixture.discovery.script =
+                    request ->
+                            new ScriptedResponse(
+                                    response(
                                             "200 OK",
                                             "{\n  \"index\" : 50,\n  \"snapshot\" : true,\n  \"endpoints\" : [\n"
                                                     + rows
                                                     + "\n  ]\n}\n"),
                                     true);
-            scene.discovery.seen.clear();
-            scene.changed();
-            awaitCall(scene.discovery, true);
-            awaitCall(scene.discovery, true);
-            servedBy(other, scene.reader);
+            fixture.discovery.received.clear();
+            fixture.endpointList.changed();
+            awaitCall(fixture.discovery, true);
+            awaitCall(fixture.discovery, true);
+            assertServedBy(other, fixture.reader);
         }
     }
 
     /**
-     * A replica that lags answers the watch: what it tells is older than what is known, and the
-     * whole list is asked for.
+     * A replica that lags answers the watch: its list is older than the one known, and a snapshot
+     * is requested.
      */
     @Test
-    void watchThatTellsAnOlderVersionChangesNothingAndTheWholeListIsAskedFor() throws Exception {
-        try (NodeFixture.Actor other =
-                new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true))) {
-            String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
+    void watchWithAnOlderVersionChangesNothingAndASnapshotIsRequested() throws Exception {
+        try (ScriptedServer other =
+                new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true))) {
+            String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
             String now =
-                    list(
+                    listResponse(
                             60,
-                            NodeFixture.row("r1", scene.reader.port(), "lectura", "DRAINING", 0),
-                            NodeFixture.row("r2", other.port(), "lectura", "SERVING", 0),
+                            endpointJson("r1", fixture.reader.port(), "lectura", "DRAINING", 0),
+                            endpointJson("r2", other.port(), "lectura", "SERVING", 0),
                             writer);
             String old =
-                    list(
+                    listResponse(
                             40,
-                            NodeFixture.row("r1", scene.reader.port(), "lectura", "SERVING", 0),
+                            endpointJson("r1", fixture.reader.port(), "lectura", "SERVING", 0),
                             writer);
             CountDownLatch wholeAgain = new CountDownLatch(2);
             CountDownLatch open = new CountDownLatch(1);
-            scene.discovery.script =
-                    seen -> {
-                        if (!isWatch(seen)) {
+            fixture.discovery.script =
+                    request -> {
+                        if (!isWatch(request)) {
                             wholeAgain.countDown();
                             if (wholeAgain.getCount() == 0) {
-                                NodeFixture.await(open);
+                                awaitLatch(open);
                             }
-                            return new Reply(now, true);
+                            return new ScriptedResponse(now, true);
                         }
-                        return new Reply(seen.target().contains("after=60") ? old : now, true);
+                        return new ScriptedResponse(
+                                request.target().contains("after=60") ? old : now, true);
                     };
-            scene.node.reload();
-            NodeFixture.await(wholeAgain);
-            scene.settled();
-            servedBy(other, scene.reader);
+            fixture.node.reload();
+            awaitLatch(wholeAgain);
+            fixture.awaitEventLoop();
+            assertServedBy(other, fixture.reader);
             open.countDown();
         }
     }
 
     /**
-     * The agent behind a new configuration may lag behind the one before; what the node was told
-     * still counts.
+     * The agent behind a new configuration may lag behind the one before; what the node knew still
+     * counts.
      */
     @Test
-    void olderListOfAnotherAgentBringsNoDrainingEngineBack() throws Exception {
-        String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
-        try (NodeFixture.Actor other =
-                        new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true));
-                NodeFixture.Actor moved =
-                        new NodeFixture.Actor(
-                                seen ->
-                                        new Reply(
-                                                isWatch(seen)
+    void olderListOfAnotherAgentReturnsNoDrainingEngineToService() throws Exception {
+        String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+        try (ScriptedServer other =
+                        new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
+                ScriptedServer moved =
+                        new ScriptedServer(
+                                request ->
+                                        new ScriptedResponse(
+                                                isWatch(request)
                                                         ? null
-                                                        : list(
+                                                        : listResponse(
                                                                 40,
-                                                                NodeFixture.row(
+                                                                endpointJson(
                                                                         "r1",
-                                                                        scene.reader.port(),
+                                                                        fixture.reader.port(),
                                                                         "lectura",
                                                                         "SERVING",
                                                                         0),
-                                                                NodeFixture.row(
+                                                                endpointJson(
                                                                         "r2",
                                                                         other.port(),
                                                                         "lectura",
@@ -209,52 +215,56 @@
                                                                         0),
                                                                 writer),
                                                 true))) {
-            scene.discovery.script =
-                    seen ->
-                            new Reply(
-                                    isWatch(seen) && seen.target().contains("after=60")
+            fixture.discovery.script =
+                    request ->
+                            new ScriptedResponse(
+                                    isWatch(request) && request.target().contains("after=60")
                                             ? null
-                                            : list(
+                                            : listResponse(
                                                     60,
-                                                    NodeFixture.row(
+                                                    endpointJson(
                                                             "r1",
-                                                            scene.reader.port(),
+                                                            fixture.reader.port(),
                                                             "lectura",
                                                             "DRAINING",
                                                             0),
                                                     writer),
                                     true);
-            scene.changed();
-            Seen call = scene.discovery.next("GET");
+            fixture.endpointList.changed();
+            ReceivedRequest call = fixture.discovery.awaitRequest("GET");
             while (!call.target().contains("after=60")) {
-                call = scene.discovery.next("GET");
+                call = fixture.discovery.awaitRequest("GET");
             }
-            scene.configure(moved.port());
-            scene.node.reload();
+            fixture.writeConfiguration(moved.port());
+            fixture.node.reload();
             awaitCall(moved, true);
-            scene.settled();
-            servedBy(other, scene.reader);
+            fixture.awaitEventLoop();
+            assertServedBy(other, fixture.reader);
         }
     }
 
     /** An agent that answers every watch at once, with nothing new, must not keep the loop busy. */
     @Test
-    void watchThatIsAnsweredAtOnceIsAskedAtABoundedRate() throws Exception {
+    void watchThatIsAnsweredAtOnceIsPolledAtABoundedRate() throws Exception {
         AtomicInteger watches = new AtomicInteger();
-        scene.discovery.script =
-                seen -> {
+        fixture.discovery.script =
+                request -> {
                     watches.incrementAndGet();
-                    return new Reply(
-                            list(
+                    return new ScriptedResponse(
+                            listResponse(
                                     60,
-                                    NodeFixture.row(
-                                            "r1", scene.reader.port(), "lectura", "SERVING", 0),
-                                    NodeFixture.row(
-                                            "w1", scene.writer.port(), "redaccion", "SERVING", 0)),
+                                    endpointJson(
+                                            "r1", fixture.reader.port(), "lectura", "SERVING", 0),
+                                    endpointJson(
+                                            "w1",
+                                            fixture.writer.port(),
+                                            "redaccion",
+                                            "SERVING",
+                                            0)),
                             true);
                 };
-        scene.changed();
-        awaitCall(scene.discovery, true);
+        fixture.endpointList.changed();
+        awaitCall(fixture.discovery, true);
         watches.set(0);
         TimeUnit.MILLISECONDS.sleep(1000);
         assertTrue(watches.get() <= 60, watches + " watches in a second");
@@ -262,36 +272,36 @@
     }
 
     @Test
-    void firstAnswerFromTheOldAddressAfterAMoveChangesNothing() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
+    void answerFromTheOldAddressAfterAReloadChangesNothing() throws Exception {
+        CountDownLatch requested = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
-        String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
-        try (NodeFixture.Actor other =
-                        new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true));
-                NodeFixture.Actor before =
-                        new NodeFixture.Actor(
-                                seen -> {
-                                    asked.countDown();
-                                    NodeFixture.await(open);
-                                    return new Reply(
-                                            list(
-                                                    NodeFixture.row(
+        String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+        try (ScriptedServer other =
+                        new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
+                ScriptedServer before =
+                        new ScriptedServer(
+                                request -> {
+                                    requested.countDown();
+                                    awaitLatch(open);
+                                    return new ScriptedResponse(
+                                            listResponse(
+                                                    endpointJson(
                                                             "r1",
-                                                            scene.reader.port(),
+                                                            fixture.reader.port(),
                                                             "lectura",
                                                             "SERVING",
                                                             0),
                                                     writer),
                                             true);
                                 });
-                NodeFixture.Actor moved =
-                        new NodeFixture.Actor(
-                                seen ->
-                                        new Reply(
-                                                isWatch(seen)
+                ScriptedServer moved =
+                        new ScriptedServer(
+                                request ->
+                                        new ScriptedResponse(
+                                                isWatch(request)
                                                         ? null
-                                                        : list(
-                                                                NodeFixture.row(
+                                                        : listResponse(
+                                                                endpointJson(
                                                                         "r2",
                                                                         other.port(),
                                                                         "lectura",
@@ -299,51 +309,49 @@
                                                                         0),
                                                                 writer),
                                                 true))) {
-            scene.configure(before.port());
-            scene.node.reload();
-            NodeFixture.await(asked);
-            scene.configure(moved.port());
-            scene.node.reload();
+            fixture.writeConfiguration(before.port());
+            fixture.node.reload();
+            awaitLatch(requested);
+            fixture.writeConfiguration(moved.port());
+            fixture.node.reload();
             awaitCall(moved, true);
             open.countDown();
-            before.settled();
-            scene.settled();
-            servedBy(other, scene.reader);
+            before.awaitResponsesWritten();
+            fixture.awaitEventLoop();
+            assertServedBy(other, fixture.reader);
         }
     }
 
-    /**
-     * Two calls for the whole list are open at a time; the older one is answered after the newer.
-     */
+    /** Two calls for a snapshot are open at a time; the older one is answered after the newer. */
     @Test
-    void answerOfAnAbandonedCallChangesNothing() throws Exception {
+    void answerOfAClosedCallChangesNothing() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
-        String writer = NodeFixture.row("w1", scene.writer.port(), "redaccion", "SERVING", 0);
-        try (NodeFixture.Actor other =
-                        new NodeFixture.Actor(seen -> new Reply(NodeFixture.read(0), true));
-                NodeFixture.Actor moved =
-                        new NodeFixture.Actor(
-                                seen -> {
-                                    if (isWatch(seen)) {
-                                        return new Reply(null, true);
+        String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+        try (ScriptedServer other =
+                        new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
+                ScriptedServer moved =
+                        new ScriptedServer(
+                                request -> {
+                                    if (isWatch(request)) {
+                                        return new ScriptedResponse(null, true);
                                     }
                                     if (calls.getAndIncrement() == 0) {
-                                        NodeFixture.await(open);
-                                        return new Reply(
-                                                list(
-                                                        NodeFixture.row(
+                                        awaitLatch(open);
+                                        return new ScriptedResponse(
+                                                listResponse(
+                                                        endpointJson(
                                                                 "r1",
-                                                                scene.reader.port(),
+                                                                fixture.reader.port(),
                                                                 "lectura",
                                                                 "SERVING",
                                                                 0),
                                                         writer),
                                                 true);
                                     }
-                                    return new Reply(
-                                            list(
-                                                    NodeFixture.row(
+                                    return new ScriptedResponse(
+                                            listResponse(
+                                                    endpointJson(
                                                             "r2",
                                                             other.port(),
                                                             "lectura",
@@ -352,26 +360,26 @@
                                                     writer),
                                             true);
                                 })) {
-            scene.configure(moved.port());
-            scene.node.reload();
+            fixture.writeConfiguration(moved.port());
+            fixture.node.reload();
             awaitCall(moved, true);
             open.countDown();
-            moved.settled();
-            scene.settled();
-            servedBy(other, scene.reader);
+            moved.awaitResponsesWritten();
+            fixture.awaitEventLoop();
+            assertServedBy(other, fixture.reader);
         }
     }
 
     @Test
-    void addressThatRefusesAfterAMoveIsFollowedOnceItIsUp() throws Exception {
-        ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        int port = taken.getLocalPort();
-        taken.close();
-        scene.configure(port);
-        scene.node.reload();
-        // Long enough for the pauses between tries to have grown to their most.
+    void addressThatRefusesConnectionsIsFollowedOnceItIsUp() throws Exception {
+        ServerSocket reserved = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        int port = reserved.getLocalPort();
+        reserved.close();
+        fixture.writeConfiguration(port);
+        fixture.node.reload();
+        // Long enough for the backoff to have reached its maximum.
         TimeUnit.MILLISECONDS.sleep(600);
-        try (NodeFixture.Actor moved = new NodeFixture.Actor(scene.discovery.script, port)) {
+        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script, port)) {
             long up = System.nanoTime();
             awaitCall(moved, false);
             assertTrue((System.nanoTime() - up) / 1e6 < 500);
--- a/src/test/java/larchridge/node/ListenTest.java
+++ b/src/test/java/larchridge/node/ListenTest.java
@@ -22,7 +22,7 @@
     @TempDir Path folder;
 
     @Test
-    void addressThatIsTakenForAMomentIsHadOnceItIsFree() throws Exception {
+    void addressThatIsTakenForAMomentIsUsedOnceItIsFree() throws Exception {
         ServerSocket before = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         try (NodeProcess node = new NodeProcess(folder, DESCRIPTORS, before.getLocalPort())) {
             TimeUnit.MILLISECONDS.sleep(TAKEN_MS);
--- /dev/null
+++ b/src/test/java/larchridge/node/NodeConfigurationTest.java
@@ -0,0 +1,73 @@
+package larchridge.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Configurations that are broken, and ones that change while the node runs. */
+@Timeout(30)
+class NodeConfigurationTest extends AbstractNodeTest {
+    @Test
+    void newConfigurationMovesDiscoveryAndABrokenOneChangesNothing() throws Exception {
+        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script)) {
+            Files.writeString(fixture.configurationFile, "{broken");
+            fixture.node.reload();
+            fixture.writeConfiguration(moved.port());
+            fixture.node.reload();
+            assertEquals("/discovery/hosts", moved.awaitRequest("GET").target());
+            assertTrue(moved.awaitRequest("GET").target().startsWith("/discovery/hosts?after="));
+        }
+    }
+
+    /**
+     * A read of the file fails for a moment, as where descriptors are short, or finds it half
+     * written.
+     */
+    @Test
+    void configurationThatCannotBeReadAtOnceIsRetried() throws Exception {
+        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script)) {
+            for (boolean halfWritten : new boolean[] {false, true}) {
+                Files.delete(fixture.configurationFile);
+                if (halfWritten) {
+                    Files.writeString(fixture.configurationFile, "{\"name\":\"n1\",");
+                }
+                fixture.node.reload();
+                fixture.awaitEventLoop();
+                moved.received.clear();
+                fixture.writeConfiguration(moved.port());
+                assertTrue(
+                        moved.received.poll(2, TimeUnit.SECONDS) != null,
+                        "the new configuration was never followed");
+            }
+        }
+    }
+
+    @Test
+    void brokenConfigurationIsReportedWithFileMemberAndWhatWasExpected() throws Exception {
+        Path file = folder.resolve("other.json");
+        String good = Files.readString(fixture.configurationFile);
+        Map<String, String> variables = Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
+        String[][] cases = {
+            {"\"memory_mb\":256", "\"memory_mb\":\"much\"", "limits.memory_mb"},
+            {"\"seed\":\"8c1f", "\"seed\":\"xyz", "seed"},
+            {"\"name\":\"n1\"", "\"name\":\"n2\"", "PROXY_NAME"},
+            {"127.0.0.1:0", "nowhere", "listen"},
+            {"\"slo_s\":1.2", "\"slo_s\":\"x\"", "slo_s"},
+            {"{\"name\"", "{name", ":1:"}
+        };
+        for (String[] one : cases) {
+            Files.writeString(file, good.replace(one[0], one[1]));
+            InvalidNodeConfigurationException fault =
+                    assertThrows(
+                            InvalidNodeConfigurationException.class, () -> Node.open(variables));
+            assertTrue(fault.getMessage().contains(one[2]), fault.getMessage());
+        }
+    }
+}
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -1,193 +1,223 @@
 package larchridge.node;
 
+import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.NodeFixture.awaitCompleteStream;
+import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.WireMessages.EVENT;
+import static larchridge.node.WireMessages.HEALTH_REQUEST;
+import static larchridge.node.WireMessages.LAST_EVENTS;
+import static larchridge.node.WireMessages.STREAM_HEAD;
+import static larchridge.node.WireMessages.chunk;
+import static larchridge.node.WireMessages.generationRequest;
+import static larchridge.node.WireMessages.newRequestId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import larchridge.node.NodeFixture.Reply;
+import java.util.concurrent.TimeUnit;
+import larchridge.node.NodeFixture.ReadGate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * What is on its way when a node is told to end: connections, requests in parts, streams, releases.
- */
+/** Requests, streams and releases in progress, and late requests, when a node shuts down. */
 @Timeout(30)
-class ShutdownTest extends NodeFixtureTest {
-    private void tellToEnd() throws Exception {
-        scene.node.shutDown();
-        scene.settled();
+class ShutdownTest extends AbstractNodeTest {
+    /** Requests that come later than this after SIGTERM must not be found under way by SIGKILL. */
+    private static final long TAKEN_AFTER_TERM_MS = 700;
+
+    private void beginShutdown() throws Exception {
+        fixture.node.shutDown();
+        fixture.awaitEventLoop();
     }
 
-    /** A connection that was served and rests. */
-    private NodeFixture.RawClient resting() throws Exception {
-        NodeFixture.RawClient client = scene.client();
-        client.send(NodeFixture.ask(NodeFixture.id(), ""));
-        NodeFixture.served(client);
+    /** A connection that was served and is idle. */
+    private RawClient idleClient() throws Exception {
+        RawClient client = fixture.newClient();
+        client.send(generationRequest(newRequestId(), ""));
+        awaitCompleteStream(client);
         return client;
     }
 
     @Test
-    void connectionThatHasNotAskedYetIsAnsweredWhenItAsks() throws Exception {
-        NodeFixture.RawClient client = scene.client();
-        scene.settled();
-        tellToEnd();
-        client.send(NodeFixture.ask(NodeFixture.id(), ""));
-        String answer = NodeFixture.served(client);
+    void connectionWithoutARequestYetIsServedWhenItSendsOne() throws Exception {
+        RawClient client = fixture.newClient();
+        fixture.awaitEventLoop();
+        beginShutdown();
+        client.send(generationRequest(newRequestId(), ""));
+        String answer = awaitCompleteStream(client);
         assertTrue(answer.toLowerCase().contains("connection: close"), answer);
-        assertEquals("", client.rest());
+        assertEquals("", client.readToEnd());
     }
 
     @Test
-    void connectionThatNeverAsksDoesNotKeepTheNodeFromEnding() throws Exception {
-        NodeFixture.RawClient client = scene.client();
-        scene.settled();
-        tellToEnd();
-        assertTrue(client.rest().startsWith("HTTP/1.1 408 "));
-        scene.node.awaitEnd();
+    void connectionThatNeverSendsARequestDoesNotDelayTheShutdownForever() throws Exception {
+        RawClient client = fixture.newClient();
+        fixture.awaitEventLoop();
+        beginShutdown();
+        assertTrue(client.readToEnd().startsWith("HTTP/1.1 408 "));
+        fixture.node.awaitEnd();
     }
 
     @Test
-    void requestOfWhichAPartHasComeIsAnswered() throws Exception {
-        String request = NodeFixture.ask(NodeFixture.id(), "");
+    void partiallyReceivedRequestIsAnswered() throws Exception {
+        String request = generationRequest(newRequestId(), "");
         int[] parts = {1, request.indexOf("Req-Kind"), request.indexOf("{\"model\"") + 3};
-        NodeFixture.RawClient[] fresh = new NodeFixture.RawClient[parts.length];
-        NodeFixture.RawClient[] kept = new NodeFixture.RawClient[parts.length];
-        String[] freshRest = new String[parts.length];
-        String[] keptRest = new String[parts.length];
+        RawClient[] fresh = new RawClient[parts.length];
+        RawClient[] idle = new RawClient[parts.length];
+        String[] freshRemainder = new String[parts.length];
+        String[] idleRemainder = new String[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            String one = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + NodeFixture.id());
-            String two = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + NodeFixture.id());
-            fresh[i] = scene.client();
-            kept[i] = resting();
+            String one = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + newRequestId());
+            String two = request.replaceFirst("Req-Id: \\w+", "Req-Id: " + newRequestId());
+            fresh[i] = fixture.newClient();
+            idle[i] = idleClient();
             fresh[i].send(one.substring(0, parts[i]));
-            kept[i].send(two.substring(0, parts[i]));
-            freshRest[i] = one.substring(parts[i]);
-            keptRest[i] = two.substring(parts[i]);
+            idle[i].send(two.substring(0, parts[i]));
+            freshRemainder[i] = one.substring(parts[i]);
+            idleRemainder[i] = two.substring(parts[i]);
         }
-        scene.settled();
-        tellToEnd();
+        fixture.awaitEventLoop();
+        beginShutdown();
         for (int i = 0; i < parts.length; i++) {
-            fresh[i].send(freshRest[i]);
-            NodeFixture.served(fresh[i]);
-            kept[i].send(keptRest[i]);
-            NodeFixture.served(kept[i]);
+            fresh[i].send(freshRemainder[i]);
+            awaitCompleteStream(fresh[i]);
+            idle[i].send(idleRemainder[i]);
+            awaitCompleteStream(idle[i]);
         }
     }
 
     @Test
-    void requestThatIsInTheSocketOfARestingConnectionIsAnswered() throws Exception {
-        NodeFixture.RawClient client = resting();
-        CountDownLatch goOn = scene.holdLoop();
-        client.send(NodeFixture.ask(NodeFixture.id(), ""));
-        scene.node.shutDown();
-        goOn.countDown();
-        NodeFixture.served(client);
+    void requestInTheSocketOfAnIdleConnectionIsAnswered() throws Exception {
+        RawClient client = idleClient();
+        CountDownLatch resume = fixture.pauseEventLoop();
+        client.send(generationRequest(newRequestId(), ""));
+        fixture.node.shutDown();
+        resume.countDown();
+        awaitCompleteStream(client);
     }
 
     @Test
-    void requestsSentAheadAreAnsweredAndTheLastAnswerSaysThatTheConnectionEnds() throws Exception {
-        NodeFixture.Gate gate = scene.gateReads();
-        NodeFixture.RawClient client = scene.held(gate, NodeFixture.id());
-        String third = NodeFixture.ask(NodeFixture.id(), "");
-        client.send(NodeFixture.ask(NodeFixture.id(), "") + third.substring(0, 20));
-        scene.settled();
-        tellToEnd();
-        gate.open().countDown();
+    void pipelinedRequestsAreAnsweredAndTheLastResponseSaysConnectionClose() throws Exception {
+        ReadGate gate = fixture.gateReads();
+        RawClient client = fixture.clientWithHeldRead(gate, newRequestId());
+        String third = generationRequest(newRequestId(), "");
+        client.send(generationRequest(newRequestId(), "") + third.substring(0, 20));
+        fixture.awaitEventLoop();
+        beginShutdown();
+        gate.opened().countDown();
         for (int i = 0; i < 2; i++) {
-            String answer = NodeFixture.served(client);
+            String answer = awaitCompleteStream(client);
             assertTrue(!answer.toLowerCase().contains("connection: close"), answer);
         }
         client.send(third.substring(20));
-        assertTrue(NodeFixture.served(client).toLowerCase().contains("connection: close"));
-        assertEquals("", client.rest());
+        assertTrue(awaitCompleteStream(client).toLowerCase().contains("connection: close"));
+        assertEquals("", client.readToEnd());
     }
 
     @Test
-    void whatComesAfterARestingConnectionWasShutIsNotSentOn() throws Exception {
-        NodeFixture.RawClient client = resting();
-        tellToEnd();
-        assertEquals("", client.rest());
-        String id = NodeFixture.id();
-        client.send(NodeFixture.ask(id, ""));
-        scene.node.awaitEnd();
-        assertTrue(scene.reader.seen.stream().noneMatch(seen -> id.equals(seen.header("Req-Id"))));
+    void requestAfterAnIdleConnectionWasClosedIsNotForwarded() throws Exception {
+        RawClient client = idleClient();
+        beginShutdown();
+        assertEquals("", client.readToEnd());
+        String id = newRequestId();
+        client.send(generationRequest(id, ""));
+        fixture.node.awaitEnd();
+        assertTrue(
+                fixture.reader.received.stream()
+                        .noneMatch(request -> id.equals(request.header("Req-Id"))));
     }
 
     @Test
-    void streamThatRunsIsPassedOnToItsEnd() throws Exception {
+    void streamInProgressIsForwardedToItsEnd() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        scene.writer.script =
-                seen ->
-                        new Reply(
-                                NodeFixture.GOOD + NodeFixture.chunk(NodeFixture.EVENT),
+        CountDownLatch resume = new CountDownLatch(1);
+        fixture.writer.script =
+                request ->
+                        new ScriptedResponse(
+                                STREAM_HEAD + chunk(EVENT),
                                 true,
                                 () -> {
                                     begun.countDown();
-                                    NodeFixture.await(goOn);
-                                    return NodeFixture.chunk(NodeFixture.EVENT + NodeFixture.END)
-                                            + "0\r\n\r\n";
+                                    awaitLatch(resume);
+                                    return chunk(EVENT + LAST_EVENTS) + "0\r\n\r\n";
                                 });
-        NodeFixture.RawClient client = scene.client();
-        client.send(NodeFixture.ask(NodeFixture.id(), ""));
-        NodeFixture.await(begun);
-        assertTrue(client.until("\"ab\"").startsWith("HTTP/1.1 200 "));
-        tellToEnd();
-        goOn.countDown();
-        assertTrue(client.rest().endsWith("0\r\n\r\n"));
-        scene.node.awaitEnd();
+        RawClient client = fixture.newClient();
+        client.send(generationRequest(newRequestId(), ""));
+        awaitLatch(begun);
+        assertTrue(client.readUntil("\"ab\"").startsWith("HTTP/1.1 200 "));
+        beginShutdown();
+        resume.countDown();
+        assertTrue(client.readToEnd().endsWith("0\r\n\r\n"));
+        fixture.node.awaitEnd();
     }
 
     /** Each silent engine takes a fifth of the time that a state may be held, 200 ms here. */
     @Test
-    void lastReleaseReachesAnEngineThatTakesItBeforeTheNodeEnds() throws Exception {
-        scene.reader.silent = true;
-        try (NodeFixture.Actor second = new NodeFixture.Actor(seen -> new Reply(null, true));
-                NodeFixture.Actor third = new NodeFixture.Actor(seen -> new Reply(null, true))) {
+    void lastReleaseReachesAnEngineBeforeTheNodeEnds() throws Exception {
+        fixture.reader.silent = true;
+        try (ScriptedServer second =
+                        new ScriptedServer(request -> new ScriptedResponse(null, true));
+                ScriptedServer third =
+                        new ScriptedServer(request -> new ScriptedResponse(null, true))) {
             second.silent = true;
             third.silent = true;
-            scene.listed.add(0, NodeFixture.row("r2", second.port(), "lectura", "SERVING", 0));
-            scene.listed.add(0, NodeFixture.row("r3", third.port(), "lectura", "SERVING", 0));
-            scene.changed();
-            while (scene.inspector.engines() < 4) {
-                scene.settled();
+            fixture.endpointList.addFirst(
+                    endpointJson("r2", second.port(), "lectura", "SERVING", 0));
+            fixture.endpointList.addFirst(
+                    endpointJson("r3", third.port(), "lectura", "SERVING", 0));
+            fixture.endpointList.changed();
+            while (fixture.inspector.engines() < 4) {
+                fixture.awaitEventLoop();
             }
-            String id = NodeFixture.id();
-            NodeFixture.RawClient client = scene.client();
-            client.send(NodeFixture.ask(id, 700, ""));
-            scene.settled();
-            scene.node.shutDown();
-            assertTrue(client.answer().matches("(?s)HTTP/1.1 50[34] .*"));
-            scene.node.awaitEnd();
-            assertEquals("/v1/holds/" + id, scene.writer.next("DELETE").target());
+            String id = newRequestId();
+            RawClient client = fixture.newClient();
+            client.send(generationRequest(id, 700, ""));
+            fixture.awaitEventLoop();
+            fixture.node.shutDown();
+            assertTrue(client.readResponse().matches("(?s)HTTP/1.1 50[34] .*"));
+            fixture.node.awaitEnd();
+            assertEquals("/v1/holds/" + id, fixture.writer.awaitRequest("DELETE").target());
         }
     }
 
     @Test
-    void wordToEndBeforeAnythingIsBuiltEndsTheNode() throws Exception {
-        Node node = Node.create(Map.of("PROXY_CONFIG", scene.file.toString(), "PROXY_NAME", "n1"));
+    void shutdownBeforeAnythingIsBuiltEndsTheNode() throws Exception {
+        Node node =
+                Node.create(
+                        Map.of(
+                                "PROXY_CONFIG",
+                                fixture.configurationFile.toString(),
+                                "PROXY_NAME",
+                                "n1"));
         node.shutDown();
         node.start();
         node.awaitEnd();
     }
 
     @Test
-    void wordToEndWhileTheFirstListIsWaitedForEndsTheNode() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        try (NodeFixture.Actor silent =
-                new NodeFixture.Actor(
-                        seen -> {
-                            asked.countDown();
-                            return new Reply(null, true);
+    void shutdownWhileTheFirstListIsAwaitedEndsTheNode() throws Exception {
+        CountDownLatch requested = new CountDownLatch(1);
+        try (ScriptedServer silent =
+                new ScriptedServer(
+                        request -> {
+                            requested.countDown();
+                            return new ScriptedResponse(null, true);
                         })) {
-            scene.configure(silent.port());
+            fixture.writeConfiguration(silent.port());
             Node node =
-                    Node.create(Map.of("PROXY_CONFIG", scene.file.toString(), "PROXY_NAME", "n1"));
+                    Node.create(
+                            Map.of(
+                                    "PROXY_CONFIG",
+                                    fixture.configurationFile.toString(),
+                                    "PROXY_NAME",
+                                    "n1"));
             Thread telling =
                     new Thread(
                             () -> {
-                                NodeFixture.await(asked);
+                                awaitLatch(requested);
                                 node.shutDown();
                             });
             telling.start();
@@ -197,17 +227,55 @@
     }
 
     @Test
-    void wordToEndGivenAgainAndANewConfigurationWhileEndingChangeNothing() throws Exception {
-        NodeFixture.Gate gate = scene.gateReads();
-        NodeFixture.RawClient client = scene.held(gate, NodeFixture.id());
-        scene.node.shutDown();
-        scene.node.reload();
-        scene.node.shutDown();
-        scene.settled();
-        gate.open().countDown();
-        NodeFixture.served(client);
-        scene.node.awaitEnd();
-        scene.node.shutDown();
-        scene.node.reload();
+    void repeatedShutdownAndReloadDuringShutdownChangeNothing() throws Exception {
+        ReadGate gate = fixture.gateReads();
+        RawClient client = fixture.clientWithHeldRead(gate, newRequestId());
+        fixture.node.shutDown();
+        fixture.node.reload();
+        fixture.node.shutDown();
+        fixture.awaitEventLoop();
+        gate.opened().countDown();
+        awaitCompleteStream(client);
+        fixture.node.awaitEnd();
+        fixture.node.shutDown();
+        fixture.node.reload();
+    }
+
+    @Test
+    void shutdownAnswersAllRequestsThatCame() throws Exception {
+        ReadGate gate = fixture.gateReads();
+        RawClient idle = fixture.newClient();
+        idle.send(HEALTH_REQUEST);
+        assertTrue(idle.readResponse().startsWith("HTTP/1.1 200 "));
+        RawClient busy = fixture.clientWithHeldRead(gate, newRequestId());
+        fixture.node.shutDown();
+        assertEquals("", idle.readToEnd());
+        RawClient late = fixture.newClient();
+        late.send(HEALTH_REQUEST);
+        assertTrue(late.readToEnd().startsWith("HTTP/1.1 503 "));
+        gate.opened().countDown();
+        assertTrue(busy.readToEnd().endsWith("0\r\n\r\n"));
+        fixture.node.awaitEnd();
+        assertThrows(IOException.class, () -> fixture.newClient());
+    }
+
+    /** The signal itself may be handled 0.15 s late, and requests count from when it was sent. */
+    @Test
+    void requestThatComesLongAfterSigtermIsNotAccepted() throws Exception {
+        RawClient fresh = fixture.newClient();
+        fixture.awaitEventLoop();
+        fixture.node.shutDown();
+        sleep(TAKEN_AFTER_TERM_MS - 150);
+        fresh.send(generationRequest(newRequestId(), ""));
+        assertTrue(fresh.readResponse().startsWith("HTTP/1.1 503 "));
+        assertEquals(0, fixture.reader.attemptCount());
+    }
+
+    private static void sleep(long ms) {
+        try {
+            TimeUnit.MILLISECONDS.sleep(ms);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
+        }
     }
 }
