--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -61,17 +61,19 @@
     }
 
     private void advance(Generation generation) {
-        if (generation.state != null && generation.state.isLost()) {
+        if (generation.heldRead() != null && generation.heldRead().isLost()) {
             host.releaseState(generation);
-            generation.state = null;
+            generation.dropState();
         }
-        Engine engine = pick(generation, generation.state == null ? fleet.readers : fleet.writers);
+        Engine engine =
+                pick(generation, generation.heldRead() == null ? fleet.readers() : fleet.writers());
         if (engine == null
-                || generation.attempts.size() + (generation.state == null ? 2 : 1) > maxAttempts) {
+                || generation.attempts().size() + (generation.heldRead() == null ? 2 : 1)
+                        > maxAttempts) {
             giveUp(generation);
             return;
         }
-        boolean read = engine.role == Role.READER;
+        boolean read = engine.role() == Role.READER;
         Attempt attempt =
                 new Attempt(
                         generation,
@@ -79,8 +81,10 @@
                         read,
                         host.nowMs(),
                         generation.promptTokens,
-                        generation.state == null ? generation.promptTokens : 0);
-        generation.mayHoldState |= read;
+                        generation.heldRead() == null ? generation.promptTokens : 0);
+        if (read) {
+            generation.setMayHoldState(true);
+        }
         attempt.open();
         host.send(attempt);
     }
@@ -93,16 +97,16 @@
             case RANDOM -> pool.get(random.nextInt(pool.size()));
             case ROUND_ROBIN -> pool.get(turn++ % pool.size());
             case LEAST_OPEN ->
-                    pool.stream().min(Comparator.comparingInt(e -> e.attempts.size())).get();
+                    pool.stream().min(Comparator.comparingInt(e -> e.attempts().size())).get();
             case POWER_OF_TWO -> {
                 Engine one = pool.get(random.nextInt(pool.size()));
                 Engine other = pool.get(random.nextInt(pool.size()));
-                yield one.attempts.size() <= other.attempts.size() ? one : other;
+                yield one.attempts().size() <= other.attempts().size() ? one : other;
             }
             case PREFIX_HASH -> {
                 CachedPrefix text =
                         generation.prefix != null ? generation.prefix : generation.session;
-                yield generation.state != null || text == null
+                yield generation.heldRead() != null || text == null
                         ? pool.get(random.nextInt(pool.size()))
                         : pool.stream().max(Comparator.comparingLong(text::affinity)).get();
             }
@@ -113,41 +117,43 @@
     public void readCompleted(Attempt attempt, int keptTokens, LoadReport report, boolean over) {
         Generation generation = attempt.generation;
         attempt.close();
-        generation.finished |= over;
-        if (generation.finished) {
+        if (over) {
+            generation.finish();
+        }
+        if (generation.isFinished()) {
             host.releaseState(generation);
             return;
         }
-        generation.state = attempt;
+        generation.holdState(attempt);
         advance(generation);
     }
 
     @Override
     public void responseStarted(Attempt attempt) {
         attempt.markRead();
-        attempt.generation.responseStarted = true;
-        attempt.generation.state = null;
+        attempt.generation.startResponse();
+        attempt.generation.dropState();
     }
 
     @Override
     public void attemptEnded(
             Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
         Generation generation = attempt.generation;
-        attempt.outcome = outcome;
+        attempt.recordOutcome(outcome);
         attempt.close();
-        generation.finished |= over;
-        if (generation.finished
-                || generation.responseStarted
-                || outcome == AttemptOutcome.NO_STATE) {
+        if (over) {
+            generation.finish();
+        }
+        if (!generation.isUnanswered() || outcome == AttemptOutcome.NO_STATE) {
             host.releaseState(generation);
-            generation.state = null;
+            generation.dropState();
         }
-        if (generation.finished || generation.responseStarted || generation.attemptsInFlight > 0) {
+        if (!generation.isUnanswered() || generation.attemptsInFlight() > 0) {
             return;
         }
         boolean mayRepeat =
                 generation.trafficClass.effect == Effect.IDEMPOTENT
-                        || generation.attempts.stream().noneMatch(Attempt::mayHaveRun);
+                        || generation.attempts().stream().noneMatch(Attempt::mayHaveRun);
         if (mayRepeat && host.nowMs() < generation.deadlineMs - EARLY_MS) {
             advance(generation);
         } else {
@@ -156,9 +162,9 @@
     }
 
     private void giveUp(Generation generation) {
-        for (Attempt attempt : generation.attempts) {
-            if (attempt.inFlight && !attempt.cancelled) {
-                attempt.cancelled = true;
+        for (Attempt attempt : generation.attempts()) {
+            if (attempt.isActive()) {
+                attempt.cancel();
                 host.cancel(attempt);
             }
         }
@@ -166,7 +172,7 @@
         if (generation.trafficClass.effect == Effect.IDEMPOTENT
                 || generation.trafficClass.effect == Effect.DEDUPLICATED
                         && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL
-                || generation.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
+                || generation.attempts().stream().noneMatch(Attempt::mayHaveRun)) {
             host.reject(generation, 0);
         } else {
             host.fail(generation);
@@ -175,9 +181,9 @@
 
     @Override
     public void clientDisconnected(Generation generation) {
-        generation.finished = true;
+        generation.finish();
         host.releaseState(generation);
-        generation.state = null;
+        generation.dropState();
     }
 
     @Override
@@ -195,13 +201,9 @@
     public void wakeUp() {
         wakeSet = false;
         open.removeIf(
-                generation ->
-                        (generation.finished || generation.responseStarted)
-                                && generation.attemptsInFlight == 0);
+                generation -> !generation.isUnanswered() && generation.attemptsInFlight() == 0);
         for (Generation generation : List.copyOf(open)) {
-            if (!generation.finished
-                    && !generation.responseStarted
-                    && host.nowMs() >= generation.deadlineMs - EARLY_MS) {
+            if (generation.isUnanswered() && host.nowMs() >= generation.deadlineMs - EARLY_MS) {
                 giveUp(generation);
             }
         }
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -144,10 +144,10 @@
         String id = line.text("job");
         Generation generation = gens.get(id);
         int number = (int) line.whole("round_no");
-        if (generation == null || number < 0 || number >= generation.attempts.size()) {
+        if (generation == null || number < 0 || number >= generation.attempts().size()) {
             return;
         }
-        Attempt attempt = generation.attempts.get(number);
+        Attempt attempt = generation.attempts().get(number);
         boolean over = line.flag("no_more");
         LoadReport report = report(line);
         String word = line.text("disposition");
@@ -179,8 +179,8 @@
     private void begun(MessageReader line) throws InvalidMessageException {
         Generation generation = gens.get(line.text("job"));
         int number = (int) line.whole("round_no");
-        if (generation != null && number >= 0 && number < generation.attempts.size()) {
-            guarded(() -> choice.responseStarted(generation.attempts.get(number)));
+        if (generation != null && number >= 0 && number < generation.attempts().size()) {
+            guarded(() -> choice.responseStarted(generation.attempts().get(number)));
         }
     }
 
@@ -226,7 +226,8 @@
         engines.values()
                 .removeIf(
                         engine ->
-                                engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
+                                engine.state() == EndpointState.REMOVED
+                                        && engine.attempts().isEmpty());
     }
 
     private static boolean next(MessageReader line) throws InvalidMessageException {
@@ -276,7 +277,7 @@
 
     /** A generation is kept for as long as the wire may still name it. */
     private void letGo(String id, Generation generation) {
-        if (generation.finished && generation.attemptsInFlight == 0) {
+        if (generation.isFinished() && generation.attemptsInFlight() == 0) {
             gens.remove(id);
         }
     }
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -260,11 +260,11 @@
                             front.forEachEngine(
                                     (endpoint, engine) -> {
                                         boolean same =
-                                                engine.attempts.size()
+                                                engine.attempts().size()
                                                         == link.attemptsOut(endpoint);
                                         attempts[0] =
                                                 same && attempts[0] >= 0
-                                                        ? attempts[0] + engine.attempts.size()
+                                                        ? attempts[0] + engine.attempts().size()
                                                         : -1;
                                     });
                             return attempts[0];
@@ -428,16 +428,16 @@
                     text.append("; ")
                             .append(Long.toHexString(engine.label >>> 48))
                             .append(' ')
-                            .append(engine.role)
+                            .append(engine.role())
                             .append(' ')
-                            .append(engine.state)
-                            .append(engine.suspectUntilMs > now ? " suspect" : "")
+                            .append(engine.state())
+                            .append(engine.isEjected(now) ? " suspect" : "")
                             .append(" attempts ")
-                            .append(engine.attempts.size())
+                            .append(engine.attempts().size())
                             .append(" unread ")
-                            .append(Math.round(engine.unreadTokens))
+                            .append(Math.round(engine.unreadTokens()))
                             .append(" writes ")
-                            .append(Math.round(engine.writeTokens))
+                            .append(Math.round(engine.writeTokens()))
                             .append(" out ")
                             .append(link.attemptsOut(endpoint))
                             .append(" connections ")
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -107,7 +107,7 @@
                 () ->
                         front.forEachEngine(
                                 (endpoint, engine) -> {
-                                    int module = engine.attempts.size();
+                                    int module = engine.attempts().size();
                                     int own = link.attemptsOut(endpoint);
                                     if (module != own) {
                                         violations.count(
--- a/src/main/java/larchridge/policy/AdmissionQueue.java
+++ b/src/main/java/larchridge/policy/AdmissionQueue.java
@@ -55,7 +55,7 @@
     /** Tries those that wait, in order, and gives up those that are too late. */
     void admitWaiting() {
         List<Generation> waiting = new ArrayList<>(open);
-        waiting.removeIf(generation -> !generation.waiting);
+        waiting.removeIf(generation -> !generation.isWaiting());
         waiting.sort(ORDER);
         double nowMs = actions.nowMs();
         double msPerToken = latency.bestMsPerToken(nowMs);
@@ -79,7 +79,7 @@
     }
 
     private boolean isLate(Generation generation, double msPerToken, double nowMs) {
-        return nowMs + generation.leastReadTokens * msPerToken + latency.firstTokenMs()
+        return nowMs + generation.leastTokensToRead() * msPerToken + latency.firstTokenMs()
                 > generation.sloDeadlineMs();
     }
 
@@ -89,7 +89,7 @@
      */
     private boolean mayRetryLate(double nowMs) {
         return nowMs > lateRetriedMs + RETRY_LATE_MS
-                && open.stream().allMatch(generation -> generation.attemptsInFlight == 0);
+                && open.stream().allMatch(generation -> generation.attemptsInFlight() == 0);
     }
 
     private static double revenue(Generation generation) {
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -34,17 +34,17 @@
     void sendRead(Generation generation, Engine engine) {
         double nowMs = actions.nowMs();
         double unread = affinity.tokensToRead(generation, engine);
-        boolean readOnly = engine.role == Role.READER;
+        boolean readOnly = engine.role() == Role.READER;
         double counted = readOnly ? unread : WriterCapacity.neededTokens(generation);
         Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, counted, unread);
         double readMs =
                 (load.unreadTokens(engine, nowMs) + unread) * latency.msPerToken(engine, nowMs);
-        attempt.silenceTimeoutMs =
+        attempt.setSilenceTimeoutMs(
                 readOnly
                         ? HedgingPolicy.readTimeoutMs(readMs)
-                        : HedgingPolicy.writeTimeoutMs(readMs);
+                        : HedgingPolicy.writeTimeoutMs(readMs));
         // Guards against: a read whose answer is lost leaves a state that no outcome reports.
-        generation.mayHoldState = true;
+        generation.setMayHoldState(true);
         if (readOnly) {
             capacity.reserve(generation);
         }
@@ -59,8 +59,8 @@
     void sendWrite(Generation generation, Engine writer) {
         double counted = WriterCapacity.neededTokens(generation);
         Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), counted, 0);
-        attempt.silenceTimeoutMs = HedgingPolicy.writeTimeoutMs(latency.firstTokenMs());
-        generation.stateReleased = false;
+        attempt.setSilenceTimeoutMs(HedgingPolicy.writeTimeoutMs(latency.firstTokenMs()));
+        generation.clearStateReleased();
         send(attempt);
     }
 
@@ -86,9 +86,9 @@
 
     /** Cancels all attempts of a generation that are in flight, but one. */
     void cancelOthers(Generation generation, Attempt kept) {
-        for (Attempt attempt : generation.attempts) {
-            if (attempt != kept && attempt.inFlight && !attempt.cancelled && cancellationAllowed) {
-                attempt.cancelled = true;
+        for (Attempt attempt : generation.attempts()) {
+            if (attempt != kept && attempt.isActive() && cancellationAllowed) {
+                attempt.cancel();
                 actions.cancel(attempt);
             }
         }
--- a/src/main/java/larchridge/policy/EngineFeedback.java
+++ b/src/main/java/larchridge/policy/EngineFeedback.java
@@ -33,7 +33,7 @@
         double nowMs = actions.nowMs();
         known.outliers().recordSuccess(write.engine);
         recordContact(write.engine, null);
-        Attempt read = write.generation.state;
+        Attempt read = write.generation.heldRead();
         if (read != null) {
             StateTransfers.recordStarted(read.engine, write, nowMs);
         }
@@ -52,7 +52,7 @@
             case STREAMED, NO_STATE -> recordContact(engine, report);
             case FAULT, CUT -> {
                 // Errors on generations that are over say nothing of the engine.
-                if (!attempt.generation.finished) {
+                if (!attempt.generation.isFinished()) {
                     known.outliers().recordError(engine);
                 }
                 if (outcome == AttemptOutcome.FAULT) {
--- a/src/main/java/larchridge/policy/EngineKnowledge.java
+++ b/src/main/java/larchridge/policy/EngineKnowledge.java
@@ -20,7 +20,7 @@
         EngineRegistry registry = new EngineRegistry();
         OutlierDetector outliers = new OutlierDetector(actions, random);
         SlowStart slowStart = new SlowStart(settings, registry, random, actions.nowMs());
-        LoadEstimator load = new LoadEstimator(settings, actions, registry.writers);
+        LoadEstimator load = new LoadEstimator(settings, actions, registry.writers());
         return new EngineKnowledge(
                 registry,
                 outliers,
@@ -29,6 +29,6 @@
                 new PrefixAffinity(settings, actions, registry),
                 load,
                 new LatencyEstimator(load),
-                new WriterCapacity(actions, load, registry.writers));
+                new WriterCapacity(actions, load, registry.writers()));
     }
 }
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -64,16 +64,16 @@
                 || !retries.hasAttemptsLeft(generation)) {
             return;
         }
-        Attempt newest = generation.attempts.get(generation.attempts.size() - 1);
-        double silentMs = nowMs - Math.max(newest.engine.heardMs, newest.sentMs);
-        if (newest.inFlight && !newest.cancelled && silentMs > newest.silenceTimeoutMs) {
+        Attempt newest = generation.newestAttempt();
+        double silentMs = nowMs - Math.max(newest.engine.heardMs(), newest.sentMs);
+        if (newest.isActive() && silentMs > newest.silenceTimeoutMs()) {
             hedge(generation, newest.engine);
         }
     }
 
     private void hedge(Generation generation, Engine silent) {
         outliers.eject(silent);
-        if (generation.state == null) {
+        if (generation.heldRead() == null) {
             Engine reader = selection.readers().select(generation);
             if (reader != null && reader != silent) {
                 attempts.sendRead(generation, reader);
--- a/src/main/java/larchridge/policy/IdempotencyRule.java
+++ b/src/main/java/larchridge/policy/IdempotencyRule.java
@@ -51,14 +51,14 @@
         if (effect == Effect.IDEMPOTENT && copiesAllowed) {
             return true;
         }
-        int othersOut = generation.attemptsInFlight - (own != null && own.inFlight ? 1 : 0);
+        int othersOut = generation.attemptsInFlight() - (own != null && own.isInFlight() ? 1 : 0);
         if (othersOut > 0) {
             return false;
         }
         if (effect == Effect.IDEMPOTENT) {
             return true;
         }
-        for (Attempt earlier : generation.attempts) {
+        for (Attempt earlier : generation.attempts()) {
             if (earlier != own
                     && earlier.mayHaveRun()
                     && (effect == Effect.SIDE_EFFECTING
@@ -77,8 +77,8 @@
     private static boolean dropsRepeats(DeduplicationScope span, Engine first, Engine second) {
         return switch (span) {
             case ALL -> true;
-            case ZONE -> first.zone.equals(second.zone);
-            case RACK -> first.rack == second.rack;
+            case ZONE -> first.zone().equals(second.zone());
+            case RACK -> first.rack() == second.rack();
         };
     }
 }
--- a/src/main/java/larchridge/policy/LatencyEstimator.java
+++ b/src/main/java/larchridge/policy/LatencyEstimator.java
@@ -31,8 +31,7 @@
     /** Counts a completed read of so many tokens that took so long from its sending. */
     void recordRead(Engine engine, double unreadTokens, double tookMs, double nowMs) {
         double speed = unreadTokens / Math.max(1, tookMs);
-        engine.speeds.addMax(nowMs, speed);
-        engine.reads.add(nowMs, 1);
+        engine.recordRead(speed, nowMs);
         speeds.addMax(nowMs, speed);
     }
 
@@ -60,8 +59,8 @@
      */
     double msPerToken(Engine engine, double nowMs) {
         return inverse(
-                engine.reads.sum(nowMs) >= OWN_READS
-                        ? engine.speeds.max(nowMs)
+                engine.recentReads(nowMs) >= OWN_READS
+                        ? engine.bestReadSpeed(nowMs)
                         : speeds.max(nowMs));
     }
 
@@ -80,7 +79,7 @@
      */
     double backlogMs(Engine engine, double nowMs) {
         double sinceMs = engine.unreadSinceMs();
-        double silentMs = Double.isNaN(sinceMs) ? 0 : nowMs - Math.max(engine.heardMs, sinceMs);
+        double silentMs = Double.isNaN(sinceMs) ? 0 : nowMs - Math.max(engine.heardMs(), sinceMs);
         return Math.max(load.unreadTokens(engine, nowMs) * msPerToken(engine, nowMs), silentMs);
     }
 }
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -60,17 +60,15 @@
 
     /** Counts an attempt that is about to be sent to a writer. */
     void recordWrite(Attempt write, double nowMs) {
-        write.engine.freshTokens.add(nowMs, write.countedTokens);
-        write.engine.freshStreams.add(nowMs, 1);
+        write.engine.recordWrite(write.countedTokens, nowMs);
         writesSent.add(nowMs, write.countedTokens, 1);
     }
 
     /** Takes in what an engine reports of its load. */
     void recordReport(Engine engine, LoadReport report, double nowMs) {
-        double kept = REPORT_KEPT * Math.exp((engine.reportMs - nowMs) / WRITE_REPORT_MS);
-        engine.reports = true;
-        engine.reportMs = nowMs;
-        if (engine.role == Role.READER) {
+        double kept = REPORT_KEPT * Math.exp((engine.reportMs() - nowMs) / WRITE_REPORT_MS);
+        engine.recordReport(nowMs);
+        if (engine.role() == Role.READER) {
             recordReaderReport(engine, report, nowMs);
         } else {
             recordWriterReport(engine, report, kept, nowMs);
@@ -86,27 +84,22 @@
         double unread =
                 orZero(report.pendingTokens()) * unreadParts.at(nowMs)
                         + halfRead * unreadSizes.at(nowMs);
-        engine.othersUnreadTokens = Math.max(0, unread - engine.unreadTokens);
-        reportedUnread.add(nowMs, engine.othersUnreadTokens, 1);
+        engine.setOthersUnreadTokens(Math.max(0, unread - engine.unreadTokens()));
+        reportedUnread.add(nowMs, engine.othersUnreadTokens(), 1);
     }
 
     private void recordWriterReport(Engine engine, LoadReport report, double kept, double nowMs) {
-        engine.othersUnreadTokens =
-                Math.max(0, orZero(report.pendingTokens()) - engine.unreadTokens);
-        engine.toldStreams = Math.max(0, engine.streams - engine.freshStreams.sum(nowMs));
-        double own = Math.max(0, engine.writeTokens - engine.freshTokens.sum(nowMs));
+        double pending = orZero(report.pendingTokens());
+        engine.setOthersUnreadTokens(Math.max(0, pending - engine.unreadTokens()));
+        engine.countReportedStreams(nowMs);
+        double own = engine.settledWriteTokens(nowMs);
         // Guards against: a full writer's memory share says nothing of the states that queue for
         // it.
-        double tokens =
-                orZero(
-                        report.memoryShare() * engine.memoryTokens
-                                + orZero(report.pendingTokens())
-                                - own);
-        double streams = orZero(report.inflight() - engine.toldStreams);
-        engine.othersTokens += (1 - kept) * (Math.max(0, tokens) - engine.othersTokens);
-        engine.othersStreams += (1 - kept) * (Math.max(0, streams) - engine.othersStreams);
-        reportedTokens.add(nowMs, engine.othersTokens, engine.units);
-        reportedStreams.add(nowMs, engine.othersStreams, engine.units);
+        double tokens = orZero(report.memoryShare() * engine.memoryTokens() + pending - own);
+        double streams = orZero(report.inflight() - engine.reportedOwnStreams());
+        engine.adjustOthersLoad(Math.max(0, tokens), Math.max(0, streams), 1 - kept);
+        reportedTokens.add(nowMs, engine.othersTokens(), engine.units());
+        reportedStreams.add(nowMs, engine.othersStreams(), engine.units());
     }
 
     /**
@@ -114,30 +107,31 @@
      * the others', since a router's own sends are only a sliver of the traffic.
      */
     double unreadTokens(Engine engine, double nowMs) {
-        double weight = Math.exp((engine.reportMs - nowMs) / READ_REPORT_MS);
-        double usual = engine.role == Role.READER ? (1 - weight) * reportedUnread.at(nowMs) : 0;
-        return engine.unreadTokens + weight * engine.othersUnreadTokens + usual;
+        double weight = Math.exp((engine.reportMs() - nowMs) / READ_REPORT_MS);
+        double usual = engine.role() == Role.READER ? (1 - weight) * reportedUnread.at(nowMs) : 0;
+        return engine.unreadTokens() + weight * engine.othersUnreadTokens() + usual;
     }
 
     /** Tokens that an engine holds for answers. */
     double heldTokens(Engine engine) {
         double eachSent = writesSent.at(actions.nowMs());
-        return estimate(engine, engine.writeTokens, engine.othersTokens, reportedTokens, eachSent);
+        return estimate(
+                engine, engine.writeTokens(), engine.othersTokens(), reportedTokens, eachSent);
     }
 
     /** Answers that an engine streams. */
     double streams(Engine engine) {
-        return estimate(engine, engine.streams, engine.othersStreams, reportedStreams, 1);
+        return estimate(engine, engine.streams(), engine.othersStreams(), reportedStreams, 1);
     }
 
     /** Answers that an engine streams per unit of its weight. */
     double streamsPerUnit(Engine engine) {
-        return streams(engine) / engine.units;
+        return streams(engine) / engine.units();
     }
 
     /** Tokens that an engine holds per unit of its weight. */
     double heldTokensPerUnit(Engine engine) {
-        return heldTokens(engine) / engine.units;
+        return heldTokens(engine) / engine.units();
     }
 
     /**
@@ -150,11 +144,11 @@
     private double estimate(
             Engine engine, double own, double others, SlidingWindowMean reported, double eachSent) {
         double nowMs = actions.nowMs();
-        double weight = Math.exp((engine.reportMs - nowMs) / WRITE_REPORT_MS);
-        double usual = reported.at(nowMs) * engine.units;
-        double sinceMs = Math.min(nowMs - engine.reportMs, WRITE_REPORT_MS);
+        double weight = Math.exp((engine.reportMs() - nowMs) / WRITE_REPORT_MS);
+        double usual = reported.at(nowMs) * engine.units();
+        double sinceMs = Math.min(nowMs - engine.reportMs(), WRITE_REPORT_MS);
         double share = writesSent.weight(nowMs) / writesSent.spanMs() * sinceMs / writers.size();
-        double since = Math.max(0, engine.streams - engine.toldStreams);
+        double since = Math.max(0, engine.streams() - engine.reportedOwnStreams());
         double sentByOthers = (routers - 1) * share * (since - share) / (LIKE_OTHERS + share);
         return own + Math.max(0, weight * others + (1 - weight) * usual + sentByOthers * eachSent);
     }
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -40,7 +40,7 @@
         this.actions = actions;
         this.random = random;
         affinity = known.affinity();
-        writers = known.registry().writers;
+        writers = known.registry().writers();
         probesAllowed = settings.reportsWithProbes && settings.probesAllowed;
     }
 
@@ -49,17 +49,18 @@
      */
     boolean areReadersAwaited(Generation generation) {
         double nowMs = actions.nowMs();
-        if (nowMs - generation.readersProbedMs > PROBE_AGAIN_MS) {
-            generation.readersProbedMs = nowMs;
-            generation.probedReaders.clear();
+        if (nowMs - generation.readersProbedMs() > PROBE_AGAIN_MS) {
+            generation.recordReadersProbed(nowMs);
+            generation.probedReaders().clear();
             List<Engine> readers = affinity.readersOf(generation);
-            generation.probedReaders.addAll(
-                    readers.subList(0, Math.min(READERS_PROBED, readers.size())));
-            generation.probedReaders.forEach(this::probe);
+            generation
+                    .probedReaders()
+                    .addAll(readers.subList(0, Math.min(READERS_PROBED, readers.size())));
+            generation.probedReaders().forEach(this::probe);
         }
         return probesAllowed
-                && nowMs < generation.readersProbedMs + REPORT_WAIT_MS
-                && generation.probedReaders.stream().anyMatch(e -> e.reportMs < e.probedMs);
+                && nowMs < generation.readersProbedMs() + REPORT_WAIT_MS
+                && generation.probedReaders().stream().anyMatch(Engine::isReportAwaited);
     }
 
     /** Probes a few writers while a prompt is read, for the choice that follows. */
@@ -71,8 +72,8 @@
 
     private void probe(Engine engine) {
         double nowMs = actions.nowMs();
-        if (probesAllowed && nowMs - Math.max(engine.probedMs, engine.reportMs) > FRESH_MS) {
-            engine.probedMs = nowMs;
+        if (probesAllowed && nowMs - engine.lastProbeOrReportMs() > FRESH_MS) {
+            engine.recordProbe(nowMs);
             actions.probeLoad(engine);
         }
     }
--- a/src/main/java/larchridge/policy/OutlierDetector.java
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -39,14 +39,14 @@
     boolean isHealthy(Engine engine, double nowMs) {
         // Guards against: an affinity reader that has just been full would be tried again until no
         // attempt is left.
-        return nowMs >= engine.suspectUntilMs
-                && (!engine.onTrial || engine.attempts.isEmpty())
-                && (engine.role != Role.READER || nowMs >= engine.fullUntilMs);
+        return !engine.isEjected(nowMs)
+                && (!engine.isOnTrial() || engine.attempts().isEmpty())
+                && (engine.role() != Role.READER || !engine.isFull(nowMs));
     }
 
     /** Counts an answer that was none of an error. */
     void recordSuccess(Engine engine) {
-        engine.errorShare += ERROR_WEIGHT * (0 - engine.errorShare);
+        engine.recordAnswer(0, ERROR_WEIGHT);
     }
 
     /**
@@ -57,7 +57,7 @@
      * probes too, must not clear it.
      */
     void recordError(Engine engine) {
-        engine.errorShare += ERROR_WEIGHT * (1 - engine.errorShare);
+        engine.recordAnswer(1, ERROR_WEIGHT);
     }
 
     /**
@@ -67,42 +67,34 @@
      * most engines would be ejected while connections are reset all over.
      */
     void ejectIfFailing(Engine engine) {
-        if (engine.errorShare >= ERROR_SHARE_LIMIT) {
+        if (engine.errorShare() >= ERROR_SHARE_LIMIT) {
             eject(engine);
         }
     }
 
     /** Takes an engine back that has answered, unless it answers with errors. */
     void recordContact(Engine engine, double nowMs) {
-        engine.heardMs = nowMs;
-        if (engine.errorShare < ERROR_SHARE_LIMIT) {
-            engine.suspectUntilMs = 0;
-            engine.suspectForMs = 0;
-            engine.onTrial = false;
+        engine.recordContact(nowMs);
+        if (engine.errorShare() < ERROR_SHARE_LIMIT) {
+            engine.takeBack();
         }
     }
 
     /** Spares an engine that had no capacity. */
     void recordFull(Engine engine, double nowMs) {
-        engine.fullUntilMs = nowMs + (engine.reports ? FULL_WITH_REPORTS_MS : FULL_MS);
+        engine.recordFull(nowMs + (engine.hasReported() ? FULL_WITH_REPORTS_MS : FULL_MS));
     }
 
     /** Ejects an engine that can't be reached or is silent, unless it is ejected already. */
     void eject(Engine engine) {
         double nowMs = actions.nowMs();
-        if (nowMs < engine.suspectUntilMs) {
+        if (engine.isEjected(nowMs)) {
             return;
         }
-        double ejectedMs = Math.max(FIRST_EJECTION_MS, 2 * engine.suspectForMs);
-        engine.suspectForMs = Math.min(LONGEST_EJECTION_MS, ejectedMs);
-        // Random, so that routers do not all come back in one moment.
-        engine.suspectUntilMs = nowMs + engine.suspectForMs * (0.75 + 0.5 * random.nextDouble());
-        engine.onTrial = true;
-        actions.log(
-                "engine "
-                        + engine.label
-                        + " suspect for "
-                        + Math.round(engine.suspectForMs)
-                        + " ms");
+        double doubledMs = Math.max(FIRST_EJECTION_MS, 2 * engine.ejectionMs());
+        double ejectionMs = Math.min(LONGEST_EJECTION_MS, doubledMs);
+        // Spread by chance, so that routers do not all come back in one moment.
+        engine.eject(ejectionMs, nowMs + ejectionMs * (0.75 + 0.5 * random.nextDouble()));
+        actions.log("engine " + engine.label + " suspect for " + Math.round(ejectionMs) + " ms");
     }
 }
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -50,23 +50,26 @@
      */
     List<Engine> readersOf(Generation generation) {
         CachedPrefix first = generation.prefix != null ? generation.prefix : generation.session;
-        if (generation.affinityRevision != registry.revision && first != null) {
-            generation.affinityRevision = registry.revision;
-            generation.affinityReaders.clear();
-            addReaders(first, generation.affinityReaders);
+        if (generation.affinityRevision() != registry.revision() && first != null) {
+            generation.setAffinityRevision(registry.revision());
+            generation.affinityReaders().clear();
+            addReaders(first, generation.affinityReaders());
             CachedPrefix text = generation.session != null ? generation.session : first;
-            generation.affinityReaders.sort(
-                    Comparator.comparing((Engine engine) -> !engine.zone.equals(zone))
-                            .thenComparing(Comparator.comparingLong(text::affinity).reversed()));
+            generation
+                    .affinityReaders()
+                    .sort(
+                            Comparator.comparing((Engine engine) -> !engine.zone().equals(zone))
+                                    .thenComparing(
+                                            Comparator.comparingLong(text::affinity).reversed()));
         }
-        return generation.affinityReaders;
+        return generation.affinityReaders();
     }
 
     private void addReaders(CachedPrefix text, List<Engine> chosen) {
-        List<Engine> byAffinity = new ArrayList<>(registry.readers);
+        List<Engine> byAffinity = new ArrayList<>(registry.readers());
         byAffinity.sort(Comparator.comparingLong(text::affinity).reversed());
         for (Engine reader : byAffinity) {
-            long inZone = chosen.stream().filter(e -> e.zone.equals(reader.zone)).count();
+            long inZone = chosen.stream().filter(e -> e.zone().equals(reader.zone())).count();
             if (inZone < READERS_PER_ZONE) {
                 chosen.add(reader);
             }
@@ -93,7 +96,7 @@
 
     /** The least that any reader would have to read of a generation's prompt; 0 without readers. */
     double leastTokensToRead(Generation generation) {
-        return registry.readers.stream()
+        return registry.readers().stream()
                 .mapToDouble(reader -> tokensToRead(generation, reader))
                 .min()
                 .orElse(0);
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -43,8 +43,8 @@
 
     ReaderSelection(RoutingSettings settings, PolicyActions actions, EngineKnowledge known) {
         this.actions = actions;
-        readers = known.registry().readers;
-        writers = known.registry().writers;
+        readers = known.registry().readers();
+        writers = known.registry().writers();
         eligible = known.eligible();
         affinity = known.affinity();
         load = known.load();
@@ -92,13 +92,13 @@
             List<Engine> candidates, Generation generation, boolean late, double nowMs) {
         double mean = writers.stream().mapToDouble(load::streamsPerUnit).average().orElse(0);
         for (Engine engine : eligible.of(writers, generation)) {
-            if ((engine.role == Role.BOTH || writersCanRead)
+            if ((engine.role() == Role.BOTH || writersCanRead)
                     && capacity.hasCapacity(engine, generation)
                     && isShort(engine, nowMs)
                     && load.streams(engine)
                             <= (late ? SELF_READ_LATE_STREAMS : SELF_READ_STREAMS)
                                     * mean
-                                    * engine.units) {
+                                    * engine.units()) {
                 candidates.add(engine);
             }
         }
@@ -143,13 +143,13 @@
      */
     private static double backlogLimitMs(Generation generation) {
         return ALPHA_MS
-                + (generation.clientRetry ? 0 : generation.randomShare) * (BETA_MS - ALPHA_MS);
+                + (generation.clientRetry ? 0 : generation.randomShare()) * (BETA_MS - ALPHA_MS);
     }
 
     /** The order of preference, lowest first, before tokens count. */
     private int rank(Engine engine, double backlogMs, boolean late, double nowMs) {
-        boolean near = engine.zone.equals(zone);
-        if (engine.role != Role.READER) {
+        boolean near = engine.zone().equals(zone);
+        if (engine.role() != Role.READER) {
             return late ? 1 : near ? 2 : 3;
         }
         if (backlogMs > ALPHA_MS || StateTransfers.areLate(engine, nowMs)) {
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -43,7 +43,7 @@
 
     /** Whether a generation has attempts left for its next stage, and for what must follow it. */
     boolean hasAttemptsLeft(Generation generation) {
-        int needed = generation.state == null ? ATTEMPTS_FROM_READ : ATTEMPTS_FROM_WRITE;
+        int needed = generation.heldRead() == null ? ATTEMPTS_FROM_READ : ATTEMPTS_FROM_WRITE;
         return generation.attemptsSent() + needed <= maxAttempts;
     }
 
@@ -54,7 +54,7 @@
 
     /** Whether a backoff of a generation is over. */
     boolean isDue(Generation generation, double nowMs) {
-        return nowMs >= generation.nextAttemptMs;
+        return nowMs >= generation.nextAttemptMs();
     }
 
     /**
@@ -64,9 +64,8 @@
      * tried again at once would use up its attempts within a millisecond and be given up.
      */
     void backOff(Generation generation) {
-        double ms = NOT_SENT_BACKOFF_MS * Math.pow(2, generation.attemptsNotSent);
-        generation.attemptsNotSent++;
-        generation.nextAttemptMs = actions.nowMs() + Math.min(LONGEST_NOT_SENT_BACKOFF_MS, ms);
+        double ms = NOT_SENT_BACKOFF_MS * Math.pow(2, generation.attemptsNotSent());
+        generation.backOff(actions.nowMs() + Math.min(LONGEST_NOT_SENT_BACKOFF_MS, ms));
     }
 
     /** Gives the final answer to the client of a generation that is given up. */
@@ -84,7 +83,7 @@
         return effect == Effect.IDEMPOTENT
                 || effect == Effect.DEDUPLICATED
                         && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL
-                || generation.attempts.stream().noneMatch(Attempt::mayHaveRun);
+                || generation.attempts().stream().noneMatch(Attempt::mayHaveRun);
     }
 
     /**
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -78,7 +78,7 @@
     @Override
     public void requestArrived(Generation generation) {
         open.add(generation);
-        generation.randomShare = random.nextDouble();
+        generation.setRandomShare(random.nextDouble());
         advance(generation);
         planWake();
     }
@@ -89,13 +89,15 @@
         Generation generation = attempt.generation;
         feedback.recordRead(attempt, cachedTokens, report);
         attempts.close(attempt);
-        generation.finished |= finished;
+        if (finished) {
+            generation.finish();
+        }
         reservations.held(attempt);
-        if (generation.finished || generation.responseStarted) {
+        if (!generation.isUnanswered()) {
             // Guards against: a read that ends after its generation would leave its state held.
             reservations.release(generation);
-        } else if (!generation.isAtWriter() || generation.stateReleased) {
-            generation.stateReleased = false;
+        } else if (!generation.isAtWriter() || generation.isStateReleased()) {
+            generation.clearStateReleased();
             attempts.cancelOthers(generation, attempt);
             advance(generation);
         }
@@ -107,7 +109,7 @@
         Generation generation = attempt.generation;
         feedback.recordFirstToken(attempt);
         attempt.markRead();
-        generation.responseStarted = true;
+        generation.startResponse();
         reservations.fetched(generation);
         attempts.cancelOthers(generation, attempt);
     }
@@ -116,22 +118,21 @@
     public void attemptEnded(
             Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
-        attempt.outcome = outcome;
+        attempt.recordOutcome(outcome);
         attempts.close(attempt);
-        generation.finished |= finished;
+        if (finished) {
+            generation.finish();
+        }
         feedback.recordOutcome(attempt, outcome, report);
         if (outcome == AttemptOutcome.NOT_SENT) {
             retries.backOff(generation);
         }
-        if (generation.finished
-                || generation.responseStarted
-                || outcome == AttemptOutcome.NO_STATE) {
+        if (!generation.isUnanswered() || outcome == AttemptOutcome.NO_STATE) {
             reservations.release(generation);
         }
-        if (!generation.finished
-                && !generation.responseStarted
-                && !generation.waiting
-                && generation.attemptsInFlight == 0
+        if (generation.isUnanswered()
+                && !generation.isWaiting()
+                && generation.attemptsInFlight() == 0
                 && retries.isDue(generation, actions.nowMs())) {
             advance(generation);
         }
@@ -150,8 +151,8 @@
 
     @Override
     public void clientDisconnected(Generation generation) {
-        generation.finished = true;
-        generation.waiting = false;
+        generation.finish();
+        generation.stopWaiting();
         reservations.release(generation);
     }
 
@@ -180,7 +181,7 @@
         wakePlanned = false;
         double nowMs = actions.nowMs();
         endpointWatch.retryIfDue(nowMs);
-        open.removeIf(generation -> generation.finished && generation.attemptsInFlight == 0);
+        open.removeIf(generation -> generation.isFinished() && generation.attemptsInFlight() == 0);
         try {
             for (int i = 0; i < open.size(); i++) {
                 sweep(open.get(i), nowMs);
@@ -194,15 +195,15 @@
 
     /** Looks at a generation whose answer has not started: its deadline, backoff, silent engine. */
     private void sweep(Generation generation, double nowMs) {
-        if (generation.finished || generation.responseStarted) {
+        if (!generation.isUnanswered()) {
             return;
         }
         StateTransfers.recordIfOverdue(generation, nowMs);
         if (retries.isDeadlineNear(generation, nowMs)) {
             giveUp(generation, GiveUpReason.TIME_UP);
-        } else if (generation.attemptsInFlight > 0) {
+        } else if (generation.attemptsInFlight() > 0) {
             hedging.hedgeIfSilent(generation, nowMs);
-        } else if (!generation.waiting && retries.isDue(generation, nowMs)) {
+        } else if (!generation.isWaiting() && retries.isDue(generation, nowMs)) {
             advance(generation);
         }
     }
@@ -224,17 +225,17 @@
         // Guards against: a generation that waits twice is sent twice, and the second send drops
         // its
         // state.
-        generation.waiting = false;
+        generation.stopWaiting();
         if (retries.isDeadlineNear(generation, actions.nowMs())) {
             giveUp(generation, GiveUpReason.TIME_UP);
             return;
         }
-        if (generation.state != null && generation.state.isLost()) {
+        if (generation.heldRead() != null && generation.heldRead().isLost()) {
             reservations.release(generation);
         }
         if (!retries.hasAttemptsLeft(generation)) {
             giveUp(generation, GiveUpReason.ATTEMPTS_USED);
-        } else if (generation.state == null) {
+        } else if (generation.heldRead() == null) {
             readOrWait(generation);
         } else {
             writeOrGiveUp(generation);
@@ -250,8 +251,7 @@
             attempts.sendRead(generation, reader);
             return;
         }
-        generation.waiting = true;
-        generation.leastReadTokens = known.affinity().leastTokensToRead(generation);
+        generation.startWaiting(known.affinity().leastTokensToRead(generation));
     }
 
     private void writeOrGiveUp(Generation generation) {
@@ -264,7 +264,7 @@
     }
 
     private void giveUp(Generation generation, GiveUpReason reason) {
-        generation.giveUpReason = reason;
+        generation.recordGiveUp(reason);
         attempts.cancelAll(generation);
         clientDisconnected(generation);
         retries.answerGivenUp(generation);
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -40,7 +40,7 @@
 
     /** Whether an engine is still warming up; one whose start is unknown counts as warm. */
     boolean isWarmingUp(Engine engine, double nowMs) {
-        return engine.startMs > 0 && nowMs < engine.startMs + slowStartMs;
+        return engine.startMs() > 0 && nowMs < engine.startMs() + slowStartMs;
     }
 
     /** Counts a completed read. */
@@ -67,18 +67,18 @@
      * last one.
      */
     private boolean draw(Engine engine, double nowMs) {
-        boolean reads = engine.role == Role.READER;
-        List<Engine> peers = reads ? registry.readers : registry.writers;
+        boolean reads = engine.role() == Role.READER;
+        List<Engine> peers = reads ? registry.readers() : registry.writers();
         double warmUnits =
                 peers.stream()
                         .filter(peer -> !isWarmingUp(peer, nowMs))
-                        .mapToDouble(peer -> peer.units)
+                        .mapToDouble(peer -> peer.units())
                         .sum();
         SlidingWindow completed = reads ? warmReads : warmWrites;
         double spanMs = Math.min(completed.spanMs(), nowMs - createdMs + 1);
-        double perMs = completed.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units);
-        double sinceMs = nowMs - Math.max(engine.drawnMs, engine.startMs);
-        engine.drawnMs = nowMs;
-        return random.nextDouble() < share * perMs * engine.units * sinceMs;
+        double perMs = completed.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units());
+        double sinceMs = nowMs - Math.max(engine.slowStartDrawMs(), engine.startMs());
+        engine.recordSlowStartDraw(nowMs);
+        return random.nextDouble() < share * perMs * engine.units() * sinceMs;
     }
 }
--- a/src/main/java/larchridge/policy/StateReservations.java
+++ b/src/main/java/larchridge/policy/StateReservations.java
@@ -13,26 +13,22 @@
 
     /** A read has completed: its state is to be fetched, unless another one is already. */
     void held(Attempt read) {
-        if (read.generation.state == null) {
-            read.generation.state = read;
+        if (read.generation.heldRead() == null) {
+            read.generation.holdState(read);
         }
     }
 
     /** An answer has started: its state has been fetched; other attempts may still leave one. */
     void fetched(Generation generation) {
-        generation.state = null;
-        generation.mayHoldState = generation.attemptsInFlight > 1;
+        generation.dropState();
+        generation.setMayHoldState(generation.attemptsInFlight() > 1);
     }
 
     /** A state has been released beside the attempt that is to fetch it. */
     void releasedBeside(Attempt write) {
         Generation generation = write.generation;
-        if (write.inFlight
-                && !write.cancelled
-                && !generation.finished
-                && !generation.responseStarted) {
-            generation.state = null;
-            generation.stateReleased = true;
+        if (write.isActive() && generation.isUnanswered()) {
+            generation.stateReleasedBesideAttempt();
         }
     }
 
@@ -43,10 +39,10 @@
      * repeated after that.
      */
     void release(Generation generation) {
-        if (generation.mayHoldState) {
-            generation.mayHoldState = generation.attemptsInFlight > 0;
+        if (generation.mayHoldState()) {
+            generation.setMayHoldState(generation.attemptsInFlight() > 0);
             actions.releaseState(generation);
         }
-        generation.state = null;
+        generation.dropState();
     }
 }
--- a/src/main/java/larchridge/policy/StateTransfers.java
+++ b/src/main/java/larchridge/policy/StateTransfers.java
@@ -23,21 +23,21 @@
 
     /** The cost of a transfer: 0 within the rack, 1 within the zone, 2 across zones. */
     static int distance(Engine reader, Engine writer) {
-        if (!reader.zone.equals(writer.zone)) {
+        if (!reader.zone().equals(writer.zone())) {
             return 2;
         }
-        return reader.rack != writer.rack ? 1 : 0;
+        return reader.rack() != writer.rack() ? 1 : 0;
     }
 
     /** Whether transfers out of a reader's rack have started late on average. */
     static boolean areLate(Engine reader, double nowMs) {
-        return reader.moves.at(nowMs) > LATE_MS;
+        return reader.meanTransferStartMs(nowMs) > LATE_MS;
     }
 
     /** Counts the transfer of an answer that has started. */
     static void recordStarted(Engine reader, Attempt write, double nowMs) {
         if (distance(reader, write.engine) > 0) {
-            reader.moves.add(nowMs, nowMs - write.sentMs, 1);
+            reader.recordTransferStart(nowMs - write.sentMs, nowMs);
         }
     }
 
@@ -46,16 +46,16 @@
      * sooner than those that have started; once, since a single answer may be lost.
      */
     static void recordIfOverdue(Generation generation, double nowMs) {
-        if (generation.state == null) {
+        if (generation.heldRead() == null) {
             return;
         }
-        Attempt newest = generation.attempts.get(generation.attempts.size() - 1);
-        if (newest.inFlight
-                && !newest.countedAsLateMove
+        Attempt newest = generation.newestAttempt();
+        if (newest.isInFlight()
+                && !newest.isCountedAsLateTransfer()
                 && nowMs - newest.sentMs > LATE_MS
-                && distance(generation.state.engine, newest.engine) > 0) {
-            newest.countedAsLateMove = true;
-            generation.state.engine.moves.add(nowMs, UNSTARTED_MS, 1);
+                && distance(generation.heldRead().engine, newest.engine) > 0) {
+            newest.countAsLateTransfer();
+            generation.heldRead().engine.recordTransferStart(UNSTARTED_MS, nowMs);
         }
     }
 }
--- a/src/main/java/larchridge/policy/WriterCapacity.java
+++ b/src/main/java/larchridge/policy/WriterCapacity.java
@@ -66,14 +66,13 @@
      * Whether an engine has capacity for a generation; so it counts where its memory is unknown.
      */
     boolean hasCapacity(Engine engine, Generation generation) {
-        return actions.nowMs() >= engine.fullUntilMs
-                && !(freeTokens(engine) < neededTokens(generation));
+        return !engine.isFull(actions.nowMs()) && !(freeTokens(engine) < neededTokens(generation));
     }
 
     /**
      * Tokens that an engine has memory for beside those it holds; NaN where its memory is unknown.
      */
     double freeTokens(Engine engine) {
-        return engine.memoryTokens - load.heldTokens(engine);
+        return engine.memoryTokens() - load.heldTokens(engine);
     }
 }
--- a/src/main/java/larchridge/policy/WriterSelection.java
+++ b/src/main/java/larchridge/policy/WriterSelection.java
@@ -38,7 +38,7 @@
     WriterSelection(PolicyActions actions, EngineKnowledge known, Random random) {
         this.actions = actions;
         this.random = random;
-        writers = known.registry().writers;
+        writers = known.registry().writers();
         eligible = known.eligible();
         load = known.load();
         capacity = known.capacity();
@@ -57,7 +57,7 @@
         if (roomy.isEmpty()) {
             return leastLoadedByTokens(fit);
         }
-        Engine reader = generation.state.engine;
+        Engine reader = generation.heldRead().engine;
         double z = tokenLimit(roomy, generation);
         if (StateTransfers.areLate(reader, actions.nowMs())) {
             Engine near = selectInRack(roomy, reader, z);
@@ -72,7 +72,7 @@
     private double tokenLimit(List<Engine> roomy, Generation generation) {
         double free = roomy.stream().mapToDouble(capacity::freeTokens).sum();
         double held = roomy.stream().mapToDouble(load::heldTokens).sum();
-        double units = roomy.stream().mapToDouble(writer -> writer.units).sum();
+        double units = roomy.stream().mapToDouble(writer -> writer.units()).sum();
         double awaiting = capacity.awaitingTokens() + WriterCapacity.neededTokens(generation);
         return Z_MARGIN * ((free < awaiting ? free : awaiting) + held) / units;
     }
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -472,9 +472,9 @@
         EngineEntry row = rows.get(attempt.engine);
         Endpoint endpoint = new Endpoint(row.host(), row.port());
         InFlightAttempt source =
-                attempt.read || attempt.generation.state == null
+                attempt.read || attempt.generation.heldRead() == null
                         ? null
-                        : one.tripOf(attempt.generation.state);
+                        : one.tripOf(attempt.generation.heldRead());
         InFlightAttempt trip =
                 new InFlightAttempt(
                         attempt, endpoint, attempt.generation.id + "." + attempt.number, source);
@@ -514,11 +514,11 @@
         String why =
                 before == null
                         ? "first"
-                        : before.attempt.inFlight
+                        : before.attempt.isInFlight()
                                 ? "beside"
-                                : before.attempt.outcome == null
+                                : before.attempt.outcome() == null
                                         ? "state_lost"
-                                        : before.attempt.outcome.name().toLowerCase(Locale.ROOT);
+                                        : before.attempt.outcome().name().toLowerCase(Locale.ROOT);
         if (before != null) {
             meters.retried(number, stage, why);
         }
@@ -641,7 +641,7 @@
         for (InFlightRequest one : open.values()) {
             if (!one.ask.offering().isBatch && !one.duty.isDone()) {
                 hurried++;
-                if (one.gen.waiting) {
+                if (one.gen.isWaiting()) {
                     longest =
                             Math.max(
                                     longest,
@@ -657,11 +657,11 @@
     }
 
     private void answered(InFlightRequest one, String kind) {
-        if (one.gen.giveUpReason != null) {
+        if (one.gen.giveUpReason() != null) {
             meters.givenUp(
                     number,
                     one.gen.trafficClass.name,
-                    one.gen.giveUpReason.name().toLowerCase(Locale.ROOT));
+                    one.gen.giveUpReason().name().toLowerCase(Locale.ROOT));
         }
         meters.answered(number, one.gen.trafficClass.name, kind, nowMs - one.gen.arrivedMs);
         LOG.atDebug()
@@ -670,7 +670,7 @@
                 .addKeyValue("product", one.gen.trafficClass.name)
                 .addKeyValue("attempts", one.trips.size())
                 .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs))
-                .addKeyValue("reason", one.gen.giveUpReason)
+                .addKeyValue("reason", one.gen.giveUpReason())
                 .log(kind);
     }
 
@@ -926,7 +926,8 @@
                 .values()
                 .removeIf(
                         engine ->
-                                engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
+                                engine.state() == EndpointState.REMOVED
+                                        && engine.attempts().isEmpty());
         rows.keySet().removeIf(engine -> !forEachEngine.containsValue(engine));
         settleAll();
     }
@@ -1026,7 +1027,7 @@
             LOG.error("the decision module failed", e);
             if (one != null) {
                 terminate(one, ResponseSink.FailureCause.INTERNAL);
-                one.gen.finished = true;
+                one.gen.finish();
             }
         }
     }
@@ -1035,7 +1036,7 @@
         if (open.size() > 0) {
             List<InFlightRequest> done = null;
             for (InFlightRequest one : open.values()) {
-                if (one.duty.isDone() && one.gen.attemptsInFlight == 0) {
+                if (one.duty.isDone() && one.gen.attemptsInFlight() == 0) {
                     done = done == null ? new ArrayList<>() : done;
                     done.add(one);
                 }
@@ -1152,7 +1153,7 @@
 
     /** A generation that is answered and has no attempt out is let go of. */
     private void settle(InFlightRequest one) {
-        if (!one.duty.isDone() || one.gen.attemptsInFlight > 0 || open.get(one.gen) == null) {
+        if (!one.duty.isDone() || one.gen.attemptsInFlight() > 0 || open.get(one.gen) == null) {
             return;
         }
         releaseState(one.gen);
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -26,7 +26,7 @@
 
     @Override
     public SendRejection rejection() {
-        if (attempt.engine.state != EndpointState.READY) {
+        if (attempt.engine.state() != EndpointState.READY) {
             return SendRejection.ENDPOINT_UNAVAILABLE;
         }
         if (open.duty.isDone() || open.duty.isBegun()) {
--- a/src/main/java/larchridge/state/CachedPrefix.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -22,14 +22,14 @@
      * on.
      */
     public void recordSent(Engine engine, int tokens, double nowMs) {
-        copies.removeIf(copy -> copy.engine == engine || copy.sentMs < copy.engine.textsSinceMs);
+        copies.removeIf(copy -> copy.engine == engine || copy.sentMs < copy.engine.cachedSinceMs());
         copies.add(new Copy(engine, nowMs, tokens));
     }
 
     /** How much of it an engine was sent since it last lost its texts. */
     public int tokensAt(Engine engine) {
         for (Copy copy : copies) {
-            if (copy.engine == engine && copy.sentMs >= engine.textsSinceMs) {
+            if (copy.engine == engine && copy.sentMs >= engine.cachedSinceMs()) {
                 return copy.tokens;
             }
         }
@@ -42,7 +42,7 @@
             return null;
         }
         Copy last = copies.get(copies.size() - 1);
-        return last.sentMs >= last.engine.textsSinceMs ? last.engine : null;
+        return last.sentMs >= last.engine.cachedSinceMs() ? last.engine : null;
     }
 
     /** A fixed figure for this text and an engine, alike at every front. */
--- a/src/test/java/larchridge/policy/IdempotencyRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -43,7 +43,7 @@
                         SENT_MS,
                         SENT_MS + 9000);
         Attempt first = attempt(generation, SENT_MS);
-        first.outcome = AttemptOutcome.CUT;
+        first.recordOutcome(AttemptOutcome.CUT);
         first.close();
         return generation;
     }
@@ -82,7 +82,7 @@
                         SENT_MS,
                         SENT_MS + 9000);
         Attempt first = attempt(other, SENT_MS);
-        first.outcome = AttemptOutcome.CUT;
+        first.recordOutcome(AttemptOutcome.CUT);
         first.close();
         assertTrue(IdempotencyRule.mayAttempt(other, engine, SENT_MS + 240, false));
         assertFalse(IdempotencyRule.mayAttempt(other, engine, SENT_MS + 260, false));
--- a/src/test/java/larchridge/policy/RoutingPolicyTest.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyTest.java
@@ -15,6 +15,7 @@
 import larchridge.state.EndpointState;
 import larchridge.state.EndpointUpdate;
 import larchridge.state.Engine;
+import larchridge.state.EngineFixture;
 import larchridge.state.Generation;
 import larchridge.state.LoadReport;
 import larchridge.state.Role;
@@ -28,7 +29,7 @@
     @Test
     void takesTheReaderWithFewestTokens() {
         Engine[] fleet = stage.fleet(2, 1);
-        fleet[0].unreadTokens = 900;
+        EngineFixture.setUnreadTokens(fleet[0], 900);
         choice.requestArrived(stage.gen("a"));
         assertSame(fleet[1], stage.last().engine);
     }
@@ -51,7 +52,7 @@
     void picksTheWriterOnlyWhenTheReadEnds() {
         Engine[] fleet = stage.fleet(1, 2);
         choice.requestArrived(stage.gen("a"));
-        fleet[1].streams = 3;
+        EngineFixture.setStreams(fleet[1], 3);
         choice.readCompleted(stage.last(), 0, null, false);
         assertSame(fleet[2], stage.last().engine);
     }
@@ -120,7 +121,7 @@
                 stage.now += 1000;
                 stage.choice.requestArrived(stage.gen("g" + i));
             }
-            attempts += fleet[2].attempts.size();
+            attempts += fleet[2].attempts().size();
         }
         assertTrue(attempts > 20 && attempts < 113, attempts + " attempts of 600");
     }
@@ -159,7 +160,7 @@
         choice.requestArrived(generation);
         stage.now = generation.deadlineMs - 1;
         choice.wakeUp();
-        assertTrue(generation.finished);
+        assertTrue(generation.isFinished());
         assertTrue(stage.heardOf("throttle a"));
     }
 
@@ -204,7 +205,7 @@
         stage.now += 1000;
         choice.wakeUp();
         assertTrue(stage.heardOf("throttle a"));
-        assertEquals(1, fleet[0].attempts.size());
+        assertEquals(1, fleet[0].attempts().size());
     }
 
     @Test
@@ -239,11 +240,11 @@
     void generationThatWaitsAgainIsSentOnce() {
         Engine[] fleet = stage.fleet(1, 1);
         choice.requestArrived(stage.gen("a"));
-        fleet[0].unreadTokens = 50_000;
+        EngineFixture.setUnreadTokens(fleet[0], 50_000);
         choice.attemptEnded(stage.last(), AttemptOutcome.FAULT, null, false);
         choice.wakeUp();
         assertEquals(1, stage.sent.size());
-        fleet[0].unreadTokens = 0;
+        EngineFixture.setUnreadTokens(fleet[0], 0);
         choice.wakeUp();
         choice.wakeUp();
         assertEquals(2, stage.sent.size());
@@ -252,8 +253,8 @@
     @Test
     void newGenerationsWaitWhileTheWritersHaveNoRoomForWhatIsRead() {
         Engine[] fleet = stage.fleet(2, 1);
-        fleet[2].othersTokens = 200_000 - 4000;
-        fleet[2].reportMs = stage.now;
+        EngineFixture.setOthersTokens(fleet[2], 200_000 - 4000);
+        EngineFixture.setReportMs(fleet[2], stage.now);
         for (int i = 0; i < 5; i++) {
             choice.requestArrived(stage.gen("g" + i));
         }
@@ -263,7 +264,7 @@
     @Test
     void retryIsReadByShortReadersOnly() {
         Engine[] fleet = stage.fleet(1, 1);
-        fleet[0].unreadTokens = 4000;
+        EngineFixture.setUnreadTokens(fleet[0], 4000);
         Generation retry =
                 new Generation(
                         "r",
@@ -280,7 +281,7 @@
                         stage.now + 5000);
         choice.requestArrived(retry);
         assertTrue(stage.sent.isEmpty());
-        fleet[0].unreadTokens = 2000;
+        EngineFixture.setUnreadTokens(fleet[0], 2000);
         choice.wakeUp();
         assertSame(retry, stage.last().generation);
     }
@@ -348,18 +349,18 @@
         assertFalse(stage.heardOf("release"));
         choice.attemptEnded(inPlace, AttemptOutcome.FAULT, null, false);
         assertEquals(2, stage.sent.size());
-        assertSame(Role.WRITER, stage.last().engine.role);
+        assertSame(Role.WRITER, stage.last().engine.role());
     }
 
     @Test
     void engineOfBothRolesReadsInPlaceWhereNoReaderIsShort() {
         Engine[] fleet = stage.fleet(1, 2);
-        fleet[1].role = Role.BOTH;
-        fleet[2].streams = 20;
-        fleet[0].unreadTokens = 50_000;
+        EngineFixture.setRole(fleet[1], Role.BOTH);
+        EngineFixture.setStreams(fleet[2], 20);
+        EngineFixture.setUnreadTokens(fleet[0], 50_000);
         choice.requestArrived(stage.gen("a"));
         assertSame(fleet[1], stage.last().engine);
-        fleet[1].streams = 20;
+        EngineFixture.setStreams(fleet[1], 20);
         choice.requestArrived(stage.gen("b"));
         assertEquals(1, stage.sent.size());
     }
@@ -386,9 +387,9 @@
         one.readCompleted(stage.last(), 0, new LoadReport(0, 0, 0, 0), false);
         Engine first = stage.last().engine;
         for (int i = 1; i <= 3; i++) {
-            fleet[i].reportMs = stage.now;
-            fleet[i].othersStreams = fleet[i] == first ? 4 : 30;
-            fleet[i].othersTokens = 1000 * fleet[i].othersStreams;
+            EngineFixture.setReportMs(fleet[i], stage.now);
+            EngineFixture.setOthersStreams(fleet[i], fleet[i] == first ? 4 : 30);
+            EngineFixture.setOthersTokens(fleet[i], 1000 * fleet[i].othersStreams());
         }
         one.requestArrived(stage.gen("b"));
         one.readCompleted(stage.last(), 0, null, false);
@@ -410,7 +411,7 @@
         Engine[] fleet = stage.fleet(2, 1);
         choice.requestArrived(stage.gen("a"));
         Attempt silent = stage.last();
-        silent.engine.heardMs = stage.now + 100;
+        EngineFixture.setHeardMs(silent.engine, stage.now + 100);
         stage.now += 400;
         choice.wakeUp();
         assertSame(silent, stage.last());
@@ -431,9 +432,9 @@
                         1000));
         choice.readCompleted(stage.last(), 0, null, false);
         Attempt write = stage.last();
-        (write.engine == fleet[1] ? fleet[2] : fleet[1]).rack = 7;
-        write.engine.rack = 3;
-        while (stage.last().inFlight) {
+        EngineFixture.setRack(write.engine == fleet[1] ? fleet[2] : fleet[1], 7);
+        EngineFixture.setRack(write.engine, 3);
+        while (stage.last().isInFlight()) {
             assertSame(write.engine, stage.last().engine);
             choice.attemptEnded(stage.last(), AttemptOutcome.CUT, null, false);
         }
@@ -443,13 +444,13 @@
     @Test
     void restartedEngineIsForgottenAlsoAfterItLeftTheList() {
         Engine[] fleet = stage.fleet(1, 1);
-        fleet[0].suspectUntilMs = stage.now + 60_000;
+        EngineFixture.setEjectedUntilMs(fleet[0], stage.now + 60_000);
         choice.endpointsChanged(
                 List.of(stage.listing(fleet[0], Role.READER, EndpointState.REMOVED, 0)), false);
         choice.endpointsChanged(
                 List.of(stage.listing(fleet[0], Role.READER, EndpointState.READY, stage.now - 1)),
                 false);
-        assertEquals(0, fleet[0].suspectUntilMs);
+        assertEquals(0, fleet[0].ejectedUntilMs());
     }
 
     @Test
@@ -471,14 +472,14 @@
         choice.requestArrived(stage.gen("a"));
         choice.readCompleted(stage.last(), 0, null, false);
         Attempt write = stage.last();
-        fleet[1].othersTokens = 200_000;
-        fleet[2].othersTokens = 200_000;
-        fleet[1].reportMs = stage.now + 1500;
-        fleet[2].reportMs = stage.now + 1500;
+        EngineFixture.setOthersTokens(fleet[1], 200_000);
+        EngineFixture.setOthersTokens(fleet[2], 200_000);
+        EngineFixture.setReportMs(fleet[1], stage.now + 1500);
+        EngineFixture.setReportMs(fleet[2], stage.now + 1500);
         stage.now += 1500;
         choice.wakeUp();
         assertSame(write, stage.last());
-        (write.engine == fleet[1] ? fleet[2] : fleet[1]).othersTokens = 0;
+        EngineFixture.setOthersTokens(write.engine == fleet[1] ? fleet[2] : fleet[1], 0);
         choice.wakeUp();
         assertEquals(3, stage.sent.size());
     }
@@ -486,10 +487,10 @@
     @Test
     void othersPromptsCountWhileTheirReportIsFresh() {
         Engine[] fleet = stage.fleet(2, 1);
-        fleet[0].othersUnreadTokens = 5000;
-        fleet[0].reportMs = stage.now;
-        fleet[0].heardMs = stage.now;
-        fleet[1].unreadTokens = 800;
+        EngineFixture.setOthersUnreadTokens(fleet[0], 5000);
+        EngineFixture.setReportMs(fleet[0], stage.now);
+        EngineFixture.setHeardMs(fleet[0], stage.now);
+        EngineFixture.setUnreadTokens(fleet[1], 800);
         choice.requestArrived(stage.gen("a"));
         assertSame(fleet[1], stage.last().engine);
     }
@@ -516,16 +517,17 @@
     @Test
     void thousandsThatWaitAreNotAllTriedWheneverOneEnds() {
         Engine[] fleet = stage.fleet(1, 1);
-        fleet[0].unreadTokens = 50_000;
+        EngineFixture.setUnreadTokens(fleet[0], 50_000);
         List<Generation> gens = new java.util.ArrayList<>();
         for (int i = 0; i < 500; i++) {
             gens.add(stage.gen("g" + i));
             choice.requestArrived(gens.get(i));
         }
-        gens.forEach(generation -> generation.leastReadTokens = -1);
+        gens.forEach(generation -> generation.startWaiting(-1));
         choice.wakeUp();
         assertEquals(
-                100, gens.stream().filter(generation -> generation.leastReadTokens >= 0).count());
+                100,
+                gens.stream().filter(generation -> generation.leastTokensToRead() >= 0).count());
     }
 
     @Test
@@ -535,7 +537,7 @@
         Engine[] fleet = stage.fleet(2, 0);
         for (int i = 0; i < 3; i++) {
             choice.requestArrived(stage.gen("g" + i));
-            while (stage.last().inFlight && stage.last().engine == fleet[0]) {
+            while (stage.last().isInFlight() && stage.last().engine == fleet[0]) {
                 choice.attemptEnded(stage.last(), AttemptOutcome.FAULT, null, false);
                 choice.loadProbed(fleet[0], true, null);
             }
@@ -591,12 +593,12 @@
         Engine[] fleet = stage.fleet(2, 0);
         choice.requestArrived(stage.gen("a"));
         choice.attemptEnded(stage.last(), AttemptOutcome.CUT, null, false);
-        assertEquals(0, fleet[0].suspectUntilMs);
-        while (stage.last().inFlight && stage.last().engine == fleet[0]) {
+        assertEquals(0, fleet[0].ejectedUntilMs());
+        while (stage.last().isInFlight() && stage.last().engine == fleet[0]) {
             choice.attemptEnded(stage.last(), AttemptOutcome.CUT, null, false);
         }
         assertEquals(fleet[1], stage.last().engine);
-        assertTrue(fleet[0].suspectUntilMs > stage.now);
+        assertTrue(fleet[0].ejectedUntilMs() > stage.now);
     }
 
     @Test
@@ -621,15 +623,15 @@
         choice.readCompleted(stage.last(), 0, null, false);
         Attempt waits = stage.last();
         choice.stateReleased(waits);
-        waits.silenceTimeoutMs = 100;
-        stage.now += waits.silenceTimeoutMs + 1;
+        waits.setSilenceTimeoutMs(100);
+        stage.now += waits.silenceTimeoutMs() + 1;
         choice.wakeUp();
         Attempt again = stage.last();
         assertTrue(again.read, "the prompt is read anew before the answer moves");
         assertFalse(stage.heardOf("cancel a"));
         choice.readCompleted(again, 0, null, false);
         assertFalse(stage.last().read);
-        assertTrue(waits.cancelled);
+        assertTrue(waits.isCancelled());
     }
 
     /** A fault at one generation must not end the regular look at the others. */
@@ -638,7 +640,7 @@
         stage.fleet(1, 1);
         choice.requestArrived(stage.gen("a"));
         stage.wakes = 0;
-        stage.last().generation.attempts.set(0, null);
+        stage.last().generation.attempts().set(0, null);
         assertThrows(NullPointerException.class, choice::wakeUp);
         assertEquals(1, stage.wakes);
     }
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -4,9 +4,11 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import larchridge.policy.PolicyActions;
 import larchridge.policy.PolicyEvents;
@@ -184,7 +186,7 @@
     }
 
     private static String kind(Attempt attempt) {
-        return attempt.read ? "read" : attempt.engine.role == Role.BOTH ? "write-both" : "write";
+        return attempt.read ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
     }
 
     /** The policy of one router, with its events and actions written down. */
@@ -193,6 +195,7 @@
         private final PolicyActions host;
         private final RoutingPolicy policy;
         private final List<Attempt> writes = new ArrayList<>();
+        private final Set<Generation> started = new HashSet<>();
         private boolean listRequested;
         private int listFailures;
 
@@ -242,6 +245,7 @@
         @Override
         public void responseStarted(Attempt attempt) {
             record("in:begun", attempt.generation.id, attempt.number);
+            started.add(attempt.generation);
             policy.responseStarted(attempt);
         }
 
@@ -313,7 +317,8 @@
         }
 
         private void releaseStates() {
-            writes.removeIf(attempt -> !attempt.inFlight || attempt.generation.responseStarted);
+            writes.removeIf(
+                    attempt -> !attempt.isInFlight() || started.contains(attempt.generation));
             for (Attempt attempt : List.copyOf(writes)) {
                 if (host.nowMs() - attempt.sentMs > STATE_RELEASED_AFTER_MS) {
                     writes.remove(attempt);
@@ -339,12 +344,12 @@
                     attempt.engine.label,
                     attempt.sentMs,
                     attempt.countedTokens,
-                    attempt.unreadTokens,
-                    attempt.silenceTimeoutMs);
+                    attempt.unreadTokens(),
+                    attempt.silenceTimeoutMs());
             if (!attempt.read) {
                 writes.add(attempt);
             }
-            if (attempt.engine.startMs > host.nowMs() - 2500) {
+            if (attempt.engine.startMs() > host.nowMs() - 2500) {
                 record("out:sent-to-cold", attempt.engine.label);
             }
             host.send(attempt);
@@ -364,13 +369,13 @@
 
         @Override
         public void reject(Generation generation, double retryAfterMs) {
-            record("out:throttle", generation.id, retryAfterMs, named(generation.giveUpReason));
+            record("out:throttle", generation.id, retryAfterMs, named(generation.giveUpReason()));
             host.reject(generation, retryAfterMs);
         }
 
         @Override
         public void fail(Generation generation) {
-            record("out:terminate", generation.id, named(generation.giveUpReason));
+            record("out:terminate", generation.id, named(generation.giveUpReason()));
             host.fail(generation);
         }
 
