--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -20,6 +20,7 @@
 import larchridge.node.discovery.DiscoveryClient;
 import larchridge.node.discovery.EndpointListReader;
 import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerDependencies;
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
@@ -316,7 +317,7 @@
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_MS);
         while (!ending) {
             try {
-                door.listen(file.listen.host(), file.listen.port());
+                door.listen(group, buffers, file.listen.host(), file.listen.port());
                 return;
             } catch (IOException e) {
                 if (System.nanoTime() > endNanos) {
@@ -364,22 +365,21 @@
             audit.compareCounts(ground, front, link);
             door =
                     new HttpServer(
-                            group,
-                            buffers,
-                            ground,
-                            front,
-                            site,
-                            file.given.products.values(),
-                            new ServerLimits(
-                                    (int) (file.sockets * CLIENTS_PART),
-                                    BODY_BYTES,
-                                    bodies,
-                                    REQUEST_MS,
-                                    WHOLE_REQUEST_MS,
-                                    file.given.keepAliveMs,
-                                    LINGER_MS),
-                            audit.events(),
-                            meters);
+                            new ServerDependencies(
+                                    ground,
+                                    front,
+                                    site,
+                                    file.given.products.values(),
+                                    new ServerLimits(
+                                            (int) (file.sockets * CLIENTS_PART),
+                                            BODY_BYTES,
+                                            bodies,
+                                            REQUEST_MS,
+                                            WHOLE_REQUEST_MS,
+                                            file.given.keepAliveMs,
+                                            LINGER_MS),
+                                    audit.events(),
+                                    meters));
             EndpointListReader reader = new EndpointListReader(file.given.roles, file.given.memory);
             discoveryClient =
                     new DiscoveryClient(
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -14,6 +14,7 @@
 import java.util.Set;
 import larchridge.inventory.EngineEntry;
 import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerDependencies;
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
@@ -118,15 +119,14 @@
         Router front = new Router(ground, site, 0, link, audit.meters(), PolicyEvents::choice);
         door =
                 new HttpServer(
-                        null,
-                        null,
-                        ground,
-                        front,
-                        site,
-                        given.products.values(),
-                        new ServerLimits(400, 1 << 18, 1 << 22, 1e6, 1e6, 1e6, 1e6),
-                        audit.events(),
-                        audit.meters());
+                        new ServerDependencies(
+                                ground,
+                                front,
+                                site,
+                                given.products.values(),
+                                new ServerLimits(400, 1 << 18, 1 << 22, 1e6, 1e6, 1e6, 1e6),
+                                audit.events(),
+                                audit.meters()));
         List<EngineEntry> rows = new ArrayList<>();
         for (int i = 0; i < ENGINES; i++) {
             Role role = i % 3 == 0 ? Role.READER : i % 3 == 1 ? Role.WRITER : Role.BOTH;
--- a/src/main/java/larchridge/node/server/AcceptFailureHandler.java
+++ b/src/main/java/larchridge/node/server/AcceptFailureHandler.java
@@ -7,32 +7,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sits before Netty's own acceptor on the listener. That one stops accepting for a whole second
- * after any failed accept; but ECONNABORTED is one client's affair, and descriptors or buffers are
- * short for a moment. The pause here only keeps the loop from turning without rest while the
- * failure lasts.
+ * Resumes accepting soon after a failed accept. Sits before Netty's own acceptor on the listener,
+ * which stops accepting for a whole second after any failure; but ECONNABORTED concerns one client
+ * only, and descriptors or buffers are short for a moment. The pause here only keeps the event loop
+ * from spinning while the failure lasts.
  */
 final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
-    private static final long PAUSE_MS = 20;
-    private static final long LOG_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long ACCEPT_PAUSE_MS = 20;
+    private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final Logger LOG = LoggerFactory.getLogger(AcceptFailureHandler.class);
 
-    private long loggedNanos = System.nanoTime() - LOG_NANOS;
+    private long lastLoggedNanos = System.nanoTime() - LOG_INTERVAL_NANOS;
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        long now = System.nanoTime();
-        if (now - loggedNanos >= LOG_NANOS) {
-            loggedNanos = now;
-            LOG.atWarn()
-                    .addKeyValue("fault", cause.getMessage())
-                    .log("a client's connection could not be accepted");
-        }
+        logAtInterval(cause);
         context.channel().config().setAutoRead(false);
         context.executor()
                 .schedule(
                         () -> context.channel().config().setAutoRead(true),
-                        PAUSE_MS,
+                        ACCEPT_PAUSE_MS,
                         TimeUnit.MILLISECONDS);
     }
+
+    private void logAtInterval(Throwable cause) {
+        long nowNanos = System.nanoTime();
+        if (nowNanos - lastLoggedNanos >= LOG_INTERVAL_NANOS) {
+            lastLoggedNanos = nowNanos;
+            LOG.atWarn()
+                    .addKeyValue("fault", cause.getMessage())
+                    .log("a client's connection could not be accepted");
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -0,0 +1,199 @@
+package larchridge.node.server;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.LastHttpContent;
+import larchridge.audit.CloseReason;
+import larchridge.budget.BudgetDecision;
+import larchridge.router.InFlightRequest;
+import larchridge.router.ResponseSink;
+import larchridge.upstream.Completion;
+import larchridge.upstream.ForwardedRequest;
+
+/**
+ * One admitted request and its response on a client's connection. It holds the request's id, the
+ * memory of its body and its place at the router until it finishes: with the final answer, or when
+ * the client disconnects.
+ */
+final class ClientExchange implements ResponseSink {
+    private static final String STREAMED = "streamed";
+    private static final String THROTTLED = "throttled";
+    private static final String CUT = "cut";
+
+    private final ClientConnection connection;
+    private final ServerContext server;
+    private final String id;
+    private final int bodyBytes;
+    private final double receivedMs;
+    private final AfterResponse requestedAfter;
+
+    /** The router's side of it; null as long as the router has not accepted it. */
+    private InFlightRequest inFlight;
+
+    private boolean responseStarted;
+    private boolean finished;
+
+    /** What the head of a streamed response has said. */
+    private AfterResponse announcedAfter = AfterResponse.KEEP_ALIVE;
+
+    /**
+     * Creates the exchange of an admitted request.
+     *
+     * @param connection the client's connection
+     * @param forwarded the request
+     * @param receivedMs when its head was received
+     * @param requestedAfter what the client wants to become of the connection
+     */
+    ClientExchange(
+            ClientConnection connection,
+            ForwardedRequest forwarded,
+            double receivedMs,
+            AfterResponse requestedAfter) {
+        this.connection = connection;
+        this.receivedMs = receivedMs;
+        this.requestedAfter = requestedAfter;
+        server = connection.server();
+        id = forwarded.id();
+        bodyBytes = forwarded.body().length;
+    }
+
+    double receivedMs() {
+        return receivedMs;
+    }
+
+    boolean isFinished() {
+        return finished;
+    }
+
+    /** The router has accepted the request. */
+    void accepted(InFlightRequest request) {
+        inFlight = request;
+    }
+
+    /** The client's connection is closed. */
+    void clientDisconnected() {
+        if (finished) {
+            return;
+        }
+        server.events.clientClosed(id);
+        if (inFlight != null) {
+            inFlight.clientDisconnected();
+        }
+        finish();
+    }
+
+    /** The connection's write buffer is full. */
+    void pause() {
+        if (inFlight != null) {
+            inFlight.pause();
+        }
+    }
+
+    /** The connection's write buffer has room again. */
+    void resume() {
+        if (inFlight != null) {
+            inFlight.resume();
+        }
+    }
+
+    /** Releases what the exchange holds; false if it had finished before. */
+    private boolean finish() {
+        if (finished) {
+            return false;
+        }
+        finished = true;
+        server.requestIds.end(id);
+        server.bodyMemory.release(bodyBytes);
+        server.router.exchangeEnded();
+        return true;
+    }
+
+    @Override
+    public void responseStarted(int cachedTokens) {
+        responseStarted = true;
+        HttpResponse response = Responses.streamHead();
+        announcedAfter = connection.decideAfterResponse(requestedAfter);
+        if (announcedAfter == AfterResponse.CLOSE) {
+            Responses.announceClose(response);
+        }
+        connection.write(response);
+    }
+
+    @Override
+    public boolean textReceived(String text) {
+        throw new UnsupportedOperationException("only complete events are forwarded here");
+    }
+
+    @Override
+    public void eventsReceived(byte[] events) {
+        connection.write(new DefaultHttpContent(Unpooled.wrappedBuffer(events)));
+    }
+
+    @Override
+    public void flush() {
+        connection.flush();
+    }
+
+    @Override
+    public boolean isDisconnected() {
+        return connection.hasPeerClosed();
+    }
+
+    @Override
+    public void rejectedOverBudget(BudgetDecision budget) {
+        rejected(0);
+    }
+
+    @Override
+    public void completed(Completion completion) {
+        if (finish()) {
+            server.events.answered(id, STREAMED);
+            connection.finishResponse(
+                    LastHttpContent.EMPTY_LAST_CONTENT,
+                    connection.decideAfterResponse(announcedAfter));
+        }
+    }
+
+    @Override
+    public void rejected(double retryAfterMs) {
+        if (finish()) {
+            server.events.answered(id, THROTTLED);
+            connection.respond(
+                    Responses.error(
+                            HttpResponseStatus.SERVICE_UNAVAILABLE, "not now", retryAfterMs),
+                    requestedAfter);
+        }
+    }
+
+    @Override
+    public void failed(FailureCause cause, boolean mayRetry) {
+        if (responseStarted) {
+            aborted();
+        } else if (finish()) {
+            server.events.answered(id, cause.name());
+            connection.respond(
+                    Responses.error(statusOf(cause), "failed"),
+                    cause == FailureCause.UNUSABLE_ANSWER ? AfterResponse.CLOSE : requestedAfter);
+        }
+    }
+
+    private static HttpResponseStatus statusOf(FailureCause cause) {
+        if (cause == FailureCause.DEADLINE_EXCEEDED) {
+            return HttpResponseStatus.GATEWAY_TIMEOUT;
+        }
+        return cause == FailureCause.UNUSABLE_ANSWER
+                ? HttpResponseStatus.BAD_REQUEST
+                : HttpResponseStatus.INTERNAL_SERVER_ERROR;
+    }
+
+    @Override
+    public void aborted() {
+        if (finish()) {
+            server.events.answered(id, CUT);
+            // Without the last chunk, so that the client does not take it for complete.
+            connection.halfClose(CloseReason.STREAM_CUT);
+        }
+    }
+}
--- a/src/main/java/larchridge/node/server/ForwardedHeaders.java
+++ b/src/main/java/larchridge/node/server/ForwardedHeaders.java
@@ -10,17 +10,16 @@
 import larchridge.upstream.ForwardedRequest;
 
 /**
- * Which of a client's headers go on to engines: all that are end to end. An engine may know repeats
- * by a key that the client sent in a header of a name that no setting tells.
+ * Which of a client's headers are forwarded to engines: all that are end to end. An engine may
+ * deduplicate by a key that the client sent in a header whose name no setting gives.
  */
 final class ForwardedHeaders {
     private static final String CONNECTION = "connection";
 
     /**
-     * Those of one connection (RFC 9110, 7.6.1), and those that the message sent on states for
-     * itself.
+     * Hop-by-hop headers (RFC 9110, 7.6.1), and those that the forwarded message states for itself.
      */
-    private static final Set<String> OF_ONE_CONNECTION =
+    private static final Set<String> NOT_FORWARDED =
             Set.of(
                     CONNECTION,
                     "keep-alive",
@@ -37,9 +36,9 @@
 
     private ForwardedHeaders() {}
 
-    /** The headers that go on, in their order. */
+    /** The headers that are forwarded, in their order. */
     static List<ForwardedRequest.Header> of(HttpHeaders headers) {
-        Set<String> dropped = new HashSet<>(OF_ONE_CONNECTION);
+        Set<String> dropped = new HashSet<>(NOT_FORWARDED);
         for (String value : headers.getAll(CONNECTION)) {
             for (String name : value.split(",")) {
                 dropped.add(name.strip().toLowerCase(Locale.ROOT));
--- a/src/main/java/larchridge/node/server/HttpServer.java
+++ b/src/main/java/larchridge/node/server/HttpServer.java
@@ -10,116 +10,45 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.io.IOException;
-import java.util.Collection;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.stream.Stream;
-import larchridge.audit.CloseReason;
-import larchridge.audit.ConnectionSide;
-import larchridge.audit.RequestEvents;
-import larchridge.metrics.RouterMetrics;
-import larchridge.router.Router;
-import larchridge.router.Scheduler;
-import larchridge.site.ProductOffering;
-import larchridge.site.Site;
-import larchridge.state.TrafficClass;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import java.net.InetSocketAddress;
 
 /**
- * Clients' side of a node: the listener, its connections and their bounds. What one connection says
- * is read by its {@link ClientConnection}. All methods run on the loop.
+ * The clients' side of a node: the listener and the life of its connections. Each connection is
+ * served by its {@link ClientConnection}. All methods run on the event loop, unless said otherwise.
  */
 public final class HttpServer {
-    private static final int IDS = 4096;
-    private static final double CHECK_MS = 200;
-    private static final double EMPTY_LOOK_MS = 20;
-    private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final double TIMEOUT_CHECK_MS = 200;
+    private static final double EMPTY_CHECK_MS = 20;
 
-    final Router front;
-    final Site site;
-    final Map<String, ProductOffering> offers = new HashMap<>();
-    final ServerLimits bounds;
-    final Scheduler ground;
-    final RequestEvents events;
-    private final RouterMetrics meters;
-    private final EventLoopGroup loop;
-    private final ByteBufAllocator buffers;
-
-    /** Connections without a request, longest first. */
-    private final Set<ClientConnection> idle = new LinkedHashSet<>();
-
-    /** Connections on which a part of a request has come, longest first. */
-    private final Set<ClientConnection> receiving = new LinkedHashSet<>();
-
-    /** Connections that this side has ended and reads on for a while, longest first. */
-    private final Set<ClientConnection> ending = new LinkedHashSet<>();
-
-    private final Set<ClientConnection> all = new LinkedHashSet<>();
-
-    /** Ids of open generations, and of those that ended last: none is taken twice. */
-    private final Set<String> openRequestCount = new HashSet<>();
-
-    private final Set<String> endedIds = new LinkedHashSet<>();
+    private final ServerContext context;
+    private final RequestDispatcher dispatcher;
     private Channel listener;
-    private long bufferedBodyBytes;
-    private boolean markReady;
-    private boolean closing;
-    private boolean stopAccepting;
+    private boolean stoppedAccepting;
 
-    public HttpServer(
-            EventLoopGroup loop,
-            ByteBufAllocator buffers,
-            Scheduler ground,
-            Router front,
-            Site site,
-            Collection<TrafficClass> products,
-            ServerLimits bounds,
-            RequestEvents events,
-            RouterMetrics meters) {
-        this.events = events;
-        this.meters = meters;
-        this.loop = loop;
-        this.buffers = buffers;
-        this.ground = ground;
-        this.front = front;
-        this.site = site;
-        this.bounds = bounds;
-        for (TrafficClass product : products) {
-            // Each request brings its own time limit.
-            offers.put(
-                    product.name,
-                    new ProductOffering(
-                            product,
-                            product,
-                            product.name,
-                            Double.POSITIVE_INFINITY,
-                            0,
-                            Integer.MAX_VALUE,
-                            null));
-        }
-        ground.scheduleAtFixedDelay(CHECK_MS, this::checkTimeouts);
+    /** Creates a server that does not listen yet. */
+    public HttpServer(ServerDependencies dependencies) {
+        context = new ServerContext(dependencies);
+        dispatcher = new RequestDispatcher(context, dependencies.trafficClasses());
+        context.scheduler.scheduleAtFixedDelay(TIMEOUT_CHECK_MS, this::checkTimeouts);
     }
 
     /**
-     * Listens; fails if the address can't be had now. Not to be called on the loop. The failure is
-     * told by this method's own exception: Netty throws that of the system call as it is, without
-     * declaring it.
+     * Starts to listen; fails if the address is not available now. Must not be called on the event
+     * loop. A failure always is this method's own exception: Netty throws that of the system call
+     * as it is, without declaring it.
      */
-    public void listen(String host, int port) throws IOException, InterruptedException {
-        ChannelFuture binding =
+    public void listen(EventLoopGroup eventLoops, ByteBufAllocator allocator, String host, int port)
+            throws IOException, InterruptedException {
+        ChannelFuture bindFuture =
                 new ServerBootstrap()
-                        .group(loop)
+                        .group(eventLoops)
                         .channel(NioServerSocketChannel.class)
-                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .handler(new AcceptFailureHandler())
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .childOption(ChannelOption.ALLOCATOR, buffers)
+                        .childOption(ChannelOption.ALLOCATOR, allocator)
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
@@ -129,190 +58,86 @@
                                 })
                         .bind(host, port)
                         .await();
-        if (!binding.isSuccess()) {
-            throw new IOException(binding.cause().getMessage(), binding.cause());
+        if (!bindFuture.isSuccess()) {
+            throw new IOException(bindFuture.cause().getMessage(), bindFuture.cause());
         }
-        Channel bound = binding.channel();
-        loop.next().submit(() -> listens(bound)).await();
+        Channel bound = bindFuture.channel();
+        eventLoops.next().submit(() -> listenerBound(bound)).await();
     }
 
-    /** A node may be told to end while it opens its listener. */
-    private void listens(Channel bound) {
+    /** The server may have been stopped while it opened its listener. */
+    private void listenerBound(Channel bound) {
         listener = bound;
-        if (stopAccepting) {
+        if (stoppedAccepting) {
             listener.close();
         }
     }
 
+    /** The port of the listener; on any thread once {@link #listen} has returned. */
     public int port() {
-        return ((java.net.InetSocketAddress) listener.localAddress()).getPort();
+        return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** From now on the node says that it can serve. */
-    public void markReady() {
-        markReady = true;
+    /** Serves a client's connection. */
+    public void addConnection(Channel channel) {
+        ClientConnection connection = new ClientConnection(context, dispatcher, channel);
+        channel.pipeline().addLast(connection.decoder(), new HttpResponseEncoder(), connection);
+        context.connections.add(connection);
     }
 
-    boolean isReady() {
-        return markReady && !closing;
+    private void checkTimeouts() {
+        double nowMs = context.scheduler.nowMs();
+        for (ClientConnection connection : context.connections.copyOfAll()) {
+            connection.checkTimeouts(nowMs);
+        }
+    }
+
+    /** From now on health checks succeed. */
+    public void markReady() {
+        context.markReady();
     }
 
     /**
-     * Says that no more is wanted, still takes what comes, and keeps no connection that was served
-     * and rests.
+     * From now on health checks fail and each connection is closed after its last response; idle
+     * ones that had a request are closed now. New connections and requests are still served.
      */
     public void startDraining() {
-        closing = true;
-        List.copyOf(idle).forEach(ClientConnection::closeIfServed);
+        context.startDraining();
+        context.connections.copyOfIdle().forEach(ClientConnection::closeIfIdleAfterRequest);
     }
 
-    boolean isClosing() {
-        return closing;
-    }
-
-    /** Takes no more connections. */
+    /** Accepts no more connections. */
     public void stopAccepting() {
-        stopAccepting = true;
+        stoppedAccepting = true;
         if (listener != null) {
             listener.close();
         }
     }
 
     /**
-     * Runs once no client's connection is open any more; each that this side ends is gone after a
-     * while at the latest.
+     * Runs an action once no client's connection is open any more. Each that this side closes ends
+     * after {@link ServerLimits#lingerMs} at the latest.
      */
-    public void whenNoConnections(Runnable then) {
-        if (all.isEmpty()) {
-            then.run();
+    public void whenNoConnections(Runnable action) {
+        if (context.connections.isEmpty()) {
+            action.run();
         } else {
-            ground.schedule(EMPTY_LOOK_MS, () -> whenNoConnections(then));
+            context.scheduler.schedule(EMPTY_CHECK_MS, () -> whenNoConnections(action));
         }
     }
 
+    /** Clients' connections that are open. */
     public int connectionCount() {
-        return all.size();
+        return context.connections.size();
     }
 
-    /** Ids of requests that are open. */
+    /** Requests in flight, by their ids. */
     public int openRequestCount() {
-        return openRequestCount.size();
+        return context.requestIds.inFlightCount();
     }
 
-    /** Bytes of bodies in memory. */
+    /** Bytes of request bodies in memory. */
     public long bufferedBodyBytes() {
-        return bufferedBodyBytes;
-    }
-
-    // ------------------------------------------------------------------ connections
-
-    /** Takes a client's connection. */
-    public void addConnection(Channel channel) {
-        ClientConnection client = new ClientConnection(this, channel);
-        channel.pipeline().addLast(client.decoder(), new HttpResponseEncoder(), client);
-        all.add(client);
-        idle.add(client);
-        if (all.size() > bounds.maxConnections()) {
-            makeRoom(client);
-        }
-    }
-
-    /**
-     * Ends, at once, one that ends anyway, else the one without a request for longest, else the one
-     * whose request has been under way for longest. Guards against: one that has just come is about
-     * to ask, and its client loses that request. And the end of a connection is told later than the
-     * next one comes: one that is to end no longer counts, or a crowd that comes at once would have
-     * the same one ended again and again and take all descriptors.
-     */
-    private void makeRoom(ClientConnection newest) {
-        ClientConnection client =
-                Stream.of(ending, idle, receiving)
-                        .flatMap(Set::stream)
-                        .filter(one -> one != newest)
-                        .findFirst()
-                        .orElse(newest);
-        left(client);
-        client.closeNow(CloseReason.NO_ROOM);
-    }
-
-    /** The connection has an open request. */
-    void serving(ClientConnection client) {
-        idle.remove(client);
-        receiving.remove(client);
-    }
-
-    /** A part of a request has come on the connection. */
-    void receiving(ClientConnection client) {
-        idle.remove(client);
-        if (isOpen(client)) {
-            receiving.add(client);
-        }
-    }
-
-    /** The connection has no request. */
-    void idle(ClientConnection client) {
-        receiving.remove(client);
-        if (isOpen(client)) {
-            idle.add(client);
-        }
-    }
-
-    /** This side has ended the connection and reads on. */
-    void ending(ClientConnection client) {
-        serving(client);
-        if (all.contains(client)) {
-            ending.add(client);
-        }
-    }
-
-    private boolean isOpen(ClientConnection client) {
-        return all.contains(client) && !ending.contains(client);
-    }
-
-    void left(ClientConnection client) {
-        serving(client);
-        ending.remove(client);
-        all.remove(client);
-    }
-
-    /** A connection has ended. */
-    void closed(CloseReason reason) {
-        events.connectionClosed(ConnectionSide.CLIENT, reason);
-    }
-
-    /** A request was refused before it was taken. */
-    void refused(RequestRejection refusal) {
-        meters.refused(refusal.tag());
-        LOG.atDebug().addKeyValue("reason", refusal).log("request refused");
-    }
-
-    private void checkTimeouts() {
-        double now = ground.nowMs();
-        for (ClientConnection client : List.copyOf(all)) {
-            client.checkTimeouts(now);
-        }
-    }
-
-    // ------------------------------------------------------------------ bodies and ids
-
-    boolean mayHold(int bytes) {
-        return bufferedBodyBytes + bytes <= bounds.maxBufferedBytes();
-    }
-
-    void holds(int bytes) {
-        bufferedBodyBytes += bytes;
-    }
-
-    /** Notes an id as taken; false if it was taken lately or still is. */
-    boolean takeId(String id) {
-        return !endedIds.contains(id) && openRequestCount.add(id);
-    }
-
-    void endId(String id) {
-        openRequestCount.remove(id);
-        endedIds.add(id);
-        if (endedIds.size() > IDS) {
-            endedIds.remove(endedIds.iterator().next());
-        }
+        return context.bodyMemory.reservedBytes();
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -0,0 +1,166 @@
+package larchridge.node.server;
+
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+import larchridge.router.GenerationRequest;
+import larchridge.router.ResponseSink;
+import larchridge.site.ProductOffering;
+import larchridge.state.TrafficClass;
+import larchridge.upstream.ForwardedRequest;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Validates and admits the requests of all connections, and submits them to the router. A request
+ * arrives here when its body is complete.
+ */
+final class RequestDispatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
+    private static final String COMPLETIONS_PATH = "/v1/chat/completions";
+    private static final String HEALTH_PATH = "/up";
+    private static final String GET = "GET";
+    private static final String POST = "POST";
+
+    private final ServerContext server;
+    private final Map<String, ProductOffering> offerings = new HashMap<>();
+
+    RequestDispatcher(ServerContext server, Collection<TrafficClass> trafficClasses) {
+        this.server = server;
+        for (TrafficClass trafficClass : trafficClasses) {
+            offerings.put(trafficClass.name, offeringOf(trafficClass));
+        }
+    }
+
+    /** Each request brings its own time limit. */
+    private static ProductOffering offeringOf(TrafficClass trafficClass) {
+        return new ProductOffering(
+                trafficClass,
+                trafficClass,
+                trafficClass.name,
+                Double.POSITIVE_INFINITY,
+                0,
+                Integer.MAX_VALUE,
+                null);
+    }
+
+    /** Responds to a request, rejects it, or starts the connection's exchange for it. */
+    void dispatch(ClientConnection connection, HttpRequest request) {
+        String path = pathOf(request.uri());
+        String method = request.method().name();
+        if (path.equals(HEALTH_PATH) && method.equals(GET)) {
+            respondToHealthCheck(connection, request);
+        } else if (!path.equals(COMPLETIONS_PATH)) {
+            connection.reject(RequestRejection.NOT_FOUND);
+        } else if (!method.equals(POST)) {
+            connection.reject(RequestRejection.OTHER_METHOD);
+        } else {
+            dispatchGeneration(connection, request);
+        }
+    }
+
+    private static String pathOf(String target) {
+        int query = target.indexOf('?');
+        return query < 0 ? target : target.substring(0, query);
+    }
+
+    private void respondToHealthCheck(ClientConnection connection, HttpRequest request) {
+        connection.body().discard();
+        HttpResponseStatus status =
+                server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+        connection.respond(Responses.empty(status), AfterResponse.requestedBy(request));
+    }
+
+    private void dispatchGeneration(ClientConnection connection, HttpRequest request) {
+        RequestHead head;
+        try {
+            head = RequestHead.read(request.headers());
+        } catch (InvalidRequestHeadException e) {
+            connection.reject(RequestRejection.BAD_HEADER, e.getMessage());
+            return;
+        }
+        ProductOffering offering = offerings.get(head.trafficClass());
+        if (offering == null) {
+            connection.reject(RequestRejection.NO_SUCH_CLASS);
+        } else if (connection.body().isEmpty()) {
+            connection.reject(RequestRejection.NO_BODY);
+        } else if (!server.router.tryAdmit()) {
+            shedLoad(connection, request);
+        } else if (!server.requestIds.tryTake(head.id())) {
+            server.router.exchangeEnded();
+            connection.reject(RequestRejection.ID_USED);
+        } else {
+            startExchange(connection, request, head, offering);
+        }
+    }
+
+    /** The connection is kept: nothing is wrong with what follows. */
+    private void shedLoad(ClientConnection connection, HttpRequest request) {
+        RequestRejection rejection = RequestRejection.NOT_ADMITTED;
+        connection.body().discard();
+        server.requestRejected(rejection);
+        connection.respond(
+                Responses.error(rejection.status, rejection.message),
+                AfterResponse.requestedBy(request));
+    }
+
+    private void startExchange(
+            ClientConnection connection,
+            HttpRequest request,
+            RequestHead head,
+            ProductOffering offering) {
+        double receivedMs = connection.headReceivedMs();
+        ForwardedRequest forwarded =
+                new ForwardedRequest(
+                        POST,
+                        request.uri(),
+                        head.id(),
+                        ForwardedHeaders.of(request.headers()),
+                        connection.body().take(),
+                        receivedMs + head.deadlineMs());
+        ClientExchange exchange =
+                new ClientExchange(
+                        connection, forwarded, receivedMs, AfterResponse.requestedBy(request));
+        connection.startExchange(exchange);
+        // A client that closes right behind its request is not served: the close is read before
+        // anything is forwarded.
+        server.scheduler.execute(() -> submit(exchange, head, offering, forwarded));
+    }
+
+    private void submit(
+            ClientExchange exchange,
+            RequestHead head,
+            ProductOffering offering,
+            ForwardedRequest forwarded) {
+        if (exchange.isFinished() || exchange.isDisconnected()) {
+            return;
+        }
+        try {
+            server.events.accepted(head.id(), offering.product, forwarded.firstTokenDeadlineMs());
+            server.router.submit(
+                    GenerationRequest.forwarding(
+                            offering,
+                            server.site.guest,
+                            forwarded,
+                            head.promptTokens(),
+                            head.sharedTokens(),
+                            head.maxTokens(),
+                            head.prefix(),
+                            head.session(),
+                            head.isRetry(),
+                            head.deadlineMs(),
+                            server.scheduler.nowMs() - exchange.receivedMs()),
+                    exchange,
+                    exchange::accepted);
+        } catch (RuntimeException | Error e) {
+            // Without this the client would wait for a response that nobody owes it any more.
+            LOG.atError()
+                    .addKeyValue("id", head.id())
+                    .setCause(e)
+                    .log("a request could not be taken");
+            exchange.failed(ResponseSink.FailureCause.INTERNAL, false);
+        }
+    }
+}
--- a/src/main/java/larchridge/node/server/RequestHead.java
+++ b/src/main/java/larchridge/node/server/RequestHead.java
@@ -1,123 +1,157 @@
 package larchridge.node.server;
 
 import io.netty.handler.codec.http.HttpHeaders;
+import java.util.List;
 
 /**
- * What a client's head says of its generation. A head with any fault is told in words; nothing of
- * it is guessed.
+ * What a request's headers say of its generation. Any malformed header is reported; nothing is
+ * guessed.
  *
  * @param id the request's own id
- * @param product name of the product
- * @param session name of the conversation, or null
+ * @param trafficClass name of the traffic class
+ * @param session name of the session; the id where the client gave none
  * @param deadlineMs how long the client waits for the first token, from when it sent the request
- * @param prefix name of the opening that other conversations share, or null
+ * @param prefix name of the prefix that other sessions share, or null
  * @param promptTokens length of the prompt
- * @param sharedTokens length of the shared opening, within the prompt
- * @param maxTokens the most that the answer may hold
- * @param resent whether the client says that it asks again
+ * @param sharedTokens length of the shared prefix, within the prompt
+ * @param maxTokens the most that the response may hold
+ * @param isRetry whether the client says that this is a retry
  */
 record RequestHead(
         String id,
-        String product,
+        String trafficClass,
         String session,
         double deadlineMs,
         String prefix,
         int promptTokens,
         int sharedTokens,
         int maxTokens,
-        boolean resent) {
-    static final String ID = "Req-Id";
-    private static final int MOST_TOKS = 10_000_000;
-    private static final long MOST_MS = 86_400_000;
-    private static final int NAME = 128;
+        boolean isRetry) {
+    private static final String ID = "Req-Id";
+    private static final String TRAFFIC_CLASS = "Req-Kind";
+    private static final String SESSION = "Req-Key";
+    private static final String DEADLINE_MS = "Req-Deadline-Ms";
+    private static final String EXTRA = "Req-Extra";
+    private static final String RETRY = "Req-Retry";
 
-    /** A head that can't be used. */
-    static final class BadHead extends Exception {
-        private static final long serialVersionUID = 1;
+    private static final int MAX_TOKENS = 10_000_000;
+    private static final long MAX_DEADLINE_MS = 86_400_000;
+    private static final int MAX_NAME_LENGTH = 128;
 
-        BadHead(String what) {
-            super(what);
-        }
-    }
+    /** Longer ones may not fit in a long. */
+    private static final int MAX_DIGITS = 18;
 
-    static RequestHead read(HttpHeaders head) throws BadHead {
-        String id = one(head, ID);
-        if (id == null || !id.matches("[0-9a-fA-F]{16}")) {
-            throw new BadHead("Req-Id: expected 16 hex digits");
-        }
-        String product = name(head, "Req-Kind");
-        if (product == null) {
-            throw new BadHead("Req-Kind: missing; expected a class");
-        }
-        String session = name(head, "Req-Key");
-        long deadline = whole(one(head, "Req-Deadline-Ms"), "Req-Deadline-Ms", MOST_MS);
-        if (deadline <= 0) {
-            throw new BadHead("Req-Deadline-Ms: expected milliseconds over 0");
-        }
+    static RequestHead read(HttpHeaders headers) throws InvalidRequestHeadException {
+        String id = readId(headers);
+        String trafficClass = readTrafficClass(headers);
+        String session = optionalName(headers, SESSION);
+        double deadlineMs = readDeadlineMs(headers);
         String prefix = null;
-        int prompt = -1;
-        int shared = 0;
-        int most = -1;
-        String extra = one(head, "Req-Extra");
+        int promptTokens = -1;
+        int sharedTokens = 0;
+        int maxTokens = -1;
+        String extra = single(headers, EXTRA);
         if (extra != null) {
             for (String pair : extra.split(",")) {
-                int equals = pair.indexOf('=');
-                String key = equals < 0 ? pair.strip() : pair.substring(0, equals).strip();
-                String value = equals < 0 ? "" : pair.substring(equals + 1).strip();
-                switch (key) {
-                    case "prefix" ->
-                            prefix = value.isEmpty() || value.length() > NAME ? null : value;
-                    case "prompt_len" ->
-                            prompt = (int) whole(value, "Req-Extra: prompt_len", MOST_TOKS);
-                    case "prefix_len" ->
-                            shared = (int) whole(value, "Req-Extra: prefix_len", MOST_TOKS);
-                    case "max_out" -> most = (int) whole(value, "Req-Extra: max_out", MOST_TOKS);
+                String value = valueOf(pair);
+                switch (keyOf(pair)) {
+                    case "prefix" -> prefix = nullUnlessName(value);
+                    case "prompt_len" -> promptTokens = tokenCount(value, EXTRA + ": prompt_len");
+                    case "prefix_len" -> sharedTokens = tokenCount(value, EXTRA + ": prefix_len");
+                    case "max_out" -> maxTokens = tokenCount(value, EXTRA + ": max_out");
                     default -> {}
                 }
             }
         }
-        if (prompt < 0 || most < 0) {
-            throw new BadHead("Req-Extra: expected prompt_len and max_out");
+        if (promptTokens < 0 || maxTokens < 0) {
+            throw new InvalidRequestHeadException(EXTRA + ": expected prompt_len and max_out");
         }
-        String again = one(head, "Req-Retry");
+        boolean isRetry = single(headers, RETRY) != null;
         return new RequestHead(
                 id,
-                product,
+                trafficClass,
                 session == null ? id : session,
-                deadline,
+                deadlineMs,
                 prefix,
-                prompt,
-                Math.min(shared, prompt),
-                most,
-                again != null);
+                promptTokens,
+                Math.min(sharedTokens, promptTokens),
+                maxTokens,
+                isRetry);
+    }
+
+    private static String readId(HttpHeaders headers) throws InvalidRequestHeadException {
+        String id = single(headers, ID);
+        if (id == null || !id.matches("[0-9a-fA-F]{16}")) {
+            throw new InvalidRequestHeadException(ID + ": expected 16 hex digits");
+        }
+        return id;
+    }
+
+    private static String readTrafficClass(HttpHeaders headers) throws InvalidRequestHeadException {
+        String trafficClass = optionalName(headers, TRAFFIC_CLASS);
+        if (trafficClass == null) {
+            throw new InvalidRequestHeadException(TRAFFIC_CLASS + ": missing; expected a class");
+        }
+        return trafficClass;
+    }
+
+    private static double readDeadlineMs(HttpHeaders headers) throws InvalidRequestHeadException {
+        long deadlineMs = wholeNumber(single(headers, DEADLINE_MS), DEADLINE_MS, MAX_DEADLINE_MS);
+        if (deadlineMs <= 0) {
+            throw new InvalidRequestHeadException(DEADLINE_MS + ": expected milliseconds over 0");
+        }
+        return deadlineMs;
+    }
+
+    private static String keyOf(String pair) {
+        int equals = pair.indexOf('=');
+        return equals < 0 ? pair.strip() : pair.substring(0, equals).strip();
+    }
+
+    private static String valueOf(String pair) {
+        int equals = pair.indexOf('=');
+        return equals < 0 ? "" : pair.substring(equals + 1).strip();
+    }
+
+    private static String nullUnlessName(String value) {
+        return value.isEmpty() || value.length() > MAX_NAME_LENGTH ? null : value;
+    }
+
+    private static int tokenCount(String value, String name) throws InvalidRequestHeadException {
+        return (int) wholeNumber(value, name, MAX_TOKENS);
     }
 
-    private static String one(HttpHeaders head, String name) throws BadHead {
-        java.util.List<String> all = head.getAll(name);
-        if (all.size() > 1) {
-            throw new BadHead(name + ": given twice");
+    /** The value of a header that may be given once, or null if it is not given. */
+    private static String single(HttpHeaders headers, String name)
+            throws InvalidRequestHeadException {
+        List<String> values = headers.getAll(name);
+        if (values.size() > 1) {
+            throw new InvalidRequestHeadException(name + ": given twice");
         }
-        return all.isEmpty() ? null : all.get(0).strip();
+        return values.isEmpty() ? null : values.get(0).strip();
     }
 
-    private static String name(HttpHeaders head, String name) throws BadHead {
-        String value = one(head, name);
-        if (value != null && (value.isEmpty() || value.length() > NAME)) {
-            throw new BadHead(name + ": expected a name of 1 to " + NAME + " characters");
+    private static String optionalName(HttpHeaders headers, String name)
+            throws InvalidRequestHeadException {
+        String value = single(headers, name);
+        if (value != null && (value.isEmpty() || value.length() > MAX_NAME_LENGTH)) {
+            throw new InvalidRequestHeadException(
+                    name + ": expected a name of 1 to " + MAX_NAME_LENGTH + " characters");
         }
         return value;
     }
 
-    private static long whole(String text, String name, long most) throws BadHead {
+    private static long wholeNumber(String text, String name, long max)
+            throws InvalidRequestHeadException {
         if (text == null
                 || text.isEmpty()
-                || text.length() > 18
+                || text.length() > MAX_DIGITS
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new BadHead(name + ": expected a whole number");
+            throw new InvalidRequestHeadException(name + ": expected a whole number");
         }
         long value = Long.parseLong(text);
-        if (value > most) {
-            throw new BadHead(name + ": expected at most " + most);
+        if (value > max) {
+            throw new InvalidRequestHeadException(name + ": expected at most " + max);
         }
         return value;
     }
--- /dev/null
+++ b/src/main/java/larchridge/node/server/RequestIds.java
@@ -0,0 +1,33 @@
+package larchridge.node.server;
+
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+/** Ids of requests in flight and of those that ended last: none may be used twice. */
+final class RequestIds {
+    private static final int MAX_ENDED_IDS = 4096;
+
+    private final Set<String> inFlight = new HashSet<>();
+
+    /** In the order in which they ended. */
+    private final Set<String> ended = new LinkedHashSet<>();
+
+    /** Takes an id; false if a request in flight or a recent one has it. */
+    boolean tryTake(String id) {
+        return !ended.contains(id) && inFlight.add(id);
+    }
+
+    /** Notes that the request of an id has ended. */
+    void end(String id) {
+        inFlight.remove(id);
+        ended.add(id);
+        if (ended.size() > MAX_ENDED_IDS) {
+            ended.remove(ended.iterator().next());
+        }
+    }
+
+    int inFlightCount() {
+        return inFlight.size();
+    }
+}
--- a/src/main/java/larchridge/node/server/RequestRejection.java
+++ b/src/main/java/larchridge/node/server/RequestRejection.java
@@ -3,27 +3,38 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
 
-/** Why a request is refused before it is taken, and what its client is told. */
+/** Why a request is rejected before it is admitted, and the response that its client gets. */
 enum RequestRejection {
+    /** It can't be decoded. */
     UNREADABLE(HttpResponseStatus.BAD_REQUEST, "the request can't be read"),
+    /** Its head exceeds a limit of the decoder. */
     HEAD_TOO_LONG(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the request can't be read"),
+    /** It is not HTTP/1.1. */
     OTHER_VERSION(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here"),
+    /** It declares two lengths, or a transfer coding other than chunked. */
     TWO_LENGTHS(HttpResponseStatus.BAD_REQUEST, "one length is expected"),
+    /** Its body exceeds the limit. */
     BODY_TOO_LONG(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long"),
-    /** Many bodies at once would fill the memory; coming back is harmless, nothing was taken. */
+    /** Many bodies at once would exhaust the memory; a retry is safe, nothing was forwarded. */
     NO_MEMORY(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once"),
+    /** Its path is not served. */
     NOT_FOUND(HttpResponseStatus.NOT_FOUND, "nothing here"),
+    /** Its method is not served on its path. */
     OTHER_METHOD(HttpResponseStatus.METHOD_NOT_ALLOWED, "POST is expected"),
+    /** A header is missing or invalid. */
     BAD_HEADER(HttpResponseStatus.BAD_REQUEST, "a header can't be used"),
+    /** It names a traffic class that is not configured. */
     NO_SUCH_CLASS(HttpResponseStatus.BAD_REQUEST, "Req-Kind: no such class"),
+    /** It has no body. */
     NO_BODY(HttpResponseStatus.BAD_REQUEST, "a body is expected"),
-    /** The process ends, or takes no more for now. */
+    /** The process shuts down, or sheds load for now. */
     NOT_ADMITTED(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once"),
     /**
-     * A second request under an open one's id would be its second copy, and its release the
-     * other's.
+     * A second request under the id of one in flight would be a duplicate of it, and a release of
+     * its state would release the other's.
      */
     ID_USED(HttpResponseStatus.CONFLICT, "Req-Id: was used before"),
+    /** It was not complete in time. */
     TOO_SLOW(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
 
     final HttpResponseStatus status;
@@ -34,7 +45,7 @@
         this.message = message;
     }
 
-    /** The name as a tag of a figure. */
+    /** The name as a metric's tag. */
     String tag() {
         return name().toLowerCase(Locale.ROOT);
     }
--- /dev/null
+++ b/src/main/java/larchridge/node/server/ServerContext.java
@@ -0,0 +1,68 @@
+package larchridge.node.server;
+
+import larchridge.audit.CloseReason;
+import larchridge.audit.ConnectionSide;
+import larchridge.audit.RequestEvents;
+import larchridge.metrics.RouterMetrics;
+import larchridge.router.Router;
+import larchridge.router.Scheduler;
+import larchridge.site.Site;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** What all connections of one server share. Used on the event loop only. */
+final class ServerContext {
+    private static final Logger LOG = LoggerFactory.getLogger(ServerContext.class);
+
+    final Scheduler scheduler;
+    final Router router;
+    final Site site;
+    final ServerLimits limits;
+    final RequestEvents events;
+    final ConnectionRegistry connections;
+    final BodyMemory bodyMemory;
+    final RequestIds requestIds = new RequestIds();
+    private final RouterMetrics metrics;
+    private boolean ready;
+    private boolean draining;
+
+    ServerContext(ServerDependencies dependencies) {
+        scheduler = dependencies.scheduler();
+        router = dependencies.router();
+        site = dependencies.site();
+        limits = dependencies.limits();
+        events = dependencies.events();
+        metrics = dependencies.metrics();
+        connections = new ConnectionRegistry(limits.maxConnections());
+        bodyMemory = new BodyMemory(limits.maxBufferedBytes());
+    }
+
+    void markReady() {
+        ready = true;
+    }
+
+    void startDraining() {
+        draining = true;
+    }
+
+    /** Whether health checks succeed. */
+    boolean isReady() {
+        return ready && !draining;
+    }
+
+    /** Whether the process is shutting down. */
+    boolean isDraining() {
+        return draining;
+    }
+
+    /** Notes that a connection was closed. */
+    void connectionClosed(CloseReason reason) {
+        events.connectionClosed(ConnectionSide.CLIENT, reason);
+    }
+
+    /** Notes that a request was rejected before it was admitted. */
+    void requestRejected(RequestRejection rejection) {
+        metrics.refused(rejection.tag());
+        LOG.atDebug().addKeyValue("reason", rejection).log("request refused");
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/node/server/ServerDependencies.java
@@ -0,0 +1,29 @@
+package larchridge.node.server;
+
+import java.util.Collection;
+import larchridge.audit.RequestEvents;
+import larchridge.metrics.RouterMetrics;
+import larchridge.router.Router;
+import larchridge.router.Scheduler;
+import larchridge.site.Site;
+import larchridge.state.TrafficClass;
+
+/**
+ * What an {@link HttpServer} works with.
+ *
+ * @param scheduler the event loop's clock and timers
+ * @param router serves the generations
+ * @param site the tenants; clients of a node are its guests
+ * @param trafficClasses the classes that requests may name
+ * @param limits bounds on connections, bodies and times
+ * @param events is notified of what happens to requests and connections
+ * @param metrics counts rejected requests
+ */
+public record ServerDependencies(
+        Scheduler scheduler,
+        Router router,
+        Site site,
+        Collection<TrafficClass> trafficClasses,
+        ServerLimits limits,
+        RequestEvents events,
+        RouterMetrics metrics) {}
--- a/src/main/java/larchridge/node/server/ServerLimits.java
+++ b/src/main/java/larchridge/node/server/ServerLimits.java
@@ -5,13 +5,13 @@
  *
  * @param maxConnections client connections
  * @param maxBodyBytes the longest body
- * @param maxBufferedBytes bodies in memory in all; beyond it clients are throttled
- * @param requestPartTimeoutMs within this a connection's first request is to begin, and each head,
- *     and each body, to be whole
- * @param requestTimeoutMs within this a request is to be whole: the first of a connection from its
- *     start, others from their first byte
+ * @param maxBufferedBytes bodies in memory in all; beyond it requests are rejected
+ * @param requestPartTimeoutMs within this a connection's first request has to begin, and each head,
+ *     and each body, has to be complete
+ * @param requestTimeoutMs within this a request has to be complete: the first of a connection from
+ *     its accept, others from their first byte
  * @param idleTimeoutMs after so long without a request a connection is closed
- * @param lingerMs for so long a connection that this side has ended is read on
+ * @param lingerMs for so long a connection that this side has half-closed is still read
  */
 public record ServerLimits(
         int maxConnections,
--- a/src/main/java/larchridge/node/server/StrictDecoder.java
+++ b/src/main/java/larchridge/node/server/StrictDecoder.java
@@ -9,35 +9,35 @@
 import java.util.List;
 
 /**
- * Netty's decoder of requests, but a length beside chunks stays to be seen: such a request is
- * refused, not mended. It also tells whether a part of a request has come, from its first byte on,
- * long before its head is whole.
+ * Netty's decoder of requests, but a length beside chunks stays visible: such a request is
+ * rejected, not repaired. It also reports whether a part of a request has arrived, from its first
+ * byte on, long before its head is complete.
  */
 final class StrictDecoder extends HttpRequestDecoder {
-    private static final int LINE_BYTES = 4096;
-    private static final int HEAD_BYTES = 8192;
-    private static final int PART_BYTES = 1 << 16;
+    private static final int MAX_LINE_BYTES = 4096;
+    private static final int MAX_HEAD_BYTES = 8192;
+    private static final int MAX_CHUNK_BYTES = 1 << 16;
 
-    private final Runnable started;
+    private final Runnable requestStarted;
     private boolean receiving;
 
     /**
      * A decoder for one connection.
      *
-     * @param started runs at the first byte of each request
+     * @param requestStarted runs at the first byte of each request
      */
-    StrictDecoder(Runnable started) {
+    StrictDecoder(Runnable requestStarted) {
         super(
                 new HttpDecoderConfig()
-                        .setMaxInitialLineLength(LINE_BYTES)
-                        .setMaxHeaderSize(HEAD_BYTES)
-                        .setMaxChunkSize(PART_BYTES));
-        this.started = started;
+                        .setMaxInitialLineLength(MAX_LINE_BYTES)
+                        .setMaxHeaderSize(MAX_HEAD_BYTES)
+                        .setMaxChunkSize(MAX_CHUNK_BYTES));
+        this.requestStarted = requestStarted;
     }
 
     /**
-     * Whether a part of a request has come that is not decoded to its end, also where it waits
-     * behind a whole one.
+     * Whether a part of a request has arrived that is not decoded to its end, also where it waits
+     * behind a complete one.
      */
     boolean isReceiving() {
         return receiving || !isBlank(internalBuffer());
@@ -48,7 +48,7 @@
             throws Exception {
         if (!receiving && !isBlank(bytes)) {
             receiving = true;
-            started.run();
+            requestStarted.run();
         }
         super.decode(context, bytes, parts);
         for (Object part : parts) {
@@ -61,11 +61,12 @@
         return bytes.forEachByte(b -> b == '\r' || b == '\n') < 0;
     }
 
+    /**
+     * Leaves both lengths in place. Guards against: taking one of two lengths for the right one
+     * lets a request hide in another's body.
+     */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        // Guards against: taking one of two lengths for the right one lets a request hide in
-        // another's
-        // body.
         return;
     }
 }
--- a/src/test/java/larchridge/node/server/RequestHeadTest.java
+++ b/src/test/java/larchridge/node/server/RequestHeadTest.java
@@ -44,13 +44,14 @@
         };
         for (String[] one : bad) {
             assertThrows(
-                    RequestHead.BadHead.class,
+                    InvalidRequestHeadException.class,
                     () -> RequestHead.read(head().set(one[0], one[1])),
                     one[0] + ": " + one[1]);
         }
         assertThrows(
-                RequestHead.BadHead.class,
+                InvalidRequestHeadException.class,
                 () -> RequestHead.read(head().add("Req-Id", "9b1f03aa5c7e2d42")));
-        assertThrows(RequestHead.BadHead.class, () -> RequestHead.read(head().remove("Req-Id")));
+        assertThrows(
+                InvalidRequestHeadException.class, () -> RequestHead.read(head().remove("Req-Id")));
     }
 }
