--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -46,11 +46,11 @@
     private boolean wakeSet;
     private int turn;
 
-    public BaselinePolicy(Kind kind, RoutingSettings terms, PolicyActions host) {
+    public BaselinePolicy(Kind kind, RoutingSettings settings, PolicyActions host) {
         this.kind = kind;
         this.host = host;
-        random = new Random(terms.seed);
-        maxAttempts = terms.maxAttempts;
+        random = new Random(settings.seed());
+        maxAttempts = settings.maxAttempts();
     }
 
     @Override
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 import larchridge.policy.PolicyActions;
 import larchridge.policy.RoutingPolicy;
+import larchridge.settings.DeploymentSettings;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.settings.InvalidSettingsException;
-import larchridge.settings.RoutingSettingsReader;
 import larchridge.state.Attempt;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.CachedPrefix;
@@ -31,7 +32,7 @@
     private final BenchProtocol.Reply reply;
 
     private double nowMs;
-    private RoutingSettingsReader env;
+    private DeploymentSettings env;
     private RoutingPolicy choice;
     private final Map<String, Generation> gens = new HashMap<>();
     private final Map<Long, Engine> engines = new HashMap<>();
@@ -48,7 +49,7 @@
         if (line.is("ENLIST")) {
             tearDown();
             env = settings(line);
-            guarded(() -> choice = new RoutingPolicy(env.terms, this));
+            guarded(() -> choice = new RoutingPolicy(env.routing(), this));
             return;
         }
         if (line.is("TEARDOWN")) {
@@ -70,10 +71,9 @@
         }
     }
 
-    private static RoutingSettingsReader settings(MessageReader line)
-            throws InvalidMessageException {
+    private static DeploymentSettings settings(MessageReader line) throws InvalidMessageException {
         try {
-            return RoutingSettingsReader.read(
+            return DeploymentSettingsReader.read(
                     MAPPER.readTree(line.rest("env")), line.whole("seed"));
         } catch (JsonProcessingException e) {
             throw line.bad(
@@ -106,14 +106,14 @@
 
     private void call(MessageReader line) throws InvalidMessageException {
         String id = line.text("job");
-        TrafficClass product = env.products.get(line.text("service"));
+        TrafficClass product = env.trafficClasses().get(line.text("service"));
         if (product == null) {
             throw line.bad(
                     "member service is '"
                             + line.text("service")
                             + "'; expected a name in request_classes");
         }
-        TenantQuota account = env.accounts.get(line.textOr("tenant", ""));
+        TenantQuota account = env.tenants().get(line.textOr("tenant", ""));
         CachedPrefix session = text(sessions, line.textOr("talk", null));
         CachedPrefix prefix = text(prefixes, line.textOr("prefix", null));
         double hint = line.decimalOr("expected_s", Double.NaN) * 1000 / product.tokenMs;
@@ -264,15 +264,15 @@
                 line.decimalOr("units", 1),
                 line.textOr("zone", ""),
                 line.wholeOr("group", 0),
-                env.roles.getOrDefault(kind, Role.BOTH),
-                env.memory.getOrDefault(kind, Double.NaN));
+                env.roles().getOrDefault(kind, Role.BOTH),
+                env.memoryTokens().getOrDefault(kind, Double.NaN));
     }
 
     private static LoadReport report(MessageReader line) throws InvalidMessageException {
         if (!line.has("pressure")) {
             return null;
         }
-        return RoutingSettingsReader.report(name -> line.pair("pressure", name));
+        return DeploymentSettingsReader.report(name -> line.pair("pressure", name));
     }
 
     /** A generation is kept for as long as the wire may still name it. */
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -337,11 +337,11 @@
             return;
         }
         try {
-            Site site = Site.plain(file.given.terms);
+            Site site = Site.plain(file.given.routing());
             long heap = Runtime.getRuntime().maxMemory();
             long bodies = (long) (Math.min(heap, file.memoryMb * 1048576.0) * BODIES_PART);
-            site.releaseMs = file.given.releaseMs;
-            site.drainGraceMs = file.given.drainGraceMs;
+            site.releaseMs = file.given.releaseMs();
+            site.drainGraceMs = file.given.drainGraceMs();
             site.limit.openGenerations = (int) Math.max(16, bodies / OPEN_BYTES);
             site.limit.slowClientMs = SLOW_CLIENT_MS;
             site.limit.quietStreamMs = QUIET_MS;
@@ -354,12 +354,12 @@
                             ground,
                             buffers,
                             new UpstreamLimits(
-                                    file.given.connectMs,
-                                    file.given.keepAliveMs,
-                                    file.given.releaseMs,
+                                    file.given.connectMs(),
+                                    file.given.keepAliveMs(),
+                                    file.given.releaseMs(),
                                     (int) (file.sockets * ENGINES_PART),
                                     (int) (file.sockets * ENGINES_PART / 2),
-                                    file.given.reportFields),
+                                    file.given.reportFields()),
                             audit.events());
             front = new Router(ground, site, 0, link, meters, RoutingPolicy::new);
             audit.compareCounts(ground, front, link);
@@ -369,25 +369,26 @@
                                     ground,
                                     front,
                                     site,
-                                    file.given.products.values(),
+                                    file.given.trafficClasses().values(),
                                     new ServerLimits(
                                             (int) (file.sockets * CLIENTS_PART),
                                             BODY_BYTES,
                                             bodies,
                                             REQUEST_MS,
                                             WHOLE_REQUEST_MS,
-                                            file.given.keepAliveMs,
+                                            file.given.keepAliveMs(),
                                             LINGER_MS),
                                     audit.events(),
                                     meters));
-            EndpointListReader reader = new EndpointListReader(file.given.roles, file.given.memory);
+            EndpointListReader reader =
+                    new EndpointListReader(file.given.roles(), file.given.memoryTokens());
             discoveryClient =
                     new DiscoveryClient(
                             loop,
                             buffers,
                             ground,
                             reader,
-                            file.given.drainGraceMs,
+                            file.given.drainGraceMs(),
                             this::endpointsChanged);
             if (file.known.isObject()) {
                 try {
@@ -447,7 +448,7 @@
     }
 
     private double longestPatienceMs() {
-        return file.given.patienceMs.values().stream().mapToDouble(ms -> ms).max().orElse(0);
+        return file.given.clientTimeoutMs().values().stream().mapToDouble(ms -> ms).max().orElse(0);
     }
 
     private void endpointsChanged(List<EngineEntry> rows) {
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -23,7 +23,7 @@
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
-import larchridge.settings.RoutingSettingsReader;
+import larchridge.settings.DeploymentSettings;
 import larchridge.state.EndpointState;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
@@ -43,18 +43,18 @@
     private final Violations violations;
     private final RequestAudit requests;
 
-    NodeAudit(Scheduler ground, RoutingSettingsReader given) {
+    NodeAudit(Scheduler ground, DeploymentSettings given) {
         registry.config().meterFilter(new WithoutPercentiles());
         violations = new Violations(registry);
         AuditSettings terms =
                 new AuditSettings(
-                        given.drainGraceMs,
-                        given.releaseMs,
-                        given.terms.slowStartMs,
-                        given.terms.slowStartShare,
-                        given.terms.overloadMultiple,
-                        given.terms.overloadMs,
-                        given.terms.hedgingAllowed);
+                        given.drainGraceMs(),
+                        given.releaseMs(),
+                        given.routing().slowStartMs(),
+                        given.routing().slowStartShare(),
+                        given.routing().overloadMultiple(),
+                        given.routing().overloadMs(),
+                        given.routing().hedgingAllowed());
         requests = new RequestAudit(terms, ground::nowMs, violations, new CloseCounters(registry));
         ground.scheduleAtFixedDelay(CHECK_MS, requests::check);
     }
--- a/src/main/java/larchridge/node/NodeConfiguration.java
+++ b/src/main/java/larchridge/node/NodeConfiguration.java
@@ -7,8 +7,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import larchridge.settings.DeploymentSettings;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.settings.InvalidSettingsException;
-import larchridge.settings.RoutingSettingsReader;
 import larchridge.upstream.Endpoint;
 
 /**
@@ -28,7 +29,7 @@
     /** The list of engines as it was kept, in discovery's form; missing where there is none. */
     final JsonNode known;
 
-    final RoutingSettingsReader given;
+    final DeploymentSettings given;
 
     private NodeConfiguration(Path file, JsonNode root) throws InvalidNodeConfigurationException {
         name = text(file, root, "name");
@@ -40,7 +41,7 @@
         sockets = whole(file, limits, "sockets");
         known = root.path("known");
         try {
-            given = RoutingSettingsReader.read(root.path("settings"), seed);
+            given = DeploymentSettingsReader.read(root.path("settings"), seed);
         } catch (InvalidSettingsException e) {
             throw new InvalidNodeConfigurationException(file + ": settings: " + e.getMessage());
         }
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -22,8 +22,9 @@
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
 import larchridge.router.VirtualTimeScheduler;
+import larchridge.settings.DeploymentSettings;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.settings.InvalidSettingsException;
-import larchridge.settings.RoutingSettingsReader;
 import larchridge.site.Site;
 import larchridge.state.EndpointState;
 import larchridge.state.Role;
@@ -84,26 +85,26 @@
     private int opened;
 
     private NodeWarmup() throws InvalidSettingsException, IOException {
-        RoutingSettingsReader given =
-                RoutingSettingsReader.read(new ObjectMapper().readTree(TERMS), 1);
-        Scheduler ground = time.schedulerOf(0, given.terms.seed);
-        Site site = Site.plain(given.terms);
+        DeploymentSettings given =
+                DeploymentSettingsReader.read(new ObjectMapper().readTree(TERMS), 1);
+        Scheduler ground = time.schedulerOf(0, given.routing().seed());
+        Site site = Site.plain(given.routing());
         site.limit.openGenerations = 1000;
         site.limit.slowClientMs = 1e6;
         site.limit.quietStreamMs = 1e6;
         site.limit.stopMs = 1e6;
-        site.releaseMs = given.releaseMs;
+        site.releaseMs = given.releaseMs();
         NodeAudit audit = new NodeAudit(ground, given);
         ForwardingUpstreamClient link =
                 new ForwardingUpstreamClient(
                         ground,
                         new UpstreamLimits(
-                                given.connectMs,
-                                given.keepAliveMs,
-                                given.releaseMs,
+                                given.connectMs(),
+                                given.keepAliveMs(),
+                                given.releaseMs(),
                                 400,
                                 200,
-                                given.reportFields),
+                                given.reportFields()),
                         (endpoint, handlers) -> {
                             EmbeddedChannel engine = new EmbeddedChannel(handlers);
                             if (++opened % FAILED_EACH == 0) {
@@ -123,7 +124,7 @@
                                 ground,
                                 front,
                                 site,
-                                given.products.values(),
+                                given.trafficClasses().values(),
                                 new ServerLimits(400, 1 << 18, 1 << 22, 1e6, 1e6, 1e6, 1e6),
                                 audit.events(),
                                 audit.meters()));
--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larchridge.settings.RoutingSettingsReader;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.state.LoadReport;
 
 /**
@@ -45,6 +45,6 @@
         }
         return named.isEmpty()
                 ? null
-                : RoutingSettingsReader.report(name -> named.getOrDefault(name, Double.NaN));
+                : DeploymentSettingsReader.report(name -> named.getOrDefault(name, Double.NaN));
     }
 }
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -27,7 +27,7 @@
         load = known.load();
         latency = known.latency();
         capacity = known.capacity();
-        cancellationAllowed = settings.cancellationAllowed;
+        cancellationAllowed = settings.cancellationAllowed();
     }
 
     /** Sends a generation to be read; an engine that is no mere reader also writes its answer. */
--- a/src/main/java/larchridge/policy/EligibleEngines.java
+++ b/src/main/java/larchridge/policy/EligibleEngines.java
@@ -21,7 +21,7 @@
         this.actions = actions;
         this.outliers = outliers;
         this.slowStart = slowStart;
-        hedgingAllowed = settings.hedgingAllowed;
+        hedgingAllowed = settings.hedgingAllowed();
     }
 
     /** The eligible engines, in the pool's order, as a list of the caller's own. */
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -42,7 +42,7 @@
         this.retries = retries;
         outliers = known.outliers();
         capacity = known.capacity();
-        hedgingAllowed = settings.cancellationAllowed && settings.hedgingAllowed;
+        hedgingAllowed = settings.cancellationAllowed() && settings.hedgingAllowed();
     }
 
     /** For how long an engine may be silent over a read that is likely to take so long. */
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -49,7 +49,7 @@
     LoadEstimator(RoutingSettings settings, PolicyActions actions, List<Engine> writers) {
         this.actions = actions;
         this.writers = writers;
-        routers = settings.routers;
+        routers = settings.routers();
     }
 
     /** Counts a completed read by what of the prompt was not cached. */
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -41,7 +41,7 @@
         this.random = random;
         affinity = known.affinity();
         writers = known.registry().writers();
-        probesAllowed = settings.reportsWithProbes && settings.probesAllowed;
+        probesAllowed = settings.reportsWithProbes() && settings.probesAllowed();
     }
 
     /**
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -36,7 +36,7 @@
     PrefixAffinity(RoutingSettings settings, PolicyActions actions, EngineRegistry registry) {
         this.actions = actions;
         this.registry = registry;
-        zone = settings.zone;
+        zone = settings.zone();
     }
 
     /** What is left to read of a prompt. */
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -50,8 +50,8 @@
         load = known.load();
         latency = known.latency();
         capacity = known.capacity();
-        zone = settings.zone;
-        writersCanRead = settings.writersCanRead;
+        zone = settings.zone();
+        writersCanRead = settings.writersCanRead();
     }
 
     /** The engine to read a generation's prompt, or null where it has to wait. */
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -37,8 +37,8 @@
     RetryPolicy(RoutingSettings settings, PolicyActions actions, Random random) {
         this.actions = actions;
         this.random = random;
-        maxAttempts = settings.maxAttempts;
-        retryAfterMaxMs = settings.retryAfterMaxMs;
+        maxAttempts = settings.maxAttempts();
+        retryAfterMaxMs = settings.retryAfterMaxMs();
     }
 
     /** Whether a generation has attempts left for its next stage, and for what must follow it. */
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -48,7 +48,7 @@
      */
     public RoutingPolicy(RoutingSettings settings, PolicyActions actions) {
         this.actions = actions;
-        random = new Random(settings.seed);
+        random = new Random(settings.seed());
         known = EngineKnowledge.create(settings, actions, random);
         feedback = new EngineFeedback(actions, known);
         selection =
@@ -68,7 +68,7 @@
                         this::advance,
                         generation -> giveUp(generation, GiveUpReason.TOO_LATE));
         endpointWatch = new EndpointWatch(actions, random);
-        if (settings.endpointListPolled) {
+        if (settings.endpointListPolled()) {
             endpointWatch.start();
         }
     }
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -33,8 +33,8 @@
     SlowStart(RoutingSettings settings, EngineRegistry registry, Random random, double nowMs) {
         this.registry = registry;
         this.random = random;
-        slowStartMs = settings.slowStartMs;
-        share = settings.slowStartShare * settings.overloadMultiple * USED_SHARE;
+        slowStartMs = settings.slowStartMs();
+        share = settings.slowStartShare() * settings.overloadMultiple() * USED_SHARE;
         createdMs = nowMs;
     }
 
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -169,7 +169,7 @@
         tick();
         updateBudgets = site.budgetsOf(number, nowMs);
         RoutingSettings terms = site.termsOf(number);
-        copiesAllowed = terms.hedgingAllowed;
+        copiesAllowed = terms.hedgingAllowed();
         choice = module.create(terms, this);
         meters.front(number, () -> openSeen, () -> heldSeen);
         ground.scheduleAtFixedDelay(LOOK_MS, this::lookAtSelf);
--- a/src/main/java/larchridge/settings/InvalidSettingsException.java
+++ b/src/main/java/larchridge/settings/InvalidSettingsException.java
@@ -4,7 +4,8 @@
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public InvalidSettingsException(String what) {
-        super(what);
+    /** An exception with the member and what was expected of it. */
+    public InvalidSettingsException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -43,7 +43,7 @@
     /** The tenant of clients with an unlisted key, or null where they are turned away. */
     public Tenant guest;
 
-    RoutingSettings terms = new RoutingSettings();
+    RoutingSettings terms = RoutingSettings.builder().build();
 
     /** Where usage is written; null if it is not. */
     public Path ledger;
@@ -83,7 +83,7 @@
     public static Site plain(RoutingSettings terms) {
         Site site = new Site();
         site.terms = terms;
-        site.seed = terms.seed;
+        site.seed = terms.seed();
         site.fronts = 1;
         site.guest = new Tenant("", 0, 0);
         return site;
@@ -118,9 +118,7 @@
 
     /** The terms of one front: all alike but for the seed of its chance. */
     public RoutingSettings termsOf(int front) {
-        RoutingSettings own = terms.copy();
-        own.seed = seed * 0x9E3779B97F4A7C15L + front;
-        return own;
+        return terms.withSeed(seed * 0x9E3779B97F4A7C15L + front);
     }
 
     /** One front's part of all budgets. */
@@ -128,10 +126,10 @@
         Budgets budgets =
                 new Budgets(
                         budget,
-                        terms.routers,
+                        terms.routers(),
                         fixedShare,
                         giveBackMs,
-                        new Random(termsOf(front).seed ^ 0x5DEECE66DL));
+                        new Random(termsOf(front).seed() ^ 0x5DEECE66DL));
         budgetsTo(budgets, nowMs);
         return budgets;
     }
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -27,6 +27,7 @@
 import larchridge.site.form.VocabularyText;
 import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
+import larchridge.state.RoutingSettings;
 import larchridge.state.TrafficClass;
 import larchridge.tokens.InvalidVocabularyException;
 import larchridge.tokens.Measure;
@@ -440,22 +441,29 @@
 
     private void engines(At root, SiteText form, Site site) {
         At at = root.one("engines", false);
-        site.terms.routers = (int) root.number("fronts_of_service", site.fronts, site.fronts, 1e6);
-        site.terms.zone = root.text("zone", "");
-        site.terms.maxAttempts = (int) at.number("attempts", 5, 2, 100);
-        site.terms.cancellationAllowed = true;
-        site.terms.probesAllowed = form.getEngines().getMayProbe();
-        site.terms.hedgingAllowed = form.getEngines().getSecondCopies();
-        site.terms.writersCanRead = form.getEngines().getWritersRead();
-        site.terms.reportsWithAnswers = form.getEngines().getReportsWithAnswers();
-        site.terms.reportsWithProbes = form.getEngines().getReportsWithProbes();
-        site.terms.slowStartShare = at.number("cold_share", 0.3, 0.001, 1);
-        site.terms.slowStartMs = at.number("cold_ms", 15_000, 0, 1e7);
-        site.terms.overloadMultiple = at.number("tip_multiple", 2.5, 0.1, 100);
-        site.terms.overloadMs = at.number("tip_ms", 1_000, 1, 1e6);
-        site.terms.overQuotaRevenue = 1;
-        site.terms.retryAfterMaxMs =
-                root.one("limits", false).number("longest_retry_after_ms", 0, 0, 1e7);
+        site.terms =
+                RoutingSettings.builder()
+                        .routers(
+                                (int)
+                                        root.number(
+                                                "fronts_of_service", site.fronts, site.fronts, 1e6))
+                        .zone(root.text("zone", ""))
+                        .maxAttempts((int) at.number("attempts", 5, 2, 100))
+                        .cancellationAllowed(true)
+                        .probesAllowed(form.getEngines().getMayProbe())
+                        .hedgingAllowed(form.getEngines().getSecondCopies())
+                        .writersCanRead(form.getEngines().getWritersRead())
+                        .reportsWithAnswers(form.getEngines().getReportsWithAnswers())
+                        .reportsWithProbes(form.getEngines().getReportsWithProbes())
+                        .slowStartShare(at.number("cold_share", 0.3, 0.001, 1))
+                        .slowStartMs(at.number("cold_ms", 15_000, 0, 1e7))
+                        .overloadMultiple(at.number("tip_multiple", 2.5, 0.1, 100))
+                        .overloadMs(at.number("tip_ms", 1_000, 1, 1e6))
+                        .overQuotaRevenue(1)
+                        .retryAfterMaxMs(
+                                root.one("limits", false)
+                                        .number("longest_retry_after_ms", 0, 0, 1e7))
+                        .build();
         site.drainGraceMs = at.number("drain_grace_ms", 250, 1, 1e6);
         site.releaseMs = at.number("release_ms", 1000, 10, 1e6);
         site.limit.connectMs = at.number("connect_ms", 500, 1, 1e6);
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -21,26 +21,26 @@
 
     final List<String> said = new ArrayList<>();
     final List<Attempt> sent = new ArrayList<>();
-    final RoutingSettings terms = new RoutingSettings();
+    final RoutingSettings.Builder settings = RoutingSettings.builder();
     double now = 100_000;
     RoutingPolicy choice;
 
     RoutingPolicyFixture() {
-        terms.routers = 2;
-        terms.zone = "z";
-        terms.maxAttempts = 5;
-        terms.cancellationAllowed = true;
-        terms.probesAllowed = true;
-        terms.hedgingAllowed = true;
-        terms.reportsWithAnswers = true;
-        terms.slowStartShare = 0.3;
-        terms.slowStartMs = 10_000;
-        terms.overloadMultiple = 2.5;
-        terms.overloadMs = 1000;
+        settings.routers(2);
+        settings.zone("z");
+        settings.maxAttempts(5);
+        settings.cancellationAllowed(true);
+        settings.probesAllowed(true);
+        settings.hedgingAllowed(true);
+        settings.reportsWithAnswers(true);
+        settings.slowStartShare(0.3);
+        settings.slowStartMs(10_000);
+        settings.overloadMultiple(2.5);
+        settings.overloadMs(1000);
     }
 
     RoutingPolicy start() {
-        choice = new RoutingPolicy(terms, this);
+        choice = new RoutingPolicy(settings.build(), this);
         return choice;
     }
 
--- a/src/test/java/larchridge/policy/RoutingPolicyTest.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyTest.java
@@ -98,10 +98,10 @@
 
     @Test
     void manyFrontsTogetherKeepToTheBudgetOfAColdEngine() {
-        stage.terms.routers = 150;
+        stage.settings.routers(150);
         int attempts = 0;
         for (int front = 0; front < 150; front++) {
-            stage.terms.seed = front;
+            stage.settings.seed(front);
             stage.start();
             Engine[] fleet = stage.fleet(3, 1);
             for (int i = 0; i < 30; i++) {
@@ -135,9 +135,9 @@
         int fronts = 120;
         int[] answers = new int[4];
         for (int front = 0; front < fronts; front++) {
-            stage.terms.routers = fronts;
-            stage.terms.seed = front;
-            stage.terms.probesAllowed = false;
+            stage.settings.routers(fronts);
+            stage.settings.seed(front);
+            stage.settings.probesAllowed(false);
             stage.start();
             Engine[] fleet = stage.fleet(1, answers.length);
             stage.choice.requestArrived(stage.gen("g"));
@@ -305,7 +305,7 @@
     void frontsThatNeverMetASessionAgreeOnItsReader() {
         CachedPrefix prefix = new CachedPrefix("p");
         for (int front = 0; front < 20; front++) {
-            stage.terms.seed = front;
+            stage.settings.seed(front);
             stage.start();
             stage.fleet(8, 2);
             stage.choice.requestArrived(
@@ -367,7 +367,7 @@
 
     @Test
     void asksFollowGenerationsAndNotTheClock() {
-        stage.terms.reportsWithProbes = true;
+        stage.settings.reportsWithProbes(true);
         RoutingPolicy asking = stage.start();
         stage.fleet(4, 10);
         asking.requestArrived(stage.gen("a"));
@@ -380,7 +380,7 @@
 
     @Test
     void oneOwnSendDoesNotOutweighAReportWhereFrontsAreMany() {
-        stage.terms.routers = 150;
+        stage.settings.routers(150);
         RoutingPolicy one = stage.start();
         Engine[] fleet = stage.fleet(1, 3);
         one.requestArrived(stage.gen("a"));
@@ -455,7 +455,7 @@
 
     @Test
     void listIsAskedForAgainAfterAFailureOnly() {
-        stage.terms.endpointListPolled = true;
+        stage.settings.endpointListPolled(true);
         RoutingPolicy asking = stage.start();
         stage.now += 20_000;
         asking.wakeUp();
--- a/src/test/java/larchridge/settings/RoutingSettingsReaderTest.java
+++ b/src/test/java/larchridge/settings/DeploymentSettingsReaderTest.java
@@ -9,26 +9,26 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-class RoutingSettingsReaderTest {
-    private static RoutingSettingsReader read(String json) throws Exception {
-        return RoutingSettingsReader.read(new ObjectMapper().readTree(json), 7);
+class DeploymentSettingsReaderTest {
+    private static DeploymentSettings read(String json) throws Exception {
+        return DeploymentSettingsReader.read(new ObjectMapper().readTree(json), 7);
     }
 
     @Test
     void figuresAreTakenInMilliseconds() throws Exception {
-        RoutingSettingsReader given =
+        DeploymentSettings given =
                 read(
                         "{\"host_types\":[\"a\",\"b\"],\"family_info\":{\"stage_of_kind\":[\"read\",\"write\"],"
                                 + "\"release_within_s\":0.5},\"limits\":{\"dial_timeout_s\":0.25,\"keepalive_s\":15},"
                                 + "\"invariants\":{\"stop_sending_within_s\":0.25},"
                                 + "\"request_classes\":[{\"name\":\"p\",\"repeat\":\"token\",\"slo_s\":1.2,\"give_up_s\":5}]}");
-        assertEquals(250, given.connectMs);
-        assertEquals(15_000, given.keepAliveMs);
-        assertEquals(250, given.drainGraceMs);
-        assertEquals(500, given.releaseMs);
-        assertEquals(5000, given.patienceMs.get("p"));
-        assertEquals(Effect.DEDUPLICATED, given.products.get("p").effect);
-        assertEquals(Role.READER, given.roles.get("a"));
+        assertEquals(250, given.connectMs());
+        assertEquals(15_000, given.keepAliveMs());
+        assertEquals(250, given.drainGraceMs());
+        assertEquals(500, given.releaseMs());
+        assertEquals(5000, given.clientTimeoutMs().get("p"));
+        assertEquals(Effect.DEDUPLICATED, given.trafficClasses().get("p").effect);
+        assertEquals(Role.READER, given.roles().get("a"));
     }
 
     @Test
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -80,18 +80,18 @@
 
     @Override
     public PolicyEvents create(RoutingSettings settings, PolicyActions host) {
-        RoutingSettings own = settings.copy();
+        RoutingSettings.Builder own = settings.toBuilder();
         switch (variant) {
-            case NO_CANCELLING -> own.cancellationAllowed = false;
-            case NO_HEDGING -> own.hedgingAllowed = false;
+            case NO_CANCELLING -> own.cancellationAllowed(false);
+            case NO_HEDGING -> own.hedgingAllowed(false);
             case WRITERS_READ -> {
-                own.writersCanRead = true;
-                own.retryAfterMaxMs = 0;
+                own.writersCanRead(true);
+                own.retryAfterMaxMs(0);
             }
-            case INJECTED_EVENTS -> own.endpointListPolled = true;
+            case INJECTED_EVENTS -> own.endpointListPolled(true);
             default -> {}
         }
-        return new Recorded(routers++, own, host);
+        return new Recorded(routers++, own.build(), host);
     }
 
     long lines() {
--- a/src/test/java/larchridge/site/SiteReaderTest.java
+++ b/src/test/java/larchridge/site/SiteReaderTest.java
@@ -39,8 +39,8 @@
     @Test
     void goodFileBecomesTermsOfEachFront() throws InvalidSiteException {
         Site site = SiteReader.read("s", GOOD, Path.of("/x"));
-        assertEquals(9, site.termsOf(0).routers);
-        assertTrue(site.termsOf(0).seed != site.termsOf(1).seed);
+        assertEquals(9, site.termsOf(0).routers());
+        assertTrue(site.termsOf(0).seed() != site.termsOf(1).seed());
         assertEquals(Path.of("/x/engines.yaml"), site.inventory);
         assertEquals(5000, site.offersByModel.get("c").patienceMs(100));
     }
