--- a/src/main/java/larchridge/metrics/RouterMetrics.java
+++ b/src/main/java/larchridge/metrics/RouterMetrics.java
@@ -14,138 +14,157 @@
 import java.util.function.Supplier;
 
 /**
- * The figures that operators see; one registry a process, one of these a front (its caches are the
- * loop's own).
+ * The metrics of one router. A process has one registry, and one of these for each of its routers,
+ * since the meters found are cached without locks on the router's loop.
  */
 public final class RouterMetrics {
+    private static final String ROUTER_TAG = "front";
+    private static final double NANOS_PER_MS = 1e6;
+
     private final MeterRegistry registry;
     private final Map<String, Counter> counters = new HashMap<>();
     private final Map<String, Timer> timers = new HashMap<>();
 
-    /** Counted for every token: found once. */
+    /** Incremented for every piece of text, so looked up once. */
     private Counter pieces;
 
+    /** Metrics that are registered with this registry as they are first used. */
     public RouterMetrics(MeterRegistry registry) {
         this.registry = registry;
     }
 
-    /** The registry of one process, with the memory of its Java machine. */
+    /** A registry for one process, with the memory metrics of its Java virtual machine. */
     public static PrometheusMeterRegistry registry() {
         PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         new JvmMemoryMetrics().bindTo(registry);
         return registry;
     }
 
-    /** The counts that the fronts of a process keep, and how often one was found. */
-    public static void counts(
+    /** Registers the gauges of the cache of token counts: its size, hits and misses. */
+    public static void registerCountCache(
             MeterRegistry registry,
-            Supplier<Number> kept,
-            Supplier<Number> found,
-            Supplier<Number> missed) {
-        Gauge.builder("larchridge_counts_kept", kept).register(registry);
-        Gauge.builder("larchridge_counts_found", found).register(registry);
-        Gauge.builder("larchridge_counts_missed", missed).register(registry);
-    }
-
-    public void front(int number, Supplier<Number> open, Supplier<Number> held) {
-        String front = Integer.toString(number);
-        Gauge.builder("larchridge_open_generations", open).tag("front", front).register(registry);
-        Gauge.builder("larchridge_held_states", held).tag("front", front).register(registry);
+            Supplier<Number> size,
+            Supplier<Number> hits,
+            Supplier<Number> misses) {
+        Gauge.builder("larchridge_counts_kept", size).register(registry);
+        Gauge.builder("larchridge_counts_found", hits).register(registry);
+        Gauge.builder("larchridge_counts_missed", misses).register(registry);
+    }
+
+    /** Registers a router's gauges and its counter of text; before its first piece of text. */
+    public void registerRouter(
+            int router, Supplier<Number> requestsInFlight, Supplier<Number> heldStates) {
+        String tag = Integer.toString(router);
+        Gauge.builder("larchridge_open_generations", requestsInFlight)
+                .tag(ROUTER_TAG, tag)
+                .register(registry);
+        Gauge.builder("larchridge_held_states", heldStates).tag(ROUTER_TAG, tag).register(registry);
         pieces =
                 Counter.builder("larchridge_pieces")
-                        .tag("front", front)
+                        .tag(ROUTER_TAG, tag)
                         .tag("kind", "text")
                         .tag("stage", "write")
                         .register(registry);
     }
 
     /**
-     * A final answer; kind is streamed, throttled, terminated, gone, slow_client or over_budget.
+     * A final answer was given, or is not wanted any more.
+     *
+     * @param kind streamed, throttled, terminated, gone, slow_client or over_budget
+     * @param elapsedMs the time since the arrival, or NaN where it tells nothing
      */
-    public void answered(int front, String product, String kind, double ms) {
-        count("larchridge_final_answers", front, "product", product, "kind", kind);
-        if (ms >= 0) {
-            time("larchridge_answer_time", front, product, ms);
+    public void answered(int router, String product, String kind, double elapsedMs) {
+        count("larchridge_final_answers", router, "product", product, "kind", kind);
+        if (elapsedMs >= 0) {
+            time("larchridge_answer_time", router, product, elapsedMs);
         }
     }
 
-    public void firstToken(int front, String product, double ms) {
-        time("larchridge_first_token_time", front, product, ms);
+    /** An answer began, so long after the arrival. */
+    public void firstToken(int router, String product, double elapsedMs) {
+        time("larchridge_first_token_time", router, product, elapsedMs);
     }
 
-    public void attempt(int front, String stage, String outcome) {
-        count("larchridge_attempts", front, "stage", stage, "outcome", outcome);
+    /** An attempt ended with this outcome. */
+    public void attemptEnded(int router, String stage, String outcome) {
+        count("larchridge_attempts", router, "stage", stage, "outcome", outcome);
     }
 
-    public void piece() {
+    /** A piece of text came from an engine. */
+    public void pieceReceived() {
         pieces.increment();
     }
 
-    /** Kind is too_many, stopping or ledger. */
-    public void turnedAway(int front, String kind) {
-        count("larchridge_turned_away", front, "kind", kind, "stage", "door");
+    /** An exchange was rejected as it started; kind is too_many, stopping or ledger. */
+    public void exchangeRejected(int router, String kind) {
+        count("larchridge_turned_away", router, "kind", kind, "stage", "door");
     }
 
-    /** An attempt that was decided was not written. */
-    public void notSent(int front, String reason) {
-        count("larchridge_attempts_not_sent", front, "reason", reason, "stage", "link");
+    /** An attempt that the policy decided on was not sent. */
+    public void notSent(int router, String reason) {
+        count("larchridge_attempts_not_sent", router, "reason", reason, "stage", "link");
     }
 
-    /** A further attempt of a generation; why tells what became of the one before. */
-    public void retried(int front, String stage, String why) {
-        count("larchridge_retries", front, "stage", stage, "reason", why);
+    /**
+     * An attempt was a retry or a hedged request; the reason says what became of the one before.
+     */
+    public void retried(int router, String stage, String reason) {
+        count("larchridge_retries", router, "stage", stage, "reason", reason);
     }
 
-    /** A generation was given up. */
-    public void givenUp(int front, String product, String reason) {
-        count("larchridge_given_up", front, "product", product, "reason", reason);
+    /** The policy gave a generation up. */
+    public void givenUp(int router, String product, String reason) {
+        count("larchridge_given_up", router, "product", product, "reason", reason);
     }
 
-    /** An attempt was called off. */
-    public void calledOff(int front, String stage, String reason) {
-        count("larchridge_called_off", front, "stage", stage, "reason", reason);
+    /** An attempt was cancelled. */
+    public void attemptCancelled(int router, String stage, String reason) {
+        count("larchridge_called_off", router, "stage", stage, "reason", reason);
     }
 
-    /** A request was refused before it was taken. */
-    public void refused(String reason) {
+    /** A request was rejected before a router took it. */
+    public void requestRejected(String reason) {
         count("larchridge_requests_refused", 0, "reason", reason, "stage", "door");
     }
 
-    public void fault(int front) {
-        count("larchridge_module_faults", front, "kind", "exception", "stage", "module");
+    /** The routing policy threw an exception. */
+    public void policyFault(int router) {
+        count("larchridge_module_faults", router, "kind", "exception", "stage", "module");
     }
 
-    public void unbilled(int front) {
-        count("larchridge_unbilled", front, "kind", "queue_full", "stage", "ledger");
+    /** A usage record was lost, as the ledger's queue was full. */
+    public void unbilled(int router) {
+        count("larchridge_unbilled", router, "kind", "queue_full", "stage", "ledger");
     }
 
-    public void loopDelay(int front, double ms) {
-        time("larchridge_loop_delay", front, "", ms);
+    /** A periodic step ran so much later than it was due. */
+    public void loopDelay(int router, double delayMs) {
+        time("larchridge_loop_delay", router, "", delayMs);
     }
 
     private void count(
-            String name, int front, String tag, String value, String tag2, String value2) {
+            String name, int router, String tag, String value, String tag2, String value2) {
         counters.computeIfAbsent(
                         name + '|' + value + '|' + value2,
                         key ->
                                 Counter.builder(name)
-                                        .tag("front", Integer.toString(front))
+                                        .tag(ROUTER_TAG, Integer.toString(router))
                                         .tag(tag, value)
                                         .tag(tag2, value2)
                                         .register(registry))
                 .increment();
     }
 
-    private void time(String name, int front, String product, double ms) {
+    private void time(String name, int router, String product, double ms) {
         timers.computeIfAbsent(
                         name + '|' + product,
                         key ->
                                 Timer.builder(name)
-                                        .tag("front", Integer.toString(front))
+                                        .tag(ROUTER_TAG, Integer.toString(router))
                                         .tag("product", product)
                                         .publishPercentiles(0.5, 0.99, 0.999)
                                         .distributionStatisticExpiry(Duration.ofMinutes(1))
                                         .register(registry))
-                .record((long) (ms * 1e6), TimeUnit.NANOSECONDS);
+                .record((long) (ms * NANOS_PER_MS), TimeUnit.NANOSECONDS);
     }
 }
--- a/src/main/java/larchridge/node/server/HttpServer.java
+++ b/src/main/java/larchridge/node/server/HttpServer.java
@@ -282,7 +282,7 @@
 
     /** A request was refused before it was taken. */
     void refused(RequestRejection refusal) {
-        meters.refused(refusal.tag());
+        meters.requestRejected(refusal.tag());
         LOG.atDebug().addKeyValue("reason", refusal).log("request refused");
     }
 
--- /dev/null
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -0,0 +1,226 @@
+package larchridge.router;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import larchridge.budget.BudgetDecision;
+import larchridge.budget.Budgets;
+import larchridge.budget.QuotaRequest;
+import larchridge.site.ProductOffering;
+import larchridge.site.Site;
+import larchridge.state.Generation;
+import larchridge.state.TenantQuota;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Admits exchanges and generations, or rejects them: by the router's own limits, then by the
+ * tenant's budget, which may borrow quota from the other routers.
+ */
+final class AdmissionController {
+    private static final Logger LOG = LoggerFactory.getLogger(AdmissionController.class);
+
+    private static final int LABEL_RADIX = 36;
+
+    private final Router router;
+    private final RequestServices services;
+    private final RouterContext context;
+    private final Budgets budgets;
+    private final UsageRecorder usageRecorder;
+    private final GracefulShutdown shutdown;
+    private final String idPrefix;
+    private final SessionRegistry sessions = new SessionRegistry();
+    private final Map<String, TenantQuota> tenantQuotas = new HashMap<>();
+    private long admitted;
+
+    /** Null where no quota is lent. */
+    private QuotaClient quotaClient;
+
+    AdmissionController(
+            Router router,
+            RequestServices services,
+            Budgets budgets,
+            UsageRecorder usageRecorder,
+            GracefulShutdown shutdown,
+            String idPrefix) {
+        this.router = router;
+        this.services = services;
+        this.context = services.context();
+        this.budgets = budgets;
+        this.usageRecorder = usageRecorder;
+        this.shutdown = shutdown;
+        this.idPrefix = idPrefix;
+    }
+
+    void setQuotaClient(QuotaClient client) {
+        quotaClient = client;
+    }
+
+    /** Whether one more exchange may start; if so it is counted. */
+    boolean tryAdmitExchange() {
+        // What is used and can't be recorded would be given away; the ledger reports in time that
+        // it is behind.
+        boolean ledgerBehind = usageRecorder.isBehind();
+        if (shutdown.isStopping()
+                || ledgerBehind
+                || shutdown.exchanges() >= context.site.limit.openGenerations) {
+            String reason =
+                    shutdown.isStopping() ? "stopping" : ledgerBehind ? "ledger" : "too_many";
+            context.metrics.exchangeRejected(context.routerNumber, reason);
+            return false;
+        }
+        shutdown.exchangeStarted();
+        return true;
+    }
+
+    /** Admits a generation, or rejects it over budget; see {@link Router#submit}. */
+    void submit(
+            GenerationRequest generationRequest,
+            ResponseSink responseSink,
+            Consumer<InFlightRequest> onAdmitted) {
+        // Guards against: a client whose body waited to be counted would wait that much longer than
+        // its deadline.
+        double arrivedMs = context.nowMs() - generationRequest.queuedMs();
+        BudgetDecision decision = checkBudget(generationRequest);
+        if (!decision.isAdmitted() && decision.isRateLimited() && quotaClient != null) {
+            if (borrowQuota(generationRequest, responseSink, arrivedMs, onAdmitted)) {
+                return;
+            }
+            budgets.lender(quotaClient.isResponsive());
+        }
+        decide(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
+    }
+
+    private BudgetDecision checkBudget(GenerationRequest generationRequest) {
+        return budgets.ask(
+                generationRequest.tenant().name(),
+                generationRequest.offering().product.name,
+                estimatedTokens(generationRequest),
+                context.nowMs());
+    }
+
+    private static double estimatedTokens(GenerationRequest generationRequest) {
+        return Budgets.estimate(generationRequest.promptTokens(), generationRequest.maxTokens());
+    }
+
+    /**
+     * Asks for the quota that the generation lacks, and decides later; false if nobody is asked.
+     */
+    private boolean borrowQuota(
+            GenerationRequest generationRequest,
+            ResponseSink responseSink,
+            double arrivedMs,
+            Consumer<InFlightRequest> onAdmitted) {
+        QuotaRequest quotaRequest =
+                budgets.want(
+                        generationRequest.tenant().name(),
+                        generationRequest.offering().product.name,
+                        estimatedTokens(generationRequest),
+                        context.nowMs());
+        if (quotaRequest == null) {
+            return false;
+        }
+        QuotaClient.Listener listener =
+                (grantedTokens, retryAfterMs) -> {
+                    context.updateClock();
+                    budgets.lender(quotaClient.isResponsive());
+                    budgets.lent(
+                            quotaRequest.budget(),
+                            grantedTokens,
+                            context.nowMs() + context.site.lapseMs);
+                    if (!responseSink.isDisconnected()) {
+                        BudgetDecision second = checkBudget(generationRequest);
+                        decide(
+                                generationRequest,
+                                responseSink,
+                                second.isAdmitted() ? second : second.notBefore(retryAfterMs),
+                                arrivedMs,
+                                onAdmitted);
+                    }
+                };
+        return quotaClient.request(quotaRequest, listener);
+    }
+
+    private void decide(
+            GenerationRequest generationRequest,
+            ResponseSink responseSink,
+            BudgetDecision decision,
+            double arrivedMs,
+            Consumer<InFlightRequest> onAdmitted) {
+        responseSink.budgetChecked(decision);
+        if (!decision.isAdmitted()) {
+            rejectOverBudget(generationRequest, responseSink, decision);
+            return;
+        }
+        InFlightRequest request = newRequest(generationRequest, responseSink, decision, arrivedMs);
+        usageRecorder.assignBill(request);
+        context.requests.put(request.generation(), request);
+        services.timeouts().watchDeadline(request);
+        services.policy().requestArrived(request);
+        services.closer().closeIfOver(request);
+        onAdmitted.accept(request);
+    }
+
+    private void rejectOverBudget(
+            GenerationRequest generationRequest,
+            ResponseSink responseSink,
+            BudgetDecision decision) {
+        context.metrics.answered(
+                context.routerNumber,
+                generationRequest.offering().product.name,
+                "over_budget",
+                Double.NaN);
+        LOG.atDebug()
+                .addKeyValue("tenant", generationRequest.tenant().name())
+                .addKeyValue("reason", decision.reason())
+                .log("over budget");
+        responseSink.rejectedOverBudget(decision);
+    }
+
+    private InFlightRequest newRequest(
+            GenerationRequest generationRequest,
+            ResponseSink responseSink,
+            BudgetDecision decision,
+            double arrivedMs) {
+        DeadlinePolicy deadlines =
+                DeadlinePolicy.of(
+                        generationRequest.offering(),
+                        generationRequest.promptTokens(),
+                        generationRequest.maxTokens(),
+                        generationRequest.unstreamed(),
+                        generationRequest.clientTimeoutMs());
+        ProductOffering offering = generationRequest.offering();
+        Generation generation =
+                new Generation(
+                        labelOf(generationRequest),
+                        decision.charge().isBorrowed() ? offering.borrowed : offering.product,
+                        tenantQuotaOf(generationRequest.tenant()),
+                        sessions.sessionOf(generationRequest),
+                        sessions.sharedPrefixOf(generationRequest),
+                        generationRequest.promptTokens(),
+                        generationRequest.sharedTokens(),
+                        generationRequest.maxTokens(),
+                        Double.NaN,
+                        generationRequest.clientRetry(),
+                        arrivedMs,
+                        arrivedMs + deadlines.firstTokenMs);
+        return new InFlightRequest(
+                router,
+                generationRequest,
+                responseSink,
+                generation,
+                decision.charge(),
+                arrivedMs + deadlines.completionMs);
+    }
+
+    /** The client's id of a forwarded request, or a name that no other router gives. */
+    private String labelOf(GenerationRequest generationRequest) {
+        return generationRequest.forwardedRequest() != null
+                ? generationRequest.forwardedRequest().id()
+                : idPrefix + Long.toString(admitted++, LABEL_RADIX);
+    }
+
+    private TenantQuota tenantQuotaOf(Site.Tenant tenant) {
+        return tenantQuotas.computeIfAbsent(tenant.name(), name -> tenant.account());
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/router/AttemptCanceller.java
@@ -0,0 +1,52 @@
+package larchridge.router;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Cancels attempts that are in flight; the outcome of a cancelled attempt still comes. */
+final class AttemptCanceller {
+    private static final Logger LOG = LoggerFactory.getLogger(AttemptCanceller.class);
+
+    private final RouterContext context;
+    private final ReadStateReleases readStates;
+
+    AttemptCanceller(RouterContext context, ReadStateReleases readStates) {
+        this.context = context;
+        this.readStates = readStates;
+    }
+
+    void cancel(InFlightAttempt attempt, CancellationReason reason) {
+        context.metrics.attemptCancelled(context.routerNumber, attempt.stage(), reason.tag());
+        LOG.atDebug()
+                .addKeyValue("generation", attempt.policyAttempt().generation.id)
+                .addKeyValue("attempt", attempt.policyAttempt().number)
+                .addKeyValue("reason", reason)
+                .log("attempt cancelled");
+        if (reason == CancellationReason.TIME_UP) {
+            attempt.handle().expire();
+        } else {
+            attempt.handle().cancel();
+        }
+        if (attempt.isRead() && attempt.holdsState()) {
+            // Guards against: a read that ended just as it was cancelled has left a state that no
+            // outcome reports.
+            readStates.release(attempt);
+        }
+    }
+
+    /** Cancels the attempts of a request that have not ended. */
+    void cancelAll(InFlightRequest request, CancellationReason reason) {
+        for (InFlightAttempt attempt : request.attempts()) {
+            if (!attempt.isEnded()) {
+                cancel(attempt, reason);
+            }
+        }
+    }
+
+    /** Ends the attempt whose stream has been silent for too long. */
+    void expireSilentStream(InFlightAttempt attempt) {
+        context.metrics.attemptCancelled(
+                context.routerNumber, attempt.stage(), CancellationReason.SILENT_STREAM.tag());
+        attempt.handle().expire();
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -0,0 +1,129 @@
+package larchridge.router;
+
+import java.util.Locale;
+import larchridge.state.Attempt;
+import larchridge.state.Effect;
+import larchridge.upstream.AttemptListener;
+import larchridge.upstream.AttemptRequest;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.UpstreamClient;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Sends the attempts that the policy has decided on, and counts retries with their reasons. */
+final class AttemptSender {
+    private static final Logger LOG = LoggerFactory.getLogger(AttemptSender.class);
+
+    /** The reason of an attempt that is the first of its stage. */
+    private static final String FIRST = "first";
+
+    /** The reason of an attempt beside another of its stage that is still in flight. */
+    private static final String BESIDE = "beside";
+
+    /** The reason of an attempt after one whose state has been lost. */
+    private static final String STATE_LOST = "state_lost";
+
+    private final RequestServices services;
+    private final RouterContext context;
+    private final EndpointTable endpoints;
+    private final boolean hedgingAllowed;
+
+    AttemptSender(RequestServices services, EndpointTable endpoints, boolean hedgingAllowed) {
+        this.services = services;
+        this.context = services.context();
+        this.endpoints = endpoints;
+        this.hedgingAllowed = hedgingAllowed;
+    }
+
+    void send(Attempt policyAttempt) {
+        InFlightRequest request = context.requests.get(policyAttempt.generation);
+        Endpoint endpoint = endpoints.endpointOf(policyAttempt.engine);
+        InFlightAttempt attempt =
+                new InFlightAttempt(
+                        policyAttempt,
+                        endpoint,
+                        policyAttempt.generation.id + "." + policyAttempt.number,
+                        sourceOf(request, policyAttempt));
+        request.addAttempt(attempt);
+        AttemptRequest attemptRequest = attemptRequest(request, attempt);
+        AttemptListener listener = new AttemptEventHandler(services, request, attempt);
+        noteSend(request, attempt);
+        UpstreamClient upstream = context.upstream;
+        attempt.sent(
+                attempt.isRead()
+                        ? upstream.read(attemptRequest, listener)
+                        : upstream.write(attemptRequest, listener));
+        if (request.isPaused()) {
+            attempt.handle().pause();
+        }
+    }
+
+    /** The read whose state the attempt is to fetch, or null. */
+    private static InFlightAttempt sourceOf(InFlightRequest request, Attempt policyAttempt) {
+        Attempt read = policyAttempt.generation.state;
+        return policyAttempt.read || read == null ? null : request.attemptOf(read);
+    }
+
+    private AttemptRequest attemptRequest(InFlightRequest request, InFlightAttempt attempt) {
+        GenerationRequest generationRequest = request.generationRequest();
+        return new AttemptRequest(
+                attempt.attemptId(),
+                attempt.endpoint(),
+                generationRequest.model(),
+                generationRequest.prompt(),
+                generationRequest.maxTokens(),
+                generationRequest.stops(),
+                generationRequest.sampling(),
+                attempt.source() == null ? null : attempt.source().state(),
+                deduplicationKey(request),
+                generationRequest.forwardedRequest(),
+                new SendGuard(attempt.policyAttempt(), request, context.scheduler, hedgingAllowed));
+    }
+
+    /**
+     * What engines drop duplicates by: the client's own key, or the generation where the client
+     * gave none; null where engines drop none.
+     */
+    private static String deduplicationKey(InFlightRequest request) {
+        if (request.generation().trafficClass.effect != Effect.DEDUPLICATED) {
+            return null;
+        }
+        String idempotencyKey = request.generationRequest().idempotencyKey();
+        return idempotencyKey != null ? idempotencyKey : request.id();
+    }
+
+    /** Logs an attempt, and counts it with its reason where it is a retry of its stage. */
+    private void noteSend(InFlightRequest request, InFlightAttempt attempt) {
+        InFlightAttempt before = null;
+        for (InFlightAttempt earlier : request.attempts()) {
+            if (earlier != attempt && earlier.isRead() == attempt.isRead()) {
+                before = earlier;
+            }
+        }
+        String reason = sendReason(before);
+        if (before != null) {
+            context.metrics.retried(context.routerNumber, attempt.stage(), reason);
+        }
+        LOG.atDebug()
+                .addKeyValue("generation", request.id())
+                .addKeyValue("attempt", attempt.policyAttempt().number)
+                .addKeyValue("engine", attempt.policyAttempt().engine.label)
+                .addKeyValue("stage", attempt.stage())
+                .addKeyValue("reason", reason)
+                .log("SENT");
+    }
+
+    /** Why an attempt is sent, by what became of the one before it in its stage, or null. */
+    private static String sendReason(InFlightAttempt before) {
+        if (before == null) {
+            return FIRST;
+        }
+        Attempt policyAttempt = before.policyAttempt();
+        if (policyAttempt.inFlight) {
+            return BESIDE;
+        }
+        return policyAttempt.outcome == null
+                ? STATE_LOST
+                : policyAttempt.outcome.name().toLowerCase(Locale.ROOT);
+    }
+}
--- a/src/main/java/larchridge/router/CancellationReason.java
+++ b/src/main/java/larchridge/router/CancellationReason.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** Why an attempt that is out is called off. */
+/** Why an attempt in flight is cancelled. */
 enum CancellationReason {
-    /** The client has closed, or its request has got its final answer. */
+    /** The client has disconnected, or its request has got its final answer. */
     REQUEST_OVER,
-    /** The client's time is up. */
+    /** The client's deadline has come. */
     TIME_UP,
-    /** The stream has told nothing for too long. */
+    /** The stream has been silent for too long. */
     SILENT_STREAM,
-    /** The module prefers another attempt of the generation. */
+    /** The policy prefers another attempt of the generation. */
     REPLACED;
 
-    /** The name as a tag of a figure. */
+    /** The reason as a tag of metrics. */
     String tag() {
         return name().toLowerCase(Locale.ROOT);
     }
--- /dev/null
+++ b/src/main/java/larchridge/router/FinalAnswers.java
@@ -0,0 +1,98 @@
+package larchridge.router;
+
+import java.util.Locale;
+import larchridge.state.DeduplicationScope;
+import larchridge.state.Effect;
+import larchridge.state.TrafficClass;
+import larchridge.upstream.Completion;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Gives each client its one final answer, and counts and logs it. */
+final class FinalAnswers {
+    private static final Logger LOG = LoggerFactory.getLogger(FinalAnswers.class);
+
+    /** A failure this close to the deadline for the first token is blamed on the deadline. */
+    private static final double NEAR_DEADLINE_MS = 100;
+
+    private final RouterContext context;
+    private final UsageRecorder usageRecorder;
+
+    FinalAnswers(RouterContext context, UsageRecorder usageRecorder) {
+        this.context = context;
+        this.usageRecorder = usageRecorder;
+    }
+
+    /** The answer is complete; false if a final answer was given before. */
+    boolean complete(InFlightRequest request, Completion completion) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.COMPLETED)) {
+            return false;
+        }
+        request.usageMeter().whole(completion.outputTokens());
+        answered(request, "streamed");
+        usageRecorder.recordThen(request, () -> request.responseSink().completed(completion));
+        return true;
+    }
+
+    /** Not now; retrying is harmless. Without effect after a final answer. */
+    void reject(InFlightRequest request, double retryAfterMs) {
+        if (request.responseGuard().finish(ResponseGuard.FinalAnswer.REJECTED)) {
+            answered(request, "throttled");
+            context.latency.rejected(request);
+            request.responseSink().rejected(retryAfterMs);
+        }
+    }
+
+    /** Failed, with a cause by whether its time is all but up. */
+    void fail(InFlightRequest request) {
+        boolean nearDeadline = context.nowMs() >= request.firstTokenDeadlineMs() - NEAR_DEADLINE_MS;
+        fail(
+                request,
+                nearDeadline
+                        ? ResponseSink.FailureCause.DEADLINE_EXCEEDED
+                        : ResponseSink.FailureCause.UPSTREAM_FAILED);
+    }
+
+    /** Failed, for this cause. Without effect after a final answer. */
+    void fail(InFlightRequest request, ResponseSink.FailureCause cause) {
+        if (request.responseGuard().finish(ResponseGuard.FinalAnswer.FAILED)) {
+            answered(request, "terminated");
+            if (cause == ResponseSink.FailureCause.DEADLINE_EXCEEDED) {
+                context.latency.rejected(request);
+            }
+            request.responseSink().failed(cause, mayRetry(request.generation().trafficClass));
+        }
+    }
+
+    private static boolean mayRetry(TrafficClass trafficClass) {
+        return trafficClass.effect == Effect.IDEMPOTENT
+                || trafficClass.effect == Effect.DEDUPLICATED
+                        && trafficClass.deduplicationScope == DeduplicationScope.ALL;
+    }
+
+    /** Counts the end of a request that gets no answer, as its client is gone or takes nothing. */
+    void unanswered(InFlightRequest request, String kind) {
+        context.metrics.answered(
+                context.routerNumber, request.offering().product.name, kind, Double.NaN);
+    }
+
+    private void answered(InFlightRequest request, String kind) {
+        String product = request.generation().trafficClass.name;
+        double elapsedMs = request.elapsedMs(context.nowMs());
+        if (request.generation().giveUpReason != null) {
+            context.metrics.givenUp(
+                    context.routerNumber,
+                    product,
+                    request.generation().giveUpReason.name().toLowerCase(Locale.ROOT));
+        }
+        context.metrics.answered(context.routerNumber, product, kind, elapsedMs);
+        LOG.atDebug()
+                .addKeyValue("generation", request.id())
+                .addKeyValue("router", context.routerNumber)
+                .addKeyValue("product", product)
+                .addKeyValue("attempts", request.attempts().size())
+                .addKeyValue("ms", Math.round(elapsedMs))
+                .addKeyValue("reason", request.generation().giveUpReason)
+                .log(kind);
+    }
+}
--- a/src/main/java/larchridge/router/GenerationRequest.java
+++ b/src/main/java/larchridge/router/GenerationRequest.java
@@ -8,24 +8,32 @@
 import larchridge.upstream.ForwardedRequest;
 
 /**
- * What a dialect has read from its client.
+ * A generation as a server has read it from its client.
  *
+ * @param offering the product that the client asks for
+ * @param tenant whose budget and bill it is
  * @param model the model's name for the engines
- * @param sharedTokens tokens of the beginning that the prefix names
- * @param sharedPrefixId digest of the beginning that other sessions share, or null
- * @param sessionId digest of the session's first turn: the same at every front for all of a
+ * @param prompt the prompt as engines take it
+ * @param promptTokens how many tokens it has
+ * @param sharedTokens how many tokens the shared prefix has
+ * @param maxTokens how many tokens the answer has at most
+ * @param stops texts that end the answer
+ * @param sampling how tokens are drawn
+ * @param sharedPrefixId digest of the prefix that other sessions share, or null
+ * @param sessionId digest of the session's first turn: the same at every router for all of a
  *     session's turns
- * @param previousTurnDigest digest of the prompt of the session's turn before, or null for a first
- *     turn
- * @param turnDigest digest of this prompt, under which the next turn will find it
+ * @param previousTurnDigest digest of the prompt of the session's previous turn, or null for a
+ *     first turn
+ * @param turnDigest digest of this prompt, by which the next turn finds its session
  * @param unstreamed whether the client takes the answer in one piece
- * @param clientTimeoutMs how long the client waits, or infinity if it does not tell
- * @param idempotencyKey the client's key of a deduplicated generation, or null
+ * @param clientRetry whether the client has sent it before
+ * @param clientTimeoutMs how long the client waits, or infinity if it does not say
+ * @param idempotencyKey the client's key for its retries, or null
  * @param queuedMs how long its body has waited to be read and counted
- * @param promptTokensReported told on the front's loop what an engine reports of the prompt's
- *     length
- * @param forwardedRequest what goes on to engines as it came, or null where the link words its own
- *     requests; the generation then bears the client's id
+ * @param promptTokensReported receives on the router's loop the prompt's length as an engine
+ *     reports it
+ * @param forwardedRequest what is forwarded to engines as it came, or null where the upstream
+ *     client encodes its own requests; a forwarded generation has the client's id
  */
 public record GenerationRequest(
         ProductOffering offering,
@@ -50,23 +58,25 @@
         ForwardedRequest forwardedRequest) {
 
     /**
-     * Of a request that goes on as it came; a session and a prefix by the client's own names,
-     * either may be null.
+     * For a request that is forwarded as it came.
+     *
+     * @param sharedPrefixId the client's own name for the shared prefix, or null
+     * @param sessionId the client's own name for the session, or null
      */
     public static GenerationRequest forwarding(
-            ProductOffering offer,
+            ProductOffering offering,
             Site.Tenant tenant,
-            ForwardedRequest passage,
+            ForwardedRequest forwardedRequest,
             int promptTokens,
             int sharedTokens,
             int maxTokens,
-            String prefix,
-            String session,
-            boolean resent,
-            double patienceMs,
-            double waitedMs) {
+            String sharedPrefixId,
+            String sessionId,
+            boolean clientRetry,
+            double clientTimeoutMs,
+            double queuedMs) {
         return new GenerationRequest(
-                offer,
+                offering,
                 tenant,
                 "",
                 "",
@@ -75,16 +85,16 @@
                 maxTokens,
                 List.of(),
                 null,
-                prefix,
-                session,
+                sharedPrefixId,
+                sessionId,
                 null,
-                session,
+                sessionId,
                 false,
-                resent,
-                patienceMs,
+                clientRetry,
+                clientTimeoutMs,
                 null,
-                waitedMs,
+                queuedMs,
                 tokens -> {},
-                passage);
+                forwardedRequest);
     }
 }
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -5,32 +5,111 @@
 import larchridge.upstream.StateHandle;
 import larchridge.upstream.UpstreamClient;
 
-/** The front's side of an attempt: where it went, what it holds there, and the way to stop it. */
+/**
+ * The router's side of one attempt: its endpoint, the state it holds there, and the handle to stop
+ * it. An attempt is sent, completes its read if it is one, and ends; the state of a read is held at
+ * its reader from the send until it is fetched or released.
+ */
 final class InFlightAttempt {
-    final Attempt attempt;
-    final Endpoint spot;
-    final String rid;
+    private final Attempt policyAttempt;
+    private final Endpoint endpoint;
+    private final String attemptId;
+    private final InFlightAttempt source;
+    private UpstreamClient.AttemptHandle handle;
+    private StateHandle state;
+    private boolean holdsState;
+    private boolean ended;
+    private long readTokens;
+    private int cachedTokens;
 
-    /** The read whose state this attempt is to fetch, or null. */
-    final InFlightAttempt source;
+    /**
+     * An attempt that is about to be sent.
+     *
+     * @param policyAttempt the policy's view of it
+     * @param endpoint where its engine listens
+     * @param attemptId names it at the engine, also for the release of its state
+     * @param source the read whose state it is to fetch, or null
+     */
+    InFlightAttempt(
+            Attempt policyAttempt, Endpoint endpoint, String attemptId, InFlightAttempt source) {
+        this.policyAttempt = policyAttempt;
+        this.endpoint = endpoint;
+        this.attemptId = attemptId;
+        this.source = source;
+        holdsState = policyAttempt.read;
+    }
+
+    Attempt policyAttempt() {
+        return policyAttempt;
+    }
+
+    Endpoint endpoint() {
+        return endpoint;
+    }
+
+    String attemptId() {
+        return attemptId;
+    }
 
-    UpstreamClient.AttemptHandle flight;
-    StateHandle state;
+    InFlightAttempt source() {
+        return source;
+    }
 
-    /** Whether a state waits, or may wait, at the engine and nobody has let go of it. */
-    boolean holds;
+    boolean isRead() {
+        return policyAttempt.read;
+    }
 
-    boolean ended;
+    /** The stage as metrics and logs name it. */
+    String stage() {
+        return policyAttempt.read ? "read" : "write";
+    }
 
-    /** What its read counts as, or 0 if it has not read. */
-    long readTokens;
+    UpstreamClient.AttemptHandle handle() {
+        return handle;
+    }
 
-    int keptTokens;
+    /** The state that its read has left, or null. */
+    StateHandle state() {
+        return state;
+    }
 
-    InFlightAttempt(Attempt attempt, Endpoint endpoint, String rid, InFlightAttempt source) {
-        this.attempt = attempt;
-        this.spot = endpoint;
-        this.rid = rid;
-        this.source = source;
+    /** Whether a state is, or may be, held at the engine and has not been released. */
+    boolean holdsState() {
+        return holdsState;
+    }
+
+    boolean isEnded() {
+        return ended;
+    }
+
+    /** What its read counts as, or 0 before it has read. */
+    long readTokens() {
+        return readTokens;
+    }
+
+    /** Prompt tokens that its engine had cached. */
+    int cachedTokens() {
+        return cachedTokens;
+    }
+
+    void sent(UpstreamClient.AttemptHandle attemptHandle) {
+        handle = attemptHandle;
+    }
+
+    /** Its read has ended and has left a state at its engine. */
+    void readCompleted(StateHandle leftState, long countedTokens, int tokensFromCache) {
+        ended = true;
+        state = leftState;
+        readTokens = countedTokens;
+        cachedTokens = tokensFromCache;
+    }
+
+    void end() {
+        ended = true;
+    }
+
+    /** Its state has been fetched or released, or never was there. */
+    void stateRemoved() {
+        holdsState = false;
     }
 }
--- a/src/main/java/larchridge/router/InFlightRequest.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -4,71 +4,273 @@
 import java.util.List;
 import larchridge.budget.Charge;
 import larchridge.budget.UsageMeter;
+import larchridge.site.ProductOffering;
 import larchridge.state.Attempt;
 import larchridge.state.Generation;
 
 /**
- * A generation that this front has taken, with its client and its trips; a dialect's handle on it.
+ * A generation that a router has admitted, with its client and its attempts. The client's side of
+ * the connection reports through it what happens to the client. Used on the router's loop only.
  */
 public final class InFlightRequest {
-    final Router front;
-    final GenerationRequest ask;
-    final ResponseSink client;
-    final ResponseGuard duty = new ResponseGuard();
-    final List<InFlightAttempt> trips = new ArrayList<>(2);
-    final DeadlinePolicy patience;
-    final UsageMeter meter;
-    Charge charge;
-    String billId;
-
-    /** What it asks, where it has no key. */
-    String sameAs;
-
-    Generation gen;
-    InFlightAttempt streaming;
-    boolean paused;
-    double pausedMs;
-    double lastPieceMs;
-    double limitAtMs;
-    double wholeAtMs;
-
-    /** Whether its use is in the ledger already, and the waste and attempts of that record. */
-    boolean recorded;
-
-    long recordedWaste;
-    int recordedAttempts;
-    long limitTimer = -1;
-    long quietTimer = -1;
+    private static final long NO_TIMER = -1;
+
+    private final Router router;
+    private final GenerationRequest generationRequest;
+    private final ResponseSink responseSink;
+    private final Generation generation;
+    private final Charge charge;
+    private final UsageMeter usageMeter;
+    private final ResponseGuard responseGuard = new ResponseGuard();
+    private final List<InFlightAttempt> attempts = new ArrayList<>(2);
+
+    /** By when an answer in one piece must be complete; infinite for a streamed answer. */
+    private final double completionDeadlineMs;
+
+    private String billId;
+    private String duplicateKey;
+    private InFlightAttempt streamingAttempt;
+    private double lastPieceMs;
+    private boolean paused;
+    private double pausedMs;
+    private boolean recorded;
+    private long recordedWaste;
+    private int recordedAttempts;
+    private long deadlineTimer = NO_TIMER;
+    private long quietTimer = NO_TIMER;
 
     InFlightRequest(
-            Router front, GenerationRequest ask, ResponseSink client, DeadlinePolicy patience) {
-        this.front = front;
-        this.ask = ask;
-        this.client = client;
-        this.patience = patience;
-        meter = new UsageMeter(ask.promptTokens(), ask.maxTokens());
+            Router router,
+            GenerationRequest generationRequest,
+            ResponseSink responseSink,
+            Generation generation,
+            Charge charge,
+            double completionDeadlineMs) {
+        this.router = router;
+        this.generationRequest = generationRequest;
+        this.responseSink = responseSink;
+        this.generation = generation;
+        this.charge = charge;
+        this.completionDeadlineMs = completionDeadlineMs;
+        usageMeter =
+                new UsageMeter(generationRequest.promptTokens(), generationRequest.maxTokens());
     }
 
-    /** The client has left or broken off. */
+    /** The client has disconnected. */
     public void clientDisconnected() {
-        front.gone(this);
+        router.clientDisconnected(this);
     }
 
-    /** The client takes no more for now. */
+    /** The client can't take more of the answer for now. */
     public void pause() {
-        front.pause(this);
+        router.pause(this);
     }
 
+    /** The client can take more of the answer again. */
     public void resume() {
-        front.resume(this);
+        router.resume(this);
     }
 
     /** Names the generation in logs and answers. */
     public String id() {
-        return gen.id;
+        return generation.id;
+    }
+
+    GenerationRequest generationRequest() {
+        return generationRequest;
+    }
+
+    ResponseSink responseSink() {
+        return responseSink;
+    }
+
+    Generation generation() {
+        return generation;
+    }
+
+    ResponseGuard responseGuard() {
+        return responseGuard;
+    }
+
+    UsageMeter usageMeter() {
+        return usageMeter;
+    }
+
+    Charge charge() {
+        return charge;
+    }
+
+    ProductOffering offering() {
+        return generationRequest.offering();
+    }
+
+    boolean isBatch() {
+        return generationRequest.offering().isBatch;
+    }
+
+    /** By when the answer must begin. */
+    double firstTokenDeadlineMs() {
+        return generation.deadlineMs;
+    }
+
+    double completionDeadlineMs() {
+        return completionDeadlineMs;
+    }
+
+    double elapsedMs(double nowMs) {
+        return nowMs - generation.arrivedMs;
+    }
+
+    /** The time since the arrival as a share of the time that its latency objective allows. */
+    double shareOfLatencyObjective(double nowMs) {
+        return (nowMs - generation.arrivedMs) / (generation.sloDeadlineMs() - generation.arrivedMs);
+    }
+
+    // ------------------------------------------------------------------ attempts
+
+    /** All attempts in the order of their numbers; to be read only. */
+    List<InFlightAttempt> attempts() {
+        return attempts;
+    }
+
+    InFlightAttempt attemptOf(Attempt policyAttempt) {
+        return attempts.get(policyAttempt.number);
+    }
+
+    void addAttempt(InFlightAttempt attempt) {
+        attempts.add(attempt);
+    }
+
+    /**
+     * Whether an attempt that has not ended fetches, or is yet to fetch, the state of this read.
+     */
+    boolean isStateClaimed(InFlightAttempt read) {
+        for (InFlightAttempt attempt : attempts) {
+            if (attempt.source() == read && !attempt.isEnded()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    // ------------------------------------------------------------------ the stream to the client
+
+    /** The attempt whose answer goes to the client, or null before an answer has begun. */
+    InFlightAttempt streamingAttempt() {
+        return streamingAttempt;
+    }
+
+    /** Whether what this attempt sends goes to the client. */
+    boolean streamsFrom(InFlightAttempt attempt) {
+        return streamingAttempt == attempt && !responseGuard.isDone();
+    }
+
+    void startStreaming(InFlightAttempt attempt, double nowMs) {
+        streamingAttempt = attempt;
+        lastPieceMs = nowMs;
+    }
+
+    void pieceReceived(double nowMs) {
+        lastPieceMs = nowMs;
+    }
+
+    double lastPieceMs() {
+        return lastPieceMs;
+    }
+
+    boolean isPaused() {
+        return paused;
+    }
+
+    /** Whether it has been paused without a break since that time. */
+    boolean isPausedSince(double sinceMs) {
+        return paused && pausedMs == sinceMs;
+    }
+
+    void pauseStream(double nowMs) {
+        paused = true;
+        pausedMs = nowMs;
+        if (streamingAttempt != null) {
+            streamingAttempt.handle().pause();
+        }
+    }
+
+    void resumeStream(double nowMs) {
+        paused = false;
+        lastPieceMs = nowMs;
+        if (streamingAttempt != null) {
+            streamingAttempt.handle().resume();
+        }
+    }
+
+    // ------------------------------------------------------------------ billing
+
+    /** The bill that all retries by the client share. */
+    String billId() {
+        return billId;
+    }
+
+    void assignBill(String id) {
+        billId = id;
+    }
+
+    /** What identical requests without an idempotency key are found by, or null with a key. */
+    String duplicateKey() {
+        return duplicateKey;
+    }
+
+    void assignDuplicateKey(String key) {
+        duplicateKey = key;
+    }
+
+    boolean isRecorded() {
+        return recorded;
+    }
+
+    /** Whether waste or attempts were added after the use was recorded. */
+    boolean hasUnrecordedUse() {
+        return unrecordedWaste() > 0 || unrecordedAttempts() > 0;
+    }
+
+    long unrecordedWaste() {
+        return usageMeter.wastedTokens() - recordedWaste;
+    }
+
+    int unrecordedAttempts() {
+        return attempts.size() - recordedAttempts;
+    }
+
+    /** Notes whether the use up to now is in the ledger's queue. */
+    void noteRecorded(boolean queued) {
+        recorded = queued;
+        recordedWaste = usageMeter.wastedTokens();
+        recordedAttempts = attempts.size();
+    }
+
+    // ------------------------------------------------------------------ timers
+
+    void setDeadlineTimer(long timer) {
+        deadlineTimer = timer;
+    }
+
+    void clearDeadlineTimer() {
+        deadlineTimer = NO_TIMER;
+    }
+
+    void setQuietTimer(long timer) {
+        quietTimer = timer;
+    }
+
+    void clearQuietTimer() {
+        quietTimer = NO_TIMER;
     }
 
-    InFlightAttempt tripOf(Attempt attempt) {
-        return trips.get(attempt.number);
+    void cancelTimers(Scheduler scheduler) {
+        if (deadlineTimer != NO_TIMER) {
+            scheduler.cancel(deadlineTimer);
+        }
+        if (quietTimer != NO_TIMER) {
+            scheduler.cancel(quietTimer);
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/router/LoopMonitor.java
@@ -0,0 +1,34 @@
+package larchridge.router;
+
+/** Measures the delay of the router's loop, and keeps figures for readers on other threads. */
+final class LoopMonitor {
+    private static final int INTERVAL_MS = 100;
+
+    private final RouterContext context;
+    private final ReadStateReleases readStates;
+    private double lastRunMs;
+    private volatile int requestsInFlight;
+    private volatile int heldStates;
+
+    LoopMonitor(RouterContext context, ReadStateReleases readStates) {
+        this.context = context;
+        this.readStates = readStates;
+    }
+
+    void start() {
+        context.metrics.registerRouter(
+                context.routerNumber, () -> requestsInFlight, () -> heldStates);
+        context.scheduler.scheduleAtFixedDelay(INTERVAL_MS, this::run);
+    }
+
+    private void run() {
+        context.updateClock();
+        if (lastRunMs > 0) {
+            double delayMs = Math.max(0, context.nowMs() - lastRunMs - INTERVAL_MS);
+            context.metrics.loopDelay(context.routerNumber, delayMs);
+        }
+        lastRunMs = context.nowMs();
+        requestsInFlight = context.requests.size();
+        heldStates = readStates.heldStates();
+    }
+}
--- a/src/main/java/larchridge/router/QuotaClient.java
+++ b/src/main/java/larchridge/router/QuotaClient.java
@@ -2,19 +2,24 @@
 
 import larchridge.budget.QuotaRequest;
 
-/** Where a front may ask for what a budget lacks here. */
+/** Borrows quota from the lender that the routers share, where a budget is short of it here. */
 public interface QuotaClient {
-    /**
-     * Hears what was lent, 0 if nothing, and after how many milliseconds it could be; never from
-     * inside the asking.
-     */
+    /** Receives the lender's answer; never called from inside {@link QuotaClient#request}. */
     interface Listener {
-        void granted(double tokens, double backInMs);
+        /**
+         * The lender has answered, or did not in time.
+         *
+         * @param tokens what was granted, or 0
+         * @param retryAfterMs after how many milliseconds a grant is possible
+         */
+        void granted(double tokens, double retryAfterMs);
     }
 
-    /** Asks; false if nobody can be asked now, and then the taker hears nothing. */
-    boolean request(QuotaRequest want, Listener taker);
+    /**
+     * Sends a request; false if the lender can't be asked now, and then the listener isn't called.
+     */
+    boolean request(QuotaRequest quotaRequest, Listener listener);
 
-    /** Whether the last question was answered. */
+    /** Whether the lender answered the last request. */
     boolean isResponsive();
 }
--- /dev/null
+++ b/src/main/java/larchridge/router/RequestCloser.java
@@ -0,0 +1,113 @@
+package larchridge.router;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Ends the work for requests that are answered or whose clients are gone, and removes them. */
+final class RequestCloser {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestCloser.class);
+
+    private final RouterContext context;
+    private final PolicyNotifier policy;
+    private final FinalAnswers finalAnswers;
+    private final AttemptCanceller attemptCanceller;
+    private final ReadStateReleases readStates;
+    private final UsageRecorder usageRecorder;
+    private final GracefulShutdown shutdown;
+
+    RequestCloser(
+            RouterContext context,
+            PolicyNotifier policy,
+            FinalAnswers finalAnswers,
+            AttemptCanceller attemptCanceller,
+            ReadStateReleases readStates,
+            UsageRecorder usageRecorder,
+            GracefulShutdown shutdown) {
+        this.context = context;
+        this.policy = policy;
+        this.finalAnswers = finalAnswers;
+        this.attemptCanceller = attemptCanceller;
+        this.readStates = readStates;
+        this.usageRecorder = usageRecorder;
+        this.shutdown = shutdown;
+    }
+
+    /** The client has disconnected. */
+    void clientDisconnected(InFlightRequest request) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.DISCONNECTED)) {
+            return;
+        }
+        context.updateClock();
+        finalAnswers.unanswered(request, "gone");
+        LOG.atDebug().addKeyValue("generation", request.id()).log("client disconnected");
+        abandon(request);
+    }
+
+    /** Cuts off a client that takes nothing of its answer. */
+    void abortSlowClient(InFlightRequest request) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.FAILED)) {
+            return;
+        }
+        context.updateClock();
+        finalAnswers.unanswered(request, "slow_client");
+        request.responseSink().aborted();
+        abandon(request);
+    }
+
+    /** Fails a request and ends its attempts. */
+    void failAndAbandon(InFlightRequest request, ResponseSink.FailureCause cause) {
+        finalAnswers.fail(request, cause);
+        abandon(request);
+    }
+
+    /** Fails all requests in flight that have no final answer yet. */
+    void failAll(ResponseSink.FailureCause cause) {
+        for (InFlightRequest request : List.copyOf(context.requests.values())) {
+            if (!request.responseGuard().isDone()) {
+                failAndAbandon(request, cause);
+            }
+        }
+    }
+
+    /** Notifies the policy that nobody waits for the request, and cancels its attempts. */
+    private void abandon(InFlightRequest request) {
+        policy.clientDisconnected(request);
+        attemptCanceller.cancelAll(request, CancellationReason.REQUEST_OVER);
+        closeIfOver(request);
+    }
+
+    /** Removes the request if it is answered and has no attempt in flight. */
+    void closeIfOver(InFlightRequest request) {
+        if (!isOver(request) || context.requests.get(request.generation()) == null) {
+            return;
+        }
+        readStates.releaseUnclaimed(request.generation());
+        context.requests.remove(request.generation());
+        usageRecorder.settle(request);
+        request.cancelTimers(context.scheduler);
+        shutdown.checkIdle();
+    }
+
+    /** Removes all requests that are over, after an event that is no single request's. */
+    void closeAllOver() {
+        if (context.requests.isEmpty()) {
+            return;
+        }
+        List<InFlightRequest> over = null;
+        for (InFlightRequest request : context.requests.values()) {
+            if (isOver(request)) {
+                over = over == null ? new ArrayList<>() : over;
+                over.add(request);
+            }
+        }
+        if (over != null) {
+            over.forEach(this::closeIfOver);
+        }
+    }
+
+    private static boolean isOver(InFlightRequest request) {
+        return request.responseGuard().isDone() && request.generation().attemptsInFlight <= 0;
+    }
+}
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -1,21 +1,18 @@
 package larchridge.router;
 
 /**
- * What is still owed to one client: the one place at which a final answer can be given. Rule 1
- * rests on it; without I/O, clock or threads.
+ * The state of the answer to one client: not begun, begun, and final. It is the one place at which
+ * a final answer can be given, so that each client gets exactly one. Without I/O, clock or threads.
  */
 final class ResponseGuard {
-    /** The three final answers, and the end of a client that wants none. */
+    /** The three final answers, and the end of a request whose client has disconnected. */
     enum FinalAnswer {
         COMPLETED("streamed"),
         REJECTED("throttled"),
         FAILED("terminated"),
         DISCONNECTED("gone");
 
-        /**
-         * The name under which usage records in the ledger tell the answer; stored, so never
-         * changed.
-         */
+        /** The answer's name in usage records of the ledger; stored, so never changed. */
         final String recordedName;
 
         FinalAnswer(String recordedName) {
@@ -26,7 +23,7 @@
     private FinalAnswer given;
     private boolean begun;
 
-    /** Notes that the answer begins; false if a final answer was given before. */
+    /** Notes that the answer begins; false if it has begun, or a final answer was given, before. */
     boolean begin() {
         if (given != null || begun) {
             return false;
@@ -43,13 +40,14 @@
         return given != null;
     }
 
+    /** The final answer that was given, or null. */
     FinalAnswer given() {
         return given;
     }
 
     /**
-     * Whether this final answer may be given now: never a second one, and never that a repeat is
-     * harmless once the client has seen part of an answer.
+     * Gives this final answer, or returns false if one was given before. An answer that the client
+     * has seen part of can't be rejected, and one that has not begun can't be complete.
      */
     boolean finish(FinalAnswer answer) {
         if (given != null) {
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -7,34 +7,38 @@
 import larchridge.upstream.SendRejection;
 
 /**
- * The one guard through which every attempt goes when it is written. Between the decision and that
- * moment a connection may have had to come up: the engine may have been told to drain, the client
- * may have closed, the window for repeats be over.
+ * The last check of every attempt, made as it is written. Between the policy's decision and that
+ * moment a connection may have had to be opened: the engine may have begun to drain, the client may
+ * have disconnected, the window for retries may have passed.
  */
 final class SendGuard implements SendCheck {
-    private final Attempt attempt;
-    private final InFlightRequest open;
-    private final Scheduler ground;
-    private final boolean copiesAllowed;
+    private final Attempt policyAttempt;
+    private final InFlightRequest request;
+    private final Scheduler scheduler;
+    private final boolean hedgingAllowed;
 
-    SendGuard(Attempt attempt, InFlightRequest open, Scheduler ground, boolean copiesAllowed) {
-        this.attempt = attempt;
-        this.open = open;
-        this.ground = ground;
-        this.copiesAllowed = copiesAllowed;
+    SendGuard(
+            Attempt policyAttempt,
+            InFlightRequest request,
+            Scheduler scheduler,
+            boolean hedgingAllowed) {
+        this.policyAttempt = policyAttempt;
+        this.request = request;
+        this.scheduler = scheduler;
+        this.hedgingAllowed = hedgingAllowed;
     }
 
     @Override
     public SendRejection rejection() {
-        if (attempt.engine.state != EndpointState.READY) {
+        if (policyAttempt.engine.state != EndpointState.READY) {
             return SendRejection.ENGINE_LEFT;
         }
-        if (open.duty.isDone() || open.duty.isBegun()) {
+        if (request.responseGuard().isDone() || request.responseGuard().isBegun()) {
             return SendRejection.ANSWERED;
         }
-        if (!IdempotencyRule.mayWrite(attempt, ground.nowMs(), copiesAllowed)) {
+        if (!IdempotencyRule.mayWrite(policyAttempt, scheduler.nowMs(), hedgingAllowed)) {
             return SendRejection.MAY_REPEAT;
         }
-        return open.client.isDisconnected() ? SendRejection.CLIENT_GONE : null;
+        return request.responseSink().isDisconnected() ? SendRejection.CLIENT_GONE : null;
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/router/SessionRegistry.java
@@ -0,0 +1,34 @@
+package larchridge.router;
+
+import larchridge.state.CachedPrefix;
+import larchridge.state.PrefixRegistry;
+
+/** Finds the session and the shared prefix of a request, as engines may have them cached. */
+final class SessionRegistry {
+    private final PrefixRegistry sessions = new PrefixRegistry();
+    private final PrefixRegistry sharedPrefixes = new PrefixRegistry();
+
+    /** The session of the turn before this one; a first turn begins a session. */
+    CachedPrefix sessionOf(GenerationRequest generationRequest) {
+        CachedPrefix session =
+                generationRequest.previousTurnDigest() == null
+                        ? null
+                        : sessions.get(generationRequest.previousTurnDigest());
+        if (session == null) {
+            session = sessions.get(generationRequest.turnDigest());
+        }
+        if (session == null) {
+            session = new CachedPrefix(generationRequest.sessionId());
+        }
+        sessions.put(generationRequest.turnDigest(), session);
+        return session;
+    }
+
+    /** The prefix that the request shares with other sessions, or null. */
+    CachedPrefix sharedPrefixOf(GenerationRequest generationRequest) {
+        return generationRequest.sharedPrefixId() == null
+                ? null
+                : sharedPrefixes.computeIfAbsent(
+                        generationRequest.sharedPrefixId(), CachedPrefix::new);
+    }
+}
--- /dev/null
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -0,0 +1,179 @@
+package larchridge.router;
+
+import java.util.HashMap;
+import java.util.Map;
+import larchridge.budget.Budgets;
+import larchridge.ledger.Ledger;
+import larchridge.ledger.Usage;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Settles what a request used with its tenant's budget, and writes it to the ledger once. All
+ * retries of one generation by its client share one bill.
+ */
+final class UsageRecorder {
+    private static final Logger LOG = LoggerFactory.getLogger(UsageRecorder.class);
+
+    /** The answer of a record that adds waste to a bill after its answer was recorded. */
+    private static final String WASTE_RECORD = "waste";
+
+    private final RouterContext context;
+    private final Budgets budgets;
+
+    /** Null where usage is not recorded. */
+    private final Ledger ledger;
+
+    /** The first request in flight of all identical ones without an idempotency key. */
+    private final Map<String, InFlightRequest> firstOfDuplicates = new HashMap<>();
+
+    UsageRecorder(RouterContext context, Budgets budgets, Ledger ledger) {
+        this.context = context;
+        this.budgets = budgets;
+        this.ledger = ledger;
+    }
+
+    /** Whether the ledger is too far behind for more requests to be admitted. */
+    boolean isBehind() {
+        return ledger != null && ledger.isBehind();
+    }
+
+    /**
+     * Assigns the bill: by the client's idempotency key, or, without one, that of an identical
+     * request that is in flight here.
+     */
+    void assignBill(InFlightRequest request) {
+        GenerationRequest generationRequest = request.generationRequest();
+        if (generationRequest.idempotencyKey() != null) {
+            request.assignBill("key " + generationRequest.idempotencyKey());
+            return;
+        }
+        String duplicateKey =
+                generationRequest.tenant().name()
+                        + '\n'
+                        + generationRequest.model()
+                        + '\n'
+                        + generationRequest.turnDigest()
+                        + '\n'
+                        + generationRequest.maxTokens();
+        request.assignDuplicateKey(duplicateKey);
+        InFlightRequest first = firstOfDuplicates.putIfAbsent(duplicateKey, request);
+        request.assignBill(first == null ? "gen " + request.id() : first.billId());
+    }
+
+    /** Settles and records a request that is over. */
+    void settle(InFlightRequest request) {
+        if (request.duplicateKey() != null) {
+            firstOfDuplicates.remove(request.duplicateKey(), request);
+        }
+        // Guards against: billing text that was buffered for a client that disconnected and never
+        // went to its socket.
+        request.usageMeter().notSent(request.responseSink().pendingPieces());
+        if (request.generationRequest().unstreamed()
+                && request.responseGuard().given() != ResponseGuard.FinalAnswer.COMPLETED) {
+            request.usageMeter().nothingSent();
+        }
+        budgets.settle(request.charge(), request.usageMeter().used(), context.nowMs());
+        if (ledger == null
+                || request.usageMeter().used() + request.usageMeter().wastedTokens() <= 0) {
+            return;
+        }
+        if (!request.isRecorded()) {
+            record(request, usage(request), null);
+        } else if (request.hasUnrecordedUse()) {
+            // A second attempt ended after the answer; its record is joined to the first.
+            record(request, lateWaste(request), null);
+        }
+    }
+
+    /**
+     * Runs the end of a complete answer. Where the site wants it, the end waits until the use is on
+     * disk, so that no crash in between leaves an answer that nobody is billed for. A slow disk
+     * delays it no longer than the site allows, nor than the client waits.
+     */
+    void recordThen(InFlightRequest request, Runnable end) {
+        double answerWaitsMs = context.site.answerWaitsMs;
+        if (ledger == null || answerWaitsMs <= 0) {
+            end.run();
+            return;
+        }
+        request.responseSink().flush();
+        Runnable endOnce = new RunOnce(end);
+        request.noteRecorded(
+                record(request, usage(request), () -> context.scheduler.execute(endOnce)));
+        double waitMs = request.isRecorded() ? answerWaitsMs : 0;
+        if (request.generationRequest().unstreamed()) {
+            double leftMs =
+                    request.completionDeadlineMs()
+                            - RequestTimeouts.LAST_RESORT_MS
+                            - context.nowMs();
+            waitMs = Math.min(waitMs, leftMs);
+        }
+        if (waitMs <= 0) {
+            endOnce.run();
+        } else {
+            context.scheduler.schedule(waitMs, endOnce);
+        }
+    }
+
+    private Usage usage(InFlightRequest request) {
+        return new Usage(
+                request.billId(),
+                request.generationRequest().tenant().name(),
+                request.generation().trafficClass.name,
+                (long) context.nowMs(),
+                request.responseGuard().given().recordedName,
+                request.usageMeter().promptTokens(),
+                request.usageMeter().keptTokens(),
+                request.usageMeter().outTokens(),
+                request.usageMeter().wastedTokens(),
+                request.attempts().size());
+    }
+
+    private Usage lateWaste(InFlightRequest request) {
+        return new Usage(
+                request.billId(),
+                request.generationRequest().tenant().name(),
+                request.generation().trafficClass.name,
+                (long) context.nowMs(),
+                WASTE_RECORD,
+                0,
+                0,
+                0,
+                request.unrecordedWaste(),
+                request.unrecordedAttempts());
+    }
+
+    /** Queues a record; false, and logged with its figures, if the ledger's queue is full. */
+    private boolean record(InFlightRequest request, Usage usage, Runnable onDisk) {
+        if (ledger.offer(usage, onDisk)) {
+            return true;
+        }
+        context.metrics.unbilled(context.routerNumber);
+        LOG.atError()
+                .addKeyValue("generation", request.id())
+                .addKeyValue("tenant", usage.tenant())
+                .addKeyValue("prompt", usage.promptTokens())
+                .addKeyValue("out", usage.outTokens())
+                .log("usage not recorded: the ledger's queue is full");
+        return false;
+    }
+
+    /** Runs a step the first time it is called. */
+    private static final class RunOnce implements Runnable {
+        private final Runnable step;
+        private boolean hasRun;
+
+        RunOnce(Runnable step) {
+            this.step = step;
+        }
+
+        @Override
+        public void run() {
+            if (!hasRun) {
+                hasRun = true;
+                step.run();
+            }
+        }
+    }
+}
--- a/src/main/java/larchridge/router/VertxScheduler.java
+++ b/src/main/java/larchridge/router/VertxScheduler.java
@@ -4,11 +4,16 @@
 import io.vertx.core.Vertx;
 import java.security.SecureRandom;
 
-/** The event loop on which it was made. */
+/** Schedules on the Vert.x event loop on which it was made. */
 final class VertxScheduler implements Scheduler {
+    private static final double NANOS_PER_MS = 1e6;
+    private static final int ID_RADIX = 36;
+    private static final long RANDOM_ID_MASK = 0xFFFFFFFFFL;
+
     private final Vertx vertx;
     private final Context loop;
-    private final double clockBaseMs = System.currentTimeMillis() - System.nanoTime() / 1e6;
+    private final double clockBaseMs =
+            System.currentTimeMillis() - System.nanoTime() / NANOS_PER_MS;
 
     VertxScheduler(Vertx vertx) {
         this.vertx = vertx;
@@ -21,17 +26,17 @@
 
     @Override
     public double nowMs() {
-        return clockBaseMs + System.nanoTime() / 1e6;
+        return clockBaseMs + System.nanoTime() / NANOS_PER_MS;
     }
 
     @Override
-    public long schedule(double ms, Runnable step) {
-        return vertx.setTimer(Math.max(1, (long) Math.ceil(ms)), timer -> step.run());
+    public long schedule(double delayMs, Runnable step) {
+        return vertx.setTimer(Math.max(1, (long) Math.ceil(delayMs)), timer -> step.run());
     }
 
     @Override
-    public void cancel(long number) {
-        vertx.cancelTimer(number);
+    public void cancel(long timer) {
+        vertx.cancelTimer(timer);
     }
 
     @Override
@@ -40,17 +45,16 @@
     }
 
     @Override
-    public void scheduleAtFixedDelay(double ms, Runnable step) {
-        vertx.setPeriodic(Math.max(1, (long) ms), timer -> step.run());
+    public void scheduleAtFixedDelay(double delayMs, Runnable step) {
+        vertx.setPeriodic(Math.max(1, (long) delayMs), timer -> step.run());
     }
 
     @Override
     public String uniqueIdPrefix() {
-        // Guards against: two fronts that start in one moment would name their attempts alike and
-        // let go of
-        // each other's states.
-        return Long.toString(System.currentTimeMillis(), 36)
-                + Long.toString(new SecureRandom().nextLong() & 0xFFFFFFFFFL, 36)
+        // Guards against: two routers that start at the same moment would give their attempts the
+        // same names and release each other's states.
+        return Long.toString(System.currentTimeMillis(), ID_RADIX)
+                + Long.toString(new SecureRandom().nextLong() & RANDOM_ID_MASK, ID_RADIX)
                 + "-";
     }
 }
--- a/src/main/java/larchridge/router/VirtualTimeScheduler.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -7,55 +7,62 @@
 import java.util.Set;
 
 /**
- * Virtual time: steps run in the order of their times and, in one moment, in the order in which
- * they were asked for.
+ * Virtual time for simulations and tests: steps run in the order of their times and, at the same
+ * time, in the order in which they were scheduled.
  */
 public final class VirtualTimeScheduler {
     /**
-     * The moment at which it begins, as Unix time: engines that start at 0 are those whose start
-     * nobody knows.
+     * The Unix time at which it starts; not 0, since an engine whose start is 0 is one whose start
+     * is unknown.
      */
     public static final double START_MS = 1_000_000_000;
 
-    private record Step(double ms, long number, Runnable run) {}
+    private static final int ID_RADIX = 36;
+    private static final long RANDOM_ID_MASK = 0xFFFFFF;
+    private static final int SEED_FACTOR = 31;
+
+    private record Step(double atMs, long timer, Runnable run) {}
 
     private final PriorityQueue<Step> steps =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Step::ms).thenComparingLong(Step::number));
-    private final Set<Long> called = new HashSet<>();
+                    Comparator.comparingDouble(Step::atMs).thenComparingLong(Step::timer));
+    private final Set<Long> cancelled = new HashSet<>();
     private double nowMs = START_MS;
-    private long numbers;
+    private long lastTimer;
     private long stepsRun;
 
+    /** The virtual Unix time. */
     public double nowMs() {
         return nowMs;
     }
 
-    /** Milliseconds since the beginning. */
+    /** Milliseconds since the start. */
     public double sinceMs() {
         return nowMs - START_MS;
     }
 
+    /** How many steps have run. */
     public long stepsRun() {
         return stepsRun;
     }
 
-    public long schedule(double ms, Runnable run) {
-        steps.add(new Step(nowMs + Math.max(0, ms), ++numbers, run));
-        return numbers;
+    /** Runs a step after a delay; returns a timer for {@link #cancel}. */
+    public long schedule(double delayMs, Runnable step) {
+        steps.add(new Step(nowMs + Math.max(0, delayMs), ++lastTimer, step));
+        return lastTimer;
     }
 
-    /** Calls a step off that has not run. */
-    public void cancel(long number) {
-        called.add(number);
+    /** Cancels a step that has not run. */
+    public void cancel(long timer) {
+        cancelled.add(timer);
     }
 
-    /** Runs until so many milliseconds since the beginning. */
+    /** Runs all steps up to so many milliseconds since the start. */
     public void run(double untilMs) {
-        while (!steps.isEmpty() && steps.peek().ms <= START_MS + untilMs) {
+        while (!steps.isEmpty() && steps.peek().atMs <= START_MS + untilMs) {
             Step step = steps.poll();
-            nowMs = step.ms;
-            if (called.isEmpty() || !called.remove(step.number)) {
+            nowMs = step.atMs;
+            if (cancelled.isEmpty() || !cancelled.remove(step.timer)) {
                 stepsRun++;
                 step.run.run();
             }
@@ -63,44 +70,54 @@
         nowMs = START_MS + untilMs;
     }
 
-    /** What one front stands on. */
-    public Scheduler schedulerOf(int front, long seed) {
-        Random random = new Random(seed * 31 + front);
-        return new Scheduler() {
-            @Override
-            public double nowMs() {
-                return nowMs;
-            }
+    /** The scheduler of one router; the seed draws its names. */
+    public Scheduler schedulerOf(int router, long seed) {
+        return new RouterScheduler(router, new Random(seed * SEED_FACTOR + router));
+    }
 
-            @Override
-            public long schedule(double ms, Runnable step) {
-                return VirtualTimeScheduler.this.schedule(Math.max(1, Math.ceil(ms)), step);
-            }
+    /** One router's view of the virtual time, with timers in whole milliseconds. */
+    private final class RouterScheduler implements Scheduler {
+        private final int router;
+        private final Random random;
 
-            @Override
-            public void cancel(long number) {
-                VirtualTimeScheduler.this.cancel(number);
-            }
+        RouterScheduler(int router, Random random) {
+            this.router = router;
+            this.random = random;
+        }
 
-            @Override
-            public void execute(Runnable step) {
-                VirtualTimeScheduler.this.schedule(0, step);
-            }
+        @Override
+        public double nowMs() {
+            return nowMs;
+        }
 
-            @Override
-            public void scheduleAtFixedDelay(double ms, Runnable step) {
-                VirtualTimeScheduler.this.schedule(
-                        ms,
-                        () -> {
-                            step.run();
-                            scheduleAtFixedDelay(ms, step);
-                        });
-            }
+        @Override
+        public long schedule(double delayMs, Runnable step) {
+            return VirtualTimeScheduler.this.schedule(Math.max(1, Math.ceil(delayMs)), step);
+        }
 
-            @Override
-            public String uniqueIdPrefix() {
-                return "f" + front + Long.toString(random.nextLong() & 0xFFFFFF, 36) + "-";
-            }
-        };
+        @Override
+        public void cancel(long timer) {
+            VirtualTimeScheduler.this.cancel(timer);
+        }
+
+        @Override
+        public void execute(Runnable step) {
+            VirtualTimeScheduler.this.schedule(0, step);
+        }
+
+        @Override
+        public void scheduleAtFixedDelay(double delayMs, Runnable step) {
+            VirtualTimeScheduler.this.schedule(
+                    delayMs,
+                    () -> {
+                        step.run();
+                        scheduleAtFixedDelay(delayMs, step);
+                    });
+        }
+
+        @Override
+        public String uniqueIdPrefix() {
+            return "f" + router + Long.toString(random.nextLong() & RANDOM_ID_MASK, ID_RADIX) + "-";
+        }
     }
 }
--- a/src/test/java/larchridge/router/DeadlinePolicyTest.java
+++ b/src/test/java/larchridge/router/DeadlinePolicyTest.java
@@ -12,32 +12,32 @@
 class DeadlinePolicyTest {
     private final TrafficClass product =
             new TrafficClass("p", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0, 1000, 0, 50);
-    private final ProductOffering offer =
+    private final ProductOffering offering =
             new ProductOffering(
                     product, product, "", 5000, 1, 100, larchridge.tokens.Measure.GUESSED);
 
     @Test
     void streamWaitsAsTheProductSaysForItsFirstTokenOnly() {
-        DeadlinePolicy patience =
-                DeadlinePolicy.of(offer, 200, 100, false, Double.POSITIVE_INFINITY);
-        assertEquals(5200, patience.firstTokenMs);
-        assertTrue(Double.isInfinite(patience.wholeMs));
+        DeadlinePolicy deadlines =
+                DeadlinePolicy.of(offering, 200, 100, false, Double.POSITIVE_INFINITY);
+        assertEquals(5200, deadlines.firstTokenMs);
+        assertTrue(Double.isInfinite(deadlines.completionMs));
     }
 
     @Test
     void lessPatientClientIsAnsweredBeforeItLeaves() {
-        assertTrue(DeadlinePolicy.of(offer, 200, 100, false, 900).firstTokenMs < 900);
+        assertTrue(DeadlinePolicy.of(offering, 200, 100, false, 900).firstTokenMs < 900);
     }
 
     @Test
     void wholeAnswerMustEndBeforeTheClientDoes() {
-        DeadlinePolicy patience = DeadlinePolicy.of(offer, 0, 100, true, 3000);
-        assertTrue(patience.wholeMs < 3000);
-        assertTrue(patience.firstTokenMs <= patience.wholeMs);
+        DeadlinePolicy deadlines = DeadlinePolicy.of(offering, 0, 100, true, 3000);
+        assertTrue(deadlines.completionMs < 3000);
+        assertTrue(deadlines.firstTokenMs <= deadlines.completionMs);
     }
 
     @Test
     void patienceIsNeverNegative() {
-        assertEquals(0, DeadlinePolicy.of(offer, 0, 100, true, 0).wholeMs);
+        assertEquals(0, DeadlinePolicy.of(offering, 0, 100, true, 0).completionMs);
     }
 }
--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -8,35 +8,36 @@
 import org.junit.jupiter.api.Test;
 
 class ResponseGuardTest {
-    private final ResponseGuard duty = new ResponseGuard();
+    private final ResponseGuard responseGuard = new ResponseGuard();
 
     @Test
     void oneFinalAnswerAndNoSecond() {
-        assertTrue(duty.finish(ResponseGuard.FinalAnswer.FAILED));
+        assertTrue(responseGuard.finish(ResponseGuard.FinalAnswer.FAILED));
         for (ResponseGuard.FinalAnswer more : ResponseGuard.FinalAnswer.values()) {
-            assertFalse(duty.finish(more));
+            assertFalse(responseGuard.finish(more));
         }
-        assertEquals(ResponseGuard.FinalAnswer.FAILED, duty.given());
+        assertEquals(ResponseGuard.FinalAnswer.FAILED, responseGuard.given());
     }
 
     @Test
     void nothingBeginsAfterTheFinalAnswer() {
-        duty.finish(ResponseGuard.FinalAnswer.DISCONNECTED);
-        assertFalse(duty.begin());
+        responseGuard.finish(ResponseGuard.FinalAnswer.DISCONNECTED);
+        assertFalse(responseGuard.begin());
     }
 
     @Test
     void throttledIsNoAnswerToWhatHasBegun() {
-        duty.begin();
+        responseGuard.begin();
         assertThrows(
-                IllegalStateException.class, () -> duty.finish(ResponseGuard.FinalAnswer.REJECTED));
-        assertTrue(duty.finish(ResponseGuard.FinalAnswer.COMPLETED));
+                IllegalStateException.class,
+                () -> responseGuard.finish(ResponseGuard.FinalAnswer.REJECTED));
+        assertTrue(responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
     }
 
     @Test
     void streamedNeedsABeginning() {
         assertThrows(
                 IllegalStateException.class,
-                () -> duty.finish(ResponseGuard.FinalAnswer.COMPLETED));
+                () -> responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
     }
 }
