--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -86,13 +86,13 @@
             if (borrowQuota(generationRequest, responseSink, arrivedMs, onAdmitted)) {
                 return;
             }
-            budgets.lender(quotaClient.isResponsive());
+            budgets.setLenderAvailable(quotaClient.isResponsive());
         }
         decide(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
     }
 
     private BudgetDecision checkBudget(GenerationRequest generationRequest) {
-        return budgets.ask(
+        return budgets.requestAdmission(
                 generationRequest.tenant().name(),
                 generationRequest.offering().product.name,
                 estimatedTokens(generationRequest),
@@ -112,7 +112,7 @@
             double arrivedMs,
             Consumer<InFlightRequest> onAdmitted) {
         QuotaRequest quotaRequest =
-                budgets.want(
+                budgets.quotaRequestFor(
                         generationRequest.tenant().name(),
                         generationRequest.offering().product.name,
                         estimatedTokens(generationRequest),
@@ -123,8 +123,8 @@
         QuotaClient.Listener listener =
                 (grantedTokens, retryAfterMs) -> {
                     context.updateClock();
-                    budgets.lender(quotaClient.isResponsive());
-                    budgets.lent(
+                    budgets.setLenderAvailable(quotaClient.isResponsive());
+                    budgets.addLease(
                             quotaRequest.budget(),
                             grantedTokens,
                             context.nowMs() + context.site.lapseMs);
@@ -133,7 +133,9 @@
                         decide(
                                 generationRequest,
                                 responseSink,
-                                second.isAdmitted() ? second : second.notBefore(retryAfterMs),
+                                second.isAdmitted()
+                                        ? second
+                                        : second.withRetryAfterAtLeast(retryAfterMs),
                                 arrivedMs,
                                 onAdmitted);
                     }
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -33,7 +33,7 @@
     public void readCompleted(
             StateHandle state, int cachedTokens, int promptTokens, LoadReport report) {
         context.updateClock();
-        attempt.readCompleted(state, request.usageMeter().read(promptTokens), cachedTokens);
+        attempt.readCompleted(state, request.usageMeter().promptRead(promptTokens), cachedTokens);
         request.generationRequest().promptTokensReported().accept(promptTokens);
         context.metrics.attemptEnded(context.routerNumber, attempt.stage(), "READ");
         logStep("READ");
@@ -68,11 +68,12 @@
     private void meterPrompt() {
         InFlightAttempt source = attempt.source();
         if (source == null) {
-            request.usageMeter().begun(request.generationRequest().promptTokens(), 0, false);
+            request.usageMeter()
+                    .responseStarted(request.generationRequest().promptTokens(), 0, false);
         } else {
             // The state has been fetched: nothing of it is left at its reader.
             source.stateRemoved();
-            request.usageMeter().begun(source.readTokens(), source.cachedTokens(), true);
+            request.usageMeter().responseStarted(source.readTokens(), source.cachedTokens(), true);
         }
     }
 
@@ -83,7 +84,7 @@
             request.pieceReceived(context.nowMs());
             context.metrics.pieceReceived();
             if (request.responseSink().textReceived(text)) {
-                request.usageMeter().sent();
+                request.usageMeter().pieceSent();
             }
         }
     }
@@ -122,7 +123,7 @@
     }
 
     @Override
-    public void answerUnusable() {
+    public void requestUnprocessable() {
         context.updateClock();
         // Guards against: retried, the request would use up its attempts and make every engine that
         // rightly rejects it look unhealthy.
--- a/src/main/java/larchridge/router/EndpointTable.java
+++ b/src/main/java/larchridge/router/EndpointTable.java
@@ -28,9 +28,9 @@
             updates.add(
                     new EndpointUpdate(
                             engine,
-                            entry.mode(),
+                            entry.state(),
                             entry.startMs(),
-                            entry.units(),
+                            entry.capacityUnits(),
                             entry.zone(),
                             entry.rack(),
                             entry.role(),
--- a/src/main/java/larchridge/router/FinalAnswers.java
+++ b/src/main/java/larchridge/router/FinalAnswers.java
@@ -28,7 +28,7 @@
         if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.COMPLETED)) {
             return false;
         }
-        request.usageMeter().whole(completion.outputTokens());
+        request.usageMeter().responseCompleted(completion.outputTokens());
         answered(request, "streamed");
         usageRecorder.recordThen(request, () -> request.responseSink().completed(completion));
         return true;
--- a/src/main/java/larchridge/router/GracefulShutdown.java
+++ b/src/main/java/larchridge/router/GracefulShutdown.java
@@ -62,7 +62,7 @@
      */
     private void closeUpstream(double latestMs, Runnable whenStopped) {
         context.updateClock();
-        if (context.upstream.isReleasing() && context.nowMs() < latestMs) {
+        if (context.upstream.hasPendingReleases() && context.nowMs() < latestMs) {
             context.scheduler.schedule(
                     RELEASE_CHECK_INTERVAL_MS, () -> closeUpstream(latestMs, whenStopped));
             return;
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -12,6 +12,7 @@
 import larchridge.planner.LatencySample;
 import larchridge.policy.PolicyActions;
 import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.site.Site;
 import larchridge.state.Attempt;
 import larchridge.state.EndpointUpdate;
@@ -60,7 +61,7 @@
                 vertx,
                 new RouterContext(new VertxScheduler(vertx), site, number, upstream, metrics),
                 ledger,
-                PolicyEvents::choice);
+                RoutingPolicy::new);
     }
 
     /**
@@ -159,7 +160,7 @@
 
     /** Sets what a tenant has used this month by the ledger; before anything is admitted. */
     public void restoreUsage(String tenant, String product, double used) {
-        budgets.remember(tenant, product, used, context.nowMs());
+        budgets.restoreMonthlyUsage(tenant, product, used, context.nowMs());
     }
 
     // ------------------------------------------------------------------ state for its neighbours
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -31,14 +31,14 @@
     @Override
     public SendRejection rejection() {
         if (policyAttempt.engine.state != EndpointState.READY) {
-            return SendRejection.ENGINE_LEFT;
+            return SendRejection.ENDPOINT_UNAVAILABLE;
         }
         if (request.responseGuard().isDone() || request.responseGuard().isBegun()) {
-            return SendRejection.ANSWERED;
+            return SendRejection.ALREADY_ANSWERED;
         }
         if (!IdempotencyRule.mayWrite(policyAttempt, scheduler.nowMs(), hedgingAllowed)) {
-            return SendRejection.MAY_REPEAT;
+            return SendRejection.DUPLICATE_RISK;
         }
-        return request.responseSink().isDisconnected() ? SendRejection.CLIENT_GONE : null;
+        return request.responseSink().isDisconnected() ? SendRejection.CLIENT_DISCONNECTED : null;
     }
 }
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -68,14 +68,14 @@
         }
         // Guards against: billing text that was buffered for a client that disconnected and never
         // went to its socket.
-        request.usageMeter().notSent(request.responseSink().pendingPieces());
+        request.usageMeter().piecesNotSent(request.responseSink().pendingPieces());
         if (request.generationRequest().unstreamed()
                 && request.responseGuard().given() != ResponseGuard.FinalAnswer.COMPLETED) {
-            request.usageMeter().nothingSent();
+            request.usageMeter().responseDiscarded();
         }
-        budgets.settle(request.charge(), request.usageMeter().used(), context.nowMs());
+        budgets.settle(request.charge(), request.usageMeter().billedTokens(), context.nowMs());
         if (ledger == null
-                || request.usageMeter().used() + request.usageMeter().wastedTokens() <= 0) {
+                || request.usageMeter().billedTokens() + request.usageMeter().wastedTokens() <= 0) {
             return;
         }
         if (!request.isRecorded()) {
@@ -124,8 +124,8 @@
                 (long) context.nowMs(),
                 request.responseGuard().given().recordedName,
                 request.usageMeter().promptTokens(),
-                request.usageMeter().keptTokens(),
-                request.usageMeter().outTokens(),
+                request.usageMeter().cachedTokens(),
+                request.usageMeter().outputTokens(),
                 request.usageMeter().wastedTokens(),
                 request.attempts().size());
     }
