--- a/src/main/java/larchridge/router/AttemptSender.java
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -60,7 +60,7 @@
 
     /** The read whose state the attempt is to fetch, or null. */
     private static InFlightAttempt sourceOf(InFlightRequest request, Attempt policyAttempt) {
-        Attempt read = policyAttempt.generation.state;
+        Attempt read = policyAttempt.generation.heldRead();
         return policyAttempt.read || read == null ? null : request.attemptOf(read);
     }
 
@@ -119,11 +119,11 @@
             return FIRST;
         }
         Attempt policyAttempt = before.policyAttempt();
-        if (policyAttempt.inFlight) {
+        if (policyAttempt.isInFlight()) {
             return BESIDE;
         }
-        return policyAttempt.outcome == null
+        return policyAttempt.outcome() == null
                 ? STATE_LOST
-                : policyAttempt.outcome.name().toLowerCase(Locale.ROOT);
+                : policyAttempt.outcome().name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/larchridge/router/EndpointTable.java
+++ b/src/main/java/larchridge/router/EndpointTable.java
@@ -58,7 +58,8 @@
                 .values()
                 .removeIf(
                         engine ->
-                                engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
+                                engine.state() == EndpointState.REMOVED
+                                        && engine.attempts().isEmpty());
         entries.keySet().removeIf(engine -> !enginesById.containsValue(engine));
     }
 
--- a/src/main/java/larchridge/router/FinalAnswers.java
+++ b/src/main/java/larchridge/router/FinalAnswers.java
@@ -79,11 +79,11 @@
     private void answered(InFlightRequest request, String kind) {
         String product = request.generation().trafficClass.name;
         double elapsedMs = request.elapsedMs(context.nowMs());
-        if (request.generation().giveUpReason != null) {
+        if (request.generation().giveUpReason() != null) {
             context.metrics.givenUp(
                     context.routerNumber,
                     product,
-                    request.generation().giveUpReason.name().toLowerCase(Locale.ROOT));
+                    request.generation().giveUpReason().name().toLowerCase(Locale.ROOT));
         }
         context.metrics.answered(context.routerNumber, product, kind, elapsedMs);
         LOG.atDebug()
@@ -92,7 +92,7 @@
                 .addKeyValue("product", product)
                 .addKeyValue("attempts", request.attempts().size())
                 .addKeyValue("ms", Math.round(elapsedMs))
-                .addKeyValue("reason", request.generation().giveUpReason)
+                .addKeyValue("reason", request.generation().giveUpReason())
                 .log(kind);
     }
 }
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -27,7 +27,7 @@
         for (InFlightRequest request : requests) {
             if (!request.isBatch() && !request.responseGuard().isDone()) {
                 unanswered++;
-                if (request.generation().waiting) {
+                if (request.generation().isWaiting()) {
                     longestWait = Math.max(longestWait, request.shareOfLatencyObjective(nowMs));
                 }
             }
--- a/src/main/java/larchridge/router/PolicyNotifier.java
+++ b/src/main/java/larchridge/router/PolicyNotifier.java
@@ -89,7 +89,7 @@
             LOG.error("the routing policy failed", e);
             if (request != null) {
                 finalAnswers.fail(request, ResponseSink.FailureCause.INTERNAL);
-                request.generation().finished = true;
+                request.generation().finish();
             }
         }
     }
--- a/src/main/java/larchridge/router/RequestCloser.java
+++ b/src/main/java/larchridge/router/RequestCloser.java
@@ -108,6 +108,6 @@
     }
 
     private static boolean isOver(InFlightRequest request) {
-        return request.responseGuard().isDone() && request.generation().attemptsInFlight <= 0;
+        return request.responseGuard().isDone() && request.generation().attemptsInFlight() <= 0;
     }
 }
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -30,7 +30,7 @@
 
     @Override
     public SendRejection rejection() {
-        if (policyAttempt.engine.state != EndpointState.READY) {
+        if (policyAttempt.engine.state() != EndpointState.READY) {
             return SendRejection.ENDPOINT_UNAVAILABLE;
         }
         if (request.responseGuard().isDone() || request.responseGuard().isBegun()) {
