--- /dev/null
+++ b/src/test/java/larchridge/node/server/RequestBodyBufferTest.java
@@ -0,0 +1,74 @@
+package larchridge.node.server;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+class RequestBodyBufferTest {
+    private static final int MAX_BYTES = 10;
+
+    private final BodyMemory memory = new BodyMemory(15);
+    private final RequestBodyBuffer body = new RequestBodyBuffer(memory, MAX_BYTES);
+
+    private static ByteBuf bytes(String text) {
+        return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
+    }
+
+    @Test
+    void chunksAreJoinedInTheirOrder() {
+        for (String chunk : new String[] {"ab", "c", "", "defgh", "ij"}) {
+            body.append(bytes(chunk));
+        }
+        assertArrayEquals("abcdefghij".getBytes(StandardCharsets.ISO_8859_1), body.take());
+    }
+
+    @Test
+    void takenBodyIsAsLongAsWhatArrived() {
+        body.append(bytes("abc"));
+        body.append(bytes("d"));
+        assertEquals(4, body.take().length);
+    }
+
+    @Test
+    void appendingDoesNotConsumeTheContent() {
+        ByteBuf content = bytes("abc");
+        body.append(content);
+        assertEquals(3, content.readableBytes());
+    }
+
+    @Test
+    void bodyGrowsToItsLimitAndNotBeyond() {
+        body.append(bytes("abcd"));
+        assertTrue(body.canGrowBy(MAX_BYTES - 4));
+        assertFalse(body.canGrowBy(MAX_BYTES - 3));
+    }
+
+    @Test
+    void memoryOfATakenBodyStaysReserved() {
+        body.append(bytes("abcd"));
+        body.take();
+        assertTrue(body.isEmpty());
+        assertEquals(4, memory.reservedBytes());
+    }
+
+    @Test
+    void memoryOfADiscardedBodyIsReleased() {
+        body.append(bytes("abcd"));
+        body.discard();
+        assertTrue(body.isEmpty());
+        assertEquals(0, memory.reservedBytes());
+    }
+
+    @Test
+    void memoryIsSharedWithOtherBodies() {
+        memory.reserve(9);
+        assertTrue(body.hasMemoryFor(6));
+        assertFalse(body.hasMemoryFor(7));
+    }
+}
--- a/src/test/java/larchridge/node/server/RequestHeadTest.java
+++ b/src/test/java/larchridge/node/server/RequestHeadTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class RequestHeadTest {
-    private static HttpHeaders head() {
+    private static HttpHeaders headers() {
         return new DefaultHttpHeaders()
                 .set("Req-Id", "9b1f03aa5c7e2d41")
                 .set("Req-Kind", "chat")
@@ -18,17 +18,17 @@
     }
 
     @Test
-    void headIsReadAsThePageSays() throws Exception {
-        RequestHead asked = RequestHead.read(head().set("Req-Retry", "1"));
+    void completeHeadersAreRead() throws Exception {
+        RequestHead head = RequestHead.read(headers().set("Req-Retry", "1"));
         assertEquals(
                 new RequestHead(
                         "9b1f03aa5c7e2d41", "chat", "k", 4800, "5c0f", 5120, 2048, 800, true),
-                asked);
+                head);
     }
 
     @Test
-    void anyFaultIsToldAndNothingGuessed() {
-        String[][] bad = {
+    void malformedHeadersAreReportedAndNothingIsGuessed() {
+        String[][] malformed = {
             {"Req-Id", ""},
             {"Req-Id", "9b1f03aa5c7e2d4"},
             {"Req-Id", "9b1f03aa5c7e2d4/"},
@@ -42,16 +42,17 @@
             {"Req-Extra", "prompt_len=1"},
             {"Req-Extra", "prompt_len=99999999999,max_out=1"}
         };
-        for (String[] one : bad) {
+        for (String[] header : malformed) {
             assertThrows(
                     InvalidRequestHeadException.class,
-                    () -> RequestHead.read(head().set(one[0], one[1])),
-                    one[0] + ": " + one[1]);
+                    () -> RequestHead.read(headers().set(header[0], header[1])),
+                    header[0] + ": " + header[1]);
         }
         assertThrows(
                 InvalidRequestHeadException.class,
-                () -> RequestHead.read(head().add("Req-Id", "9b1f03aa5c7e2d42")));
+                () -> RequestHead.read(headers().add("Req-Id", "9b1f03aa5c7e2d42")));
         assertThrows(
-                InvalidRequestHeadException.class, () -> RequestHead.read(head().remove("Req-Id")));
+                InvalidRequestHeadException.class,
+                () -> RequestHead.read(headers().remove("Req-Id")));
     }
 }
--- a/src/test/java/larchridge/node/transport/ConnectFailureTest.java
+++ b/src/test/java/larchridge/node/transport/ConnectFailureTest.java
@@ -13,10 +13,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Failures of socket and connect as the Java machine words them. */
+/** Failures of socket and connect as the JVM reports them. */
 class ConnectFailureTest {
     @Test
-    void refusalSilenceAndUnreachableHostsAreThePeers() {
+    void refusalsTimeoutsAndUnreachableHostsAreFailuresOfThePeer() {
         for (Throwable cause :
                 List.of(
                         new ConnectException("Connection refused"),
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void whatIsShortOnThisMachineIsLocal() {
+    void shortagesOfThisMachineAreLocal() {
         for (Throwable cause :
                 List.of(
                         new ChannelException(
