--- a/src/main/java/larchridge/benchlink/BenchProtocol.java
+++ b/src/main/java/larchridge/benchlink/BenchProtocol.java
@@ -3,134 +3,76 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
-import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads batches and hands each line to the instance that it names; one flush a reply. */
+/**
+ * Reads batches of messages, hands each message to the router instance that it is addressed to, and
+ * writes one reply for each batch. Not safe for use by several threads.
+ */
 public final class BenchProtocol {
-    private final MessageReader line;
+    private static final double MS_PER_SECOND = 1000;
+
+    private final MessageReader message;
     private final OutputStream out;
-    private final Reply reply = new Reply();
-    private final Map<Long, BenchRouter> instances = new HashMap<>();
+    private final ReplyWriter reply = new ReplyWriter();
+    private final Map<Long, BenchRouter> routers = new HashMap<>();
 
+    /** The protocol over two streams; neither is closed here. */
     public BenchProtocol(InputStream in, OutputStream out) {
-        this.line = new MessageReader(in);
+        this.message = new MessageReader(in);
         this.out = out;
     }
 
+    /**
+     * Serves batches until the input ends.
+     *
+     * @throws InvalidMessageException if a message does not follow the wire's specification
+     */
     public void run() throws IOException, InvalidMessageException {
-        while (line.advance()) {
-            if (line.isEmpty()) {
+        while (message.advance()) {
+            if (message.isEmpty()) {
                 continue;
             }
-            if (!line.is("SYNC")) {
-                throw line.bad("a batch begins with SYNC");
+            if (!message.is("SYNC")) {
+                throw message.invalid("a batch begins with SYNC");
             }
-            batch(line.decimal("at_time_s") * 1000);
+            readBatch(message.decimal("at_time_s") * MS_PER_SECOND);
             reply.finish();
             reply.writeTo(out);
             out.flush();
         }
     }
 
-    private void batch(double nowMs) throws IOException, InvalidMessageException {
-        BenchRouter instance = null;
+    private void readBatch(double nowMs) throws IOException, InvalidMessageException {
+        BenchRouter router = null;
         while (true) {
-            if (!line.advance()) {
+            if (!message.advance()) {
                 throw new InvalidMessageException(
-                        line.number() + 1, "the input ends inside a batch; expected FLUSH");
+                        message.lineNumber() + 1, "the input ends inside a batch; expected FLUSH");
             }
-            if (line.is("FLUSH")) {
+            if (message.is("FLUSH")) {
                 return;
             }
-            if (line.isEmpty()) {
+            if (message.isEmpty()) {
                 continue;
             }
-            if (line.is("INSTANCE")) {
-                long who = line.whole("who");
-                instance = instances.get(who);
-                if (instance == null) {
-                    instance = new BenchRouter(who, reply);
-                    instances.put(who, instance);
-                }
-            } else if (instance == null) {
-                throw line.bad("no INSTANCE line before it; expected INSTANCE who=...");
+            if (message.is("INSTANCE")) {
+                router = router(message.integer("who"));
+            } else if (router == null) {
+                throw message.invalid("no INSTANCE line before it; expected INSTANCE who=...");
             } else {
-                instance.take(line, nowMs);
+                router.handle(message, nowMs);
             }
         }
     }
 
-    /** The reply under way, written as bytes at once. */
-    static final class Reply {
-        private byte[] bytes = new byte[1 << 14];
-        private int length;
-        private long who = -1;
-
-        Reply line(long instance, String name) {
-            if (who != instance) {
-                who = instance;
-                text("FOR who=").whole(instance).end();
-            }
-            return text(name);
-        }
-
-        Reply text(String text) {
-            int size = text.length();
-            room(size * 3);
-            for (int i = 0; i < size; i++) {
-                char c = text.charAt(i);
-                if (c >= 128) {
-                    byte[] rest = text.substring(i).getBytes(StandardCharsets.UTF_8);
-                    System.arraycopy(rest, 0, bytes, length, rest.length);
-                    length += rest.length;
-                    return this;
-                }
-                bytes[length++] = (byte) c;
-            }
-            return this;
-        }
-
-        Reply whole(long value) {
-            return text(Long.toString(value));
-        }
-
-        /** Milliseconds written as seconds, to the microsecond. */
-        Reply seconds(double ms) {
-            long micros = Math.round(ms * 1000);
-            if (micros < 0) {
-                text("-");
-                micros = -micros;
-            }
-            whole(micros / 1_000_000).text(".");
-            long part = micros % 1_000_000;
-            room(6);
-            for (long unit = 100_000; unit > 0; unit /= 10) {
-                bytes[length++] = (byte) ('0' + part / unit % 10);
-            }
-            return this;
-        }
-
-        void end() {
-            room(1);
-            bytes[length++] = '\n';
-        }
-
-        void finish() {
-            text("NEXT").end();
-        }
-
-        void writeTo(OutputStream out) throws IOException {
-            out.write(bytes, 0, length);
-            length = 0;
-            who = -1;
-        }
-
-        private void room(int more) {
-            if (length + more > bytes.length) {
-                bytes = java.util.Arrays.copyOf(bytes, Math.max(bytes.length * 2, length + more));
-            }
+    private BenchRouter router(long instance) {
+        BenchRouter router = routers.get(instance);
+        if (router == null) {
+            router = new BenchRouter(instance, reply);
+            routers.put(instance, router);
         }
+        return router;
     }
 }
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larchridge.policy.PolicyActions;
 import larchridge.policy.RoutingPolicy;
 import larchridge.settings.InvalidSettingsException;
 import larchridge.settings.RoutingSettingsReader;
@@ -23,202 +23,220 @@
 import larchridge.state.TenantQuota;
 import larchridge.state.TrafficClass;
 
-/** One front: its ids, its decision module, and the lines between the two. */
-final class BenchRouter implements PolicyActions {
+/**
+ * One simulated router: translates the messages addressed to it into events of its routing policy,
+ * and keeps the generations and engines that messages refer to by id.
+ */
+final class BenchRouter {
     private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final double MS_PER_SECOND = 1000;
 
-    private final long who;
-    private final BenchProtocol.Reply reply;
+    /** The note of a rejection for want of the state that was to be fetched. */
+    private static final int NOTE_NO_STATE = 1;
 
+    private final long instance;
+    private final BenchActions actions;
     private double nowMs;
-    private RoutingSettingsReader env;
-    private RoutingPolicy choice;
-    private final Map<String, Generation> gens = new HashMap<>();
+
+    /** The settings of the current run, and its policy; null outside a run. */
+    private RoutingSettingsReader settings;
+
+    private RoutingPolicy policy;
+    private final Map<String, Generation> generations = new HashMap<>();
     private final Map<Long, Engine> engines = new HashMap<>();
     private final Map<String, CachedPrefix> sessions = new PrefixRegistry();
     private final Map<String, CachedPrefix> prefixes = new PrefixRegistry();
 
-    BenchRouter(long who, BenchProtocol.Reply reply) {
-        this.who = who;
-        this.reply = reply;
+    BenchRouter(long instance, ReplyWriter reply) {
+        this.instance = instance;
+        this.actions = new BenchActions(instance, reply);
     }
 
-    void take(MessageReader line, double now) throws InvalidMessageException {
-        nowMs = now;
-        if (line.is("ENLIST")) {
+    /** Handles one message at the time of its batch. */
+    void handle(MessageReader message, double batchMs) throws InvalidMessageException {
+        nowMs = batchMs;
+        actions.setNowMs(batchMs);
+        if (message.is("ENLIST")) {
             tearDown();
-            env = settings(line);
-            guarded(() -> choice = new RoutingPolicy(env.terms, this));
+            settings = readSettings(message);
+            guarded(() -> policy = new RoutingPolicy(settings.terms, actions));
             return;
         }
-        if (line.is("TEARDOWN")) {
+        if (message.is("TEARDOWN")) {
             tearDown();
             return;
         }
-        if (choice == null) {
-            throw line.bad("instance " + who + " is not started; expected ENLIST first");
+        if (policy == null) {
+            throw message.invalid(
+                    "instance " + instance + " is not started; expected ENLIST first");
         }
-        switch (line.name()) {
-            case "CALL" -> call(line);
-            case "REPLY" -> ended(line);
-            case "BEGUN" -> begun(line);
-            case "ELAPSED" -> guarded(choice::wakeUp);
-            case "TIMED_OUT_CLIENT" -> departed(line);
-            case "BACKENDS_CHANGED" -> list(line);
-            case "PROBED" -> probed(line);
+        switch (message.name()) {
+            case "CALL" -> requestArrived(message);
+            case "REPLY" -> attemptReplied(message);
+            case "BEGUN" -> responseStarted(message);
+            case "ELAPSED" -> guarded(policy::wakeUp);
+            case "TIMED_OUT_CLIENT" -> clientDisconnected(message);
+            case "BACKENDS_CHANGED" -> endpointsChanged(message);
+            case "PROBED" -> loadProbed(message);
             default -> {}
         }
     }
 
-    private static RoutingSettingsReader settings(MessageReader line)
+    private static RoutingSettingsReader readSettings(MessageReader message)
             throws InvalidMessageException {
         try {
             return RoutingSettingsReader.read(
-                    MAPPER.readTree(line.rest("env")), line.whole("seed"));
+                    MAPPER.readTree(message.rest("env")), message.integer("seed"));
         } catch (JsonProcessingException e) {
-            throw line.bad(
+            throw message.invalid(
                     "member env is broken JSON; expected an object ("
                             + e.getOriginalMessage()
                             + ")");
         } catch (InvalidSettingsException e) {
-            throw line.bad("member env: " + e.getMessage());
+            throw message.invalid("member env: " + e.getMessage());
         }
     }
 
     private void tearDown() {
-        choice = null;
-        gens.clear();
+        policy = null;
+        generations.clear();
         engines.clear();
         sessions.clear();
         prefixes.clear();
     }
 
-    /** A failure of the module ends the day with its cause instead of a silent exit. */
-    private void guarded(Runnable call) {
+    /** Runs a call of the policy; its failure ends the run with the cause instead of silently. */
+    private void guarded(Runnable policyCall) {
         try {
-            call.run();
+            policyCall.run();
         } catch (RuntimeException e) {
-            StackTraceElement[] trace = e.getStackTrace();
-            String where = trace.length > 0 ? " at " + trace[0] : "";
-            line("BROKEN").text(" message=").text(oneLine(e + where)).end();
+            actions.reportFailure(e);
         }
     }
 
-    private void call(MessageReader line) throws InvalidMessageException {
-        String id = line.text("job");
-        TrafficClass product = env.products.get(line.text("service"));
-        if (product == null) {
-            throw line.bad(
+    private void requestArrived(MessageReader message) throws InvalidMessageException {
+        String id = message.text("job");
+        TrafficClass trafficClass = settings.products.get(message.text("service"));
+        if (trafficClass == null) {
+            throw message.invalid(
                     "member service is '"
-                            + line.text("service")
+                            + message.text("service")
                             + "'; expected a name in request_classes");
         }
-        TenantQuota account = env.accounts.get(line.textOr("tenant", ""));
-        CachedPrefix session = text(sessions, line.textOr("talk", null));
-        CachedPrefix prefix = text(prefixes, line.textOr("prefix", null));
-        double hint = line.decimalOr("expected_s", Double.NaN) * 1000 / product.tokenMs;
+        TenantQuota tenantQuota = settings.accounts.get(message.textOr("tenant", ""));
+        CachedPrefix session = cachedPrefix(sessions, message.textOr("talk", null));
+        CachedPrefix prefix = cachedPrefix(prefixes, message.textOr("prefix", null));
+        double hintTokens =
+                message.decimalOr("expected_s", Double.NaN) * MS_PER_SECOND / trafficClass.tokenMs;
         Generation generation =
                 new Generation(
                         id,
-                        product,
-                        account,
+                        trafficClass,
+                        tenantQuota,
                         session,
                         prefix,
-                        (int) line.wholeOr("n_prompt", 0),
-                        (int) line.wholeOr("shared_len", 0),
-                        (int) line.wholeOr("n_max", 0),
-                        hint,
-                        line.flag("resent"),
+                        (int) message.integerOr("n_prompt", 0),
+                        (int) message.integerOr("shared_len", 0),
+                        (int) message.integerOr("n_max", 0),
+                        hintTokens,
+                        message.flag("resent"),
                         nowMs,
-                        line.decimal("not_after_s") * 1000);
-        gens.put(id, generation);
-        guarded(() -> choice.requestArrived(generation));
-        letGo(id, generation);
+                        message.decimal("not_after_s") * MS_PER_SECOND);
+        generations.put(id, generation);
+        guarded(() -> policy.requestArrived(generation));
+        removeIfEnded(id, generation);
     }
 
-    private static CachedPrefix text(Map<String, CachedPrefix> texts, String id) {
-        return id == null || id.equals("0") ? null : texts.computeIfAbsent(id, CachedPrefix::new);
+    /** The text of an id; null for the id "0", which stands for none. */
+    private static CachedPrefix cachedPrefix(Map<String, CachedPrefix> registry, String id) {
+        return id == null || id.equals("0")
+                ? null
+                : registry.computeIfAbsent(id, CachedPrefix::new);
     }
 
-    private void ended(MessageReader line) throws InvalidMessageException {
-        String id = line.text("job");
-        Generation generation = gens.get(id);
-        int number = (int) line.whole("round_no");
+    private void attemptReplied(MessageReader message) throws InvalidMessageException {
+        String id = message.text("job");
+        Generation generation = generations.get(id);
+        int number = (int) message.integer("round_no");
         if (generation == null || number < 0 || number >= generation.attempts.size()) {
             return;
         }
         Attempt attempt = generation.attempts.get(number);
-        boolean over = line.flag("no_more");
-        LoadReport report = report(line);
-        String word = line.text("disposition");
-        int note = (int) line.decimalOr("note", 0);
-        if (word.equals("half_done")) {
-            guarded(() -> choice.readCompleted(attempt, note, report, over));
+        boolean noMore = message.flag("no_more");
+        LoadReport report = loadReport(message);
+        String disposition = message.text("disposition");
+        int note = (int) message.decimalOr("note", 0);
+        if (disposition.equals("half_done")) {
+            guarded(() -> policy.readCompleted(attempt, note, report, noMore));
         } else {
-            AttemptOutcome outcome =
-                    switch (word) {
-                        case "pass" -> AttemptOutcome.STREAMED;
-                        case "fault" -> AttemptOutcome.FAULT;
-                        case "no_room" -> note == 1 ? AttemptOutcome.NO_STATE : AttemptOutcome.FULL;
-                        case "too_slow" -> AttemptOutcome.TIMED_OUT;
-                        case "no_route" -> AttemptOutcome.UNREACHABLE;
-                        case "cut" -> AttemptOutcome.CUT;
-                        case "undone" -> AttemptOutcome.CANCELLED;
-                        case "stale_send" -> AttemptOutcome.NOT_SENT;
-                        default ->
-                                throw line.bad(
-                                        "member disposition is '"
-                                                + word
-                                                + "'; expected a known outcome");
-                    };
-            guarded(() -> choice.attemptEnded(attempt, outcome, report, over));
+            AttemptOutcome outcome = outcome(message, disposition, note);
+            guarded(() -> policy.attemptEnded(attempt, outcome, report, noMore));
         }
-        letGo(id, generation);
+        removeIfEnded(id, generation);
     }
 
-    private void begun(MessageReader line) throws InvalidMessageException {
-        Generation generation = gens.get(line.text("job"));
-        int number = (int) line.whole("round_no");
+    private static AttemptOutcome outcome(MessageReader message, String disposition, int note)
+            throws InvalidMessageException {
+        return switch (disposition) {
+            case "pass" -> AttemptOutcome.STREAMED;
+            case "fault" -> AttemptOutcome.FAULT;
+            case "no_room" -> note == NOTE_NO_STATE ? AttemptOutcome.NO_STATE : AttemptOutcome.FULL;
+            case "too_slow" -> AttemptOutcome.TIMED_OUT;
+            case "no_route" -> AttemptOutcome.UNREACHABLE;
+            case "cut" -> AttemptOutcome.CUT;
+            case "undone" -> AttemptOutcome.CANCELLED;
+            case "stale_send" -> AttemptOutcome.NOT_SENT;
+            default ->
+                    throw message.invalid(
+                            "member disposition is '"
+                                    + disposition
+                                    + "'; expected a known outcome");
+        };
+    }
+
+    private void responseStarted(MessageReader message) throws InvalidMessageException {
+        Generation generation = generations.get(message.text("job"));
+        int number = (int) message.integer("round_no");
         if (generation != null && number >= 0 && number < generation.attempts.size()) {
-            guarded(() -> choice.responseStarted(generation.attempts.get(number)));
+            guarded(() -> policy.responseStarted(generation.attempts.get(number)));
         }
     }
 
-    private void departed(MessageReader line) throws InvalidMessageException {
-        String id = line.text("job");
-        Generation generation = gens.get(id);
+    private void clientDisconnected(MessageReader message) throws InvalidMessageException {
+        String id = message.text("job");
+        Generation generation = generations.get(id);
         if (generation != null) {
-            guarded(() -> choice.clientDisconnected(generation));
-            letGo(id, generation);
+            guarded(() -> policy.clientDisconnected(generation));
+            removeIfEnded(id, generation);
         }
     }
 
-    private void probed(MessageReader line) throws InvalidMessageException {
-        Engine engine = engines.get(line.whole("engine"));
+    private void loadProbed(MessageReader message) throws InvalidMessageException {
+        Engine engine = engines.get(message.integer("engine"));
         if (engine != null) {
-            boolean answered = line.valueIs("disposition", "pass");
-            LoadReport report = report(line);
-            guarded(() -> choice.loadProbed(engine, answered, report));
+            boolean answered = message.valueIs("disposition", "pass");
+            LoadReport report = loadReport(message);
+            guarded(() -> policy.loadProbed(engine, answered, report));
         }
     }
 
-    private void list(MessageReader line) throws InvalidMessageException {
-        String kind = line.text("kind");
-        long count = line.wholeOr("entries", 0);
-        List<EndpointUpdate> entries = new ArrayList<>();
+    private void endpointsChanged(MessageReader message) throws InvalidMessageException {
+        String kind = message.text("kind");
+        long count = message.integerOr("entries", 0);
+        List<EndpointUpdate> updates = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            if (!next(line) || !line.is("ENTRY")) {
-                throw line.bad(
+            if (!advance(message) || !message.is("ENTRY")) {
+                throw message.invalid(
                         "expected " + count + " ENTRY lines after BACKENDS_CHANGED, found " + i);
             }
-            entries.add(entry(line));
+            updates.add(endpointUpdate(message));
         }
         switch (kind) {
-            case "INCREMENTAL" -> guarded(() -> choice.endpointsChanged(entries, false));
-            case "FULL", "SAVED" -> guarded(() -> choice.endpointsChanged(entries, true));
-            case "FAILED" -> guarded(choice::endpointWatchFailed);
+            case "INCREMENTAL" -> guarded(() -> policy.endpointsChanged(updates, false));
+            case "FULL", "SAVED" -> guarded(() -> policy.endpointsChanged(updates, true));
+            case "FAILED" -> guarded(policy::endpointWatchFailed);
             default ->
-                    throw line.bad(
+                    throw message.invalid(
                             "member kind is '"
                                     + kind
                                     + "'; expected INCREMENTAL, FULL, SAVED or FAILED");
@@ -229,28 +247,18 @@
                                 engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
     }
 
-    private static boolean next(MessageReader line) throws InvalidMessageException {
+    private static boolean advance(MessageReader message) throws InvalidMessageException {
         try {
-            return line.advance();
-        } catch (java.io.IOException e) {
-            throw line.bad("the wire broke: " + e.getMessage());
+            return message.advance();
+        } catch (IOException e) {
+            throw message.invalid("the wire broke: " + e.getMessage());
         }
     }
 
-    private EndpointUpdate entry(MessageReader line) throws InvalidMessageException {
-        long id = line.whole("engine");
-        String kind = line.textOr("class_of_host", "");
-        EndpointState mode =
-                switch (line.text("mode")) {
-                    case "healthy" -> EndpointState.READY;
-                    case "cordoned" -> EndpointState.DRAINING;
-                    case "deregistered" -> EndpointState.REMOVED;
-                    default ->
-                            throw line.bad(
-                                    "member mode is '"
-                                            + line.text("mode")
-                                            + "'; expected healthy, cordoned or deregistered");
-                };
+    private EndpointUpdate endpointUpdate(MessageReader message) throws InvalidMessageException {
+        long id = message.integer("engine");
+        String kind = message.textOr("class_of_host", "");
+        EndpointState state = endpointState(message);
         Engine engine = engines.get(id);
         if (engine == null) {
             engine = new Engine(id);
@@ -258,98 +266,41 @@
         }
         return new EndpointUpdate(
                 engine,
-                mode,
-                line.decimalOr("start_time_s", 0) * 1000,
-                line.decimalOr("units", 1),
-                line.textOr("zone", ""),
-                line.wholeOr("group", 0),
-                env.roles.getOrDefault(kind, Role.BOTH),
-                env.memory.getOrDefault(kind, Double.NaN));
+                state,
+                message.decimalOr("start_time_s", 0) * MS_PER_SECOND,
+                message.decimalOr("units", 1),
+                message.textOr("zone", ""),
+                message.integerOr("group", 0),
+                settings.roles.getOrDefault(kind, Role.BOTH),
+                settings.memory.getOrDefault(kind, Double.NaN));
     }
 
-    private static LoadReport report(MessageReader line) throws InvalidMessageException {
-        if (!line.has("pressure")) {
-            return null;
-        }
-        return RoutingSettingsReader.report(name -> line.pair("pressure", name));
+    private static EndpointState endpointState(MessageReader message)
+            throws InvalidMessageException {
+        return switch (message.text("mode")) {
+            case "healthy" -> EndpointState.READY;
+            case "cordoned" -> EndpointState.DRAINING;
+            case "deregistered" -> EndpointState.REMOVED;
+            default ->
+                    throw message.invalid(
+                            "member mode is '"
+                                    + message.text("mode")
+                                    + "'; expected healthy, cordoned or deregistered");
+        };
     }
 
-    /** A generation is kept for as long as the wire may still name it. */
-    private void letGo(String id, Generation generation) {
-        if (generation.finished && generation.attemptsInFlight == 0) {
-            gens.remove(id);
+    /** The load report of a message, or null if it carries none. */
+    private static LoadReport loadReport(MessageReader message) throws InvalidMessageException {
+        if (!message.has("pressure")) {
+            return null;
         }
+        return RoutingSettingsReader.report(name -> message.pair("pressure", name));
     }
 
-    private BenchProtocol.Reply line(String name) {
-        return reply.line(who, name);
-    }
-
-    private static String oneLine(String text) {
-        return text.replace('\n', ' ').replace('\r', ' ');
-    }
-
-    @Override
-    public double nowMs() {
-        return nowMs;
-    }
-
-    @Override
-    public void send(Attempt attempt) {
-        line("HAND_OFF")
-                .text(" job=")
-                .text(attempt.generation.id)
-                .text(" engine=")
-                .whole(attempt.engine.label)
-                .end();
-    }
-
-    @Override
-    public void cancel(Attempt attempt) {
-        line("CANCEL")
-                .text(" job=")
-                .text(attempt.generation.id)
-                .text(" round_no=")
-                .whole(attempt.number)
-                .end();
-    }
-
-    @Override
-    public void releaseState(Generation generation) {
-        line("UNPIN").text(" job=").text(generation.id).end();
-    }
-
-    @Override
-    public void reject(Generation generation, double comeBackMs) {
-        BenchProtocol.Reply to = line("DECLINE").text(" job=").text(generation.id);
-        if (comeBackMs > 0) {
-            to.text(" hold_off_s=").seconds(comeBackMs);
+    /** Removes a generation once no message can refer to it any more. */
+    private void removeIfEnded(String id, Generation generation) {
+        if (generation.finished && generation.attemptsInFlight == 0) {
+            generations.remove(id);
         }
-        to.end();
-    }
-
-    @Override
-    public void fail(Generation generation) {
-        line("REPORT_FAILURE").text(" job=").text(generation.id).end();
-    }
-
-    @Override
-    public void probeLoad(Engine engine) {
-        line("INSPECT").text(" engine=").whole(engine.label).end();
-    }
-
-    @Override
-    public void wakeAt(double atMs) {
-        line("WAKE_ME").text(" alarm_time_s=").seconds(atMs).text(" label=w").end();
-    }
-
-    @Override
-    public void watchEndpoints() {
-        line("TAIL").text(" on=1").end();
-    }
-
-    @Override
-    public void log(String text) {
-        line("EMIT").text(" message=").text(oneLine(text)).end();
     }
 }
--- a/src/main/java/larchridge/benchlink/InvalidMessageException.java
+++ b/src/main/java/larchridge/benchlink/InvalidMessageException.java
@@ -1,10 +1,16 @@
 package larchridge.benchlink;
 
-/** A message that does not follow the wire's page. */
+/** Thrown for a message that does not follow the wire's specification; names line and member. */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public InvalidMessageException(long line, String what) {
-        super("line " + line + ": " + what);
+    /**
+     * A fault in one line of the input.
+     *
+     * @param lineNumber the line, counted from 1
+     * @param problem what is wrong with it, and what is expected
+     */
+    public InvalidMessageException(long lineNumber, String problem) {
+        super("line " + lineNumber + ": " + problem);
     }
 }
--- a/src/main/java/larchridge/benchlink/MessageReader.java
+++ b/src/main/java/larchridge/benchlink/MessageReader.java
@@ -3,194 +3,229 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
-/** Reads the wire line by line and finds members in the line's bytes without cutting it up. */
+/**
+ * Reads messages, one on each line: a name followed by members {@code name=value}. Members are
+ * located in the line's bytes, so that a message allocates nothing until a text is requested. The
+ * reader stands for the current message.
+ */
 final class MessageReader {
     private static final int MAX_MEMBERS = 64;
+    private static final int BUFFER_BYTES = 1 << 16;
+    private static final int INITIAL_LINE_BYTES = 1 << 10;
+
+    /** Integers with more digits could overflow a long. */
+    private static final int MAX_INTEGER_DIGITS = 18;
+
+    /** With more digits than that, scaling a long is not as exact as the library's parser. */
+    private static final long MAX_FAST_DIGITS = 100_000_000_000_000L;
 
     private final InputStream in;
-    private final byte[] buffer = new byte[1 << 16];
-    private int have;
-    private int next;
+    private final byte[] buffer = new byte[BUFFER_BYTES];
+    private int bufferEnd;
+    private int bufferPosition;
 
-    private byte[] bytes = new byte[1 << 10];
-    private int length;
-    private long number;
+    private byte[] line = new byte[INITIAL_LINE_BYTES];
+    private int lineLength;
+    private long lineNumber;
 
     private int nameEnd;
-    private final int[] starts = new int[MAX_MEMBERS];
-    private final int[] equals = new int[MAX_MEMBERS];
-    private final int[] ends = new int[MAX_MEMBERS];
-    private int members;
+    private final int[] memberStarts = new int[MAX_MEMBERS];
+    private final int[] equalsSigns = new int[MAX_MEMBERS];
+    private final int[] memberEnds = new int[MAX_MEMBERS];
+    private int memberCount;
 
     MessageReader(InputStream in) {
         this.in = in;
     }
 
-    /** Moves to the next line; false at the end of input. */
+    /** Moves to the next line; false at the end of the input. */
     boolean advance() throws IOException {
-        length = 0;
+        if (!readLine()) {
+            return false;
+        }
+        lineNumber++;
+        if (lineLength > 0 && line[lineLength - 1] == '\r') {
+            lineLength--;
+        }
+        locateMembers();
+        return true;
+    }
+
+    /** Reads up to a line feed or the end of the input; false if nothing is left. */
+    private boolean readLine() throws IOException {
+        lineLength = 0;
         while (true) {
-            if (next == have) {
-                have = in.read(buffer, 0, buffer.length);
-                next = 0;
-                if (have <= 0) {
-                    have = 0;
-                    if (length == 0) {
-                        return false;
-                    }
-                    break;
-                }
+            if (bufferPosition == bufferEnd && !fillBuffer()) {
+                return lineLength > 0;
             }
-            int end = next;
-            while (end < have && buffer[end] != '\n') {
+            int end = bufferPosition;
+            while (end < bufferEnd && buffer[end] != '\n') {
                 end++;
             }
-            append(next, end);
-            if (end < have) {
-                next = end + 1;
-                break;
+            appendToLine(bufferPosition, end);
+            if (end < bufferEnd) {
+                bufferPosition = end + 1;
+                return true;
             }
-            next = end;
+            bufferPosition = end;
         }
-        number++;
-        if (length > 0 && bytes[length - 1] == '\r') {
-            length--;
+    }
+
+    private boolean fillBuffer() throws IOException {
+        bufferEnd = in.read(buffer, 0, buffer.length);
+        bufferPosition = 0;
+        if (bufferEnd <= 0) {
+            bufferEnd = 0;
+            return false;
         }
-        split();
         return true;
     }
 
-    private void append(int from, int to) {
-        int more = to - from;
-        if (length + more > bytes.length) {
-            bytes = java.util.Arrays.copyOf(bytes, Math.max(bytes.length * 2, length + more));
+    private void appendToLine(int from, int to) {
+        int additional = to - from;
+        if (lineLength + additional > line.length) {
+            line = Arrays.copyOf(line, Math.max(line.length * 2, lineLength + additional));
         }
-        System.arraycopy(buffer, from, bytes, length, more);
-        length += more;
+        System.arraycopy(buffer, from, line, lineLength, additional);
+        lineLength += additional;
     }
 
-    private void split() {
+    private void locateMembers() {
         int at = 0;
-        while (at < length && bytes[at] != ' ') {
+        while (at < lineLength && line[at] != ' ') {
             at++;
         }
         nameEnd = at;
-        members = 0;
-        while (at < length && members < MAX_MEMBERS) {
-            while (at < length && bytes[at] == ' ') {
+        memberCount = 0;
+        while (at < lineLength && memberCount < MAX_MEMBERS) {
+            while (at < lineLength && line[at] == ' ') {
                 at++;
             }
             int start = at;
-            int sign = -1;
-            while (at < length && bytes[at] != ' ') {
-                if (sign < 0 && bytes[at] == '=') {
-                    sign = at;
+            int equalsSign = -1;
+            while (at < lineLength && line[at] != ' ') {
+                if (equalsSign < 0 && line[at] == '=') {
+                    equalsSign = at;
                 }
                 at++;
             }
-            if (sign > start) {
-                starts[members] = start;
-                equals[members] = sign;
-                ends[members] = at;
-                members++;
+            if (equalsSign > start) {
+                memberStarts[memberCount] = start;
+                equalsSigns[memberCount] = equalsSign;
+                memberEnds[memberCount] = at;
+                memberCount++;
             }
         }
     }
 
+    /** Whether the line is empty. */
     boolean isEmpty() {
-        return length == 0;
+        return lineLength == 0;
     }
 
+    /** Whether the message has this name. */
     boolean is(String name) {
-        return same(0, nameEnd, name);
+        return matches(0, nameEnd, name);
     }
 
+    /** The name of the message. */
     String name() {
         return text(0, nameEnd);
     }
 
-    long number() {
-        return number;
+    /** The number of the current line, counted from 1. */
+    long lineNumber() {
+        return lineNumber;
     }
 
+    /** Whether the message has this member. */
     boolean has(String member) {
         return find(member) >= 0;
     }
 
+    /** A member that must be there, as text. */
     String text(String member) throws InvalidMessageException {
-        int i = need(member, "text");
-        return text(equals[i] + 1, ends[i]);
+        int index = require(member, "text");
+        return text(equalsSigns[index] + 1, memberEnds[index]);
     }
 
+    /** A member as text, or the fallback if it is missing. */
     String textOr(String member, String fallback) {
-        int i = find(member);
-        return i < 0 ? fallback : text(equals[i] + 1, ends[i]);
+        int index = find(member);
+        return index < 0 ? fallback : text(equalsSigns[index] + 1, memberEnds[index]);
     }
 
-    /** The value of a member that goes on to the end of the line. */
+    /** The value of a member that extends to the end of the line. */
     String rest(String member) throws InvalidMessageException {
-        int i = need(member, "text to the end of the line");
-        return text(equals[i] + 1, length);
+        int index = require(member, "text to the end of the line");
+        return text(equalsSigns[index] + 1, lineLength);
     }
 
+    /** Whether a member that must be there has this value. */
     boolean valueIs(String member, String value) throws InvalidMessageException {
-        int i = need(member, "a word");
-        return same(equals[i] + 1, ends[i], value);
+        int index = require(member, "a word");
+        return matches(equalsSigns[index] + 1, memberEnds[index], value);
     }
 
+    /** A member that must be there, as a number. */
     double decimal(String member) throws InvalidMessageException {
-        return parseDecimal(member, need(member, "a number"));
+        return parseDecimal(member, require(member, "a number"));
     }
 
+    /** A member as a number, or the fallback if it is missing. */
     double decimalOr(String member, double fallback) throws InvalidMessageException {
-        int i = find(member);
-        return i < 0 ? fallback : parseDecimal(member, i);
+        int index = find(member);
+        return index < 0 ? fallback : parseDecimal(member, index);
     }
 
-    long whole(String member) throws InvalidMessageException {
-        return parseWhole(member, need(member, "a whole number"));
+    /** A member that must be there, as an integer. */
+    long integer(String member) throws InvalidMessageException {
+        return parseInteger(member, require(member, "a whole number"));
     }
 
-    long wholeOr(String member, long fallback) throws InvalidMessageException {
-        int i = find(member);
-        return i < 0 ? fallback : parseWhole(member, i);
+    /** A member as an integer, or the fallback if it is missing. */
+    long integerOr(String member, long fallback) throws InvalidMessageException {
+        int index = find(member);
+        return index < 0 ? fallback : parseInteger(member, index);
     }
 
+    /** A member that is 1 or 0; false if it is missing. */
     boolean flag(String member) throws InvalidMessageException {
-        int i = find(member);
-        if (i < 0) {
+        int index = find(member);
+        if (index < 0) {
             return false;
         }
-        if (ends[i] - equals[i] == 2) {
-            byte b = bytes[equals[i] + 1];
+        if (memberEnds[index] - equalsSigns[index] == 2) {
+            byte b = line[equalsSigns[index] + 1];
             if (b == '1' || b == '0') {
                 return b == '1';
             }
         }
-        throw wrong(member, i, "1 or 0");
+        throw unexpected(member, index, "1 or 0");
     }
 
-    /** The figure under a name in a list of pairs such as a:1,b:2; NaN where it is not told. */
+    /** The value of a name in a list of pairs such as a:1,b:2; NaN if it is not listed. */
     double pair(String member, String name) throws InvalidMessageException {
-        int i = find(member);
-        if (i < 0) {
+        int index = find(member);
+        if (index < 0) {
             return Double.NaN;
         }
-        int at = equals[i] + 1;
-        while (at < ends[i]) {
+        int at = equalsSigns[index] + 1;
+        while (at < memberEnds[index]) {
             int colon = at;
-            while (colon < ends[i] && bytes[colon] != ':') {
+            while (colon < memberEnds[index] && line[colon] != ':') {
                 colon++;
             }
             int end = colon;
-            while (end < ends[i] && bytes[end] != ',') {
+            while (end < memberEnds[index] && line[end] != ',') {
                 end++;
             }
-            if (same(at, colon, name)) {
-                double value = parse(Math.min(colon + 1, end), end);
+            if (matches(at, colon, name)) {
+                double value = parseDecimal(Math.min(colon + 1, end), end);
                 if (Double.isNaN(value)) {
-                    throw wrong(member, i, "pairs of a name and a number");
+                    throw unexpected(member, index, "pairs of a name and a number");
                 }
                 return value;
             }
@@ -199,74 +234,75 @@
         return Double.NaN;
     }
 
-    InvalidMessageException bad(String what) {
-        return new InvalidMessageException(number, name() + ": " + what);
+    /** An exception that names the current line and message. */
+    InvalidMessageException invalid(String problem) {
+        return new InvalidMessageException(lineNumber, name() + ": " + problem);
     }
 
-    private double parseDecimal(String member, int i) throws InvalidMessageException {
-        double value = parse(equals[i] + 1, ends[i]);
+    private double parseDecimal(String member, int index) throws InvalidMessageException {
+        double value = parseDecimal(equalsSigns[index] + 1, memberEnds[index]);
         if (Double.isNaN(value)) {
-            throw wrong(member, i, "a number");
+            throw unexpected(member, index, "a number");
         }
         return value;
     }
 
-    private long parseWhole(String member, int i) throws InvalidMessageException {
-        int at = equals[i] + 1;
-        boolean minus = at < ends[i] && bytes[at] == '-';
-        if (minus) {
+    private long parseInteger(String member, int index) throws InvalidMessageException {
+        int at = equalsSigns[index] + 1;
+        boolean negative = at < memberEnds[index] && line[at] == '-';
+        if (negative) {
             at++;
         }
-        if (at == ends[i] || ends[i] - at > 18) {
-            throw wrong(member, i, "a whole number");
+        if (at == memberEnds[index] || memberEnds[index] - at > MAX_INTEGER_DIGITS) {
+            throw unexpected(member, index, "a whole number");
         }
         long value = 0;
-        for (; at < ends[i]; at++) {
-            int digit = bytes[at] - '0';
+        for (; at < memberEnds[index]; at++) {
+            int digit = line[at] - '0';
             if (digit < 0 || digit > 9) {
-                throw wrong(member, i, "a whole number");
+                throw unexpected(member, index, "a whole number");
             }
             value = value * 10 + digit;
         }
-        return minus ? -value : value;
+        return negative ? -value : value;
     }
 
     /**
-     * Plain decimals are read here; anything with an exponent or too many digits goes to the
-     * library.
+     * A number in the current line, or NaN. Plain decimals are parsed here, without allocation;
+     * anything with an exponent or too many digits is left to the library.
      */
-    private double parse(int from, int to) {
+    private double parseDecimal(int from, int to) {
         int at = from;
-        boolean minus = at < to && bytes[at] == '-';
-        if (minus) {
+        boolean negative = at < to && line[at] == '-';
+        if (negative) {
             at++;
         }
         long digits = 0;
         double scale = 1;
-        boolean point = false;
-        boolean any = false;
+        boolean pointSeen = false;
+        boolean anyDigit = false;
         for (; at < to; at++) {
-            byte b = bytes[at];
-            if (b >= '0' && b <= '9' && digits < 100_000_000_000_000L) {
+            byte b = line[at];
+            if (b >= '0' && b <= '9' && digits < MAX_FAST_DIGITS) {
                 digits = digits * 10 + (b - '0');
-                any = true;
-                if (point) {
+                anyDigit = true;
+                if (pointSeen) {
                     scale *= 10;
                 }
-            } else if (b == '.' && !point) {
-                point = true;
+            } else if (b == '.' && !pointSeen) {
+                pointSeen = true;
             } else {
-                return parseSlowly(from, to);
+                return parseByLibrary(from, to);
             }
         }
-        if (!any) {
+        if (!anyDigit) {
             return Double.NaN;
         }
         double value = digits / scale;
-        return minus ? -value : value;
+        return negative ? -value : value;
     }
 
-    private double parseSlowly(int from, int to) {
+    private double parseByLibrary(int from, int to) {
         try {
             double value = Double.parseDouble(text(from, to));
             return Double.isInfinite(value) ? Double.NaN : value;
@@ -275,40 +311,41 @@
         }
     }
 
-    private int need(String member, String expected) throws InvalidMessageException {
-        int i = find(member);
-        if (i < 0) {
-            throw bad("member " + member + " is missing; expected " + expected);
+    private int require(String member, String expected) throws InvalidMessageException {
+        int index = find(member);
+        if (index < 0) {
+            throw invalid("member " + member + " is missing; expected " + expected);
         }
-        return i;
+        return index;
     }
 
-    private InvalidMessageException wrong(String member, int i, String expected) {
-        return bad(
+    private InvalidMessageException unexpected(String member, int index, String expected) {
+        return invalid(
                 "member "
                         + member
                         + " is '"
-                        + text(equals[i] + 1, ends[i])
+                        + text(equalsSigns[index] + 1, memberEnds[index])
                         + "'; expected "
                         + expected);
     }
 
+    /** The index of a member, or -1. */
     private int find(String member) {
-        for (int i = 0; i < members; i++) {
-            if (same(starts[i], equals[i], member)) {
+        for (int i = 0; i < memberCount; i++) {
+            if (matches(memberStarts[i], equalsSigns[i], member)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean same(int from, int to, String word) {
-        int size = word.length();
-        if (to - from != size) {
+    private boolean matches(int from, int to, String word) {
+        int length = word.length();
+        if (to - from != length) {
             return false;
         }
-        for (int i = 0; i < size; i++) {
-            if (bytes[from + i] != word.charAt(i)) {
+        for (int i = 0; i < length; i++) {
+            if (line[from + i] != word.charAt(i)) {
                 return false;
             }
         }
@@ -316,6 +353,6 @@
     }
 
     private String text(int from, int to) {
-        return new String(bytes, from, to - from, StandardCharsets.UTF_8);
+        return new String(line, from, to - from, StandardCharsets.UTF_8);
     }
 }
