--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -158,10 +158,10 @@
         String id = message.text("job");
         Generation generation = generations.get(id);
         int number = (int) message.integer("round_no");
-        if (generation == null || number < 0 || number >= generation.attempts.size()) {
+        if (generation == null || number < 0 || number >= generation.attempts().size()) {
             return;
         }
-        Attempt attempt = generation.attempts.get(number);
+        Attempt attempt = generation.attempts().get(number);
         boolean noMore = message.flag("no_more");
         LoadReport report = loadReport(message);
         String disposition = message.text("disposition");
@@ -197,8 +197,8 @@
     private void responseStarted(MessageReader message) throws InvalidMessageException {
         Generation generation = generations.get(message.text("job"));
         int number = (int) message.integer("round_no");
-        if (generation != null && number >= 0 && number < generation.attempts.size()) {
-            guarded(() -> policy.responseStarted(generation.attempts.get(number)));
+        if (generation != null && number >= 0 && number < generation.attempts().size()) {
+            guarded(() -> policy.responseStarted(generation.attempts().get(number)));
         }
     }
 
@@ -244,7 +244,8 @@
         engines.values()
                 .removeIf(
                         engine ->
-                                engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
+                                engine.state() == EndpointState.REMOVED
+                                        && engine.attempts().isEmpty());
     }
 
     private static boolean advance(MessageReader message) throws InvalidMessageException {
@@ -299,7 +300,7 @@
 
     /** Removes a generation once no message can refer to it any more. */
     private void removeIfEnded(String id, Generation generation) {
-        if (generation.finished && generation.attemptsInFlight == 0) {
+        if (generation.isFinished() && generation.attemptsInFlight() == 0) {
             generations.remove(id);
         }
     }
