--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -261,7 +261,7 @@
                                     (endpoint, engine) -> {
                                         boolean same =
                                                 engine.attempts.size()
-                                                        == link.attemptsOut(endpoint);
+                                                        == link.inFlightAttempts(endpoint);
                                         attempts[0] =
                                                 same && attempts[0] >= 0
                                                         ? attempts[0] + engine.attempts.size()
@@ -439,9 +439,9 @@
                             .append(" writes ")
                             .append(Math.round(engine.writeTokens))
                             .append(" out ")
-                            .append(link.attemptsOut(endpoint))
+                            .append(link.inFlightAttempts(endpoint))
                             .append(" connections ")
-                            .append(link.connectionsTo(endpoint));
+                            .append(link.connectionCount(endpoint));
                 });
         return text.toString();
     }
@@ -453,7 +453,7 @@
     private void endpointsChanged(List<EngineEntry> rows) {
         List<Endpoint> spots = new ArrayList<>();
         rows.forEach(row -> spots.add(new Endpoint(row.host(), row.port())));
-        link.engines(spots);
+        link.updateEndpoints(spots);
         audit.listed(rows);
         front.endpointsChanged(rows);
     }
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -108,7 +108,7 @@
                         front.forEachEngine(
                                 (endpoint, engine) -> {
                                     int module = engine.attempts.size();
-                                    int own = link.attemptsOut(endpoint);
+                                    int own = link.inFlightAttempts(endpoint);
                                     if (module != own) {
                                         violations.count(
                                                 Invariant.COUNTS_AGREE,
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -144,7 +144,8 @@
                             EndpointState.READY));
         }
         audit.listed(rows);
-        link.engines(rows.stream().map(row -> new Endpoint(row.host(), row.port())).toList());
+        link.updateEndpoints(
+                rows.stream().map(row -> new Endpoint(row.host(), row.port())).toList());
         front.endpointsChanged(rows);
     }
 
--- a/src/main/java/larchridge/node/upstream/ConnectionPool.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPool.java
@@ -7,95 +7,128 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * The connections to one address. Those that rest are used newest first, so that the rest grow old
- * and are closed.
+ * The connections to one endpoint. Idle ones are used most recent first, so that the others age and
+ * are closed.
  */
 final class ConnectionPool {
-    /** An answer that comes directly behind another must find its connection still at rest. */
-    private static final double REST_MS = 3;
-
-    /** Of the time after which an engine closes; the rest is for what is on its way. */
-    private static final double IDLE_PART = 0.8;
+    /**
+     * A response that follows directly behind another must find its connection still idle, so that
+     * it is recognised as one without a request.
+     */
+    private static final double MIN_IDLE_MS = 3;
 
     /**
-     * A process may be held up for so long between taking a connection from its rest and writing to
-     * it.
+     * Part of an engine's keep-alive time up to which a connection is used; the rest is for what is
+     * on its way.
      */
-    private static final double HELD_UP_MS = 150;
+    private static final double KEEP_ALIVE_PART = 0.8;
+
+    /** A process may be stalled for so long between choosing a connection and writing to it. */
+    private static final double MAX_STALL_MS = 150;
 
-    final Endpoint spot;
-    private final ForwardingUpstreamClient link;
+    private final Endpoint endpoint;
+    private final ConnectionPools owner;
+
+    /** Idle connections, the most recently used first. */
     private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
+
+    /** All connections: opening, in use and idle. */
     private final Set<UpstreamConnection> all = new HashSet<>();
 
-    /** Attempts that are out there. */
-    int attempts;
+    private int inFlightAttempts;
+    private double lastHeardMs = Double.NEGATIVE_INFINITY;
 
-    /** When anything was heard from there last. */
-    double heardMs = Double.NEGATIVE_INFINITY;
+    ConnectionPool(ConnectionPools owner, Endpoint endpoint) {
+        this.owner = owner;
+        this.endpoint = endpoint;
+    }
+
+    Endpoint endpoint() {
+        return endpoint;
+    }
+
+    /** Attempts at this endpoint whose end has not been reported yet. */
+    int inFlightAttempts() {
+        return inFlightAttempts;
+    }
+
+    void attemptStarted() {
+        inFlightAttempts++;
+    }
 
-    ConnectionPool(ForwardingUpstreamClient link, Endpoint endpoint) {
-        this.link = link;
-        this.spot = endpoint;
+    void attemptEnded() {
+        inFlightAttempts--;
     }
 
-    /** A connection at rest that can be used, or null. */
-    UpstreamConnection take() {
-        double now = link.nowMs();
-        double limit = idleLimitMs();
-        for (UpstreamConnection wire : idle) {
-            if (now - wire.idleSinceMs >= limit) {
+    /** When anything was last received from this endpoint; negative infinity if never. */
+    double lastHeardMs() {
+        return lastHeardMs;
+    }
+
+    /** Something was received from this endpoint. */
+    void recordHeard(double nowMs) {
+        lastHeardMs = nowMs;
+    }
+
+    /** Takes an idle connection that can be used, or null if there is none. */
+    UpstreamConnection takeIdle() {
+        double nowMs = owner.nowMs();
+        double limitMs = idleLimitMs();
+        for (UpstreamConnection connection : idle) {
+            double idleMs = nowMs - connection.idleSinceMs();
+            if (idleMs >= limitMs) {
                 break;
             }
-            if (now - wire.idleSinceMs >= REST_MS && wire.isUsable()) {
-                idle.remove(wire);
-                return wire;
+            if (idleMs >= MIN_IDLE_MS && connection.isUsable()) {
+                idle.remove(connection);
+                return connection;
             }
         }
         return null;
     }
 
-    /** Whether a connection rests that could be used now. */
-    boolean hasIdle() {
+    /** Whether an idle connection could be used now. */
+    boolean hasUsableIdle() {
         UpstreamConnection newest = idle.peekFirst();
         return newest != null
                 && newest.isUsable()
-                && link.nowMs() - newest.idleSinceMs < idleLimitMs();
+                && owner.nowMs() - newest.idleSinceMs() < idleLimitMs();
     }
 
-    void opening(UpstreamConnection wire) {
-        wire.idleSinceMs = link.nowMs();
-        all.add(wire);
+    void addOpening(UpstreamConnection connection) {
+        connection.setIdleSince(owner.nowMs());
+        all.add(connection);
     }
 
-    /** Keeps a connection whose answer has just ended. */
-    void rest(UpstreamConnection wire) {
-        wire.idleSinceMs = link.nowMs();
-        heardMs = wire.idleSinceMs;
-        putBack(wire);
+    /** Keeps a connection whose response has just been read. */
+    void returnAfterResponse(UpstreamConnection connection) {
+        connection.setIdleSince(owner.nowMs());
+        lastHeardMs = connection.idleSinceMs();
+        returnUnused(connection);
     }
 
     /**
-     * Keeps a connection on which nothing was sent: it has rested all the time. Counted from now,
-     * it would be used after its engine has closed it.
+     * Keeps a connection on which nothing was sent: it has been idle all the time. Counted from
+     * now, it would be used after its engine has closed it.
      */
-    void putBack(UpstreamConnection wire) {
-        if (!wire.isUsable()) {
-            wire.close(CloseReason.PEER);
+    void returnUnused(UpstreamConnection connection) {
+        if (!connection.isUsable()) {
+            connection.close(CloseReason.PEER);
             return;
         }
         ArrayDeque<UpstreamConnection> newer = new ArrayDeque<>();
-        while (!idle.isEmpty() && idle.peekFirst().idleSinceMs > wire.idleSinceMs) {
+        while (!idle.isEmpty() && idle.peekFirst().idleSinceMs() > connection.idleSinceMs()) {
             newer.addFirst(idle.pollFirst());
         }
-        idle.addFirst(wire);
+        idle.addFirst(connection);
         newer.forEach(idle::addFirst);
     }
 
-    void lost(UpstreamConnection wire, CloseReason reason) {
-        if (all.remove(wire)) {
-            idle.remove(wire);
-            link.closed(reason);
+    /** Removes a connection that has ended. */
+    void remove(UpstreamConnection connection, CloseReason reason) {
+        if (all.remove(connection)) {
+            idle.remove(connection);
+            owner.connectionClosed(reason);
         }
     }
 
@@ -103,28 +136,30 @@
         return all.size();
     }
 
-    /** Closes those that have rested since then or longer. */
-    void closeOld(double sinceMs, CloseReason reason) {
-        while (!idle.isEmpty() && idle.peekLast().idleSinceMs <= sinceMs) {
-            idle.pollLast().close(reason);
-        }
+    boolean isEmpty() {
+        return all.isEmpty();
     }
 
-    /** When the one that has rested longest began to; infinity if none rests. */
-    double oldestMs() {
-        return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekLast().idleSinceMs;
+    /** Closes those that have been idle since then or longer. */
+    void closeIdleSince(double sinceMs, CloseReason reason) {
+        while (!idle.isEmpty() && idle.peekLast().idleSinceMs() <= sinceMs) {
+            idle.pollLast().close(reason);
+        }
     }
 
-    boolean isEmpty() {
-        return all.isEmpty();
+    /** Since when the connection that was idle longest is so; infinity if none is idle. */
+    double oldestIdleSinceMs() {
+        return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekLast().idleSinceMs();
     }
 
+    /** Closes every connection to this endpoint. */
     void closeAll() {
-        Set.copyOf(all).forEach(wire -> wire.close(CloseReason.SHUTDOWN));
+        Set.copyOf(all).forEach(connection -> connection.close(CloseReason.SHUTDOWN));
     }
 
+    /** A connection that was idle for so long is not used any more. */
     double idleLimitMs() {
-        double keepAliveMs = link.bounds().keepAliveMs();
-        return Math.min(keepAliveMs * IDLE_PART, keepAliveMs - HELD_UP_MS);
+        double keepAliveMs = owner.limits().keepAliveMs();
+        return Math.min(keepAliveMs * KEEP_ALIVE_PART, keepAliveMs - MAX_STALL_MS);
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/node/upstream/ControlCall.java
@@ -0,0 +1,118 @@
+package larchridge.node.upstream;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponse;
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import larchridge.node.transport.ConnectFailure;
+import larchridge.router.Scheduler;
+import larchridge.upstream.Endpoint;
+
+/**
+ * A request of this node's own to an engine: without a body, with a small response and a timeout.
+ */
+abstract class ControlCall implements UpstreamExchange {
+    private final Scheduler scheduler;
+    private final ConnectionPools pools;
+    private final Endpoint endpoint;
+    private final ByteArrayOutputStream body =
+            new ByteArrayOutputStream(AttemptResponseDecoder.SMALL_BODY_INITIAL_BYTES);
+    private int status;
+    private UpstreamConnection connection;
+    private boolean ended;
+    private long timeoutTimer;
+
+    ControlCall(Scheduler scheduler, ConnectionPools pools, Endpoint endpoint) {
+        this.scheduler = scheduler;
+        this.pools = pools;
+        this.endpoint = endpoint;
+    }
+
+    /** The HTTP method. */
+    abstract HttpMethod method();
+
+    /** The path at the engine. */
+    abstract String target();
+
+    /** Called once, never from inside {@link #start}. */
+    abstract void completed(ControlCallResult result);
+
+    /** Sends it; it ends after the timeout at the latest. */
+    final void start(double timeoutMs) {
+        timeoutTimer = scheduler.schedule(timeoutMs, this::timedOut);
+        connection = pools.startExchange(pools.pool(endpoint), this);
+        if (connection == null) {
+            scheduler.execute(() -> end(ControlCallResult.NOT_SENT));
+        }
+    }
+
+    private void timedOut() {
+        if (!ended && connection != null) {
+            connection.abandonExchange();
+        }
+        end(ControlCallResult.UNANSWERED);
+    }
+
+    /** The response's status, or 0. */
+    final int status() {
+        return status;
+    }
+
+    /** The response's body. */
+    final String bodyText() {
+        return body.toString(StandardCharsets.ISO_8859_1);
+    }
+
+    @Override
+    public final FullHttpRequest encodeRequest() {
+        return ended ? null : UpstreamRequestEncoder.encodeControl(endpoint, method(), target());
+    }
+
+    @Override
+    public final boolean responseHead(HttpResponse response) {
+        status = response.status().code();
+        return true;
+    }
+
+    @Override
+    public final boolean responseBody(ByteBuf content) {
+        body.writeBytes(ByteBufUtil.getBytes(content));
+        return body.size() <= AttemptResponseDecoder.MAX_SMALL_BODY_BYTES;
+    }
+
+    @Override
+    public final boolean responseCompleted() {
+        pools.pool(endpoint).recordHeard(scheduler.nowMs());
+        end(ControlCallResult.ANSWERED);
+        return true;
+    }
+
+    @Override
+    public final void responseMalformed() {
+        end(ControlCallResult.UNANSWERED);
+    }
+
+    @Override
+    public final void disconnected() {
+        scheduler.execute(() -> end(ControlCallResult.UNANSWERED));
+    }
+
+    @Override
+    public final void connectFailed(ConnectFailure failure) {
+        end(
+                failure == ConnectFailure.LOCAL
+                        ? ControlCallResult.NOT_SENT
+                        : ControlCallResult.UNANSWERED);
+    }
+
+    private void end(ControlCallResult result) {
+        if (!ended) {
+            ended = true;
+            scheduler.cancel(timeoutTimer);
+            completed(result);
+        }
+    }
+}
--- a/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
+++ b/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
@@ -6,123 +6,151 @@
 import java.util.Arrays;
 
 /**
- * Cuts a stream of events into whole ones. Events go on byte by byte as they came; comments do not,
- * but a load report in one is kept. What is no event is noise, and nothing after it is believed.
- * Without I/O, clock or threads.
+ * Splits a stream of server-sent events into complete events. Events are passed on byte by byte as
+ * they came; comments are not, but a load report in one is kept. Anything else makes the stream
+ * malformed, and nothing after it is used. Without I/O, clock or threads.
  */
 final class EventStreamSplitter {
     private static final byte[] DONE = "data: [DONE]".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] DATA = "data: {".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] DATA_START = "data: {".getBytes(StandardCharsets.US_ASCII);
+
+    /** Two line feeds end an event. */
+    private static final int SEPARATOR_BYTES = 2;
+
+    private static final int INITIAL_BUFFER_BYTES = 512;
+
+    private final int maxEventBytes;
+    private final String loadReportName;
+
+    /** The beginning of an event that is not complete yet: {@link #length} bytes. */
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
 
-    private final int mostBytes;
-    private final String reportName;
-    private byte[] held = new byte[512];
     private int length;
     private boolean done;
-    private boolean noise;
-    private String report;
+    private boolean malformed;
+    private String loadReport;
 
     /**
-     * A cutter for one stream.
+     * A splitter for one stream.
      *
-     * @param mostBytes the longest event that is waited for
-     * @param reportName what a load report's comment begins with, after the colon
+     * @param maxEventBytes the longest event that is accepted
+     * @param loadReportName what a load report's comment begins with, after the colon
      */
-    EventStreamSplitter(int mostBytes, String reportName) {
-        this.mostBytes = mostBytes;
-        this.reportName = reportName;
+    EventStreamSplitter(int maxEventBytes, String loadReportName) {
+        this.maxEventBytes = maxEventBytes;
+        this.loadReportName = loadReportName;
     }
 
-    /** Takes what came and gives the events that are now whole, or null if there are none. */
-    byte[] feed(ByteBuf in) {
-        int size = in.readableBytes();
-        if (noise || size == 0) {
+    /**
+     * Takes received bytes; returns the events that are now complete, or null if there are none.
+     */
+    byte[] feed(ByteBuf received) {
+        int size = received.readableBytes();
+        if (malformed || size == 0) {
             return null;
         }
-        // Guards against: one endless line would fill the memory; what is longer than any event is
-        // noise.
-        if (length + size > held.length) {
-            held = Arrays.copyOf(held, Math.max(held.length * 2, length + size));
-        }
-        in.getBytes(in.readerIndex(), held, length, size);
-        int from = Math.max(0, length - 1);
-        length += size;
-        ByteArrayOutputStream whole = null;
+        int searchFrom = Math.max(0, length - 1);
+        append(received, size);
+        ByteArrayOutputStream events = null;
         int start = 0;
-        for (int i = from; i + 1 < length && !noise; i++) {
-            if (held[i] == '\n' && held[i + 1] == '\n') {
-                if (i + 2 - start > mostBytes) {
-                    noise = true;
-                    break;
-                }
-                if (take(start, i)) {
-                    whole = whole == null ? new ByteArrayOutputStream(i + 2 - start) : whole;
-                    whole.write(held, start, i + 2 - start);
-                }
-                start = i + 2;
-                i++;
+        for (int i = searchFrom; i + 1 < length && !malformed; i++) {
+            if (buffer[i] != '\n' || buffer[i + 1] != '\n') {
+                continue;
+            }
+            int eventBytes = i + SEPARATOR_BYTES - start;
+            if (eventBytes > maxEventBytes) {
+                malformed = true;
+                break;
             }
+            if (accept(start, i)) {
+                events = events == null ? new ByteArrayOutputStream(eventBytes) : events;
+                events.write(buffer, start, eventBytes);
+            }
+            start = i + SEPARATOR_BYTES;
+            i++;
+        }
+        discard(start);
+        return events == null ? null : events.toByteArray();
+    }
+
+    private void append(ByteBuf received, int size) {
+        if (length + size > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + size));
         }
-        System.arraycopy(held, start, held, 0, length - start);
-        length -= start;
-        noise |= length > mostBytes;
-        return whole == null ? null : whole.toByteArray();
+        received.getBytes(received.readerIndex(), buffer, length, size);
+        length += size;
+    }
+
+    /** Drops the bytes of the events that are complete. */
+    private void discard(int bytes) {
+        System.arraycopy(buffer, bytes, buffer, 0, length - bytes);
+        length -= bytes;
+        // Guards against: an endless line would fill the memory.
+        malformed |= length > maxEventBytes;
     }
 
     /**
-     * Whether the block of lines between two places is an event to go on; notes noise, the end and
-     * a report.
+     * Whether the lines between two positions are an event to pass on; notes malformed input, the
+     * end of the stream and a load report.
      */
-    private boolean take(int start, int end) {
-        if (held[start] == ':') {
-            String comment =
-                    new String(held, start + 1, end - start - 1, StandardCharsets.ISO_8859_1)
-                            .strip();
-            if (comment.startsWith(reportName + ":")) {
-                report = comment.substring(reportName.length() + 1).strip();
-            }
+    private boolean accept(int start, int end) {
+        if (buffer[start] == ':') {
+            comment(start, end);
             return false;
         }
         if (done) {
-            // Guards against: what follows the end of an answer is somebody else's.
-            noise = true;
+            // Guards against: what follows the end of an answer belongs to another one.
+            malformed = true;
             return false;
         }
-        if (end - start == DONE.length && starts(start, end, DONE)) {
+        if (end - start == DONE.length && startsWith(start, end, DONE)) {
             done = true;
             return true;
         }
-        if (!starts(start, end, DATA) || held[end - 1] != '}') {
-            noise = true;
+        if (!startsWith(start, end, DATA_START)
+                || buffer[end - 1] != '}'
+                || hasControlCharacter(start, end)) {
+            malformed = true;
             return false;
         }
+        return true;
+    }
+
+    private void comment(int start, int end) {
+        String text =
+                new String(buffer, start + 1, end - start - 1, StandardCharsets.ISO_8859_1).strip();
+        if (text.startsWith(loadReportName + ":")) {
+            loadReport = text.substring(loadReportName.length() + 1).strip();
+        }
+    }
+
+    private boolean hasControlCharacter(int start, int end) {
         for (int i = start; i < end; i++) {
-            if (held[i] >= 0 && held[i] < ' ') {
-                noise = true;
-                return false;
+            if (buffer[i] >= 0 && buffer[i] < ' ') {
+                return true;
             }
         }
-        return true;
+        return false;
     }
 
-    private boolean starts(int start, int end, byte[] text) {
-        if (end - start < text.length) {
+    private boolean startsWith(int start, int end, byte[] prefix) {
+        if (end - start < prefix.length) {
             return false;
         }
-        return Arrays.equals(held, start, start + text.length, text, 0, text.length);
+        return Arrays.equals(buffer, start, start + prefix.length, prefix, 0, prefix.length);
     }
 
-    boolean isNoise() {
-        return noise;
+    boolean isMalformed() {
+        return malformed;
     }
 
-    /** Whether the last event was the one that ends an answer, with nothing half after it. */
-    boolean isWhole() {
-        return done && !noise && length == 0;
+    /** Whether the last event was the one that ends an answer, with no partial event after it. */
+    boolean isComplete() {
+        return done && !malformed && length == 0;
     }
 
     /** The load report that came as a comment, or null. */
-    String report() {
-        return report;
+    String loadReport() {
+        return loadReport;
     }
 }
--- a/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -3,92 +3,128 @@
 import larchridge.state.AttemptOutcome;
 
 /**
- * What became of an attempt, judged from what was seen of it; without I/O, clock or threads. Rule 2
- * rests on this: an outcome that proves an attempt never ran is only given where the engine can't
- * have started it or says so itself.
+ * Classifies how an attempt ended from what was seen of it; without I/O, clock or threads. The
+ * rules on repeating a request rest on this: an outcome that proves that an attempt never ran is
+ * only given where the engine can't have started it or says so itself.
  */
 final class ForwardedAttemptClassifier {
+    /** {@link #status()} as long as no response was received. */
+    static final int NO_STATUS = 0;
+
+    /** Status of an answer: a stream of events follows. */
+    static final int OK = 200;
+
+    /** Status of a completed read: the engine holds the state. */
+    static final int ACCEPTED = 202;
+
+    private static final int FIRST_CLIENT_ERROR = 400;
+    private static final int REQUEST_TIMEOUT = 408;
+    private static final int GONE = 410;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int FIRST_SERVER_ERROR = 500;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
+
     private boolean written;
-    private int status;
+    private int status = NO_STATUS;
     private boolean declined;
-    private boolean garbled;
-    private boolean whole;
-    private boolean called;
+    private boolean malformed;
+    private boolean streamComplete;
+    private boolean abandoned;
     private boolean expired;
-    private boolean unfit;
+    private boolean rejected;
 
-    /** The last byte of the request went to the socket: from here on the engine may run it. */
+    /**
+     * The last byte of the request was written to the socket: from here on the engine may run it.
+     */
     void written() {
         written = true;
     }
 
     /**
-     * The head of the answer came; declined is the engine's own word that it did not run the
-     * request.
+     * The response's head was received.
+     *
+     * @param code the status
+     * @param declinedByEngine whether the engine itself states that it did not run the request
      */
-    void head(int code, boolean saysNotRun) {
+    void responseHead(int code, boolean declinedByEngine) {
         status = code;
-        declined = saysNotRun;
+        declined = declinedByEngine;
     }
 
+    /** The response's status, or {@link #NO_STATUS}. */
     int status() {
         return status;
     }
 
-    /** What came can't be read, or is not what was asked for. */
-    void garbled() {
-        garbled = true;
+    /** Whether the engine answered anything, so that the attempt had arrived there. */
+    boolean hasResponse() {
+        return status != NO_STATUS;
+    }
+
+    /** What was received can't be decoded, or does not fit the request. */
+    void malformed() {
+        malformed = true;
+    }
+
+    /** The stream of events came to its proper end. */
+    void streamCompleted() {
+        streamComplete = true;
     }
 
-    /** The answer came to its proper end. */
-    void whole() {
-        whole = true;
+    /** The sender cancelled the attempt. */
+    void cancelled() {
+        abandoned = true;
+        expired = false;
     }
 
-    /** The sender does not want it any more. */
-    void called(boolean timeIsUp) {
-        called = true;
-        expired = timeIsUp;
+    /** The sender's time for the attempt is over. */
+    void expired() {
+        abandoned = true;
+        expired = true;
     }
 
-    /** It was kept from being written. */
-    void unfit() {
-        unfit = true;
+    /** This node kept the attempt from being written. */
+    void rejected() {
+        rejected = true;
     }
 
-    /** Whether the engine says that nobody can use the request as it is. */
+    /** Whether the engine says that no engine can use the request as it is. */
     boolean isUnusable() {
         return !declined
-                && !garbled
-                && !called
-                && status >= 400
-                && status < 500
-                && status != 408
-                && status != 429;
+                && !malformed
+                && !abandoned
+                && status >= FIRST_CLIENT_ERROR
+                && status < FIRST_SERVER_ERROR
+                && status != REQUEST_TIMEOUT
+                && status != TOO_MANY_REQUESTS;
     }
 
-    /** The outcome, once nothing more can come. */
+    /** The outcome, once nothing more can be received. */
     AttemptOutcome outcome() {
-        if (whole && !garbled && status == 200) {
+        if (streamComplete && !malformed && status == OK) {
             return AttemptOutcome.STREAMED;
         }
-        if (!written && status == 0) {
-            return unfit || called ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
+        if (!written && status == NO_STATUS) {
+            return rejected || abandoned ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
-        if (declined && !garbled && (status == 503 || status == 504)) {
+        if (declined
+                && !malformed
+                && (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)) {
             return AttemptOutcome.FULL;
         }
-        if (declined && !garbled && status == 410) {
+        if (declined && !malformed && status == GONE) {
             return AttemptOutcome.NO_STATE;
         }
-        if (called) {
+        if (abandoned) {
             return expired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
-        // Guards against: noise in place of an answer proves nothing about what ran before it.
-        if (garbled) {
+        // Guards against: malformed input in place of a response proves nothing about what ran
+        // before it.
+        if (malformed) {
             return AttemptOutcome.FAULT;
         }
-        return status == 0 || status == 200 || status == 202
+        return status == NO_STATUS || status == OK || status == ACCEPTED
                 ? AttemptOutcome.CUT
                 : AttemptOutcome.FAULT;
     }
--- /dev/null
+++ b/src/main/java/larchridge/node/upstream/LoadProbe.java
@@ -0,0 +1,41 @@
+package larchridge.node.upstream;
+
+import io.netty.handler.codec.http.HttpMethod;
+import larchridge.upstream.Endpoint;
+import larchridge.upstream.UpstreamClient.ProbeListener;
+
+/** A health check that asks an engine for its load. */
+final class LoadProbe extends ControlCall {
+    private static final String TARGET = "/metrics/load";
+
+    private final LoadReportReader loadReports;
+    private final ProbeListener listener;
+
+    LoadProbe(UpstreamContext context, Endpoint endpoint, ProbeListener listener) {
+        super(context.scheduler(), context.pools(), endpoint);
+        this.loadReports = context.loadReports();
+        this.listener = listener;
+    }
+
+    @Override
+    HttpMethod method() {
+        return HttpMethod.GET;
+    }
+
+    @Override
+    String target() {
+        return TARGET;
+    }
+
+    @Override
+    void completed(ControlCallResult result) {
+        if (result == ControlCallResult.NOT_SENT) {
+            return;
+        }
+        boolean answered =
+                result == ControlCallResult.ANSWERED && status() == ForwardedAttemptClassifier.OK;
+        // An engine that has no report yet answers without one; it is not to be taken for a failed
+        // one.
+        listener.completed(answered, answered ? loadReports.read(bodyText()) : null);
+    }
+}
--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -6,12 +6,10 @@
 import larchridge.settings.RoutingSettingsReader;
 import larchridge.state.LoadReport;
 
-/**
- * Reads load reports: figures by the names that the settings use. What can't be read is no report.
- */
+/** Reads load reports: figures under the names that the settings use. */
 final class LoadReportReader {
-    private static final int MOST = 512;
-    private static final double HIGHEST = 1e12;
+    private static final int MAX_CHARACTERS = 512;
+    private static final double MAX_FIGURE = 1e12;
 
     private final List<String> fields;
 
@@ -19,12 +17,12 @@
         this.fields = fields;
     }
 
-    /** The report in a text such as {@code a=7,b=0.61}, or null. */
+    /** Reads a text such as {@code a=7,b=0.61}; null if it is not a valid report. */
     LoadReport read(String text) {
-        if (text == null || text.isEmpty() || text.length() > MOST) {
+        if (text == null || text.isEmpty() || text.length() > MAX_CHARACTERS) {
             return null;
         }
-        Map<String, Double> named = new HashMap<>();
+        Map<String, Double> figures = new HashMap<>();
         for (String pair : text.strip().split(",")) {
             int equals = pair.indexOf('=');
             if (equals <= 0) {
@@ -33,18 +31,18 @@
             String name = pair.substring(0, equals).strip();
             try {
                 double figure = Double.parseDouble(pair.substring(equals + 1).strip());
-                if (!(figure >= 0 && figure < HIGHEST)) {
+                if (!(figure >= 0 && figure < MAX_FIGURE)) {
                     return null;
                 }
                 if (fields.contains(name)) {
-                    named.put(name, figure);
+                    figures.put(name, figure);
                 }
             } catch (NumberFormatException e) {
                 return null;
             }
         }
-        return named.isEmpty()
+        return figures.isEmpty()
                 ? null
-                : RoutingSettingsReader.report(name -> named.getOrDefault(name, Double.NaN));
+                : RoutingSettingsReader.report(name -> figures.getOrDefault(name, Double.NaN));
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
@@ -0,0 +1,94 @@
+package larchridge.node.upstream;
+
+import io.netty.handler.codec.http.HttpMethod;
+import java.util.Set;
+import java.util.function.Consumer;
+import larchridge.audit.RequestEvents;
+import larchridge.router.Scheduler;
+import larchridge.upstream.Endpoint;
+
+/** Sends releases over the pools' connections, and chooses the engines that they go to. */
+final class PooledReleaseTransport implements StateReleaser.Transport {
+    private static final String TARGET_PREFIX = "/v1/holds/";
+
+    private final Scheduler scheduler;
+    private final ConnectionPools pools;
+    private final RequestEvents events;
+
+    PooledReleaseTransport(Scheduler scheduler, ConnectionPools pools, RequestEvents events) {
+        this.scheduler = scheduler;
+        this.pools = pools;
+        this.events = events;
+    }
+
+    @Override
+    public void release(
+            Endpoint endpoint,
+            String requestId,
+            double timeoutMs,
+            Consumer<ControlCallResult> listener) {
+        new ReleaseCall(endpoint, requestId, listener).start(timeoutMs);
+    }
+
+    /**
+     * The holder first; then others that were not tried yet, those with an idle connection before
+     * those without, and those heard from last before the rest. Guards against: a connection that
+     * has to be opened first may take all the time there is, and where engines are unreachable most
+     * of them are tried in vain.
+     */
+    @Override
+    public Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried) {
+        Endpoint best = null;
+        boolean bestHasIdle = false;
+        double bestHeardMs = Double.NEGATIVE_INFINITY;
+        for (Endpoint endpoint : pools.endpoints()) {
+            if (tried.contains(endpoint)) {
+                continue;
+            }
+            if (endpoint.equals(holder)) {
+                return endpoint;
+            }
+            ConnectionPool pool = pools.existingPool(endpoint);
+            boolean hasIdle = pool != null && pool.hasUsableIdle();
+            double heardMs = pool == null ? Double.NEGATIVE_INFINITY : pool.lastHeardMs();
+            if (best == null
+                    || hasIdle && !bestHasIdle
+                    || hasIdle == bestHasIdle && heardMs > bestHeardMs) {
+                best = endpoint;
+                bestHasIdle = hasIdle;
+                bestHeardMs = heardMs;
+            }
+        }
+        return best;
+    }
+
+    /** Asks one engine to release all that engines hold for a request. */
+    private final class ReleaseCall extends ControlCall {
+        private final String requestId;
+        private final Consumer<ControlCallResult> listener;
+
+        ReleaseCall(Endpoint endpoint, String requestId, Consumer<ControlCallResult> listener) {
+            super(scheduler, pools, endpoint);
+            this.requestId = requestId;
+            this.listener = listener;
+        }
+
+        @Override
+        HttpMethod method() {
+            return HttpMethod.DELETE;
+        }
+
+        @Override
+        String target() {
+            return TARGET_PREFIX + requestId;
+        }
+
+        @Override
+        void completed(ControlCallResult result) {
+            if (result == ControlCallResult.ANSWERED) {
+                events.stateReleased(requestId);
+            }
+            listener.accept(result);
+        }
+    }
+}
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import larchridge.node.upstream.StateReservation.ReleaseMode;
 import larchridge.router.Scheduler;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
@@ -15,263 +16,280 @@
  * loop.
  *
  * <p>The time for a held state rests while an attempt is at an engine. An attempt that was written
- * to a connection may never have arrived there, and nothing tells. So the time is taken to run on
- * until an attempt is heard of, and the release is sent when most of it is over, whether or not an
- * attempt is out. That is harmless where the attempt did arrive: an engine frees no state that a
- * request in its queue waits for. Where it did not arrive, the state is freed in time; an attempt
- * that arrives later is declined with the engine's word that there is no state, and the prompt is
- * read again.
+ * to a connection may never have arrived there, and nothing shows it. So the time is taken to run
+ * on until the engine responds to an attempt, and the release is sent when most of it is over,
+ * whether or not an attempt is in flight. That is harmless where the attempt did arrive: an engine
+ * frees no state that a request in its queue waits for. Where it did not arrive, the state is freed
+ * in time; an attempt that arrives later is declined by the engine for want of a state, and the
+ * prompt is read again.
  */
 final class StateReleaser {
-    /** A release is tried this many times within the time that a state may be held. */
+    /** A release is tried this many times within the time for which a state may be held. */
     private static final int TRIES_IN_TIME = 5;
 
-    /** One beside an attempt begins late, and is tried this many times up to the latest moment. */
+    /** One beside an attempt starts late, and is tried this many times up to the latest moment. */
     private static final int LATE_TRIES = 4;
 
-    /** Releases are tried this many times in all, each at another engine. */
-    private static final int TRIES_MOST = 10;
+    /** A release is tried this many times in all, each at another engine. */
+    private static final int MAX_TRIES = 10;
 
-    /** The platform counts a state as held too long only so much after its time. */
-    private static final double SLACK_MS = 300;
+    /** The platform counts a state as held for too long only this much after its time. */
+    private static final double GRACE_MS = 300;
 
-    /** Requests that are tracked at a time. */
-    static final int MOST_REQUESTS = 20_000;
+    /** Requests that are kept account of at a time. */
+    private static final int MAX_REQUESTS = 20_000;
 
     /**
-     * Sent at this part of the time for a held state; the rest is for tries at engines that do not
-     * answer.
+     * A release is sent at this part of the time for a held state; the rest is for tries at engines
+     * that do not answer.
      */
     private static final double RELEASE_PART = 0.85;
 
-    /** For so many times that time a release is tried again that this machine could not send. */
+    /** A release that this machine could not send is tried again for so many times that time. */
     private static final double LOCAL_FAULT_PART = 5;
 
     private static final Logger LOG = LoggerFactory.getLogger(StateReleaser.class);
 
-    private final Scheduler ground;
-    private final double releaseMs;
+    private final Scheduler scheduler;
+    private final double stateHoldMs;
 
-    /** For so long an engine may answer a release before another is asked. */
-    private final double tryMs;
+    /** An engine may take this long to answer a release before another is tried. */
+    private final double tryTimeoutMs;
+
+    /** The same for a release that is sent beside an attempt. */
+    private final double lateTryTimeoutMs;
 
-    private final double lateTryMs;
     private final Transport transport;
 
-    /** What is open of each request, by the client's id. */
-    private final Map<String, StateReservation> byRequest = new HashMap<>();
+    /** The requests that are kept account of, by the client's id. */
+    private final Map<String, StateReservation> reservations = new HashMap<>();
 
     /** How releases reach engines. */
     interface Transport {
         /**
-         * Asks an engine to release all that is held for a request; tells the result, never from
-         * inside the call.
+         * Asks an engine to release all that engines hold for a request; the listener gets the
+         * result, never from inside the call.
          */
         void release(
                 Endpoint endpoint,
                 String requestId,
-                double limitMs,
-                Consumer<ControlCallResult> told);
+                double timeoutMs,
+                Consumer<ControlCallResult> listener);
 
-        /** The engine to ask next, or null if all have been asked. */
-        Endpoint next(Endpoint holder, Set<Endpoint> asked);
+        /** The engine to try next, or null if all have been tried. */
+        Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried);
     }
 
-    StateReleaser(Scheduler ground, double releaseMs, Transport transport) {
-        this.ground = ground;
-        this.releaseMs = releaseMs;
+    StateReleaser(Scheduler scheduler, double stateHoldMs, Transport transport) {
+        this.scheduler = scheduler;
+        this.stateHoldMs = stateHoldMs;
         this.transport = transport;
-        tryMs = releaseMs / TRIES_IN_TIME;
-        lateTryMs = Math.min(tryMs, ((1 - RELEASE_PART) * releaseMs + SLACK_MS) / LATE_TRIES);
+        tryTimeoutMs = stateHoldMs / TRIES_IN_TIME;
+        lateTryTimeoutMs =
+                Math.min(tryTimeoutMs, ((1 - RELEASE_PART) * stateHoldMs + GRACE_MS) / LATE_TRIES);
     }
 
     // ------------------------------------------------------------------ what happens to attempts
 
-    /** An attempt of a request begins. */
+    /** An attempt of a request starts. */
     StateReservation attemptStarted(String requestId) {
-        StateReservation held = byRequest.computeIfAbsent(requestId, StateReservation::new);
-        held.attemptsOut++;
-        return held;
+        StateReservation reservation =
+                reservations.computeIfAbsent(requestId, StateReservation::new);
+        reservation.attemptStarted();
+        return reservation;
     }
 
     /** A read has ended well: its engine holds the state. */
-    void readEnded(StateReservation held) {
-        held.attemptsOut--;
-        startTimer(held);
-        settle(held);
+    void readCompleted(StateReservation reservation) {
+        reservation.attemptEnded();
+        markHeld(reservation);
+        settleLater(reservation);
     }
 
-    /** An answer has begun, and has fetched what was held. */
-    void answerBegan(StateReservation held) {
-        held.begun = true;
-        held.mayBeHeld = false;
-        stopTimer(held);
+    /** A response has started, and its attempt has fetched what was held. */
+    void responseStarted(StateReservation reservation) {
+        reservation.responseStarted();
+        cancelHoldTimer(reservation);
     }
 
     /**
-     * An attempt has ended otherwise; heard tells whether its engine answered anything, so that it
-     * had arrived there.
+     * An attempt has ended otherwise.
+     *
+     * @param heard whether its engine answered anything, so that the attempt had arrived there
      */
-    void attemptEnded(StateReservation held, boolean heard) {
-        held.attemptsOut--;
+    void attemptEnded(StateReservation reservation, boolean heard) {
+        reservation.attemptEnded();
         // Released beside it, the state may have stayed for this attempt alone, and is held anew
         // from now on.
-        boolean releasedBefore = held.timer == StateReservation.NO_TIMER;
-        if (held.mayBeHeld && (heard || releasedBefore)) {
-            stopTimer(held);
-            startTimer(held);
+        boolean releasedBefore = !reservation.hasHoldTimer();
+        if (reservation.mayBeHeld() && (heard || releasedBefore)) {
+            cancelHoldTimer(reservation);
+            markHeld(reservation);
         }
-        settle(held);
+        settleLater(reservation);
     }
 
     // ------------------------------------------------------------------ releases
 
     /** Nothing of the request's state is wanted any more. */
     void release(String requestId, Endpoint holder) {
-        StateReservation held = byRequest.get(requestId);
-        if (held == null) {
-            if (byRequest.size() >= MOST_REQUESTS) {
+        StateReservation reservation = reservations.get(requestId);
+        if (reservation == null) {
+            if (reservations.size() >= MAX_REQUESTS) {
                 LOG.atWarn()
                         .addKeyValue("id", requestId)
                         .log("too many releases under way; a state is left to its engine");
                 return;
             }
-            held = new StateReservation(requestId);
-            byRequest.put(requestId, held);
+            reservation = new StateReservation(requestId);
+            reservations.put(requestId, reservation);
         }
-        held.releaseOwed = true;
-        held.holder = holder;
-        if (held.mayBeFetched() && held.timer == StateReservation.NO_TIMER) {
-            startTimer(held);
+        reservation.requestRelease(holder);
+        if (reservation.mayBeFetched() && !reservation.hasHoldTimer()) {
+            markHeld(reservation);
         }
-        settle(held);
+        settleLater(reservation);
     }
 
+    /** Whether a release is requested or under way. */
     boolean isReleasing() {
-        return byRequest.values().stream().anyMatch(held -> held.releaseOwed || held.releasing);
+        return reservations.values().stream()
+                .anyMatch(
+                        reservation ->
+                                reservation.isReleaseRequested() || reservation.isReleasing());
     }
 
+    /** Requests with an attempt in flight or a state to release. */
     int openRequests() {
-        return byRequest.size();
+        return reservations.size();
     }
 
-    /** The time of an older state runs on where there is one. */
-    private void startTimer(StateReservation held) {
-        held.mayBeHeld = true;
-        if (held.timer != StateReservation.NO_TIMER) {
+    /** A state may be held from now on; where an older one is, that one's time runs on. */
+    private void markHeld(StateReservation reservation) {
+        reservation.markMayBeHeld();
+        if (!reservation.hasHoldTimer()) {
+            reservation.holdTimerStarted(
+                    scheduler.schedule(
+                            RELEASE_PART * stateHoldMs, () -> holdTimeEnding(reservation)));
+        }
+    }
+
+    private void holdTimeEnding(StateReservation reservation) {
+        reservation.removeHoldTimer();
+        if (!reservation.mayBeHeld() || reservation.isReleasing()) {
             return;
         }
-        held.timer =
-                ground.schedule(
-                        RELEASE_PART * releaseMs,
-                        () -> {
-                            held.timer = StateReservation.NO_TIMER;
-                            if (held.mayBeHeld && !held.releasing) {
-                                LOG.atDebug()
-                                        .addKeyValue("id", held.requestId)
-                                        .addKeyValue("attempts", held.attemptsOut)
-                                        .log(
-                                                "releases a state before its time is over, beside attempts that were not heard of");
-                                boolean beside = held.mayBeFetched();
-                                begin(held, beside);
-                                if (beside && held.onReleasedBesideAttempt != null) {
-                                    held.onReleasedBesideAttempt.run();
-                                }
-                            }
-                        });
+        LOG.atDebug()
+                .addKeyValue("id", reservation.requestId())
+                .addKeyValue("attempts", reservation.inFlightAttempts())
+                .log(
+                        "releases a state before its time is over, "
+                                + "beside attempts that were not heard of");
+        boolean besideAttempt = reservation.mayBeFetched();
+        startRelease(
+                reservation,
+                besideAttempt ? ReleaseMode.BESIDE_ATTEMPT : ReleaseMode.AFTER_ATTEMPTS);
+        if (besideAttempt) {
+            reservation.notifyReleasedBesideAttempt();
+        }
     }
 
-    private void stopTimer(StateReservation held) {
-        if (held.timer != StateReservation.NO_TIMER) {
-            ground.cancel(held.timer);
-            held.timer = StateReservation.NO_TIMER;
+    private void cancelHoldTimer(StateReservation reservation) {
+        if (reservation.hasHoldTimer()) {
+            scheduler.cancel(reservation.removeHoldTimer());
         }
     }
 
+    private void settleLater(StateReservation reservation) {
+        scheduler.execute(() -> settle(reservation));
+    }
+
     /**
-     * Sends a release that is owed once nothing can be fetched any more. A release names the whole
-     * request; sent earlier than it has to be, it could free the state that an attempt on its way
-     * is to fetch.
+     * Sends a release that is requested once nothing can be fetched any more. A release names the
+     * whole request; sent earlier than it has to be, it could free the state that an attempt on its
+     * way is to fetch.
      */
-    private void settle(StateReservation held) {
-        ground.execute(
-                () -> {
-                    if (held.releaseOwed && !held.releasing && !held.mayBeFetched()) {
-                        begin(held, false);
-                    } else if (held.isIdle()) {
-                        forget(held);
-                    }
-                });
+    private void settle(StateReservation reservation) {
+        if (reservation.isReleaseRequested()
+                && !reservation.isReleasing()
+                && !reservation.mayBeFetched()) {
+            startRelease(reservation, ReleaseMode.AFTER_ATTEMPTS);
+        } else if (reservation.isIdle()) {
+            forget(reservation);
+        }
     }
 
-    private void forget(StateReservation held) {
-        stopTimer(held);
-        byRequest.remove(held.requestId, held);
+    private void forget(StateReservation reservation) {
+        cancelHoldTimer(reservation);
+        reservations.remove(reservation.requestId(), reservation);
     }
 
-    private void begin(StateReservation held, boolean besideAttempt) {
-        held.releaseOwed = false;
-        held.releasing = true;
-        held.releasingBesideAttempt = besideAttempt;
-        held.releaseBeganMs = ground.nowMs();
-        held.notSent = false;
-        held.asked.clear();
-        tryNext(held);
+    private void startRelease(StateReservation reservation, ReleaseMode mode) {
+        reservation.releaseStarted(mode, scheduler.nowMs());
+        tryNext(reservation);
     }
 
-    private void tryNext(StateReservation held) {
+    private void tryNext(StateReservation reservation) {
+        Set<Endpoint> tried = reservation.triedEndpoints();
         Endpoint endpoint =
-                held.asked.size() < TRIES_MOST ? transport.next(held.holder, held.asked) : null;
+                tried.size() < MAX_TRIES
+                        ? transport.nextEndpoint(reservation.holder(), tried)
+                        : null;
         if (endpoint == null) {
-            allAsked(held);
+            allTried(reservation);
             return;
         }
-        held.asked.add(endpoint);
+        reservation.recordTry(endpoint);
         transport.release(
                 endpoint,
-                held.requestId,
-                held.releasingBesideAttempt ? lateTryMs : tryMs,
-                result -> told(held, result));
+                reservation.requestId(),
+                reservation.isReleasingBesideAttempt() ? lateTryTimeoutMs : tryTimeoutMs,
+                result -> tryEnded(reservation, result));
     }
 
-    private void told(StateReservation held, ControlCallResult result) {
-        boolean goesOn = held.releasingBesideAttempt ? !held.begun : !held.mayBeFetched();
+    private void tryEnded(StateReservation reservation, ControlCallResult result) {
+        boolean stillWanted =
+                reservation.isReleasingBesideAttempt()
+                        ? !reservation.hasResponseStarted()
+                        : !reservation.mayBeFetched();
         if (result == ControlCallResult.ANSWERED) {
-            if (!held.mayBeFetched()) {
-                held.mayBeHeld = false;
-                stopTimer(held);
+            if (!reservation.mayBeFetched()) {
+                reservation.markFreed();
+                cancelHoldTimer(reservation);
             }
             // Else a state that a request in an engine's queue waits for stays, and is released
             // after that attempt's end.
-            ended(held);
-        } else if (goesOn) {
-            held.notSent |= result == ControlCallResult.NOT_SENT;
-            tryNext(held);
+            releaseEnded(reservation);
+        } else if (stillWanted) {
+            if (result == ControlCallResult.NOT_SENT) {
+                reservation.recordUnsentTry();
+            }
+            tryNext(reservation);
         } else {
-            held.releaseOwed |= !held.begun;
-            ended(held);
+            reservation.requestReleaseAgain();
+            releaseEnded(reservation);
         }
     }
 
     /**
      * No engine has taken it. Where this machine could not send, for want of a descriptor or a
-     * buffer, that passes: all are asked anew a little later.
+     * buffer, that passes: all are tried anew a little later.
      */
-    private void allAsked(StateReservation held) {
-        if (held.notSent && ground.nowMs() - held.releaseBeganMs < LOCAL_FAULT_PART * releaseMs) {
-            held.notSent = false;
-            held.asked.clear();
-            ground.schedule(tryMs, () -> tryNext(held));
+    private void allTried(StateReservation reservation) {
+        double sinceStartMs = scheduler.nowMs() - reservation.releaseStartMs();
+        if (reservation.hasUnsentTry() && sinceStartMs < LOCAL_FAULT_PART * stateHoldMs) {
+            reservation.clearTries();
+            scheduler.schedule(tryTimeoutMs, () -> tryNext(reservation));
             return;
         }
         LOG.atWarn()
-                .addKeyValue("id", held.requestId)
+                .addKeyValue("id", reservation.requestId())
                 .log("no engine took a release; the state is left to its engine");
-        ended(held);
+        releaseEnded(reservation);
     }
 
-    private void ended(StateReservation held) {
-        held.releasing = false;
-        settle(held);
+    private void releaseEnded(StateReservation reservation) {
+        reservation.releaseEnded();
+        settleLater(reservation);
     }
 }
--- a/src/main/java/larchridge/node/upstream/UpstreamConnection.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamConnection.java
@@ -7,85 +7,106 @@
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
 import larchridge.audit.CloseReason;
 import larchridge.node.transport.ConnectFailure;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to an engine: one call at a time. It goes back to its pool only if everything
- * about the answer was in order; whatever comes that nobody asked for ends it.
+ * One connection to an engine, with one exchange at a time. It returns to its pool only if
+ * everything about the response was in order; anything received without a request closes it.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(UpstreamConnection.class);
 
     private final ConnectionPool pool;
+
+    /** Null if the system call for a socket failed. */
     private Channel channel;
-    private UpstreamExchange call;
 
-    /** The write of the call's request is done. */
-    private boolean written;
+    /** The exchange in progress, also while the connection is opening; null if there is none. */
+    private UpstreamExchange exchange;
+
+    /** The exchange's request has been written to the socket. */
+    private boolean requestWritten;
+
+    /** What is being read belongs to an informational (1xx) response. */
+    private boolean informational;
 
-    private boolean interim;
+    /** The response allows further exchanges on this connection. */
     private boolean keepsAlive;
 
-    /** The answer is whole and the connection may be used again when this read is over. */
-    private boolean resting;
+    /** The response is complete, and the connection may be used again when this read ends. */
+    private boolean reusableAfterRead;
 
-    private boolean gone;
+    private boolean closed;
 
     /** Why it ends; the peer ends it as long as nobody here does. */
     private CloseReason closeReason = CloseReason.PEER;
 
-    double idleSinceMs;
+    private double idleSinceMs;
 
-    UpstreamConnection(ConnectionPool pool, UpstreamExchange call) {
+    UpstreamConnection(ConnectionPool pool, UpstreamExchange exchange) {
         this.pool = pool;
-        this.call = call;
+        this.exchange = exchange;
     }
 
-    /** The channel of a connection that is coming up; null if there is none. */
-    void opened(Channel own) {
-        channel = own;
+    /** Sets the channel of a connection that is opening; null if there is none. */
+    void channelCreated(Channel created) {
+        channel = created;
     }
 
     boolean isUsable() {
-        return !gone && channel.isActive();
+        return !closed && channel.isActive();
     }
 
-    /** Puts a call on an idle connection, or the first on a new one. */
+    /** When it was last used; while it is idle, since when it is. */
+    double idleSinceMs() {
+        return idleSinceMs;
+    }
+
+    void setIdleSince(double nowMs) {
+        idleSinceMs = nowMs;
+    }
+
+    /** Starts an exchange on an idle connection, or the first one on a new connection. */
     void start(UpstreamExchange next) {
-        call = next;
-        written = false;
-        interim = false;
-        FullHttpRequest request = next.request();
+        exchange = next;
+        requestWritten = false;
+        informational = false;
+        FullHttpRequest request = next.encodeRequest();
         if (request == null) {
-            call = null;
-            pool.putBack(this);
+            exchange = null;
+            pool.returnUnused(this);
             return;
         }
         channel.writeAndFlush(request)
                 .addListener(
-                        done -> {
-                            if (call != next) {
-                                return;
-                            }
-                            if (done.isSuccess()) {
-                                written = true;
-                                next.written();
-                            } else {
-                                close(CloseReason.IO_FAILURE);
+                        write -> {
+                            if (exchange == next) {
+                                writeEnded(write.isSuccess());
                             }
                         });
     }
 
-    /** The call is given up: the connection ends, and nothing more is told. */
-    void drop() {
-        call = null;
+    private void writeEnded(boolean succeeded) {
+        if (succeeded) {
+            requestWritten = true;
+            exchange.requestWritten();
+        } else {
+            close(CloseReason.IO_FAILURE);
+        }
+    }
+
+    /** Abandons the exchange: the connection is closed, and the exchange gets no further calls. */
+    void abandonExchange() {
+        exchange = null;
         close(CloseReason.CALLED_OFF);
     }
 
@@ -96,129 +117,142 @@
         }
     }
 
-    void reads(boolean on) {
+    /** Reads from the socket, or leaves what arrives there so that the engine is held back. */
+    void setAutoRead(boolean autoRead) {
         if (channel != null) {
-            channel.config().setAutoRead(on);
+            channel.config().setAutoRead(autoRead);
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            if (call == null || resting) {
-                // Guards against: an answer that nobody asked for would be taken for the next
+            if (exchange == null || reusableAfterRead) {
+                // Guards against: a response without a request would be taken for the next
                 // request's.
-                resting = false;
-                call = null;
+                reusableAfterRead = false;
+                exchange = null;
                 close(CloseReason.BAD_INPUT);
                 return;
             }
-            take((HttpObject) message);
+            received((HttpObject) message);
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void take(HttpObject part) {
+    private void received(HttpObject part) {
         if (part.decoderResult().isFailure()) {
-            spoilt(part.decoderResult().cause());
+            malformed(part.decoderResult().cause());
             return;
         }
-        if (part instanceof HttpResponse response) {
-            interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (interim) {
-                return;
-            }
-            keepsAlive =
-                    HttpUtil.isKeepAlive(response)
-                            && (HttpUtil.isTransferEncodingChunked(response)
-                                    || HttpUtil.isContentLengthSet(response)
-                                    || response.status().code() == 204);
-            if (!call.head(response)) {
-                spoilt(response.status());
-                return;
-            }
+        if (part instanceof HttpResponse response && !receivedHead(response)) {
+            return;
         }
-        if (part instanceof HttpContent content && !interim) {
-            if (content.content().isReadable() && !call.body(content.content())) {
-                spoilt("body");
-                return;
-            }
-            if (part instanceof LastHttpContent) {
-                UpstreamExchange ended = call;
-                // Guards against: an answer before the request's last byte leaves a connection out
-                // of step.
-                boolean clean = keepsAlive && written;
-                resting = ended.completed() && clean;
-                call = resting ? call : null;
-                if (!resting) {
-                    close(CloseReason.LAST_ANSWER);
-                }
-            }
+        if (part instanceof HttpContent content && !informational) {
+            receivedContent(content);
         }
     }
 
-    private void spoilt(Object why) {
-        LOG.debug("an answer of {} can't be read: {}", pool.spot, why);
-        UpstreamExchange ended = call;
-        call = null;
+    /** Takes the head of a response; false if nothing else of this part is to be read. */
+    private boolean receivedHead(HttpResponse response) {
+        informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+        if (informational) {
+            return false;
+        }
+        keepsAlive = HttpUtil.isKeepAlive(response) && hasExplicitEnd(response);
+        if (!exchange.responseHead(response)) {
+            malformed(response.status());
+            return false;
+        }
+        return true;
+    }
+
+    /** Whether the response's end shows without the end of the connection. */
+    private static boolean hasExplicitEnd(HttpResponse response) {
+        return HttpUtil.isTransferEncodingChunked(response)
+                || HttpUtil.isContentLengthSet(response)
+                || response.status().code() == HttpResponseStatus.NO_CONTENT.code();
+    }
+
+    private void receivedContent(HttpContent content) {
+        if (content.content().isReadable() && !exchange.responseBody(content.content())) {
+            malformed("body");
+            return;
+        }
+        if (content instanceof LastHttpContent) {
+            receivedEnd();
+        }
+    }
+
+    private void receivedEnd() {
+        UpstreamExchange ended = exchange;
+        // Guards against: after a response that precedes the request's last byte, requests and
+        // responses of this connection would not correspond any more.
+        boolean inOrder = keepsAlive && requestWritten;
+        reusableAfterRead = ended.responseCompleted() && inOrder;
+        exchange = reusableAfterRead ? exchange : null;
+        if (!reusableAfterRead) {
+            close(CloseReason.LAST_ANSWER);
+        }
+    }
+
+    private void malformed(Object detail) {
+        LOG.debug("an answer of {} can't be read: {}", pool.endpoint(), detail);
+        UpstreamExchange ended = exchange;
+        exchange = null;
         close(CloseReason.BAD_INPUT);
         if (ended != null) {
-            ended.malformed();
+            ended.responseMalformed();
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (resting) {
-            resting = false;
-            call = null;
-            pool.rest(this);
-        } else if (call != null) {
-            call.paused();
+        if (reusableAfterRead) {
+            reusableAfterRead = false;
+            exchange = null;
+            pool.returnAfterResponse(this);
+        } else if (exchange != null) {
+            exchange.readBatchCompleted();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        end();
+        UpstreamExchange interrupted = leavePool();
+        if (interrupted != null) {
+            interrupted.disconnected();
+        }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (cause instanceof java.io.IOException) {
+        if (cause instanceof IOException) {
             close(CloseReason.IO_FAILURE);
         } else {
-            spoilt(cause);
-        }
-    }
-
-    /** The connection is no more. */
-    private void end() {
-        UpstreamExchange ended = leave();
-        if (ended != null) {
-            ended.disconnected();
+            malformed(cause);
         }
     }
 
     /** The connection never came up. */
-    void notConnected(ConnectFailure failure) {
+    void connectFailed(ConnectFailure failure) {
         closeReason = CloseReason.NOT_CONNECTED;
-        UpstreamExchange ended = leave();
-        if (ended != null) {
-            ended.notConnected(failure);
+        UpstreamExchange interrupted = leavePool();
+        if (interrupted != null) {
+            interrupted.connectFailed(failure);
         }
     }
 
-    /** Leaves the pool; gives the call that ends with the connection, or null. */
-    private UpstreamExchange leave() {
-        if (gone) {
+    /** Leaves the pool; returns the exchange that ends with the connection, or null. */
+    private UpstreamExchange leavePool() {
+        if (closed) {
             return null;
         }
-        gone = true;
-        pool.lost(this, closeReason);
-        UpstreamExchange ended = resting ? null : call;
-        call = null;
-        return ended;
+        closed = true;
+        pool.remove(this, closeReason);
+        UpstreamExchange interrupted = reusableAfterRead ? null : exchange;
+        exchange = null;
+        return interrupted;
     }
 }
--- a/src/main/java/larchridge/node/upstream/UpstreamExchange.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -6,38 +6,39 @@
 import larchridge.node.transport.ConnectFailure;
 
 /**
- * One request on a connection and what comes back; called on the loop, never from inside the call
- * that started it.
+ * One request on a connection and its response. All methods are called on the loop, and the last
+ * call is one of {@link #responseCompleted}, {@link #responseMalformed}, {@link #disconnected} and
+ * {@link #connectFailed}.
  */
 interface UpstreamExchange {
-    /** The request as it goes out, worded at the last moment; null if it must not go any more. */
-    FullHttpRequest request();
+    /** Encodes the request at the last moment; null if it must not be sent any more. */
+    FullHttpRequest encodeRequest();
 
-    /** Its last byte went to the socket. */
-    default void written() {
+    /** The last byte of the request was written to the socket. */
+    default void requestWritten() {
         return;
     }
 
-    /** The head of the answer; false if it can't be used. */
-    boolean head(HttpResponse response);
+    /** The response's status and headers; false if they can't be used. */
+    boolean responseHead(HttpResponse response);
 
-    /** Some of the answer's body; false if it can't be used. */
-    boolean body(ByteBuf some);
+    /** A part of the response's body; false if it can't be used. */
+    boolean responseBody(ByteBuf content);
 
-    /** The answer's end; false if the connection must not be used again. */
-    boolean completed();
+    /** The end of the response; false if the connection must not be used again. */
+    boolean responseCompleted();
 
-    /** All of one read was told. */
-    default void paused() {
+    /** All that one read of the socket brought has been passed on. */
+    default void readBatchCompleted() {
         return;
     }
 
-    /** What came can't be read. The connection is closed by the one that tells. */
-    void malformed();
+    /** What was received can't be decoded; the connection is being closed by the caller. */
+    void responseMalformed();
 
-    /** The connection broke. The last call, as whole and garbled are. */
+    /** The connection ended before the response did. */
     void disconnected();
 
-    /** The connection never came up; told later than the call that opened it. The last call too. */
-    void notConnected(ConnectFailure failure);
+    /** The connection never came up; never called from inside the call that opened it. */
+    void connectFailed(ConnectFailure failure);
 }
--- a/src/main/java/larchridge/node/upstream/UpstreamLimits.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamLimits.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * Bounds and times of the link, all derived from the configuration. Times are milliseconds.
+ * Limits and times of the connections to engines, all derived from the configuration. Times are
+ * milliseconds.
  *
- * @param connectMs how long a connection may take to come up, a probe or a release to be answered
- * @param keepAliveMs after so long without use an engine closes a connection
- * @param releaseMs within this a held state is to be let go of
- * @param connections connections in all
- * @param anEngine connections to one engine
- * @param reportFields names of the figures of load reports
+ * @param connectTimeoutMs how long a connection may take to come up, or a probe to be answered
+ * @param keepAliveMs an engine closes a connection that was not used for this long
+ * @param stateHoldMs how long an engine may hold a read state; it is to be released within this
+ * @param maxConnections connections in all
+ * @param maxConnectionsPerEndpoint connections to one engine
+ * @param loadReportFields names of the figures in load reports
  */
 public record UpstreamLimits(
-        double connectMs,
+        double connectTimeoutMs,
         double keepAliveMs,
-        double releaseMs,
-        int connections,
-        int anEngine,
-        List<String> reportFields) {}
+        double stateHoldMs,
+        int maxConnections,
+        int maxConnectionsPerEndpoint,
+        List<String> loadReportFields) {}
--- a/src/test/java/larchridge/node/upstream/EventStreamSplitterTest.java
+++ b/src/test/java/larchridge/node/upstream/EventStreamSplitterTest.java
@@ -15,24 +15,24 @@
     private static final String EVENTS =
             "data: {\"choices\":[{\"delta\":{\"content\":\"\u00e1\"}}]}\n\ndata: {\"usage\":{}}\n\ndata: [DONE]\n\n";
 
-    private static byte[] feed(EventStreamSplitter cutter, byte[] bytes) {
-        return cutter.feed(Unpooled.wrappedBuffer(bytes));
+    private static byte[] feed(EventStreamSplitter splitter, byte[] bytes) {
+        return splitter.feed(Unpooled.wrappedBuffer(bytes));
     }
 
-    private static byte[] feed(EventStreamSplitter cutter, String text) {
-        return feed(cutter, text.getBytes(StandardCharsets.UTF_8));
+    private static byte[] feed(EventStreamSplitter splitter, String text) {
+        return feed(splitter, text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void eventsComeOutByteByByteAsTheyWereHoweverTheyAreCut() throws Exception {
         byte[] all = EVENTS.getBytes(StandardCharsets.UTF_8);
         for (int step = 1; step <= all.length; step++) {
-            EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
+            EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             for (int at = 0; at < all.length; at += step) {
                 byte[] whole =
                         feed(
-                                cutter,
+                                splitter,
                                 java.util.Arrays.copyOfRange(
                                         all, at, Math.min(all.length, at + step)));
                 if (whole != null) {
@@ -40,16 +40,16 @@
                 }
             }
             assertArrayEquals(all, out.toByteArray(), "step " + step);
-            assertTrue(cutter.isWhole());
+            assertTrue(splitter.isComplete());
         }
     }
 
     @Test
     void reportsInCommentsAreKeptAndNotPassedOn() {
-        EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
-        assertNull(feed(cutter, ": Srv-Load: a=1\n\n"));
-        assertEquals("a=1", cutter.report());
-        assertFalse(cutter.isNoise());
+        EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
+        assertNull(feed(splitter, ": Srv-Load: a=1\n\n"));
+        assertEquals("a=1", splitter.loadReport());
+        assertFalse(splitter.isMalformed());
     }
 
     @Test
@@ -62,10 +62,10 @@
             "data: [DONE]\n\ndata: {}\n\n"
         };
         for (String text : bad) {
-            EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
-            byte[] whole = feed(cutter, text);
-            assertTrue(cutter.isNoise(), text);
-            assertFalse(cutter.isWhole());
+            EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
+            byte[] whole = feed(splitter, text);
+            assertTrue(splitter.isMalformed(), text);
+            assertFalse(splitter.isComplete());
             assertTrue(
                     whole == null
                             || new String(whole, StandardCharsets.UTF_8)
@@ -75,8 +75,8 @@
 
     @Test
     void halfAnEventIsNotWhole() {
-        EventStreamSplitter cutter = new EventStreamSplitter(1000, "Srv-Load");
-        feed(cutter, EVENTS + "data: {");
-        assertFalse(cutter.isWhole());
+        EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
+        feed(splitter, EVENTS + "data: {");
+        assertFalse(splitter.isComplete());
     }
 }
--- a/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
+++ b/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
@@ -9,12 +9,12 @@
 
 class ForwardedAttemptClassifierTest {
     private static ForwardedAttemptClassifier written(int status, boolean declined) {
-        ForwardedAttemptClassifier verdict = new ForwardedAttemptClassifier();
-        verdict.written();
+        ForwardedAttemptClassifier classifier = new ForwardedAttemptClassifier();
+        classifier.written();
         if (status > 0) {
-            verdict.head(status, declined);
+            classifier.responseHead(status, declined);
         }
-        return verdict;
+        return classifier;
     }
 
     @Test
@@ -27,7 +27,7 @@
         assertEquals(AttemptOutcome.CUT, written(0, false).outcome());
         assertEquals(AttemptOutcome.CUT, written(200, false).outcome());
         ForwardedAttemptClassifier whole = written(200, false);
-        whole.whole();
+        whole.streamCompleted();
         assertEquals(AttemptOutcome.STREAMED, whole.outcome());
     }
 
@@ -37,20 +37,20 @@
             assertFalse(written(status, false).outcome().provesNotRun, "status " + status);
         }
         ForwardedAttemptClassifier noise = written(503, true);
-        noise.garbled();
+        noise.malformed();
         assertFalse(noise.outcome().provesNotRun);
     }
 
     @Test
     void calledOffProvesNothingOnceWrittenAndAllBefore() {
         ForwardedAttemptClassifier written = written(0, false);
-        written.called(false);
+        written.cancelled();
         assertEquals(AttemptOutcome.CANCELLED, written.outcome());
         ForwardedAttemptClassifier late = written(0, false);
-        late.called(true);
+        late.expired();
         assertEquals(AttemptOutcome.TIMED_OUT, late.outcome());
         ForwardedAttemptClassifier early = new ForwardedAttemptClassifier();
-        early.called(false);
+        early.cancelled();
         assertTrue(early.outcome().provesNotRun);
     }
 
--- a/src/test/java/larchridge/node/upstream/ReleaseTest.java
+++ b/src/test/java/larchridge/node/upstream/ReleaseTest.java
@@ -58,7 +58,7 @@
         for (int i = 0; i < 12; i++) {
             spots.add(spot(i));
         }
-        link.engines(spots);
+        link.updateEndpoints(spots);
         EmbeddedChannel rests = hears(spot(7));
         for (int i = 8; i < 12; i++) {
             // Heard later, and gone since.
@@ -81,7 +81,7 @@
 
     @Test
     void releaseIsTriedAtEachEngineOnceUntilItsTriesAreUsedUp() {
-        link.engines(List.of(spot(0), spot(1), spot(2)));
+        link.updateEndpoints(List.of(spot(0), spot(1), spot(2)));
         link.release(spot(1), "9b1f03aa5c7e2d41.0");
         time.run(time.sinceMs() + 2000);
         assertEquals(List.of(spot(1), spot(0), spot(2)), tried);
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -45,7 +45,7 @@
                         }
 
                         @Override
-                        public Endpoint next(Endpoint holder, Set<Endpoint> asked) {
+                        public Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> asked) {
                             return !asked.contains(HOLDER)
                                     ? HOLDER
                                     : !asked.contains(OTHER) ? OTHER : null;
@@ -55,7 +55,7 @@
     /** A state is held, and an attempt to fetch it is out. */
     private StateReservation readAndWritten() {
         StateReservation held = releases.attemptStarted(ID);
-        releases.readEnded(held);
+        releases.readCompleted(held);
         releases.attemptStarted(ID);
         return held;
     }
@@ -107,7 +107,7 @@
     @Test
     void answerThatHasBegunNeedsNoRelease() {
         StateReservation held = readAndWritten();
-        releases.answerBegan(held);
+        releases.responseStarted(held);
         time.run(5000);
         releases.attemptEnded(held, true);
         time.run(9000);
