--- a/src/main/java/larchridge/node/upstream/ConnectionPools.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPools.java
@@ -8,7 +8,7 @@
 import larchridge.audit.CloseReason;
 import larchridge.audit.ConnectionSide;
 import larchridge.audit.RequestEvents;
-import larchridge.node.transport.Connecting;
+import larchridge.node.transport.ConnectFutures;
 import larchridge.router.Scheduler;
 import larchridge.upstream.Endpoint;
 
@@ -96,8 +96,8 @@
         connectionCount++;
         ChannelFuture opening =
                 opener.open(pool.endpoint(), new UpstreamChannelInitializer(connection));
-        connection.channelCreated(Connecting.channelOf(opening));
-        Connecting.whenDone(
+        connection.channelCreated(ConnectFutures.usableChannel(opening));
+        ConnectFutures.whenComplete(
                 opening, scheduler, () -> connection.start(exchange), connection::connectFailed);
         return connection;
     }
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -24,7 +24,8 @@
 
     /** Nothing but the end itself is known of an answer whose events are not parsed. */
     private static final Completion UNPARSED_COMPLETION =
-            new Completion(Completion.FinishReason.END_OF_TURN, null, -1, 0);
+            new Completion(
+                    Completion.FinishReason.END_OF_TURN, null, Completion.TOKENS_UNREPORTED, 0);
 
     private static final HeldAtEngine HELD_AT_ENGINE = new HeldAtEngine();
 
@@ -82,7 +83,7 @@
     @Override
     public FullHttpRequest encodeRequest() {
         ForwardedRequest forwarded = attemptRequest.forwardedRequest();
-        double remainingMs = forwarded.limitMs() - context.scheduler().nowMs();
+        double remainingMs = forwarded.firstTokenDeadlineMs() - context.scheduler().nowMs();
         SendRejection rejection = rejection(remainingMs);
         if (rejection != null) {
             reject(rejection);
@@ -104,9 +105,11 @@
     /** Why it must not be written any more, or null if it may. */
     private SendRejection rejection(double remainingMs) {
         if (state == AttemptState.ENDED) {
-            return SendRejection.CALLED_OFF;
+            return SendRejection.CANCELLED;
         }
-        return remainingMs < 1 ? SendRejection.TIME_UP : attemptRequest.sendCheck().rejection();
+        return remainingMs < 1
+                ? SendRejection.DEADLINE_EXCEEDED
+                : attemptRequest.sendCheck().rejection();
     }
 
     /** It is not written, for a reason that says nothing about the engine. */
@@ -126,7 +129,7 @@
     @Override
     public void connectFailed(ConnectFailure failure) {
         if (failure == ConnectFailure.LOCAL) {
-            reject(SendRejection.LOCAL_FAULT);
+            reject(SendRejection.LOCAL_FAILURE);
         } else {
             endLater();
         }
@@ -296,7 +299,7 @@
             connection.setAutoRead(true);
         }
         if (classifier.isUnusable()) {
-            listener.answerUnusable();
+            listener.requestUnprocessable();
         }
         leavePool();
         AttemptOutcome outcome = classifier.outcome();
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -82,8 +82,8 @@
     }
 
     @Override
-    public boolean isReleasing() {
-        return releaser.isReleasing();
+    public boolean hasPendingReleases() {
+        return releaser.hasPendingReleases();
     }
 
     /** Requests with an attempt in flight or a state to release. */
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -152,7 +152,7 @@
     }
 
     /** Whether a release is requested or under way. */
-    boolean isReleasing() {
+    boolean hasPendingReleases() {
         return reservations.values().stream()
                 .anyMatch(
                         reservation ->
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -20,6 +20,7 @@
 import larchridge.planner.LatencySample;
 import larchridge.policy.PolicyActions;
 import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.site.Site;
 import larchridge.state.Attempt;
 import larchridge.state.AttemptOutcome;
@@ -130,7 +131,7 @@
                 link,
                 meters,
                 ledger,
-                PolicyEvents::choice);
+                RoutingPolicy::new);
     }
 
     /**
@@ -234,30 +235,33 @@
         double tokens = Budgets.estimate(ask.promptTokens(), ask.maxTokens());
         String tenant = ask.tenant().name();
         String product = ask.offering().product.name;
-        BudgetDecision budget = updateBudgets.ask(tenant, product, tokens, nowMs);
+        BudgetDecision budget = updateBudgets.requestAdmission(tenant, product, tokens, nowMs);
         if (!budget.isAdmitted() && budget.isRateLimited() && setQuotaClient != null) {
-            QuotaRequest want = updateBudgets.want(tenant, product, tokens, nowMs);
+            QuotaRequest want = updateBudgets.quotaRequestFor(tenant, product, tokens, nowMs);
             if (want != null
                     && setQuotaClient.request(
                             want,
                             (lent, backMs) -> {
                                 tick();
-                                updateBudgets.lender(setQuotaClient.isResponsive());
-                                updateBudgets.lent(want.budget(), lent, nowMs + site.lapseMs);
+                                updateBudgets.setLenderAvailable(setQuotaClient.isResponsive());
+                                updateBudgets.addLease(want.budget(), lent, nowMs + site.lapseMs);
                                 if (!client.isDisconnected()) {
                                     BudgetDecision second =
-                                            updateBudgets.ask(tenant, product, tokens, nowMs);
+                                            updateBudgets.requestAdmission(
+                                                    tenant, product, tokens, nowMs);
                                     admit(
                                             ask,
                                             client,
-                                            second.isAdmitted() ? second : second.notBefore(backMs),
+                                            second.isAdmitted()
+                                                    ? second
+                                                    : second.withRetryAfterAtLeast(backMs),
                                             arrivedMs,
                                             told);
                                 }
                             })) {
                 return;
             }
-            updateBudgets.lender(setQuotaClient.isResponsive());
+            updateBudgets.setLenderAvailable(setQuotaClient.isResponsive());
         }
         admit(ask, client, budget, arrivedMs, told);
     }
@@ -468,9 +472,9 @@
         EngineEntry row = rows.get(attempt.engine);
         Endpoint endpoint = new Endpoint(row.host(), row.port());
         InFlightAttempt source =
-                attempt.read || attempt.generation.state == null
+                attempt.read || attempt.generation.heldRead() == null
                         ? null
-                        : one.tripOf(attempt.generation.state);
+                        : one.tripOf(attempt.generation.heldRead());
         InFlightAttempt trip =
                 new InFlightAttempt(
                         attempt, endpoint, attempt.generation.id + "." + attempt.number, source);
@@ -510,11 +514,11 @@
         String why =
                 before == null
                         ? "first"
-                        : before.attempt.inFlight
+                        : before.attempt.isInFlight()
                                 ? "beside"
-                                : before.attempt.outcome == null
+                                : before.attempt.outcome() == null
                                         ? "state_lost"
-                                        : before.attempt.outcome.name().toLowerCase(Locale.ROOT);
+                                        : before.attempt.outcome().name().toLowerCase(Locale.ROOT);
         if (before != null) {
             meters.retried(number, stage, why);
         }
@@ -637,7 +641,7 @@
         for (InFlightRequest one : open.values()) {
             if (!one.ask.offering().isBatch && !one.duty.isDone()) {
                 hurried++;
-                if (one.gen.waiting) {
+                if (one.gen.isWaiting()) {
                     longest =
                             Math.max(
                                     longest,
@@ -653,11 +657,11 @@
     }
 
     private void answered(InFlightRequest one, String kind) {
-        if (one.gen.giveUpReason != null) {
+        if (one.gen.giveUpReason() != null) {
             meters.givenUp(
                     number,
                     one.gen.trafficClass.name,
-                    one.gen.giveUpReason.name().toLowerCase(Locale.ROOT));
+                    one.gen.giveUpReason().name().toLowerCase(Locale.ROOT));
         }
         meters.answered(number, one.gen.trafficClass.name, kind, nowMs - one.gen.arrivedMs);
         LOG.atDebug()
@@ -666,7 +670,7 @@
                 .addKeyValue("product", one.gen.trafficClass.name)
                 .addKeyValue("attempts", one.trips.size())
                 .addKeyValue("ms", Math.round(nowMs - one.gen.arrivedMs))
-                .addKeyValue("reason", one.gen.giveUpReason)
+                .addKeyValue("reason", one.gen.giveUpReason())
                 .log(kind);
     }
 
@@ -726,7 +730,7 @@
             tick();
             trip.ended = true;
             trip.state = state;
-            trip.readTokens = one.meter.read(promptTokens);
+            trip.readTokens = one.meter.promptRead(promptTokens);
             one.ask.promptTokensReported().accept(promptTokens);
             trip.keptTokens = keptTokens;
             meters.attempt(number, "read", "READ");
@@ -757,9 +761,9 @@
             if (trip.source != null) {
                 // It has been fetched: nothing of it is left at its reader.
                 trip.source.holds = false;
-                one.meter.begun(trip.source.readTokens, trip.source.keptTokens, true);
+                one.meter.responseStarted(trip.source.readTokens, trip.source.keptTokens, true);
             } else {
-                one.meter.begun(one.ask.promptTokens(), 0, false);
+                one.meter.responseStarted(one.ask.promptTokens(), 0, false);
             }
             guarded(one, () -> choice.responseStarted(trip.attempt));
             releaseState(one.gen);
@@ -776,7 +780,7 @@
                 one.lastPieceMs = nowMs;
                 meters.piece();
                 if (one.client.textReceived(text)) {
-                    one.meter.sent();
+                    one.meter.pieceSent();
                 }
             }
         }
@@ -827,7 +831,7 @@
         }
 
         @Override
-        public void answerUnusable() {
+        public void requestUnprocessable() {
             tick();
             // Guards against: sent on, it would use up its attempts and let every engine that
             // rightly
@@ -852,7 +856,7 @@
             if (one.streaming == trip) {
                 if (outcome == AttemptOutcome.STREAMED
                         && one.duty.finish(ResponseGuard.FinalAnswer.COMPLETED)) {
-                    one.meter.whole(ending.outputTokens());
+                    one.meter.responseCompleted(ending.outputTokens());
                     answered(one, "streamed");
                     recorded(one, () -> one.client.completed(ending));
                 } else {
@@ -909,9 +913,9 @@
             entries.add(
                     new EndpointUpdate(
                             engine,
-                            row.mode(),
+                            row.state(),
                             row.startMs(),
-                            row.units(),
+                            row.capacityUnits(),
                             row.zone(),
                             row.rack(),
                             row.role(),
@@ -922,7 +926,8 @@
                 .values()
                 .removeIf(
                         engine ->
-                                engine.state == EndpointState.REMOVED && engine.attempts.isEmpty());
+                                engine.state() == EndpointState.REMOVED
+                                        && engine.attempts().isEmpty());
         rows.keySet().removeIf(engine -> !forEachEngine.containsValue(engine));
         settleAll();
     }
@@ -975,7 +980,7 @@
      */
     private void closeLink(double latestMs, Runnable done) {
         tick();
-        if (link.isReleasing() && nowMs < latestMs) {
+        if (link.hasPendingReleases() && nowMs < latestMs) {
             ground.schedule(RELEASE_LOOK_MS, () -> closeLink(latestMs, done));
             return;
         }
@@ -1022,7 +1027,7 @@
             LOG.error("the decision module failed", e);
             if (one != null) {
                 terminate(one, ResponseSink.FailureCause.INTERNAL);
-                one.gen.finished = true;
+                one.gen.finish();
             }
         }
     }
@@ -1031,7 +1036,7 @@
         if (open.size() > 0) {
             List<InFlightRequest> done = null;
             for (InFlightRequest one : open.values()) {
-                if (one.duty.isDone() && one.gen.attemptsInFlight == 0) {
+                if (one.duty.isDone() && one.gen.attemptsInFlight() == 0) {
                     done = done == null ? new ArrayList<>() : done;
                     done.add(one);
                 }
@@ -1045,12 +1050,12 @@
     /** What it used is settled with its budget and written down, once. */
     private void bill(InFlightRequest one) {
         // Guards against: what was gathered for a client that left never went to its socket.
-        one.meter.notSent(one.client.pendingPieces());
+        one.meter.piecesNotSent(one.client.pendingPieces());
         if (one.ask.unstreamed() && one.duty.given() != ResponseGuard.FinalAnswer.COMPLETED) {
-            one.meter.nothingSent();
+            one.meter.responseDiscarded();
         }
-        updateBudgets.settle(one.charge, one.meter.used(), nowMs);
-        if (ledger == null || one.meter.used() + one.meter.wastedTokens() <= 0) {
+        updateBudgets.settle(one.charge, one.meter.billedTokens(), nowMs);
+        if (ledger == null || one.meter.billedTokens() + one.meter.wastedTokens() <= 0) {
             return;
         }
         if (!one.recorded) {
@@ -1084,8 +1089,8 @@
                 (long) nowMs,
                 one.duty.given().recordedName,
                 one.meter.promptTokens(),
-                one.meter.keptTokens(),
-                one.meter.outTokens(),
+                one.meter.cachedTokens(),
+                one.meter.outputTokens(),
                 one.meter.wastedTokens(),
                 one.trips.size());
     }
@@ -1143,12 +1148,12 @@
 
     /** What a tenant has used this month by the ledger; told before anything is taken. */
     public void restoreUsage(String tenant, String product, double used) {
-        updateBudgets.remember(tenant, product, used, nowMs);
+        updateBudgets.restoreMonthlyUsage(tenant, product, used, nowMs);
     }
 
     /** A generation that is answered and has no attempt out is let go of. */
     private void settle(InFlightRequest one) {
-        if (!one.duty.isDone() || one.gen.attemptsInFlight > 0 || open.get(one.gen) == null) {
+        if (!one.duty.isDone() || one.gen.attemptsInFlight() > 0 || open.get(one.gen) == null) {
             return;
         }
         releaseState(one.gen);
