--- a/src/main/java/larchridge/node/EngineStateLog.java
+++ b/src/main/java/larchridge/node/EngineStateLog.java
@@ -52,19 +52,19 @@
         line.append("; ")
                 .append(Long.toHexString(engine.label >>> LABEL_SHIFT))
                 .append(' ')
-                .append(engine.role)
+                .append(engine.role())
                 .append(' ')
-                .append(engine.state)
-                .append(engine.suspectUntilMs > nowMs ? " suspect" : "")
+                .append(engine.state())
+                .append(engine.isEjected(nowMs) ? " suspect" : "")
                 .append(" attempts ")
-                .append(engine.attempts.size())
+                .append(engine.attempts().size())
                 .append(" unread ")
-                .append(Math.round(engine.unreadTokens))
+                .append(Math.round(engine.unreadTokens()))
                 .append(" writes ")
-                .append(Math.round(engine.writeTokens))
+                .append(Math.round(engine.writeTokens()))
                 .append(" out ")
-                .append(upstream.attemptsOut(endpoint))
+                .append(upstream.inFlightAttempts(endpoint))
                 .append(" connections ")
-                .append(upstream.connectionsTo(endpoint));
+                .append(upstream.connectionCount(endpoint));
     }
 }
--- a/src/main/java/larchridge/node/ListenRetry.java
+++ b/src/main/java/larchridge/node/ListenRetry.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import larchridge.node.server.HttpServer;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -19,13 +18,18 @@
 
     private ListenRetry() {}
 
-    /** Returns once the server listens, or when cancelled; not on the event loop. */
-    static void listen(HttpServer server, Endpoint address, BooleanSupplier cancelled)
+    /** Opens a listener at an address. */
+    interface Binder {
+        void bind(String host, int port) throws IOException, InterruptedException;
+    }
+
+    /** Returns once the listener is open, or when cancelled; not on the event loop. */
+    static void listen(Endpoint address, Binder binder, BooleanSupplier cancelled)
             throws NodeStartException, InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!cancelled.getAsBoolean()) {
             try {
-                server.listen(address.host(), address.port());
+                binder.bind(address.host(), address.port());
                 return;
             } catch (IOException e) {
                 if (System.nanoTime() > deadlineNanos) {
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -110,7 +110,10 @@
         if (components == null) {
             throw new NodeStartException("the node could not be built; the log has the cause");
         }
-        ListenRetry.listen(components.server(), configuration.listen(), shutdown::hasBegun);
+        ListenRetry.listen(
+                configuration.listen(),
+                (host, port) -> components.server().listen(group, allocator, host, port),
+                shutdown::hasBegun);
         if (shutdown.hasBegun()) {
             return;
         }
@@ -147,7 +150,7 @@
             return;
         }
         try {
-            components = new NodeAssembler(configuration, group, allocator, scheduler).build();
+            components = new NodeAssembler(configuration, allocator, scheduler).build();
         } catch (RuntimeException | Error e) {
             // An error too: the thread that starts the node would otherwise wait for what nobody
             // builds any more.
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -2,7 +2,6 @@
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
 import java.util.ArrayList;
 import java.util.List;
 import larchridge.inventory.EngineEntry;
@@ -10,12 +9,13 @@
 import larchridge.node.discovery.EndpointListReader;
 import larchridge.node.discovery.InvalidEndpointListException;
 import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerDependencies;
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
 import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
-import larchridge.settings.RoutingSettingsReader;
+import larchridge.settings.DeploymentSettings;
 import larchridge.site.Site;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
@@ -72,21 +72,16 @@
     private static final double ENGINE_STATE_LOG_INTERVAL_MS = 1000;
 
     private final NodeConfiguration configuration;
-    private final RoutingSettingsReader settings;
-    private final EventLoopGroup group;
+    private final DeploymentSettings settings;
     private final EventLoop loop;
     private final ByteBufAllocator allocator;
     private final NettyScheduler scheduler;
     private final long bodiesBytes;
 
     NodeAssembler(
-            NodeConfiguration configuration,
-            EventLoopGroup group,
-            ByteBufAllocator allocator,
-            NettyScheduler scheduler) {
+            NodeConfiguration configuration, ByteBufAllocator allocator, NettyScheduler scheduler) {
         this.configuration = configuration;
         this.settings = configuration.settings();
-        this.group = group;
         this.loop = scheduler.loop();
         this.allocator = allocator;
         this.scheduler = scheduler;
@@ -107,15 +102,14 @@
         audit.compareCounts(scheduler, router, upstream);
         HttpServer server =
                 new HttpServer(
-                        group,
-                        allocator,
-                        scheduler,
-                        router,
-                        site,
-                        settings.products.values(),
-                        serverLimits(),
-                        audit.events(),
-                        audit.meters());
+                        new ServerDependencies(
+                                scheduler,
+                                router,
+                                site,
+                                settings.trafficClasses().values(),
+                                serverLimits(),
+                                audit.events(),
+                                audit.meters()));
         DiscoveryClient discovery = discovery(audit, upstream, router);
         NodeComponents components = new NodeComponents(audit, upstream, router, server, discovery);
         if (LOG.isDebugEnabled()) {
@@ -126,9 +120,9 @@
     }
 
     private Site site() {
-        Site site = Site.plain(settings.terms);
-        site.releaseMs = settings.releaseMs;
-        site.drainGraceMs = settings.drainGraceMs;
+        Site site = Site.plain(settings.routing());
+        site.releaseMs = settings.releaseMs();
+        site.drainGraceMs = settings.drainGraceMs();
         site.limit.openGenerations =
                 (int) Math.max(MIN_OPEN_GENERATIONS, bodiesBytes / GENERATION_BYTES);
         site.limit.slowClientMs = SLOW_CLIENT_TIMEOUT_MS;
@@ -138,18 +132,18 @@
     }
 
     private double longestTimeLimitMs() {
-        return settings.patienceMs.values().stream().mapToDouble(ms -> ms).max().orElse(0);
+        return settings.clientTimeoutMs().values().stream().mapToDouble(ms -> ms).max().orElse(0);
     }
 
     private UpstreamLimits upstreamLimits() {
         double engineSockets = configuration.sockets() * ENGINE_SOCKETS_FRACTION;
         return new UpstreamLimits(
-                settings.connectMs,
-                settings.keepAliveMs,
-                settings.releaseMs,
+                settings.connectMs(),
+                settings.keepAliveMs(),
+                settings.releaseMs(),
                 (int) engineSockets,
                 (int) (engineSockets / ENGINE_SOCKETS_DIVISOR),
-                settings.reportFields);
+                settings.reportFields());
     }
 
     private ServerLimits serverLimits() {
@@ -159,20 +153,21 @@
                 bodiesBytes,
                 REQUEST_TIMEOUT_MS,
                 COMPLETE_REQUEST_TIMEOUT_MS,
-                settings.keepAliveMs,
+                settings.keepAliveMs(),
                 LINGER_MS);
     }
 
     private DiscoveryClient discovery(
             NodeAudit audit, ForwardingUpstreamClient upstream, Router router) {
-        EndpointListReader reader = new EndpointListReader(settings.roles, settings.memory);
+        EndpointListReader reader =
+                new EndpointListReader(settings.roles(), settings.memoryTokens());
         DiscoveryClient discovery =
                 new DiscoveryClient(
                         loop,
                         allocator,
                         scheduler,
                         reader,
-                        settings.drainGraceMs,
+                        settings.drainGraceMs(),
                         entries -> publish(entries, audit, upstream, router));
         if (configuration.knownEndpoints().isObject()) {
             try {
@@ -195,7 +190,7 @@
             Router router) {
         List<Endpoint> endpoints = new ArrayList<>();
         entries.forEach(entry -> endpoints.add(new Endpoint(entry.host(), entry.port())));
-        upstream.engines(endpoints);
+        upstream.updateEndpoints(endpoints);
         audit.endpointsChanged(entries);
         router.endpointsChanged(entries);
     }
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -22,7 +22,7 @@
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
-import larchridge.settings.RoutingSettingsReader;
+import larchridge.settings.DeploymentSettings;
 import larchridge.state.EndpointState;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
@@ -45,18 +45,18 @@
     private final Violations violations;
     private final RequestAudit requests;
 
-    NodeAudit(Scheduler scheduler, RoutingSettingsReader settings) {
+    NodeAudit(Scheduler scheduler, DeploymentSettings settings) {
         registry.config().meterFilter(new WithoutPercentiles());
         violations = new Violations(registry);
         AuditSettings auditSettings =
                 new AuditSettings(
-                        settings.drainGraceMs,
-                        settings.releaseMs,
-                        settings.terms.slowStartMs,
-                        settings.terms.slowStartShare,
-                        settings.terms.overloadMultiple,
-                        settings.terms.overloadMs,
-                        settings.terms.hedgingAllowed);
+                        settings.drainGraceMs(),
+                        settings.releaseMs(),
+                        settings.routing().slowStartMs(),
+                        settings.routing().slowStartShare(),
+                        settings.routing().overloadMultiple(),
+                        settings.routing().overloadMs(),
+                        settings.routing().hedgingAllowed());
         requests =
                 new RequestAudit(
                         auditSettings, scheduler::nowMs, violations, new CloseCounters(registry));
@@ -116,8 +116,8 @@
                                 (endpoint, engine) ->
                                         compareCounts(
                                                 endpoint,
-                                                engine.attempts.size(),
-                                                upstream.attemptsOut(endpoint))));
+                                                engine.attempts().size(),
+                                                upstream.inFlightAttempts(endpoint))));
     }
 
     private void compareCounts(Endpoint endpoint, int policyCount, int upstreamCount) {
--- a/src/main/java/larchridge/node/NodeConfiguration.java
+++ b/src/main/java/larchridge/node/NodeConfiguration.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
-import larchridge.settings.RoutingSettingsReader;
+import larchridge.settings.DeploymentSettings;
 import larchridge.upstream.Endpoint;
 
 /**
@@ -22,7 +22,7 @@
         int memoryMb,
         int sockets,
         JsonNode knownEndpoints,
-        RoutingSettingsReader settings) {
+        DeploymentSettings settings) {
     /** Some of it is also given by variables; where they differ, one of the two is wrong. */
     void checkAgainst(Map<String, String> variables) throws InvalidNodeConfigurationException {
         checkSame(variables, "PROXY_NAME", name);
--- a/src/main/java/larchridge/node/NodeConfigurationReader.java
+++ b/src/main/java/larchridge/node/NodeConfigurationReader.java
@@ -7,8 +7,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import larchridge.settings.DeploymentSettings;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.settings.InvalidSettingsException;
-import larchridge.settings.RoutingSettingsReader;
 import larchridge.upstream.Endpoint;
 
 /** Reads the JSON file that {@code PROXY_CONFIG} names. */
@@ -70,9 +71,9 @@
                 settings(seed));
     }
 
-    private RoutingSettingsReader settings(long seed) throws InvalidNodeConfigurationException {
+    private DeploymentSettings settings(long seed) throws InvalidNodeConfigurationException {
         try {
-            return RoutingSettingsReader.read(root.path("settings"), seed);
+            return DeploymentSettingsReader.read(root.path("settings"), seed);
         } catch (InvalidSettingsException e) {
             throw InvalidNodeConfigurationException.settings(file, e.getMessage());
         }
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import larchridge.inventory.EngineEntry;
 import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerDependencies;
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
@@ -13,8 +14,9 @@
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
 import larchridge.router.VirtualTimeScheduler;
+import larchridge.settings.DeploymentSettings;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.settings.InvalidSettingsException;
-import larchridge.settings.RoutingSettingsReader;
 import larchridge.site.Site;
 import larchridge.state.EndpointState;
 import larchridge.state.Role;
@@ -51,9 +53,9 @@
     private final WarmupClients clients;
 
     private NodeWarmup() throws InvalidSettingsException, IOException {
-        RoutingSettingsReader settings =
-                RoutingSettingsReader.read(new ObjectMapper().readTree(WarmupSettings.JSON), 1);
-        Scheduler scheduler = time.schedulerOf(0, settings.terms.seed);
+        DeploymentSettings settings =
+                DeploymentSettingsReader.read(new ObjectMapper().readTree(WarmupSettings.JSON), 1);
+        Scheduler scheduler = time.schedulerOf(0, settings.routing().seed());
         Site site = site(settings);
         NodeAudit audit = new NodeAudit(scheduler, settings);
         ForwardingUpstreamClient upstream =
@@ -66,41 +68,40 @@
                 new Router(scheduler, site, 0, upstream, audit.meters(), RoutingPolicy::new);
         HttpServer server =
                 new HttpServer(
-                        null,
-                        null,
-                        scheduler,
-                        router,
-                        site,
-                        settings.products.values(),
-                        serverLimits(),
-                        audit.events(),
-                        audit.meters());
+                        new ServerDependencies(
+                                scheduler,
+                                router,
+                                site,
+                                settings.trafficClasses().values(),
+                                serverLimits(),
+                                audit.events(),
+                                audit.meters()));
         clients = new WarmupClients(server);
         List<EngineEntry> entries = entries();
         audit.endpointsChanged(entries);
-        upstream.engines(
+        upstream.updateEndpoints(
                 entries.stream().map(entry -> new Endpoint(entry.host(), entry.port())).toList());
         router.endpointsChanged(entries);
     }
 
-    private static Site site(RoutingSettingsReader settings) {
-        Site site = Site.plain(settings.terms);
+    private static Site site(DeploymentSettings settings) {
+        Site site = Site.plain(settings.routing());
         site.limit.openGenerations = MAX_OPEN_GENERATIONS;
         site.limit.slowClientMs = NO_TIMEOUT_MS;
         site.limit.quietStreamMs = NO_TIMEOUT_MS;
         site.limit.stopMs = NO_TIMEOUT_MS;
-        site.releaseMs = settings.releaseMs;
+        site.releaseMs = settings.releaseMs();
         return site;
     }
 
-    private static UpstreamLimits upstreamLimits(RoutingSettingsReader settings) {
+    private static UpstreamLimits upstreamLimits(DeploymentSettings settings) {
         return new UpstreamLimits(
-                settings.connectMs,
-                settings.keepAliveMs,
-                settings.releaseMs,
+                settings.connectMs(),
+                settings.keepAliveMs(),
+                settings.releaseMs(),
                 MAX_CONNECTIONS,
                 MAX_CONNECTIONS_PER_ENGINE,
-                settings.reportFields);
+                settings.reportFields());
     }
 
     private static ServerLimits serverLimits() {
--- a/src/test/java/larchridge/node/NodeInspector.java
+++ b/src/test/java/larchridge/node/NodeInspector.java
@@ -52,11 +52,11 @@
                             .forEachEngine(
                                     (endpoint, engine) -> {
                                         boolean same =
-                                                engine.attempts.size()
-                                                        == upstream.attemptsOut(endpoint);
+                                                engine.attempts().size()
+                                                        == upstream.inFlightAttempts(endpoint);
                                         attempts[0] =
                                                 same && attempts[0] >= 0
-                                                        ? attempts[0] + engine.attempts.size()
+                                                        ? attempts[0] + engine.attempts().size()
                                                         : -1;
                                     });
                     return attempts[0];
