--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -135,7 +135,8 @@
             AuditedEngine engine,
             double now) {
         Double left = leftMs.get(endpoint);
-        if (left != null && now > left + terms.drainGraceMs() || left == null && engine == null) {
+        if ((left != null && now > left + terms.drainGraceMs())
+                || (left == null && engine == null)) {
             violated(
                     Invariant.NO_SEND_PAST_GRACE,
                     id,
@@ -252,8 +253,8 @@
         one.neverRan = neverRan;
         boolean mayHaveRead = one.reads && !neverRan;
         boolean mayStillBeHeld =
-                request.releasedBesideAttempt || heard && !Double.isNaN(request.heldMs);
-        if (!request.begun && (mayHaveRead && Double.isNaN(request.heldMs) || mayStillBeHeld)) {
+                request.releasedBesideAttempt || (heard && !Double.isNaN(request.heldMs));
+        if (!request.begun && ((mayHaveRead && Double.isNaN(request.heldMs)) || mayStillBeHeld)) {
             hold(request);
         }
         endIfOver(request);
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -91,7 +91,7 @@
     }
 
     /** One batch that is not over. */
-    private final class Job {
+    private static final class Job {
         BatchForm.Builder form;
         BatchWork work;
         FileChannel input;
@@ -300,9 +300,9 @@
                         job.id(),
                         job.form.getTenant(),
                         tenant == null ? 1 : tenant.batchShare(),
-                        job.form.getExpiresMs(),
+                        (double) job.form.getExpiresMs(),
                         job.form.getNumber(),
-                        job.form.getTotal() - job.form.getDone() - job.form.getFailed());
+                        (double) (job.form.getTotal() - job.form.getDone() - job.form.getFailed()));
         loop.in(Math.max(0, job.form.getExpiresMs() - loop.nowMs()), () -> expire(job));
         if (isComplete(job)) {
             end(job, StateForm.COMPLETED);
--- a/src/main/java/larchridge/batch/LineReader.java
+++ b/src/main/java/larchridge/batch/LineReader.java
@@ -29,6 +29,7 @@
      * A line: its number in the file from 0, where it begins and the next does, and its bytes, null
      * if they are too many.
      */
+    @SuppressWarnings("ArrayRecordComponent") // Bytes of a line as read; lines are not compared.
     record Line(long number, long offset, long next, byte[] bytes) {}
 
     LineReader(FileChannel file, int mostBytes, long number, long offset) {
--- a/src/main/java/larchridge/batch/ThreadEventLoop.java
+++ b/src/main/java/larchridge/batch/ThreadEventLoop.java
@@ -113,10 +113,14 @@
     }
 
     @Override
-    public void close() throws InterruptedException {
-        aside.shutdownNow();
-        aside.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
-        thread.shutdown();
-        thread.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
+    public void close() {
+        try {
+            aside.shutdownNow();
+            aside.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
+            thread.shutdown();
+            thread.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
 }
--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -169,7 +169,7 @@
         while (!waiting.isEmpty()
                 && running.size() < silicon.seqs()
                 && (budget > 0
-                        || waiting.peek().kind == Job.Kind.WRITE && !waiting.peek().preempted)) {
+                        || (waiting.peek().kind == Job.Kind.WRITE && !waiting.peek().preempted))) {
             Job job = waiting.peek();
             if (!place(job)) {
                 break;
--- a/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -168,10 +168,10 @@
     private static int nodePort(int node) throws IOException {
         for (int port = FIRST_PORT + node; port < LAST_PORT; port += STEP_PORTS) {
             try (ServerSocket socket =
-                    new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
+                    new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (IOException e) {
-                continue;
+                // The port is taken: the next one is tried.
             }
         }
         throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
--- a/src/main/java/larchridge/faultinjection/FaultProxy.java
+++ b/src/main/java/larchridge/faultinjection/FaultProxy.java
@@ -81,7 +81,7 @@
         boolean wasSilent = fault == Fault.SILENT;
         fault = next;
         size = nextSize;
-        if (next == Fault.CUT || wasSilent && next != Fault.SILENT) {
+        if (next == Fault.CUT || (wasSilent && next != Fault.SILENT)) {
             Set.copyOf(sides).forEach(Side::reset);
         }
     }
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -126,9 +126,9 @@
         Predicate<TestNode> takes =
                 node ->
                         node.state == TestNode.State.UP
-                                || node.state == TestNode.State.TERMINATING
+                                || (node.state == TestNode.State.TERMINATING
                                         && (now < node.terminatedMs + COMING_MS
-                                                || !idle.get(node.number).isEmpty());
+                                                || !idle.get(node.number).isEmpty()));
         List<TestNode> up = nodes.stream().filter(takes).toList();
         if (!up.isEmpty()) {
             TestNode node = up.get(random.nextInt(up.size()));
@@ -311,7 +311,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (exchange == null || dropsAnswers && exchange.id.charAt(0) % 2 == 0) {
+            if (exchange == null || (dropsAnswers && exchange.id.charAt(0) % 2 == 0)) {
                 return;
             }
             if (part.decoderResult().isFailure()) {
--- a/src/main/java/larchridge/faultinjection/TrafficJudge.java
+++ b/src/main/java/larchridge/faultinjection/TrafficJudge.java
@@ -73,7 +73,7 @@
         List<TrafficEvent> own = new ArrayList<>();
         for (TrafficEvent seen : log) {
             boolean killed = seen.kind() == TrafficEvent.Kind.FRONT_KILLED && seen.where() == node;
-            if (killed || seen.tag() != null && nodeOf.getOrDefault(seen.tag(), -1) == node) {
+            if (killed || (seen.tag() != null && nodeOf.getOrDefault(seen.tag(), -1) == node)) {
                 own.add(seen);
             }
         }
@@ -123,7 +123,7 @@
                     seen.kind() == TrafficEvent.Kind.READ_IN
                             || seen.kind() == TrafficEvent.Kind.WRITE_IN;
             if (seen.kind() == TrafficEvent.Kind.STARTED
-                    || attempt && wasTold(told, nodeOf.getOrDefault(seen.tag(), -1), seen)) {
+                    || (attempt && wasTold(told, nodeOf.getOrDefault(seen.tag(), -1), seen))) {
                 seenByTold.add(seen);
             }
         }
--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -66,7 +66,7 @@
     @Override
     public boolean request(QuotaRequest want, Listener taker) {
         boolean mayTry = !out && System.nanoTime() - triedNs >= TRY_MS * 1_000_000L;
-        if (away && !mayTry || waiting.size() >= MOST_WAITING) {
+        if ((away && !mayTry) || waiting.size() >= MOST_WAITING) {
             return false;
         }
         waiting.add(new Asked(want, taker));
--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -47,7 +47,10 @@
     private final int bound;
     private final Thread writer;
     private volatile boolean closing;
+
+    /** Written by the ledger's own thread alone. */
     private volatile long written;
+
     private volatile boolean failing;
 
     private Ledger(Path folder, int bound, boolean write) throws RocksDBException {
@@ -108,6 +111,7 @@
 
     // ------------------------------------------------------------------ writing
 
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Only this one thread writes the count.
     private void write() {
         List<Entry> batch = new ArrayList<>(BATCH);
         try {
@@ -144,8 +148,8 @@
 
     private boolean commit(List<Entry> batch) {
         synchronized (databaseLock) {
-            return database != null && commitOpen(batch)
-                    || !closing && reopen() && commitOpen(batch);
+            return (database != null && commitOpen(batch))
+                    || (!closing && reopen() && commitOpen(batch));
         }
     }
 
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -36,8 +36,9 @@
      * answer that it got most of; what was done besides is waste.
      */
     static Usage joined(Usage before, Usage again) {
-        Usage more = again.outTokens > before.outTokens ? again : before;
-        Usage less = more == again ? before : again;
+        boolean againHasMore = again.outTokens > before.outTokens;
+        Usage more = againHasMore ? again : before;
+        Usage less = againHasMore ? before : again;
         return new Usage(
                 more.id,
                 more.tenant,
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -248,7 +248,7 @@
 
         private void count(boolean isAside) {
             CountingPolicy.Way way = way();
-            if (way == CountingPolicy.Way.NOW || isAside && way == CountingPolicy.Way.ASIDE) {
+            if (way == CountingPolicy.Way.NOW || (isAside && way == CountingPolicy.Way.ASIDE)) {
                 measuring.finish();
             }
         }
--- a/src/main/java/larchridge/node/server/RequestRejection.java
+++ b/src/main/java/larchridge/node/server/RequestRejection.java
@@ -26,7 +26,10 @@
     ID_USED(HttpResponseStatus.CONFLICT, "Req-Id: was used before"),
     TOO_SLOW(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
 
+    /** Netty does not mark it as immutable, but it is. */
+    @SuppressWarnings("ImmutableEnumChecker")
     final HttpResponseStatus status;
+
     final String message;
 
     RequestRejection(HttpResponseStatus status, String message) {
--- a/src/main/java/larchridge/node/server/StrictDecoder.java
+++ b/src/main/java/larchridge/node/server/StrictDecoder.java
@@ -66,6 +66,6 @@
         // Guards against: taking one of two lengths for the right one lets a request hide in
         // another's
         // body.
-        return;
+
     }
 }
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -180,7 +180,7 @@
             return idle;
         }
         if (pool.size() >= bounds.anEngine()
-                || connections >= bounds.connections() && !makeRoom()) {
+                || (connections >= bounds.connections() && !makeRoom())) {
             return null;
         }
         UpstreamConnection wire = new UpstreamConnection(pool, call);
@@ -362,7 +362,7 @@
             report = loads.read(response.headers().get(LOAD));
             // Guards against: a stream without chunks has no end of its own; a break would pass for
             // it.
-            return status != 200 || !reads && HttpUtil.isTransferEncodingChunked(response);
+            return status != 200 || (!reads && HttpUtil.isTransferEncodingChunked(response));
         }
 
         @Override
@@ -579,7 +579,7 @@
             ConnectionPool pool = pools.get(endpoint);
             boolean rests = pool != null && pool.hasIdle();
             double heardMs = pool == null ? Double.NEGATIVE_INFINITY : pool.heardMs;
-            if (best == null || rests && !bestRests || rests == bestRests && heardMs > bestMs) {
+            if (best == null || (rests && !bestRests) || (rests == bestRests && heardMs > bestMs)) {
                 best = endpoint;
                 bestRests = rests;
                 bestMs = heardMs;
--- a/src/main/java/larchridge/node/upstream/UpstreamExchange.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -14,9 +14,7 @@
     FullHttpRequest request();
 
     /** Its last byte went to the socket. */
-    default void written() {
-        return;
-    }
+    default void written() {}
 
     /** The head of the answer; false if it can't be used. */
     boolean head(HttpResponse response);
@@ -28,9 +26,7 @@
     boolean completed();
 
     /** All of one read was told. */
-    default void paused() {
-        return;
-    }
+    default void paused() {}
 
     /** What came can't be read. The connection is closed by the one that tells. */
     void malformed();
--- a/src/main/java/larchridge/policy/PolicyEvents.java
+++ b/src/main/java/larchridge/policy/PolicyEvents.java
@@ -26,9 +26,7 @@
      * The state that an attempt is to fetch has been released beside it; only an attempt that has
      * arrived keeps it.
      */
-    default void stateReleased(Attempt attempt) {
-        return;
-    }
+    default void stateReleased(Attempt attempt) {}
 
     void clientDisconnected(Generation generation);
 
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -458,7 +458,7 @@
                     && (generation.clientRetry || dueMs < generation.sloDeadlineMs())
                     && (best == null
                             || place < bestPlace
-                            || place == bestPlace && tokens < bestTokens)) {
+                            || (place == bestPlace && tokens < bestTokens))) {
                 best = engine;
                 bestTokens = tokens;
                 bestPlace = place;
@@ -597,8 +597,8 @@
         clientDisconnected(generation);
         // Rule 2: throttled says that trying again is harmless.
         if (generation.trafficClass.effect == Effect.IDEMPOTENT
-                || generation.trafficClass.effect == Effect.DEDUPLICATED
-                        && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL
+                || (generation.trafficClass.effect == Effect.DEDUPLICATED
+                        && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL)
                 || generation.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
             host.reject(
                     generation,
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -55,7 +55,8 @@
         if (given != null) {
             return false;
         }
-        if (answer == FinalAnswer.REJECTED && begun || answer == FinalAnswer.COMPLETED && !begun) {
+        if ((answer == FinalAnswer.REJECTED && begun)
+                || (answer == FinalAnswer.COMPLETED && !begun)) {
             throw new IllegalStateException(answer + " is not possible here");
         }
         given = answer;
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -31,17 +31,13 @@
     }
 
     /** What was kept goes out now. */
-    default void flush() {
-        return;
-    }
+    default void flush() {}
 
     /** Whether nobody is there any more to be answered. */
     boolean isDisconnected();
 
     /** What the tenant has left, before anything else is told. */
-    default void budgetChecked(BudgetDecision budget) {
-        return;
-    }
+    default void budgetChecked(BudgetDecision budget) {}
 
     /**
      * Final: the tenant is beyond its budget; coming back after the time told is harmless and, if
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -614,9 +614,9 @@
             one.client.failed(
                     cause,
                     effect == Effect.IDEMPOTENT
-                            || effect == Effect.DEDUPLICATED
+                            || (effect == Effect.DEDUPLICATED
                                     && one.gen.trafficClass.deduplicationScope
-                                            == DeduplicationScope.ALL);
+                                            == DeduplicationScope.ALL));
         }
     }
 
@@ -700,7 +700,7 @@
     @Override
     public void watchEndpoints() {
         // The list comes unasked here.
-        return;
+
     }
 
     @Override
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -353,7 +353,7 @@
                             front.restoreUsage(
                                     line.tenant(),
                                     line.product(),
-                                    total.promptTokens() + total.outTokens()));
+                                    (double) (total.promptTokens() + total.outTokens())));
             front.endpointsChanged(first);
             fronts.add(front);
             server =
--- a/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
+++ b/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
@@ -93,7 +93,7 @@
     private record State(String rid, String tag, double tokens, double sinceMs) {}
 
     /** An attempt that is here. */
-    private final class Job {
+    private static final class Job {
         final String rid;
         final String tag;
         final HttpServerResponse response;
@@ -306,9 +306,9 @@
             error(response, 500, "internal");
             return;
         }
-        if (reads && make.role() == Role.WRITER
-                || !reads && make.role() == Role.READER
-                || !reads && handle == null && make.role() != Role.BOTH) {
+        if ((reads && make.role() == Role.WRITER)
+                || (!reads && make.role() == Role.READER)
+                || (!reads && handle == null && make.role() != Role.BOTH)) {
             error(response, 400, handle == null && !reads ? "kv_state_unknown" : "wrong_role");
             return;
         }
@@ -538,7 +538,7 @@
     private void admit() {
         for (Job job : List.copyOf(waiting)) {
             if (running.size() >= make.streams()
-                    || !job.counted && usedTokens + job.tokens > make.memoryTokens()) {
+                    || (!job.counted && usedTokens + job.tokens > make.memoryTokens())) {
                 return;
             }
             waiting.remove(job);
--- a/src/main/java/larchridge/simulation/SimulatedCluster.java
+++ b/src/main/java/larchridge/simulation/SimulatedCluster.java
@@ -294,7 +294,8 @@
                     visit.job.kind == Job.Kind.READ
                             ? make.role() == Role.WRITER
                             : make.role() == Role.READER
-                                    || visit.job.kind == Job.Kind.BOTH && make.role() != Role.BOTH;
+                                    || (visit.job.kind == Job.Kind.BOTH
+                                            && make.role() != Role.BOTH);
             if (faulty || wrong) {
                 leave(visit, faulty ? AttemptOutcome.FAULT : AttemptOutcome.NO_STATE);
             } else if (full || !model.submit(visit.job)) {
@@ -569,7 +570,7 @@
             @Override
             public void close() {
                 // Nothing is open.
-                return;
+
             }
         };
     }
@@ -699,12 +700,10 @@
         @Override
         public void pause() {
             // Clients of virtual drills take what they get.
-            return;
+
         }
 
         @Override
-        public void resume() {
-            return;
-        }
+        public void resume() {}
     }
 }
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -188,7 +188,7 @@
         if (random.nextDouble() < 1 - 1 / mix.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
                 Session one = sessions.get(i);
-                if (one.mix == mix && one.tenant.equals(tenant.name())) {
+                if (one.mix.equals(mix) && one.tenant.equals(tenant.name())) {
                     return sessions.remove(i);
                 }
             }
@@ -369,7 +369,7 @@
         @Override
         public void responseStarted(int keptTokens) {
             // Told to clients with the first piece.
-            return;
+
         }
 
         @Override
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -398,7 +398,12 @@
         terms.folder = folder == null ? null : folder.resolve(into);
         terms.fileBytes = (long) at.number("file_bytes", 200 << 20, 1, 1e12);
         terms.lineBytes =
-                (int) at.number("line_bytes", Math.min(limit.bodyBytes, 4 << 20), 100, 1 << 28);
+                (int)
+                        at.number(
+                                "line_bytes",
+                                (double) Math.min(limit.bodyBytes, 4 << 20),
+                                100,
+                                1 << 28);
         terms.lines = (long) at.number("lines", 1_000_000, 1, 1e9);
         terms.tenantBytes = (long) at.number("tenant_bytes", 10L << 30, 1, 1e15);
         terms.tenantFiles = (long) at.number("tenant_files", 20_000, 1, 1e9);
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -753,6 +753,8 @@
         }
     }
 
+    /** Handles are listed in the order of the families, as the database opened them. */
+    @SuppressWarnings("EnumOrdinal")
     private ColumnFamilyHandle handle(Family family) {
         return handles.get(family.ordinal());
     }
--- a/src/main/java/larchridge/systemtest/BenchDayReader.java
+++ b/src/main/java/larchridge/systemtest/BenchDayReader.java
@@ -95,7 +95,7 @@
         List<TestScript.Mix> mixes = mixes(day, leftOut);
         List<TestScript.Trouble> troubles = new ArrayList<>();
         for (JsonNode trouble : day.path("troubles")) {
-            trouble(trouble, ids, day, troubles, leftOut);
+            trouble(trouble, ids, troubles, leftOut);
         }
         int fronts = Math.min(MOST_FRONTS, Math.max(1, day.path("balancers").size()));
         if (fronts < day.path("balancers").size()) {
@@ -206,7 +206,6 @@
     private static void trouble(
             JsonNode trouble,
             Map<Integer, Long> ids,
-            JsonNode day,
             List<TestScript.Trouble> troubles,
             List<String> leftOut) {
         String kind = trouble.path("kind").asText();
--- a/src/main/java/larchridge/systemtest/ClientLoad.java
+++ b/src/main/java/larchridge/systemtest/ClientLoad.java
@@ -127,7 +127,7 @@
         if (random.nextDouble() < 1 - 1 / mix.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
                 Session one = sessions.get(i);
-                if (one.mix == mix && one.tenant.equals(tenant)) {
+                if (one.mix.equals(mix) && one.tenant.equals(tenant)) {
                     sessions.remove(i);
                     return one;
                 }
@@ -347,11 +347,11 @@
                 checkText(wholeText, json.path("usage").path("output_tokens").asInt(-1));
                 log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null);
                 answered("streamed");
-            } else if (status == 429 && type.equals("rate_limit_error")
-                    || status == 529 && type.equals("overloaded_error")) {
+            } else if ((status == 429 && type.equals("rate_limit_error"))
+                    || (status == 529 && type.equals("overloaded_error"))) {
                 answered("throttled");
-            } else if (status == 500 && type.equals("api_error")
-                    || status == 504 && type.equals("timeout_error")) {
+            } else if ((status == 500 && type.equals("api_error"))
+                    || (status == 504 && type.equals("timeout_error"))) {
                 answered("terminated");
             } else {
                 log.add(
--- a/src/main/java/larchridge/systemtest/CrashTest.java
+++ b/src/main/java/larchridge/systemtest/CrashTest.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.File;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -177,7 +178,7 @@
         long end = System.nanoTime() + START_MS * 1_000_000;
         while (process.isAlive() && System.nanoTime() < end) {
             try (Socket socket = new Socket()) {
-                socket.connect(new InetSocketAddress("127.0.0.1", port), 200);
+                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
                 return;
             } catch (IOException e) {
                 process.waitFor(20, TimeUnit.MILLISECONDS);
--- a/src/main/java/larchridge/systemtest/ResultCounts.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -57,7 +57,7 @@
         Map<String, TestScript.Mix> mixes = new HashMap<>();
         script.products().forEach(mix -> mixes.put(mix.name(), mix));
         for (TrafficEvent seen : log) {
-            if (seen.tag() == null || seen.kind().ordinal() < TrafficEvent.Kind.ASKED.ordinal()) {
+            if (seen.tag() == null || seen.kind().compareTo(TrafficEvent.Kind.ASKED) < 0) {
                 continue;
             }
             Operation one = operations.computeIfAbsent(seen.operation(), key -> new Operation());
--- a/src/main/java/larchridge/systemtest/RouterProcesses.java
+++ b/src/main/java/larchridge/systemtest/RouterProcesses.java
@@ -2,6 +2,7 @@
 
 import java.io.File;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -84,7 +85,9 @@
         long end = System.nanoTime() + START_MS * 1_000_000;
         while (System.nanoTime() < end) {
             try (Socket socket = new Socket()) {
-                socket.connect(new InetSocketAddress("127.0.0.1", ports.get(front)), 200);
+                socket.connect(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(front)),
+                        200);
                 return;
             } catch (IOException e) {
                 if (!running.get(front).isAlive()) {
--- a/src/main/java/larchridge/systemtest/RuleChecker.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -179,10 +179,10 @@
                 EngineProfile again = figures.makes.get(runs.get(i).where());
                 boolean together =
                         product.deduplicationScope == DeduplicationScope.ALL
-                                || product.deduplicationScope == DeduplicationScope.ZONE
-                                        && first.zone().equals(again.zone())
-                                || product.deduplicationScope == DeduplicationScope.RACK
-                                        && first.rack() == again.rack();
+                                || (product.deduplicationScope == DeduplicationScope.ZONE
+                                        && first.zone().equals(again.zone()))
+                                || (product.deduplicationScope == DeduplicationScope.RACK
+                                        && first.rack() == again.rack());
                 if (!together
                         || runs.get(i).ms() - runs.get(0).ms() > product.deduplicationWindowMs) {
                     breaches.add(
@@ -200,8 +200,8 @@
     private static boolean mayRepeatAnywhere(TrafficClass product) {
         return product == null
                 || product.effect == Effect.IDEMPOTENT
-                || product.effect == Effect.DEDUPLICATED
-                        && product.deduplicationScope == DeduplicationScope.ALL;
+                || (product.effect == Effect.DEDUPLICATED
+                        && product.deduplicationScope == DeduplicationScope.ALL);
     }
 
     /**
@@ -397,8 +397,8 @@
     private static Map<String, List<TrafficEvent>> clientSights(List<TrafficEvent> log) {
         Map<String, List<TrafficEvent>> byTag = new TreeMap<>();
         for (TrafficEvent seen : log) {
-            if (seen.kind().ordinal() >= TrafficEvent.Kind.ASKED.ordinal()
-                    && seen.kind().ordinal() <= TrafficEvent.Kind.MALFORMED.ordinal()) {
+            if (seen.kind().compareTo(TrafficEvent.Kind.ASKED) >= 0
+                    && seen.kind().compareTo(TrafficEvent.Kind.MALFORMED) <= 0) {
                 byTag.computeIfAbsent(seen.tag(), key -> new ArrayList<>()).add(seen);
             }
         }
--- a/src/main/java/larchridge/tokens/CountingPolicy.java
+++ b/src/main/java/larchridge/tokens/CountingPolicy.java
@@ -35,8 +35,8 @@
      *
      * @param countMs what counting takes
      * @param waitMs what is before it aside
-     * @param guessToks tokens that are guessed of what is not known
-     * @param readToksPerMs how fast an idle reader reads
+     * @param guessTokens tokens that are guessed of what is not known
+     * @param readTokensPerMs how fast an idle reader reads
      * @param sloMs the generation's SLO time
      */
     public static Way of(
--- a/src/main/java/larchridge/tokens/MergesVocabulary.java
+++ b/src/main/java/larchridge/tokens/MergesVocabulary.java
@@ -107,9 +107,9 @@
     }
 
     private static boolean isPlain(int value) {
-        return value >= '!' && value <= '~'
-                || value >= 0xA1 && value <= 0xAC
-                || value >= 0xAE && value <= 0xFF;
+        return (value >= '!' && value <= '~')
+                || (value >= 0xA1 && value <= 0xAC)
+                || (value >= 0xAE && value <= 0xFF);
     }
 
     @Override
@@ -164,7 +164,7 @@
 
     private int merged(String piece) {
         byte[] raw = piece.getBytes(StandardCharsets.UTF_8);
-        if (raw.length < 2 || wholePieces && tokens.contains(spelled(raw))) {
+        if (raw.length < 2 || (wholePieces && tokens.contains(spelled(raw)))) {
             return Math.min(1, raw.length);
         }
         int[] symbols = new int[raw.length];
--- a/src/main/java/larchridge/tokens/VocabularyReader.java
+++ b/src/main/java/larchridge/tokens/VocabularyReader.java
@@ -56,6 +56,9 @@
             throw new InvalidVocabularyException(
                     file + ": a rank file needs split: GPT2, CL100K or O200K");
         }
+        @SuppressWarnings(
+                "ArrayAsKeyOfSetOrMap") // The library takes ranks as such a map; nothing is looked
+        // up in it.
         Map<byte[], Integer> ranks = new HashMap<>();
         Map<String, Integer> lines = new HashMap<>();
         Set<Integer> used = new HashSet<>();
--- a/src/main/java/larchridge/upstream/AttemptListener.java
+++ b/src/main/java/larchridge/upstream/AttemptListener.java
@@ -31,23 +31,17 @@
      * The engine says that the request itself can't be used, by whomever; the end of the attempt
      * follows.
      */
-    default void answerUnusable() {
-        return;
-    }
+    default void answerUnusable() {}
 
     /**
      * The state that it is to fetch has been released, since the time for that is all but over and
      * nothing was heard of the attempt. Where it waits in its engine's queue it goes on; no other
      * attempt can fetch that state.
      */
-    default void stateReleased() {
-        return;
-    }
+    default void stateReleased() {}
 
     /** It was kept from being written, for this reason; the end of the attempt follows. */
-    default void notSent(SendRejection reason) {
-        return;
-    }
+    default void notSent(SendRejection reason) {}
 
     /** The last call for this attempt; ending is given with STREAMED only. */
     void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion ending);
--- a/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
+++ b/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
@@ -146,7 +146,7 @@
                                 releases--;
                             } else if (tries > 1) {
                                 vertx.setTimer(
-                                        RELEASE_AGAIN_MS * (1 + RELEASE_TRIES - tries),
+                                        (long) RELEASE_AGAIN_MS * (1 + RELEASE_TRIES - tries),
                                         timer -> release(endpoint, rid, tries - 1));
                             } else {
                                 releases--;
--- a/src/main/java/larchridge/upstream/ForwardedRequest.java
+++ b/src/main/java/larchridge/upstream/ForwardedRequest.java
@@ -13,6 +13,8 @@
  * @param body the body's bytes, never changed
  * @param limitMs when nobody waits for its first token any more, in the front's clock
  */
+@SuppressWarnings(
+        "ArrayRecordComponent") // The body is handed on as it came, uncopied; never compared.
 public record ForwardedRequest(
         String method,
         String target,
--- a/src/main/java/larchridge/upstream/LoadReportParser.java
+++ b/src/main/java/larchridge/upstream/LoadReportParser.java
@@ -98,8 +98,8 @@
     }
 
     private static void flatten(Map<String, Double> named, String path, JsonNode node) {
-        node.fields()
-                .forEachRemaining(
+        node.properties()
+                .forEach(
                         field -> {
                             if (field.getValue().isObject()) {
                                 flatten(named, path + field.getKey() + ".", field.getValue());
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void close() throws Exception {
+    public void close() throws IOException {
         store.close();
         counters.close();
         try (Stream<Path> files = Files.walk(folder)) {
--- a/src/test/java/larchridge/emulator/EmulatorTest.java
+++ b/src/test/java/larchridge/emulator/EmulatorTest.java
@@ -194,6 +194,7 @@
         Bench bench = new Bench(SILICON.withBlocks(400));
         List<Job> answers = new ArrayList<>();
         for (int length : lengths) {
+            @SuppressWarnings("EnumOrdinal") // One of the three kinds by chance.
             Job.Kind kind = Job.Kind.values()[random.nextInt(3)];
             Job job =
                     bench.submit(
--- a/src/test/java/larchridge/node/NodeFixture.java
+++ b/src/test/java/larchridge/node/NodeFixture.java
@@ -48,7 +48,7 @@
     final Path file;
     final Node node;
     private final AtomicInteger index = new AtomicInteger(1);
-    private final List<AutoCloseable> opened = new ArrayList<>();
+    private final List<RawClient> opened = new ArrayList<>();
 
     /** What one request looked like to an actor. */
     record Seen(String method, String target, String head, String body, int connection) {
@@ -266,12 +266,16 @@
     }
 
     @Override
-    public void close() throws Exception {
-        for (AutoCloseable one : opened) {
+    public void close() throws IOException {
+        for (RawClient one : opened) {
             one.close();
         }
         node.end();
-        node.awaitEnd();
+        try {
+            node.awaitEnd();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
         reader.close();
         writer.close();
         discovery.close();
--- a/src/test/java/larchridge/node/NodeProcess.java
+++ b/src/test/java/larchridge/node/NodeProcess.java
@@ -149,8 +149,8 @@
     }
 
     @Override
-    public void close() throws IOException, InterruptedException {
-        process.destroyForcibly().waitFor();
+    public void close() throws IOException {
+        process.destroyForcibly().onExit().join();
         reader.close();
         writer.close();
         discovery.close();
--- a/src/test/java/larchridge/node/NodeTest.java
+++ b/src/test/java/larchridge/node/NodeTest.java
@@ -1,5 +1,6 @@
 package larchridge.node;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -13,6 +14,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -74,7 +76,7 @@
             assertEquals("consulta", seen.header("Req-Kind"));
             assertTrue(
                     seen.head()
-                            .toLowerCase()
+                            .toLowerCase(Locale.ROOT)
                             .replace("\r\n", "|")
                             .contains("|x-any: one|x-any: two|"),
                     seen.head());
@@ -228,7 +230,7 @@
             client.socket.getOutputStream().write(more);
             // A reset, which a close over unread bytes is, would throw here.
             assertTrue(
-                    new String(client.socket.getInputStream().readAllBytes())
+                    new String(client.socket.getInputStream().readAllBytes(), UTF_8)
                             .matches("(?s)HTTP/1.1 4\\d\\d .*"),
                     head);
         }
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import larchridge.node.NodeFixture.Reply;
@@ -34,7 +35,7 @@
         tellToEnd();
         client.send(NodeFixture.ask(NodeFixture.id(), ""));
         String answer = NodeFixture.served(client);
-        assertTrue(answer.toLowerCase().contains("connection: close"), answer);
+        assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
         assertEquals("", client.rest());
     }
 
@@ -96,10 +97,11 @@
         gate.open().countDown();
         for (int i = 0; i < 2; i++) {
             String answer = NodeFixture.served(client);
-            assertTrue(!answer.toLowerCase().contains("connection: close"), answer);
+            assertTrue(!answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
         }
         client.send(third.substring(20));
-        assertTrue(NodeFixture.served(client).toLowerCase().contains("connection: close"));
+        assertTrue(
+                NodeFixture.served(client).toLowerCase(Locale.ROOT).contains("connection: close"));
         assertEquals("", client.rest());
     }
 
--- a/src/test/java/larchridge/node/upstream/ConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/ConnectionTest.java
@@ -80,9 +80,7 @@
         }
 
         @Override
-        public void batchCompleted() {
-            return;
-        }
+        public void batchCompleted() {}
 
         @Override
         public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion ending) {
--- a/src/test/java/larchridge/serve/BatchTest.java
+++ b/src/test/java/larchridge/serve/BatchTest.java
@@ -8,6 +8,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.openai.client.OpenAIClient;
 import com.openai.client.okhttp.OpenAIOkHttpClient;
+import com.openai.core.http.HttpResponse;
 import com.openai.errors.BadRequestException;
 import com.openai.errors.InternalServerException;
 import com.openai.errors.NotFoundException;
@@ -74,11 +75,11 @@
     private static Map<String, JsonNode> records(OpenAIClient client, String file)
             throws Exception {
         Map<String, JsonNode> records = new TreeMap<>();
-        for (String line :
-                new String(
-                                client.files().content(file).body().readAllBytes(),
-                                StandardCharsets.UTF_8)
-                        .split("\n")) {
+        String content;
+        try (HttpResponse response = client.files().content(file)) {
+            content = new String(response.body().readAllBytes(), StandardCharsets.UTF_8);
+        }
+        for (String line : content.split("\n")) {
             JsonNode record = MAPPER.readTree(line);
             records.put(record.path("custom_id").asText(), record);
         }
--- a/src/test/java/larchridge/serve/ServiceFixture.java
+++ b/src/test/java/larchridge/serve/ServiceFixture.java
@@ -9,6 +9,7 @@
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.HttpVersion;
 import io.vertx.core.http.RequestOptions;
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -186,10 +187,18 @@
     }
 
     @Override
-    public void close() throws Exception {
-        service.stop();
+    public void close() throws IOException {
+        try {
+            service.stop();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
         fleet.close();
-        vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+        vertx.close()
+                .toCompletionStage()
+                .toCompletableFuture()
+                .orTimeout(10, TimeUnit.SECONDS)
+                .join();
         try (java.util.stream.Stream<Path> all = Files.walk(folder)) {
             for (Path file : all.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
+++ b/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
@@ -111,7 +111,7 @@
                 .filter(
                         row ->
                                 row.name.equals("tenant quiet")
-                                        || rate == 10 && row.name.equals("all"))
+                                        || (rate == 10 && row.name.equals("all")))
                 .findFirst()
                 .orElseThrow()
                 .service();
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -183,7 +183,11 @@
     }
 
     @Override
-    public void close() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+    public void close() {
+        vertx.close()
+                .toCompletionStage()
+                .toCompletableFuture()
+                .orTimeout(5, TimeUnit.SECONDS)
+                .join();
     }
 }
