--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -14,10 +14,11 @@
 import java.util.Set;
 import larchridge.inventory.EngineEntry;
 import larchridge.node.server.HttpServer;
+import larchridge.node.server.ServerDependencies;
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 import larchridge.node.upstream.UpstreamLimits;
-import larchridge.policy.PolicyEvents;
+import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
 import larchridge.router.VirtualTimeScheduler;
@@ -115,18 +116,17 @@
                             return engine.newSucceededFuture();
                         },
                         audit.events());
-        Router front = new Router(ground, site, 0, link, audit.meters(), PolicyEvents::choice);
+        Router front = new Router(ground, site, 0, link, audit.meters(), RoutingPolicy::new);
         door =
                 new HttpServer(
-                        null,
-                        null,
-                        ground,
-                        front,
-                        site,
-                        given.products.values(),
-                        new ServerLimits(400, 1 << 18, 1 << 22, 1e6, 1e6, 1e6, 1e6),
-                        audit.events(),
-                        audit.meters());
+                        new ServerDependencies(
+                                ground,
+                                front,
+                                site,
+                                given.products.values(),
+                                new ServerLimits(400, 1 << 18, 1 << 22, 1e6, 1e6, 1e6, 1e6),
+                                audit.events(),
+                                audit.meters()));
         List<EngineEntry> rows = new ArrayList<>();
         for (int i = 0; i < ENGINES; i++) {
             Role role = i % 3 == 0 ? Role.READER : i % 3 == 1 ? Role.WRITER : Role.BOTH;
@@ -183,7 +183,7 @@
         if (client == null) {
             client = new EmbeddedChannel();
             clients.add(client);
-            door.enter(client);
+            door.addConnection(client);
         }
         client.attr(BUSY).set(true);
         String body =
@@ -220,7 +220,7 @@
                     default -> head + "Content-Length: 20\r\n\r\nhalf";
                 };
         EmbeddedChannel client = new EmbeddedChannel();
-        door.enter(client);
+        door.addConnection(client);
         client.writeInbound(bytes(text));
         client.runPendingTasks();
         ByteBuf answer = read(client);
