--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -261,11 +261,11 @@
                             front.forEachEngine(
                                     (endpoint, engine) -> {
                                         boolean same =
-                                                engine.attempts.size()
-                                                        == link.attemptsOut(endpoint);
+                                                engine.attempts().size()
+                                                        == link.inFlightAttempts(endpoint);
                                         attempts[0] =
                                                 same && attempts[0] >= 0
-                                                        ? attempts[0] + engine.attempts.size()
+                                                        ? attempts[0] + engine.attempts().size()
                                                         : -1;
                                     });
                             return attempts[0];
@@ -428,20 +428,20 @@
                     text.append("; ")
                             .append(Long.toHexString(engine.label >>> 48))
                             .append(' ')
-                            .append(engine.role)
+                            .append(engine.role())
                             .append(' ')
-                            .append(engine.state)
-                            .append(engine.suspectUntilMs > now ? " suspect" : "")
+                            .append(engine.state())
+                            .append(engine.isEjected(now) ? " suspect" : "")
                             .append(" attempts ")
-                            .append(engine.attempts.size())
+                            .append(engine.attempts().size())
                             .append(" unread ")
-                            .append(Math.round(engine.unreadTokens))
+                            .append(Math.round(engine.unreadTokens()))
                             .append(" writes ")
-                            .append(Math.round(engine.writeTokens))
+                            .append(Math.round(engine.writeTokens()))
                             .append(" out ")
-                            .append(link.attemptsOut(endpoint))
+                            .append(link.inFlightAttempts(endpoint))
                             .append(" connections ")
-                            .append(link.connectionsTo(endpoint));
+                            .append(link.connectionCount(endpoint));
                 });
         return text.toString();
     }
@@ -453,7 +453,7 @@
     private void endpointsChanged(List<EngineEntry> rows) {
         List<Endpoint> spots = new ArrayList<>();
         rows.forEach(row -> spots.add(new Endpoint(row.host(), row.port())));
-        link.engines(spots);
+        link.updateEndpoints(spots);
         audit.listed(rows);
         front.endpointsChanged(rows);
     }
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -107,8 +107,8 @@
                 () ->
                         front.forEachEngine(
                                 (endpoint, engine) -> {
-                                    int module = engine.attempts.size();
-                                    int own = link.attemptsOut(endpoint);
+                                    int module = engine.attempts().size();
+                                    int own = link.inFlightAttempts(endpoint);
                                     if (module != own) {
                                         violations.count(
                                                 Invariant.COUNTS_AGREE,
