--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -170,8 +170,8 @@
         }
         clientDisconnected(generation);
         if (generation.trafficClass.effect == Effect.IDEMPOTENT
-                || generation.trafficClass.effect == Effect.DEDUPLICATED
-                        && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL
+                || (generation.trafficClass.effect == Effect.DEDUPLICATED
+                        && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL)
                 || generation.attempts().stream().noneMatch(Attempt::mayHaveRun)) {
             host.reject(generation, 0);
         } else {
@@ -189,7 +189,7 @@
     @Override
     public void loadProbed(Engine engine, boolean answered, LoadReport report) {
         // Nothing is asked.
-        return;
+
     }
 
     @Override
--- a/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
+++ b/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
@@ -52,8 +52,8 @@
             boolean hasIdle = pool != null && pool.hasUsableIdle();
             double heardMs = pool == null ? Double.NEGATIVE_INFINITY : pool.lastHeardMs();
             if (best == null
-                    || hasIdle && !bestHasIdle
-                    || hasIdle == bestHasIdle && heardMs > bestHeardMs) {
+                    || (hasIdle && !bestHasIdle)
+                    || (hasIdle == bestHasIdle && heardMs > bestHeardMs)) {
                 best = endpoint;
                 bestHasIdle = hasIdle;
                 bestHeardMs = heardMs;
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -81,8 +81,8 @@
     private static boolean isClientRetryHarmless(Generation generation) {
         Effect effect = generation.trafficClass.effect;
         return effect == Effect.IDEMPOTENT
-                || effect == Effect.DEDUPLICATED
-                        && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL
+                || (effect == Effect.DEDUPLICATED
+                        && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL)
                 || generation.attempts().stream().noneMatch(Attempt::mayHaveRun);
     }
 
--- a/src/main/java/larchridge/router/EndpointTable.java
+++ b/src/main/java/larchridge/router/EndpointTable.java
@@ -42,7 +42,8 @@
     private Engine engineOf(EngineEntry entry) {
         Engine engine = enginesById.computeIfAbsent(entry.id(), Engine::new);
         EngineEntry before = entries.get(engine);
-        if (before == null || before.port() == entry.port() && before.host().equals(entry.host())) {
+        if (before == null
+                || (before.port() == entry.port() && before.host().equals(entry.host()))) {
             return engine;
         }
         // Guards against: what is known of an address, and the attempts in flight there, are not
--- a/src/main/java/larchridge/router/FinalAnswers.java
+++ b/src/main/java/larchridge/router/FinalAnswers.java
@@ -66,8 +66,8 @@
 
     private static boolean mayRetry(TrafficClass trafficClass) {
         return trafficClass.effect == Effect.IDEMPOTENT
-                || trafficClass.effect == Effect.DEDUPLICATED
-                        && trafficClass.deduplicationScope == DeduplicationScope.ALL;
+                || (trafficClass.effect == Effect.DEDUPLICATED
+                        && trafficClass.deduplicationScope == DeduplicationScope.ALL);
     }
 
     /** Counts the end of a request that gets no answer, as its client is gone or takes nothing. */
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -31,17 +31,13 @@
     }
 
     /** Sends what is buffered. */
-    default void flush() {
-        return;
-    }
+    default void flush() {}
 
     /** Whether the client has disconnected. */
     boolean isDisconnected();
 
     /** What the tenant's budget says of the request; comes before anything else. */
-    default void budgetChecked(BudgetDecision decision) {
-        return;
-    }
+    default void budgetChecked(BudgetDecision decision) {}
 
     /**
      * Final: the tenant is over its budget; retrying after the time in the decision is harmless
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -302,7 +302,7 @@
     @Override
     public void watchEndpoints() {
         // The endpoint list is pushed to this router without a watch.
-        return;
+
     }
 
     @Override
