--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -8,8 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import larchridge.policy.RoutingPolicy;
+import larchridge.settings.DeploymentSettings;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.settings.InvalidSettingsException;
-import larchridge.settings.RoutingSettingsReader;
 import larchridge.state.Attempt;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.CachedPrefix;
@@ -39,7 +40,7 @@
     private double nowMs;
 
     /** The settings of the current run, and its policy; null outside a run. */
-    private RoutingSettingsReader settings;
+    private DeploymentSettings settings;
 
     private RoutingPolicy policy;
     private final Map<String, Generation> generations = new HashMap<>();
@@ -59,7 +60,7 @@
         if (message.is("ENLIST")) {
             tearDown();
             settings = readSettings(message);
-            guarded(() -> policy = new RoutingPolicy(settings.terms, actions));
+            guarded(() -> policy = new RoutingPolicy(settings.routing(), actions));
             return;
         }
         if (message.is("TEARDOWN")) {
@@ -82,10 +83,10 @@
         }
     }
 
-    private static RoutingSettingsReader readSettings(MessageReader message)
+    private static DeploymentSettings readSettings(MessageReader message)
             throws InvalidMessageException {
         try {
-            return RoutingSettingsReader.read(
+            return DeploymentSettingsReader.read(
                     MAPPER.readTree(message.rest("env")), message.integer("seed"));
         } catch (JsonProcessingException e) {
             throw message.invalid(
@@ -116,14 +117,14 @@
 
     private void requestArrived(MessageReader message) throws InvalidMessageException {
         String id = message.text("job");
-        TrafficClass trafficClass = settings.products.get(message.text("service"));
+        TrafficClass trafficClass = settings.trafficClasses().get(message.text("service"));
         if (trafficClass == null) {
             throw message.invalid(
                     "member service is '"
                             + message.text("service")
                             + "'; expected a name in request_classes");
         }
-        TenantQuota tenantQuota = settings.accounts.get(message.textOr("tenant", ""));
+        TenantQuota tenantQuota = settings.tenants().get(message.textOr("tenant", ""));
         CachedPrefix session = cachedPrefix(sessions, message.textOr("talk", null));
         CachedPrefix prefix = cachedPrefix(prefixes, message.textOr("prefix", null));
         double hintTokens =
@@ -272,8 +273,8 @@
                 message.decimalOr("units", 1),
                 message.textOr("zone", ""),
                 message.integerOr("group", 0),
-                settings.roles.getOrDefault(kind, Role.BOTH),
-                settings.memory.getOrDefault(kind, Double.NaN));
+                settings.roles().getOrDefault(kind, Role.BOTH),
+                settings.memoryTokens().getOrDefault(kind, Double.NaN));
     }
 
     private static EndpointState endpointState(MessageReader message)
@@ -295,7 +296,7 @@
         if (!message.has("pressure")) {
             return null;
         }
-        return RoutingSettingsReader.report(name -> message.pair("pressure", name));
+        return DeploymentSettingsReader.report(name -> message.pair("pressure", name));
     }
 
     /** Removes a generation once no message can refer to it any more. */
