--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -338,7 +338,7 @@
         }
         try {
             Site site = Site.plain(file.given.routing());
-            long heap = Runtime.getRuntime().maxMemory();
+            double heap = (double) Runtime.getRuntime().maxMemory();
             long bodies = (long) (Math.min(heap, file.memoryMb * 1048576.0) * BODIES_PART);
             site.releaseMs = file.given.releaseMs();
             site.drainGraceMs = file.given.drainGraceMs();
