--- a/src/main/java/larchridge/policy/WriterCapacity.java
+++ b/src/main/java/larchridge/policy/WriterCapacity.java
@@ -29,9 +29,9 @@
     /** Tokens that a generation will hold at its writer. */
     static double neededTokens(Generation generation) {
         double output =
-                Double.isNaN(generation.hintTokens)
+                Double.isNaN(generation.expectedOutputTokens)
                         ? EXPECTED_SHARE_OF_MAX * generation.maxTokens
-                        : generation.hintTokens;
+                        : generation.expectedOutputTokens;
         return generation.promptTokens + output;
     }
 
--- a/src/main/java/larchridge/state/CachedPrefix.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -4,15 +4,18 @@
 import java.util.List;
 
 /**
- * A text that readers may have kept: a session's prompts so far, or a beginning that sessions
- * share.
+ * A text that readers may have cached: a session's prompts so far, or a beginning that sessions
+ * share. It remembers what this router has sent where.
  */
 public final class CachedPrefix {
+    /** Its id, alike at every router. */
     public final String id;
+
     private final List<Copy> copies = new ArrayList<>(2);
 
     private record Copy(Engine engine, double sentMs, int tokens) {}
 
+    /** A text that was sent nowhere yet. */
     public CachedPrefix(String id) {
         this.id = id;
     }
@@ -26,7 +29,7 @@
         copies.add(new Copy(engine, nowMs, tokens));
     }
 
-    /** How much of it an engine was sent since it last lost its texts. */
+    /** How much of it an engine was sent since it last lost its cache. */
     public int tokensAt(Engine engine) {
         for (Copy copy : copies) {
             if (copy.engine == engine && copy.sentMs >= engine.cachedSinceMs()) {
@@ -36,7 +39,7 @@
         return 0;
     }
 
-    /** The engine that read this text last, or null if that has lost its texts since. */
+    /** The engine that read this text last, or null if that has lost its cache since. */
     public Engine lastReader() {
         if (copies.isEmpty()) {
             return null;
@@ -45,7 +48,7 @@
         return last.sentMs >= last.engine.cachedSinceMs() ? last.engine : null;
     }
 
-    /** A fixed figure for this text and an engine, alike at every front. */
+    /** A fixed figure for this text and an engine, alike at every router. */
     public long affinity(Engine engine) {
         long mixed = id.hashCode() * 0x9E3779B97F4A7C15L ^ engine.label * 0xC2B2AE3D27D4EB4FL;
         mixed = (mixed ^ mixed >>> 31) * 0xD6E8FEB86659FD93L;
--- a/src/main/java/larchridge/state/EndpointState.java
+++ b/src/main/java/larchridge/state/EndpointState.java
@@ -1,8 +1,11 @@
 package larchridge.state;
 
-/** How the list speaks of an engine. */
+/** Whether an engine may get attempts, by the endpoint list. */
 public enum EndpointState {
+    /** It may. */
     READY,
+    /** It may not; what is in flight there may end. */
     DRAINING,
+    /** The list does not name it any more. */
     REMOVED
 }
--- a/src/main/java/larchridge/state/Generation.java
+++ b/src/main/java/larchridge/state/Generation.java
@@ -44,7 +44,7 @@
     public final int maxTokens;
 
     /** The hinted length of the answer, or NaN. */
-    public final double hintTokens;
+    public final double expectedOutputTokens;
 
     /** Whether the client marks it as a retry. */
     public final boolean clientRetry;
@@ -85,7 +85,7 @@
             int promptTokens,
             int sharedTokens,
             int maxTokens,
-            double hintTokens,
+            double expectedOutputTokens,
             boolean clientRetry,
             double arrivedMs,
             double deadlineMs) {
@@ -97,7 +97,7 @@
         this.promptTokens = promptTokens;
         this.sharedTokens = sharedTokens;
         this.maxTokens = maxTokens;
-        this.hintTokens = hintTokens;
+        this.expectedOutputTokens = expectedOutputTokens;
         this.clientRetry = clientRetry;
         this.arrivedMs = arrivedMs;
         this.deadlineMs = deadlineMs;
--- a/src/main/java/larchridge/state/PrefixRegistry.java
+++ b/src/main/java/larchridge/state/PrefixRegistry.java
@@ -3,11 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Texts by id; the one unused for longest goes when there are too many to keep. */
+/** Prefixes by id; when there are too many to keep, the least recently used is dropped. */
 public final class PrefixRegistry extends LinkedHashMap<String, CachedPrefix> {
     private static final long serialVersionUID = 1;
+
+    /** The most prefixes that are kept, so that memory is bounded whatever clients send. */
     private static final int MOST = 20_000;
 
+    /** A registry without prefixes. */
     public PrefixRegistry() {
         super(16, 0.75f, true);
     }
--- a/src/main/java/larchridge/state/Role.java
+++ b/src/main/java/larchridge/state/Role.java
@@ -1,8 +1,11 @@
 package larchridge.state;
 
-/** The part an engine can play: read prompts, write answers, or do either. */
+/** The stages that an engine serves. */
 public enum Role {
+    /** Reads prompts and holds their states. */
     READER,
+    /** Fetches states and writes answers. */
     WRITER,
+    /** Writes answers, of states or of prompts that it reads itself. */
     BOTH
 }
--- a/src/main/java/larchridge/state/SlidingWindow.java
+++ b/src/main/java/larchridge/state/SlidingWindow.java
@@ -1,37 +1,41 @@
 package larchridge.state;
 
-/** Sums over fixed buckets of time, used again in a ring. */
+import java.util.Arrays;
+
+/** Sums over the last span of time, in fixed buckets that are reused as a ring. */
 public final class SlidingWindow {
     private final double bucketMs;
     private final double[] sums;
     private long newest = Long.MIN_VALUE;
 
+    /** A window of so many buckets of so many milliseconds each. */
     public SlidingWindow(int buckets, double bucketMs) {
         this.bucketMs = bucketMs;
         this.sums = new double[buckets];
     }
 
+    /** Adds an amount to the running bucket. */
     public void add(double nowMs, double amount) {
-        turnTo(nowMs);
+        advanceTo(nowMs);
         sums[(int) Math.floorMod(newest, (long) sums.length)] += amount;
     }
 
     /** Keeps the highest amount of the running bucket. */
     public void addMax(double nowMs, double amount) {
-        turnTo(nowMs);
+        advanceTo(nowMs);
         int i = (int) Math.floorMod(newest, (long) sums.length);
         sums[i] = Math.max(sums[i], amount);
     }
 
-    /** The highest bucket of the last full span of the ring. */
+    /** The highest bucket of the window. */
     public double max(double nowMs) {
-        turnTo(nowMs);
-        return java.util.Arrays.stream(sums).max().getAsDouble();
+        advanceTo(nowMs);
+        return Arrays.stream(sums).max().getAsDouble();
     }
 
-    /** The sum over the last full span of the ring, the running bucket included. */
+    /** The sum over the window, the running bucket included. */
     public double sum(double nowMs) {
-        turnTo(nowMs);
+        advanceTo(nowMs);
         double sum = 0;
         for (double part : sums) {
             sum += part;
@@ -39,15 +43,17 @@
         return sum;
     }
 
+    /** The span of time that counts. */
     public double spanMs() {
         return bucketMs * sums.length;
     }
 
+    /** Forgets all amounts. */
     public void clear() {
-        java.util.Arrays.fill(sums, 0);
+        Arrays.fill(sums, 0);
     }
 
-    private void turnTo(double nowMs) {
+    private void advanceTo(double nowMs) {
         long bucket = (long) Math.floor(nowMs / bucketMs);
         if (newest == Long.MIN_VALUE || bucket - newest >= sums.length) {
             clear();
--- a/src/main/java/larchridge/state/TenantQuota.java
+++ b/src/main/java/larchridge/state/TenantQuota.java
@@ -1,15 +1,9 @@
 package larchridge.state;
 
-/** A customer with a stated share of the service. */
-public final class TenantQuota {
-    public final String name;
-    public final double quotaPerSecond;
-
-    /** Generations of the last seconds that were within the share. */
-    public final SlidingWindow inShare = new SlidingWindow(10, 1000);
-
-    public TenantQuota(String name, double quotaPerSecond) {
-        this.name = name;
-        this.quotaPerSecond = quotaPerSecond;
-    }
-}
+/**
+ * A tenant with its stated share of the service.
+ *
+ * @param name the tenant's name
+ * @param quotaPerSecond generations a second within the share
+ */
+public record TenantQuota(String name, double quotaPerSecond) {}
