--- /dev/null
+++ b/src/test/java/larchridge/policy/EndpointWatchTest.java
@@ -0,0 +1,23 @@
+package larchridge.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** Requests for the endpoint list. */
+class EndpointWatchTest {
+    private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
+
+    @Test
+    void endpointListIsRequestedAgainAfterAFailureOnly() {
+        fixture.settings.endpointListPolled(true);
+        RoutingPolicy polling = fixture.start();
+        fixture.nowMs += 20_000;
+        polling.wakeUp();
+        assertEquals(1, fixture.actions.stream().filter("follow"::equals).count());
+        polling.endpointWatchFailed();
+        fixture.nowMs += 1001;
+        polling.wakeUp();
+        assertEquals(2, fixture.actions.stream().filter("follow"::equals).count());
+    }
+}
--- /dev/null
+++ b/src/test/java/larchridge/policy/HedgingPolicyTest.java
@@ -0,0 +1,90 @@
+package larchridge.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import larchridge.state.Attempt;
+import larchridge.state.DeduplicationScope;
+import larchridge.state.Effect;
+import larchridge.state.Engine;
+import larchridge.state.EngineFixture;
+import larchridge.state.Generation;
+import org.junit.jupiter.api.Test;
+
+/** Engines that fall silent over an attempt. */
+class HedgingPolicyTest {
+    private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
+    private final RoutingPolicy policy = fixture.start();
+
+    @Test
+    void longPromptAtAnIdleReaderIsNotOverdue() {
+        fixture.engines(2, 1);
+        policy.requestArrived(
+                fixture.generation(
+                        "a",
+                        RoutingPolicyFixture.trafficClass(
+                                Effect.IDEMPOTENT, DeduplicationScope.ALL),
+                        null,
+                        20_000));
+        fixture.nowMs += 1500;
+        policy.wakeUp();
+        assertFalse(fixture.hasAction("cancel"));
+    }
+
+    @Test
+    void readAtASilentEngineIsHedgedAndNotCancelled() {
+        Engine[] engines = fixture.engines(2, 1);
+        policy.requestArrived(fixture.generation("a"));
+        Attempt silent = fixture.last();
+        EngineFixture.setHeardMs(silent.engine, fixture.nowMs + 100);
+        fixture.nowMs += 400;
+        policy.wakeUp();
+        assertSame(silent, fixture.last());
+        fixture.nowMs += 400;
+        policy.wakeUp();
+        assertFalse(fixture.hasAction("cancel a"));
+        assertSame(silent.engine == engines[0] ? engines[1] : engines[0], fixture.last().engine);
+    }
+
+    @Test
+    void answerStaysAtASilentWriterWhileNoOtherHasCapacity() {
+        Engine[] engines = fixture.engines(1, 2);
+        policy.requestArrived(fixture.generation("a"));
+        policy.readCompleted(fixture.last(), 0, null, false);
+        Attempt write = fixture.last();
+        EngineFixture.setOthersTokens(engines[1], 200_000);
+        EngineFixture.setOthersTokens(engines[2], 200_000);
+        EngineFixture.setReportMs(engines[1], fixture.nowMs + 1500);
+        EngineFixture.setReportMs(engines[2], fixture.nowMs + 1500);
+        fixture.nowMs += 1500;
+        policy.wakeUp();
+        assertSame(write, fixture.last());
+        EngineFixture.setOthersTokens(write.engine == engines[1] ? engines[2] : engines[1], 0);
+        policy.wakeUp();
+        assertEquals(3, fixture.sent.size());
+    }
+
+    /**
+     * It may wait in its writer's queue, which keeps the state; any other writer would find none.
+     */
+    @Test
+    void answerWhoseStateWasReleasedBesideItStaysUntilItsPromptIsReadAnew() {
+        fixture.engines(2, 2);
+        Generation generation = fixture.generation("a");
+        policy.requestArrived(generation);
+        policy.readCompleted(fixture.last(), 0, null, false);
+        Attempt waits = fixture.last();
+        policy.stateReleased(waits);
+        waits.setSilenceTimeoutMs(100);
+        fixture.nowMs += waits.silenceTimeoutMs() + 1;
+        policy.wakeUp();
+        Attempt again = fixture.last();
+        assertTrue(again.read, "the prompt is read anew before the answer moves");
+        assertFalse(fixture.hasAction("cancel a"));
+        policy.readCompleted(again, 0, null, false);
+        assertFalse(fixture.last().read);
+        assertTrue(waits.isCancelled());
+    }
+}
--- /dev/null
+++ b/src/test/java/larchridge/policy/PrefixAffinityTest.java
@@ -0,0 +1,59 @@
+package larchridge.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import larchridge.state.CachedPrefix;
+import larchridge.state.DeduplicationScope;
+import larchridge.state.Effect;
+import larchridge.state.Engine;
+import larchridge.state.Generation;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Where texts are likely to be cached. */
+class PrefixAffinityTest {
+    private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
+
+    @BeforeEach
+    void startPolicy() {
+        fixture.start();
+    }
+
+    @Test
+    void routersThatNeverSawASessionAgreeOnItsReader() {
+        CachedPrefix prefix = new CachedPrefix("p");
+        for (int router = 0; router < 20; router++) {
+            fixture.settings.seed(router);
+            fixture.start();
+            fixture.engines(8, 2);
+            fixture.policy.requestArrived(
+                    new Generation(
+                            "g",
+                            RoutingPolicyFixture.trafficClass(
+                                    Effect.IDEMPOTENT, DeduplicationScope.ALL),
+                            null,
+                            new CachedPrefix("s"),
+                            prefix,
+                            3000,
+                            2000,
+                            200,
+                            Double.NaN,
+                            false,
+                            fixture.nowMs,
+                            fixture.nowMs + 5000));
+        }
+        assertEquals(
+                1, fixture.sent.stream().map(attempt -> attempt.engine.label).distinct().count());
+    }
+
+    @Test
+    void prefixCountsAsCachedAtEveryReaderItWasSentTo() {
+        Engine[] engines = fixture.engines(2, 1);
+        CachedPrefix text = new CachedPrefix("t");
+        text.recordSent(engines[0], 900, 1);
+        text.recordSent(engines[1], 900, 2);
+        assertEquals(900, text.tokensAt(engines[0]));
+        assertSame(engines[1], text.lastReader());
+    }
+}
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -14,16 +14,18 @@
 import larchridge.state.RoutingSettings;
 import larchridge.state.TrafficClass;
 
-/** A host that writes down what it is asked for, and short ways to build state. */
+/**
+ * A router that records the actions of its policy, and short ways to build engines and generations.
+ */
 final class RoutingPolicyFixture implements PolicyActions {
-    /** Times that the module has asked to be woken. */
+    /** How often the policy has planned a wake-up. */
     int wakes;
 
-    final List<String> said = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
     final List<Attempt> sent = new ArrayList<>();
     final RoutingSettings.Builder settings = RoutingSettings.builder();
-    double now = 100_000;
-    RoutingPolicy choice;
+    double nowMs = 100_000;
+    RoutingPolicy policy;
 
     RoutingPolicyFixture() {
         settings.routers(2);
@@ -40,42 +42,43 @@
     }
 
     RoutingPolicy start() {
-        choice = new RoutingPolicy(settings.build(), this);
-        return choice;
+        policy = new RoutingPolicy(settings.build(), this);
+        return policy;
     }
 
-    EndpointUpdate listing(Engine engine, Role role, EndpointState mode, double startMs) {
-        return new EndpointUpdate(engine, mode, startMs, 1, "z", 0, role, 200_000);
+    EndpointUpdate update(Engine engine, Role role, EndpointState state, double startMs) {
+        return new EndpointUpdate(engine, state, startMs, 1, "z", 0, role, 200_000);
     }
 
-    Engine[] fleet(int readers, int writers) {
-        Engine[] fleet = new Engine[readers + writers];
-        List<EndpointUpdate> list = new ArrayList<>();
-        for (int i = 0; i < fleet.length; i++) {
-            fleet[i] = new Engine(i + 1);
-            list.add(
-                    listing(
-                            fleet[i],
+    Engine[] engines(int readers, int writers) {
+        Engine[] engines = new Engine[readers + writers];
+        List<EndpointUpdate> updates = new ArrayList<>();
+        for (int i = 0; i < engines.length; i++) {
+            engines[i] = new Engine(i + 1);
+            updates.add(
+                    update(
+                            engines[i],
                             i < readers ? Role.READER : Role.WRITER,
                             EndpointState.READY,
                             0));
         }
-        choice.endpointsChanged(list, true);
-        return fleet;
+        policy.endpointsChanged(updates, true);
+        return engines;
     }
 
-    static TrafficClass product(Effect effect, DeduplicationScope span) {
+    static TrafficClass trafficClass(Effect effect, DeduplicationScope span) {
         return new TrafficClass("p", effect, span, 5000, 1, 0.1, 1000, 0.04, 60);
     }
 
-    Generation gen(String label) {
-        return gen(label, product(Effect.IDEMPOTENT, DeduplicationScope.ALL), null, 1000);
+    Generation generation(String id) {
+        return generation(id, trafficClass(Effect.IDEMPOTENT, DeduplicationScope.ALL), null, 1000);
     }
 
-    Generation gen(String label, TrafficClass product, CachedPrefix session, int promptTokens) {
+    Generation generation(
+            String id, TrafficClass trafficClass, CachedPrefix session, int promptTokens) {
         return new Generation(
-                label,
-                product,
+                id,
+                trafficClass,
                 null,
                 session,
                 null,
@@ -84,52 +87,52 @@
                 200,
                 Double.NaN,
                 false,
-                now,
-                now + 5000);
+                nowMs,
+                nowMs + 5000);
     }
 
     Attempt last() {
         return sent.get(sent.size() - 1);
     }
 
-    boolean heardOf(String word) {
-        return said.stream().anyMatch(line -> line.startsWith(word));
+    boolean hasAction(String kind) {
+        return actions.stream().anyMatch(action -> action.startsWith(kind));
     }
 
     @Override
     public double nowMs() {
-        return now;
+        return nowMs;
     }
 
     @Override
     public void send(Attempt attempt) {
         sent.add(attempt);
-        said.add("send " + attempt.generation.id + " " + attempt.engine.label);
+        actions.add("send " + attempt.generation.id + " " + attempt.engine.label);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        said.add("cancel " + attempt.generation.id + " " + attempt.number);
+        actions.add("cancel " + attempt.generation.id + " " + attempt.number);
     }
 
     @Override
     public void releaseState(Generation generation) {
-        said.add("release " + generation.id);
+        actions.add("release " + generation.id);
     }
 
     @Override
-    public void reject(Generation generation, double comeBackMs) {
-        said.add("throttle " + generation.id);
+    public void reject(Generation generation, double retryAfterMs) {
+        actions.add("throttle " + generation.id);
     }
 
     @Override
     public void fail(Generation generation) {
-        said.add("terminate " + generation.id);
+        actions.add("terminate " + generation.id);
     }
 
     @Override
     public void probeLoad(Engine engine) {
-        said.add("probe " + engine.label);
+        actions.add("probe " + engine.label);
     }
 
     @Override
@@ -139,7 +142,7 @@
 
     @Override
     public void watchEndpoints() {
-        said.add("follow");
+        actions.add("follow");
     }
 
     @Override
