--- a/src/main/java/larchridge/messages/MessageBodies.java
+++ b/src/main/java/larchridge/messages/MessageBodies.java
@@ -50,29 +50,22 @@
         }
         int due = expected;
         String model = read.engineModel();
-        return new GenerationRequest(
-                terms.of(read.offer()),
-                tenant,
-                model,
-                read.prompt(),
-                read.promptTokens(),
-                read.sharedTokens(),
-                read.maxTokens(),
-                read.stops(),
-                read.sampling(),
-                read.prefix(),
-                read.opening(),
-                read.talkBefore(),
-                // Like a client's late retry it goes to short readers only: others wait there for
-                // their first token.
-                read.talkNow(),
-                true,
-                true,
-                Double.POSITIVE_INFINITY,
-                repeatKey,
-                0,
-                tokens -> thread.execute(() -> lengths.reported(model, due, tokens)),
-                null);
+        return GenerationRequest.builder()
+                .product(terms.of(read.offer()), tenant)
+                .model(model)
+                .prompt(read.prompt(), read.promptTokens())
+                .sharedPrefix(read.prefix(), read.sharedTokens())
+                .limits(read.maxTokens(), read.stops())
+                .sampling(read.sampling())
+                .session(read.opening(), read.talkBefore(), read.talkNow())
+                .unstreamed(true)
+                // Like a client's late retry it goes to readers with short queues only: others wait
+                // there for their first token.
+                .clientRetry(true)
+                .idempotencyKey(repeatKey)
+                .onPromptTokensReported(
+                        tokens -> thread.execute(() -> lengths.reported(model, due, tokens)))
+                .build();
     }
 
     /** A whole answer as the API words it. */
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -317,27 +317,24 @@
             int expected = counted == null ? -1 : PromptLengths.expected(counted);
             String key = request.getHeader("idempotency-key");
             GenerationRequest ask =
-                    new GenerationRequest(
-                            body.offer(),
-                            tenant,
-                            body.engineModel(),
-                            body.prompt(),
-                            body.promptTokens(),
-                            body.sharedTokens(),
-                            body.maxTokens(),
-                            body.stops(),
-                            body.sampling(),
-                            body.prefix(),
-                            body.opening(),
-                            body.talkBefore(),
-                            body.talkNow(),
-                            !body.stream(),
-                            retries() > 0,
-                            patienceMs(),
-                            key == null ? null : Site.sha256(tenant.name() + '\n' + key),
-                            (System.nanoTime() - completeNs) / 1e6,
-                            tokens -> lengths.reported(body.engineModel(), expected, tokens),
-                            null);
+                    GenerationRequest.builder()
+                            .product(body.offer(), tenant)
+                            .model(body.engineModel())
+                            .prompt(body.prompt(), body.promptTokens())
+                            .sharedPrefix(body.prefix(), body.sharedTokens())
+                            .limits(body.maxTokens(), body.stops())
+                            .sampling(body.sampling())
+                            .session(body.opening(), body.talkBefore(), body.talkNow())
+                            .unstreamed(!body.stream())
+                            .clientRetry(retries() > 0)
+                            .clientTimeoutMs(patienceMs())
+                            .idempotencyKey(
+                                    key == null ? null : Site.sha256(tenant.name() + '\n' + key))
+                            .queuedMs((System.nanoTime() - completeNs) / 1e6)
+                            .onPromptTokensReported(
+                                    tokens ->
+                                            lengths.reported(body.engineModel(), expected, tokens))
+                            .build();
             measuring = null;
             MessagesResponseSink client =
                     new MessagesResponseSink(front, request.response(), id, body);
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -104,7 +104,8 @@
     }
 
     /**
-     * Asks for the quota that the generation lacks, and decides later; false if nobody is asked.
+     * Requests the quota that the generation lacks, to decide later; false if it can't be
+     * requested.
      */
     private boolean borrowQuota(
             GenerationRequest generationRequest,
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -17,14 +17,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(AttemptEventHandler.class);
 
     private final RequestServices services;
-    private final RouterContext context;
     private final InFlightRequest request;
     private final InFlightAttempt attempt;
 
     AttemptEventHandler(
             RequestServices services, InFlightRequest request, InFlightAttempt attempt) {
         this.services = services;
-        this.context = services.context();
         this.request = request;
         this.attempt = attempt;
     }
@@ -32,6 +30,7 @@
     @Override
     public void readCompleted(
             StateHandle state, int cachedTokens, int promptTokens, LoadReport report) {
+        RouterContext context = services.context();
         context.updateClock();
         attempt.readCompleted(state, request.usageMeter().promptRead(promptTokens), cachedTokens);
         request.generationRequest().promptTokensReported().accept(promptTokens);
@@ -43,6 +42,7 @@
 
     @Override
     public void responseStarted() {
+        RouterContext context = services.context();
         context.updateClock();
         if (!request.responseGuard().begin()) {
             return;
@@ -79,6 +79,7 @@
 
     @Override
     public void textReceived(String text) {
+        RouterContext context = services.context();
         if (request.streamsFrom(attempt)) {
             context.updateClock();
             request.pieceReceived(context.nowMs());
@@ -91,6 +92,7 @@
 
     @Override
     public void eventsReceived(byte[] events) {
+        RouterContext context = services.context();
         if (request.streamsFrom(attempt)) {
             context.updateClock();
             request.pieceReceived(context.nowMs());
@@ -107,13 +109,14 @@
 
     @Override
     public void stateReleased() {
-        context.updateClock();
+        services.context().updateClock();
         logStep("STATE_RELEASED");
         services.policy().stateReleased(request, attempt);
     }
 
     @Override
     public void notSent(SendRejection reason) {
+        RouterContext context = services.context();
         context.metrics.notSent(context.routerNumber, reason.tag());
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
@@ -124,7 +127,7 @@
 
     @Override
     public void requestUnprocessable() {
-        context.updateClock();
+        services.context().updateClock();
         // Guards against: retried, the request would use up its attempts and make every engine that
         // rightly rejects it look unhealthy.
         attempt.end();
@@ -133,6 +136,7 @@
 
     @Override
     public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion completion) {
+        RouterContext context = services.context();
         context.updateClock();
         attempt.end();
         context.metrics.attemptEnded(context.routerNumber, attempt.stage(), outcome.name());
@@ -179,7 +183,7 @@
                 .addKeyValue("prompt_tokens", request.generation().promptTokens)
                 .addKeyValue("cached_tokens", attempt.cachedTokens())
                 .addKeyValue("sent", Math.round(request.elapsedMs(attempt.policyAttempt().sentMs)))
-                .addKeyValue("ms", Math.round(request.elapsedMs(context.nowMs())))
+                .addKeyValue("ms", Math.round(request.elapsedMs(services.context().nowMs())))
                 .log(step);
     }
 }
--- a/src/main/java/larchridge/router/FinalAnswers.java
+++ b/src/main/java/larchridge/router/FinalAnswers.java
@@ -70,7 +70,7 @@
                         && trafficClass.deduplicationScope == DeduplicationScope.ALL;
     }
 
-    /** Counts the end of a request that gets no answer, as its client is gone or takes nothing. */
+    /** Counts the end of a request whose client has disconnected or takes no answer. */
     void unanswered(InFlightRequest request, String kind) {
         context.metrics.answered(
                 context.routerNumber, request.offering().product.name, kind, Double.NaN);
--- a/src/main/java/larchridge/router/GenerationRequest.java
+++ b/src/main/java/larchridge/router/GenerationRequest.java
@@ -97,4 +97,144 @@
                 tokens -> {},
                 forwardedRequest);
     }
+
+    /** A builder of a generation that the upstream client encodes for the engines. */
+    public static Builder builder() {
+        return new Builder();
+    }
+
+    /** Collects what a server reads of a generation; what may be absent has a default. */
+    public static final class Builder {
+        private ProductOffering offering;
+        private Site.Tenant tenant;
+        private String model;
+        private String prompt;
+        private int promptTokens;
+        private int sharedTokens;
+        private int maxTokens;
+        private List<String> stops = List.of();
+        private AttemptRequest.Sampling sampling;
+        private String sharedPrefixId;
+        private String sessionId;
+        private String previousTurnDigest;
+        private String turnDigest;
+        private boolean unstreamed;
+        private boolean clientRetry;
+        private double clientTimeoutMs = Double.POSITIVE_INFINITY;
+        private String idempotencyKey;
+        private double queuedMs;
+        private IntConsumer promptTokensReported = tokens -> {};
+
+        private Builder() {}
+
+        /** The product that the client asks for, and the tenant that pays for it. */
+        public Builder product(ProductOffering newOffering, Site.Tenant newTenant) {
+            offering = newOffering;
+            tenant = newTenant;
+            return this;
+        }
+
+        /** The model's name for the engines. */
+        public Builder model(String newModel) {
+            model = newModel;
+            return this;
+        }
+
+        /** The prompt as engines take it, and how many tokens it has. */
+        public Builder prompt(String newPrompt, int newPromptTokens) {
+            prompt = newPrompt;
+            promptTokens = newPromptTokens;
+            return this;
+        }
+
+        /** The prefix that other sessions share, null for none, and how many tokens it has. */
+        public Builder sharedPrefix(String newSharedPrefixId, int newSharedTokens) {
+            sharedPrefixId = newSharedPrefixId;
+            sharedTokens = newSharedTokens;
+            return this;
+        }
+
+        /** How long the answer may be, and which texts end it. */
+        public Builder limits(int newMaxTokens, List<String> newStops) {
+            maxTokens = newMaxTokens;
+            stops = newStops;
+            return this;
+        }
+
+        /** How tokens are drawn. */
+        public Builder sampling(AttemptRequest.Sampling newSampling) {
+            sampling = newSampling;
+            return this;
+        }
+
+        /** The session, its previous turn, null for none, and this turn. */
+        public Builder session(
+                String newSessionId, String newPreviousTurnDigest, String newTurnDigest) {
+            sessionId = newSessionId;
+            previousTurnDigest = newPreviousTurnDigest;
+            turnDigest = newTurnDigest;
+            return this;
+        }
+
+        /** Whether the client takes the answer in one piece. */
+        public Builder unstreamed(boolean newUnstreamed) {
+            unstreamed = newUnstreamed;
+            return this;
+        }
+
+        /** Whether the client has sent it before. */
+        public Builder clientRetry(boolean newClientRetry) {
+            clientRetry = newClientRetry;
+            return this;
+        }
+
+        /** How long the client waits; without a limit unless set. */
+        public Builder clientTimeoutMs(double newClientTimeoutMs) {
+            clientTimeoutMs = newClientTimeoutMs;
+            return this;
+        }
+
+        /** The client's key for its retries, or null. */
+        public Builder idempotencyKey(String newIdempotencyKey) {
+            idempotencyKey = newIdempotencyKey;
+            return this;
+        }
+
+        /** How long its body has waited to be read and counted. */
+        public Builder queuedMs(double newQueuedMs) {
+            queuedMs = newQueuedMs;
+            return this;
+        }
+
+        /** Receives the prompt's length as an engine reports it. */
+        public Builder onPromptTokensReported(IntConsumer listener) {
+            promptTokensReported = listener;
+            return this;
+        }
+
+        /** The generation with all that was set. */
+        public GenerationRequest build() {
+            return new GenerationRequest(
+                    offering,
+                    tenant,
+                    model,
+                    prompt,
+                    promptTokens,
+                    sharedTokens,
+                    maxTokens,
+                    stops,
+                    sampling,
+                    sharedPrefixId,
+                    sessionId,
+                    previousTurnDigest,
+                    turnDigest,
+                    unstreamed,
+                    clientRetry,
+                    clientTimeoutMs,
+                    idempotencyKey,
+                    queuedMs,
+                    promptTokensReported,
+                    null);
+        }
+    }
 }
--- a/src/main/java/larchridge/router/RequestCloser.java
+++ b/src/main/java/larchridge/router/RequestCloser.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ends the work for requests that are answered or whose clients are gone, and removes them. */
+/** Ends the work for requests that are answered or whose clients have disconnected. */
 final class RequestCloser {
     private static final Logger LOG = LoggerFactory.getLogger(RequestCloser.class);
 
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -272,27 +272,22 @@
             town.talk(body, new SimulatedCluster.Talk(prompt, out, tag));
             world.schedule(KEEP_TALK_MS, () -> town.forget(body));
             GenerationRequest ask =
-                    new GenerationRequest(
-                            site.offersByModel.get(mix.name()),
-                            site.tenantNamed(session.tenant),
-                            mix.name(),
-                            body,
-                            prompt.tokens,
-                            shared,
-                            2 * mix.outTokens() + 2,
-                            List.of(),
-                            new AttemptRequest.Sampling(null, null, null),
-                            shared > 0 ? mix.name() + session.prefix : null,
-                            session.opening,
-                            session.last,
-                            session.opening + "/" + text,
-                            whole,
-                            number > 0,
-                            mix.limitMs() + (whole ? (2 * mix.outTokens() + 2) * 60 : 0),
-                            operation,
-                            0,
-                            ignored -> {},
-                            null);
+                    GenerationRequest.builder()
+                            .product(
+                                    site.offersByModel.get(mix.name()),
+                                    site.tenantNamed(session.tenant))
+                            .model(mix.name())
+                            .prompt(body, prompt.tokens)
+                            .sharedPrefix(shared > 0 ? mix.name() + session.prefix : null, shared)
+                            .limits(2 * mix.outTokens() + 2, List.of())
+                            .sampling(new AttemptRequest.Sampling(null, null, null))
+                            .session(session.opening, session.last, session.opening + "/" + text)
+                            .unstreamed(whole)
+                            .clientRetry(number > 0)
+                            .clientTimeoutMs(
+                                    mix.limitMs() + (whole ? (2 * mix.outTokens() + 2) * 60 : 0))
+                            .idempotencyKey(operation)
+                            .build();
             at.submit(ask, this, taken -> open = taken);
             if (left && open != null) {
                 open.clientDisconnected();
--- a/src/test/java/larchridge/router/DeadlinePolicyTest.java
+++ b/src/test/java/larchridge/router/DeadlinePolicyTest.java
@@ -17,7 +17,7 @@
                     product, product, "", 5000, 1, 100, larchridge.tokens.Measure.GUESSED);
 
     @Test
-    void streamWaitsAsTheProductSaysForItsFirstTokenOnly() {
+    void streamedAnswerHasTheProductsDeadlineForItsFirstTokenOnly() {
         DeadlinePolicy deadlines =
                 DeadlinePolicy.of(offering, 200, 100, false, Double.POSITIVE_INFINITY);
         assertEquals(5200, deadlines.firstTokenMs);
@@ -25,19 +25,19 @@
     }
 
     @Test
-    void lessPatientClientIsAnsweredBeforeItLeaves() {
+    void clientWithAShorterTimeoutIsAnsweredBeforeIt() {
         assertTrue(DeadlinePolicy.of(offering, 200, 100, false, 900).firstTokenMs < 900);
     }
 
     @Test
-    void wholeAnswerMustEndBeforeTheClientDoes() {
+    void unstreamedAnswerIsDueBeforeTheClientsTimeout() {
         DeadlinePolicy deadlines = DeadlinePolicy.of(offering, 0, 100, true, 3000);
         assertTrue(deadlines.completionMs < 3000);
         assertTrue(deadlines.firstTokenMs <= deadlines.completionMs);
     }
 
     @Test
-    void patienceIsNeverNegative() {
+    void deadlineIsNeverNegative() {
         assertEquals(0, DeadlinePolicy.of(offering, 0, 100, true, 0).completionMs);
     }
 }
--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -20,13 +20,13 @@
     }
 
     @Test
-    void nothingBeginsAfterTheFinalAnswer() {
+    void responseCannotBeginAfterTheFinalAnswer() {
         responseGuard.finish(ResponseGuard.FinalAnswer.DISCONNECTED);
         assertFalse(responseGuard.begin());
     }
 
     @Test
-    void throttledIsNoAnswerToWhatHasBegun() {
+    void responseThatHasBegunCannotBeRejected() {
         responseGuard.begin();
         assertThrows(
                 IllegalStateException.class,
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void streamedNeedsABeginning() {
+    void responseThatHasNotBegunCannotBeCompleted() {
         assertThrows(
                 IllegalStateException.class,
                 () -> responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
