--- a/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
+++ b/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
@@ -3,9 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.HttpResponse;
-import java.io.ByteArrayOutputStream;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import java.io.IOException;
 import larchridge.state.LoadReport;
 
@@ -17,11 +16,6 @@
     /** {@link #cachedTokens()} of a body that does not tell them. */
     static final int NO_COUNT = -1;
 
-    /** A longer body of a completed read, or of a {@link ControlCall}, is malformed. */
-    static final int MAX_SMALL_BODY_BYTES = 4096;
-
-    static final int SMALL_BODY_INITIAL_BYTES = 64;
-
     private static final String LOAD_REPORT_NAME = "Srv-Load";
     private static final String DECLINED_HEADER = "Srv-Declined";
     private static final String DECLINED_VALUE = "1";
@@ -35,7 +29,7 @@
     private EventStreamSplitter events;
 
     /** Null until a part of a completed read's body was received. */
-    private ByteArrayOutputStream readBody;
+    private SmallBody readBody;
 
     private LoadReport loadReport;
 
@@ -50,7 +44,7 @@
 
     /** Reads the load report in the response's headers, and prepares for an answer's events. */
     void responseHead(HttpResponse response) {
-        if (response.status().code() == ForwardedAttemptClassifier.OK) {
+        if (response.status().code() == HttpResponseStatus.OK.code()) {
             events = new EventStreamSplitter(MAX_EVENT_BYTES, LOAD_REPORT_NAME);
         }
         loadReport = loadReports.read(response.headers().get(LOAD_REPORT_NAME));
@@ -59,10 +53,9 @@
     /** Takes a part of the body of a completed read; false if it is too long. */
     boolean appendReadBody(ByteBuf content) {
         if (readBody == null) {
-            readBody = new ByteArrayOutputStream(SMALL_BODY_INITIAL_BYTES);
+            readBody = new SmallBody();
         }
-        readBody.writeBytes(ByteBufUtil.getBytes(content));
-        return readBody.size() <= MAX_SMALL_BODY_BYTES;
+        return readBody.append(content);
     }
 
     /** Takes a part of an answer; returns the events that are now complete, or null. */
--- a/src/main/java/larchridge/node/upstream/ControlCall.java
+++ b/src/main/java/larchridge/node/upstream/ControlCall.java
@@ -1,11 +1,9 @@
 package larchridge.node.upstream;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponse;
-import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import larchridge.node.transport.ConnectFailure;
 import larchridge.router.Scheduler;
@@ -18,8 +16,7 @@
     private final Scheduler scheduler;
     private final ConnectionPools pools;
     private final Endpoint endpoint;
-    private final ByteArrayOutputStream body =
-            new ByteArrayOutputStream(AttemptResponseDecoder.SMALL_BODY_INITIAL_BYTES);
+    private final SmallBody body = new SmallBody();
     private int status;
     private UpstreamConnection connection;
     private boolean ended;
@@ -79,8 +76,7 @@
 
     @Override
     public final boolean responseBody(ByteBuf content) {
-        body.writeBytes(ByteBufUtil.getBytes(content));
-        return body.size() <= AttemptResponseDecoder.MAX_SMALL_BODY_BYTES;
+        return body.append(content);
     }
 
     @Override
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -139,21 +139,21 @@
 
     @Override
     public boolean responseHead(HttpResponse response) {
-        int status = response.status().code();
-        classifier.responseHead(status, AttemptResponseDecoder.isDeclined(response));
+        classifier.responseHead(
+                response.status().code(), AttemptResponseDecoder.isDeclined(response));
         decoder.responseHead(response);
         // Guards against: a stream without chunks has no end of its own, so that the end of the
         // connection would pass for it.
-        return status != ForwardedAttemptClassifier.OK
+        return !classifier.isAnswer()
                 || kind == AttemptKind.WRITE && HttpUtil.isTransferEncodingChunked(response);
     }
 
     @Override
     public boolean responseBody(ByteBuf content) {
-        if (classifier.status() == ForwardedAttemptClassifier.ACCEPTED) {
+        if (classifier.isCompletedRead()) {
             return decoder.appendReadBody(content);
         }
-        if (classifier.status() != ForwardedAttemptClassifier.OK) {
+        if (!classifier.isAnswer()) {
             return true;
         }
         byte[] events = decoder.appendEvents(content);
@@ -184,10 +184,10 @@
 
     @Override
     public boolean responseCompleted() {
-        if (classifier.status() == ForwardedAttemptClassifier.OK) {
+        if (classifier.isAnswer()) {
             return streamCompleted();
         }
-        if (classifier.status() == ForwardedAttemptClassifier.ACCEPTED
+        if (classifier.isCompletedRead()
                 && kind == AttemptKind.READ
                 && state != AttemptState.ENDED) {
             int cachedTokens = decoder.cachedTokens();
--- a/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -8,15 +8,11 @@
  * only given where the engine can't have started it or says so itself.
  */
 final class ForwardedAttemptClassifier {
-    /** {@link #status()} as long as no response was received. */
-    static final int NO_STATUS = 0;
-
-    /** Status of an answer: a stream of events follows. */
-    static final int OK = 200;
-
-    /** Status of a completed read: the engine holds the state. */
-    static final int ACCEPTED = 202;
+    /** The status as long as no response was received. */
+    private static final int NO_STATUS = 0;
 
+    private static final int OK = 200;
+    private static final int ACCEPTED = 202;
     private static final int FIRST_CLIENT_ERROR = 400;
     private static final int REQUEST_TIMEOUT = 408;
     private static final int GONE = 410;
@@ -52,9 +48,14 @@
         declined = declinedByEngine;
     }
 
-    /** The response's status, or {@link #NO_STATUS}. */
-    int status() {
-        return status;
+    /** Whether the response is an answer, a stream of events. */
+    boolean isAnswer() {
+        return status == OK;
+    }
+
+    /** Whether the response is that of a completed read: the engine holds the state. */
+    boolean isCompletedRead() {
+        return status == ACCEPTED;
     }
 
     /** Whether the engine answered anything, so that the attempt had arrived there. */
@@ -102,7 +103,7 @@
 
     /** The outcome, once nothing more can be received. */
     AttemptOutcome outcome() {
-        if (streamComplete && !malformed && status == OK) {
+        if (streamComplete && !malformed && isAnswer()) {
             return AttemptOutcome.STREAMED;
         }
         if (!written && status == NO_STATUS) {
@@ -124,7 +125,7 @@
         if (malformed) {
             return AttemptOutcome.FAULT;
         }
-        return status == NO_STATUS || status == OK || status == ACCEPTED
+        return status == NO_STATUS || isAnswer() || isCompletedRead()
                 ? AttemptOutcome.CUT
                 : AttemptOutcome.FAULT;
     }
--- a/src/main/java/larchridge/node/upstream/LoadProbe.java
+++ b/src/main/java/larchridge/node/upstream/LoadProbe.java
@@ -1,6 +1,7 @@
 package larchridge.node.upstream;
 
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import larchridge.upstream.Endpoint;
 import larchridge.upstream.UpstreamClient.ProbeListener;
 
@@ -33,7 +34,7 @@
             return;
         }
         boolean answered =
-                result == ControlCallResult.ANSWERED && status() == ForwardedAttemptClassifier.OK;
+                result == ControlCallResult.ANSWERED && status() == HttpResponseStatus.OK.code();
         // An engine that has no report yet answers without one; it is not to be taken for a failed
         // one.
         listener.completed(answered, answered ? loadReports.read(bodyText()) : null);
--- a/src/test/java/larchridge/node/upstream/EventStreamSplitterTest.java
+++ b/src/test/java/larchridge/node/upstream/EventStreamSplitterTest.java
@@ -24,19 +24,19 @@
     }
 
     @Test
-    void eventsComeOutByteByByteAsTheyWereHoweverTheyAreCut() throws Exception {
+    void eventsAreUnchangedHoweverTheStreamIsSplit() throws Exception {
         byte[] all = EVENTS.getBytes(StandardCharsets.UTF_8);
         for (int step = 1; step <= all.length; step++) {
             EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             for (int at = 0; at < all.length; at += step) {
-                byte[] whole =
+                byte[] events =
                         feed(
                                 splitter,
                                 java.util.Arrays.copyOfRange(
                                         all, at, Math.min(all.length, at + step)));
-                if (whole != null) {
-                    out.write(whole);
+                if (events != null) {
+                    out.write(events);
                 }
             }
             assertArrayEquals(all, out.toByteArray(), "step " + step);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void reportsInCommentsAreKeptAndNotPassedOn() {
+    void loadReportsInCommentsAreKeptAndNotForwarded() {
         EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
         assertNull(feed(splitter, ": Srv-Load: a=1\n\n"));
         assertEquals("a=1", splitter.loadReport());
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void noiseEndlessLinesAndEventsBehindTheEndAreNotPassedOn() {
+    void malformedEndlessAndTrailingEventsAreNotForwarded() {
         String[] bad = {
             "noise\n\n",
             "data: {\u0001}\n\n",
@@ -63,18 +63,18 @@
         };
         for (String text : bad) {
             EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
-            byte[] whole = feed(splitter, text);
+            byte[] events = feed(splitter, text);
             assertTrue(splitter.isMalformed(), text);
             assertFalse(splitter.isComplete());
             assertTrue(
-                    whole == null
-                            || new String(whole, StandardCharsets.UTF_8)
+                    events == null
+                            || new String(events, StandardCharsets.UTF_8)
                                     .equals("data: [DONE]\n\n"));
         }
     }
 
     @Test
-    void halfAnEventIsNotWhole() {
+    void partialEventIsNotComplete() {
         EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
         feed(splitter, EVENTS + "data: {");
         assertFalse(splitter.isComplete());
--- a/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
+++ b/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void outcomesByThePagesTable() {
+    void eachStatusHasItsOutcome() {
         assertEquals(AttemptOutcome.FAULT, written(500, false).outcome());
         assertEquals(AttemptOutcome.FULL, written(503, true).outcome());
         assertEquals(AttemptOutcome.FULL, written(504, true).outcome());
@@ -26,23 +26,23 @@
         assertEquals(AttemptOutcome.UNREACHABLE, new ForwardedAttemptClassifier().outcome());
         assertEquals(AttemptOutcome.CUT, written(0, false).outcome());
         assertEquals(AttemptOutcome.CUT, written(200, false).outcome());
-        ForwardedAttemptClassifier whole = written(200, false);
-        whole.streamCompleted();
-        assertEquals(AttemptOutcome.STREAMED, whole.outcome());
+        ForwardedAttemptClassifier streamed = written(200, false);
+        streamed.streamCompleted();
+        assertEquals(AttemptOutcome.STREAMED, streamed.outcome());
     }
 
     @Test
-    void withoutTheEnginesWordNothingProvesThatItNeverRan() {
+    void withoutTheEnginesDeclarationNothingProvesThatItNeverRan() {
         for (int status : new int[] {503, 504, 410, 429, 404}) {
             assertFalse(written(status, false).outcome().provesNotRun, "status " + status);
         }
-        ForwardedAttemptClassifier noise = written(503, true);
-        noise.malformed();
-        assertFalse(noise.outcome().provesNotRun);
+        ForwardedAttemptClassifier malformed = written(503, true);
+        malformed.malformed();
+        assertFalse(malformed.outcome().provesNotRun);
     }
 
     @Test
-    void calledOffProvesNothingOnceWrittenAndAllBefore() {
+    void cancellingProvesThatItNeverRanOnlyBeforeItWasWritten() {
         ForwardedAttemptClassifier written = written(0, false);
         written.cancelled();
         assertEquals(AttemptOutcome.CANCELLED, written.outcome());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void declinedAndGoneAreNoFaultOfTheRequest() {
+    void declinedRequestsAreNotUnusable() {
         assertTrue(written(400, false).isUnusable());
         assertFalse(written(410, true).isUnusable());
         assertFalse(written(503, true).isUnusable());
--- /dev/null
+++ b/src/test/java/larchridge/node/upstream/ForwardingUpstreamClientFixture.java
@@ -0,0 +1,43 @@
+package larchridge.node.upstream;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import larchridge.router.VirtualTimeScheduler;
+
+/** A client over channels without sockets, in virtual time; each test opens the connections. */
+final class ForwardingUpstreamClientFixture {
+    static final double KEEP_ALIVE_MS = 15_000;
+
+    private static final UpstreamLimits LIMITS =
+            new UpstreamLimits(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of());
+
+    final VirtualTimeScheduler time = new VirtualTimeScheduler();
+    final ForwardingUpstreamClient client;
+
+    ForwardingUpstreamClientFixture(ConnectionOpener opener) {
+        client = new ForwardingUpstreamClient(time.schedulerOf(0, 1), LIMITS, opener);
+    }
+
+    /** Lets so much time pass. */
+    void advance(double ms) {
+        time.run(time.sinceMs() + ms);
+    }
+
+    /** An engine sends these bytes. */
+    static void respond(EmbeddedChannel engine, String response) {
+        engine.writeInbound(Unpooled.copiedBuffer(response, StandardCharsets.ISO_8859_1));
+    }
+
+    /** All that was written to an engine since the last call. */
+    static String written(EmbeddedChannel engine) {
+        StringBuilder all = new StringBuilder();
+        for (ByteBuf part = engine.readOutbound(); part != null; part = engine.readOutbound()) {
+            all.append(part.toString(StandardCharsets.ISO_8859_1));
+            part.release();
+        }
+        return all.toString();
+    }
+}
--- a/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
+++ b/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 class LoadReportReaderTest {
-    private final LoadReportReader loads =
+    private final LoadReportReader reader =
             new LoadReportReader(List.of("concurrent", "depth", "x0", "x1"));
 
     @Test
     void figuresAreReadByTheirNames() {
-        LoadReport report = loads.read("concurrent=7,x0=0.61,x1=1.5,other=4");
+        LoadReport report = reader.read("concurrent=7,x0=0.61,x1=1.5,other=4");
         assertEquals(7, report.inflight());
         assertEquals(0.61, report.memoryShare());
         assertEquals(1500, report.pendingTokens());
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void whatCantBeReadIsNoReport() {
+    void invalidTextIsNoReport() {
         for (String text :
                 new String[] {
                     "",
@@ -37,7 +37,7 @@
                     "\u0001",
                     "concurrent=1,".repeat(200)
                 }) {
-            assertNull(loads.read(text), text);
+            assertNull(reader.read(text), text);
         }
     }
 }
--- a/src/test/java/larchridge/node/upstream/ConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/UpstreamConnectionTest.java
@@ -1,18 +1,17 @@
 package larchridge.node.upstream;
 
+import static larchridge.node.upstream.ForwardingUpstreamClientFixture.KEEP_ALIVE_MS;
+import static larchridge.node.upstream.ForwardingUpstreamClientFixture.respond;
+import static larchridge.node.upstream.ForwardingUpstreamClientFixture.written;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelPromise;
 import io.netty.channel.embedded.EmbeddedChannel;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import larchridge.router.VirtualTimeScheduler;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.LoadReport;
 import larchridge.upstream.AttemptListener;
@@ -20,6 +19,7 @@
 import larchridge.upstream.Completion;
 import larchridge.upstream.Endpoint;
 import larchridge.upstream.ForwardedRequest;
+import larchridge.upstream.SendCheck;
 import larchridge.upstream.SendRejection;
 import larchridge.upstream.StateHandle;
 import larchridge.upstream.UpstreamClient;
@@ -29,27 +29,24 @@
  * Connections to engines between attempts, in virtual time: their age, and attempts that end before
  * or beside them.
  */
-class ConnectionTest {
-    private static final double KEEP_ALIVE_MS = 15_000;
-
+class UpstreamConnectionTest {
     /**
-     * A connection is closed at the next look after it has rested for its part of the time that
-     * engines allow.
+     * A connection is closed at the first sweep after it has been idle for its part of the engines'
+     * keep-alive time.
      */
     private static final double CLOSED_MS = 0.8 * KEEP_ALIVE_MS + KEEP_ALIVE_MS / 20;
 
-    private static final Endpoint SPOT = new Endpoint("10.0.0.1", 8443);
-    private static final String READ =
+    private static final Endpoint ENDPOINT = new Endpoint("10.0.0.1", 8443);
+    private static final SendCheck MAY_BE_SENT = () -> null;
+    private static final SendCheck MUST_NOT_BE_SENT = () -> SendRejection.ENDPOINT_UNAVAILABLE;
+    private static final String READ_RESPONSE =
             "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":7}";
 
-    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
     private final List<EmbeddedChannel> opened = new ArrayList<>();
     private final List<ChannelPromise> connecting = new ArrayList<>();
     private boolean connects = true;
-    private final ForwardingUpstreamClient link =
-            new ForwardingUpstreamClient(
-                    time.schedulerOf(0, 1),
-                    new UpstreamLimits(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of()),
+    private final ForwardingUpstreamClientFixture fixture =
+            new ForwardingUpstreamClientFixture(
                     (endpoint, handlers) -> {
                         EmbeddedChannel engine = new EmbeddedChannel(handlers);
                         opened.add(engine);
@@ -58,25 +55,25 @@
                         return connects ? promise.setSuccess() : promise;
                     });
 
-    /** Hears one attempt. */
-    private static final class Heard implements AttemptListener {
+    /** Records the end of one attempt. */
+    private static final class RecordingListener implements AttemptListener {
         private final List<AttemptOutcome> outcomes = new ArrayList<>();
         private int reads;
 
         @Override
         public void readCompleted(
-                StateHandle state, int keptTokens, int promptTokens, LoadReport report) {
+                StateHandle state, int cachedTokens, int promptTokens, LoadReport report) {
             reads++;
         }
 
         @Override
         public void responseStarted() {
-            throw new AssertionError("a read begins no answer");
+            throw new AssertionError("a read starts no answer");
         }
 
         @Override
         public void textReceived(String text) {
-            throw new AssertionError("a read brings no piece");
+            throw new AssertionError("a read brings no text");
         }
 
         @Override
@@ -85,24 +82,25 @@
         }
 
         @Override
-        public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion ending) {
+        public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion completion) {
             outcomes.add(outcome);
         }
     }
 
-    private UpstreamClient.AttemptHandle read(String id, boolean stillMay, Heard heard) {
-        ForwardedRequest passage =
+    private UpstreamClient.AttemptHandle read(
+            String id, SendCheck sendCheck, RecordingListener listener) {
+        ForwardedRequest forwardedRequest =
                 new ForwardedRequest(
                         "POST",
                         "/v1/chat/completions",
                         id,
                         List.of(),
                         new byte[] {'{', '}'},
-                        time.nowMs() + 60_000);
-        return link.read(
+                        fixture.time.nowMs() + 60_000);
+        return fixture.client.read(
                 new AttemptRequest(
                         id + ".0",
-                        SPOT,
+                        ENDPOINT,
                         "",
                         "",
                         10,
@@ -110,36 +108,19 @@
                         null,
                         null,
                         null,
-                        passage,
-                        () -> stillMay ? null : SendRejection.ENDPOINT_UNAVAILABLE),
-                heard);
-    }
-
-    private void run(double ms) {
-        time.run(time.sinceMs() + ms);
-    }
-
-    private static void answer(EmbeddedChannel engine) {
-        engine.writeInbound(Unpooled.copiedBuffer(READ, StandardCharsets.ISO_8859_1));
-    }
-
-    private static String sent(EmbeddedChannel engine) {
-        StringBuilder all = new StringBuilder();
-        for (ByteBuf part = engine.readOutbound(); part != null; part = engine.readOutbound()) {
-            all.append(part.toString(StandardCharsets.ISO_8859_1));
-            part.release();
-        }
-        return all.toString();
+                        forwardedRequest,
+                        sendCheck),
+                listener);
     }
 
     @Test
-    void connectionOnWhichNothingWasSentRestsSinceItsLastAnswer() {
-        read("9b1f03aa5c7e2d41", true, new Heard());
-        answer(opened.get(0));
-        run(KEEP_ALIVE_MS / 2);
-        Heard second = new Heard();
-        read("9b1f03aa5c7e2d42", false, second);
-        run(CLOSED_MS - KEEP_ALIVE_MS / 2);
+    void unusedConnectionIsIdleSinceItsLastResponse() {
+        read("9b1f03aa5c7e2d41", MAY_BE_SENT, new RecordingListener());
+        respond(opened.get(0), READ_RESPONSE);
+        fixture.advance(KEEP_ALIVE_MS / 2);
+        RecordingListener second = new RecordingListener();
+        read("9b1f03aa5c7e2d42", MUST_NOT_BE_SENT, second);
+        fixture.advance(CLOSED_MS - KEEP_ALIVE_MS / 2);
         assertEquals(List.of(AttemptOutcome.NOT_SENT), second.outcomes);
         assertEquals(1, opened.size());
         // Its engine would close it after the whole time, and a request written then may have run
@@ -148,34 +129,34 @@
     }
 
     @Test
-    void connectionThatComesUpForAnAttemptThatWasCalledOffIsNotWrittenTo() {
+    void connectionThatOpensForACancelledAttemptIsNotWrittenTo() {
         connects = false;
-        Heard heard = new Heard();
-        UpstreamClient.AttemptHandle flight = read("9b1f03aa5c7e2d41", true, heard);
-        flight.cancel();
+        RecordingListener listener = new RecordingListener();
+        UpstreamClient.AttemptHandle attempt = read("9b1f03aa5c7e2d41", MAY_BE_SENT, listener);
+        attempt.cancel();
         connecting.get(0).trySuccess();
-        run(10);
-        assertEquals("", sent(opened.get(0)));
-        assertEquals(List.of(AttemptOutcome.NOT_SENT), heard.outcomes);
+        fixture.advance(10);
+        assertEquals("", written(opened.get(0)));
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), listener.outcomes);
     }
 
     @Test
-    void lateAnswerOfAnAttemptThatWasCalledOffEndsNoOther() {
-        Heard first = new Heard();
-        UpstreamClient.AttemptHandle flight = read("9b1f03aa5c7e2d41", true, first);
-        assertTrue(sent(opened.get(0)).startsWith("POST "));
-        flight.cancel();
-        Heard second = new Heard();
-        read("9b1f03aa5c7e2d42", true, second);
-        // The connection is no more: what its engine still writes reaches nobody.
+    void lateResponseOfACancelledAttemptEndsNoOther() {
+        RecordingListener first = new RecordingListener();
+        UpstreamClient.AttemptHandle attempt = read("9b1f03aa5c7e2d41", MAY_BE_SENT, first);
+        assertTrue(written(opened.get(0)).startsWith("POST "));
+        attempt.cancel();
+        RecordingListener second = new RecordingListener();
+        read("9b1f03aa5c7e2d42", MAY_BE_SENT, second);
+        // The connection is closed: what its engine still writes reaches nobody.
         assertFalse(opened.get(0).isOpen());
-        run(10);
+        fixture.advance(10);
         assertEquals(2, opened.size());
         assertEquals(0, first.reads + second.reads);
         assertEquals(List.of(AttemptOutcome.CANCELLED), first.outcomes);
         assertTrue(second.outcomes.isEmpty());
-        answer(opened.get(1));
-        run(10);
+        respond(opened.get(1), READ_RESPONSE);
+        fixture.advance(10);
         assertEquals(1, second.reads);
     }
 
@@ -184,20 +165,20 @@
      * have run.
      */
     @Test
-    void connectionThatBreaksTellsThatAnAttemptNeverRanOnlyBeforeItsLastByteWasWritten() {
+    void disconnectProvesThatAnAttemptNeverRanOnlyBeforeItsLastByteWasWritten() {
         connects = false;
-        Heard before = new Heard();
-        read("9b1f03aa5c7e2d41", true, before);
+        RecordingListener before = new RecordingListener();
+        read("9b1f03aa5c7e2d41", MAY_BE_SENT, before);
         opened.get(0).close();
         connecting.get(0).tryFailure(new java.net.ConnectException("refused"));
-        run(10);
+        fixture.advance(10);
         assertEquals(List.of(AttemptOutcome.UNREACHABLE), before.outcomes);
         connects = true;
-        Heard after = new Heard();
-        read("9b1f03aa5c7e2d42", true, after);
-        assertTrue(sent(opened.get(1)).startsWith("POST "));
+        RecordingListener after = new RecordingListener();
+        read("9b1f03aa5c7e2d42", MAY_BE_SENT, after);
+        assertTrue(written(opened.get(1)).startsWith("POST "));
         opened.get(1).close();
-        run(10);
+        fixture.advance(10);
         assertEquals(List.of(AttemptOutcome.CUT), after.outcomes);
         assertNull(opened.get(1).readOutbound());
     }
