--- a/src/main/java/larchridge/node/server/ServerContext.java
+++ b/src/main/java/larchridge/node/server/ServerContext.java
@@ -62,7 +62,7 @@
 
     /** Notes that a request was rejected before it was admitted. */
     void requestRejected(RequestRejection rejection) {
-        metrics.refused(rejection.tag());
+        metrics.requestRejected(rejection.tag());
         LOG.atDebug().addKeyValue("reason", rejection).log("request refused");
     }
 }
