--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import larchridge.settings.RoutingSettingsReader;
+import larchridge.settings.DeploymentSettingsReader;
 import larchridge.state.LoadReport;
 
 /** Reads load reports: figures under the names that the settings use. */
@@ -43,6 +43,6 @@
         }
         return figures.isEmpty()
                 ? null
-                : RoutingSettingsReader.report(name -> figures.getOrDefault(name, Double.NaN));
+                : DeploymentSettingsReader.report(name -> figures.getOrDefault(name, Double.NaN));
     }
 }
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -110,7 +110,7 @@
         timeouts = new RequestTimeouts(context, closer, attemptCanceller);
         RequestServices services =
                 new RequestServices(context, policy, finalAnswers, readStates, closer, timeouts);
-        attemptSender = new AttemptSender(services, endpoints, settings.hedgingAllowed);
+        attemptSender = new AttemptSender(services, endpoints, settings.hedgingAllowed());
         admission =
                 new AdmissionController(this, services, budgets, usageRecorder, shutdown, idPrefix);
 
