--- a/src/main/java/larchridge/budget/BudgetDecision.java
+++ b/src/main/java/larchridge/budget/BudgetDecision.java
@@ -1,15 +1,16 @@
 package larchridge.budget;
 
 /**
- * Whether a generation may come in, with the figures that its client is told.
+ * Whether a generation is admitted, with the figures that its client is given.
  *
- * @param charge what it took, or null if it may not come in
- * @param limitTokens the budget that says no, or the nearest; in tokens
- * @param remainingTokens tokens left of it
- * @param resetMs milliseconds until it is whole again
- * @param retryAfterMs milliseconds after which it is let in, if alone; 0 if it was let in
- * @param reason what says no, for logs, or null
- * @param isRateLimited whether it is a rate that says no, so that a loan would help
+ * @param charge what the generation was charged, or null if it is not admitted
+ * @param limitTokens the limit that rejects it, or the nearest one
+ * @param remainingTokens tokens left under that limit
+ * @param resetMs milliseconds until the limit is fully available again
+ * @param retryAfterMs milliseconds after which the generation would be admitted if no other came; 0
+ *     if it was admitted
+ * @param reason the budget and limit that reject it, for logs, or null
+ * @param isRateLimited whether it is a rate that rejects it, so that a lease would help
  */
 public record BudgetDecision(
         Charge charge,
@@ -19,14 +20,21 @@
         double retryAfterMs,
         String reason,
         boolean isRateLimited) {
-    /** The same, but not to be tried again before so many milliseconds. */
-    public BudgetDecision withRetryAfterAtLeast(double ms) {
-        return ms > retryAfterMs
+    /** The same decision, with a retry advised no earlier than after this time. */
+    public BudgetDecision withRetryAfterAtLeast(double minimumMs) {
+        return minimumMs > retryAfterMs
                 ? new BudgetDecision(
-                        charge, limitTokens, remainingTokens, resetMs, ms, reason, isRateLimited)
+                        charge,
+                        limitTokens,
+                        remainingTokens,
+                        resetMs,
+                        minimumMs,
+                        reason,
+                        isRateLimited)
                 : this;
     }
 
+    /** Whether the generation is admitted. */
     public boolean isAdmitted() {
         return charge != null;
     }
--- /dev/null
+++ b/src/main/java/larchridge/budget/BudgetNode.java
@@ -0,0 +1,152 @@
+package larchridge.budget;
+
+import java.time.Instant;
+import java.time.YearMonth;
+import java.time.ZoneOffset;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+
+/**
+ * One budget of the tree: the whole service, a group of tenants, a tenant, or a product of a
+ * tenant.
+ */
+final class BudgetNode {
+    /** The name of the whole service's budget. */
+    static final String SERVICE = "service";
+
+    final String name;
+
+    /** The budget that this one is part of; null for the service's. */
+    final BudgetNode parent;
+
+    final List<BudgetNode> children = new ArrayList<>();
+    private QuotaGrant grant;
+    private final TokenBucket bucket;
+    private final TokenLeases leases = new TokenLeases();
+    private final DemandEstimate demand = new DemandEstimate();
+    private double inFlightTokens;
+    private double monthUsedTokens;
+    private YearMonth month;
+
+    BudgetNode(
+            String name,
+            BudgetNode parent,
+            QuotaGrant grant,
+            TokenBucket.OversizeRule oversizeRule,
+            Random random) {
+        this.name = name;
+        this.parent = parent;
+        this.grant = grant;
+        bucket = new TokenBucket(grant.tokensPerMs(), grant.burstTokens(), oversizeRule, random);
+        if (parent != null) {
+            parent.children.add(this);
+        }
+    }
+
+    static String groupName(String group) {
+        return "group " + group;
+    }
+
+    static String tenantName(String tenant) {
+        return "tenant " + tenant;
+    }
+
+    static String productName(String tenant, String product) {
+        return "tenant " + tenant + ", " + product;
+    }
+
+    QuotaGrant grant() {
+        return grant;
+    }
+
+    void reconfigure(QuotaGrant newGrant, double nowMs) {
+        grant = newGrant;
+        bucket.reconfigure(newGrant.tokensPerMs(), newGrant.burstTokens(), nowMs);
+    }
+
+    TokenBucket bucket() {
+        return bucket;
+    }
+
+    double inFlightTokens() {
+        return inFlightTokens;
+    }
+
+    double monthUsedTokens(double nowMs) {
+        enterMonth(nowMs);
+        return monthUsedTokens;
+    }
+
+    boolean hasInFlightCapacity(double tokens) {
+        // One generation may always run alone, or one prompt over the limit would never be
+        // admitted.
+        return inFlightTokens <= 0 || inFlightTokens + tokens <= grant.inFlightTokens();
+    }
+
+    boolean hasMonthlyCapacity(double tokens, double nowMs) {
+        enterMonth(nowMs);
+        return monthUsedTokens + tokens <= grant.monthlyTokens();
+    }
+
+    double msUntilNextMonth(double nowMs) {
+        enterMonth(nowMs);
+        return month.plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
+                - nowMs;
+    }
+
+    /** Counts a generation that requested admission, whether it was admitted or not. */
+    void recordDemand(double tokens, double nowMs) {
+        demand.record(tokens, nowMs);
+    }
+
+    /** What would have to be leased to this budget so that a generation can be admitted. */
+    QuotaRequest quotaRequestFor(double tokens, double nowMs) {
+        double availableTokens = leases.tokens(nowMs) + Math.max(0, bucket.level(nowMs));
+        // Guards against: small leases to each of many routers would expire there, and none of
+        // them could use the budget.
+        double desiredTokens = demand.tokensPerSlot() >= tokens ? demand.tokensPerSlot() : 0;
+        return new QuotaRequest(name, Math.max(1, tokens - availableTokens), desiredTokens);
+    }
+
+    void addLease(double tokens, double expiresMs) {
+        leases.add(tokens, expiresMs);
+    }
+
+    /**
+     * Takes tokens from leases, the oldest first, and what they lack from the bucket; nothing if
+     * both together lack them.
+     */
+    boolean tryTakeLeased(double tokens, double nowMs) {
+        double leasedTokens = leases.tokens(nowMs);
+        if (leasedTokens <= 0 || leasedTokens + Math.max(0, bucket.level(nowMs)) < tokens) {
+            return false;
+        }
+        bucket.takeUnconditionally(leases.take(tokens), nowMs);
+        return true;
+    }
+
+    /** Counts a generation as in flight. */
+    void startGeneration(double estimatedTokens) {
+        inFlightTokens += estimatedTokens;
+    }
+
+    /** Counts a generation as ended, with what it used. */
+    void endGeneration(double estimatedTokens, double usedTokens, double nowMs) {
+        inFlightTokens = Math.max(0, inFlightTokens - estimatedTokens);
+        addMonthlyUsage(usedTokens, nowMs);
+    }
+
+    void addMonthlyUsage(double usedTokens, double nowMs) {
+        enterMonth(nowMs);
+        monthUsedTokens += usedTokens;
+    }
+
+    private void enterMonth(double nowMs) {
+        YearMonth now = YearMonth.from(Instant.ofEpochMilli((long) nowMs).atOffset(ZoneOffset.UTC));
+        if (month == null || now.isAfter(month)) {
+            month = now;
+            monthUsedTokens = 0;
+        }
+    }
+}
--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -6,251 +6,284 @@
 import java.util.Random;
 
 /**
- * Who may use how much: a tree of budgets (service, groups, tenants, their products), one front's
- * part of it. A generation is charged its estimate when it comes in and settled to what it used
- * when it ends. A tenant out of its own means borrows what its group, or the service, has to spare:
- * all but what the others there are owed within the give-back time. Without I/O, clock or threads;
- * time is milliseconds of Unix time and passed in.
+ * One router's part of the tree of budgets: service, groups, tenants, products of a tenant. A
+ * generation is charged its estimate when it is admitted and settled to what it used when it ends.
+ * A tenant that has used up its own rate borrows what its group, or the service, can spare: all but
+ * what the other tenants there are owed within the give-back time. Free of I/O, clocks and threads;
+ * time is passed in as milliseconds of Unix time.
  */
 public final class Budgets implements QuotaConfigurer {
+    /** The part of the maximum output that a generation is expected to write. */
+    private static final double EXPECTED_OUTPUT_SHARE = 0.5;
+
+    /** The retry advice while tokens in flight are exhausted: their end can't be foreseen. */
+    private static final double IN_FLIGHT_RETRY_MS = 1000;
+
+    private static final double MIN_RATE_RETRY_MS = 1;
+
     private final Random random;
-    private final int fronts;
-    private final double share;
+    private final int routers;
+    private final double fixedShare;
     private final double giveBackMs;
-    private final TenantBudget service;
-    private final Map<String, TenantBudget> groups = new LinkedHashMap<>();
-    private final Map<String, TenantBudget> tenants = new LinkedHashMap<>();
-    private final Map<String, TenantBudget> products = new LinkedHashMap<>();
+    private final BudgetNode service;
+    private final Map<String, BudgetNode> groups = new LinkedHashMap<>();
+    private final Map<String, BudgetNode> tenants = new LinkedHashMap<>();
+    private final Map<String, BudgetNode> products = new LinkedHashMap<>();
 
-    /** All of them, by the names that the lender knows. */
-    private final Map<String, TenantBudget> byName = new HashMap<>();
+    /** All budgets, by the names that the lender knows. */
+    private final Map<String, BudgetNode> byName = new HashMap<>();
 
-    private boolean lenderAnswers;
+    private boolean lenderAvailable;
 
     /**
-     * Budgets of one front.
+     * The budgets of one router.
      *
-     * @param fronts how many fronts hold a part each
-     * @param share the share of all rates that is in the fronts' fixed parts; the rest is lent, see
-     *     {@link QuotaLender}
-     * @param giveBackMs within which a tenant that wakes has its share again
+     * @param service the limits of the whole service
+     * @param routers how many routers hold a part each
+     * @param fixedShare the share of all rates that is divided into fixed parts; the rest is
+     *     leased, see {@link QuotaLender}
+     * @param giveBackMs the time within which a tenant that becomes active has its share again
+     * @param random decides draws, see {@link TokenBucket}
      */
-    public Budgets(QuotaGrant service, int fronts, double share, double giveBackMs, Random random) {
+    public Budgets(
+            QuotaGrant service, int routers, double fixedShare, double giveBackMs, Random random) {
         this.random = random;
-        this.share = share;
-        this.fronts = fronts;
+        this.fixedShare = fixedShare;
+        this.routers = routers;
         this.giveBackMs = giveBackMs;
-        this.service =
-                new TenantBudget(
-                        TenantBudget.SERVICE,
-                        null,
-                        service.partOf(fronts, share),
-                        isAlone(),
-                        random);
-        byName.put(TenantBudget.SERVICE, this.service);
+        this.service = newNode(BudgetNode.SERVICE, null, service);
+        byName.put(BudgetNode.SERVICE, this.service);
     }
 
-    private boolean isAlone() {
-        return fronts == 1 && share >= 1;
+    private BudgetNode newNode(String name, BudgetNode parent, QuotaGrant grant) {
+        boolean holdsWholeBudget = routers == 1 && fixedShare >= 1;
+        return new BudgetNode(
+                name,
+                parent,
+                grant.partOf(routers, fixedShare),
+                holdsWholeBudget ? TokenBucket.OversizeRule.DEBT : TokenBucket.OversizeRule.DRAW,
+                random);
     }
 
     @Override
     public void configureService(QuotaGrant grant, double nowMs) {
-        service.change(grant.partOf(fronts, share), nowMs);
+        service.reconfigure(grant.partOf(routers, fixedShare), nowMs);
     }
 
     @Override
     public void configureGroup(String name, QuotaGrant grant, double nowMs) {
-        set(groups, name, TenantBudget.group(name), service, grant, nowMs);
+        BudgetNode group = groups.get(name);
+        if (group == null) {
+            groups.put(name, addNode(BudgetNode.groupName(name), service, grant));
+        } else {
+            group.reconfigure(grant.partOf(routers, fixedShare), nowMs);
+        }
     }
 
     @Override
     public void configureTenant(String name, String group, QuotaGrant grant, double nowMs) {
-        TenantBudget above = group == null ? service : groups.get(group);
-        if (above == null) {
+        BudgetNode parent = group == null ? service : groups.get(group);
+        if (parent == null) {
             throw new IllegalArgumentException("tenant " + name + ": no group " + group);
         }
-        set(tenants, name, TenantBudget.tenant(name), above, grant, nowMs);
+        BudgetNode tenant = tenants.get(name);
+        if (tenant == null) {
+            tenants.put(name, addNode(BudgetNode.tenantName(name), parent, grant));
+        } else {
+            tenant.reconfigure(grant.partOf(routers, fixedShare), nowMs);
+        }
     }
 
     @Override
     public void configureProduct(String tenant, String product, QuotaGrant grant, double nowMs) {
-        set(
-                products,
-                tenant + '\n' + product,
-                TenantBudget.product(tenant, product),
-                tenants.get(tenant),
-                grant,
-                nowMs);
-    }
-
-    private void set(
-            Map<String, TenantBudget> purses,
-            String key,
-            String name,
-            TenantBudget above,
-            QuotaGrant grant,
-            double nowMs) {
-        TenantBudget purse = purses.get(key);
-        if (purse == null) {
-            purse = new TenantBudget(name, above, grant.partOf(fronts, share), isAlone(), random);
-            purses.put(key, purse);
-            byName.putIfAbsent(name, purse);
+        String key = productKey(tenant, product);
+        BudgetNode node = products.get(key);
+        if (node == null) {
+            String name = BudgetNode.productName(tenant, product);
+            products.put(key, addNode(name, tenants.get(tenant), grant));
         } else {
-            purse.change(grant.partOf(fronts, share), nowMs);
+            node.reconfigure(grant.partOf(routers, fixedShare), nowMs);
         }
     }
 
+    private BudgetNode addNode(String name, BudgetNode parent, QuotaGrant grant) {
+        BudgetNode node = newNode(name, parent, grant);
+        byName.putIfAbsent(name, node);
+        return node;
+    }
+
+    private static String productKey(String tenant, String product) {
+        return tenant + '\n' + product;
+    }
+
     /**
-     * What a tenant used this month by the ledger, told once at the start; a front takes its part
-     * of it.
+     * Counts what a tenant used this month before this router started; called once at the start. A
+     * router counts its part of it.
      */
-    public void restoreMonthlyUsage(String tenant, String product, double used, double nowMs) {
-        for (TenantBudget purse = purse(tenant, product); purse != null; purse = purse.above) {
-            purse.remember(used / fronts, nowMs);
+    public void restoreMonthlyUsage(
+            String tenant, String product, double usedTokens, double nowMs) {
+        for (BudgetNode each = find(tenant, product); each != null; each = each.parent) {
+            each.addMonthlyUsage(usedTokens / routers, nowMs);
         }
     }
 
-    /** What a generation is expected to take: its prompt and half of the most that it may write. */
+    /** The tokens that a generation is expected to use: its prompt and half of its maximum. */
     public static double estimate(int promptTokens, int maxTokens) {
-        return promptTokens + 0.5 * maxTokens;
+        return promptTokens + EXPECTED_OUTPUT_SHARE * maxTokens;
     }
 
     /**
-     * Asks for a generation of so many tokens, prompt and expected answer; a tenant that is not
-     * known is free.
+     * Requests admission of a generation, and charges it if it is admitted. A tenant that is not
+     * known has the service's budget.
+     *
+     * @param tokens the expected tokens of prompt and answer
      */
     public BudgetDecision requestAdmission(
             String tenant, String product, double tokens, double nowMs) {
-        TenantBudget purse = purse(tenant, product);
-        for (TenantBudget each = purse; each != null; each = each.above) {
-            if (!each.hasMonthRoom(tokens, nowMs)) {
-                double left = Math.max(0, each.grant().monthlyTokens() - each.monthUsed(nowMs));
-                double wait = each.untilNextMonthMs(nowMs);
-                return new BudgetDecision(
-                        null,
-                        each.grant().monthlyTokens(),
-                        left,
-                        wait,
-                        wait,
-                        each.name + ": month",
-                        false);
+        BudgetNode budget = find(tenant, product);
+        for (BudgetNode each = budget; each != null; each = each.parent) {
+            if (!each.hasMonthlyCapacity(tokens, nowMs)) {
+                return monthlyRejection(each, nowMs);
             }
-            if (!each.hasFlightRoom(tokens)) {
-                double room = Math.max(0, each.grant().inFlightTokens() - each.inFlight());
-                return new BudgetDecision(
-                        null,
-                        each.grant().inFlightTokens(),
-                        room,
-                        1000,
-                        1000,
-                        each.name + ": at once",
-                        false);
+            if (!each.hasInFlightCapacity(tokens)) {
+                return inFlightRejection(each);
             }
         }
-        TenantBudget own = withRate(purse);
-        TenantBudget payer = own == null ? purse : payer(purse, own, tokens, nowMs);
-        if (own != null) {
-            own.asked(tokens, nowMs);
+        BudgetNode rated = lowestWithRate(budget);
+        BudgetNode payer = rated == null ? budget : pay(budget, rated, tokens, nowMs);
+        if (rated != null) {
+            rated.recordDemand(tokens, nowMs);
         }
         if (payer == null) {
-            double wait = own.bucket().untilMs(tokens, nowMs);
-            // Guards against: a front's part of a burst may never hold one whole generation; then
-            // only the
-            // odds get better.
-            return new BudgetDecision(
-                    null,
-                    own.bucket().burst(),
-                    Math.max(0, own.bucket().level(nowMs)),
-                    own.bucket().untilMs(own.bucket().burst(), nowMs),
-                    Math.max(1, wait),
-                    own.name + ": rate",
-                    true);
+            return rateRejection(rated, tokens, nowMs);
         }
-        // Those over the payer are charged too, as theirs is used; those under it keep what they
-        // have.
-        for (TenantBudget each = payer.above; each != null; each = each.above) {
+        // Budgets above the payer are charged too, since what is used is theirs as well; those
+        // below it keep what they have.
+        for (BudgetNode each = payer.parent; each != null; each = each.parent) {
             if (each.grant().hasRate()) {
-                each.bucket().owe(tokens, nowMs);
+                each.bucket().takeUnconditionally(tokens, nowMs);
             }
         }
-        for (TenantBudget each = purse; each != null; each = each.above) {
-            each.fly(tokens);
+        for (BudgetNode each = budget; each != null; each = each.parent) {
+            each.startGeneration(tokens);
         }
-        Charge charge = new Charge(purse, tokens, payer, own != null && payer != own);
-        return answerIn(own, charge, nowMs);
+        boolean borrowed = rated != null && payer != rated;
+        return admission(new Charge(budget, tokens, payer, borrowed), rated, nowMs);
+    }
+
+    private static BudgetDecision monthlyRejection(BudgetNode budget, double nowMs) {
+        double limitTokens = budget.grant().monthlyTokens();
+        double remainingTokens = Math.max(0, limitTokens - budget.monthUsedTokens(nowMs));
+        double waitMs = budget.msUntilNextMonth(nowMs);
+        String reason = budget.name + ": month";
+        return new BudgetDecision(
+                null, limitTokens, remainingTokens, waitMs, waitMs, reason, false);
+    }
+
+    private static BudgetDecision inFlightRejection(BudgetNode budget) {
+        double limitTokens = budget.grant().inFlightTokens();
+        return new BudgetDecision(
+                null,
+                limitTokens,
+                Math.max(0, limitTokens - budget.inFlightTokens()),
+                IN_FLIGHT_RETRY_MS,
+                IN_FLIGHT_RETRY_MS,
+                budget.name + ": in flight",
+                false);
+    }
+
+    private static BudgetDecision rateRejection(BudgetNode rated, double tokens, double nowMs) {
+        TokenBucket bucket = rated.bucket();
+        double waitMs = bucket.msUntil(tokens, nowMs);
+        // Guards against: a router's part of a burst may never hold one generation; then waiting
+        // only improves the odds of its draw.
+        return new BudgetDecision(
+                null,
+                bucket.burstTokens(),
+                Math.max(0, bucket.level(nowMs)),
+                bucket.msUntil(bucket.burstTokens(), nowMs),
+                Math.max(MIN_RATE_RETRY_MS, waitMs),
+                rated.name + ": rate",
+                true);
     }
 
-    private BudgetDecision answerIn(TenantBudget own, Charge charge, double nowMs) {
-        if (own == null) {
+    private static BudgetDecision admission(Charge charge, BudgetNode rated, double nowMs) {
+        if (rated == null) {
             return new BudgetDecision(
                     charge, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, 0, null, false);
         }
+        TokenBucket bucket = rated.bucket();
         return new BudgetDecision(
                 charge,
-                own.bucket().burst(),
-                Math.max(0, own.bucket().level(nowMs)),
-                own.bucket().untilMs(own.bucket().burst(), nowMs),
+                bucket.burstTokens(),
+                Math.max(0, bucket.level(nowMs)),
+                bucket.msUntil(bucket.burstTokens(), nowMs),
                 0,
                 null,
                 false);
     }
 
-    /** The lowest purse from here on up that limits a rate, or null. */
-    private static TenantBudget withRate(TenantBudget from) {
-        TenantBudget each = from;
+    /** The lowest budget from this one upwards that limits a rate, or null. */
+    private static BudgetNode lowestWithRate(BudgetNode from) {
+        BudgetNode each = from;
         while (each != null && !each.grant().hasRate()) {
-            each = each.above;
+            each = each.parent;
         }
         return each;
     }
 
     /**
-     * The lowest purse that can pay: the asker's own means first, then what those above have to
-     * spare.
+     * Takes the tokens from the lowest budget that can pay: the own rate first, then leases, then
+     * what the budgets above can spare. Returns the payer, or null if none can pay.
+     *
+     * @param rated the lowest budget with a rate, from {@code budget} upwards
      */
-    private TenantBudget payer(TenantBudget purse, TenantBudget own, double tokens, double nowMs) {
+    private BudgetNode pay(BudgetNode budget, BudgetNode rated, double tokens, double nowMs) {
         // Guards against: a tenant without a rate of its own would use up what its neighbours are
         // owed.
-        if ((own == purse || owed(own, purse, nowMs) <= 0)
-                && own.bucket().take(tokens, lenderAnswers, nowMs)) {
-            return own;
+        if ((rated == budget || tokensOwed(rated, budget, nowMs) <= 0)
+                && takeFromOwnRate(rated, tokens, nowMs)) {
+            return rated;
         }
-        if (own.takeLent(tokens, nowMs)) {
-            return own;
+        if (rated.tryTakeLeased(tokens, nowMs)) {
+            return rated;
         }
-        for (TenantBudget lender = own == purse ? own.above : own;
-                lender != null;
-                lender = lender.above) {
-            if (lender.grant().hasRate()
-                    && lender.bucket().level(nowMs) - owed(lender, purse, nowMs) >= tokens) {
-                lender.bucket().owe(tokens, nowMs);
-                return lender;
+        BudgetNode first = rated == budget ? rated.parent : rated;
+        for (BudgetNode each = first; each != null; each = each.parent) {
+            if (each.grant().hasRate()
+                    && each.bucket().level(nowMs) - tokensOwed(each, budget, nowMs) >= tokens) {
+                each.bucket().takeUnconditionally(tokens, nowMs);
+                return each;
             }
         }
         return null;
     }
 
-    /** What those under a lender, but for the borrower, may come for within the give-back time. */
-    private double owed(TenantBudget lender, TenantBudget borrower, double nowMs) {
+    private boolean takeFromOwnRate(BudgetNode rated, double tokens, double nowMs) {
+        return lenderAvailable
+                ? rated.bucket().tryTakeWithoutDraw(tokens, nowMs)
+                : rated.bucket().tryTake(tokens, nowMs);
+    }
+
+    /** What the children of a budget, except the borrower's, may use within the give-back time. */
+    private double tokensOwed(BudgetNode lender, BudgetNode borrower, double nowMs) {
         double owed = 0;
-        for (TenantBudget each : lender.below) {
-            if (each == borrower || isAbove(each, borrower) || !each.grant().hasRate()) {
+        for (BudgetNode child : lender.children) {
+            if (child == borrower || isAbove(child, borrower) || !child.grant().hasRate()) {
                 continue;
             }
-            // Guards against: what a tenant has gathered may be asked for at once, in the very
-            // moment in
-            // which it wakes.
+            // Guards against: what a tenant has accumulated may be requested at once, in the very
+            // moment in which it becomes active.
             owed +=
-                    Math.max(0, each.bucket().level(nowMs))
-                            + each.grant().tokensPerMs() * giveBackMs;
+                    Math.max(0, child.bucket().level(nowMs))
+                            + child.grant().tokensPerMs() * giveBackMs;
         }
         return owed;
     }
 
-    private static boolean isAbove(TenantBudget purse, TenantBudget under) {
-        for (TenantBudget each = under.above; each != null; each = each.above) {
-            if (each == purse) {
+    private static boolean isAbove(BudgetNode budget, BudgetNode descendant) {
+        for (BudgetNode each = descendant.parent; each != null; each = each.parent) {
+            if (each == budget) {
                 return true;
             }
         }
@@ -258,53 +291,52 @@
     }
 
     /**
-     * What would have to be lent for a generation that was turned away for want of rate; null if
-     * nothing would help.
+     * What would have to be leased so that a generation that a rate rejected can be admitted; null
+     * if no lease would help.
      */
     public QuotaRequest quotaRequestFor(
             String tenant, String product, double tokens, double nowMs) {
-        TenantBudget own = withRate(purse(tenant, product));
-        return own == null || share >= 1 ? null : own.want(tokens, nowMs);
+        BudgetNode rated = lowestWithRate(find(tenant, product));
+        return rated == null || fixedShare >= 1 ? null : rated.quotaRequestFor(tokens, nowMs);
     }
 
-    /** Whether the lender answers; while it does not, fixed parts are given out by chance. */
-    public void setLenderAvailable(boolean answers) {
-        lenderAnswers = answers;
+    /** Sets whether the lender answers; while it does not, fixed parts are admitted by draws. */
+    public void setLenderAvailable(boolean available) {
+        lenderAvailable = available;
     }
 
     /**
-     * So much was lent to a budget until then; one that is not known here any more leaves it
-     * unused.
+     * Adds a lease to a budget. A budget that is not known here any more leaves it unused.
+     *
+     * @param budget the budget's name
+     * @param expiresMs when the lease expires
      */
-    public void addLease(String purse, double tokens, double untilMs) {
-        TenantBudget borrower = byName.get(purse);
+    public void addLease(String budget, double tokens, double expiresMs) {
+        BudgetNode borrower = byName.get(budget);
         if (borrower != null && tokens > 0) {
-            borrower.lend(tokens, untilMs);
+            borrower.addLease(tokens, expiresMs);
         }
     }
 
-    /** Settles a charge to what was used; a second time does nothing. */
-    public void settle(Charge charge, double used, double nowMs) {
-        if (charge.settled) {
+    /** Settles a charge to the tokens used; a second time does nothing. */
+    public void settle(Charge charge, double usedTokens, double nowMs) {
+        if (!charge.settleOnce()) {
             return;
         }
-        charge.settled = true;
-        double back = charge.estimate - used;
-        if (charge.payer.grant().hasRate()) {
-            charge.payer.bucket().giveBack(back, nowMs);
-        }
-        for (TenantBudget each = charge.payer.above; each != null; each = each.above) {
+        double unusedTokens = charge.estimatedTokens - usedTokens;
+        for (BudgetNode each = charge.payer; each != null; each = each.parent) {
             if (each.grant().hasRate()) {
-                each.bucket().giveBack(back, nowMs);
+                each.bucket().giveBack(unusedTokens, nowMs);
             }
         }
-        for (TenantBudget each = charge.purse; each != null; each = each.above) {
-            each.land(charge.estimate, used, nowMs);
+        for (BudgetNode each = charge.budget; each != null; each = each.parent) {
+            each.endGeneration(charge.estimatedTokens, usedTokens, nowMs);
         }
     }
 
-    private TenantBudget purse(String tenant, String product) {
-        TenantBudget purse = products.get(tenant + '\n' + product);
-        return purse != null ? purse : tenants.getOrDefault(tenant, service);
+    /** The lowest budget of a tenant's product: the product's, the tenant's or the service's. */
+    private BudgetNode find(String tenant, String product) {
+        BudgetNode node = products.get(productKey(tenant, product));
+        return node != null ? node : tenants.getOrDefault(tenant, service);
     }
 }
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -1,25 +1,33 @@
 package larchridge.budget;
 
-/** What one generation that was let in has taken; settled once. */
+/** What one admitted generation was charged; settled once. */
 public final class Charge {
-    final TenantBudget purse;
-    final double estimate;
+    /** The generation's own budget. */
+    final BudgetNode budget;
 
-    /** The purse from which the rate was paid. */
-    final TenantBudget payer;
+    /** The budget whose rate paid: the own one, or one above it that had tokens to spare. */
+    final BudgetNode payer;
 
+    final double estimatedTokens;
     private final boolean borrowed;
-    boolean settled;
+    private boolean settled;
 
-    Charge(TenantBudget purse, double estimate, TenantBudget payer, boolean borrowed) {
-        this.purse = purse;
-        this.estimate = estimate;
+    Charge(BudgetNode budget, double estimatedTokens, BudgetNode payer, boolean borrowed) {
+        this.budget = budget;
+        this.estimatedTokens = estimatedTokens;
         this.payer = payer;
         this.borrowed = borrowed;
     }
 
-    /** Whether it was let in beyond its tenant's own means. */
+    /** Whether it was admitted beyond its tenant's own rate. */
     public boolean isBorrowed() {
         return borrowed;
     }
+
+    /** Marks the charge settled; false if it was already. */
+    boolean settleOnce() {
+        boolean first = !settled;
+        settled = true;
+        return first;
+    }
 }
--- a/src/main/java/larchridge/budget/QuotaConfigurer.java
+++ b/src/main/java/larchridge/budget/QuotaConfigurer.java
@@ -1,13 +1,19 @@
 package larchridge.budget;
 
-/** Takes what a site grants, from the top down; what is granted again is changed from then on. */
+/**
+ * Receives the configured budgets from the top of the tree down. A budget that is configured again
+ * changes from then on; what it has accumulated stays.
+ */
 public interface QuotaConfigurer {
+    /** Configures the budget of the whole service. */
     void configureService(QuotaGrant grant, double nowMs);
 
+    /** Configures the budget of a group of tenants. */
     void configureGroup(String name, QuotaGrant grant, double nowMs);
 
-    /** A tenant of a group; group null is none. */
+    /** Configures the budget of a tenant; its group is null if it belongs to none. */
     void configureTenant(String name, String group, QuotaGrant grant, double nowMs);
 
+    /** Configures the budget of one product of a tenant. */
     void configureProduct(String tenant, String product, QuotaGrant grant, double nowMs);
 }
--- a/src/main/java/larchridge/budget/QuotaGrant.java
+++ b/src/main/java/larchridge/budget/QuotaGrant.java
@@ -1,16 +1,17 @@
 package larchridge.budget;
 
 /**
- * How much may be used: tokens a second with a burst, tokens at once in flight, tokens a month.
- * Infinity is no limit.
+ * The limits of a budget: a token rate with a burst, tokens in flight, and tokens a month. Infinity
+ * stands for no limit.
  *
- * @param tokensPerMs what comes in
- * @param burstTokens what may have gathered
- * @param inFlightTokens what may be in flight
- * @param monthlyTokens what may be used in a calendar month, UTC
+ * @param tokensPerMs the rate at which tokens accumulate
+ * @param burstTokens the most tokens that accumulate
+ * @param inFlightTokens the most tokens that may be in flight
+ * @param monthlyTokens the most tokens that may be used in a calendar month, UTC
  */
 public record QuotaGrant(
         double tokensPerMs, double burstTokens, double inFlightTokens, double monthlyTokens) {
+    /** No limit of any kind. */
     public static final QuotaGrant UNLIMITED =
             new QuotaGrant(
                     Double.POSITIVE_INFINITY,
@@ -19,17 +20,20 @@
                     Double.POSITIVE_INFINITY);
 
     /**
-     * One front's part where so many hold one each; of the rate, that share is in fixed parts and
-     * the rest is lent.
+     * The part of one router.
+     *
+     * @param routers how many routers hold a part each
+     * @param fixedShare the share of the rate that is divided into fixed parts; the rest is leased
      */
-    public QuotaGrant partOf(int fronts, double share) {
+    public QuotaGrant partOf(int routers, double fixedShare) {
         return new QuotaGrant(
-                tokensPerMs * share / fronts,
-                burstTokens * share / fronts,
-                inFlightTokens / fronts,
-                monthlyTokens / fronts);
+                tokensPerMs * fixedShare / routers,
+                burstTokens * fixedShare / routers,
+                inFlightTokens / routers,
+                monthlyTokens / routers);
     }
 
+    /** Whether the rate is limited. */
     public boolean hasRate() {
         return tokensPerMs < Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/larchridge/budget/QuotaLender.java
+++ b/src/main/java/larchridge/budget/QuotaLender.java
@@ -5,92 +5,97 @@
 import java.util.Random;
 
 /**
- * The part of all budgets that follows demand: one keeper for the whole service lends tokens out of
- * it to fronts that ask. What is lent has left the keeper's bucket, so that an answer that is lost,
- * a front that dies or a question that comes twice can only leave some unused. A keeper that starts
- * anew begins with nothing, since what was lent before may still be out. Without I/O, clock or
- * threads; time is milliseconds and passed in.
+ * The part of all budgets that follows demand: one lender for the whole service grants leases of
+ * tokens to the routers that request them. Granted tokens have left the lender's bucket, so that a
+ * lost answer, a router that dies or a repeated request can only leave tokens unused. A lender that
+ * restarts begins empty, since earlier leases may still be in use. Free of I/O, clocks and threads;
+ * time is passed in as milliseconds.
  */
 public final class QuotaLender implements QuotaConfigurer {
     /**
-     * No generation has more; a question for more is a fault, and would leave a debt that nobody
-     * pays off.
+     * No generation needs more; a request for more is a fault and would leave a debt that is never
+     * paid off.
      */
-    private static final double MOST_TOKS = 1e8;
+    private static final double MAX_NEEDED_TOKENS = 1e8;
+
+    private final double leasedShare;
+
+    /** Buckets that hold a whole budget admit oversized requests on debt and never draw. */
+    private final Random neverDrawn = new Random(0);
 
-    private final double share;
-    private final Random unused = new Random(0);
     private final Map<String, TokenBucket> buckets = new LinkedHashMap<>();
 
-    /** Lends this share of each budget; the rest is in the fronts' fixed parts. */
-    public QuotaLender(double share) {
-        this.share = share;
+    /** Leases this share of each budget; the rest is in the routers' fixed parts. */
+    public QuotaLender(double leasedShare) {
+        this.leasedShare = leasedShare;
     }
 
     @Override
     public void configureService(QuotaGrant grant, double nowMs) {
-        purse(TenantBudget.SERVICE, grant, nowMs);
+        configure(BudgetNode.SERVICE, grant, nowMs);
     }
 
     @Override
     public void configureGroup(String name, QuotaGrant grant, double nowMs) {
-        purse(TenantBudget.group(name), grant, nowMs);
+        configure(BudgetNode.groupName(name), grant, nowMs);
     }
 
     @Override
     public void configureTenant(String name, String group, QuotaGrant grant, double nowMs) {
-        purse(TenantBudget.tenant(name), grant, nowMs);
+        configure(BudgetNode.tenantName(name), grant, nowMs);
     }
 
     @Override
     public void configureProduct(String tenant, String product, QuotaGrant grant, double nowMs) {
-        purse(TenantBudget.product(tenant, product), grant, nowMs);
+        configure(BudgetNode.productName(tenant, product), grant, nowMs);
     }
 
-    /**
-     * A budget by the name that fronts call it; setting it again changes it, and what has gathered
-     * stays.
-     */
-    void purse(String name, QuotaGrant grant, double nowMs) {
-        TokenBucket bucket = buckets.get(name);
+    /** Configures a budget by the name that routers request it by. */
+    void configure(String budget, QuotaGrant grant, double nowMs) {
+        double tokensPerMs = grant.tokensPerMs() * leasedShare;
+        double burstTokens = grant.burstTokens() * leasedShare;
+        TokenBucket bucket = buckets.get(budget);
         if (bucket != null) {
-            bucket.change(grant.tokensPerMs() * share, grant.burstTokens() * share, nowMs);
+            bucket.reconfigure(tokensPerMs, burstTokens, nowMs);
         } else if (grant.hasRate()) {
             bucket =
                     new TokenBucket(
-                            grant.tokensPerMs() * share, grant.burstTokens() * share, true, unused);
-            // Guards against: a keeper that starts again and again would lend a whole burst each
+                            tokensPerMs, burstTokens, TokenBucket.OversizeRule.DEBT, neverDrawn);
+            // Guards against: a lender that restarts again and again would grant a full burst each
             // time.
-            bucket.owe(bucket.burst(), nowMs);
-            buckets.put(name, bucket);
+            bucket.takeUnconditionally(bucket.burstTokens(), nowMs);
+            buckets.put(budget, bucket);
         }
     }
 
     /**
-     * Lends what one generation lacks, all or nothing, and of what is wished beyond it at most half
-     * of what is left, so that who comes next finds some. Tokens; 0 for a budget that is not known.
+     * Grants the tokens that one generation lacks, completely or not at all, and of those desired
+     * beyond them at most half of what is left, so that the next request finds some.
+     *
+     * @return the granted tokens; 0 for a budget that is not known
      */
-    public double lend(String name, double need, double wish, double nowMs) {
-        TokenBucket bucket = buckets.get(name);
-        // Guards against: what is asked comes over a wire; no number that is not one may enter the
-        // sums.
-        if (bucket == null || !(need >= 0 && need <= MOST_TOKS) || !(wish >= 0)) {
+    public double grant(String budget, double neededTokens, double desiredTokens, double nowMs) {
+        TokenBucket bucket = buckets.get(budget);
+        // Guards against: requests arrive over a wire; NaN must not enter the sums.
+        if (bucket == null
+                || !(neededTokens >= 0 && neededTokens <= MAX_NEEDED_TOKENS)
+                || !(desiredTokens >= 0)) {
             return 0;
         }
-        if (need > 0 && !bucket.take(need, nowMs)) {
+        if (neededTokens > 0 && !bucket.tryTake(neededTokens, nowMs)) {
             return 0;
         }
-        double extra = Math.max(0, Math.min(wish, bucket.level(nowMs) / 2));
-        bucket.owe(extra, nowMs);
-        return need + extra;
+        double extraTokens = Math.max(0, Math.min(desiredTokens, bucket.level(nowMs) / 2));
+        bucket.takeUnconditionally(extraTokens, nowMs);
+        return neededTokens + extraTokens;
     }
 
     /**
-     * How long until a budget could lend so much, if nobody else asked; milliseconds, 0 if it is
-     * not known.
+     * Milliseconds until a budget could grant so many tokens, if there were no other request; 0 if
+     * the budget is not known.
      */
-    public double backInMs(String name, double need, double nowMs) {
-        TokenBucket bucket = buckets.get(name);
-        return bucket == null || !(need >= 0) ? 0 : bucket.untilMs(need, nowMs);
+    public double retryAfterMs(String budget, double neededTokens, double nowMs) {
+        TokenBucket bucket = buckets.get(budget);
+        return bucket == null || !(neededTokens >= 0) ? 0 : bucket.msUntil(neededTokens, nowMs);
     }
 }
--- a/src/main/java/larchridge/budget/QuotaRequest.java
+++ b/src/main/java/larchridge/budget/QuotaRequest.java
@@ -1,10 +1,11 @@
 package larchridge.budget;
 
 /**
- * What a front would have lent to one of its budgets so that a generation may come in.
+ * What a router requests from the lender for one of its budgets, so that a generation can be
+ * admitted.
  *
  * @param budget the budget's name
- * @param neededTokens tokens that the generation lacks; lent whole or not at all
- * @param desiredTokens tokens that would be used soon beside that
+ * @param neededTokens tokens that the generation lacks; granted completely or not at all
+ * @param desiredTokens tokens beyond them that would be used soon
  */
 public record QuotaRequest(String budget, double neededTokens, double desiredTokens) {}
--- a/src/main/java/larchridge/budget/TokenBucket.java
+++ b/src/main/java/larchridge/budget/TokenBucket.java
@@ -3,71 +3,65 @@
 import java.util.Random;
 
 /**
- * Tokens that gather at a rate up to a burst. What is charged is an estimate; settling gives back
- * or takes more, so that the level may fall under 0 and is then paid off first. Time is passed in
- * and may step back; nothing gathers then.
+ * A token bucket: tokens accumulate at a rate up to a burst. What is taken is an estimate; settling
+ * returns or takes more, so that the level may fall below 0 and is then paid off first. Time is
+ * passed in and may step back; nothing accumulates then.
  *
- * <p>What is over the burst comes in on a full bucket and leaves a debt, so that the rate holds.
- * Where a front's part of a burst is less than one generation needs, that debt, taken at all
- * fronts, would be many bursts: there the front lets it in by a chance draw with the mean of what
- * has gathered, and the draw uses that up, won or lost. So the mean over all fronts is the budget
- * for any number of fronts, and no asking again improves the odds.
+ * <p>A request over the burst is admitted on a full bucket and leaves a debt, so that the rate
+ * holds. Where a router's part of a burst is less than one generation needs, that debt, taken at
+ * all routers, would amount to many bursts: there the request is admitted by a random draw whose
+ * mean is what has accumulated, and the draw uses that up, won or lost. So the mean over all
+ * routers is the budget for any number of routers, and repeated requests do not improve the odds.
  */
 final class TokenBucket {
+    /** How a request over the burst is admitted. */
+    enum OversizeRule {
+        /** On a full bucket, with a debt; for a bucket that holds the whole budget. */
+        DEBT,
+        /** By a random draw; for a bucket that holds one part of many. */
+        DRAW
+    }
+
     private final Random random;
-    private final boolean alone;
-    private double perMs;
-    private double burst;
+    private final OversizeRule oversizeRule;
+    private double tokensPerMs;
+    private double burstTokens;
     private double level;
-    private double atMs = Double.NaN;
 
-    /** Alone: no other front holds a part, so that what is over the burst may come in as a debt. */
-    TokenBucket(double perMs, double burst, boolean alone, Random random) {
-        this.alone = alone;
-        this.perMs = perMs;
-        this.burst = burst;
+    /** The time up to which tokens have accumulated; NaN before the first use. */
+    private double accumulatedUntilMs = Double.NaN;
+
+    TokenBucket(double tokensPerMs, double burstTokens, OversizeRule oversizeRule, Random random) {
+        this.oversizeRule = oversizeRule;
+        this.tokensPerMs = tokensPerMs;
+        this.burstTokens = burstTokens;
         this.random = random;
-        level = burst;
+        level = burstTokens;
     }
 
-    /** A new rate and burst from now on; what has gathered stays, up to the new burst. */
-    void change(double newPerMs, double newBurst, double nowMs) {
-        gather(nowMs);
-        perMs = newPerMs;
-        burst = newBurst;
-        level = Math.min(level, burst);
+    /** Sets rate and burst from now on; what has accumulated stays, up to the new burst. */
+    void reconfigure(double newTokensPerMs, double newBurstTokens, double nowMs) {
+        accumulate(nowMs);
+        tokensPerMs = newTokensPerMs;
+        burstTokens = newBurstTokens;
+        level = Math.min(level, burstTokens);
     }
 
     double level(double nowMs) {
-        gather(nowMs);
+        accumulate(nowMs);
         return level;
     }
 
-    double burst() {
-        return burst;
-    }
-
-    boolean take(double tokens, double nowMs) {
-        return take(tokens, false, nowMs);
+    double burstTokens() {
+        return burstTokens;
     }
 
-    /**
-     * Whether so much may be taken now; takes it then. Certain: no chance is taken, since it can be
-     * lent.
-     */
-    boolean take(double tokens, boolean certain, double nowMs) {
-        gather(nowMs);
-        if (level >= tokens) {
-            level -= tokens;
-            return true;
-        }
-        // Guards against: a prompt over the burst, or over a front's part of it, could never come
-        // in.
-        if (alone && level >= burst) {
-            level -= tokens;
+    /** Takes tokens if they may be taken now, by the rule for oversized requests if need be. */
+    boolean tryTake(double tokens, double nowMs) {
+        if (tryTakeWithoutDraw(tokens, nowMs)) {
             return true;
         }
-        if (alone || certain || tokens <= burst || level <= 0) {
+        if (oversizeRule == OversizeRule.DEBT || tokens <= burstTokens || level <= 0) {
             return false;
         }
         boolean won = random.nextDouble() * tokens < level;
@@ -76,35 +70,55 @@
         return won;
     }
 
-    /** Gives back, or with a negative number takes more. */
+    /** As {@link #tryTake}, but never by a draw: for where the missing tokens can be leased. */
+    boolean tryTakeWithoutDraw(double tokens, double nowMs) {
+        accumulate(nowMs);
+        // Guards against: a prompt over the burst could never be admitted.
+        boolean onDebt = oversizeRule == OversizeRule.DEBT && level >= burstTokens;
+        boolean available = level >= tokens || onDebt;
+        if (!available) {
+            return false;
+        }
+        level -= tokens;
+        return true;
+    }
+
+    /** Returns tokens, or takes more with a negative number. */
     void giveBack(double tokens, double nowMs) {
-        gather(nowMs);
-        level = Math.min(burst, level + tokens);
+        accumulate(nowMs);
+        level = Math.min(burstTokens, level + tokens);
     }
 
-    /** Takes whatever the level is. */
-    void owe(double tokens, double nowMs) {
-        gather(nowMs);
+    /** Takes tokens whatever the level is. */
+    void takeUnconditionally(double tokens, double nowMs) {
+        accumulate(nowMs);
         level -= tokens;
     }
 
     /**
-     * How long until so much has gathered, milliseconds; for more than the burst, until the bucket
-     * is full.
+     * Milliseconds until the bucket holds so many tokens; for more than the burst, until it is
+     * full.
      */
-    double untilMs(double tokens, double nowMs) {
-        gather(nowMs);
-        double lacks = Math.min(tokens, burst) - level;
-        return lacks <= 0 ? 0 : perMs > 0 ? lacks / perMs : Double.POSITIVE_INFINITY;
+    double msUntil(double tokens, double nowMs) {
+        accumulate(nowMs);
+        double missing = Math.min(tokens, burstTokens) - level;
+        if (missing <= 0) {
+            return 0;
+        }
+        return tokensPerMs > 0 ? missing / tokensPerMs : Double.POSITIVE_INFINITY;
     }
 
-    private void gather(double nowMs) {
-        if (Double.isNaN(atMs) || nowMs < atMs) {
-            // Guards against: a clock that steps back and forth would gather the same time twice.
-            atMs = Double.isNaN(atMs) ? nowMs : atMs;
+    private void accumulate(double nowMs) {
+        if (Double.isNaN(accumulatedUntilMs)) {
+            accumulatedUntilMs = nowMs;
+            return;
+        }
+        if (nowMs < accumulatedUntilMs) {
+            // Guards against: a clock that steps back and forth would accumulate the same time
+            // twice.
             return;
         }
-        level = Math.min(burst, level + (nowMs - atMs) * perMs);
-        atMs = nowMs;
+        level = Math.min(burstTokens, level + (nowMs - accumulatedUntilMs) * tokensPerMs);
+        accumulatedUntilMs = nowMs;
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/budget/TokenLeases.java
@@ -0,0 +1,39 @@
+package larchridge.budget;
+
+import java.util.ArrayDeque;
+
+/** The tokens leased to one budget, the oldest lease first; each expires at its time. */
+final class TokenLeases {
+    private static final int MAX_LEASES = 64;
+
+    private final ArrayDeque<Lease> leases = new ArrayDeque<>();
+
+    private record Lease(double tokens, double expiresMs) {}
+
+    void add(double tokens, double expiresMs) {
+        if (leases.size() >= MAX_LEASES) {
+            // The oldest would expire first anyway.
+            leases.removeFirst();
+        }
+        leases.add(new Lease(tokens, expiresMs));
+    }
+
+    /** The tokens of all leases that have not expired; drops those that have. */
+    double tokens(double nowMs) {
+        leases.removeIf(lease -> lease.expiresMs <= nowMs);
+        return leases.stream().mapToDouble(Lease::tokens).sum();
+    }
+
+    /** Takes tokens from the oldest leases on; returns how many are missing. */
+    double take(double tokens) {
+        double missing = tokens;
+        while (missing > 0 && !leases.isEmpty()) {
+            Lease oldest = leases.removeFirst();
+            if (oldest.tokens > missing) {
+                leases.addFirst(new Lease(oldest.tokens - missing, oldest.expiresMs));
+            }
+            missing -= Math.min(missing, oldest.tokens);
+        }
+        return missing;
+    }
+}
--- a/src/main/java/larchridge/budget/UsageMeter.java
+++ b/src/main/java/larchridge/budget/UsageMeter.java
@@ -2,96 +2,126 @@
 
 /**
  * Counts what one generation is billed and what was wasted on it, from what engines reported and
- * what went to the client. Reports that come twice, late, not at all, or that can't be true do no
- * harm. Without I/O, clock or threads.
+ * what was sent to the client. Reports that arrive twice, late or not at all, or that are not
+ * plausible, do no harm. Free of I/O, clocks and threads.
  */
 public final class UsageMeter {
-    /** Reports over so many times what the front itself counted are not believed. */
-    private static final int MOST_TIMES = 8;
+    /** A reported prompt is plausible up to this multiple of what the router counted itself. */
+    private static final int MAX_PLAUSIBLE_MULTIPLE = 8;
 
-    private final int countedPrompt;
+    /** Prompt tokens that are plausible beyond that multiple, for short prompts. */
+    private static final int PLAUSIBLE_EXTRA_TOKENS = 1000;
+
+    private static final long UNKNOWN = -1;
+
+    private final int countedPromptTokens;
     private final int maxTokens;
-    private long billedPrompt = -1;
-    private long billedKept;
-    private long wasted;
-    private long pieceSent;
-    private long out = -1;
-
-    public UsageMeter(int countedPrompt, int maxTokens) {
-        this.countedPrompt = countedPrompt;
+    private long billedPromptTokens = UNKNOWN;
+    private long billedCachedTokens;
+    private long wastedTokens;
+    private long piecesSent;
+    private long reportedOutputTokens = UNKNOWN;
+
+    /**
+     * The meter of one generation.
+     *
+     * @param countedPromptTokens prompt tokens as the router counted them
+     * @param maxTokens the most tokens that the answer may have
+     */
+    public UsageMeter(int countedPromptTokens, int maxTokens) {
+        this.countedPromptTokens = countedPromptTokens;
         this.maxTokens = maxTokens;
     }
 
     /**
-     * A prompt was read there; until an answer comes of it, it is waste. Returns what the read
-     * counts as.
+     * An engine read the prompt; until an answer starts from this read, it is waste. Returns the
+     * tokens that the read counts as.
      */
-    public long promptRead(int reported) {
-        long tokens = plausiblePromptTokens(reported);
-        wasted += tokens;
+    public long promptRead(int reportedTokens) {
+        long tokens = plausiblePromptTokens(reportedTokens);
+        wastedTokens += tokens;
         return tokens;
     }
 
-    /** The answer begins from this read: it is no waste. */
-    public void responseStarted(long readTokens, int kept, boolean wasRead) {
-        if (billedPrompt >= 0) {
-            return;
+    /** The answer starts from a read that {@link #promptRead} counted: it is not waste. */
+    public void responseStartedFromRead(long readTokens, int cachedTokens) {
+        if (billedPromptTokens < 0) {
+            bill(readTokens, cachedTokens);
+            wastedTokens -= readTokens;
+        }
+    }
+
+    /** The answer starts at an engine that read the prompt itself. */
+    public void responseStartedInPlace(long promptTokens) {
+        if (billedPromptTokens < 0) {
+            bill(promptTokens, 0);
         }
-        billedPrompt = readTokens;
-        billedKept = Math.max(0, Math.min(kept, readTokens));
-        wasted -= wasRead ? readTokens : 0;
     }
 
-    /** A piece went to the client. */
+    private void bill(long promptTokens, int cachedTokens) {
+        billedPromptTokens = promptTokens;
+        billedCachedTokens = Math.max(0, Math.min(cachedTokens, promptTokens));
+    }
+
+    /** A piece of the answer was sent to the client. */
     public void pieceSent() {
-        pieceSent++;
+        piecesSent++;
     }
 
-    /** So many pieces that were counted as sent did not go out after all. */
+    /** So many pieces that were counted as sent did not reach the client's socket after all. */
     public void piecesNotSent(int pieces) {
-        pieceSent -= pieces;
+        piecesSent -= pieces;
     }
 
-    /** The answer is whole; the engine reports so many tokens, each piece being one at least. */
-    public void responseCompleted(int reported) {
-        out = reported >= pieceSent && reported <= maxTokens ? reported : pieceSent;
+    /**
+     * The answer is complete; the engine reports its tokens, of which each piece is at least one.
+     */
+    public void responseCompleted(int reportedTokens) {
+        boolean plausible = reportedTokens >= piecesSent && reportedTokens <= maxTokens;
+        reportedOutputTokens = plausible ? reportedTokens : piecesSent;
     }
 
-    /** The client got nothing of it: an answer in one piece that did not come to its end. */
+    /** The client received nothing: an answer in one piece that was not completed. */
     public void responseDiscarded() {
-        if (billedPrompt >= 0) {
-            wasted += billedPrompt + pieceSent;
+        if (billedPromptTokens >= 0) {
+            wastedTokens += billedPromptTokens + piecesSent;
         }
-        billedPrompt = -1;
-        billedKept = 0;
-        pieceSent = 0;
-        out = 0;
+        billedPromptTokens = UNKNOWN;
+        billedCachedTokens = 0;
+        piecesSent = 0;
+        reportedOutputTokens = 0;
     }
 
-    /** A reported prompt as far as it can be true. */
-    public long plausiblePromptTokens(int reported) {
-        return reported > 0 && reported <= (long) MOST_TIMES * countedPrompt + 1000
-                ? reported
-                : countedPrompt;
+    /** The prompt tokens that an engine reported if they are plausible, else those counted here. */
+    public long plausiblePromptTokens(int reportedTokens) {
+        long maxPlausible =
+                (long) MAX_PLAUSIBLE_MULTIPLE * countedPromptTokens + PLAUSIBLE_EXTRA_TOKENS;
+        return reportedTokens > 0 && reportedTokens <= maxPlausible
+                ? reportedTokens
+                : countedPromptTokens;
     }
 
+    /** The billed prompt tokens. */
     public long promptTokens() {
-        return Math.max(0, billedPrompt);
+        return Math.max(0, billedPromptTokens);
     }
 
+    /** The billed prompt tokens that the engine found in its cache. */
     public long cachedTokens() {
-        return billedKept;
+        return billedCachedTokens;
     }
 
+    /** The billed tokens of the answer. */
     public long outputTokens() {
-        return out >= 0 ? out : pieceSent;
+        return reportedOutputTokens >= 0 ? reportedOutputTokens : piecesSent;
     }
 
+    /** Tokens of reads and answers that are not billed. */
     public long wastedTokens() {
-        return Math.max(0, wasted);
+        return Math.max(0, wastedTokens);
     }
 
-    /** What it took of its tenant's budget: what is billed. */
+    /** All billed tokens: what the generation used of its tenant's budget. */
     public double billedTokens() {
         return promptTokens() + outputTokens();
     }
--- a/src/main/java/larchridge/lease/LeaseEndpoint.java
+++ b/src/main/java/larchridge/lease/LeaseEndpoint.java
@@ -57,8 +57,8 @@
             String purse = wants.get(i).path("purse").asText("");
             double need = wants.get(i).path("need").asDouble(0);
             double nowMs = clockMs.getAsDouble();
-            double tokens = lender.lend(purse, need, wants.get(i).path("wish").asDouble(0), nowMs);
-            double back = tokens > 0 ? 0 : lender.backInMs(purse, need, nowMs);
+            double tokens = lender.grant(purse, need, wants.get(i).path("wish").asDouble(0), nowMs);
+            double back = tokens > 0 ? 0 : lender.retryAfterMs(purse, need, nowMs);
             lent.addObject().put("tokens", tokens).put("back_ms", Math.min(back, 1e12));
         }
         return answer;
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -761,9 +761,9 @@
             if (trip.source != null) {
                 // It has been fetched: nothing of it is left at its reader.
                 trip.source.holds = false;
-                one.meter.responseStarted(trip.source.readTokens, trip.source.keptTokens, true);
+                one.meter.responseStartedFromRead(trip.source.readTokens, trip.source.keptTokens);
             } else {
-                one.meter.responseStarted(one.ask.promptTokens(), 0, false);
+                one.meter.responseStartedInPlace(one.ask.promptTokens());
             }
             guarded(one, () -> choice.responseStarted(trip.attempt));
             releaseState(one.gen);
--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -13,9 +13,9 @@
 class BudgetsPropertiesTest {
     private static final double INF = Double.POSITIVE_INFINITY;
 
-    /** One front: in any window the sum is at most rate x window + burst + one generation. */
+    /** One router: in any window the sum is at most rate x window + burst + one generation. */
     @Property(tries = 200, seed = "20261201")
-    void oneFrontNeverPassesItsBound(
+    void oneRouterNeverExceedsItsBound(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
             @ForAll @IntRange(min = 10, max = 3000) int burst,
             @ForAll @IntRange(min = 1, max = 2000) int most) {
@@ -42,22 +42,22 @@
     }
 
     /**
-     * Many fronts whose parts of the burst are less than a generation: the sum over a long time
+     * Many routers whose parts of the burst are less than a generation: the sum over a long time
      * stays by its mean at the budget, within five deviations of the draws, whatever share of the
-     * fronts is asked.
+     * routers receives requests.
      */
     @Property(tries = 40, seed = "20261201")
-    void frontsTogetherKeepTheBudget(
+    void routersTogetherKeepTheBudget(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
-            @ForAll @IntRange(min = 2, max = 170) int fronts) {
+            @ForAll @IntRange(min = 2, max = 170) int routers) {
         Random random = new Random(seed);
         double rate = 2;
         double burst = 4000;
         double generation = 1000;
         List<Budgets> all = new ArrayList<>();
         double now = 1e12;
-        for (int i = 0; i < fronts; i++) {
-            Budgets one = new Budgets(QuotaGrant.UNLIMITED, fronts, 1, 500, new Random(seed + i));
+        for (int i = 0; i < routers; i++) {
+            Budgets one = new Budgets(QuotaGrant.UNLIMITED, routers, 1, 500, new Random(seed + i));
             one.configureTenant("a", null, new QuotaGrant(rate, burst, INF, INF), now);
             all.add(one);
         }
@@ -65,7 +65,7 @@
         double sum = 0;
         for (int i = 0; i < 4000; i++) {
             now += 10;
-            if (all.get(random.nextInt(fronts))
+            if (all.get(random.nextInt(routers))
                     .requestAdmission("a", "p", generation, now)
                     .isAdmitted()) {
                 sum += generation;
@@ -75,21 +75,25 @@
         double deviation = Math.sqrt(budget / generation) * generation;
         assertTrue(
                 sum <= budget + 5 * deviation + generation,
-                sum + " over " + budget + " with " + fronts + " fronts");
+                sum + " over " + budget + " with " + routers + " routers");
         assertTrue(
                 sum >= 0.5 * Math.min(budget, 4000 * generation) - 5 * deviation,
                 sum + " of " + budget);
     }
 
-    /** Asking more often never gets more in by its mean: the draws use up what has gathered. */
+    /**
+     * More frequent requests are admitted no more on average: the draws use up what has
+     * accumulated.
+     */
     @Property(tries = 20, seed = "20261201")
-    void askingAgainImprovesNoOdds(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+    void repeatedRequestsDoNotImproveTheOdds(
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
         double[] sums = new double[2];
         for (int way = 0; way < 2; way++) {
-            for (int front = 0; front < 100; front++) {
+            for (int router = 0; router < 100; router++) {
                 Budgets one =
                         new Budgets(
-                                QuotaGrant.UNLIMITED, 100, 1, 500, new Random(seed * 200 + front));
+                                QuotaGrant.UNLIMITED, 100, 1, 500, new Random(seed * 200 + router));
                 double now = 1e12;
                 one.configureTenant("a", null, new QuotaGrant(1, 2000, INF, INF), now);
                 for (int i = 0; i < 2000; i++) {
--- a/src/test/java/larchridge/budget/BudgetsTest.java
+++ b/src/test/java/larchridge/budget/BudgetsTest.java
@@ -17,36 +17,36 @@
         return new QuotaGrant(perS / 1000, burst, INF, INF);
     }
 
-    private BudgetDecision ask(String tenant, double tokens) {
+    private BudgetDecision requestAdmission(String tenant, double tokens) {
         return budgets.requestAdmission(tenant, "p", tokens, now);
     }
 
     @Test
-    void burstComesInAndThenTheRate() {
+    void burstIsAdmittedAndThenTheRate() {
         Budgets alone = new Budgets(QuotaGrant.UNLIMITED, 1, 1, 500, new Random(1));
         alone.configureTenant("a", null, rate(1000, 500), now);
         assertTrue(alone.requestAdmission("a", "p", 500, now).isAdmitted());
-        BudgetDecision no = alone.requestAdmission("a", "p", 300, now);
-        assertFalse(no.isAdmitted());
-        assertEquals(300, no.retryAfterMs(), 1e-6);
-        now += no.retryAfterMs() + 0.001;
+        BudgetDecision rejection = alone.requestAdmission("a", "p", 300, now);
+        assertFalse(rejection.isAdmitted());
+        assertEquals(300, rejection.retryAfterMs(), 1e-6);
+        now += rejection.retryAfterMs() + 0.001;
         assertTrue(alone.requestAdmission("a", "p", 300, now).isAdmitted());
     }
 
     @Test
-    void promptOverTheBurstComesInOnAFullBucketAndIsPaidOff() {
+    void requestOverTheBurstIsAdmittedOnAFullBucketAndPaidOff() {
         Budgets alone = new Budgets(QuotaGrant.UNLIMITED, 1, 1, 500, new Random(1));
         alone.configureTenant("a", null, rate(1000, 500), now);
         assertTrue(alone.requestAdmission("a", "p", 5000, now).isAdmitted());
         now += 4900;
-        BudgetDecision no = alone.requestAdmission("a", "p", 5000, now);
-        assertFalse(no.isAdmitted());
-        now += no.retryAfterMs() + 0.001;
+        BudgetDecision rejection = alone.requestAdmission("a", "p", 5000, now);
+        assertFalse(rejection.isAdmitted());
+        now += rejection.retryAfterMs() + 0.001;
         assertTrue(alone.requestAdmission("a", "p", 5000, now).isAdmitted());
     }
 
     @Test
-    void settlingGivesBackWhatWasNotUsedOnce() {
+    void settlingReturnsUnusedTokensOnce() {
         Budgets alone = new Budgets(QuotaGrant.UNLIMITED, 1, 1, 500, new Random(1));
         alone.configureTenant("a", null, rate(1, 500), now);
         Charge charge = alone.requestAdmission("a", "p", 500, now).charge();
@@ -57,67 +57,67 @@
     }
 
     @Test
-    void ceilingHoldsUntilSomethingLands() {
+    void inFlightLimitHoldsUntilAGenerationEnds() {
         budgets.configureTenant("a", null, new QuotaGrant(INF, INF, 1000, INF), now);
-        Charge first = ask("a", 800).charge();
-        assertFalse(ask("a", 300).isAdmitted());
+        Charge first = requestAdmission("a", 800).charge();
+        assertFalse(requestAdmission("a", 300).isAdmitted());
         budgets.settle(first, 800, now);
-        assertTrue(ask("a", 300).isAdmitted());
+        assertTrue(requestAdmission("a", 300).isAdmitted());
     }
 
     @Test
-    void promptOverTheCeilingFliesAlone() {
+    void requestOverTheInFlightLimitRunsAlone() {
         budgets.configureTenant("a", null, new QuotaGrant(INF, INF, 1000, INF), now);
-        assertTrue(ask("a", 4000).isAdmitted());
-        assertFalse(ask("a", 1).isAdmitted());
+        assertTrue(requestAdmission("a", 4000).isAdmitted());
+        assertFalse(requestAdmission("a", 1).isAdmitted());
     }
 
     @Test
-    void monthIsWholeAgainWhenItTurns() {
+    void monthlyLimitIsResetWithTheMonth() {
         budgets.configureTenant("a", null, new QuotaGrant(INF, INF, INF, 1000), now);
-        budgets.settle(ask("a", 900).charge(), 900, now);
-        BudgetDecision no = ask("a", 200);
-        assertFalse(no.isAdmitted());
-        now += no.retryAfterMs();
-        assertTrue(ask("a", 200).isAdmitted());
+        budgets.settle(requestAdmission("a", 900).charge(), 900, now);
+        BudgetDecision rejection = requestAdmission("a", 200);
+        assertFalse(rejection.isAdmitted());
+        now += rejection.retryAfterMs();
+        assertTrue(requestAdmission("a", 200).isAdmitted());
     }
 
     @Test
-    void whatTheLedgerRemembersCounts() {
+    void restoredMonthlyUsageCounts() {
         budgets.configureTenant("a", null, new QuotaGrant(INF, INF, INF, 1000), now);
         budgets.restoreMonthlyUsage("a", "p", 950, now);
-        assertFalse(ask("a", 100).isAdmitted());
+        assertFalse(requestAdmission("a", 100).isAdmitted());
     }
 
     @Test
-    void spareMeansAreBorrowedButNotWhatOthersAreOwed() {
+    void spareTokensAreBorrowedButNotWhatOthersAreOwed() {
         budgets.configureTenant("a", null, rate(100, 1000), now);
         budgets.configureTenant("b", null, rate(800, 8000), now);
-        assertTrue(ask("a", 1000).isAdmitted());
+        assertTrue(requestAdmission("a", 1000).isAdmitted());
         // The service has 9000 left, of which b may ask for 8000 now and 400 within the give-back
         // time.
-        BudgetDecision borrowed = ask("a", 600);
+        BudgetDecision borrowed = requestAdmission("a", 600);
         assertTrue(borrowed.isAdmitted() && borrowed.charge().isBorrowed());
-        assertFalse(ask("a", 600).isAdmitted());
-        assertTrue(ask("b", 8000).isAdmitted());
+        assertFalse(requestAdmission("a", 600).isAdmitted());
+        assertTrue(requestAdmission("b", 8000).isAdmitted());
     }
 
     @Test
-    void sleepingTenantIsNeverStarvedByABusyOne() {
+    void idleTenantIsNeverStarvedByABusyOne() {
         budgets.configureTenant("a", null, rate(500, 5000), now);
         budgets.configureTenant("b", null, rate(500, 5000), now);
         for (int i = 0; i < 60_000; i++) {
             now += 1;
-            ask("a", 50);
+            requestAdmission("a", 50);
             if (i % 1000 == 999) {
                 // Its whole share of a second, asked for at once, whatever the other takes.
-                assertTrue(ask("b", 500).isAdmitted(), "second " + i / 1000);
+                assertTrue(requestAdmission("b", 500).isAdmitted(), "second " + i / 1000);
             }
         }
     }
 
     @Test
-    void loweredBudgetCountsFromNowOn() {
+    void loweredBudgetAppliesAtOnce() {
         Budgets alone = new Budgets(QuotaGrant.UNLIMITED, 1, 1, 500, new Random(1));
         alone.configureTenant("a", null, new QuotaGrant(1, 10_000, 10_000, INF), now);
         Charge open = alone.requestAdmission("a", "p", 9000, now).charge();
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void clockThatStepsBackGathersNothing() {
+    void clockThatStepsBackAccumulatesNothing() {
         Budgets alone = new Budgets(QuotaGrant.UNLIMITED, 1, 1, 500, new Random(1));
         alone.configureTenant("a", null, rate(1000, 500), now);
         alone.requestAdmission("a", "p", 500, now);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void productsOfATenantAreKeptApart() {
+    void productsOfATenantAreIndependent() {
         budgets.configureTenant("a", null, rate(900, 9000), now);
         budgets.configureProduct("a", "short", rate(100, 1000), now);
         budgets.configureProduct("a", "long", rate(100, 1000), now);
@@ -151,17 +151,17 @@
     }
 
     @Test
-    void tenantNobodyKnowsHasTheServicesBudget() {
-        assertTrue(ask("stranger", 10_000).isAdmitted());
-        assertFalse(ask("stranger", 10_000).isAdmitted());
+    void unknownTenantHasTheServicesBudget() {
+        assertTrue(requestAdmission("stranger", 10_000).isAdmitted());
+        assertFalse(requestAdmission("stranger", 10_000).isAdmitted());
     }
 
     @Test
-    void tenantWithoutARateOfItsOwnIsHeldByTheServices() {
+    void tenantWithoutARateIsLimitedByTheServices() {
         budgets.configureTenant("free", null, QuotaGrant.UNLIMITED, now);
         budgets.configureTenant("b", null, rate(500, 5000), now);
-        assertTrue(ask("free", 4500).isAdmitted());
-        assertFalse(ask("free", 4500).isAdmitted());
-        assertTrue(ask("b", 5000).isAdmitted());
+        assertTrue(requestAdmission("free", 4500).isAdmitted());
+        assertFalse(requestAdmission("free", 4500).isAdmitted());
+        assertTrue(requestAdmission("b", 5000).isAdmitted());
     }
 }
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -13,69 +13,76 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * One tenant's budget held by many fronts in virtual time: fixed parts with a debt each, parts with
- * chance draws, and a fifth in parts with the rest lent. What comes in during the worst window
- * stands beside the bound of each way.
+ * One tenant's budget shared by many routers in virtual time, in three ways: fixed parts that admit
+ * on debt, fixed parts with random draws, and a fifth in fixed parts with the rest leased. What is
+ * admitted in the worst window is compared with the bound of each.
  */
 class SharingSimulationTest {
     private static final double INF = Double.POSITIVE_INFINITY;
     private static final double RATE = 4;
     private static final double BURST = 8000;
-    private static final double GEN = 1000;
+    private static final double GENERATION_TOKENS = 1000;
     private static final double STEP_MS = 20;
-    private static final double LAPSE_MS = 1000;
+    private static final double LEASE_MS = 1000;
     private static final double WINDOW_MS = 5000;
-    private static final double LENGTH_MS = 60_000;
-    private static final double FIXED = 0.2;
+    private static final double DURATION_MS = 60_000;
+    private static final double FIXED_SHARE = 0.2;
     private static final StringBuilder TABLE = new StringBuilder();
 
-    private enum Way {
+    private enum Sharing {
         DEBTS,
         DRAWS,
         LEASES
     }
 
     /**
-     * What came of a run: tokens let in a millisecond of budget, and the worst window's excess over
-     * rate x window.
+     * The result of a run.
+     *
+     * @param used tokens admitted, as a share of the budget's rate over the run
+     * @param excess tokens admitted in the worst window, beyond rate x window
      */
-    private record Gain(double used, double excess) {}
+    private record Result(double used, double excess) {}
 
     private final Random random = new Random(42);
 
     /**
-     * Busy: how many of the fronts are asked, each turn by chance; each asking for one generation.
-     * Restarts: every so often a front forgets all, and the lender as well, the lender is away for
-     * a fifth of the time and some of its answers are lost.
+     * Runs one minute.
+     *
+     * @param busy how many of the routers receive requests, each time a random one, of one
+     *     generation each
+     * @param withFaults whether routers and the lender restart and forget everything now and then,
+     *     the lender is away for a fifth of the time and some of its answers are lost
      */
-    private Gain run(Way way, int fronts, int busy, double gensPerMs, boolean troubled) {
+    private Result run(
+            Sharing sharing, int routers, int busy, double generationsPerMs, boolean withFaults) {
         List<Budgets> all = new ArrayList<>();
-        for (int i = 0; i < fronts; i++) {
-            all.add(front(way, fronts, i, 0));
+        for (int i = 0; i < routers; i++) {
+            all.add(router(sharing, routers, i, 0));
         }
         QuotaLender lender = lender(0);
         Deque<double[]> window = new ArrayDeque<>();
         double inWindow = 0;
         double worst = 0;
         double sum = 0;
-        for (double now = 0; now < LENGTH_MS; now += STEP_MS) {
-            if (troubled && random.nextDouble() < STEP_MS / 5000) {
-                all.set(random.nextInt(fronts), front(way, fronts, 1000 + (int) now, now));
+        for (double now = 0; now < DURATION_MS; now += STEP_MS) {
+            if (withFaults && random.nextDouble() < STEP_MS / 5000) {
+                all.set(random.nextInt(routers), router(sharing, routers, 1000 + (int) now, now));
             }
-            if (troubled && random.nextDouble() < STEP_MS / 10_000) {
+            if (withFaults && random.nextDouble() < STEP_MS / 10_000) {
                 lender = lender(now);
             }
-            double due = gensPerMs * STEP_MS;
-            int comes = (int) due + (random.nextDouble() < due - (int) due ? 1 : 0);
-            for (int i = 0; i < comes; i++) {
-                if (isIn(
+            double expected = generationsPerMs * STEP_MS;
+            int arrivals =
+                    (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
+            for (int i = 0; i < arrivals; i++) {
+                if (isAdmitted(
                         all.get(random.nextInt(busy)),
-                        way == Way.LEASES ? lender : null,
-                        troubled,
+                        sharing == Sharing.LEASES ? lender : null,
+                        withFaults,
                         now)) {
-                    window.add(new double[] {now, GEN});
-                    inWindow += GEN;
-                    sum += GEN;
+                    window.add(new double[] {now, GENERATION_TOKENS});
+                    inWindow += GENERATION_TOKENS;
+                    sum += GENERATION_TOKENS;
                 }
             }
             while (!window.isEmpty() && window.peek()[0] <= now - WINDOW_MS) {
@@ -83,112 +90,124 @@
             }
             worst = Math.max(worst, inWindow - RATE * WINDOW_MS);
         }
-        return new Gain(sum / (RATE * LENGTH_MS), worst);
+        return new Result(sum / (RATE * DURATION_MS), worst);
     }
 
-    /** As a front does it: what it lacks it asks of the lender. */
-    private boolean isIn(Budgets front, QuotaLender lender, boolean troubled, double now) {
-        if (front.requestAdmission("a", "p", GEN, now).isAdmitted()) {
+    /** As a router does it: requests from the lender what it lacks. */
+    private boolean isAdmitted(Budgets router, QuotaLender lender, boolean withFaults, double now) {
+        if (router.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted()) {
             return true;
         }
         // Now and then the lender is away for a while: the first fifth of each quarter of a minute.
-        boolean away = troubled && now % 15_000 < 3000;
-        front.setLenderAvailable(lender != null && !away);
+        boolean away = withFaults && now % 15_000 < 3000;
+        router.setLenderAvailable(lender != null && !away);
         if (lender == null || away) {
             return false;
         }
-        QuotaRequest want = front.quotaRequestFor("a", "p", GEN, now);
-        double lent = lender.lend(want.budget(), want.neededTokens(), want.desiredTokens(), now);
-        // One answer in twenty is lost: what was lent then is used by nobody.
-        front.addLease(
-                want.budget(), troubled && random.nextDouble() < 0.05 ? 0 : lent, now + LAPSE_MS);
-        return front.requestAdmission("a", "p", GEN, now).isAdmitted();
+        QuotaRequest request = router.quotaRequestFor("a", "p", GENERATION_TOKENS, now);
+        double granted =
+                lender.grant(
+                        request.budget(), request.neededTokens(), request.desiredTokens(), now);
+        // One answer in twenty is lost: what was granted then stays unused.
+        router.addLease(
+                request.budget(),
+                withFaults && random.nextDouble() < 0.05 ? 0 : granted,
+                now + LEASE_MS);
+        return router.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted();
     }
 
-    private static Budgets front(Way way, int fronts, int seed, double nowMs) {
-        // A debt each is what a front does that believes to be alone with its part.
-        boolean debts = way == Way.DEBTS;
+    private static Budgets router(Sharing sharing, int routers, int seed, double nowMs) {
+        // A router that takes its part for a whole budget admits on debt.
+        boolean debts = sharing == Sharing.DEBTS;
         Budgets one =
                 new Budgets(
                         QuotaGrant.UNLIMITED,
-                        debts ? 1 : fronts,
-                        way == Way.LEASES ? FIXED : 1,
+                        debts ? 1 : routers,
+                        sharing == Sharing.LEASES ? FIXED_SHARE : 1,
                         500,
                         new Random(seed));
-        double part = debts ? 1.0 / fronts : 1;
+        double part = debts ? 1.0 / routers : 1;
         one.configureTenant("a", null, new QuotaGrant(RATE * part, BURST * part, INF, INF), nowMs);
         return one;
     }
 
     private static QuotaLender lender(double nowMs) {
-        QuotaLender lender = new QuotaLender(1 - FIXED);
-        lender.purse("tenant a", new QuotaGrant(RATE, BURST, INF, INF), nowMs);
+        QuotaLender lender = new QuotaLender(1 - FIXED_SHARE);
+        lender.configure("tenant a", new QuotaGrant(RATE, BURST, INF, INF), nowMs);
         return lender;
     }
 
-    /** Over rate x window; the leases' derivation stands in docs/budgets.md. */
-    private static double bound(Way way, int fronts) {
+    /** The bound on the excess; docs/budgets.md derives that of leases. */
+    private static double bound(Sharing sharing, int routers) {
         double inWindow = RATE * WINDOW_MS + BURST;
-        if (fronts == 1 && way != Way.LEASES) {
-            return BURST + GEN;
+        if (routers == 1 && sharing != Sharing.LEASES) {
+            return BURST + GENERATION_TOKENS;
         }
-        double draws = 5 * Math.sqrt(inWindow * GEN);
-        return switch (way) {
-            case DEBTS -> BURST + fronts * GEN;
+        double draws = 5 * Math.sqrt(inWindow * GENERATION_TOKENS);
+        return switch (sharing) {
+            case DEBTS -> BURST + routers * GENERATION_TOKENS;
             case DRAWS -> BURST + draws;
-            case LEASES -> BURST + (1 - FIXED) * RATE * LAPSE_MS + GEN + draws * Math.sqrt(FIXED);
+            case LEASES ->
+                    BURST
+                            + (1 - FIXED_SHARE) * RATE * LEASE_MS
+                            + GENERATION_TOKENS
+                            + draws * Math.sqrt(FIXED_SHARE);
         };
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 10, 60, 170})
-    void sumStaysUnderItsBound(int fronts) {
-        for (Way way : Way.values()) {
-            Gain storm = run(way, fronts, fronts, 0.05, false);
-            Gain one = run(way, fronts, 1, 0.05, false);
-            Gain modest = run(way, fronts, fronts, 0.8 * RATE / GEN, false);
+    void admittedTokensStayUnderTheirBound(int routers) {
+        for (Sharing sharing : Sharing.values()) {
+            Result storm = run(sharing, routers, routers, 0.05, false);
+            Result one = run(sharing, routers, 1, 0.05, false);
+            Result modest = run(sharing, routers, routers, 0.8 * RATE / GENERATION_TOKENS, false);
             TABLE.append(
                     String.format(
                             Locale.ROOT,
-                            "%d fronts, %s: storm used %.2f worst excess %.0f bound %.0f; "
-                                    + "one busy front used %.2f; asked for 0.8 used %.2f%n",
-                            fronts,
-                            way,
+                            "%d routers, %s: storm used %.2f worst excess %.0f bound %.0f; "
+                                    + "one busy router used %.2f; asked for 0.8 used %.2f%n",
+                            routers,
+                            sharing,
                             storm.used,
                             storm.excess,
-                            bound(way, fronts),
+                            bound(sharing, routers),
                             one.used,
                             modest.used));
             assertTrue(
-                    storm.excess <= bound(way, fronts), fronts + " " + way + ": " + storm.excess);
-            assertTrue(one.excess <= bound(way, fronts), fronts + " " + way + ": " + one.excess);
-            if (way == Way.LEASES) {
-                assertTrue(one.used > 0.75, "one busy front of " + fronts + " uses " + one.used);
-                assertTrue(storm.used > 0.75, "a storm at " + fronts + " uses " + storm.used);
+                    storm.excess <= bound(sharing, routers),
+                    routers + " " + sharing + ": " + storm.excess);
+            assertTrue(
+                    one.excess <= bound(sharing, routers),
+                    routers + " " + sharing + ": " + one.excess);
+            if (sharing == Sharing.LEASES) {
+                assertTrue(one.used > 0.75, "one busy router of " + routers + " uses " + one.used);
+                assertTrue(storm.used > 0.75, "a storm at " + routers + " uses " + storm.used);
                 assertTrue(
                         modest.used > 0.65,
-                        "of 0.8 asked at " + fronts + " " + modest.used + " came in");
+                        "of 0.8 asked at " + routers + " " + modest.used + " came in");
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {10, 170})
-    void restartsLossesAndAnAbsentLenderGiveNothingAwayButParts(int fronts) {
-        Gain gain = run(Way.LEASES, fronts, fronts, 0.05, true);
-        // A front that restarts has its part of the burst anew: at most so many in a window, far
-        // from all.
-        double anew = 6 * FIXED * BURST / fronts + GEN;
+    void restartsLossesAndAnAbsentLenderAdmitNoMoreThanFixedParts(int routers) {
+        Result result = run(Sharing.LEASES, routers, routers, 0.05, true);
+        // A router that restarts has its part of the burst again: at most so many do in a window.
+        double burstAgain = 6 * FIXED_SHARE * BURST / routers + GENERATION_TOKENS;
         TABLE.append(
                 String.format(
                         Locale.ROOT,
-                        "%d fronts, LEASES in trouble: used %.2f worst excess %.0f bound "
+                        "%d routers, LEASES in trouble: used %.2f worst excess %.0f bound "
                                 + "%.0f%n",
-                        fronts,
-                        gain.used,
-                        gain.excess,
-                        bound(Way.LEASES, fronts) + anew));
-        assertTrue(gain.excess <= bound(Way.LEASES, fronts) + anew, "excess " + gain.excess);
+                        routers,
+                        result.used,
+                        result.excess,
+                        bound(Sharing.LEASES, routers) + burstAgain));
+        assertTrue(
+                result.excess <= bound(Sharing.LEASES, routers) + burstAgain,
+                "excess " + result.excess);
     }
 
     @AfterAll
--- a/src/test/java/larchridge/budget/UsageMeterTest.java
+++ b/src/test/java/larchridge/budget/UsageMeterTest.java
@@ -8,10 +8,10 @@
     private final UsageMeter meter = new UsageMeter(100, 50);
 
     @Test
-    void onePromptAndWhatWasSentAreBilledTheOtherReadIsWaste() {
+    void onePromptAndThePiecesSentAreBilledTheOtherReadIsWaste() {
         meter.promptRead(110);
-        long used = meter.promptRead(110);
-        meter.responseStarted(used, 30, true);
+        long readTokens = meter.promptRead(110);
+        meter.responseStartedFromRead(readTokens, 30);
         for (int i = 0; i < 7; i++) {
             meter.pieceSent();
         }
@@ -22,8 +22,8 @@
     }
 
     @Test
-    void wholeAnswerCountsAsReportedUnlessThatCannotBe() {
-        meter.responseStarted(100, 0, false);
+    void completeAnswerCountsAsReportedIfThatIsPlausible() {
+        meter.responseStartedInPlace(100);
         meter.pieceSent();
         meter.pieceSent();
         meter.responseCompleted(5);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void absurdPromptsCountAsCounted() {
+    void implausiblePromptReportsAreReplacedByTheOwnCount() {
         assertEquals(100, meter.plausiblePromptTokens(-1));
         assertEquals(100, meter.plausiblePromptTokens(0));
         assertEquals(100, meter.plausiblePromptTokens(Integer.MAX_VALUE));
@@ -45,15 +45,15 @@
     }
 
     @Test
-    void answerThatNeverBeganBillsNothing() {
+    void answerThatNeverStartedBillsNothing() {
         meter.promptRead(110);
         assertEquals(0, meter.billedTokens());
         assertEquals(110, meter.wastedTokens());
     }
 
     @Test
-    void wholeAnswerThatBrokeBillsNothing() {
-        meter.responseStarted(meter.promptRead(110), 0, true);
+    void discardedAnswerBillsNothing() {
+        meter.responseStartedFromRead(meter.promptRead(110), 0);
         meter.pieceSent();
         meter.responseDiscarded();
         assertEquals(0, meter.billedTokens());
@@ -61,16 +61,16 @@
     }
 
     @Test
-    void secondBeginningChangesNothing() {
-        meter.responseStarted(meter.promptRead(110), 10, true);
-        meter.responseStarted(90, 0, true);
+    void secondStartChangesNothing() {
+        meter.responseStartedFromRead(meter.promptRead(110), 10);
+        meter.responseStartedFromRead(90, 0);
         assertEquals(110, meter.promptTokens());
     }
 
     @Test
-    void piecesThatDidNotGoOutAreNotBilled() {
+    void piecesThatWereNotSentAreNotBilled() {
         UsageMeter meter = new UsageMeter(100, 50);
-        meter.responseStarted(meter.promptRead(100), 0, true);
+        meter.responseStartedFromRead(meter.promptRead(100), 0);
         meter.pieceSent();
         meter.pieceSent();
         meter.piecesNotSent(1);
