--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -68,12 +68,12 @@
     private void meterPrompt() {
         InFlightAttempt source = attempt.source();
         if (source == null) {
-            request.usageMeter()
-                    .responseStarted(request.generationRequest().promptTokens(), 0, false);
+            request.usageMeter().responseStartedInPlace(request.generationRequest().promptTokens());
         } else {
             // The state has been fetched: nothing of it is left at its reader.
             source.stateRemoved();
-            request.usageMeter().responseStarted(source.readTokens(), source.cachedTokens(), true);
+            request.usageMeter()
+                    .responseStartedFromRead(source.readTokens(), source.cachedTokens());
         }
     }
 
