--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -178,7 +178,7 @@
         ended.setNeverRan(neverRan);
         boolean mayHaveBegunHolding = ended.mayHaveRead() && !request.isHeld();
         boolean mayStillBeHeld =
-                request.releasedBesideAttempt || engineAnswered && request.isHeld();
+                request.releasedBesideAttempt || (engineAnswered && request.isHeld());
         if (!request.responseStarted && (mayHaveBegunHolding || mayStillBeHeld)) {
             hold(request);
         }
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -86,7 +86,9 @@
         this.allocator = allocator;
         this.scheduler = scheduler;
         double memoryBytes =
-                Math.min(Runtime.getRuntime().maxMemory(), configuration.memoryMb() * MEGABYTE);
+                Math.min(
+                        (double) Runtime.getRuntime().maxMemory(),
+                        configuration.memoryMb() * MEGABYTE);
         bodiesBytes = (long) (memoryBytes * BODIES_FRACTION);
     }
 
--- a/src/main/java/larchridge/node/server/RequestRejection.java
+++ b/src/main/java/larchridge/node/server/RequestRejection.java
@@ -37,7 +37,10 @@
     /** It was not complete in time. */
     TOO_SLOW(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
 
+    /** Netty does not mark it as immutable, but it is. */
+    @SuppressWarnings("ImmutableEnumChecker")
     final HttpResponseStatus status;
+
     final String message;
 
     RequestRejection(HttpResponseStatus status, String message) {
--- a/src/main/java/larchridge/router/FinalAnswers.java
+++ b/src/main/java/larchridge/router/FinalAnswers.java
@@ -66,11 +66,11 @@
 
     private static boolean mayRetry(TrafficClass trafficClass) {
         return trafficClass.effect == Effect.IDEMPOTENT
-                || trafficClass.effect == Effect.DEDUPLICATED
-                        && trafficClass.deduplicationScope == DeduplicationScope.ALL;
+                || (trafficClass.effect == Effect.DEDUPLICATED
+                        && trafficClass.deduplicationScope == DeduplicationScope.ALL);
     }
 
-    /** Counts the end of a request that gets no answer, as its client is gone or takes nothing. */
+    /** Counts the end of a request whose client has disconnected or takes no answer. */
     void unanswered(InFlightRequest request, String kind) {
         context.metrics.answered(
                 context.routerNumber, request.offering().product.name, kind, Double.NaN);
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -129,6 +129,12 @@
                 writeThatMayHaveRun(Effect.SIDE_EFFECTING, DeduplicationScope.ALL);
                 write(ID, WRITER, false);
             }
+            default -> violateByAttempts(invariant);
+        }
+    }
+
+    private void violateByAttempts(Invariant invariant) {
+        switch (invariant) {
             case NO_SEND_PAST_DRAIN_GRACE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 engines.put(READER, new AuditedEngine(false, Role.READER, "a", 1, 1, 0));
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -59,6 +59,14 @@
                         + "]}");
     }
 
+    private static String readerJson(String name, ScriptedServer reader, String status) {
+        return endpointJson(name, reader.port(), "lectura", status, 0);
+    }
+
+    private String writerJson() {
+        return endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+    }
+
     private void assertServedBy(ScriptedServer engine, ScriptedServer notBy) throws Exception {
         engine.received.clear();
         notBy.received.clear();
@@ -119,11 +127,7 @@
         try (ScriptedServer other =
                 new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true))) {
             String rows =
-                    String.join(
-                                    ",\n",
-                                    endpointJson("r2", other.port(), "lectura", "SERVING", 0),
-                                    endpointJson(
-                                            "w1", fixture.writer.port(), "redaccion", "SERVING", 0))
+                    String.join(",\n", readerJson("r2", other, "SERVING"), writerJson())
                             .replace(",\"", " ,\r\n\t\t\"");
             fixture.discovery.script =
                     request ->
@@ -150,18 +154,14 @@
     void watchWithAnOlderVersionChangesNothingAndASnapshotIsRequested() throws Exception {
         try (ScriptedServer other =
                 new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true))) {
-            String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+            String writer = writerJson();
             String now =
                     listResponse(
                             60,
-                            endpointJson("r1", fixture.reader.port(), "lectura", "DRAINING", 0),
-                            endpointJson("r2", other.port(), "lectura", "SERVING", 0),
-                            writer);
-            String old =
-                    listResponse(
-                            40,
-                            endpointJson("r1", fixture.reader.port(), "lectura", "SERVING", 0),
+                            readerJson("r1", fixture.reader, "DRAINING"),
+                            readerJson("r2", other, "SERVING"),
                             writer);
+            String old = listResponse(40, readerJson("r1", fixture.reader, "SERVING"), writer);
             CountDownLatch wholeAgain = new CountDownLatch(2);
             CountDownLatch open = new CountDownLatch(1);
             fixture.discovery.script =
@@ -190,7 +190,7 @@
      */
     @Test
     void olderListOfAnotherAgentReturnsNoDrainingEngineToService() throws Exception {
-        String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+        String writer = writerJson();
         try (ScriptedServer other =
                         new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
                 ScriptedServer moved =
@@ -201,18 +201,11 @@
                                                         ? null
                                                         : listResponse(
                                                                 40,
-                                                                endpointJson(
+                                                                readerJson(
                                                                         "r1",
-                                                                        fixture.reader.port(),
-                                                                        "lectura",
-                                                                        "SERVING",
-                                                                        0),
-                                                                endpointJson(
-                                                                        "r2",
-                                                                        other.port(),
-                                                                        "lectura",
-                                                                        "SERVING",
-                                                                        0),
+                                                                        fixture.reader,
+                                                                        "SERVING"),
+                                                                readerJson("r2", other, "SERVING"),
                                                                 writer),
                                                 true))) {
             fixture.discovery.script =
@@ -222,18 +215,12 @@
                                             ? null
                                             : listResponse(
                                                     60,
-                                                    endpointJson(
-                                                            "r1",
-                                                            fixture.reader.port(),
-                                                            "lectura",
-                                                            "DRAINING",
-                                                            0),
+                                                    readerJson("r1", fixture.reader, "DRAINING"),
                                                     writer),
                                     true);
             fixture.endpointList.changed();
-            ReceivedRequest call = fixture.discovery.awaitRequest("GET");
-            while (!call.target().contains("after=60")) {
-                call = fixture.discovery.awaitRequest("GET");
+            while (!fixture.discovery.awaitRequest("GET").target().contains("after=60")) {
+                // A poll from before the list.
             }
             fixture.writeConfiguration(moved.port());
             fixture.node.reload();
@@ -252,15 +239,7 @@
                     watches.incrementAndGet();
                     return new ScriptedResponse(
                             listResponse(
-                                    60,
-                                    endpointJson(
-                                            "r1", fixture.reader.port(), "lectura", "SERVING", 0),
-                                    endpointJson(
-                                            "w1",
-                                            fixture.writer.port(),
-                                            "redaccion",
-                                            "SERVING",
-                                            0)),
+                                    60, readerJson("r1", fixture.reader, "SERVING"), writerJson()),
                             true);
                 };
         fixture.endpointList.changed();
@@ -275,7 +254,7 @@
     void answerFromTheOldAddressAfterAReloadChangesNothing() throws Exception {
         CountDownLatch requested = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
-        String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+        String writer = writerJson();
         try (ScriptedServer other =
                         new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
                 ScriptedServer before =
@@ -285,12 +264,7 @@
                                     awaitLatch(open);
                                     return new ScriptedResponse(
                                             listResponse(
-                                                    endpointJson(
-                                                            "r1",
-                                                            fixture.reader.port(),
-                                                            "lectura",
-                                                            "SERVING",
-                                                            0),
+                                                    readerJson("r1", fixture.reader, "SERVING"),
                                                     writer),
                                             true);
                                 });
@@ -301,12 +275,7 @@
                                                 isWatch(request)
                                                         ? null
                                                         : listResponse(
-                                                                endpointJson(
-                                                                        "r2",
-                                                                        other.port(),
-                                                                        "lectura",
-                                                                        "SERVING",
-                                                                        0),
+                                                                readerJson("r2", other, "SERVING"),
                                                                 writer),
                                                 true))) {
             fixture.writeConfiguration(before.port());
@@ -327,7 +296,7 @@
     void answerOfAClosedCallChangesNothing() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
-        String writer = endpointJson("w1", fixture.writer.port(), "redaccion", "SERVING", 0);
+        String writer = writerJson();
         try (ScriptedServer other =
                         new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
                 ScriptedServer moved =
@@ -340,24 +309,13 @@
                                         awaitLatch(open);
                                         return new ScriptedResponse(
                                                 listResponse(
-                                                        endpointJson(
-                                                                "r1",
-                                                                fixture.reader.port(),
-                                                                "lectura",
-                                                                "SERVING",
-                                                                0),
+                                                        readerJson("r1", fixture.reader, "SERVING"),
                                                         writer),
                                                 true);
                                     }
                                     return new ScriptedResponse(
                                             listResponse(
-                                                    endpointJson(
-                                                            "r2",
-                                                            other.port(),
-                                                            "lectura",
-                                                            "SERVING",
-                                                            0),
-                                                    writer),
+                                                    readerJson("r2", other, "SERVING"), writer),
                                             true);
                                 })) {
             fixture.writeConfiguration(moved.port());
--- a/src/test/java/larchridge/node/NodeFixture.java
+++ b/src/test/java/larchridge/node/NodeFixture.java
@@ -132,12 +132,16 @@
     }
 
     @Override
-    public void close() throws Exception {
+    public void close() throws IOException {
         for (RawClient client : clients) {
             client.close();
         }
         node.shutDown();
-        node.awaitEnd();
+        try {
+            node.awaitEnd();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
         reader.close();
         writer.close();
         discovery.close();
--- a/src/test/java/larchridge/node/RequestForwardingTest.java
+++ b/src/test/java/larchridge/node/RequestForwardingTest.java
@@ -18,6 +18,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Locale;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -80,7 +81,7 @@
             assertEquals("consulta", request.header("Req-Kind"));
             assertTrue(
                     request.head()
-                            .toLowerCase()
+                            .toLowerCase(Locale.ROOT)
                             .replace("\r\n", "|")
                             .contains("|x-any: one|x-any: two|"),
                     request.head());
--- a/src/test/java/larchridge/node/RequestRejectionTest.java
+++ b/src/test/java/larchridge/node/RequestRejectionTest.java
@@ -1,5 +1,6 @@
 package larchridge.node;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.WireMessages.generationRequest;
 import static larchridge.node.WireMessages.newRequestId;
@@ -85,7 +86,7 @@
             client.socket.getOutputStream().write(more);
             // A reset, which a close over unread bytes is, would throw here.
             assertTrue(
-                    new String(client.socket.getInputStream().readAllBytes())
+                    new String(client.socket.getInputStream().readAllBytes(), UTF_8)
                             .matches("(?s)HTTP/1.1 4\\d\\d .*"),
                     head);
         }
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -15,6 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -48,7 +49,7 @@
         beginShutdown();
         client.send(generationRequest(newRequestId(), ""));
         String answer = awaitCompleteStream(client);
-        assertTrue(answer.toLowerCase().contains("connection: close"), answer);
+        assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
         assertEquals("", client.readToEnd());
     }
 
@@ -110,10 +111,11 @@
         gate.opened().countDown();
         for (int i = 0; i < 2; i++) {
             String answer = awaitCompleteStream(client);
-            assertTrue(!answer.toLowerCase().contains("connection: close"), answer);
+            assertTrue(!answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
         }
         client.send(third.substring(20));
-        assertTrue(awaitCompleteStream(client).toLowerCase().contains("connection: close"));
+        assertTrue(
+                awaitCompleteStream(client).toLowerCase(Locale.ROOT).contains("connection: close"));
         assertEquals("", client.readToEnd());
     }
 
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -163,8 +163,12 @@
     }
 
     @Override
-    public void close() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+    public void close() {
+        vertx.close()
+                .toCompletionStage()
+                .toCompletableFuture()
+                .orTimeout(5, TimeUnit.SECONDS)
+                .join();
     }
 
     private final class RecordingListener implements AttemptListener {
