--- a/src/main/java/larchridge/policy/PolicyEvents.java
+++ b/src/main/java/larchridge/policy/PolicyEvents.java
@@ -41,9 +41,7 @@
      * The state that an attempt is to fetch has been released beside it; only an attempt that has
      * arrived keeps it.
      */
-    default void stateReleased(Attempt attempt) {
-        return;
-    }
+    default void stateReleased(Attempt attempt) {}
 
     /** The client of a generation has left, or the router has ended the generation itself. */
     void clientDisconnected(Generation generation);
