--- a/src/main/java/larchridge/node/upstream/ConnectionPool.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPool.java
@@ -36,7 +36,7 @@
     private final Set<UpstreamConnection> all = new HashSet<>();
 
     private int inFlightAttempts;
-    private double lastHeardMs = Double.NEGATIVE_INFINITY;
+    private double lastReceivedMs = Double.NEGATIVE_INFINITY;
 
     ConnectionPool(ConnectionPools owner, Endpoint endpoint) {
         this.owner = owner;
@@ -61,13 +61,13 @@
     }
 
     /** When anything was last received from this endpoint; negative infinity if never. */
-    double lastHeardMs() {
-        return lastHeardMs;
+    double lastReceivedMs() {
+        return lastReceivedMs;
     }
 
     /** Something was received from this endpoint. */
-    void recordHeard(double nowMs) {
-        lastHeardMs = nowMs;
+    void recordReceived(double nowMs) {
+        lastReceivedMs = nowMs;
     }
 
     /** Takes an idle connection that can be used, or null if there is none. */
@@ -103,7 +103,7 @@
     /** Keeps a connection whose response has just been read. */
     void returnAfterResponse(UpstreamConnection connection) {
         connection.setIdleSince(owner.nowMs());
-        lastHeardMs = connection.idleSinceMs();
+        lastReceivedMs = connection.idleSinceMs();
         returnUnused(connection);
     }
 
--- a/src/main/java/larchridge/node/upstream/ConnectionPools.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPools.java
@@ -84,7 +84,7 @@
             return idle;
         }
         if (pool.size() >= limits.maxConnectionsPerEndpoint()
-                || connectionCount >= limits.maxConnections() && !closeLongestIdle()) {
+                || (connectionCount >= limits.maxConnections() && !closeLongestIdle())) {
             return null;
         }
         return open(pool, exchange);
--- a/src/main/java/larchridge/node/upstream/ControlCall.java
+++ b/src/main/java/larchridge/node/upstream/ControlCall.java
@@ -81,7 +81,7 @@
 
     @Override
     public final boolean responseCompleted() {
-        pools.pool(endpoint).recordHeard(scheduler.nowMs());
+        pools.pool(endpoint).recordReceived(scheduler.nowMs());
         end(ControlCallResult.ANSWERED);
         return true;
     }
--- a/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
+++ b/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
@@ -53,8 +53,10 @@
         append(received, size);
         ByteArrayOutputStream events = null;
         int start = 0;
-        for (int i = searchFrom; i + 1 < length && !malformed; i++) {
+        int i = searchFrom;
+        while (i + 1 < length && !malformed) {
             if (buffer[i] != '\n' || buffer[i + 1] != '\n') {
+                i++;
                 continue;
             }
             int eventBytes = i + SEPARATOR_BYTES - start;
@@ -67,7 +69,7 @@
                 events.write(buffer, start, eventBytes);
             }
             start = i + SEPARATOR_BYTES;
-            i++;
+            i = start;
         }
         discard(start);
         return events == null ? null : events.toByteArray();
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -145,7 +145,7 @@
         // Guards against: a stream without chunks has no end of its own, so that the end of the
         // connection would pass for it.
         return !classifier.isAnswer()
-                || kind == AttemptKind.WRITE && HttpUtil.isTransferEncodingChunked(response);
+                || (kind == AttemptKind.WRITE && HttpUtil.isTransferEncodingChunked(response));
     }
 
     @Override
@@ -303,22 +303,22 @@
         }
         leavePool();
         AttemptOutcome outcome = classifier.outcome();
-        boolean heard = classifier.hasResponse();
+        boolean responseReceived = classifier.hasResponse();
         context.events()
                 .attemptEnded(
                         reservation.requestId(),
                         eventNumber,
                         outcome.name(),
                         outcome.provesNotRun,
-                        heard);
-        context.releaser().attemptEnded(reservation, heard);
+                        responseReceived);
+        context.releaser().attemptEnded(reservation, responseReceived);
         listener.attemptEnded(outcome, decoder.loadReport(), UNPARSED_COMPLETION);
     }
 
     private void leavePool() {
         pool.attemptEnded();
         if (classifier.hasResponse()) {
-            pool.recordHeard(context.scheduler().nowMs());
+            pool.recordReceived(context.scheduler().nowMs());
         }
     }
 }
--- a/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
+++ b/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
@@ -32,15 +32,15 @@
 
     /**
      * The holder first; then others that were not tried yet, those with an idle connection before
-     * those without, and those heard from last before the rest. Guards against: a connection that
-     * has to be opened first may take all the time there is, and where engines are unreachable most
-     * of them are tried in vain.
+     * those without, and those that responded last before the rest. Guards against: a connection
+     * that has to be opened first may take all the time there is, and where engines are unreachable
+     * most of them are tried in vain.
      */
     @Override
     public Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried) {
         Endpoint best = null;
         boolean bestHasIdle = false;
-        double bestHeardMs = Double.NEGATIVE_INFINITY;
+        double bestReceivedMs = Double.NEGATIVE_INFINITY;
         for (Endpoint endpoint : pools.endpoints()) {
             if (tried.contains(endpoint)) {
                 continue;
@@ -50,13 +50,13 @@
             }
             ConnectionPool pool = pools.existingPool(endpoint);
             boolean hasIdle = pool != null && pool.hasUsableIdle();
-            double heardMs = pool == null ? Double.NEGATIVE_INFINITY : pool.lastHeardMs();
+            double receivedMs = pool == null ? Double.NEGATIVE_INFINITY : pool.lastReceivedMs();
             if (best == null
-                    || hasIdle && !bestHasIdle
-                    || hasIdle == bestHasIdle && heardMs > bestHeardMs) {
+                    || (hasIdle && !bestHasIdle)
+                    || (hasIdle == bestHasIdle && receivedMs > bestReceivedMs)) {
                 best = endpoint;
                 bestHasIdle = hasIdle;
-                bestHeardMs = heardMs;
+                bestReceivedMs = receivedMs;
             }
         }
         return best;
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -115,14 +115,15 @@
     /**
      * An attempt has ended otherwise.
      *
-     * @param heard whether its engine answered anything, so that the attempt had arrived there
+     * @param responseReceived whether its engine answered anything, so that the attempt had arrived
+     *     there
      */
-    void attemptEnded(StateReservation reservation, boolean heard) {
+    void attemptEnded(StateReservation reservation, boolean responseReceived) {
         reservation.attemptEnded();
         // Released beside it, the state may have stayed for this attempt alone, and is held anew
         // from now on.
         boolean releasedBefore = !reservation.hasHoldTimer();
-        if (reservation.mayBeHeld() && (heard || releasedBefore)) {
+        if (reservation.mayBeHeld() && (responseReceived || releasedBefore)) {
             cancelHoldTimer(reservation);
             markHeld(reservation);
         }
--- a/src/main/java/larchridge/node/upstream/UpstreamExchange.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -15,9 +15,7 @@
     FullHttpRequest encodeRequest();
 
     /** The last byte of the request was written to the socket. */
-    default void requestWritten() {
-        return;
-    }
+    default void requestWritten() {}
 
     /** The response's status and headers; false if they can't be used. */
     boolean responseHead(HttpResponse response);
@@ -29,9 +27,7 @@
     boolean responseCompleted();
 
     /** All that one read of the socket brought has been passed on. */
-    default void readBatchCompleted() {
-        return;
-    }
+    default void readBatchCompleted() {}
 
     /** What was received can't be decoded; the connection is being closed by the caller. */
     void responseMalformed();
--- a/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
+++ b/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
@@ -46,7 +46,8 @@
     }
 
     @Test
-    void releaseGoesOverAnIdleConnectionWhereItsHolderAndTheEnginesHeardLastAreUnreachable() {
+    void
+            releaseGoesOverAnIdleConnectionWhereItsHolderAndTheEnginesThatRespondedLastAreUnreachable() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             endpoints.add(endpoint(i));
@@ -54,7 +55,7 @@
         fixture.client.updateEndpoints(endpoints);
         EmbeddedChannel idle = answersProbe(endpoint(7));
         for (int i = 8; i < 12; i++) {
-            // Heard later, and disconnected since.
+            // Responded later, and disconnected since.
             answersProbe(endpoint(i)).close();
             up.remove(endpoint(i));
         }
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void holdTimeStartsAgainWithTheEndOfAnAttemptThatWasHeard() {
+    void holdTimeStartsAgainWithTheEndOfAnAttemptThatGotAResponse() {
         StateReservation reservation = readAndWritten();
         time.run(500);
         releaser.attemptEnded(reservation, true);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void holdTimeRunsOnOverAttemptsThatWereNotHeard() {
+    void holdTimeRunsOnOverAttemptsThatGotNoResponse() {
         StateReservation reservation = readAndWritten();
         time.run(500);
         releaser.attemptEnded(reservation, false);
