--- /dev/null
+++ b/src/main/java/larchridge/lease/InvalidLeaseException.java
@@ -0,0 +1,14 @@
+package larchridge.lease;
+
+/** Thrown for a lender's answer that can't be the answer to what was requested. */
+final class InvalidLeaseException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    InvalidLeaseException(String problem) {
+        super(problem);
+    }
+
+    InvalidLeaseException(String problem, Throwable cause) {
+        super(problem, cause);
+    }
+}
--- a/src/main/java/larchridge/lease/LeaseEndpoint.java
+++ b/src/main/java/larchridge/lease/LeaseEndpoint.java
@@ -1,25 +1,33 @@
 package larchridge.lease;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vertx.core.Handler;
+import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerRequest;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.function.DoubleSupplier;
 import larchridge.budget.QuotaLender;
+import larchridge.budget.QuotaRequest;
 
-/** Where fronts ask for tokens: {@code POST /leases}, on the one loop that owns the lender. */
+/** Where routers request tokens: {@code POST /leases}, on the one event loop of the lender. */
 public final class LeaseEndpoint implements Handler<HttpServerRequest> {
+    /** The path under which the endpoint is served. */
     public static final String PATH = "/leases";
-    static final int MAX_REQUESTS = 256;
-    private static final int MOST_BYTES = 64 << 10;
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+
+    private static final int STATUS_BAD_REQUEST = 400;
+    private static final int STATUS_CONTENT_TOO_LARGE = 413;
+    private static final int STATUS_INTERNAL_ERROR = 500;
 
     private final QuotaLender lender;
     private final DoubleSupplier clockMs;
 
+    /**
+     * The endpoint of a lender.
+     *
+     * @param clockMs the lender's clock, in milliseconds
+     */
     public LeaseEndpoint(QuotaLender lender, DoubleSupplier clockMs) {
         this.lender = lender;
         this.clockMs = clockMs;
@@ -27,40 +35,49 @@
 
     @Override
     public void handle(HttpServerRequest request) {
-        String length = request.getHeader("content-length");
-        if (length == null
-                || !length.matches("\\d{1,8}")
-                || Integer.parseInt(length) > MOST_BYTES) {
-            request.response().setStatusCode(413).putHeader("connection", "close").end();
+        if (!hasAcceptableLength(request.getHeader("content-length"))) {
+            request.response()
+                    .setStatusCode(STATUS_CONTENT_TOO_LARGE)
+                    .putHeader("connection", "close")
+                    .end();
             return;
         }
-        request.body()
-                .onSuccess(
-                        body -> {
-                            try {
-                                request.response()
-                                        .putHeader("content-type", "application/json")
-                                        .end(lend(MAPPER.readTree(body.getBytes())).toString());
-                            } catch (JsonProcessingException e) {
-                                request.response().setStatusCode(400).end();
-                            } catch (java.io.IOException e) {
-                                request.response().setStatusCode(500).end();
-                            }
-                        });
+        request.body().onSuccess(body -> respond(request, body));
+    }
+
+    private static boolean hasAcceptableLength(String contentLength) {
+        return contentLength != null
+                && contentLength.matches("\\d{1,8}")
+                && Integer.parseInt(contentLength) <= LeaseCodec.MAX_BODY_BYTES;
+    }
+
+    private void respond(HttpServerRequest request, Buffer body) {
+        try {
+            List<QuotaRequest> requests = LeaseCodec.decodeRequests(body.getBytes());
+            request.response()
+                    .putHeader("content-type", "application/json")
+                    .end(LeaseCodec.encodeGrants(grantAll(requests)));
+        } catch (JsonProcessingException e) {
+            request.response().setStatusCode(STATUS_BAD_REQUEST).end();
+        } catch (IOException e) {
+            request.response().setStatusCode(STATUS_INTERNAL_ERROR).end();
+        }
     }
 
-    private ObjectNode lend(JsonNode asked) {
-        ObjectNode answer = MAPPER.createObjectNode();
-        ArrayNode lent = answer.putArray("lent");
-        JsonNode wants = asked.path("wants");
-        for (int i = 0; i < wants.size() && i < MAX_REQUESTS; i++) {
-            String purse = wants.get(i).path("purse").asText("");
-            double need = wants.get(i).path("need").asDouble(0);
-            double nowMs = clockMs.getAsDouble();
-            double tokens = lender.grant(purse, need, wants.get(i).path("wish").asDouble(0), nowMs);
-            double back = tokens > 0 ? 0 : lender.retryAfterMs(purse, need, nowMs);
-            lent.addObject().put("tokens", tokens).put("back_ms", Math.min(back, 1e12));
+    private List<LeaseCodec.Grant> grantAll(List<QuotaRequest> requests) {
+        List<LeaseCodec.Grant> grants = new ArrayList<>(requests.size());
+        for (QuotaRequest request : requests) {
+            grants.add(grant(request));
         }
-        return answer;
+        return grants;
+    }
+
+    private LeaseCodec.Grant grant(QuotaRequest request) {
+        double nowMs = clockMs.getAsDouble();
+        String budget = request.budget();
+        double neededTokens = request.neededTokens();
+        double tokens = lender.grant(budget, neededTokens, request.desiredTokens(), nowMs);
+        double retryAfterMs = tokens > 0 ? 0 : lender.retryAfterMs(budget, neededTokens, nowMs);
+        return new LeaseCodec.Grant(tokens, retryAfterMs);
     }
 }
--- a/src/test/java/larchridge/lease/LeaseClientTest.java
+++ b/src/test/java/larchridge/lease/LeaseClientTest.java
@@ -17,18 +17,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A lender whose every answer the test decides. */
+/** The client against a lender whose every answer the test decides. */
 class LeaseClientTest {
     private final Vertx vertx = Vertx.vertx();
     private final Context loop = vertx.getOrCreateContext();
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> grants = new LinkedBlockingQueue<>();
 
-    private LeaseClient link(String answer) throws Exception {
+    private LeaseClient clientOfLenderAnswering(String answer) throws Exception {
         HttpServer server =
                 vertx.createHttpServer()
                         .requestHandler(
                                 request -> {
-                                    // Without an answer the question hangs, as at a lender that has
+                                    // Without an answer the call hangs, as at a lender that has
                                     // stopped.
                                     if (answer != null) {
                                         request.response().end(answer);
@@ -38,31 +38,34 @@
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(5, TimeUnit.SECONDS);
-        CompletableFuture<LeaseClient> made = new CompletableFuture<>();
+        CompletableFuture<LeaseClient> created = new CompletableFuture<>();
         loop.runOnContext(
-                v -> made.complete(new LeaseClient(vertx, "127.0.0.1", server.actualPort(), 150)));
-        return made.get(5, TimeUnit.SECONDS);
+                v ->
+                        created.complete(
+                                new LeaseClient(vertx, "127.0.0.1", server.actualPort(), 150)));
+        return created.get(5, TimeUnit.SECONDS);
     }
 
-    private boolean ask(LeaseClient link, int times) throws Exception {
-        CompletableFuture<Boolean> taken = new CompletableFuture<>();
+    private boolean request(LeaseClient client, int times) throws Exception {
+        CompletableFuture<Boolean> accepted = new CompletableFuture<>();
         loop.runOnContext(
                 v -> {
                     boolean all = true;
                     for (int i = 0; i < times; i++) {
                         all &=
-                                link.request(
+                                client.request(
                                         new QuotaRequest("t", 100, 0),
-                                        (tokens, back) ->
-                                                told.add((int) tokens + " " + (int) back));
+                                        (tokens, retryAfterMs) ->
+                                                grants.add(
+                                                        (int) tokens + " " + (int) retryAfterMs));
                     }
-                    taken.complete(all);
+                    accepted.complete(all);
                 });
-        return taken.get(5, TimeUnit.SECONDS);
+        return accepted.get(5, TimeUnit.SECONDS);
     }
 
-    private String next() throws InterruptedException {
-        return told.poll(5, TimeUnit.SECONDS);
+    private String nextGrant() throws InterruptedException {
+        return grants.poll(5, TimeUnit.SECONDS);
     }
 
     @AfterEach
@@ -71,12 +74,12 @@
     }
 
     @Test
-    void whatIsLentIsTold() throws Exception {
-        LeaseClient link = link("{\"lent\":[{\"tokens\":100,\"back_ms\":0}]}");
-        assertTrue(ask(link, 1));
-        assertEquals("100 0", next());
-        assertTrue(ask(link, 1));
-        assertEquals("100 0", next());
+    void grantedTokensAreReported() throws Exception {
+        LeaseClient client = clientOfLenderAnswering("{\"lent\":[{\"tokens\":100,\"back_ms\":0}]}");
+        assertTrue(request(client, 1));
+        assertEquals("100 0", nextGrant());
+        assertTrue(request(client, 1));
+        assertEquals("100 0", nextGrant());
     }
 
     @ParameterizedTest
@@ -89,20 +92,21 @@
                 "{\"lent\":[{\"tokens\":\"NaN\"}]}",
                 ""
             })
-    void nonsenseIsNoLoanAndTheLenderCountsAsAway(String answer) throws Exception {
-        LeaseClient link = link(answer);
-        assertTrue(ask(link, 1));
-        assertEquals("0 0", next());
-        assertFalse(ask(link, 1), "asked again at once");
+    void invalidAnswerGrantsNothingAndTheLenderCountsAsUnresponsive(String answer)
+            throws Exception {
+        LeaseClient client = clientOfLenderAnswering(answer);
+        assertTrue(request(client, 1));
+        assertEquals("0 0", nextGrant());
+        assertFalse(request(client, 1), "asked again at once");
     }
 
     @Test
-    void allThatWaitAreToldOnceTheLenderDoesNotAnswer() throws Exception {
-        LeaseClient link = link(null);
-        assertTrue(ask(link, 1));
-        assertFalse(ask(link, 1), "waits for a lender that never answered yet");
-        assertEquals("0 0", next());
-        assertFalse(ask(link, 3));
-        assertEquals(0, told.size());
+    void allPendingRequestsAreReleasedOnceTheLenderDoesNotAnswer() throws Exception {
+        LeaseClient client = clientOfLenderAnswering(null);
+        assertTrue(request(client, 1));
+        assertFalse(request(client, 1), "waits for a lender that never answered yet");
+        assertEquals("0 0", nextGrant());
+        assertFalse(request(client, 3));
+        assertEquals(0, grants.size());
     }
 }
