--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -72,7 +72,7 @@
     public boolean request(QuotaRequest quotaRequest, Listener listener) {
         boolean mayProbe =
                 !callInFlight && System.nanoTime() - lastCallNanos >= PROBE_INTERVAL_NANOS;
-        if (!responsive && !mayProbe || pending.size() >= MAX_PENDING) {
+        if ((!responsive && !mayProbe) || pending.size() >= MAX_PENDING) {
             return false;
         }
         pending.add(new PendingRequest(quotaRequest, listener));
