--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Arrays;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class ResponseGuardTest {
@@ -40,4 +42,14 @@
                 IllegalStateException.class,
                 () -> responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
     }
+
+    /** The ledgers of all builds since f8721a5 hold these words. */
+    @Test
+    void recordedNamesAreThoseOfEarlierBuilds() {
+        assertEquals(
+                List.of("streamed", "throttled", "terminated", "gone"),
+                Arrays.stream(ResponseGuard.FinalAnswer.values())
+                        .map(answer -> answer.recordedName)
+                        .toList());
+    }
 }
