--- a/src/main/java/larchridge/inventory/EngineListReader.java
+++ b/src/main/java/larchridge/inventory/EngineListReader.java
@@ -1,5 +1,6 @@
 package larchridge.inventory;
 
+import java.io.StringReader;
 import java.time.Instant;
 import java.time.OffsetDateTime;
 import java.time.format.DateTimeParseException;
@@ -23,8 +24,8 @@
 import org.yaml.snakeyaml.nodes.SequenceNode;
 
 /**
- * Reads an engine list in YAML: {@code engines:} with one mapping an engine. A fault names file,
- * line and field.
+ * Reads and validates an engine list in YAML: {@code engines:} with one mapping for each engine. A
+ * fault names file, line and field.
  */
 public final class EngineListReader {
     private static final Set<String> FIELDS =
@@ -39,7 +40,12 @@
                     "memory_tokens",
                     "start",
                     "mode");
-    private static final int MOST_BYTES = 16 << 20;
+    private static final int MAX_CODE_POINTS = 16 << 20;
+    private static final int MAX_NESTING_DEPTH = 20;
+    private static final int MAX_PORT = 65_535;
+    private static final double MIN_UNITS = 0.001;
+    private static final double MAX_UNITS = 1e6;
+    private static final double MAX_MEMORY_TOKENS = 1e12;
 
     private final String file;
 
@@ -48,29 +54,59 @@
     }
 
     /**
-     * The engines in the order of the list; an empty list is a fault, since no list empties a
-     * fleet.
+     * Reads a list; an empty one is a fault, since no list may remove all engines.
+     *
+     * @param file the list's name in faults
+     * @return the engines in the order of the list
      */
     public static List<EngineEntry> read(String file, String text)
             throws InvalidEngineListException {
-        return new EngineListReader(file).take(text);
+        return new EngineListReader(file).readEntries(text);
     }
 
-    private List<EngineEntry> take(String text) throws InvalidEngineListException {
-        Node root;
+    private List<EngineEntry> readEntries(String text) throws InvalidEngineListException {
+        SequenceNode items = engineNodes(compose(text));
+        List<EngineEntry> entries = new ArrayList<>();
+        Map<Long, Integer> linesById = new HashMap<>();
+        Map<String, Integer> linesByAddress = new HashMap<>();
+        for (Node item : items.getValue()) {
+            EngineEntry entry = entry(item, "engines[" + entries.size() + "]");
+            Integer earlierLine = linesById.put(entry.id(), line(item));
+            if (earlierLine != null) {
+                throw invalid(
+                        item,
+                        "id",
+                        entry.id() + " is also the id of the engine on line " + earlierLine);
+            }
+            earlierLine = linesByAddress.put(entry.host() + ":" + entry.port(), line(item));
+            if (earlierLine != null) {
+                throw invalid(
+                        item,
+                        "port",
+                        "host and port are also those of the engine on line " + earlierLine);
+            }
+            entries.add(entry);
+        }
+        return entries;
+    }
+
+    private Node compose(String text) throws InvalidEngineListException {
+        LoaderOptions options = new LoaderOptions();
+        options.setAllowDuplicateKeys(false);
+        options.setCodePointLimit(MAX_CODE_POINTS);
+        options.setMaxAliasesForCollections(0);
+        options.setNestingDepthLimit(MAX_NESTING_DEPTH);
         try {
-            LoaderOptions options = new LoaderOptions();
-            options.setAllowDuplicateKeys(false);
-            options.setCodePointLimit(MOST_BYTES);
-            options.setMaxAliasesForCollections(0);
-            options.setNestingDepthLimit(20);
-            root = new Yaml(new SafeConstructor(options)).compose(new java.io.StringReader(text));
+            return new Yaml(new SafeConstructor(options)).compose(new StringReader(text));
         } catch (MarkedYAMLException e) {
             int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
-            throw new InvalidEngineListException(file + ":" + line + ": " + e.getProblem());
+            throw new InvalidEngineListException(file + ":" + line + ": " + e.getProblem(), e);
         } catch (YAMLException e) {
-            throw new InvalidEngineListException(file + ":1: " + e.getMessage());
+            throw new InvalidEngineListException(file + ":1: " + e.getMessage(), e);
         }
+    }
+
+    private SequenceNode engineNodes(Node root) throws InvalidEngineListException {
         if (!(root instanceof MappingNode top)) {
             throw new InvalidEngineListException(
                     file + ":1: engines: missing; expected a mapping with the key engines");
@@ -79,159 +115,164 @@
         for (NodeTuple tuple : top.getValue()) {
             String key = scalar(tuple.getKeyNode(), "key");
             if (!key.equals("engines")) {
-                throw bad(tuple.getKeyNode(), key, "unknown; expected engines");
+                throw invalid(tuple.getKeyNode(), key, "unknown; expected engines");
             }
             list = tuple.getValueNode();
         }
         if (!(list instanceof SequenceNode items) || items.getValue().isEmpty()) {
-            throw bad(
+            throw invalid(
                     list == null ? root : list,
                     "engines",
                     "empty; a list without engines is not believed");
         }
-        List<EngineEntry> rows = new ArrayList<>();
-        Map<Long, Integer> lines = new HashMap<>();
-        Map<String, Integer> spots = new HashMap<>();
-        for (Node item : items.getValue()) {
-            EngineEntry row = row(item, "engines[" + rows.size() + "]");
-            Integer before = lines.put(row.id(), line(item));
-            if (before != null) {
-                throw bad(item, "id", row.id() + " is also the id of the engine on line " + before);
-            }
-            before = spots.put(row.host() + ":" + row.port(), line(item));
-            if (before != null) {
-                throw bad(
-                        item,
-                        "port",
-                        "host and port are also those of the engine on line " + before);
-            }
-            rows.add(row);
-        }
-        return rows;
+        return items;
     }
 
-    private EngineEntry row(Node item, String name) throws InvalidEngineListException {
+    private EngineEntry entry(Node item, String path) throws InvalidEngineListException {
         if (!(item instanceof MappingNode mapping)) {
-            throw bad(item, name, "expected a mapping with id, host, port and role");
+            throw invalid(item, path, "expected a mapping with id, host, port and role");
         }
+        Fields fields = fields(mapping, path);
+        String role = fields.text("role");
+        String mode = fields.textOr("mode", "ready");
+        return new EngineEntry(
+                (long) fields.number("id", 0, Long.MAX_VALUE),
+                fields.text("host"),
+                (int) fields.number("port", 1, MAX_PORT),
+                role(role, fields),
+                fields.textOr("zone", ""),
+                (long) fields.numberOr("rack", 0, 0, Long.MAX_VALUE),
+                fields.numberOr("units", 1, MIN_UNITS, MAX_UNITS),
+                fields.numberOr("memory_tokens", Double.NaN, 1, MAX_MEMORY_TOKENS),
+                startMs(fields),
+                state(mode, fields));
+    }
+
+    private Fields fields(MappingNode mapping, String path) throws InvalidEngineListException {
         Map<String, Node> values = new LinkedHashMap<>();
         for (NodeTuple tuple : mapping.getValue()) {
-            String key = scalar(tuple.getKeyNode(), name);
+            String key = scalar(tuple.getKeyNode(), path);
             if (!FIELDS.contains(key)) {
-                throw bad(tuple.getKeyNode(), name + "." + key, "unknown field");
+                throw invalid(tuple.getKeyNode(), path + "." + key, "unknown field");
             }
             values.put(key, tuple.getValueNode());
         }
-        String role = text(item, values, name, "role", null);
-        String mode = text(item, values, name, "mode", "ready");
-        return new EngineEntry(
-                (long) number(item, values, name, "id", Double.NaN, 0, Long.MAX_VALUE),
-                text(item, values, name, "host", null),
-                (int) number(item, values, name, "port", Double.NaN, 1, 65_535),
-                switch (role) {
-                    case "reader" -> Role.READER;
-                    case "writer" -> Role.WRITER;
-                    case "both" -> Role.BOTH;
-                    default ->
-                            throw bad(
-                                    values.get("role"),
-                                    name + ".role",
-                                    "is '" + role + "'; expected reader, writer or both");
-                },
-                text(item, values, name, "zone", ""),
-                (long) number(item, values, name, "rack", 0, 0, Long.MAX_VALUE),
-                number(item, values, name, "units", 1, 0.001, 1e6),
-                values.containsKey("memory_tokens")
-                        ? number(item, values, name, "memory_tokens", 0, 1, 1e12)
-                        : Double.NaN,
-                start(values.get("start"), name),
-                switch (mode) {
-                    case "ready" -> EndpointState.READY;
-                    case "draining" -> EndpointState.DRAINING;
-                    default ->
-                            throw bad(
-                                    values.get("mode"),
-                                    name + ".mode",
-                                    "is '" + mode + "'; expected ready or draining");
-                });
+        return new Fields(mapping, path, values);
+    }
+
+    private Role role(String role, Fields fields) throws InvalidEngineListException {
+        return switch (role) {
+            case "reader" -> Role.READER;
+            case "writer" -> Role.WRITER;
+            case "both" -> Role.BOTH;
+            default ->
+                    throw fields.invalid(
+                            "role", "is '" + role + "'; expected reader, writer or both");
+        };
+    }
+
+    private EndpointState state(String mode, Fields fields) throws InvalidEngineListException {
+        return switch (mode) {
+            case "ready" -> EndpointState.READY;
+            case "draining" -> EndpointState.DRAINING;
+            default ->
+                    throw fields.invalid("mode", "is '" + mode + "'; expected ready or draining");
+        };
     }
 
-    private double start(Node node, String name) throws InvalidEngineListException {
-        if (node == null) {
+    private double startMs(Fields fields) throws InvalidEngineListException {
+        if (!fields.has("start")) {
             return 0;
         }
-        String text = scalar(node, name + ".start");
+        String text = fields.text("start");
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException notNumber) {
-            try {
-                Instant at = OffsetDateTime.parse(text).toInstant();
-                return at.toEpochMilli();
-            } catch (DateTimeParseException e) {
-                throw bad(
-                        node,
-                        name + ".start",
-                        "is '"
-                                + text
-                                + "'; expected a time like "
-                                + "2026-01-31T08:00:00Z or milliseconds of Unix time");
-            }
+            return parseTime(text, fields);
         }
     }
 
-    private String text(
-            Node item, Map<String, Node> values, String name, String field, String otherwise)
-            throws InvalidEngineListException {
-        Node node = values.get(field);
-        if (node == null) {
-            if (otherwise == null) {
-                throw bad(item, name + "." + field, "missing");
-            }
-            return otherwise;
-        }
-        return scalar(node, name + "." + field);
-    }
-
-    private double number(
-            Node item,
-            Map<String, Node> values,
-            String name,
-            String field,
-            double otherwise,
-            double least,
-            double most)
-            throws InvalidEngineListException {
-        Node node = values.get(field);
-        if (node == null) {
-            if (Double.isNaN(otherwise)) {
-                throw bad(item, name + "." + field, "missing");
-            }
-            return otherwise;
-        }
-        String text = scalar(node, name + "." + field);
+    private double parseTime(String text, Fields fields) throws InvalidEngineListException {
         try {
-            double value = Double.parseDouble(text);
-            if (value >= least && value <= most) {
-                return value;
-            }
-        } catch (NumberFormatException e) {
-            throw bad(node, name + "." + field, "is '" + text + "'; expected a number");
+            Instant start = OffsetDateTime.parse(text).toInstant();
+            return start.toEpochMilli();
+        } catch (DateTimeParseException e) {
+            throw fields.invalid(
+                    "start",
+                    "is '"
+                            + text
+                            + "'; expected a time like "
+                            + "2026-01-31T08:00:00Z or milliseconds of Unix time");
         }
-        throw bad(node, name + "." + field, "is " + text + "; out of range");
     }
 
-    private String scalar(Node node, String name) throws InvalidEngineListException {
+    private String scalar(Node node, String field) throws InvalidEngineListException {
         if (node instanceof ScalarNode scalar && !scalar.getValue().isEmpty()) {
             return scalar.getValue();
         }
-        throw bad(node, name, "expected a single value");
+        throw invalid(node, field, "expected a single value");
     }
 
-    private InvalidEngineListException bad(Node node, String field, String what) {
-        return new InvalidEngineListException(file + ":" + line(node) + ": " + field + ": " + what);
+    private InvalidEngineListException invalid(Node node, String field, String problem) {
+        return new InvalidEngineListException(
+                file + ":" + line(node) + ": " + field + ": " + problem);
     }
 
     private static int line(Node node) {
         return node.getStartMark().getLine() + 1;
     }
+
+    /** The fields of one engine. */
+    private final class Fields {
+        private final Node item;
+        private final String path;
+        private final Map<String, Node> values;
+
+        Fields(Node item, String path, Map<String, Node> values) {
+            this.item = item;
+            this.path = path;
+            this.values = values;
+        }
+
+        boolean has(String field) {
+            return values.containsKey(field);
+        }
+
+        /** A field that must be there, as text. */
+        String text(String field) throws InvalidEngineListException {
+            if (!has(field)) {
+                throw EngineListReader.this.invalid(item, path + "." + field, "missing");
+            }
+            return scalar(values.get(field), path + "." + field);
+        }
+
+        String textOr(String field, String fallback) throws InvalidEngineListException {
+            return has(field) ? text(field) : fallback;
+        }
+
+        /** A field that must be there, as a number within bounds. */
+        double number(String field, double min, double max) throws InvalidEngineListException {
+            String text = text(field);
+            double value;
+            try {
+                value = Double.parseDouble(text);
+            } catch (NumberFormatException e) {
+                throw invalid(field, "is '" + text + "'; expected a number");
+            }
+            if (!(value >= min && value <= max)) {
+                throw invalid(field, "is " + text + "; out of range");
+            }
+            return value;
+        }
+
+        double numberOr(String field, double fallback, double min, double max)
+                throws InvalidEngineListException {
+            return has(field) ? number(field, min, max) : fallback;
+        }
+
+        /** An exception that names the place of a field that is there. */
+        InvalidEngineListException invalid(String field, String problem) {
+            return EngineListReader.this.invalid(values.get(field), path + "." + field, problem);
+        }
+    }
 }
--- a/src/main/java/larchridge/inventory/EngineListWatcher.java
+++ b/src/main/java/larchridge/inventory/EngineListWatcher.java
@@ -1,7 +1,9 @@
 package larchridge.inventory;
 
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Vertx;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
@@ -12,97 +14,97 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the engine list's file: looks at it every so often and tells what a new good version
- * says. A bad or missing file is logged once and changes nothing: the last good list stays. Reading
- * happens off the loops.
+ * Watches the engine list's file: polls it and delivers each new valid version. An invalid or
+ * missing file is logged once and changes nothing: the last valid list stays in force. The file is
+ * read on a worker thread, never on an event loop.
  */
 public final class EngineListWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(EngineListWatcher.class);
 
     private final Path file;
-    private final Consumer<List<EngineEntry>> told;
-    private byte[] seen = new byte[0];
+    private final Consumer<List<EngineEntry>> listener;
+    private byte[] lastContent = new byte[0];
     private String lastFault = "";
-    private boolean looking;
+    private boolean polling;
     private Vertx vertx;
     private long timer;
 
-    public EngineListWatcher(Path file, Consumer<List<EngineEntry>> told) {
+    /**
+     * A watcher of a file.
+     *
+     * @param listener receives each new version, on an event loop of its own
+     */
+    public EngineListWatcher(Path file, Consumer<List<EngineEntry>> listener) {
         this.file = file;
-        this.told = told;
+        this.listener = listener;
     }
 
-    /**
-     * The list as it is now, for the start; later versions go to the consumer, on a loop of its
-     * own.
-     */
+    /** Reads the list as it is now, for the start; the listener is not notified of it. */
     public List<EngineEntry> readInitial() throws InvalidEngineListException {
         try {
-            seen = Files.readAllBytes(file);
-            return EngineListReader.read(
-                    file.toString(), new String(seen, java.nio.charset.StandardCharsets.UTF_8));
+            lastContent = Files.readAllBytes(file);
+            return parse(lastContent);
         } catch (IOException e) {
-            throw new InvalidEngineListException(file + ": can't be read (" + e + ")");
+            throw new InvalidEngineListException(file + ": can't be read (" + e + ")", e);
         }
     }
 
-    /** Ends the following; what is being read is dropped. */
+    /** Starts to poll the file. */
+    public void start(Vertx pollingVertx, double pollMs) {
+        vertx = pollingVertx;
+        timer = vertx.setPeriodic(Math.max(1, (long) pollMs), due -> startPoll());
+    }
+
+    /** Stops to poll the file; a version that is being read is dropped. */
     public void stop() {
         if (vertx != null) {
             vertx.cancelTimer(timer);
         }
     }
 
-    public void start(Vertx on, double pollMs) {
-        vertx = on;
-        timer =
-                vertx.setPeriodic(
-                        Math.max(1, (long) pollMs),
-                        due -> {
-                            if (looking) {
-                                return;
-                            }
-                            looking = true;
-                            vertx.executeBlocking(this::look, false)
-                                    .onComplete(
-                                            done -> {
-                                                looking = false;
-                                                if (done.succeeded() && done.result() != null) {
-                                                    told.accept(done.result());
-                                                } else if (done.failed()) {
-                                                    LOG.error(
-                                                            "engine list not followed",
-                                                            done.cause());
-                                                }
-                                            });
-                        });
+    private void startPoll() {
+        if (!polling) {
+            polling = true;
+            vertx.executeBlocking(this::readIfChanged, false).onComplete(this::pollEnded);
+        }
+    }
+
+    private void pollEnded(AsyncResult<List<EngineEntry>> poll) {
+        polling = false;
+        if (poll.failed()) {
+            LOG.error("engine list not followed", poll.cause());
+        } else if (poll.result() != null) {
+            listener.accept(poll.result());
+        }
     }
 
-    private List<EngineEntry> look() {
+    /** The new version of the list; null if there is none, or no valid one. */
+    private List<EngineEntry> readIfChanged() {
         try {
-            byte[] now = Files.readAllBytes(file);
-            if (Arrays.equals(now, seen)) {
+            byte[] content = Files.readAllBytes(file);
+            if (Arrays.equals(content, lastContent)) {
                 return null;
             }
-            seen = now;
-            List<EngineEntry> rows =
-                    EngineListReader.read(
-                            file.toString(),
-                            new String(now, java.nio.charset.StandardCharsets.UTF_8));
+            lastContent = content;
+            List<EngineEntry> entries = parse(content);
             lastFault = "";
-            LOG.atInfo().addKeyValue("engines", rows.size()).log("engine list taken");
-            return rows;
+            LOG.atInfo().addKeyValue("engines", entries.size()).log("engine list taken");
+            return entries;
         } catch (InvalidEngineListException e) {
-            fault(e.getMessage());
+            logFault(e.getMessage());
         } catch (NoSuchFileException e) {
-            fault(file + ": missing");
+            logFault(file + ": missing");
         } catch (IOException e) {
-            fault(file + ": can't be read (" + e + ")");
+            logFault(file + ": can't be read (" + e + ")");
         }
         return null;
     }
 
-    private void fault(String fault) {
+    private List<EngineEntry> parse(byte[] content) throws InvalidEngineListException {
+        return EngineListReader.read(file.toString(), new String(content, StandardCharsets.UTF_8));
+    }
+
+    private void logFault(String fault) {
         if (!fault.equals(lastFault)) {
             lastFault = fault;
             LOG.atError().addKeyValue("fault", fault).log("engine list kept as it was");
--- a/src/main/java/larchridge/inventory/InvalidEngineListException.java
+++ b/src/main/java/larchridge/inventory/InvalidEngineListException.java
@@ -1,10 +1,16 @@
 package larchridge.inventory;
 
-/** An engine list that can't be believed; the text names file, line and field. */
+/** Thrown for an engine list that can't be read or trusted; the message names file, line, field. */
 public final class InvalidEngineListException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public InvalidEngineListException(String text) {
-        super(text);
+    /** A fault described by its place and problem. */
+    public InvalidEngineListException(String message) {
+        super(message);
+    }
+
+    /** A fault with the exception that revealed it. */
+    public InvalidEngineListException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/src/main/java/larchridge/logging/JsonLogConfigurator.java
+++ b/src/main/java/larchridge/logging/JsonLogConfigurator.java
@@ -1,6 +1,7 @@
 package larchridge.logging;
 
 import ch.qos.logback.classic.Level;
+import ch.qos.logback.classic.Logger;
 import ch.qos.logback.classic.LoggerContext;
 import ch.qos.logback.classic.encoder.JsonEncoder;
 import ch.qos.logback.classic.spi.Configurator;
@@ -9,10 +10,11 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * The log's form: one JSON object a line on standard error, the program's own lines from the level
- * that {@code LARCHRIDGE_LOG} names (INFO), others' from WARN. In code, since reading it from XML
- * took a third of a node's start; where {@code logback.configurationFile} names a file, that is
- * used instead.
+ * Configures the log: one JSON object on each line of standard error, this program's events from
+ * the level that the environment variable {@code LARCHRIDGE_LOG} names (INFO by default), other
+ * libraries' from WARN. In code, since reading a configuration in XML took a third of a node's
+ * start; where the system property {@code logback.configurationFile} names a file, that is used
+ * instead.
  */
 public final class JsonLogConfigurator extends ContextAwareBase implements Configurator {
     @Override
@@ -20,6 +22,24 @@
         if (System.getProperty("logback.configurationFile") != null) {
             return ExecutionStatus.INVOKE_NEXT_IF_ANY;
         }
+        context.getLogger(Logger.ROOT_LOGGER_NAME).addAppender(standardError(context));
+        context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(Level.WARN);
+        context.getLogger("larchridge")
+                .setLevel(Level.toLevel(System.getenv("LARCHRIDGE_LOG"), Level.INFO));
+        return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
+    }
+
+    private static ConsoleAppender<ILoggingEvent> standardError(LoggerContext context) {
+        ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+        appender.setContext(context);
+        appender.setName("err");
+        appender.setTarget("System.err");
+        appender.setEncoder(jsonLines(context));
+        appender.start();
+        return appender;
+    }
+
+    private static JsonEncoder jsonLines(LoggerContext context) {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setContext(context);
         encoder.setWithContext(false);
@@ -29,16 +49,6 @@
         encoder.setWithArguments(false);
         encoder.setWithFormattedMessage(true);
         encoder.start();
-        ConsoleAppender<ILoggingEvent> err = new ConsoleAppender<>();
-        err.setContext(context);
-        err.setName("err");
-        err.setTarget("System.err");
-        err.setEncoder(encoder);
-        err.start();
-        context.getLogger("ROOT").addAppender(err);
-        context.getLogger("ROOT").setLevel(Level.WARN);
-        context.getLogger("larchridge")
-                .setLevel(Level.toLevel(System.getenv("LARCHRIDGE_LOG"), Level.INFO));
-        return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
+        return encoder;
     }
 }
--- a/src/test/java/larchridge/inventory/EngineListReaderTest.java
+++ b/src/test/java/larchridge/inventory/EngineListReaderTest.java
@@ -23,14 +23,14 @@
             """;
 
     private static void fault(String text, String expected) {
-        InvalidEngineListException bad =
+        InvalidEngineListException invalid =
                 assertThrows(
                         InvalidEngineListException.class, () -> EngineListReader.read("e", text));
-        assertTrue(bad.getMessage().startsWith(expected), bad.getMessage());
+        assertTrue(invalid.getMessage().startsWith(expected), invalid.getMessage());
     }
 
     @Test
-    void goodListIsRead() throws InvalidEngineListException {
+    void validListIsRead() throws InvalidEngineListException {
         EngineEntry first = EngineListReader.read("e", GOOD).get(0);
         assertEquals(
                 new EngineEntry(
@@ -49,12 +49,12 @@
     }
 
     @Test
-    void listCutOffAnywhereIsEitherAFaultOrItsWholeEntries() {
+    void listTruncatedAnywhereIsEitherAFaultOrItsCompleteEntries() {
         for (int end = 0; end < GOOD.length(); end++) {
             String part = GOOD.substring(0, end);
             try {
-                for (EngineEntry row : EngineListReader.read("e", part)) {
-                    assertTrue(row.port() > 0 && row.role() != null);
+                for (EngineEntry entry : EngineListReader.read("e", part)) {
+                    assertTrue(entry.port() > 0 && entry.role() != null);
                 }
             } catch (InvalidEngineListException e) {
                 assertTrue(e.getMessage().startsWith("e:"), e.getMessage());
@@ -77,13 +77,13 @@
     }
 
     @Test
-    void emptyListIsNotBelieved() {
+    void emptyListIsRejected() {
         fault("engines: []", "e:1: engines: empty");
         fault("", "e:1: engines: missing");
     }
 
     @Test
-    void aliasesCannotGrowAList() {
+    void aliasesAreRejected() {
         fault("a: &a [x]\nengines: [*a, *a]\n", "e:");
     }
 }
