--- a/src/test/java/larchridge/node/ScriptedServer.java
+++ b/src/test/java/larchridge/node/ScriptedServer.java
@@ -73,8 +73,11 @@
             ReceivedRequest request = read(in, number);
             while (request != null) {
                 answering.incrementAndGet();
+                // Taken before a test can see the request: one that then changes the script means the
+                // requests after it.
+                Function<ReceivedRequest, ScriptedResponse> currentScript = scriptFor(request);
                 received.add(request);
-                ScriptedResponse response = responseTo(request);
+                ScriptedResponse response = currentScript.apply(request);
                 if (response.bytes() != null) {
                     write(socket, response.bytes());
                     socket.getOutputStream().flush();
@@ -107,14 +110,14 @@
         return new ReceivedRequest(requestLine[0], requestLine[1], head, body, connection);
     }
 
-    private ScriptedResponse responseTo(ReceivedRequest request) {
+    private Function<ReceivedRequest, ScriptedResponse> scriptFor(ReceivedRequest request) {
         if (silent) {
-            return new ScriptedResponse(null, true);
+            return ignored -> new ScriptedResponse(null, true);
         }
         if (request.method().equals("DELETE")) {
-            return new ScriptedResponse("HTTP/1.1 204 No Content\r\n\r\n", true);
+            return ignored -> new ScriptedResponse("HTTP/1.1 204 No Content\r\n\r\n", true);
         }
-        return script.apply(request);
+        return script;
     }
 
     private static void write(Socket socket, String text) throws IOException {
