--- a/src/main/java/larchridge/benchlink/BenchActions.java
+++ b/src/main/java/larchridge/benchlink/BenchActions.java
@@ -32,7 +32,7 @@
                 .text(" job=")
                 .text(attempt.generation.id)
                 .text(" engine=")
-                .integer(attempt.engine.label)
+                .integer(attempt.engine.id)
                 .end();
     }
 
@@ -67,7 +67,7 @@
 
     @Override
     public void probeLoad(Engine engine) {
-        line("INSPECT").text(" engine=").integer(engine.label).end();
+        line("INSPECT").text(" engine=").integer(engine.id).end();
     }
 
     @Override
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -427,12 +427,12 @@
         front.forEachEngine(
                 (endpoint, engine) -> {
                     text.append("; ")
-                            .append(Long.toHexString(engine.label >>> 48))
+                            .append(Long.toHexString(engine.id >>> 48))
                             .append(' ')
                             .append(engine.role())
                             .append(' ')
                             .append(engine.state())
-                            .append(engine.isEjected(now) ? " suspect" : "")
+                            .append(engine.isEjected(now) ? " ejected" : "")
                             .append(" attempts ")
                             .append(engine.attempts().size())
                             .append(" unread ")
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -145,8 +145,7 @@
         // Guards against: a stream without chunks has no end of its own, so that the end of the
         // connection would pass for it.
         return !classifier.isAnswer()
-                || (kind == AttemptKind.WRITE
-                        && HttpUtil.isTransferEncodingChunked(response));
+                || (kind == AttemptKind.WRITE && HttpUtil.isTransferEncodingChunked(response));
     }
 
     @Override
--- a/src/main/java/larchridge/policy/OutlierDetector.java
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -95,6 +95,6 @@
         double ejectionMs = Math.min(LONGEST_EJECTION_MS, doubledMs);
         // Spread by chance, so that routers do not all come back in one moment.
         engine.eject(ejectionMs, nowMs + ejectionMs * (0.75 + 0.5 * random.nextDouble()));
-        actions.log("engine " + engine.label + " suspect for " + Math.round(ejectionMs) + " ms");
+        actions.log("engine " + engine.id + " ejected for " + Math.round(ejectionMs) + " ms");
     }
 }
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -149,7 +149,7 @@
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("attempt", attempt.policyAttempt().number)
-                .addKeyValue("engine", attempt.policyAttempt().engine.label)
+                .addKeyValue("engine", attempt.policyAttempt().engine.id)
                 .log(outcome.name());
         services.policy().attemptEnded(request, attempt, outcome, report);
         services.closer().closeIfOver(request);
@@ -179,7 +179,7 @@
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("attempt", attempt.policyAttempt().number)
-                .addKeyValue("engine", attempt.policyAttempt().engine.label)
+                .addKeyValue("engine", attempt.policyAttempt().engine.id)
                 .addKeyValue("prompt_tokens", request.generation().promptTokens)
                 .addKeyValue("cached_tokens", attempt.cachedTokens())
                 .addKeyValue("sent", Math.round(request.elapsedMs(attempt.policyAttempt().sentMs)))
--- a/src/main/java/larchridge/router/AttemptSender.java
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -107,7 +107,7 @@
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("attempt", attempt.policyAttempt().number)
-                .addKeyValue("engine", attempt.policyAttempt().engine.label)
+                .addKeyValue("engine", attempt.policyAttempt().engine.id)
                 .addKeyValue("stage", attempt.stage())
                 .addKeyValue("reason", reason)
                 .log("SENT");
--- a/src/main/java/larchridge/state/CachedPrefix.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -50,7 +50,7 @@
 
     /** A fixed figure for this text and an engine, alike at every router. */
     public long affinity(Engine engine) {
-        long mixed = id.hashCode() * 0x9E3779B97F4A7C15L ^ engine.label * 0xC2B2AE3D27D4EB4FL;
+        long mixed = id.hashCode() * 0x9E3779B97F4A7C15L ^ engine.id * 0xC2B2AE3D27D4EB4FL;
         mixed = (mixed ^ mixed >>> 31) * 0xD6E8FEB86659FD93L;
         return mixed ^ mixed >>> 32;
     }
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -9,7 +9,7 @@
  */
 public final class Engine {
     /** Its id in the endpoint list. */
-    public final long label;
+    public final long id;
 
     // The entry in the endpoint list.
     Role role;
@@ -54,8 +54,8 @@
     private double slowStartDrawMs;
 
     /** An engine that no list has named yet. */
-    public Engine(long label) {
-        this.label = label;
+    public Engine(long id) {
+        this.id = id;
     }
 
     // ------------------------------------------------------------------ the endpoint list
--- a/src/main/java/larchridge/state/EngineRegistry.java
+++ b/src/main/java/larchridge/state/EngineRegistry.java
@@ -39,7 +39,7 @@
         }
         engines.removeIf(
                 engine -> engine.state() == EndpointState.REMOVED && engine.attempts().isEmpty());
-        engines.sort(Comparator.comparingLong(engine -> engine.label));
+        engines.sort(Comparator.comparingLong(engine -> engine.id));
         revision++;
         groupByRole();
     }
--- a/src/test/java/larchridge/policy/PrefixAffinityTest.java
+++ b/src/test/java/larchridge/policy/PrefixAffinityTest.java
@@ -43,8 +43,7 @@
                             fixture.nowMs,
                             fixture.nowMs + 5000));
         }
-        assertEquals(
-                1, fixture.sent.stream().map(attempt -> attempt.engine.label).distinct().count());
+        assertEquals(1, fixture.sent.stream().map(attempt -> attempt.engine.id).distinct().count());
     }
 
     @Test
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -107,7 +107,7 @@
     @Override
     public void send(Attempt attempt) {
         sent.add(attempt);
-        actions.add("send " + attempt.generation.id + " " + attempt.engine.label);
+        actions.add("send " + attempt.generation.id + " " + attempt.engine.id);
     }
 
     @Override
@@ -132,7 +132,7 @@
 
     @Override
     public void probeLoad(Engine engine) {
-        actions.add("probe " + engine.label);
+        actions.add("probe " + engine.id);
     }
 
     @Override
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -279,7 +279,7 @@
 
         @Override
         public void loadProbed(Engine engine, boolean answered, LoadReport report) {
-            record("in:probed", engine.label, answered, figures(seen(report)));
+            record("in:probed", engine.id, answered, figures(seen(report)));
             policy.loadProbed(engine, answered, seen(report));
         }
 
@@ -289,7 +289,7 @@
             for (EndpointUpdate entry : entries) {
                 record(
                         "in:entry",
-                        entry.engine().label,
+                        entry.engine().id,
                         named(entry.role()),
                         named(entry.state()),
                         entry.startMs(),
@@ -341,7 +341,7 @@
                     attempt.generation.id,
                     attempt.number,
                     kind(attempt),
-                    attempt.engine.label,
+                    attempt.engine.id,
                     attempt.sentMs,
                     attempt.countedTokens,
                     attempt.unreadTokens(),
@@ -350,7 +350,7 @@
                 writes.add(attempt);
             }
             if (attempt.engine.startMs() > host.nowMs() - 2500) {
-                record("out:sent-to-cold", attempt.engine.label);
+                record("out:sent-to-cold", attempt.engine.id);
             }
             host.send(attempt);
         }
@@ -381,7 +381,7 @@
 
         @Override
         public void probeLoad(Engine engine) {
-            record("out:probe", engine.label);
+            record("out:probe", engine.id);
             host.probeLoad(engine);
         }
 
