--- a/src/main/java/larchridge/node/EngineStateLog.java
+++ b/src/main/java/larchridge/node/EngineStateLog.java
@@ -50,12 +50,12 @@
     private void describe(Endpoint endpoint, Engine engine, double nowMs, StringBuilder line) {
         ForwardingUpstreamClient upstream = components.upstream();
         line.append("; ")
-                .append(Long.toHexString(engine.label >>> LABEL_SHIFT))
+                .append(Long.toHexString(engine.id >>> LABEL_SHIFT))
                 .append(' ')
                 .append(engine.role())
                 .append(' ')
                 .append(engine.state())
-                .append(engine.isEjected(nowMs) ? " suspect" : "")
+                .append(engine.isEjected(nowMs) ? " ejected" : "")
                 .append(" attempts ")
                 .append(engine.attempts().size())
                 .append(" unread ")
