--- a/src/test/java/larchridge/node/ScriptedServer.java
+++ b/src/test/java/larchridge/node/ScriptedServer.java
@@ -73,7 +73,8 @@
             ReceivedRequest request = read(in, number);
             while (request != null) {
                 answering.incrementAndGet();
-                // Taken before a test can see the request: one that then changes the script means the
+                // Taken before a test can see the request: one that then changes the script means
+                // the
                 // requests after it.
                 Function<ReceivedRequest, ScriptedResponse> currentScript = scriptFor(request);
                 received.add(request);
