--- a/src/main/java/larchridge/Choice.java
+++ b/src/main/java/larchridge/Choice.java
@@ -22,14 +22,16 @@
 import larchridge.state.Text;
 
 /**
- * Every decision of one front: which reader reads a prompt, which writer writes its answer, and what to do
- * when either fails. Callers make one instance a front and call the public methods below, one for each thing
- * that can happen; the module acts by calling {@link Host}, the only interface that it knows. What it
- * remembers sits in the plain holders of {@code larchridge.state}. {@link #advance} is the ordinary path of a
- * generation; {@code docs/design.md} tells where the rules come from. Times are in milliseconds.
+ * Every decision of one front: which reader reads a prompt, which writer writes its answer, and
+ * what to do when either fails. Callers make one instance a front and call the public methods
+ * below, one for each thing that can happen; the module acts by calling {@link Host}, the only
+ * interface that it knows. What it remembers sits in the plain holders of {@code larchridge.state}.
+ * {@link #advance} is the ordinary path of a generation; {@code docs/design.md} tells where the
+ * rules come from. Times are in milliseconds.
  */
 public final class Choice {
-    // The mechanism: thresholds of a reader's backlog, margin of the writers' mean, stand-in for the answer.
+    // The mechanism: thresholds of a reader's backlog, margin of the writers' mean, stand-in for
+    // the answer.
     private static final double ALPHA_MS = 250;
     private static final double BETA_MS = 1750;
     private static final double Z_MARGIN = 1.05;
@@ -38,18 +40,22 @@
     private static final double FULL_WITH_REPORTS_MS = 300;
     private static final double NEAR_STREAMS_FACTOR = 1.3;
     private static final double NEAR_STREAMS_MORE = 2;
-    // Places of one prefix in a zone; the part of the mean streams under which an engine reads for itself.
+    // Places of one prefix in a zone; the part of the mean streams under which an engine reads for
+    // itself.
     private static final int HOMES = 2;
     private static final double SELF_READ_STREAMS = 0.6;
-    // Moves of a reader's states out of its rack that begin later than this are late; what stands in then.
+    // Moves of a reader's states out of its rack that begin later than this are late; what stands
+    // in then.
     private static final double MOVE_LATE_MS = 400;
     private static final double NEAR_TOKS_FACTOR = 2.5;
     private static final double SELF_READ_LATE_STREAMS = 1.5;
-    // Speed before any read has ended, reads that tell an engine's own speed, the least that a read takes.
+    // Speed before any read has ended, reads that tell an engine's own speed, the least that a read
+    // takes.
     private static final double UNHEARD_TOKS_PER_MS = 12;
     private static final double OWN_READS = 3;
     private static final double LEAST_READ_TOKS = 32;
-    // How long an answer takes to begin before any has; how often a front with nothing out tries anyway.
+    // How long an answer takes to begin before any has; how often a front with nothing out tries
+    // anyway.
     private static final double BEGIN_FIRST_MS = 100;
     private static final double TRY_MS = 2000;
     // Of those that wait, so many are tried at a time, the first in order.
@@ -60,7 +66,8 @@
     private static final double FRESH_MS = 300;
     private static final double ASK_WAIT_MS = 15;
     private static final double ASK_AGAIN_MS = 200;
-    // Reports: how fast they fade, what the one before still counts, how alike fronts are, half-done prompts.
+    // Reports: how fast they fade, what the one before still counts, how alike fronts are,
+    // half-done prompts.
     private static final double READ_REPORT_MS = 500;
     private static final double WRITE_REPORT_MS = 2000;
     private static final double REPORT_KEPT = 0.5;
@@ -72,7 +79,8 @@
     private static final double OVERDUE_FACTOR = 3;
     private static final double SUSPECT_FIRST_MS = 500;
     private static final double SUSPECT_MOST_MS = 4000;
-    // What the newest answer counts in the share of an engine's errors, and the share that makes it suspect.
+    // What the newest answer counts in the share of an engine's errors, and the share that makes it
+    // suspect.
     private static final double ERROR_WEIGHT = 0.25;
     private static final double ERRORS_MOST = 0.4;
     // Rules: the part used of a cold engine's budget, the margin of a final answer.
@@ -102,24 +110,38 @@
     private final List<Engine> readers = fleet.readers;
     private final List<Engine> writers = fleet.writers;
     private final List<Gen> open = new ArrayList<>();
+
     /** Tokens of generations that are being read and have no writer yet. */
     private double awaitingToks;
+
     private boolean wakeSet;
     private double askAtMs = Double.POSITIVE_INFINITY;
     private double beginMs = BEGIN_FIRST_MS;
     private double triedMs;
-    /** The best speed of late reads in tokens a millisecond, what a read had to read, what homes had kept. */
+
+    /**
+     * The best speed of late reads in tokens a millisecond, what a read had to read, what homes had
+     * kept.
+     */
     private final Ring speeds = new Ring(20, 1000);
+
     private final Mean unreadParts = new Mean(20, 1000);
     private final Mean unreadSizes = new Mean(20, 1000);
     private final Mean homesKept = new Mean(20, 1000);
-    /** What engines told of late beside this front's own: readers' tokens, writers' tokens and streams. */
+
+    /**
+     * What engines told of late beside this front's own: readers' tokens, writers' tokens and
+     * streams.
+     */
     private final Mean toldUnread = new Mean(5, 1000);
+
     private final Mean toldToks = new Mean(5, 1000);
     private final Mean toldStreams = new Mean(5, 1000);
     private final Mean writesSent = new Mean(10, 1000);
+
     /** Reads and answers that warm engines took of late. */
     private final Ring warmReads = new Ring(30, 1000);
+
     private final Ring warmWrites = new Ring(30, 1000);
 
     public Choice(Terms terms, Host host) {
@@ -192,7 +214,8 @@
         if (gen.state != null && distance(gen.state.engine, attempt.engine) > 0) {
             gen.state.engine.moves.add(now, now - attempt.sentMs, 1);
         }
-        // Danger: late moves would make every generation look too late, also those that need no move.
+        // Danger: late moves would make every generation look too late, also those that need no
+        // move.
         if (gen.state == null || !movesLate(gen.state.engine, now)) {
             beginMs += 0.05 * (now - attempt.sentMs - beginMs);
         }
@@ -217,7 +240,8 @@
                 if (outcome == Outcome.FAULT) {
                     heard(engine, report);
                 }
-                // Danger: a kept connection that breaks says little; were each to keep work away from its
+                // Danger: a kept connection that breaks says little; were each to keep work away
+                // from its
                 // engine, most engines would be suspect while connections are reset all over.
                 if (engine.errorShare >= ERRORS_MOST) {
                     blame(engine);
@@ -229,20 +253,25 @@
             }
             case UNREACHABLE -> blame(engine);
             case NOT_SENT -> pause(gen);
-            default -> { }
+            default -> {}
         }
         if (gen.over || gen.begun || outcome == Outcome.NO_STATE) {
             letGo(gen);
         }
-        if (!gen.over && !gen.begun && !gen.waiting && gen.attemptsOut == 0 && host.now() >= gen.nextAttemptMs) {
+        if (!gen.over
+                && !gen.begun
+                && !gen.waiting
+                && gen.attemptsOut == 0
+                && host.now() >= gen.nextAttemptMs) {
             advance(gen);
         }
         admitWaiting();
     }
 
     /**
-     * An attempt was not sent, and nothing is known against its engine. Danger: where this machine can't open a connection
-     * for a moment, a generation tried again at once would use up its attempts within a millisecond and be given up.
+     * An attempt was not sent, and nothing is known against its engine. Danger: where this machine
+     * can't open a connection for a moment, a generation tried again at once would use up its
+     * attempts within a millisecond and be given up.
      */
     private void pause(Gen gen) {
         double ms = NOT_SENT_MS * Math.pow(2, gen.attemptsNotSent);
@@ -251,8 +280,9 @@
     }
 
     /**
-     * The state that an attempt is to fetch has been released, since nothing was heard of the attempt in time. In its
-     * engine's queue it goes on; moved to another writer, or sent again, it would find no state.
+     * The state that an attempt is to fetch has been released, since nothing was heard of the
+     * attempt in time. In its engine's queue it goes on; moved to another writer, or sent again, it
+     * would find no state.
      */
     public void stateReleased(Attempt attempt) {
         Gen gen = attempt.gen;
@@ -301,14 +331,18 @@
             }
             admitWaiting();
         } finally {
-            // Danger: without it a fault at one generation would end the regular look at all others.
+            // Danger: without it a fault at one generation would end the regular look at all
+            // others.
             setWake();
         }
     }
 
     // ------------------------------------------------------------------ the ordinary path
 
-    /** Takes a generation with no attempt out one step on: to a reader, a writer, the wait or its end. */
+    /**
+     * Takes a generation with no attempt out one step on: to a reader, a writer, the wait or its
+     * end.
+     */
     private void advance(Gen gen) {
         double now = host.now();
         // Danger: a generation that waits twice is sent twice, and the second send drops its state.
@@ -328,14 +362,19 @@
             Engine reader = !isAsking(gen) && roomAnywhere(gen) ? pickReader(gen) : null;
             if (reader == null) {
                 gen.waiting = true;
-                gen.leastReadToks = readers.stream().mapToDouble(e -> readToks(gen, e)).min().orElse(0);
+                gen.leastReadToks =
+                        readers.stream().mapToDouble(e -> readToks(gen, e)).min().orElse(0);
                 return;
             }
             sendRead(gen, reader);
         } else {
             Engine writer = gen.attemptsSent() < maxAttempts ? pickWriter(gen) : null;
             if (writer == null) {
-                giveUp(gen, gen.attemptsSent() < maxAttempts ? GiveUpReason.NO_WRITER : GiveUpReason.ATTEMPTS_USED);
+                giveUp(
+                        gen,
+                        gen.attemptsSent() < maxAttempts
+                                ? GiveUpReason.NO_WRITER
+                                : GiveUpReason.ATTEMPTS_USED);
                 return;
             }
             sendWrite(gen, writer);
@@ -356,22 +395,29 @@
         if (last != null && backlogMs(last, now) <= ALPHA_MS && !movesLate(last, now)) {
             return last;
         }
-        // Departure: only homes read, while any is fit. Danger: text read anew elsewhere doubles the work and
-        // drives other texts out, until every read is long. Where no reader is short, an engine that reads
+        // Departure: only homes read, while any is fit. Danger: text read anew elsewhere doubles
+        // the work and
+        // drives other texts out, until every read is long. Where no reader is short, an engine
+        // that reads
         // for itself takes prompt and answer.
         some = some.isEmpty() ? fit : some;
         boolean late = some.stream().anyMatch(e -> movesLate(e, now));
         double mean = writers.stream().mapToDouble(e -> streams(e) / e.units).average().orElse(0);
         for (Engine engine : fit(writers, gen)) {
-            if ((engine.role == Role.BOTH || writersRead) && hasRoom(engine, gen)
+            if ((engine.role == Role.BOTH || writersRead)
+                    && hasRoom(engine, gen)
                     && backlogMs(engine, now) <= ALPHA_MS
-                    && streams(engine) <= (late ? SELF_READ_LATE_STREAMS : SELF_READ_STREAMS) * mean
-                    * engine.units) {
+                    && streams(engine)
+                            <= (late ? SELF_READ_LATE_STREAMS : SELF_READ_STREAMS)
+                                    * mean
+                                    * engine.units) {
                 some.add(engine);
             }
         }
-        // Danger: fronts that go by one late report all stop and start at once; each generation has its own
-        // beta. A client's retry, which comes too late for full revenue, goes to short readers only.
+        // Danger: fronts that go by one late report all stop and start at once; each generation has
+        // its own
+        // beta. A client's retry, which comes too late for full revenue, goes to short readers
+        // only.
         double beta = ALPHA_MS + (gen.resent ? 0 : gen.chance) * (BETA_MS - ALPHA_MS);
         Engine best = null;
         double bestToks = 0;
@@ -379,27 +425,37 @@
         for (Engine engine : some) {
             double backlog = backlogMs(engine, now);
             boolean near = engine.zone.equals(zone);
-            int place = engine.role != Role.READER ? late ? 1 : near ? 2 : 3
-                    : backlog > ALPHA_MS || movesLate(engine, now) ? 2 : near ? 0 : 1;
+            int place =
+                    engine.role != Role.READER
+                            ? late ? 1 : near ? 2 : 3
+                            : backlog > ALPHA_MS || movesLate(engine, now) ? 2 : near ? 0 : 1;
             double unread = readToks(gen, engine);
             double toks = unreadToks(engine, now) + unread;
             double dueMs = now + backlog + unread * msPerTok(engine, now) + beginMs;
-            if (backlog <= beta && (gen.resent || dueMs < gen.sloAtMs()) && (best == null
-                    || place < bestPlace || place == bestPlace && toks < bestToks)) {
+            if (backlog <= beta
+                    && (gen.resent || dueMs < gen.sloAtMs())
+                    && (best == null
+                            || place < bestPlace
+                            || place == bestPlace && toks < bestToks)) {
                 best = engine;
                 bestToks = toks;
                 bestPlace = place;
             }
         }
-        // Departure: a last reader that is not short still wins where reading all anew takes more tokens.
-        boolean stays = best != null && last != null && backlogMs(last, now) <= beta
-                && unreadToks(last, now) + readToks(gen, last) < bestToks;
+        // Departure: a last reader that is not short still wins where reading all anew takes more
+        // tokens.
+        boolean stays =
+                best != null
+                        && last != null
+                        && backlogMs(last, now) <= beta
+                        && unreadToks(last, now) + readToks(gen, last) < bestToks;
         return stays ? last : best;
     }
 
     private Engine pickWriter(Gen gen) {
         List<Engine> fit = fit(writers, gen);
-        // Equals are told apart by chance. Without reports most writers look alike to a front that sees little, and
+        // Equals are told apart by chance. Without reports most writers look alike to a front that
+        // sees little, and
         // all fronts together would take the first of the list.
         Collections.shuffle(fit, random);
         List<Engine> roomy = new ArrayList<>(fit);
@@ -412,11 +468,14 @@
         double units = roomy.stream().mapToDouble(e -> e.units).sum();
         double awaiting = awaitingToks + genToks(gen);
         double z = Z_MARGIN * ((room < awaiting ? room : awaiting) + toks) / units;
-        // Departure: where moves out of the reader's rack are late, its own rack goes beyond Z for a while.
+        // Departure: where moves out of the reader's rack are late, its own rack goes beyond Z for
+        // a while.
         if (movesLate(gen.state.engine, host.now())) {
             List<Engine> near = new ArrayList<>(roomy);
-            near.removeIf(e -> distance(gen.state.engine, e) > 0
-                    || heldToks(e) / e.units > NEAR_TOKS_FACTOR * z);
+            near.removeIf(
+                    e ->
+                            distance(gen.state.engine, e) > 0
+                                    || heldToks(e) / e.units > NEAR_TOKS_FACTOR * z);
             if (!near.isEmpty()) {
                 return Collections.min(near, Comparator.comparingDouble(e -> streams(e) / e.units));
             }
@@ -426,26 +485,34 @@
         if (norm.isEmpty()) {
             return fewestToks(roomy);
         }
-        // Departure: among those at or under Z with about the fewest streams, the nearest to the state.
+        // Departure: among those at or under Z with about the fewest streams, the nearest to the
+        // state.
         double fewest = norm.stream().mapToDouble(e -> streams(e) / e.units).min().getAsDouble();
         norm.removeIf(e -> streams(e) / e.units > fewest * NEAR_STREAMS_FACTOR + NEAR_STREAMS_MORE);
-        return Collections.min(norm, Comparator.comparingInt((Engine e) -> distance(gen.state.engine, e))
-                .thenComparingDouble(e -> streams(e) / e.units));
+        return Collections.min(
+                norm,
+                Comparator.comparingInt((Engine e) -> distance(gen.state.engine, e))
+                        .thenComparingDouble(e -> streams(e) / e.units));
     }
 
     /**
-     * Danger: all states of a rack's readers share its one link; once that is slow or full, each answer waits
-     * for seconds while writers in the rack, and engines that can read for themselves, have room.
+     * Danger: all states of a rack's readers share its one link; once that is slow or full, each
+     * answer waits for seconds while writers in the rack, and engines that can read for themselves,
+     * have room.
      */
     private static boolean movesLate(Engine reader, double now) {
         return reader.moves.at(now) > MOVE_LATE_MS;
     }
 
     private Engine fewestToks(List<Engine> pool) {
-        return pool.stream().min(Comparator.comparingDouble(e -> heldToks(e) / e.units)).orElse(null);
+        return pool.stream()
+                .min(Comparator.comparingDouble(e -> heldToks(e) / e.units))
+                .orElse(null);
     }
 
-    /** What a move of the read state costs: 0 within the rack, 1 within the zone, 2 across zones. */
+    /**
+     * What a move of the read state costs: 0 within the rack, 1 within the zone, 2 across zones.
+     */
     private static int distance(Engine reader, Engine writer) {
         return !reader.zone.equals(writer.zone) ? 2 : reader.rack != writer.rack ? 1 : 0;
     }
@@ -453,23 +520,29 @@
     // ------------------------------------------------------------------ waiting and giving up
 
     /**
-     * Danger: first come, first served under shortage serves everyone just too late. The most revenue for its
-     * work goes first, the newest first among equals, and what can no longer make its SLO time is given up.
+     * Danger: first come, first served under shortage serves everyone just too late. The most
+     * revenue for its work goes first, the newest first among equals, and what can no longer make
+     * its SLO time is given up.
      */
     private void admitWaiting() {
         List<Gen> order = new ArrayList<>(open);
         order.removeIf(g -> !g.waiting);
-        order.sort(Comparator.comparingDouble(
-                        (Gen g) -> g.product.revenue * (g.resent ? g.product.lateRevenue : 1))
-                .thenComparingDouble(g -> g.arrivedMs).reversed());
+        order.sort(
+                Comparator.comparingDouble(
+                                (Gen g) ->
+                                        g.product.revenue * (g.resent ? g.product.lateRevenue : 1))
+                        .thenComparingDouble(g -> g.arrivedMs)
+                        .reversed());
         double now = host.now();
         double perTok = msPerTok(null, now);
         int tried = 0;
         for (Gen gen : order) {
             boolean late = now + gen.leastReadToks * perTok + beginMs > gen.sloAtMs();
             if (late && now > triedMs + TRY_MS && open.stream().allMatch(g -> g.attemptsOut == 0)) {
-                // Danger: once all was slow, all is given up, and nothing is sent that could show that it no
-                // longer is: everyone would be turned away. With nothing out, what is known is void.
+                // Danger: once all was slow, all is given up, and nothing is sent that could show
+                // that it no
+                // longer is: everyone would be turned away. With nothing out, what is known is
+                // void.
                 triedMs = now;
                 beginMs = Math.min(beginMs, BEGIN_FIRST_MS);
                 speeds.clear();
@@ -479,7 +552,8 @@
             if (late) {
                 giveUp(gen, GiveUpReason.TOO_LATE);
             } else if (tried++ < MOST_TRIED) {
-                // Danger: thousands that wait, all tried whenever an attempt ends, keep the loop busy.
+                // Danger: thousands that wait, all tried whenever an attempt ends, keep the loop
+                // busy.
                 advance(gen);
             }
         }
@@ -493,13 +567,18 @@
         if (gen.product.effect == Effect.IDEMPOTENT
                 || gen.product.effect == Effect.DEDUPLICATED && gen.product.span == Span.ALL
                 || gen.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
-            host.throttle(gen, comeBackMaxMs <= 0 ? 0 : comeBackMaxMs * (0.3 + 0.7 * random.nextDouble()));
+            host.throttle(
+                    gen,
+                    comeBackMaxMs <= 0 ? 0 : comeBackMaxMs * (0.3 + 0.7 * random.nextDouble()));
         } else {
             host.terminate(gen);
         }
     }
 
-    /** Danger: a release frees nothing that an attempt still out may take; it is said again after that. */
+    /**
+     * Danger: a release frees nothing that an attempt still out may take; it is said again after
+     * that.
+     */
     private void letGo(Gen gen) {
         if (gen.held) {
             gen.held = gen.attemptsOut > 0;
@@ -514,7 +593,8 @@
         double now = host.now();
         double unread = readToks(gen, reader);
         boolean alone = reader.role != Role.READER;
-        Attempt attempt = new Attempt(gen, reader, !alone, now, alone ? genToks(gen) : unread, unread);
+        Attempt attempt =
+                new Attempt(gen, reader, !alone, now, alone ? genToks(gen) : unread, unread);
         double dueMs = (unreadToks(reader, now) + unread) * msPerTok(reader, now);
         attempt.patienceMs = (alone ? OVERDUE_WRITE_MS : OVERDUE_READ_MS) + OVERDUE_FACTOR * dueMs;
         // Danger: a read whose answer is lost leaves a state that no outcome tells of.
@@ -532,7 +612,10 @@
         }
     }
 
-    /** Whether the readers that would come first for a generation are still to answer for their load. */
+    /**
+     * Whether the readers that would come first for a generation are still to answer for their
+     * load.
+     */
     private boolean isAsking(Gen gen) {
         double now = host.now();
         if (now - gen.askedMs > ASK_AGAIN_MS) {
@@ -541,13 +624,14 @@
             gen.asked.addAll(homes(gen).subList(0, Math.min(READERS_ASKED, homes(gen).size())));
             gen.asked.forEach(this::ask);
         }
-        return mayProbe && now < gen.askedMs + ASK_WAIT_MS
+        return mayProbe
+                && now < gen.askedMs + ASK_WAIT_MS
                 && gen.asked.stream().anyMatch(e -> e.reportMs < e.probedMs);
     }
 
     /**
-     * Danger: fronts that ask on a clock ask as often as there are fronts; asks that follow generations stay
-     * the same few for each, and chance keeps fronts from one common pick.
+     * Danger: fronts that ask on a clock ask as often as there are fronts; asks that follow
+     * generations stay the same few for each, and chance keeps fronts from one common pick.
      */
     private void ask(Engine engine) {
         if (mayProbe && host.now() - Math.max(engine.probedMs, engine.reportMs) > FRESH_MS) {
@@ -589,15 +673,22 @@
         }
     }
 
-    /** The regular look at a generation: its limit, its steps left undone, and the silence of its engine. */
+    /**
+     * The regular look at a generation: its limit, its steps left undone, and the silence of its
+     * engine.
+     */
     private void look(Gen gen, double now) {
         if (gen.over || gen.begun) {
             return;
         }
         Attempt newest = gen.attempts.isEmpty() ? null : gen.attempts.get(gen.attempts.size() - 1);
-        if (gen.state != null && newest.out && !newest.toldLate && now - newest.sentMs > MOVE_LATE_MS
+        if (gen.state != null
+                && newest.out
+                && !newest.toldLate
+                && now - newest.sentMs > MOVE_LATE_MS
                 && distance(gen.state.engine, newest.engine) > 0) {
-            // One that has not begun yet tells sooner than those that have; once, since one may be lost.
+            // One that has not begun yet tells sooner than those that have; once, since one may be
+            // lost.
             newest.toldLate = true;
             gen.state.engine.moves.add(now, 2 * MOVE_LATE_MS, 1);
         }
@@ -605,8 +696,11 @@
             giveUp(gen, GiveUpReason.TIME_UP);
         } else if (gen.attemptsOut == 0 && !gen.waiting && now >= gen.nextAttemptMs) {
             advance(gen);
-        } else if (gen.attemptsOut > 0 && gen.product.effect == Effect.IDEMPOTENT && mayCancel
-                && maySendCopies && gen.attemptsSent() + (gen.state == null ? 2 : 1) <= maxAttempts) {
+        } else if (gen.attemptsOut > 0
+                && gen.product.effect == Effect.IDEMPOTENT
+                && mayCancel
+                && maySendCopies
+                && gen.attemptsSent() + (gen.state == null ? 2 : 1) <= maxAttempts) {
             Attempt attempt = gen.attempts.get(gen.attempts.size() - 1);
             double silentMs = now - Math.max(attempt.engine.heardMs, attempt.sentMs);
             if (attempt.out && !attempt.cancelled && silentMs > attempt.patienceMs) {
@@ -616,13 +710,14 @@
     }
 
     /**
-     * Danger: an engine that takes work and falls silent would keep it until the client leaves. A read gets a
-     * second one beside it, since calling off one that only takes long would waste it; an answer that waits
-     * for its writer moves only where there is room, or it would queue anew.
+     * Danger: an engine that takes work and falls silent would keep it until the client leaves. A
+     * read gets a second one beside it, since calling off one that only takes long would waste it;
+     * an answer that waits for its writer moves only where there is room, or it would queue anew.
      */
     private void overdue(Gen gen, Attempt attempt) {
         blame(attempt.engine);
-        Engine other = gen.state != null ? pickWriter(gen) : roomAnywhere(gen) ? pickReader(gen) : null;
+        Engine other =
+                gen.state != null ? pickWriter(gen) : roomAnywhere(gen) ? pickReader(gen) : null;
         if (other != null && other != attempt.engine && gen.state == null) {
             sendRead(gen, other);
         } else if (other != null && other != attempt.engine && hasRoom(other, gen)) {
@@ -638,14 +733,16 @@
     }
 
     /**
-     * Rule 4: a chance draw whose mean over all fronts is the part of the budget that a cold engine may get,
-     * by what warm peers take. Danger: one attempt a front is too much where there are many fronts, and an
-     * idle new engine looks best to all of them at once; no draw is worth more than the time since the last.
+     * Rule 4: a chance draw whose mean over all fronts is the part of the budget that a cold engine
+     * may get, by what warm peers take. Danger: one attempt a front is too much where there are
+     * many fronts, and an idle new engine looks best to all of them at once; no draw is worth more
+     * than the time since the last.
      */
     private boolean coldDraw(Engine engine, double now) {
         boolean reads = engine.role == Role.READER;
-        double units = (reads ? readers : writers).stream().filter(e -> !isCold(e, now))
-                .mapToDouble(e -> e.units).sum();
+        double units =
+                (reads ? readers : writers)
+                        .stream().filter(e -> !isCold(e, now)).mapToDouble(e -> e.units).sum();
         Ring taken = reads ? warmReads : warmWrites;
         double spanMs = Math.min(taken.spanMs(), now - bornMs + 1);
         double perMs = taken.sum(now) / spanMs / Math.max(units, engine.units);
@@ -662,7 +759,8 @@
         boolean anySound = pool.stream().anyMatch(e -> isSound(e, now));
         for (Engine engine : pool) {
             // All suspect = none suspect: doubt must never empty a pool.
-            if ((isSound(engine, now) || !anySound) && RepeatRule.mayDecide(gen, engine, now, maySendCopies)
+            if ((isSound(engine, now) || !anySound)
+                    && RepeatRule.mayDecide(gen, engine, now, maySendCopies)
                     && (!isCold(engine, now) || coldDraw(engine, now))) {
                 fit.add(engine);
             }
@@ -671,14 +769,17 @@
     }
 
     private boolean isSound(Engine engine, double now) {
-        // Danger: a home that has just turned a read away would be asked again until no attempt is left.
-        return now >= engine.suspectUntilMs && (!engine.onTrial || engine.attempts.isEmpty())
+        // Danger: a home that has just turned a read away would be asked again until no attempt is
+        // left.
+        return now >= engine.suspectUntilMs
+                && (!engine.onTrial || engine.attempts.isEmpty())
                 && (engine.role != Role.READER || now >= engine.fullUntilMs);
     }
 
     /**
-     * Danger: an engine that errs at once is always idle and would draw one attempt after another, until its
-     * generations have used up their attempts; that it still answers, probes too, must not clear it.
+     * Danger: an engine that errs at once is always idle and would draw one attempt after another,
+     * until its generations have used up their attempts; that it still answers, probes too, must
+     * not clear it.
      */
     private static void answered(Engine engine, boolean erred) {
         engine.errorShare += ERROR_WEIGHT * ((erred ? 1 : 0) - engine.errorShare);
@@ -699,9 +800,11 @@
         engine.reports = true;
         engine.reportMs = now;
         if (engine.role == Role.READER) {
-            // Reports count whole prompts, also what is kept of them, but not what is left while being read.
+            // Reports count whole prompts, also what is kept of them, but not what is left while
+            // being read.
             double halfRead = orZero(report.inflight() - orZero(report.queue())) * BEING_READ;
-            double unread = orZero(report.toRead()) * unreadParts.at(now) + halfRead * unreadSizes.at(now);
+            double unread =
+                    orZero(report.toRead()) * unreadParts.at(now) + halfRead * unreadSizes.at(now);
             engine.othersUnreadToks = Math.max(0, unread - engine.unreadToks);
             toldUnread.add(now, engine.othersUnreadToks, 1);
             return;
@@ -710,7 +813,8 @@
         engine.toldStreams = Math.max(0, engine.streams - engine.freshStreams.sum(now));
         double own = Math.max(0, engine.writeToks - engine.freshToks.sum(now));
         // Danger: a full writer's memory share says nothing of the states that queue for it.
-        double toks = orZero(report.heldShare() * engine.memoryToks + orZero(report.toRead()) - own);
+        double toks =
+                orZero(report.heldShare() * engine.memoryToks + orZero(report.toRead()) - own);
         double streams = orZero(report.inflight() - engine.toldStreams);
         engine.othersToks += (1 - kept) * (Math.max(0, toks) - engine.othersToks);
         engine.othersStreams += (1 - kept) * (Math.max(0, streams) - engine.othersStreams);
@@ -725,7 +829,12 @@
             engine.suspectForMs = Math.min(SUSPECT_MOST_MS, forMs);
             engine.suspectUntilMs = now + engine.suspectForMs * (0.75 + 0.5 * random.nextDouble());
             engine.onTrial = true;
-            host.log("engine " + engine.label + " suspect for " + Math.round(engine.suspectForMs) + " ms");
+            host.log(
+                    "engine "
+                            + engine.label
+                            + " suspect for "
+                            + Math.round(engine.suspectForMs)
+                            + " ms");
         }
     }
 
@@ -736,34 +845,51 @@
         return Math.max(unreadToks(engine, now) * msPerTok(engine, now), silent);
     }
 
-    /** Own unread tokens there and, by a fresh report, the others'; a front's own sends are but a sliver. */
+    /**
+     * Own unread tokens there and, by a fresh report, the others'; a front's own sends are but a
+     * sliver.
+     */
     private double unreadToks(Engine engine, double now) {
         double weight = Math.exp((engine.reportMs - now) / READ_REPORT_MS);
-        return engine.unreadToks + weight * engine.othersUnreadToks
+        return engine.unreadToks
+                + weight * engine.othersUnreadToks
                 + (engine.role == Role.READER ? (1 - weight) * toldUnread.at(now) : 0);
     }
 
     /** By the best of late, which no queue has slowed: a mean would count others' prompts twice. */
     private double msPerTok(Engine engine, double now) {
-        double speed = engine != null && engine.reads.sum(now) >= OWN_READS
-                ? engine.speeds.most(now) : speeds.most(now);
+        double speed =
+                engine != null && engine.reads.sum(now) >= OWN_READS
+                        ? engine.speeds.most(now)
+                        : speeds.most(now);
         return 1 / (speed > 0 ? speed : UNHEARD_TOKS_PER_MS);
     }
 
     private double readToks(Gen gen, Engine reader) {
-        int kept = Math.max(gen.prefix == null ? 0 : Math.min(gen.prefix.toksAt(reader), gen.sharedToks),
-                gen.session == null ? 0 : Math.min(gen.session.toksAt(reader), gen.promptToks));
+        int kept =
+                Math.max(
+                        gen.prefix == null
+                                ? 0
+                                : Math.min(gen.prefix.toksAt(reader), gen.sharedToks),
+                        gen.session == null
+                                ? 0
+                                : Math.min(gen.session.toksAt(reader), gen.promptToks));
         List<Engine> homes = homes(gen);
         if (homes.contains(reader)) {
-            kept = Math.max(kept, reader == homes.get(0)
-                    ? (int) (homesKept.at(host.now()) * gen.promptToks) : gen.sharedToks);
+            kept =
+                    Math.max(
+                            kept,
+                            reader == homes.get(0)
+                                    ? (int) (homesKept.at(host.now()) * gen.promptToks)
+                                    : gen.sharedToks);
         }
         return Math.max(gen.promptToks - kept, LEAST_READ_TOKS);
     }
 
     /**
-     * The readers that the hashes of prefix and session name, alike at all fronts, so that others will have
-     * sent the texts there: a prefix has a few homes in each zone, a session prefers one of them.
+     * The readers that the hashes of prefix and session name, alike at all fronts, so that others
+     * will have sent the texts there: a prefix has a few homes in each zone, a session prefers one
+     * of them.
      */
     private List<Engine> homes(Gen gen) {
         Text first = gen.prefix != null ? gen.prefix : gen.session;
@@ -778,8 +904,9 @@
                 }
             }
             Text text = gen.session != null ? gen.session : first;
-            gen.homes.sort(Comparator.comparing((Engine e) -> !e.zone.equals(zone))
-                    .thenComparing(Comparator.comparingLong(text::affinity).reversed()));
+            gen.homes.sort(
+                    Comparator.comparing((Engine e) -> !e.zone.equals(zone))
+                            .thenComparing(Comparator.comparingLong(text::affinity).reversed()));
         }
         return new ArrayList<>(gen.homes);
     }
@@ -795,9 +922,10 @@
     }
 
     /**
-     * A load as it may be now: the own part, the others' by a report that fades into what writers usually
-     * tell, and the others' sends since. Danger: each own send counted as one of every front makes one send
-     * outweigh all reports; the more fronts there are, the less a front's own few sends tell of the others.
+     * A load as it may be now: the own part, the others' by a report that fades into what writers
+     * usually tell, and the others' sends since. Danger: each own send counted as one of every
+     * front makes one send outweigh all reports; the more fronts there are, the less a front's own
+     * few sends tell of the others.
      */
     private double present(Engine engine, double own, double others, Mean told, double each) {
         double now = host.now();
@@ -812,7 +940,8 @@
 
     /** Room for this one beside all that this front has being read. */
     private boolean roomAnywhere(Gen gen) {
-        double room = writers.stream().filter(e -> hasRoom(e, gen)).mapToDouble(this::roomToks).sum();
+        double room =
+                writers.stream().filter(e -> hasRoom(e, gen)).mapToDouble(this::roomToks).sum();
         return writers.isEmpty() || !(room < awaitingToks + genToks(gen));
     }
 
@@ -826,7 +955,8 @@
     }
 
     private static double genToks(Gen gen) {
-        double out = Double.isNaN(gen.hintToks) ? EXPECTED_SHARE_OF_MAX * gen.maxToks : gen.hintToks;
+        double out =
+                Double.isNaN(gen.hintToks) ? EXPECTED_SHARE_OF_MAX * gen.maxToks : gen.hintToks;
         return gen.promptToks + out;
     }
 
--- a/src/main/java/larchridge/Host.java
+++ b/src/main/java/larchridge/Host.java
@@ -18,7 +18,10 @@
     /** Lets go of every state that is held for a generation and that no attempt waits for. */
     void release(Gen gen);
 
-    /** Final answer: not now, and trying again is harmless. With comeBackMs 0 there is no advice when. */
+    /**
+     * Final answer: not now, and trying again is harmless. With comeBackMs 0 there is no advice
+     * when.
+     */
     void throttle(Gen gen, double comeBackMs);
 
     /** Final answer: failed, and nothing is promised of its effects. */
--- a/src/main/java/larchridge/RepeatRule.java
+++ b/src/main/java/larchridge/RepeatRule.java
@@ -7,17 +7,21 @@
 import larchridge.state.Span;
 
 /**
- * Rule 2: whether one more attempt of a generation could repeat an effect, or run beside another where that is not allowed.
- * Asked twice: when an attempt is decided, and again when it is written, since a connection may come up long after the
- * decision and the window in which engines drop repeats goes on running.
+ * Rule 2: whether one more attempt of a generation could repeat an effect, or run beside another
+ * where that is not allowed. Asked twice: when an attempt is decided, and again when it is written,
+ * since a connection may come up long after the decision and the window in which engines drop
+ * repeats goes on running.
  */
 public final class RepeatRule {
-    /** Of the window in which engines drop repeats, the part in which a repeat may still be decided. */
+    /**
+     * Of the window in which engines drop repeats, the part in which a repeat may still be decided.
+     */
     private static final double DECIDED_WITHIN_PART = 0.8;
+
     /** A process may be held up for so long between reading its clock and writing. */
     private static final double HELD_UP_MS = 150;
 
-    private RepeatRule() { }
+    private RepeatRule() {}
 
     /** Whether an attempt of a generation may be decided for an engine now. */
     static boolean mayDecide(Gen gen, Engine engine, double nowMs, boolean copiesAllowed) {
@@ -32,8 +36,11 @@
         return mayRun(attempt.gen, attempt.engine, attempt, nowMs - latest, copiesAllowed);
     }
 
-    /** Whether no earlier attempt, beside the one asked about, stands against a run at an engine. */
-    private static boolean mayRun(Gen gen, Engine engine, Attempt own, double sentSinceMs, boolean copiesAllowed) {
+    /**
+     * Whether no earlier attempt, beside the one asked about, stands against a run at an engine.
+     */
+    private static boolean mayRun(
+            Gen gen, Engine engine, Attempt own, double sentSinceMs, boolean copiesAllowed) {
         Effect effect = gen.product.effect;
         if (effect == Effect.IDEMPOTENT && copiesAllowed) {
             return true;
@@ -46,9 +53,11 @@
             return true;
         }
         for (Attempt earlier : gen.attempts) {
-            if (earlier != own && earlier.mayHaveRun()
-                    && (effect == Effect.SIDE_EFFECTING || earlier.sentMs < sentSinceMs
-                    || !dropsRepeats(gen.product.span, earlier.engine, engine))) {
+            if (earlier != own
+                    && earlier.mayHaveRun()
+                    && (effect == Effect.SIDE_EFFECTING
+                            || earlier.sentMs < sentSinceMs
+                            || !dropsRepeats(gen.product.span, earlier.engine, engine))) {
                 return false;
             }
         }
--- a/src/main/java/larchridge/audit/AuditedEngine.java
+++ b/src/main/java/larchridge/audit/AuditedEngine.java
@@ -7,4 +7,5 @@
  *
  * @param startMs when its process started, in the node's clock; 0 means long ago
  */
-public record AuditedEngine(boolean serving, Role role, String zone, long rack, double units, double startMs) { }
+public record AuditedEngine(
+        boolean serving, Role role, String zone, long rack, double units, double startMs) {}
--- a/src/main/java/larchridge/audit/ColdBudgetAudit.java
+++ b/src/main/java/larchridge/audit/ColdBudgetAudit.java
@@ -9,9 +9,9 @@
 import larchridge.state.Role;
 
 /**
- * What this node writes to cold engines, beside its part of their budget. A node sees its own sends alone: its part is the
- * rate at which it sends to a warm engine of the role, times the multiple and the share that a cold one can bear. The
- * allowance for chance is that of the platform's rule.
+ * What this node writes to cold engines, beside its part of their budget. A node sees its own sends
+ * alone: its part is the rate at which it sends to a warm engine of the role, times the multiple
+ * and the share that a cold one can bear. The allowance for chance is that of the platform's rule.
  */
 final class ColdBudgetAudit {
     private static final int RATE_SECONDS = 30;
@@ -29,7 +29,8 @@
     }
 
     /** Counts a write; false if the engine is cold and has got more than this node's part. */
-    boolean written(Spot spot, AuditedEngine engine, Map<Spot, AuditedEngine> engines, double nowMs) {
+    boolean written(
+            Spot spot, AuditedEngine engine, Map<Spot, AuditedEngine> engines, double nowMs) {
         boolean reads = engine.role() == Role.READER;
         if (!isCold(engine, nowMs)) {
             lateWrites.remove(spot);
@@ -46,16 +47,21 @@
 
     private double allowed(AuditedEngine engine, Map<Spot, AuditedEngine> engines, double nowMs) {
         boolean reads = engine.role() == Role.READER;
-        double units = engines.values().stream().filter(AuditedEngine::serving)
-                .filter(one -> (one.role() == Role.READER) == reads && !isCold(one, nowMs))
-                .mapToDouble(AuditedEngine::units).sum();
+        double units =
+                engines.values().stream()
+                        .filter(AuditedEngine::serving)
+                        .filter(one -> (one.role() == Role.READER) == reads && !isCold(one, nowMs))
+                        .mapToDouble(AuditedEngine::units)
+                        .sum();
         Ring warm = reads ? warmReads : warmWrites;
         double spanMs = Math.max(1000, Math.min(warm.spanMs(), nowMs - bornMs));
         double perUnitMs = warm.sum(nowMs) / spanMs / Math.max(units, engine.units());
         double age = Math.min(1, (nowMs - engine.startMs()) / terms.coldMs());
         double share = terms.coldShare() + (1 - terms.coldShare()) * age;
         double budget = terms.tipMultiple() * share * perUnitMs * engine.units() * terms.tipMs();
-        return budget < FEW ? budget + 3 * Math.sqrt(budget) + 3 : budget + 2 * Math.sqrt(budget) + 2;
+        return budget < FEW
+                ? budget + 3 * Math.sqrt(budget) + 3
+                : budget + 2 * Math.sqrt(budget) + 2;
     }
 
     private boolean isCold(AuditedEngine engine, double nowMs) {
--- a/src/main/java/larchridge/audit/ConnectionSide.java
+++ b/src/main/java/larchridge/audit/ConnectionSide.java
@@ -1,4 +1,7 @@
 package larchridge.audit;
 
 /** Whom a connection goes to. */
-public enum ConnectionSide { CLIENT, ENGINE }
+public enum ConnectionSide {
+    CLIENT,
+    ENGINE
+}
--- a/src/main/java/larchridge/audit/Violations.java
+++ b/src/main/java/larchridge/audit/Violations.java
@@ -11,8 +11,10 @@
 public final class Violations {
     /** The message of each line, by which it is found. */
     public static final String MESSAGE = "invariant violated";
+
     /** Lines of one invariant; beyond it violations are only counted. */
     private static final int MOST_LINES = 100;
+
     private static final Logger LOG = LoggerFactory.getLogger(Violations.class);
 
     private final Map<Invariant, Counter> counters = new EnumMap<>(Invariant.class);
@@ -20,8 +22,11 @@
 
     public Violations(MeterRegistry registry) {
         for (Invariant invariant : Invariant.values()) {
-            counters.put(invariant, Counter.builder("larchridge_invariant_violations").tag("invariant", invariant.tag())
-                    .register(registry));
+            counters.put(
+                    invariant,
+                    Counter.builder("larchridge_invariant_violations")
+                            .tag("invariant", invariant.tag())
+                            .register(registry));
         }
     }
 
@@ -29,8 +34,12 @@
     public void count(Invariant invariant, String id, String what, String steps) {
         counters.get(invariant).increment();
         if (lines.merge(invariant, 1, Integer::sum) <= MOST_LINES) {
-            LOG.atError().addKeyValue("invariant", invariant.tag()).addKeyValue("id", id).addKeyValue("what", what)
-                    .addKeyValue("steps", steps).log(MESSAGE);
+            LOG.atError()
+                    .addKeyValue("invariant", invariant.tag())
+                    .addKeyValue("id", id)
+                    .addKeyValue("what", what)
+                    .addKeyValue("steps", steps)
+                    .log(MESSAGE);
         }
     }
 
--- a/src/main/java/larchridge/baseline/Plain.java
+++ b/src/main/java/larchridge/baseline/Plain.java
@@ -20,12 +20,19 @@
 import larchridge.state.Text;
 
 /**
- * Plain policies that the module is compared with in experiments; never in the program's path. Each takes one reader and, when
- * that has read, one writer, waits for nothing, asks for no load, and tries again elsewhere where an effect allows it.
+ * Plain policies that the module is compared with in experiments; never in the program's path. Each
+ * takes one reader and, when that has read, one writer, waits for nothing, asks for no load, and
+ * tries again elsewhere where an effect allows it.
  */
 public final class Plain implements Decider {
     /** How an engine is taken from its pool. */
-    public enum Kind { RANDOM, ROUND_ROBIN, LEAST_OPEN, POWER_OF_TWO, PREFIX_HASH }
+    public enum Kind {
+        RANDOM,
+        ROUND_ROBIN,
+        LEAST_OPEN,
+        POWER_OF_TWO,
+        PREFIX_HASH
+    }
 
     private static final double EARLY_MS = 30;
     private static final double LOOK_MS = 20;
@@ -64,7 +71,14 @@
             return;
         }
         boolean read = engine.role == Role.READER;
-        Attempt attempt = new Attempt(gen, engine, read, host.now(), gen.promptToks, gen.state == null ? gen.promptToks : 0);
+        Attempt attempt =
+                new Attempt(
+                        gen,
+                        engine,
+                        read,
+                        host.now(),
+                        gen.promptToks,
+                        gen.state == null ? gen.promptToks : 0);
         gen.held |= read;
         attempt.open();
         host.send(attempt);
@@ -77,7 +91,8 @@
         return switch (kind) {
             case RANDOM -> pool.get(random.nextInt(pool.size()));
             case ROUND_ROBIN -> pool.get(turn++ % pool.size());
-            case LEAST_OPEN -> pool.stream().min(Comparator.comparingInt(e -> e.attempts.size())).get();
+            case LEAST_OPEN ->
+                    pool.stream().min(Comparator.comparingInt(e -> e.attempts.size())).get();
             case POWER_OF_TWO -> {
                 Engine one = pool.get(random.nextInt(pool.size()));
                 Engine other = pool.get(random.nextInt(pool.size()));
@@ -85,7 +100,8 @@
             }
             case PREFIX_HASH -> {
                 Text text = gen.prefix != null ? gen.prefix : gen.session;
-                yield gen.state != null || text == null ? pool.get(random.nextInt(pool.size()))
+                yield gen.state != null || text == null
+                        ? pool.get(random.nextInt(pool.size()))
                         : pool.stream().max(Comparator.comparingLong(text::affinity)).get();
             }
         };
@@ -124,7 +140,9 @@
         if (gen.over || gen.begun || gen.attemptsOut > 0) {
             return;
         }
-        boolean mayRepeat = gen.product.effect == Effect.IDEMPOTENT || gen.attempts.stream().noneMatch(Attempt::mayHaveRun);
+        boolean mayRepeat =
+                gen.product.effect == Effect.IDEMPOTENT
+                        || gen.attempts.stream().noneMatch(Attempt::mayHaveRun);
         if (mayRepeat && host.now() < gen.limitMs - EARLY_MS) {
             advance(gen);
         } else {
--- a/src/main/java/larchridge/batch/BatchDoor.java
+++ b/src/main/java/larchridge/batch/BatchDoor.java
@@ -36,7 +36,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The Files and Batches API, by the public specification. One thread a call; what it asks of the store runs on its loop. */
+/**
+ * The Files and Batches API, by the public specification. One thread a call; what it asks of the
+ * store runs on its loop.
+ */
 final class BatchDoor extends Handler.Abstract {
     private static final Logger LOG = LoggerFactory.getLogger(BatchDoor.class);
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -45,7 +48,8 @@
     private static final long ANSWER_MS = 30_000;
     private static final long LONGEST_WINDOW_MS = 30L * 24 * 3600 * 1000;
     private static final Pattern WINDOW = Pattern.compile("([1-9]\\d{0,5})([smhd])");
-    private static final Map<String, Long> UNITS = Map.of("s", 1000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
+    private static final Map<String, Long> UNITS =
+            Map.of("s", 1000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
 
     private final Site site;
     private final BatchTerms terms;
@@ -69,7 +73,11 @@
             if (response.isCommitted()) {
                 callback.failed(e);
             } else {
-                refuse(response, callback, Refusal.broken("the call could not be carried out; nothing of it was kept"));
+                refuse(
+                        response,
+                        callback,
+                        Refusal.broken(
+                                "the call could not be carried out; nothing of it was kept"));
             }
         }
         return true;
@@ -77,8 +85,11 @@
 
     private static void refuse(Response response, Callback callback, Refusal refusal) {
         ObjectNode body = MAPPER.createObjectNode();
-        body.putObject("error").put("message", refusal.getMessage()).put("type", refusal.type)
-                .put("param", refusal.field).putNull("code");
+        body.putObject("error")
+                .put("message", refusal.getMessage())
+                .put("type", refusal.type)
+                .put("param", refusal.field)
+                .putNull("code");
         response.setStatus(refusal.status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         // What is left of the body is not read.
@@ -86,7 +97,8 @@
         if (refusal.status == 503) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, "1");
         }
-        response.write(true, ByteBuffer.wrap(body.toString().getBytes(StandardCharsets.UTF_8)), callback);
+        response.write(
+                true, ByteBuffer.wrap(body.toString().getBytes(StandardCharsets.UTF_8)), callback);
     }
 
     private void route(Request request, Response response) throws Refusal, IOException {
@@ -124,8 +136,10 @@
 
     private Site.Tenant caller(Request request) throws Refusal {
         String key = request.getHeaders().get(HttpHeader.AUTHORIZATION);
-        key = key != null && key.regionMatches(true, 0, "Bearer ", 0, 7) ? key.substring(7).strip()
-                : request.getHeaders().get("x-api-key");
+        key =
+                key != null && key.regionMatches(true, 0, "Bearer ", 0, 7)
+                        ? key.substring(7).strip()
+                        : request.getHeaders().get("x-api-key");
         Site.Tenant tenant = key == null && site.guest == null ? null : site.tenant(key);
         if (tenant == null) {
             throw Refusal.unknownKey();
@@ -135,38 +149,60 @@
 
     // ------------------------------------------------------------------ files
 
-    private void upload(Request request, Response response, Site.Tenant tenant) throws Refusal, IOException {
+    private void upload(Request request, Response response, Site.Tenant tenant)
+            throws Refusal, IOException {
         if (request.getLength() > terms.fileBytes + MOST_BODY) {
             throw Refusal.tooLarge("the file is over " + terms.fileBytes + " bytes");
         }
         Store store = service.store();
-        onLoop(batches -> {
-            room(store, tenant, Math.max(0, request.getLength() - MOST_BODY));
-            return null;
-        });
+        onLoop(
+                batches -> {
+                    room(store, tenant, Math.max(0, request.getLength() - MOST_BODY));
+                    return null;
+                });
         try (Upload upload = new Upload(store::receive, terms.fileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
-                throw Refusal.invalid("purpose", "'" + upload.purpose() + "' is not batch, the only purpose served");
+                throw Refusal.invalid(
+                        "purpose",
+                        "'" + upload.purpose() + "' is not batch, the only purpose served");
             }
-            answer(response, fileJson(onLoop(batches -> {
-                room(store, tenant, upload.file().bytes());
-                return store.keep(upload.file(), tenant.name(), upload.fileName(), upload.purpose(),
-                        (long) service.nowMs());
-            })));
+            answer(
+                    response,
+                    fileJson(
+                            onLoop(
+                                    batches -> {
+                                        room(store, tenant, upload.file().bytes());
+                                        return store.keep(
+                                                upload.file(),
+                                                tenant.name(),
+                                                upload.fileName(),
+                                                upload.purpose(),
+                                                (long) service.nowMs());
+                                    })));
         }
     }
 
     private void room(Store store, Site.Tenant tenant, long bytes) throws Refusal {
-        if (store.bytesOf(tenant.name()) + bytes > terms.tenantBytes || store.filesOf(tenant.name()) >= terms.tenantFiles) {
-            throw Refusal.overQuota("kept are " + store.bytesOf(tenant.name()) + " bytes in " + store.filesOf(tenant.name())
-                    + " files; allowed are " + terms.tenantBytes + " in " + terms.tenantFiles + "; delete some");
+        if (store.bytesOf(tenant.name()) + bytes > terms.tenantBytes
+                || store.filesOf(tenant.name()) >= terms.tenantFiles) {
+            throw Refusal.overQuota(
+                    "kept are "
+                            + store.bytesOf(tenant.name())
+                            + " bytes in "
+                            + store.filesOf(tenant.name())
+                            + " files; allowed are "
+                            + terms.tenantBytes
+                            + " in "
+                            + terms.tenantFiles
+                            + "; delete some");
         }
     }
 
     private FileForm file(String id, Site.Tenant tenant) throws Refusal, IOException {
-        // Records of files are read here: only what changes them, and batches that are under way, belong to the loop.
+        // Records of files are read here: only what changes them, and batches that are under way,
+        // belong to the loop.
         FileForm file = service.store().file(id);
         if (file == null || !file.getTenant().equals(tenant.name())) {
             throw Refusal.notFound("file: " + id);
@@ -180,7 +216,8 @@
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, file.getBytes());
             try (OutputStream to = Content.Sink.asOutputStream(response)) {
                 ByteBuffer part = ByteBuffer.allocate(1 << 16);
-                // Danger: a slow reader holds its thread; its connection is cut when it takes nothing for idle_connection_ms.
+                // Danger: a slow reader holds its thread; its connection is cut when it takes
+                // nothing for idle_connection_ms.
                 for (int got = from.read(part); got >= 0; got = from.read(part.clear())) {
                     to.write(part.array(), 0, got);
                 }
@@ -193,38 +230,60 @@
         if (!gone) {
             throw Refusal.conflict("a batch that is not over reads this file");
         }
-        answer(response, MAPPER.createObjectNode().put("id", file.getId()).put("object", "file").put("deleted", true));
+        answer(
+                response,
+                MAPPER.createObjectNode()
+                        .put("id", file.getId())
+                        .put("object", "file")
+                        .put("deleted", true));
     }
 
     // ------------------------------------------------------------------ batches
 
-    private void make(Request request, Response response, Site.Tenant tenant) throws Refusal, IOException {
+    private void make(Request request, Response response, Site.Tenant tenant)
+            throws Refusal, IOException {
         JsonNode body = body(request);
         FileForm input = file(text(body, "input_file_id"), tenant);
         if (!input.getPurpose().equals("batch")) {
-            throw Refusal.invalid("input_file_id", "the file's purpose is " + input.getPurpose() + ", not batch");
+            throw Refusal.invalid(
+                    "input_file_id", "the file's purpose is " + input.getPurpose() + ", not batch");
         }
         String endpoint = text(body, "endpoint");
         if (!endpoint.equals(Wording.CHAT) && !endpoint.equals(Wording.MESSAGES)) {
-            throw Refusal.invalid("endpoint", "'" + endpoint + "' is not " + Wording.CHAT + " or " + Wording.MESSAGES);
+            throw Refusal.invalid(
+                    "endpoint",
+                    "'" + endpoint + "' is not " + Wording.CHAT + " or " + Wording.MESSAGES);
         }
         String window = text(body, "completion_window");
         Matcher spans = WINDOW.matcher(window);
-        long windowMs = spans.matches() ? Long.parseLong(spans.group(1)) * UNITS.get(spans.group(2)) : 0;
+        long windowMs =
+                spans.matches() ? Long.parseLong(spans.group(1)) * UNITS.get(spans.group(2)) : 0;
         if (windowMs <= 0 || windowMs > LONGEST_WINDOW_MS) {
-            throw Refusal.invalid("completion_window", "'" + window + "' is not a time like 24h, 30d at most");
+            throw Refusal.invalid(
+                    "completion_window", "'" + window + "' is not a time like 24h, 30d at most");
         }
         Map<String, String> metadata = metadata(body.path("metadata"));
-        answer(response, onLoop(batches -> {
-            // Danger: between the look and this the file could have been deleted.
-            if (service.store().file(input.getId()) == null) {
-                throw Refusal.notFound("file: " + input.getId());
-            }
-            long now = (long) service.nowMs();
-            return json(batches, batches.make(BatchForm.newBuilder().setTenant(tenant.name()).setInput(input.getId())
-                    .setEndpoint(endpoint).setWindow(window).setCreatedMs(now).setExpiresMs(now + windowMs)
-                    .putAllMetadata(metadata)));
-        }));
+        answer(
+                response,
+                onLoop(
+                        batches -> {
+                            // Danger: between the look and this the file could have been deleted.
+                            if (service.store().file(input.getId()) == null) {
+                                throw Refusal.notFound("file: " + input.getId());
+                            }
+                            long now = (long) service.nowMs();
+                            return json(
+                                    batches,
+                                    batches.make(
+                                            BatchForm.newBuilder()
+                                                    .setTenant(tenant.name())
+                                                    .setInput(input.getId())
+                                                    .setEndpoint(endpoint)
+                                                    .setWindow(window)
+                                                    .setCreatedMs(now)
+                                                    .setExpiresMs(now + windowMs)
+                                                    .putAllMetadata(metadata)));
+                        }));
     }
 
     private static Map<String, String> metadata(JsonNode node) throws Refusal {
@@ -233,11 +292,16 @@
             return metadata;
         }
         if (!node.isObject() || node.size() > MOST_METADATA) {
-            throw Refusal.invalid("metadata", "expected an object of at most " + MOST_METADATA + " texts");
+            throw Refusal.invalid(
+                    "metadata", "expected an object of at most " + MOST_METADATA + " texts");
         }
         for (Map.Entry<String, JsonNode> entry : node.properties()) {
-            if (!entry.getValue().isTextual() || entry.getKey().length() > 64 || entry.getValue().asText().length() > 512) {
-                throw Refusal.invalid("metadata." + entry.getKey(), "expected a key of 64 and a text of 512 characters at most");
+            if (!entry.getValue().isTextual()
+                    || entry.getKey().length() > 64
+                    || entry.getValue().asText().length() > 512) {
+                throw Refusal.invalid(
+                        "metadata." + entry.getKey(),
+                        "expected a key of 64 and a text of 512 characters at most");
             }
             metadata.put(entry.getKey(), entry.getValue().asText());
         }
@@ -248,7 +312,8 @@
         return onLoop(batches -> own(batches, id, tenant));
     }
 
-    private static BatchForm own(Batches batches, String id, Site.Tenant tenant) throws Refusal, IOException {
+    private static BatchForm own(Batches batches, String id, Site.Tenant tenant)
+            throws Refusal, IOException {
         BatchForm batch = batches.batch(id);
         if (batch == null || !batch.getTenant().equals(tenant.name())) {
             throw Refusal.notFound("batch: " + id);
@@ -257,31 +322,44 @@
     }
 
     private void cancel(Response response, BatchForm batch) throws Refusal, IOException {
-        ObjectNode now = onLoop(batches -> {
-            BatchForm cancelled = batches.cancel(batch.getId());
-            return cancelled == null ? null : json(batches, cancelled);
-        });
+        ObjectNode now =
+                onLoop(
+                        batches -> {
+                            BatchForm cancelled = batches.cancel(batch.getId());
+                            return cancelled == null ? null : json(batches, cancelled);
+                        });
         if (now == null) {
-            throw Refusal.conflict("a batch that is " + word(batch.getState()) + " can't be cancelled");
+            throw Refusal.conflict(
+                    "a batch that is " + word(batch.getState()) + " can't be cancelled");
         }
         answer(response, now);
     }
 
     /** A page of files or batches, newest first; after names the last one of the page before. */
-    private void list(Request request, Response response, Site.Tenant tenant, char kind, int mostItems)
+    private void list(
+            Request request, Response response, Site.Tenant tenant, char kind, int mostItems)
             throws Refusal, IOException {
         Fields query = Request.extractQueryParameters(request);
         String limit = query.getValue("limit");
         if (limit != null && !limit.matches("[1-9]\\d{0,4}")) {
-            throw Refusal.invalid("limit", "'" + limit + "' is not a number from 1 to " + mostItems);
+            throw Refusal.invalid(
+                    "limit", "'" + limit + "' is not a number from 1 to " + mostItems);
         }
         if ("asc".equals(query.getValue("order"))) {
             throw Refusal.invalid("order", "only desc is served");
         }
-        int items = Math.min(mostItems, limit == null ? kind == 'f' ? mostItems : 20 : Integer.parseInt(limit));
+        int items =
+                Math.min(
+                        mostItems,
+                        limit == null ? kind == 'f' ? mostItems : 20 : Integer.parseInt(limit));
         String after = query.getValue("after");
         String purpose = query.getValue("purpose");
-        long from = after == null ? -1 : kind == 'f' ? file(after, tenant).getNumber() : batch(after, tenant).getNumber();
+        long from =
+                after == null
+                        ? -1
+                        : kind == 'f'
+                                ? file(after, tenant).getNumber()
+                                : batch(after, tenant).getNumber();
         ArrayNode data = MAPPER.createArrayNode();
         List<String> ids = service.store().page(tenant.name(), kind, from, items + 1);
         for (String id : ids.subList(0, Math.min(items, ids.size()))) {
@@ -302,9 +380,14 @@
     // ------------------------------------------------------------------ in the API's words
 
     private static ObjectNode fileJson(FileForm file) {
-        return MAPPER.createObjectNode().put("id", file.getId()).put("object", "file").put("bytes", file.getBytes())
-                .put("created_at", file.getCreatedMs() / 1000).put("filename", file.getName())
-                .put("purpose", file.getPurpose()).put("status", "processed");
+        return MAPPER.createObjectNode()
+                .put("id", file.getId())
+                .put("object", "file")
+                .put("bytes", file.getBytes())
+                .put("created_at", file.getCreatedMs() / 1000)
+                .put("filename", file.getName())
+                .put("purpose", file.getPurpose())
+                .put("status", "processed");
     }
 
     /** A batch of this tenant as it is now, in one question to the loop. */
@@ -313,12 +396,21 @@
     }
 
     private static ObjectNode json(Batches batches, BatchForm batch) {
-        ObjectNode json = MAPPER.createObjectNode().put("id", batch.getId()).put("object", "batch")
-                .put("endpoint", batch.getEndpoint()).put("input_file_id", batch.getInput())
-                .put("completion_window", batch.getWindow()).put("status", word(batch.getState()))
-                .put("output_file_id", batch.getOutput().isEmpty() ? null : batch.getOutput())
-                .put("error_file_id", batch.getErrors().isEmpty() ? null : batch.getErrors())
-                .put("created_at", batch.getCreatedMs() / 1000);
+        ObjectNode json =
+                MAPPER.createObjectNode()
+                        .put("id", batch.getId())
+                        .put("object", "batch")
+                        .put("endpoint", batch.getEndpoint())
+                        .put("input_file_id", batch.getInput())
+                        .put("completion_window", batch.getWindow())
+                        .put("status", word(batch.getState()))
+                        .put(
+                                "output_file_id",
+                                batch.getOutput().isEmpty() ? null : batch.getOutput())
+                        .put(
+                                "error_file_id",
+                                batch.getErrors().isEmpty() ? null : batch.getErrors())
+                        .put("created_at", batch.getCreatedMs() / 1000);
         time(json, "in_progress_at", batch.getInProgressMs());
         time(json, "expires_at", batch.getExpiresMs());
         time(json, "finalizing_at", batch.getFinalizingMs());
@@ -328,15 +420,20 @@
         time(json, "failed_at", state == StateForm.FAILED ? batch.getEndedMs() : 0);
         time(json, "expired_at", state == StateForm.EXPIRED ? batch.getEndedMs() : 0);
         time(json, "cancelled_at", state == StateForm.CANCELLED ? batch.getEndedMs() : 0);
-        json.putObject("request_counts").put("total", batch.getTotal()).put("completed", batch.getDone())
+        json.putObject("request_counts")
+                .put("total", batch.getTotal())
+                .put("completed", batch.getDone())
                 .put("failed", batch.getFailed());
         if (batch.getFaultCount() == 0) {
             json.putNull("errors");
         } else {
             ArrayNode data = json.putObject("errors").put("object", "list").putArray("data");
             for (FaultForm fault : batch.getFaultList()) {
-                ObjectNode one = data.addObject().put("code", fault.getCode()).put("message", fault.getMessage())
-                        .put("param", fault.getField().isEmpty() ? null : fault.getField());
+                ObjectNode one =
+                        data.addObject()
+                                .put("code", fault.getCode())
+                                .put("message", fault.getMessage())
+                                .put("param", fault.getField().isEmpty() ? null : fault.getField());
                 if (fault.getLine() > 0) {
                     one.put("line", fault.getLine());
                 } else {
@@ -380,7 +477,8 @@
 
     private static String text(JsonNode body, String field) throws Refusal {
         if (!body.path(field).isTextual() || body.path(field).asText().isEmpty()) {
-            throw Refusal.invalid(field, body.path(field).isMissingNode() ? "is missing" : "expected a text");
+            throw Refusal.invalid(
+                    field, body.path(field).isMissingNode() ? "is missing" : "expected a text");
         }
         return body.path(field).asText();
     }
@@ -388,7 +486,8 @@
     private static void answer(Response response, JsonNode body) throws IOException {
         response.setStatus(200);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
-        Content.Sink.write(response, true, ByteBuffer.wrap(body.toString().getBytes(StandardCharsets.UTF_8)));
+        Content.Sink.write(
+                response, true, ByteBuffer.wrap(body.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
     // ------------------------------------------------------------------ the loop
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The batch API of one process, beside its fronts. One process of those that share a store owns it and does its work; the
- * others answer 503 and take over within a second of its death.
+ * The batch API of one process, beside its fronts. One process of those that share a store owns it
+ * and does its work; the others answer 503 and take over within a second of its death.
  */
 public final class BatchService {
     private static final Logger LOG = LoggerFactory.getLogger(BatchService.class);
@@ -77,7 +77,8 @@
     }
 
     /** Starts the API; the work begins at once, or when the store's owner has gone. */
-    public static BatchService start(Site site, List<Front> fronts, Counters counters, MeterRegistry registry, Points points)
+    public static BatchService start(
+            Site site, List<Front> fronts, Counters counters, MeterRegistry registry, Points points)
             throws IOException {
         BatchService service = new BatchService(site, fronts, counters, points);
         service.gauge(registry, "larchridge_batch_lines_out", Batches.Figures::linesOut);
@@ -86,31 +87,44 @@
         service.gauge(registry, "larchridge_batches_active", Batches.Figures::active);
         service.gauge(registry, "larchridge_batches_finished", Batches.Figures::finished);
         try {
-            service.loop.ask(() -> {
-                service.own();
-                return null;
-            }).get(OPEN_MS, TimeUnit.MILLISECONDS);
+            service.loop
+                    .ask(
+                            () -> {
+                                service.own();
+                                return null;
+                            })
+                    .get(OPEN_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             LOG.warn("the store takes long to open; the batch API answers 503 until then");
         } catch (ExecutionException e) {
-            throw new IOException("the store can't be opened: " + e.getCause().getMessage(), e.getCause());
+            throw new IOException(
+                    "the store can't be opened: " + e.getCause().getMessage(), e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
             service.server.start();
         } catch (Exception e) {
-            throw new IOException("the batch API can't listen on " + site.batch.host + ":" + site.batch.port + ": "
-                    + e.getMessage(), e);
+            throw new IOException(
+                    "the batch API can't listen on "
+                            + site.batch.host
+                            + ":"
+                            + site.batch.port
+                            + ": "
+                            + e.getMessage(),
+                    e);
         }
         return service;
     }
 
     private void gauge(MeterRegistry registry, String name, ToDoubleFunction<Batches.Figures> of) {
-        Gauge.builder(name, () -> {
-            Batches now = batches;
-            return now == null ? 0 : of.applyAsDouble(now.figures());
-        }).register(registry);
+        Gauge.builder(
+                        name,
+                        () -> {
+                            Batches now = batches;
+                            return now == null ? 0 : of.applyAsDouble(now.figures());
+                        })
+                .register(registry);
     }
 
     private void own() {
@@ -119,13 +133,23 @@
         }
         try {
             Store opened = Store.open(terms.folder, points);
-            Batches taken = new Batches(opened, site, new FrontDesk(fronts, loop), loop, new Planner(terms.openLines),
-                    new Attempts(terms.attempts, new Random(site.seed ^ 0xBA7C4L)), new Bodies(site, counters, loop));
+            Batches taken =
+                    new Batches(
+                            opened,
+                            site,
+                            new FrontDesk(fronts, loop),
+                            loop,
+                            new Planner(terms.openLines),
+                            new Attempts(terms.attempts, new Random(site.seed ^ 0xBA7C4L)),
+                            new Bodies(site, counters, loop));
             store = opened;
             batches = taken;
             taken.start();
             fronts.forEach(front -> loop.in(LOOK_MS, () -> look(front)));
-            LOG.atInfo().addKeyValue("store", terms.folder).addKeyValue("epoch", opened.epoch()).log("owns the store");
+            LOG.atInfo()
+                    .addKeyValue("store", terms.folder)
+                    .addKeyValue("epoch", opened.epoch())
+                    .log("owns the store");
         } catch (Store.Taken e) {
             if (!told) {
                 told = true;
@@ -143,13 +167,16 @@
         if (stopping) {
             return;
         }
-        front.loop().runOnContext(v -> {
-            Feeling felt = front.feeling();
-            loop.execute(() -> {
-                batches.felt(felt);
-                loop.in(LOOK_MS, () -> look(front));
-            });
-        });
+        front.loop()
+                .runOnContext(
+                        v -> {
+                            Feeling felt = front.feeling();
+                            loop.execute(
+                                    () -> {
+                                        batches.felt(felt);
+                                        loop.in(LOOK_MS, () -> look(front));
+                                    });
+                        });
     }
 
     public int port() {
@@ -180,10 +207,12 @@
     /** Copies the store while it is in use. */
     public void snapshot(Path to) throws IOException {
         try {
-            loop.ask(() -> {
-                batches().store().snapshot(to);
-                return null;
-            }).get(10, TimeUnit.MINUTES);
+            loop.ask(
+                            () -> {
+                                batches().store().snapshot(to);
+                                return null;
+                            })
+                    .get(10, TimeUnit.MINUTES);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("no snapshot: " + e.getMessage(), e);
         } catch (InterruptedException e) {
@@ -201,12 +230,13 @@
         } catch (Exception e) {
             LOG.error("the batch API did not stop well", e);
         }
-        loop.execute(() -> {
-            stopping = true;
-            if (batches != null) {
-                batches.stop();
-            }
-        });
+        loop.execute(
+                () -> {
+                    stopping = true;
+                    if (batches != null) {
+                        batches.stop();
+                    }
+                });
     }
 
     /** The end, after the fronts': what came back by then is on disk. */
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -35,18 +35,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All batches of one store, from their making to their end, on one loop. Each line of an input has exactly one record, in the
- * output or in the error file, over any crash: its record is written once, under batch and line, before anything counts on
- * it, and the files are made of the records when none is missing. Toward engines a line may go more than once where its
- * product allows that; it is noted before it goes, so that the next owner of the store knows which may have run.
+ * All batches of one store, from their making to their end, on one loop. Each line of an input has
+ * exactly one record, in the output or in the error file, over any crash: its record is written
+ * once, under batch and line, before anything counts on it, and the files are made of the records
+ * when none is missing. Toward engines a line may go more than once where its product allows that;
+ * it is noted before it goes, so that the next owner of the store knows which may have run.
  */
 final class Batches {
     private static final Logger LOG = LoggerFactory.getLogger(Batches.class);
     private static final double LOOK_MS = 100;
     private static final double JUDGE_MS = 1000;
     private static final double DISK_AGAIN_MS = 500;
+
     /** Records that are gathered for one write at most, and lines that may wait for theirs. */
     private static final int MOST_GATHERED = 512;
+
     private static final int MOST_READ_AHEAD = 10_000;
 
     private final Store store;
@@ -68,7 +71,14 @@
     private long finished;
     private volatile Figures figures = new Figures(0, 0, 0, 0, 0);
 
-    Batches(Store store, Site site, Desk desk, Loop loop, Planner planner, Attempts attempts, Bodies bodies) {
+    Batches(
+            Store store,
+            Site site,
+            Desk desk,
+            Loop loop,
+            Planner planner,
+            Attempts attempts,
+            Bodies bodies) {
         this.store = store;
         this.site = site;
         terms = site.batch;
@@ -87,14 +97,23 @@
         FileChannel input;
         Lines lines;
         boolean atEnd;
+
         /** Whether lines may have been answered or out before this owner came. */
         boolean resumed;
+
         boolean ending;
         final Map<Long, Trip> out = new LinkedHashMap<>();
-        final PriorityQueue<Trip> again = new PriorityQueue<>(Comparator.comparingDouble((Trip t) -> t.dueMs)
-                .thenComparingLong(t -> t.line.number()));
-        /** Lines that were read, from the first that has no record, and those among them that have one. */
+        final PriorityQueue<Trip> again =
+                new PriorityQueue<>(
+                        Comparator.comparingDouble((Trip t) -> t.dueMs)
+                                .thenComparingLong(t -> t.line.number()));
+
+        /**
+         * Lines that were read, from the first that has no record, and those among them that have
+         * one.
+         */
         final ArrayDeque<Lines.Line> read = new ArrayDeque<>();
+
         final Set<Long> recorded = new HashSet<>();
         int unwritten;
 
@@ -111,12 +130,18 @@
     private static final class Trip {
         final Job job;
         final Lines.Line line;
-        /** What it says, until it goes out for the first time; one that goes again is read again. */
+
+        /**
+         * What it says, until it goes out for the first time; one that goes again is read again.
+         */
         byte[] bytes;
+
         int attempts;
         int refusals;
+
         /** Whether it was out when the owner before ended. */
         boolean unsure;
+
         double dueMs;
         double toks;
         Desk.Out out;
@@ -175,7 +200,11 @@
             return null;
         }
         if (job.form.getState() != StateForm.CANCELLING) {
-            BatchForm.Builder next = job.form.clone().setState(StateForm.CANCELLING).setCancellingMs((long) loop.nowMs());
+            BatchForm.Builder next =
+                    job.form
+                            .clone()
+                            .setState(StateForm.CANCELLING)
+                            .setCancellingMs((long) loop.nowMs());
             store.update(next.build());
             job.form = next;
             if (job.work != null) {
@@ -202,7 +231,7 @@
     }
 
     /** What operators see of it. */
-    record Figures(double linesOut, double limit, double fallsAMinute, int active, long finished) { }
+    record Figures(double linesOut, double limit, double fallsAMinute, int active, long finished) {}
 
     /** As of the last look; for readers on other threads. */
     Figures figures() {
@@ -213,16 +242,25 @@
 
     private void validate(Job job) {
         BatchForm form = job.form.build();
-        loop.aside(() -> check.check(form), (result, failed) -> onDisk(() -> validated(job, result, failed),
-                () -> validate(job)));
+        loop.aside(
+                () -> check.check(form),
+                (result, failed) ->
+                        onDisk(() -> validated(job, result, failed), () -> validate(job)));
     }
 
     private void validated(Job job, InputCheck.Result result, Exception failed) throws IOException {
         if (failed instanceof IOException disk) {
             throw disk;
         }
-        List<FaultForm> faults = failed == null ? result.faults() : List.of(InputCheck.fault("internal_error", 0, null,
-                "the input could not be checked"));
+        List<FaultForm> faults =
+                failed == null
+                        ? result.faults()
+                        : List.of(
+                                InputCheck.fault(
+                                        "internal_error",
+                                        0,
+                                        null,
+                                        "the input could not be checked"));
         if (failed != null) {
             LOG.error("an input could not be checked", failed);
         }
@@ -246,14 +284,24 @@
         plan(job);
     }
 
-    /** Opens the input where the lines begin that are not all answered, and lets the planner choose among them. */
+    /**
+     * Opens the input where the lines begin that are not all answered, and lets the planner choose
+     * among them.
+     */
     private void plan(Job job) throws IOException {
         Site.Tenant tenant = site.tenantNamed(job.form.getTenant());
         job.input = store.content(store.file(job.form.getInput()));
-        job.lines = new Lines(job.input, terms.lineBytes, job.form.getLowLine(), job.form.getLowOffset());
-        job.work = planner.joined(job.id(), job.form.getTenant(), tenant == null ? 1 : tenant.batchShare(),
-                job.form.getExpiresMs(), job.form.getNumber(),
-                job.form.getTotal() - job.form.getDone() - job.form.getFailed());
+        job.lines =
+                new Lines(
+                        job.input, terms.lineBytes, job.form.getLowLine(), job.form.getLowOffset());
+        job.work =
+                planner.joined(
+                        job.id(),
+                        job.form.getTenant(),
+                        tenant == null ? 1 : tenant.batchShare(),
+                        job.form.getExpiresMs(),
+                        job.form.getNumber(),
+                        job.form.getTotal() - job.form.getDone() - job.form.getFailed());
         loop.in(Math.max(0, job.form.getExpiresMs() - loop.nowMs()), () -> expire(job));
         if (isComplete(job)) {
             end(job, StateForm.COMPLETED);
@@ -263,7 +311,9 @@
     }
 
     private void expire(Job job) {
-        if (!jobs.containsValue(job) || job.ending || job.form.getState() != StateForm.IN_PROGRESS) {
+        if (!jobs.containsValue(job)
+                || job.ending
+                || job.form.getState() != StateForm.IN_PROGRESS) {
             return;
         }
         for (Trip trip : List.copyOf(job.out.values())) {
@@ -279,7 +329,10 @@
     }
 
     private void perhapsCancelled(Job job) {
-        if (job.form.getState() == StateForm.CANCELLING && job.out.isEmpty() && job.unwritten == 0 && !job.ending) {
+        if (job.form.getState() == StateForm.CANCELLING
+                && job.out.isEmpty()
+                && job.unwritten == 0
+                && !job.ending) {
             end(job, StateForm.CANCELLED);
         }
     }
@@ -290,36 +343,56 @@
         if (job.work != null) {
             planner.left(job.work);
         }
-        onDisk(() -> {
-            flush();
-            BatchForm.Builder next = job.form.clone().setEnding(how).setFinalizingMs((long) loop.nowMs());
-            if (how != StateForm.CANCELLED) {
-                next.setState(StateForm.FINALIZING);
-            }
-            store.update(next.build());
-            job.form = next;
-            finish(job);
-        }, () -> end(job, how));
+        onDisk(
+                () -> {
+                    flush();
+                    BatchForm.Builder next =
+                            job.form.clone().setEnding(how).setFinalizingMs((long) loop.nowMs());
+                    if (how != StateForm.CANCELLED) {
+                        next.setState(StateForm.FINALIZING);
+                    }
+                    store.update(next.build());
+                    job.form = next;
+                    finish(job);
+                },
+                () -> end(job, how));
     }
 
     /** Both files of a batch, with a record for each line, and how many. */
-    private record Made(Incoming output, Incoming errors, long good, long bad) { }
+    private record Made(Incoming output, Incoming errors, long good, long bad) {}
 
     private void finish(Job job) {
         job.ending = true;
         BatchForm form = job.form.build();
-        loop.aside(() -> files(form), (made, failed) -> onDisk(() -> {
-            if (failed != null) {
-                throw failed instanceof IOException disk ? disk : new IOException("files were not made", failed);
-            }
-            try (Incoming output = made.output; Incoming errors = made.errors) {
-                BatchForm.Builder next = job.form.clone().setState(form.getEnding()).setEndedMs((long) loop.nowMs())
-                        .setDone(made.good).setFailed(made.bad);
-                BatchForm done = store.finish(next, made.good > 0 ? output : null, made.bad > 0 ? errors : null,
-                        (long) loop.nowMs());
-                over(job, done.toBuilder());
-            }
-        }, () -> finish(job)));
+        loop.aside(
+                () -> files(form),
+                (made, failed) ->
+                        onDisk(
+                                () -> {
+                                    if (failed != null) {
+                                        throw failed instanceof IOException disk
+                                                ? disk
+                                                : new IOException("files were not made", failed);
+                                    }
+                                    try (Incoming output = made.output;
+                                            Incoming errors = made.errors) {
+                                        BatchForm.Builder next =
+                                                job.form
+                                                        .clone()
+                                                        .setState(form.getEnding())
+                                                        .setEndedMs((long) loop.nowMs())
+                                                        .setDone(made.good)
+                                                        .setFailed(made.bad);
+                                        BatchForm done =
+                                                store.finish(
+                                                        next,
+                                                        made.good > 0 ? output : null,
+                                                        made.bad > 0 ? errors : null,
+                                                        (long) loop.nowMs());
+                                        over(job, done.toBuilder());
+                                    }
+                                },
+                                () -> finish(job)));
     }
 
     private Made files(BatchForm form) throws IOException {
@@ -333,8 +406,9 @@
             for (Lines.Line line = lines.next(); line != null; line = lines.next()) {
                 AnswerForm answer = store.answer(form.getId(), line.number());
                 boolean isGood = answer != null && answer.getGood();
-                byte[] text = ((answer == null ? unanswered(form, line) : answer.getText()) + "\n")
-                        .getBytes(java.nio.charset.StandardCharsets.UTF_8);
+                byte[] text =
+                        ((answer == null ? unanswered(form, line) : answer.getText()) + "\n")
+                                .getBytes(java.nio.charset.StandardCharsets.UTF_8);
                 (isGood ? output : errors).write(text, 0, text.length);
                 good += isGood ? 1 : 0;
                 bad += isGood ? 0 : 1;
@@ -359,9 +433,15 @@
         } catch (InputCheck.BadLine e) {
             customId = "";
         }
-        return Wording.error(lineId(form.getId(), line.number()), customId, expired ? "batch_expired" : "batch_cancelled",
-                "The batch " + (expired ? "expired" : "was cancelled") + (wasOut
-                        ? " while this line was out; it may have run" : " before this line was executed"));
+        return Wording.error(
+                lineId(form.getId(), line.number()),
+                customId,
+                expired ? "batch_expired" : "batch_cancelled",
+                "The batch "
+                        + (expired ? "expired" : "was cancelled")
+                        + (wasOut
+                                ? " while this line was out; it may have run"
+                                : " before this line was executed"));
     }
 
     private void over(Job job, BatchForm.Builder last) throws IOException {
@@ -370,8 +450,12 @@
         if (job.input != null) {
             job.input.close();
         }
-        LOG.atInfo().addKeyValue("batch", job.id()).addKeyValue("state", last.getState())
-                .addKeyValue("done", last.getDone()).addKeyValue("failed", last.getFailed()).log("batch over");
+        LOG.atInfo()
+                .addKeyValue("batch", job.id())
+                .addKeyValue("state", last.getState())
+                .addKeyValue("done", last.getDone())
+                .addKeyValue("failed", last.getFailed())
+                .log("batch over");
     }
 
     // ------------------------------------------------------------------ lines out
@@ -385,30 +469,36 @@
                 return;
             }
             Job job = jobs.get(work.name);
-            onDisk(() -> {
-                Trip trip = nextTrip(job, now);
-                if (trip == null) {
-                    planner.ready(work, false);
-                    return;
-                }
-                try {
-                    send(trip);
-                } catch (IOException e) {
-                    // Danger: a line that could not be noted would be left out.
-                    trip.dueMs = now;
-                    job.again.add(trip);
-                    throw e;
-                }
-            }, this::pump);
-        }
-    }
-
-    /** The next line of a batch that may go now: one that goes again, else the next that is not answered. */
+            onDisk(
+                    () -> {
+                        Trip trip = nextTrip(job, now);
+                        if (trip == null) {
+                            planner.ready(work, false);
+                            return;
+                        }
+                        try {
+                            send(trip);
+                        } catch (IOException e) {
+                            // Danger: a line that could not be noted would be left out.
+                            trip.dueMs = now;
+                            job.again.add(trip);
+                            throw e;
+                        }
+                    },
+                    this::pump);
+        }
+    }
+
+    /**
+     * The next line of a batch that may go now: one that goes again, else the next that is not
+     * answered.
+     */
     private Trip nextTrip(Job job, double nowMs) throws IOException {
         if (!job.again.isEmpty() && job.again.peek().dueMs <= nowMs) {
             return job.again.poll();
         }
-        // Danger: one line that goes again and again would let all others of a large file be read ahead of it into memory.
+        // Danger: one line that goes again and again would let all others of a large file be read
+        // ahead of it into memory.
         while (!job.atEnd && job.read.size() < MOST_READ_AHEAD) {
             Lines.Line line = job.lines.next();
             if (line == null) {
@@ -435,25 +525,46 @@
         String endpoint = job.form.getEndpoint();
         InputCheck.Call call;
         try {
-            byte[] bytes = trip.bytes != null ? trip.bytes : Lines.again(job.input, trip.line, terms.lineBytes);
+            byte[] bytes =
+                    trip.bytes != null
+                            ? trip.bytes
+                            : Lines.again(job.input, trip.line, terms.lineBytes);
             trip.bytes = null;
             call = check.read(bytes, endpoint);
         } catch (InputCheck.BadLine e) {
-            record(trip, false, Wording.error(lineId, "", "input_damaged", "The line was good and is no longer: "
-                    + e.getMessage()));
+            record(
+                    trip,
+                    false,
+                    Wording.error(
+                            lineId,
+                            "",
+                            "input_damaged",
+                            "The line was good and is no longer: " + e.getMessage()));
             return;
         }
         Ask ask;
         try {
             ask = ask(job, call);
         } catch (ApiFault e) {
-            record(trip, false, Wording.response(lineId, call.customId(), e.status, Wording.fault(endpoint, e)));
+            record(
+                    trip,
+                    false,
+                    Wording.response(
+                            lineId, call.customId(), e.status, Wording.fault(endpoint, e)));
             return;
         }
         Effect effect = ask.offer().product.effect;
-        if (trip.unsure && attempts.againAfterMs(Attempts.End.PROCESS_ENDED, effect, trip.attempts, 0, 0) < 0) {
-            record(trip, false, Wording.error(lineId, call.customId(), "may_have_run",
-                    "The service ended while this line was out; it may have run and is not repeated"));
+        if (trip.unsure
+                && attempts.againAfterMs(Attempts.End.PROCESS_ENDED, effect, trip.attempts, 0, 0)
+                        < 0) {
+            record(
+                    trip,
+                    false,
+                    Wording.error(
+                            lineId,
+                            call.customId(),
+                            "may_have_run",
+                            "The service ended while this line was out; it may have run and is not repeated"));
             return;
         }
         trip.unsure = false;
@@ -472,9 +583,15 @@
         }
         boolean chat = job.form.getEndpoint().equals(Wording.CHAT);
         JsonNode body = chat ? Wording.messages(call.body()) : call.body();
-        // One key for all tries of a line: one bill, and engines drop the repeats of a deduplicated one.
+        // One key for all tries of a line: one bill, and engines drop the repeats of a deduplicated
+        // one.
         String key = Site.sha256(job.id() + '\n' + call.customId());
-        return bodies.ask(body, chat ? 2 : 1, tenant, offer -> offer.asBatch(terms.revenue, terms.lineMs), key);
+        return bodies.ask(
+                body,
+                chat ? 2 : 1,
+                tenant,
+                offer -> offer.asBatch(terms.revenue, terms.lineMs),
+                key);
     }
 
     private static String lineId(String batch, long line) {
@@ -508,8 +625,16 @@
         @Override
         public void streamed(String text, int keptToks, Ending ending) {
             if (isBack(true)) {
-                ObjectNode body = Wording.answer(trip.job.form.getEndpoint(), lineId, call.body().path("model").asText(),
-                        ask, keptToks, text, ending, (long) loop.nowMs());
+                ObjectNode body =
+                        Wording.answer(
+                                trip.job.form.getEndpoint(),
+                                lineId,
+                                call.body().path("model").asText(),
+                                ask,
+                                keptToks,
+                                text,
+                                ending,
+                                (long) loop.nowMs());
                 record(trip, true, Wording.response(lineId, call.customId(), 200, body));
                 pump();
             }
@@ -518,8 +643,14 @@
         @Override
         public void tooLarge() {
             if (isBack(true)) {
-                record(trip, false, Wording.error(lineId, call.customId(), "answer_too_large",
-                        "The answer is over " + site.limit.answerBytes + " bytes"));
+                record(
+                        trip,
+                        false,
+                        Wording.error(
+                                lineId,
+                                call.customId(),
+                                "answer_too_large",
+                                "The answer is over " + site.limit.answerBytes + " bytes"));
                 pump();
             }
         }
@@ -546,8 +677,16 @@
             if (isBack(false)) {
                 trip.refusals++;
                 trip.attempts--;
-                onDisk(() -> store.landed(trip.job.id(), trip.line.number(), trip.attempts), () -> { });
-                goesAgain(attempts.againAfterMs(end, ask.offer().product.effect, trip.attempts, trip.refusals, comeBackMs));
+                onDisk(
+                        () -> store.landed(trip.job.id(), trip.line.number(), trip.attempts),
+                        () -> {});
+                goesAgain(
+                        attempts.againAfterMs(
+                                end,
+                                ask.offer().product.effect,
+                                trip.attempts,
+                                trip.refusals,
+                                comeBackMs));
             }
         }
 
@@ -556,15 +695,31 @@
             if (!isBack(false)) {
                 return;
             }
-            double afterMs = attempts.againAfterMs(Attempts.End.TERMINATED, ask.offer().product.effect, trip.attempts, 0, 0);
+            double afterMs =
+                    attempts.againAfterMs(
+                            Attempts.End.TERMINATED,
+                            ask.offer().product.effect,
+                            trip.attempts,
+                            0,
+                            0);
             if (afterMs >= 0) {
                 goesAgain(afterMs);
                 return;
             }
-            record(trip, false, ask.offer().product.effect == Effect.IDEMPOTENT
-                    ? Wording.error(lineId, call.customId(), "terminated", "Failed " + trip.attempts + " times")
-                    : Wording.error(lineId, call.customId(), "may_have_run",
-                            "Failed; it may have run and is not repeated"));
+            record(
+                    trip,
+                    false,
+                    ask.offer().product.effect == Effect.IDEMPOTENT
+                            ? Wording.error(
+                                    lineId,
+                                    call.customId(),
+                                    "terminated",
+                                    "Failed " + trip.attempts + " times")
+                            : Wording.error(
+                                    lineId,
+                                    call.customId(),
+                                    "may_have_run",
+                                    "Failed; it may have run and is not repeated"));
             pump();
         }
 
@@ -576,12 +731,14 @@
                 perhapsCancelled(job);
                 return;
             }
-            loop.in(afterMs, () -> {
-                if (!job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
-                    planner.ready(job.work, true);
-                    pump();
-                }
-            });
+            loop.in(
+                    afterMs,
+                    () -> {
+                        if (!job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
+                            planner.ready(job.work, true);
+                            pump();
+                        }
+                    });
             pump();
         }
     }
@@ -590,12 +747,17 @@
 
     /** A line has its record; it is written with others that come in the same moment. */
     private void record(Trip trip, boolean good, String text) {
-        gathered.add(new Store.Answer(trip.job.id(), trip.line.number(),
-                AnswerForm.newBuilder().setGood(good).setText(text).build()));
+        gathered.add(
+                new Store.Answer(
+                        trip.job.id(),
+                        trip.line.number(),
+                        AnswerForm.newBuilder().setGood(good).setText(text).build()));
         Job job = trip.job;
         job.unwritten++;
         planner.recorded(job.work);
-        job.form.setDone(job.form.getDone() + (good ? 1 : 0)).setFailed(job.form.getFailed() + (good ? 0 : 1));
+        job.form
+                .setDone(job.form.getDone() + (good ? 1 : 0))
+                .setFailed(job.form.getFailed() + (good ? 0 : 1));
         answered(job, trip.line);
         if (!flushing) {
             flushing = true;
@@ -618,7 +780,7 @@
 
     private void flushed() {
         flushing = false;
-        onDisk(this::flush, () -> { });
+        onDisk(this::flush, () -> {});
         pump();
     }
 
@@ -639,7 +801,11 @@
         for (Job job : touched) {
             job.unwritten = 0;
             if (!job.ending && isComplete(job)) {
-                end(job, job.form.getState() == StateForm.CANCELLING ? StateForm.CANCELLED : StateForm.COMPLETED);
+                end(
+                        job,
+                        job.form.getState() == StateForm.CANCELLING
+                                ? StateForm.CANCELLED
+                                : StateForm.COMPLETED);
             } else {
                 perhapsCancelled(job);
             }
@@ -650,7 +816,10 @@
         void run() throws IOException;
     }
 
-    /** Danger: a full disk must neither lose a record nor stop the loop; nothing new goes out until it can be written. */
+    /**
+     * Danger: a full disk must neither lose a record nor stop the loop; nothing new goes out until
+     * it can be written.
+     */
     private void onDisk(OnDisk step, Runnable again) {
         try {
             step.run();
@@ -664,13 +833,15 @@
                 diskTold = true;
                 LOG.error("the store fails; nothing new goes out until it works again", e);
             }
-            loop.in(DISK_AGAIN_MS, () -> {
-                if (!stopping) {
-                    diskFails = false;
-                    again.run();
-                    flushed();
-                }
-            });
+            loop.in(
+                    DISK_AGAIN_MS,
+                    () -> {
+                        if (!stopping) {
+                            diskFails = false;
+                            again.run();
+                            flushed();
+                        }
+                    });
         }
     }
 
@@ -681,15 +852,25 @@
         if (now >= judgedMs + JUDGE_MS) {
             judgedMs = now;
             for (Work work : planner.judge(now)) {
-                LOG.atWarn().addKeyValue("batch", work.name).addKeyValue("at_risk", work.isAtRisk())
-                        .log(work.isAtRisk() ? "will not be done in its window at the rate of late" : "can be done in its window again");
+                LOG.atWarn()
+                        .addKeyValue("batch", work.name)
+                        .addKeyValue("at_risk", work.isAtRisk())
+                        .log(
+                                work.isAtRisk()
+                                        ? "will not be done in its window at the rate of late"
+                                        : "can be done in its window again");
             }
         }
         pump();
-        figures = new Figures(planner.openLines(), planner.limit(now), planner.fallsAMinute(now), jobs.size(), finished);
+        figures =
+                new Figures(
+                        planner.openLines(),
+                        planner.limit(now),
+                        planner.fallsAMinute(now),
+                        jobs.size(),
+                        finished);
         if (!stopping) {
             loop.in(LOOK_MS, this::look);
         }
     }
-
 }
--- a/src/main/java/larchridge/batch/Desk.java
+++ b/src/main/java/larchridge/batch/Desk.java
@@ -5,7 +5,10 @@
 
 /** Where lines are handed to become generations. */
 interface Desk {
-    /** Takes a generation; exactly one of the words is told, later, on the loop of batch work, unless it is called off. */
+    /**
+     * Takes a generation; exactly one of the words is told, later, on the loop of batch work,
+     * unless it is called off.
+     */
     Out take(Ask ask, Told told);
 
     /** A line that is out. */
--- a/src/main/java/larchridge/batch/FrontDesk.java
+++ b/src/main/java/larchridge/batch/FrontDesk.java
@@ -69,17 +69,19 @@
 
         @Override
         public void callOff() {
-            front.loop().runOnContext(v -> {
-                if (!over) {
-                    over = true;
-                    if (open != null) {
-                        open.gone();
-                    }
-                    if (inside) {
-                        front.leave();
-                    }
-                }
-            });
+            front.loop()
+                    .runOnContext(
+                            v -> {
+                                if (!over) {
+                                    over = true;
+                                    if (open != null) {
+                                        open.gone();
+                                    }
+                                    if (inside) {
+                                        front.leave();
+                                    }
+                                }
+                            });
         }
 
         @Override
--- a/src/main/java/larchridge/batch/InputCheck.java
+++ b/src/main/java/larchridge/batch/InputCheck.java
@@ -17,16 +17,19 @@
 import larchridge.store.form.FaultForm;
 import larchridge.store.form.FileForm;
 
-/** Reads a batch's whole input before anything of it runs; each fault with its line, from 1, and its field. */
+/**
+ * Reads a batch's whole input before anything of it runs; each fault with its line, from 1, and its
+ * field.
+ */
 final class InputCheck {
     private static final int MOST_FAULTS = 100;
     private static final int MOST_ID = 512;
 
     /** How many lines there are, or what is wrong with them. */
-    record Result(long lines, List<FaultForm> faults) { }
+    record Result(long lines, List<FaultForm> faults) {}
 
     /** What a line has to say before it is sent. */
-    record Call(String customId, JsonNode body) { }
+    record Call(String customId, JsonNode body) {}
 
     /** A line that can't be a call. */
     static final class BadLine extends Exception {
@@ -48,11 +51,20 @@
     InputCheck(Store store, BatchTerms terms, int nesting) {
         this.store = store;
         this.terms = terms;
-        mapper = JsonMapper.builder(com.fasterxml.jackson.core.JsonFactory.builder()
-                .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(nesting + 1)
-                        .maxStringLength(terms.lineBytes).maxNumberLength(100).maxNameLength(10_000).build())
-                .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build())
-                .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+        mapper =
+                JsonMapper.builder(
+                                com.fasterxml.jackson.core.JsonFactory.builder()
+                                        .streamReadConstraints(
+                                                StreamReadConstraints.builder()
+                                                        .maxNestingDepth(nesting + 1)
+                                                        .maxStringLength(terms.lineBytes)
+                                                        .maxNumberLength(100)
+                                                        .maxNameLength(10_000)
+                                                        .build())
+                                        .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                                        .build())
+                        .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                        .build();
     }
 
     Result check(BatchForm batch) throws IOException {
@@ -60,17 +72,26 @@
         List<FaultForm> faults = new ArrayList<>();
         long count = 0;
         store.unname(batch.getId());
-        try (FileChannel channel = store.content(file); Lines lines = new Lines(channel, terms.lineBytes, 0, 0)) {
-            for (Lines.Line line = lines.next(); line != null && faults.size() < MOST_FAULTS; line = lines.next()) {
+        try (FileChannel channel = store.content(file);
+                Lines lines = new Lines(channel, terms.lineBytes, 0, 0)) {
+            for (Lines.Line line = lines.next();
+                    line != null && faults.size() < MOST_FAULTS;
+                    line = lines.next()) {
                 try {
                     if (++count > terms.lines) {
-                        throw new BadLine("too_many_lines", null, "more than " + terms.lines + " lines");
+                        throw new BadLine(
+                                "too_many_lines", null, "more than " + terms.lines + " lines");
                     }
                     Call call = read(line.bytes(), batch.getEndpoint());
                     long before = store.name(batch.getId(), call.customId, line.number());
                     if (before >= 0) {
-                        throw new BadLine("duplicate_custom_id", "custom_id", "'" + call.customId
-                                + "' is also the custom_id of line " + (before + 1));
+                        throw new BadLine(
+                                "duplicate_custom_id",
+                                "custom_id",
+                                "'"
+                                        + call.customId
+                                        + "' is also the custom_id of line "
+                                        + (before + 1));
                     }
                 } catch (BadLine e) {
                     faults.add(fault(e.code, line.number() + 1, e.field, e.getMessage()));
@@ -88,7 +109,8 @@
     }
 
     static FaultForm fault(String code, long line, String field, String text) {
-        FaultForm.Builder fault = FaultForm.newBuilder().setCode(code).setLine(line).setMessage(text);
+        FaultForm.Builder fault =
+                FaultForm.newBuilder().setCode(code).setLine(line).setMessage(text);
         return field == null ? fault.build() : fault.setField(field).build();
     }
 
@@ -102,8 +124,13 @@
             json = mapper.readTree(bytes);
         } catch (JsonProcessingException e) {
             int column = e.getLocation() == null ? 0 : e.getLocation().getColumnNr();
-            throw new BadLine("invalid_json_line", null, "not valid JSON at column " + column + ": "
-                    + e.getOriginalMessage().split("\n")[0]);
+            throw new BadLine(
+                    "invalid_json_line",
+                    null,
+                    "not valid JSON at column "
+                            + column
+                            + ": "
+                            + e.getOriginalMessage().split("\n")[0]);
         } catch (IOException e) {
             throw new BadLine("invalid_json_line", null, "can't be read");
         }
@@ -118,8 +145,10 @@
             throw new BadLine("invalid_method", "method", "expected POST");
         }
         if (!text(json, "url").equals(endpoint)) {
-            throw new BadLine("mismatched_endpoint", "url", "'" + json.path("url").asText() + "' is not the batch's "
-                    + endpoint);
+            throw new BadLine(
+                    "mismatched_endpoint",
+                    "url",
+                    "'" + json.path("url").asText() + "' is not the batch's " + endpoint);
         }
         if (!json.path("body").isObject()) {
             throw new BadLine("invalid_body", "body", "expected an object");
@@ -130,7 +159,10 @@
     private static String text(JsonNode json, String field) throws BadLine {
         JsonNode value = json.path(field);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new BadLine("missing_field", field, value.isMissingNode() ? "is missing" : "expected a text");
+            throw new BadLine(
+                    "missing_field",
+                    field,
+                    value.isMissingNode() ? "is missing" : "expected a text");
         }
         return value.asText();
     }
--- a/src/main/java/larchridge/batch/Lines.java
+++ b/src/main/java/larchridge/batch/Lines.java
@@ -7,8 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Reads a file line by line from any byte that begins one. A line ends with LF or CR LF, the last one also with the file; a
- * byte-order mark at the start is passed over, as are blank lines. A line over the limit is told as such, not held.
+ * Reads a file line by line from any byte that begins one. A line ends with LF or CR LF, the last
+ * one also with the file; a byte-order mark at the start is passed over, as are blank lines. A line
+ * over the limit is told as such, not held.
  */
 final class Lines implements AutoCloseable {
     private static final int STEP = 1 << 16;
@@ -18,12 +19,17 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(STEP);
     private long number;
     private long offset;
+
     /** How far the buffer has been filled. */
     private long filled;
+
     private byte[] held = new byte[STEP];
 
-    /** A line: its number in the file from 0, where it begins and the next does, and its bytes, null if they are too many. */
-    record Line(long number, long offset, long next, byte[] bytes) { }
+    /**
+     * A line: its number in the file from 0, where it begins and the next does, and its bytes, null
+     * if they are too many.
+     */
+    record Line(long number, long offset, long next, byte[] bytes) {}
 
     Lines(FileChannel file, int mostBytes, long number, long offset) {
         this.file = file;
@@ -70,16 +76,27 @@
                 held[length++] = b;
             }
         }
-        int begin = from == 0 && length >= 3 && held[0] == (byte) 0xEF && held[1] == (byte) 0xBB && held[2] == (byte) 0xBF
-                ? 3 : 0;
+        int begin =
+                from == 0
+                                && length >= 3
+                                && held[0] == (byte) 0xEF
+                                && held[1] == (byte) 0xBB
+                                && held[2] == (byte) 0xBF
+                        ? 3
+                        : 0;
         boolean tooLong = length > mostBytes;
         int end = last == '\r' && !tooLong ? length - 1 : length;
-        return new Line(number++, from, offset, tooLong ? null : Arrays.copyOfRange(held, Math.min(begin, end), end));
+        return new Line(
+                number++,
+                from,
+                offset,
+                tooLong ? null : Arrays.copyOfRange(held, Math.min(begin, end), end));
     }
 
     private boolean fill() throws IOException {
         buffer.clear();
-        // Danger: the channel's own position is shared by all who read it; one line read again would move the others.
+        // Danger: the channel's own position is shared by all who read it; one line read again
+        // would move the others.
         int got = file.read(buffer, filled);
         filled += Math.max(0, got);
         buffer.flip();
--- a/src/main/java/larchridge/batch/Refusal.java
+++ b/src/main/java/larchridge/batch/Refusal.java
@@ -20,7 +20,11 @@
     }
 
     static Refusal unknownKey() {
-        return new Refusal(401, "authentication_error", null, "no valid key; expected the header authorization: Bearer KEY");
+        return new Refusal(
+                401,
+                "authentication_error",
+                null,
+                "no valid key; expected the header authorization: Bearer KEY");
     }
 
     static Refusal notFound(String what) {
--- a/src/main/java/larchridge/batch/ThreadLoop.java
+++ b/src/main/java/larchridge/batch/ThreadLoop.java
@@ -12,17 +12,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The loop as a thread, with two threads aside. What waits for it is bounded by those that hand it over: the lines that are
- * open, the API's threads, one look at each front at a time. What waits to run aside is bounded here.
+ * The loop as a thread, with two threads aside. What waits for it is bounded by those that hand it
+ * over: the lines that are open, the API's threads, one look at each front at a time. What waits to
+ * run aside is bounded here.
  */
 final class ThreadLoop implements Loop, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ThreadLoop.class);
     private static final int MOST_ASIDE = 100_000;
     private static final long CLOSE_MS = 10_000;
 
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, work -> daemon(work, "batches"));
-    private final ThreadPoolExecutor aside = new ThreadPoolExecutor(2, 2, 1, TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(MOST_ASIDE), work -> daemon(work, "batch-files"));
+    private final ScheduledThreadPoolExecutor thread =
+            new ScheduledThreadPoolExecutor(1, work -> daemon(work, "batches"));
+    private final ThreadPoolExecutor aside =
+            new ThreadPoolExecutor(
+                    2,
+                    2,
+                    1,
+                    TimeUnit.SECONDS,
+                    new ArrayBlockingQueue<>(MOST_ASIDE),
+                    work -> daemon(work, "batch-files"));
     private final double startMs = System.currentTimeMillis();
     private final long startNs = System.nanoTime();
 
@@ -54,13 +62,17 @@
     @Override
     public void in(double ms, Runnable step) {
         try {
-            thread.schedule(() -> guarded(step), (long) Math.max(1, Math.ceil(ms)), TimeUnit.MILLISECONDS);
+            thread.schedule(
+                    () -> guarded(step), (long) Math.max(1, Math.ceil(ms)), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             LOG.debug("a timer came after the end");
         }
     }
 
-    /** Danger: a step that throws would end in a future that nobody reads, and with it all that it was to start. */
+    /**
+     * Danger: a step that throws would end in a future that nobody reads, and with it all that it
+     * was to start.
+     */
     private static void guarded(Runnable step) {
         try {
             step.run();
@@ -71,27 +83,29 @@
 
     @Override
     public <T> void aside(Callable<T> work, BiConsumer<T, Exception> done) {
-        aside.execute(() -> {
-            try {
-                T got = work.call();
-                execute(() -> done.accept(got, null));
-            } catch (Exception e) {
-                execute(() -> done.accept(null, e));
-            }
-        });
+        aside.execute(
+                () -> {
+                    try {
+                        T got = work.call();
+                        execute(() -> done.accept(got, null));
+                    } catch (Exception e) {
+                        execute(() -> done.accept(null, e));
+                    }
+                });
     }
 
     /** Runs a question on the loop and hands its answer out. */
     <T> CompletableFuture<T> ask(Callable<T> question) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         try {
-            thread.execute(() -> {
-                try {
-                    answer.complete(question.call());
-                } catch (Exception e) {
-                    answer.completeExceptionally(e);
-                }
-            });
+            thread.execute(
+                    () -> {
+                        try {
+                            answer.complete(question.call());
+                        } catch (Exception e) {
+                            answer.completeExceptionally(e);
+                        }
+                    });
         } catch (RejectedExecutionException e) {
             answer.completeExceptionally(e);
         }
--- a/src/main/java/larchridge/batch/Upload.java
+++ b/src/main/java/larchridge/batch/Upload.java
@@ -9,7 +9,10 @@
 import org.eclipse.jetty.http.MultiPart;
 import org.eclipse.jetty.io.Content;
 
-/** A form with a file and its purpose, as it comes: the file goes to the store's folder part by part, never into memory. */
+/**
+ * A form with a file and its purpose, as it comes: the file goes to the store's folder part by
+ * part, never into memory.
+ */
 final class Upload extends MultiPart.AbstractPartsListener implements AutoCloseable {
     private static final int MOST_FIELD_BYTES = 1000;
     private static final int MOST_PARTS = 16;
@@ -35,15 +38,19 @@
 
     /** Reads a form to its end; the file is synced when this returns. */
     void read(String contentType, InputStream body) throws IOException, Refusal {
-        String boundary = contentType == null || !contentType.startsWith("multipart/form-data") ? null
-                : MultiPart.extractBoundary(contentType);
+        String boundary =
+                contentType == null || !contentType.startsWith("multipart/form-data")
+                        ? null
+                        : MultiPart.extractBoundary(contentType);
         if (boundary == null) {
             throw Refusal.invalid("file", "expected multipart/form-data with a boundary");
         }
         MultiPart.Parser parser = new MultiPart.Parser(boundary, this);
         parser.setMaxParts(MOST_PARTS);
         byte[] part = new byte[1 << 16];
-        for (int length = body.read(part); length >= 0 && refusal == null && broken == null; length = body.read(part)) {
+        for (int length = body.read(part);
+                length >= 0 && refusal == null && broken == null;
+                length = body.read(part)) {
             parser.parse(Content.Chunk.from(ByteBuffer.wrap(part, 0, length), false));
         }
         if (refusal == null && broken == null && !complete) {
@@ -114,7 +121,10 @@
 
     @Override
     public void onFailure(Throwable failure) {
-        refusal = refusal == null ? Refusal.invalid("file", "not a form: " + failure.getMessage()) : refusal;
+        refusal =
+                refusal == null
+                        ? Refusal.invalid("file", "not a form: " + failure.getMessage())
+                        : refusal;
     }
 
     Incoming file() {
--- a/src/main/java/larchridge/batch/Wording.java
+++ b/src/main/java/larchridge/batch/Wording.java
@@ -9,15 +9,21 @@
 import larchridge.messages.ApiFault;
 import larchridge.messages.Bodies;
 
-/** The words of lines: bodies of chat completions as messages, answers of either kind, and the records of both files. */
+/**
+ * The words of lines: bodies of chat completions as messages, answers of either kind, and the
+ * records of both files.
+ */
 final class Wording {
     static final String CHAT = "/v1/chat/completions";
     static final String MESSAGES = "/v1/messages";
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private Wording() { }
+    private Wording() {}
 
-    /** A chat body as the messages API would have it; what it can't have is a fault that names the field. */
+    /**
+     * A chat body as the messages API would have it; what it can't have is a fault that names the
+     * field.
+     */
     static ObjectNode messages(JsonNode chat) throws ApiFault {
         ObjectNode body = MAPPER.createObjectNode();
         copy(chat, body, "model", "model");
@@ -53,7 +59,12 @@
             String role = message.path("role").asText();
             boolean head = role.equals("system") || role.equals("developer");
             if (!head && !role.equals("user") && !role.equals("assistant")) {
-                throw ApiFault.invalid("messages." + i + ".role: '" + role + "' is not system, developer, user or assistant");
+                throw ApiFault.invalid(
+                        "messages."
+                                + i
+                                + ".role: '"
+                                + role
+                                + "' is not system, developer, user or assistant");
             }
             JsonNode content = content(message.path("content"), "messages." + i + ".content");
             if (!head) {
@@ -83,7 +94,9 @@
             if (!content.get(i).path("type").asText().equals("text")) {
                 throw ApiFault.invalid(path + "." + i + ".type: only text is served here");
             }
-            blocks.addObject().put("type", "text").put("text", content.get(i).path("text").asText());
+            blocks.addObject()
+                    .put("type", "text")
+                    .put("text", content.get(i).path("text").asText());
         }
         return blocks;
     }
@@ -95,26 +108,48 @@
     }
 
     /** The body of an answer. */
-    static ObjectNode answer(String endpoint, String id, String model, Ask ask, int keptToks, String text, Ending ending,
-                             long nowMs) {
+    static ObjectNode answer(
+            String endpoint,
+            String id,
+            String model,
+            Ask ask,
+            int keptToks,
+            String text,
+            Ending ending,
+            long nowMs) {
         if (endpoint.equals(MESSAGES)) {
             return Bodies.message(id, model, ask, keptToks, text, ending);
         }
-        ObjectNode chat = MAPPER.createObjectNode().put("id", "chatcmpl-" + id).put("object", "chat.completion")
-                .put("created", nowMs / 1000).put("model", model);
+        ObjectNode chat =
+                MAPPER.createObjectNode()
+                        .put("id", "chatcmpl-" + id)
+                        .put("object", "chat.completion")
+                        .put("created", nowMs / 1000)
+                        .put("model", model);
         ObjectNode choice = chat.putArray("choices").addObject().put("index", 0);
-        choice.putObject("message").put("role", "assistant").put("content", text).putNull("refusal");
-        choice.putNull("logprobs").put("finish_reason", ending.why() == Ending.Why.MOST_TOKENS ? "length" : "stop");
-        ObjectNode usage = chat.putObject("usage").put("prompt_tokens", ask.promptToks())
-                .put("completion_tokens", ending.outToks()).put("total_tokens", ask.promptToks() + ending.outToks());
-        usage.putObject("prompt_tokens_details").put("cached_tokens", Math.min(keptToks, ask.promptToks()));
+        choice.putObject("message")
+                .put("role", "assistant")
+                .put("content", text)
+                .putNull("refusal");
+        choice.putNull("logprobs")
+                .put("finish_reason", ending.why() == Ending.Why.MOST_TOKENS ? "length" : "stop");
+        ObjectNode usage =
+                chat.putObject("usage")
+                        .put("prompt_tokens", ask.promptToks())
+                        .put("completion_tokens", ending.outToks())
+                        .put("total_tokens", ask.promptToks() + ending.outToks());
+        usage.putObject("prompt_tokens_details")
+                .put("cached_tokens", Math.min(keptToks, ask.promptToks()));
         return chat;
     }
 
     /** The record of a line that was answered, well or with a fault of its own. */
     static String response(String lineId, String customId, int status, JsonNode body) {
         ObjectNode record = record(lineId, customId);
-        ObjectNode response = record.putObject("response").put("status_code", status).put("request_id", "req_" + lineId);
+        ObjectNode response =
+                record.putObject("response")
+                        .put("status_code", status)
+                        .put("request_id", "req_" + lineId);
         response.set("body", body);
         return record.putNull("error").toString();
     }
@@ -122,9 +157,15 @@
     static ObjectNode fault(String endpoint, ApiFault fault) {
         ObjectNode body = MAPPER.createObjectNode();
         if (endpoint.equals(MESSAGES)) {
-            body.put("type", "error").putObject("error").put("type", fault.type).put("message", fault.getMessage());
+            body.put("type", "error")
+                    .putObject("error")
+                    .put("type", fault.type)
+                    .put("message", fault.getMessage());
         } else {
-            body.putObject("error").put("message", fault.getMessage()).put("type", fault.type).putNull("param")
+            body.putObject("error")
+                    .put("message", fault.getMessage())
+                    .put("type", fault.type)
+                    .putNull("param")
                     .putNull("code");
         }
         return body;
@@ -138,6 +179,8 @@
     }
 
     private static ObjectNode record(String lineId, String customId) {
-        return MAPPER.createObjectNode().put("id", "batch_req_" + lineId).put("custom_id", customId);
+        return MAPPER.createObjectNode()
+                .put("id", "batch_req_" + lineId)
+                .put("custom_id", customId);
     }
 }
--- a/src/main/java/larchridge/budget/Bucket.java
+++ b/src/main/java/larchridge/budget/Bucket.java
@@ -3,13 +3,15 @@
 import java.util.Random;
 
 /**
- * Tokens that gather at a rate up to a burst. What is charged is an estimate; settling gives back or takes more, so
- * that the level may fall under 0 and is then paid off first. Time is passed in and may step back; nothing gathers then.
+ * Tokens that gather at a rate up to a burst. What is charged is an estimate; settling gives back
+ * or takes more, so that the level may fall under 0 and is then paid off first. Time is passed in
+ * and may step back; nothing gathers then.
  *
- * <p>What is over the burst comes in on a full bucket and leaves a debt, so that the rate holds. Where a front's part of
- * a burst is less than one generation needs, that debt, taken at all fronts, would be many bursts: there the front lets
- * it in by a chance draw with the mean of what has gathered, and the draw uses that up, won or lost. So the mean over
- * all fronts is the budget for any number of fronts, and no asking again improves the odds.
+ * <p>What is over the burst comes in on a full bucket and leaves a debt, so that the rate holds.
+ * Where a front's part of a burst is less than one generation needs, that debt, taken at all
+ * fronts, would be many bursts: there the front lets it in by a chance draw with the mean of what
+ * has gathered, and the draw uses that up, won or lost. So the mean over all fronts is the budget
+ * for any number of fronts, and no asking again improves the odds.
  */
 final class Bucket {
     private final Random random;
@@ -49,7 +51,10 @@
         return take(toks, false, nowMs);
     }
 
-    /** Whether so much may be taken now; takes it then. Certain: no chance is taken, since it can be lent. */
+    /**
+     * Whether so much may be taken now; takes it then. Certain: no chance is taken, since it can be
+     * lent.
+     */
     boolean take(double toks, boolean certain, double nowMs) {
         gather(nowMs);
         if (level >= toks) {
@@ -82,7 +87,10 @@
         level -= toks;
     }
 
-    /** How long until so much has gathered, milliseconds; for more than the burst, until the bucket is full. */
+    /**
+     * How long until so much has gathered, milliseconds; for more than the burst, until the bucket
+     * is full.
+     */
     double untilMs(double toks, double nowMs) {
         gather(nowMs);
         double lacks = Math.min(toks, burst) - level;
--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -6,10 +6,11 @@
 import java.util.Random;
 
 /**
- * Who may use how much: a tree of budgets (service, groups, tenants, their products), one front's part of it. A
- * generation is charged its estimate when it comes in and settled to what it used when it ends. A tenant out of its own
- * means borrows what its group, or the service, has to spare: all but what the others there are owed within the
- * give-back time. Without I/O, clock or threads; time is milliseconds of Unix time and passed in.
+ * Who may use how much: a tree of budgets (service, groups, tenants, their products), one front's
+ * part of it. A generation is charged its estimate when it comes in and settled to what it used
+ * when it ends. A tenant out of its own means borrows what its group, or the service, has to spare:
+ * all but what the others there are owed within the give-back time. Without I/O, clock or threads;
+ * time is milliseconds of Unix time and passed in.
  */
 public final class Budgets implements Grants {
     private final Random random;
@@ -20,15 +21,18 @@
     private final Map<String, Purse> groups = new LinkedHashMap<>();
     private final Map<String, Purse> tenants = new LinkedHashMap<>();
     private final Map<String, Purse> products = new LinkedHashMap<>();
+
     /** All of them, by the names that the lender knows. */
     private final Map<String, Purse> byName = new HashMap<>();
+
     private boolean lenderAnswers;
 
     /**
      * Budgets of one front.
      *
-     * @param fronts     how many fronts hold a part each
-     * @param share      the share of all rates that is in the fronts' fixed parts; the rest is lent, see {@link Lender}
+     * @param fronts how many fronts hold a part each
+     * @param share the share of all rates that is in the fronts' fixed parts; the rest is lent, see
+     *     {@link Lender}
      * @param giveBackMs within which a tenant that wakes has its share again
      */
     public Budgets(Grant service, int fronts, double share, double giveBackMs, Random random) {
@@ -36,7 +40,8 @@
         this.share = share;
         this.fronts = fronts;
         this.giveBackMs = giveBackMs;
-        this.service = new Purse(Purse.SERVICE, null, service.part(fronts, share), isAlone(), random);
+        this.service =
+                new Purse(Purse.SERVICE, null, service.part(fronts, share), isAlone(), random);
         byName.put(Purse.SERVICE, this.service);
     }
 
@@ -65,10 +70,22 @@
 
     @Override
     public void product(String tenant, String product, Grant grant, double nowMs) {
-        set(products, tenant + '\n' + product, Purse.product(tenant, product), tenants.get(tenant), grant, nowMs);
+        set(
+                products,
+                tenant + '\n' + product,
+                Purse.product(tenant, product),
+                tenants.get(tenant),
+                grant,
+                nowMs);
     }
 
-    private void set(Map<String, Purse> purses, String key, String name, Purse above, Grant grant, double nowMs) {
+    private void set(
+            Map<String, Purse> purses,
+            String key,
+            String name,
+            Purse above,
+            Grant grant,
+            double nowMs) {
         Purse purse = purses.get(key);
         if (purse == null) {
             purse = new Purse(name, above, grant.part(fronts, share), isAlone(), random);
@@ -79,7 +96,10 @@
         }
     }
 
-    /** What a tenant used this month by the ledger, told once at the start; a front takes its part of it. */
+    /**
+     * What a tenant used this month by the ledger, told once at the start; a front takes its part
+     * of it.
+     */
     public void remember(String tenant, String product, double used, double nowMs) {
         for (Purse purse = purse(tenant, product); purse != null; purse = purse.above) {
             purse.remember(used / fronts, nowMs);
@@ -91,18 +111,34 @@
         return promptToks + 0.5 * maxToks;
     }
 
-    /** Asks for a generation of so many tokens, prompt and expected answer; a tenant that is not known is free. */
+    /**
+     * Asks for a generation of so many tokens, prompt and expected answer; a tenant that is not
+     * known is free.
+     */
     public Answer ask(String tenant, String product, double toks, double nowMs) {
         Purse purse = purse(tenant, product);
         for (Purse each = purse; each != null; each = each.above) {
             if (!each.hasMonthRoom(toks, nowMs)) {
                 double left = Math.max(0, each.grant().monthToks() - each.monthUsed(nowMs));
                 double wait = each.untilNextMonthMs(nowMs);
-                return new Answer(null, each.grant().monthToks(), left, wait, wait, each.name + ": month", false);
+                return new Answer(
+                        null,
+                        each.grant().monthToks(),
+                        left,
+                        wait,
+                        wait,
+                        each.name + ": month",
+                        false);
             }
             if (!each.hasFlightRoom(toks)) {
                 double room = Math.max(0, each.grant().atOnceToks() - each.inFlight());
-                return new Answer(null, each.grant().atOnceToks(), room, 1000, 1000, each.name + ": at once",
+                return new Answer(
+                        null,
+                        each.grant().atOnceToks(),
+                        room,
+                        1000,
+                        1000,
+                        each.name + ": at once",
                         false);
             }
         }
@@ -113,11 +149,19 @@
         }
         if (payer == null) {
             double wait = own.bucket().untilMs(toks, nowMs);
-            // Danger: a front's part of a burst may never hold one whole generation; then only the odds get better.
-            return new Answer(null, own.bucket().burst(), Math.max(0, own.bucket().level(nowMs)),
-                    own.bucket().untilMs(own.bucket().burst(), nowMs), Math.max(1, wait), own.name + ": rate", true);
+            // Danger: a front's part of a burst may never hold one whole generation; then only the
+            // odds get better.
+            return new Answer(
+                    null,
+                    own.bucket().burst(),
+                    Math.max(0, own.bucket().level(nowMs)),
+                    own.bucket().untilMs(own.bucket().burst(), nowMs),
+                    Math.max(1, wait),
+                    own.name + ": rate",
+                    true);
         }
-        // Those over the payer are charged too, as theirs is used; those under it keep what they have.
+        // Those over the payer are charged too, as theirs is used; those under it keep what they
+        // have.
         for (Purse each = payer.above; each != null; each = each.above) {
             if (each.grant().hasRate()) {
                 each.bucket().owe(toks, nowMs);
@@ -132,10 +176,17 @@
 
     private Answer answerIn(Purse own, Charge charge, double nowMs) {
         if (own == null) {
-            return new Answer(charge, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, 0, null, false);
+            return new Answer(
+                    charge, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, 0, null, false);
         }
-        return new Answer(charge, own.bucket().burst(), Math.max(0, own.bucket().level(nowMs)),
-                own.bucket().untilMs(own.bucket().burst(), nowMs), 0, null, false);
+        return new Answer(
+                charge,
+                own.bucket().burst(),
+                Math.max(0, own.bucket().level(nowMs)),
+                own.bucket().untilMs(own.bucket().burst(), nowMs),
+                0,
+                null,
+                false);
     }
 
     /** The lowest purse from here on up that limits a rate, or null. */
@@ -147,17 +198,22 @@
         return each;
     }
 
-    /** The lowest purse that can pay: the asker's own means first, then what those above have to spare. */
+    /**
+     * The lowest purse that can pay: the asker's own means first, then what those above have to
+     * spare.
+     */
     private Purse payer(Purse purse, Purse own, double toks, double nowMs) {
         // Danger: a tenant without a rate of its own would use up what its neighbours are owed.
-        if ((own == purse || owed(own, purse, nowMs) <= 0) && own.bucket().take(toks, lenderAnswers, nowMs)) {
+        if ((own == purse || owed(own, purse, nowMs) <= 0)
+                && own.bucket().take(toks, lenderAnswers, nowMs)) {
             return own;
         }
         if (own.takeLent(toks, nowMs)) {
             return own;
         }
         for (Purse lender = own == purse ? own.above : own; lender != null; lender = lender.above) {
-            if (lender.grant().hasRate() && lender.bucket().level(nowMs) - owed(lender, purse, nowMs) >= toks) {
+            if (lender.grant().hasRate()
+                    && lender.bucket().level(nowMs) - owed(lender, purse, nowMs) >= toks) {
                 lender.bucket().owe(toks, nowMs);
                 return lender;
             }
@@ -172,7 +228,8 @@
             if (each == borrower || isAbove(each, borrower) || !each.grant().hasRate()) {
                 continue;
             }
-            // Danger: what a tenant has gathered may be asked for at once, in the very moment in which it wakes.
+            // Danger: what a tenant has gathered may be asked for at once, in the very moment in
+            // which it wakes.
             owed += Math.max(0, each.bucket().level(nowMs)) + each.grant().toksPerMs() * giveBackMs;
         }
         return owed;
@@ -188,7 +245,8 @@
     }
 
     /**
-     * What would have to be lent for a generation that was turned away for want of rate; null if nothing would help.
+     * What would have to be lent for a generation that was turned away for want of rate; null if
+     * nothing would help.
      */
     public Want want(String tenant, String product, double toks, double nowMs) {
         Purse own = withRate(purse(tenant, product));
@@ -200,7 +258,10 @@
         lenderAnswers = answers;
     }
 
-    /** So much was lent to a budget until then; one that is not known here any more leaves it unused. */
+    /**
+     * So much was lent to a budget until then; one that is not known here any more leaves it
+     * unused.
+     */
     public void lent(String purse, double toks, double untilMs) {
         Purse borrower = byName.get(purse);
         if (borrower != null && toks > 0) {
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -4,8 +4,10 @@
 public final class Charge {
     final Purse purse;
     final double estimate;
+
     /** The purse from which the rate was paid. */
     final Purse payer;
+
     private final boolean borrowed;
     boolean settled;
 
--- a/src/main/java/larchridge/budget/Grant.java
+++ b/src/main/java/larchridge/budget/Grant.java
@@ -1,20 +1,31 @@
 package larchridge.budget;
 
 /**
- * How much may be used: tokens a second with a burst, tokens at once in flight, tokens a month. Infinity is no limit.
+ * How much may be used: tokens a second with a burst, tokens at once in flight, tokens a month.
+ * Infinity is no limit.
  *
- * @param toksPerMs  what comes in
- * @param burstToks  what may have gathered
+ * @param toksPerMs what comes in
+ * @param burstToks what may have gathered
  * @param atOnceToks what may be in flight
- * @param monthToks  what may be used in a calendar month, UTC
+ * @param monthToks what may be used in a calendar month, UTC
  */
 public record Grant(double toksPerMs, double burstToks, double atOnceToks, double monthToks) {
-    public static final Grant NONE = new Grant(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY,
-            Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
+    public static final Grant NONE =
+            new Grant(
+                    Double.POSITIVE_INFINITY,
+                    Double.POSITIVE_INFINITY,
+                    Double.POSITIVE_INFINITY,
+                    Double.POSITIVE_INFINITY);
 
-    /** One front's part where so many hold one each; of the rate, that share is in fixed parts and the rest is lent. */
+    /**
+     * One front's part where so many hold one each; of the rate, that share is in fixed parts and
+     * the rest is lent.
+     */
     public Grant part(int fronts, double share) {
-        return new Grant(toksPerMs * share / fronts, burstToks * share / fronts, atOnceToks / fronts,
+        return new Grant(
+                toksPerMs * share / fronts,
+                burstToks * share / fronts,
+                atOnceToks / fronts,
                 monthToks / fronts);
     }
 
--- a/src/main/java/larchridge/budget/Lender.java
+++ b/src/main/java/larchridge/budget/Lender.java
@@ -5,13 +5,17 @@
 import java.util.Random;
 
 /**
- * The part of all budgets that follows demand: one keeper for the whole service lends tokens out of it to fronts that
- * ask. What is lent has left the keeper's bucket, so that an answer that is lost, a front that dies or a question that
- * comes twice can only leave some unused. A keeper that starts anew begins with nothing, since what was lent before may
- * still be out. Without I/O, clock or threads; time is milliseconds and passed in.
+ * The part of all budgets that follows demand: one keeper for the whole service lends tokens out of
+ * it to fronts that ask. What is lent has left the keeper's bucket, so that an answer that is lost,
+ * a front that dies or a question that comes twice can only leave some unused. A keeper that starts
+ * anew begins with nothing, since what was lent before may still be out. Without I/O, clock or
+ * threads; time is milliseconds and passed in.
  */
 public final class Lender implements Grants {
-    /** No generation has more; a question for more is a fault, and would leave a debt that nobody pays off. */
+    /**
+     * No generation has more; a question for more is a fault, and would leave a debt that nobody
+     * pays off.
+     */
     private static final double MOST_TOKS = 1e8;
 
     private final double share;
@@ -43,7 +47,10 @@
         purse(Purse.product(tenant, product), grant, nowMs);
     }
 
-    /** A budget by the name that fronts call it; setting it again changes it, and what has gathered stays. */
+    /**
+     * A budget by the name that fronts call it; setting it again changes it, and what has gathered
+     * stays.
+     */
     void purse(String name, Grant grant, double nowMs) {
         Bucket bucket = buckets.get(name);
         if (bucket != null) {
@@ -57,8 +64,8 @@
     }
 
     /**
-     * Lends what one generation lacks, all or nothing, and of what is wished beyond it at most half of what is left, so
-     * that who comes next finds some. Tokens; 0 for a budget that is not known.
+     * Lends what one generation lacks, all or nothing, and of what is wished beyond it at most half
+     * of what is left, so that who comes next finds some. Tokens; 0 for a budget that is not known.
      */
     public double lend(String name, double need, double wish, double nowMs) {
         Bucket bucket = buckets.get(name);
@@ -74,7 +81,10 @@
         return need + extra;
     }
 
-    /** How long until a budget could lend so much, if nobody else asked; milliseconds, 0 if it is not known. */
+    /**
+     * How long until a budget could lend so much, if nobody else asked; milliseconds, 0 if it is
+     * not known.
+     */
     public double backInMs(String name, double need, double nowMs) {
         Bucket bucket = buckets.get(name);
         return bucket == null || !(need >= 0) ? 0 : bucket.untilMs(need, nowMs);
--- a/src/main/java/larchridge/budget/Meter.java
+++ b/src/main/java/larchridge/budget/Meter.java
@@ -1,8 +1,9 @@
 package larchridge.budget;
 
 /**
- * Counts what one generation is billed and what was wasted on it, from what engines reported and what went to the
- * client. Reports that come twice, late, not at all, or that can't be true do no harm. Without I/O, clock or threads.
+ * Counts what one generation is billed and what was wasted on it, from what engines reported and
+ * what went to the client. Reports that come twice, late, not at all, or that can't be true do no
+ * harm. Without I/O, clock or threads.
  */
 public final class Meter {
     /** Reports over so many times what the front itself counted are not believed. */
@@ -21,7 +22,10 @@
         this.maxToks = maxToks;
     }
 
-    /** A prompt was read there; until an answer comes of it, it is waste. Returns what the read counts as. */
+    /**
+     * A prompt was read there; until an answer comes of it, it is waste. Returns what the read
+     * counts as.
+     */
     public long read(int reported) {
         long toks = believed(reported);
         wasted += toks;
@@ -66,7 +70,9 @@
 
     /** A reported prompt as far as it can be true. */
     public long believed(int reported) {
-        return reported > 0 && reported <= (long) MOST_TIMES * countedPrompt + 1000 ? reported : countedPrompt;
+        return reported > 0 && reported <= (long) MOST_TIMES * countedPrompt + 1000
+                ? reported
+                : countedPrompt;
     }
 
     public long promptToks() {
--- a/src/main/java/larchridge/budget/Purse.java
+++ b/src/main/java/larchridge/budget/Purse.java
@@ -9,8 +9,8 @@
 import java.util.Random;
 
 /**
- * One budget of the tree: the whole service, a group of tenants, a tenant, or a tenant's product. Without I/O, clock or
- * threads.
+ * One budget of the tree: the whole service, a group of tenants, a tenant, or a tenant's product.
+ * Without I/O, clock or threads.
  */
 final class Purse {
     static final String SERVICE = "service";
@@ -25,15 +25,21 @@
     private final Bucket bucket;
     private double inFlight;
     private double monthUsed;
-    /** Tokens lent to it with the time at which each lapses; the oldest first, at most {@value #MOST_LOANS}. */
+
+    /**
+     * Tokens lent to it with the time at which each lapses; the oldest first, at most {@value
+     * #MOST_LOANS}.
+     */
     private final ArrayDeque<Loan> loans = new ArrayDeque<>();
+
     /** Tokens asked for in this slot of time, and in a slot as it was of late. */
     private double askedToks;
+
     private double slotMs;
     private double demandToks;
     private YearMonth month;
 
-    private record Loan(double toks, double untilMs) { }
+    private record Loan(double toks, double untilMs) {}
 
     Purse(String name, Purse above, Grant grant, boolean alone, Random random) {
         this.name = name;
@@ -91,13 +97,16 @@
 
     double untilNextMonthMs(double nowMs) {
         turn(nowMs);
-        return month.plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli() - nowMs;
+        return month.plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
+                - nowMs;
     }
 
     void asked(double toks, double nowMs) {
         if (nowMs - slotMs >= SLOT_MS || nowMs < slotMs) {
             double slots = nowMs < slotMs ? 1 : Math.floor((nowMs - slotMs) / SLOT_MS);
-            demandToks = (DEMAND_KEPT * demandToks + (1 - DEMAND_KEPT) * askedToks) * Math.pow(DEMAND_KEPT, slots - 1);
+            demandToks =
+                    (DEMAND_KEPT * demandToks + (1 - DEMAND_KEPT) * askedToks)
+                            * Math.pow(DEMAND_KEPT, slots - 1);
             askedToks = 0;
             slotMs = nowMs;
         }
@@ -107,7 +116,8 @@
     /** What it would have lent so that a generation may come in. */
     Want want(double toks, double nowMs) {
         double has = lent(nowMs) + Math.max(0, bucket.level(nowMs));
-        // Danger: little lent to each of many fronts would lapse there, and nobody could use the budget.
+        // Danger: little lent to each of many fronts would lapse there, and nobody could use the
+        // budget.
         return new Want(name, Math.max(1, toks - has), demandToks >= toks ? demandToks : 0);
     }
 
@@ -124,7 +134,10 @@
         return loans.stream().mapToDouble(Loan::toks).sum();
     }
 
-    /** Takes so much from what was lent, the oldest first, and what lacks from the bucket; nothing if both lack it. */
+    /**
+     * Takes so much from what was lent, the oldest first, and what lacks from the bucket; nothing
+     * if both lack it.
+     */
     boolean takeLent(double toks, double nowMs) {
         double lent = lent(nowMs);
         if (lent <= 0 || lent + Math.max(0, bucket.level(nowMs)) < toks) {
--- a/src/main/java/larchridge/cli/BenchlinkCommand.java
+++ b/src/main/java/larchridge/cli/BenchlinkCommand.java
@@ -9,7 +9,9 @@
 import picocli.CommandLine.Command;
 
 /** Decides for the fronts of a bench. */
-@Command(name = "benchlink", mixinStandardHelpOptions = true,
+@Command(
+        name = "benchlink",
+        mixinStandardHelpOptions = true,
         description = "Decide for the fronts of a bench, over standard input and output.")
 final class BenchlinkCommand implements Callable<Integer> {
     @Override
--- a/src/main/java/larchridge/cli/BillCommand.java
+++ b/src/main/java/larchridge/cli/BillCommand.java
@@ -21,17 +21,31 @@
 import picocli.CommandLine.Option;
 
 /** Prints what tenants used and owe. */
-@Command(name = "bill", mixinStandardHelpOptions = true,
-        description = "Print what tenants used in a month and what it costs, by product. Wasted tokens are not billed.")
+@Command(
+        name = "bill",
+        mixinStandardHelpOptions = true,
+        description =
+                "Print what tenants used in a month and what it costs, by product. Wasted tokens are not billed.")
 final class BillCommand implements Callable<Integer> {
-    private enum Format { TABLE, CSV, JSON }
+    private enum Format {
+        TABLE,
+        CSV,
+        JSON
+    }
 
-    @Option(names = "--site", required = true, paramLabel = "FILE", description = "site file with prices and ledger")
+    @Option(
+            names = "--site",
+            required = true,
+            paramLabel = "FILE",
+            description = "site file with prices and ledger")
     private Path site;
+
     @Option(names = "--tenant", description = "one tenant only")
     private String tenant;
+
     @Option(names = "--month", description = "like 2026-12; this month if absent")
     private String month;
+
     @Option(names = "--format", defaultValue = "TABLE", description = "${COMPLETION-CANDIDATES}")
     private Format format;
 
@@ -63,11 +77,21 @@
     private void print(Site read, Map<Ledger.Line, Total> totals) {
         BigDecimal sum = BigDecimal.ZERO;
         if (format == Format.TABLE) {
-            System.out.printf(Locale.ROOT, "%-20s %-20s %11s %12s %12s %12s %12s %12s%n", "tenant", "product",
-                    "generations", "prompt", "kept", "answer", "wasted", read.currency);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-20s %-20s %11s %12s %12s %12s %12s %12s%n",
+                    "tenant",
+                    "product",
+                    "generations",
+                    "prompt",
+                    "kept",
+                    "answer",
+                    "wasted",
+                    read.currency);
         } else if (format == Format.CSV) {
-            System.out.println("month,tenant,product,generations,prompt_tokens,kept_tokens,answer_tokens,"
-                    + "wasted_tokens,cost,currency");
+            System.out.println(
+                    "month,tenant,product,generations,prompt_tokens,kept_tokens,answer_tokens,"
+                            + "wasted_tokens,cost,currency");
         }
         for (Map.Entry<Ledger.Line, Total> entry : totals.entrySet()) {
             Ledger.Line line = entry.getKey();
@@ -75,26 +99,51 @@
                 continue;
             }
             Total total = entry.getValue();
-            Price price = read.prices.getOrDefault(line.product(), new Price(BigDecimal.ZERO, BigDecimal.ZERO,
-                    BigDecimal.ZERO));
+            Price price =
+                    read.prices.getOrDefault(
+                            line.product(),
+                            new Price(BigDecimal.ZERO, BigDecimal.ZERO, BigDecimal.ZERO));
             BigDecimal cost = price.of(total);
             sum = sum.add(cost);
             switch (format) {
-                case TABLE -> System.out.printf(Locale.ROOT, "%-20s %-20s %11d %12d %12d %12d %12d %12s%n",
-                        line.tenant(), line.product(), total.generations(), total.promptToks(), total.keptToks(),
-                        total.outToks(), total.wastedToks(), Price.money(cost));
-                case CSV -> System.out.println(String.join(",", line.month().toString(), quoted(line.tenant()),
-                        quoted(line.product()), Long.toString(total.generations()),
-                        Long.toString(total.promptToks()), Long.toString(total.keptToks()),
-                        Long.toString(total.outToks()), Long.toString(total.wastedToks()), cost.toPlainString(),
-                        read.currency));
+                case TABLE ->
+                        System.out.printf(
+                                Locale.ROOT,
+                                "%-20s %-20s %11d %12d %12d %12d %12d %12s%n",
+                                line.tenant(),
+                                line.product(),
+                                total.generations(),
+                                total.promptToks(),
+                                total.keptToks(),
+                                total.outToks(),
+                                total.wastedToks(),
+                                Price.money(cost));
+                case CSV ->
+                        System.out.println(
+                                String.join(
+                                        ",",
+                                        line.month().toString(),
+                                        quoted(line.tenant()),
+                                        quoted(line.product()),
+                                        Long.toString(total.generations()),
+                                        Long.toString(total.promptToks()),
+                                        Long.toString(total.keptToks()),
+                                        Long.toString(total.outToks()),
+                                        Long.toString(total.wastedToks()),
+                                        cost.toPlainString(),
+                                        read.currency));
                 case JSON -> {
                     ObjectNode json = new ObjectMapper().createObjectNode();
-                    json.put("month", line.month().toString()).put("tenant", line.tenant())
-                            .put("product", line.product()).put("generations", total.generations())
-                            .put("prompt_tokens", total.promptToks()).put("kept_tokens", total.keptToks())
-                            .put("answer_tokens", total.outToks()).put("wasted_tokens", total.wastedToks())
-                            .put("cost", cost.toPlainString()).put("currency", read.currency);
+                    json.put("month", line.month().toString())
+                            .put("tenant", line.tenant())
+                            .put("product", line.product())
+                            .put("generations", total.generations())
+                            .put("prompt_tokens", total.promptToks())
+                            .put("kept_tokens", total.keptToks())
+                            .put("answer_tokens", total.outToks())
+                            .put("wasted_tokens", total.wastedToks())
+                            .put("cost", cost.toPlainString())
+                            .put("currency", read.currency);
                     System.out.println(json);
                 }
                 default -> throw new IllegalStateException(format.name());
--- a/src/main/java/larchridge/cli/CheckCommand.java
+++ b/src/main/java/larchridge/cli/CheckCommand.java
@@ -11,8 +11,11 @@
 import picocli.CommandLine.Parameters;
 
 /** Checks a site file and the engine list that it names. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Check a site file and its engine list; each fault names file, line and field.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Check a site file and its engine list; each fault names file, line and field.")
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "site file")
     private Path file;
@@ -22,8 +25,15 @@
         try {
             Site site = SiteReader.read(file);
             int engines = new ListFollower(site.inventory, null).first().size();
-            System.out.println(file + ": good; " + site.fronts + " fronts, " + site.offersByModel.size()
-                    + " models, " + engines + " engines");
+            System.out.println(
+                    file
+                            + ": good; "
+                            + site.fronts
+                            + " fronts, "
+                            + site.offersByModel.size()
+                            + " models, "
+                            + engines
+                            + " engines");
             return 0;
         } catch (BadSite | BadList e) {
             System.err.println(e.getMessage());
--- a/src/main/java/larchridge/cli/DemoCommand.java
+++ b/src/main/java/larchridge/cli/DemoCommand.java
@@ -14,29 +14,40 @@
 import picocli.CommandLine.Option;
 
 /** A front and six stand-ins in one process, to be tried by hand. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-        description = "Serve the messages API on loopback over six stand-in engines in this process.")
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description =
+                "Serve the messages API on loopback over six stand-in engines in this process.")
 final class DemoCommand implements Callable<Integer> {
     @Option(names = "--port", defaultValue = "8080", description = "default: ${DEFAULT-VALUE}")
     private int port;
 
     @Override
     public Integer call() throws Exception {
-        List<Make> makes = List.of(Make.of(1, Role.READER, "west", 1), Make.of(2, Role.READER, "west", 2),
-                Make.of(3, Role.WRITER, "west", 1), Make.of(4, Role.WRITER, "west", 2),
-                Make.of(5, Role.BOTH, "west", 1), Make.of(6, Role.WRITER, "west", 2));
-        try (Fleet fleet = Fleet.start(makes, (sight, engine, rid, tag, amount) -> { }, 1)) {
+        List<Make> makes =
+                List.of(
+                        Make.of(1, Role.READER, "west", 1),
+                        Make.of(2, Role.READER, "west", 2),
+                        Make.of(3, Role.WRITER, "west", 1),
+                        Make.of(4, Role.WRITER, "west", 2),
+                        Make.of(5, Role.BOTH, "west", 1),
+                        Make.of(6, Role.WRITER, "west", 2));
+        try (Fleet fleet = Fleet.start(makes, (sight, engine, rid, tag, amount) -> {}, 1)) {
             Path folder = Files.createTempDirectory("larchridge-demo");
             fleet.writeList(folder.resolve("engines.yaml"));
             Service service = Service.start(SiteReader.read("demo", SITE.formatted(port), folder));
-            System.out.println("the messages API on 127.0.0.1:" + service.ports().get(0)
-                    + ", models consulta and resumen-registro; any x-api-key");
+            System.out.println(
+                    "the messages API on 127.0.0.1:"
+                            + service.ports().get(0)
+                            + ", models consulta and resumen-registro; any x-api-key");
             new CountDownLatch(1).await();
         }
         return 0;
     }
 
-    private static final String SITE = """
+    private static final String SITE =
+            """
             listen { host: "127.0.0.1" port: %d }
             fronts: 1
             zone: "west"
--- a/src/main/java/larchridge/cli/DrillCommand.java
+++ b/src/main/java/larchridge/cli/DrillCommand.java
@@ -18,24 +18,43 @@
 import picocli.CommandLine.Option;
 
 /** Plays a scripted bad day through real fronts and judges it from the traffic. */
-@Command(name = "drill", mixinStandardHelpOptions = true,
-        description = {"Play a bad day: real fronts, stand-in engines and clients over loopback; the rules are checked "
-            + "from the traffic.", "Exit code 3: a rule was broken."})
+@Command(
+        name = "drill",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Play a bad day: real fronts, stand-in engines and clients over loopback; the rules are checked "
+                    + "from the traffic.",
+            "Exit code 3: a rule was broken."
+        })
 final class DrillCommand implements Callable<Integer> {
     @ArgGroup(multiplicity = "1")
     private Source source;
+
     @Option(names = "--seed", description = "in place of the script's")
     private Long seed;
-    @Option(names = "--log", paramLabel = "FILE", description = "write the traffic log there, as JSON lines")
+
+    @Option(
+            names = "--log",
+            paramLabel = "FILE",
+            description = "write the traffic log there, as JSON lines")
     private Path log;
-    @Option(names = "--virtual", description = "in virtual time over emulated engines: one seed, one run, to the byte")
+
+    @Option(
+            names = "--virtual",
+            description = "in virtual time over emulated engines: one seed, one run, to the byte")
     private boolean virtual;
+
     @Option(names = "--no-batches", description = "leave the script's batches out, to compare")
     private boolean noBatches;
+
     @Option(names = "--figures", description = "print the fronts' own figures at the end")
     private boolean figures;
-    @Option(names = "--scale", defaultValue = "1", description = "of a bench day's load and engines' speed "
-            + "(default: ${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--scale",
+            defaultValue = "1",
+            description =
+                    "of a bench day's load and engines' speed " + "(default: ${DEFAULT-VALUE})")
     private double scale;
 
     private int playVirtually(Script script) throws IOException {
@@ -45,8 +64,13 @@
             TrafficLog.write(result.log(), log);
         }
         result.breaches().forEach(System.out::println);
-        System.out.printf(Locale.ROOT, "%d broken rules in %d sights, digest %s, %d steps, %.0f virtual seconds a second%n",
-                result.breaches().size(), result.log().size(), result.digest(), result.steps(),
+        System.out.printf(
+                Locale.ROOT,
+                "%d broken rules in %d sights, digest %s, %d steps, %.0f virtual seconds a second%n",
+                result.breaches().size(),
+                result.log().size(),
+                result.digest(),
+                result.steps(),
                 result.virtualMs() / result.realMs());
         return result.breaches().isEmpty() ? 0 : 3;
     }
@@ -54,7 +78,11 @@
     private static final class Source {
         @Option(names = "--script", paramLabel = "FILE", description = "drill script, YAML")
         private Path script;
-        @Option(names = "--day", paramLabel = "FILE", description = "a bench day, as lbsim draw prints it")
+
+        @Option(
+                names = "--day",
+                paramLabel = "FILE",
+                description = "a bench day, as lbsim draw prints it")
         private Path day;
     }
 
@@ -79,7 +107,12 @@
         if (noBatches) {
             script = script.withoutBatches();
         }
-        System.out.println("seed " + script.seed() + ", " + script.fronts() + " fronts, engines are simulated");
+        System.out.println(
+                "seed "
+                        + script.seed()
+                        + ", "
+                        + script.fronts()
+                        + " fronts, engines are simulated");
         if (virtual) {
             return playVirtually(script);
         }
@@ -97,7 +130,8 @@
         for (Rules.Breach breach : result.breaches()) {
             System.out.println(breach);
         }
-        System.out.println(result.breaches().size() + " broken rules in " + result.log().size() + " sights");
+        System.out.println(
+                result.breaches().size() + " broken rules in " + result.log().size() + " sights");
         return result.breaches().isEmpty() ? 0 : 3;
     }
 }
--- a/src/main/java/larchridge/cli/ExperimentCommand.java
+++ b/src/main/java/larchridge/cli/ExperimentCommand.java
@@ -12,15 +12,33 @@
 import picocli.CommandLine.Option;
 
 /** Runs a plan of drills in virtual time and keeps the results. */
-@Command(name = "experiment", mixinStandardHelpOptions = true,
-        description = {"Run a plan of drills in virtual time: policies, loads, fleets, seeds; results as a table, charts and a "
-            + "page. A plan that was stopped goes on where it was.", "Exit code 3: the module broke a rule."})
+@Command(
+        name = "experiment",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Run a plan of drills in virtual time: policies, loads, fleets, seeds; results as a table, charts and a "
+                    + "page. A plan that was stopped goes on where it was.",
+            "Exit code 3: the module broke a rule."
+        })
 final class ExperimentCommand implements Callable<Integer> {
-    @Option(names = "--plan", required = true, paramLabel = "FILE", description = "what to vary, YAML")
+    @Option(
+            names = "--plan",
+            required = true,
+            paramLabel = "FILE",
+            description = "what to vary, YAML")
     private Path plan;
-    @Option(names = "--into", required = true, paramLabel = "FOLDER", description = "for results.csv, charts, index.html")
+
+    @Option(
+            names = "--into",
+            required = true,
+            paramLabel = "FOLDER",
+            description = "for results.csv, charts, index.html")
     private Path folder;
-    @Option(names = "--side-by-side", defaultValue = "4", description = "runs at a time (default: ${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--side-by-side",
+            defaultValue = "4",
+            description = "runs at a time (default: ${DEFAULT-VALUE})")
     private int sideBySide;
 
     @Override
@@ -35,9 +53,13 @@
         Files.createDirectories(folder);
         List<Runs.Row> rows = Runs.run(read, folder.resolve("results.csv"), sideBySide);
         Page.write(read, rows, folder);
-        System.out.println("policy | times load | service | beside the first | | p99 ms | broken rules (engines emulated)");
+        System.out.println(
+                "policy | times load | service | beside the first | | p99 ms | broken rules (engines emulated)");
         Page.lines(read, rows).forEach(System.out::println);
-        boolean broken = rows.stream().anyMatch(row -> row.point().policy().equals("choice") && row.breaches() > 0);
+        boolean broken =
+                rows.stream()
+                        .anyMatch(
+                                row -> row.point().policy().equals("choice") && row.breaches() > 0);
         return broken ? 3 : 0;
     }
 }
