--- a/src/test/java/larchridge/docs/ExternalNamesTest.java
+++ b/src/test/java/larchridge/docs/ExternalNamesTest.java
@@ -25,19 +25,20 @@
     private static final Pattern ROW = Pattern.compile("^\\|[^|]*\\| `([^`]+)` \\|(.*)\\|$");
     private static final Pattern NAME = Pattern.compile("`([^`]+)`");
     private static final Pattern BLOCK_COMMENT = Pattern.compile("(?s)/\\*.*?\\*/");
-    private static final Pattern LINE_COMMENT = Pattern.compile("(?m)^\\s*//.*$|[;,{]\\s*//.*$");
+    private static final Pattern LINE_COMMENT = Pattern.compile("(?m)(?:^|(?<=[;,{]))[ \\t]*//.*$");
     private static final Pattern STRING = Pattern.compile("\"((?:[^\"\\\\\\n]|\\\\.)*)\"");
     private static final Pattern ESCAPE = Pattern.compile("\\\\[rnt]");
     private static final Pattern ENUM_CONSTANT = Pattern.compile("[A-Z][A-Z0-9_]*");
 
-    private record ListedName(String name, Path file) {}
+    /** A name of the page; the block is the message or enum of a proto file, empty elsewhere. */
+    private record ListedName(String name, Path file, String block) {}
 
     @Test
     void everyListedNameStandsInItsFile() throws IOException {
         List<ListedName> listed = readPage();
         List<ListedName> missing = new ArrayList<>();
         for (ListedName row : listed) {
-            if (!Files.exists(row.file()) || !stands(row.name(), row.file())) {
+            if (!Files.exists(row.file()) || !stands(row)) {
                 missing.add(row);
             }
         }
@@ -73,20 +74,33 @@
             if (!row.matches()) {
                 continue;
             }
+            String[] place = row.group(1).split("#", 2);
+            String block = place.length == 2 ? place[1] : "";
             Matcher name = NAME.matcher(row.group(2));
             while (name.find()) {
-                listed.add(new ListedName(name.group(1), Path.of(row.group(1))));
+                listed.add(new ListedName(name.group(1), Path.of(place[0]), block));
             }
         }
         return listed;
     }
 
-    private static boolean stands(String name, Path file) throws IOException {
-        String text = Files.readString(file);
-        if (file.toString().endsWith(".java")) {
-            return standsInJava(name, text);
+    private static boolean stands(ListedName row) throws IOException {
+        String text = Files.readString(row.file());
+        if (row.file().toString().endsWith(".java")) {
+            return standsInJava(row.name(), text);
         }
-        return wholeWord(name).matcher(withoutComments(text)).find();
+        String code = withoutComments(text);
+        if (!row.block().isEmpty()) {
+            code = protoBlock(row.block(), code);
+        }
+        return wholeWord(row.name()).matcher(code).find();
+    }
+
+    /** The fields of one message or enum; empty if the file has none of this name. */
+    private static String protoBlock(String name, String code) {
+        Matcher block =
+                Pattern.compile("(?ms)^(?:message|enum) " + name + " \\{(.*?)^\\}").matcher(code);
+        return block.find() ? block.group(1) : "";
     }
 
     /** Whether a name is an enum constant, a string, or a part of a string that no word adjoins. */
@@ -106,6 +120,14 @@
         return false;
     }
 
+    @Test
+    void aFieldCountsOnlyInItsOwnMessage() {
+        String code = "message One {\n  string a = 1;\n}\nmessage Two {\n  string b = 1;\n}\n";
+        assertTrue(wholeWord("b").matcher(protoBlock("Two", code)).find());
+        assertFalse(wholeWord("a").matcher(protoBlock("Two", code)).find());
+        assertEquals("", protoBlock("Three", code));
+    }
+
     private static String withoutComments(String text) {
         String code = BLOCK_COMMENT.matcher(text).replaceAll("");
         return LINE_COMMENT.matcher(code).replaceAll("");
