--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -61,7 +61,7 @@
     }
 
     private void advance(Generation generation) {
-        if (generation.heldRead() != null && generation.heldRead().isLost()) {
+        if (generation.heldRead() != null && generation.heldRead().isStateLost()) {
             host.releaseState(generation);
             generation.dropState();
         }
@@ -108,7 +108,7 @@
                         generation.prefix != null ? generation.prefix : generation.session;
                 yield generation.heldRead() != null || text == null
                         ? pool.get(random.nextInt(pool.size()))
-                        : pool.stream().max(Comparator.comparingLong(text::affinity)).get();
+                        : pool.stream().max(Comparator.comparingLong(text::rendezvousWeight)).get();
             }
         };
     }
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -128,7 +128,7 @@
         CachedPrefix session = cachedPrefix(sessions, message.textOr("talk", null));
         CachedPrefix prefix = cachedPrefix(prefixes, message.textOr("prefix", null));
         double hintTokens =
-                message.decimalOr("expected_s", Double.NaN) * MS_PER_SECOND / trafficClass.tokenMs;
+                message.decimalOr("expected_s", Double.NaN) * MS_PER_SECOND / trafficClass.targetTokenIntervalMs;
         Generation generation =
                 new Generation(
                         id,
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -140,7 +140,7 @@
     private UpstreamLimits upstreamLimits() {
         double engineSockets = configuration.sockets() * ENGINE_SOCKETS_FRACTION;
         return new UpstreamLimits(
-                settings.connectMs(),
+                settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
                 settings.releaseMs(),
                 (int) engineSockets,
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -96,7 +96,7 @@
 
     private static UpstreamLimits upstreamLimits(DeploymentSettings settings) {
         return new UpstreamLimits(
-                settings.connectMs(),
+                settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
                 settings.releaseMs(),
                 MAX_CONNECTIONS,
--- a/src/main/java/larchridge/policy/AdmissionQueue.java
+++ b/src/main/java/larchridge/policy/AdmissionQueue.java
@@ -15,62 +15,62 @@
  */
 final class AdmissionQueue {
     /** How often a router with nothing in flight tries one that looks too late, in milliseconds. */
-    private static final double RETRY_LATE_MS = 2000;
+    private static final double LATE_RETRY_INTERVAL_MS = 2000;
 
     /** Of those that wait, so many are tried at a time, the first in order. */
-    private static final int MOST_TRIED = 100;
+    private static final int MAX_TRIED_PER_PASS = 100;
 
-    private static final Comparator<Generation> ORDER =
+    private static final Comparator<Generation> BY_REVENUE_THEN_NEWEST =
             Comparator.comparingDouble(AdmissionQueue::revenue)
                     .thenComparingDouble(generation -> generation.arrivedMs)
                     .reversed();
 
     private final PolicyActions actions;
     private final LatencyEstimator latency;
-    private final List<Generation> open;
+    private final List<Generation> openGenerations;
     private final Consumer<Generation> admit;
-    private final Consumer<Generation> giveUpLate;
-    private double lateRetriedMs;
+    private final Consumer<Generation> giveUpAsLate;
+    private double lastLateRetryMs;
 
     /**
      * A queue over the generations of a router.
      *
      * @param open all its generations that are not over
      * @param admit tries to send one that has waited
-     * @param giveUpLate gives up one that can no longer make its SLO time
+     * @param giveUpAsLate gives up one that can no longer make its SLO time
      */
     AdmissionQueue(
             PolicyActions actions,
             LatencyEstimator latency,
-            List<Generation> open,
+            List<Generation> openGenerations,
             Consumer<Generation> admit,
-            Consumer<Generation> giveUpLate) {
+            Consumer<Generation> giveUpAsLate) {
         this.actions = actions;
         this.latency = latency;
-        this.open = open;
+        this.openGenerations = openGenerations;
         this.admit = admit;
-        this.giveUpLate = giveUpLate;
+        this.giveUpAsLate = giveUpAsLate;
     }
 
     /** Tries those that wait, in order, and gives up those that are too late. */
     void admitWaiting() {
-        List<Generation> waiting = new ArrayList<>(open);
+        List<Generation> waiting = new ArrayList<>(openGenerations);
         waiting.removeIf(generation -> !generation.isWaiting());
-        waiting.sort(ORDER);
+        waiting.sort(BY_REVENUE_THEN_NEWEST);
         double nowMs = actions.nowMs();
         double msPerToken = latency.bestMsPerToken(nowMs);
         int tried = 0;
         for (Generation generation : waiting) {
             boolean late = isLate(generation, msPerToken, nowMs);
             if (late && mayRetryLate(nowMs)) {
-                lateRetriedMs = nowMs;
-                latency.forgetSlowness();
+                lastLateRetryMs = nowMs;
+                latency.resetSlowEstimates();
                 msPerToken = latency.bestMsPerToken(nowMs);
                 late = false;
             }
             if (late) {
-                giveUpLate.accept(generation);
-            } else if (tried++ < MOST_TRIED) {
+                giveUpAsLate.accept(generation);
+            } else if (tried++ < MAX_TRIED_PER_PASS) {
                 // Guards against: thousands that wait, all tried whenever an attempt ends, keep the
                 // loop busy.
                 admit.accept(generation);
@@ -79,7 +79,7 @@
     }
 
     private boolean isLate(Generation generation, double msPerToken, double nowMs) {
-        return nowMs + generation.leastTokensToRead() * msPerToken + latency.firstTokenMs()
+        return nowMs + generation.minTokensToRead() * msPerToken + latency.firstTokenMs()
                 > generation.sloDeadlineMs();
     }
 
@@ -88,8 +88,8 @@
      * it no longer is: everyone would be rejected. With nothing in flight, what is known is void.
      */
     private boolean mayRetryLate(double nowMs) {
-        return nowMs > lateRetriedMs + RETRY_LATE_MS
-                && open.stream().allMatch(generation -> generation.attemptsInFlight() == 0);
+        return nowMs > lastLateRetryMs + LATE_RETRY_INTERVAL_MS
+                && openGenerations.stream().allMatch(generation -> generation.attemptsInFlight() == 0);
     }
 
     private static double revenue(Generation generation) {
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -19,26 +19,26 @@
     AttemptDispatcher(
             RoutingSettings settings,
             PolicyActions actions,
-            EngineKnowledge known,
+            EngineView engineView,
             LoadProbes probes) {
         this.actions = actions;
         this.probes = probes;
-        affinity = known.affinity();
-        load = known.load();
-        latency = known.latency();
-        capacity = known.capacity();
+        affinity = engineView.affinity();
+        load = engineView.load();
+        latency = engineView.latency();
+        capacity = engineView.capacity();
         cancellationAllowed = settings.cancellationAllowed();
     }
 
     /** Sends a generation to be read; an engine that is no mere reader also writes its answer. */
     void sendRead(Generation generation, Engine engine) {
         double nowMs = actions.nowMs();
-        double unread = affinity.tokensToRead(generation, engine);
+        double unreadTokens = affinity.tokensToRead(generation, engine);
         boolean readOnly = engine.role() == Role.READER;
-        double counted = readOnly ? unread : WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, counted, unread);
+        double accountedTokens = readOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, accountedTokens, unreadTokens);
         double readMs =
-                (load.unreadTokens(engine, nowMs) + unread) * latency.msPerToken(engine, nowMs);
+                (load.unreadTokens(engine, nowMs) + unreadTokens) * latency.msPerToken(engine, nowMs);
         attempt.setSilenceTimeoutMs(
                 readOnly
                         ? HedgingPolicy.readTimeoutMs(readMs)
@@ -51,21 +51,21 @@
         affinity.recordSent(generation, engine, nowMs);
         send(attempt);
         if (readOnly) {
-            probes.probeSomeWriters();
+            probes.probeRandomWriters();
         }
     }
 
     /** Sends a generation whose state is held to the writer that fetches it. */
     void sendWrite(Generation generation, Engine writer) {
-        double counted = WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), counted, 0);
+        double accountedTokens = WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), accountedTokens, 0);
         attempt.setSilenceTimeoutMs(HedgingPolicy.writeTimeoutMs(latency.firstTokenMs()));
         generation.clearStateReleased();
         send(attempt);
     }
 
     private void send(Attempt attempt) {
-        if (!attempt.read) {
+        if (!attempt.readOnly) {
             load.recordWrite(attempt, actions.nowMs());
         }
         attempt.open();
@@ -74,7 +74,7 @@
 
     /** Takes an attempt that has ended off the counts. */
     void close(Attempt attempt) {
-        if (attempt.close() && attempt.read) {
+        if (attempt.close() && attempt.readOnly) {
             capacity.release(attempt);
         }
     }
--- a/src/main/java/larchridge/policy/EndpointWatch.java
+++ b/src/main/java/larchridge/policy/EndpointWatch.java
@@ -5,11 +5,11 @@
 /** Requests the endpoint list where it has to be requested, and again some time after a failure. */
 final class EndpointWatch {
     /** The shortest wait after a failure; the longest is twice as long, so that routers spread. */
-    private static final double RETRY_MS = 500;
+    private static final double MIN_RETRY_DELAY_MS = 500;
 
     private final PolicyActions actions;
     private final Random random;
-    private double retryAtMs = Double.POSITIVE_INFINITY;
+    private double nextRetryMs = Double.POSITIVE_INFINITY;
 
     EndpointWatch(PolicyActions actions, Random random) {
         this.actions = actions;
@@ -22,19 +22,19 @@
     }
 
     /** Plans the next request after one has failed. */
-    void failed() {
-        retryAtMs = actions.nowMs() + RETRY_MS * (1 + random.nextDouble());
+    void scheduleRetry() {
+        nextRetryMs = actions.nowMs() + MIN_RETRY_DELAY_MS * (1 + random.nextDouble());
     }
 
     /** Whether a request is planned. */
-    boolean isRetryPlanned() {
-        return retryAtMs < Double.POSITIVE_INFINITY;
+    boolean isRetryScheduled() {
+        return nextRetryMs < Double.POSITIVE_INFINITY;
     }
 
     /** Requests the list if a planned request is due. */
     void retryIfDue(double nowMs) {
-        if (nowMs >= retryAtMs) {
-            retryAtMs = Double.POSITIVE_INFINITY;
+        if (nowMs >= nextRetryMs) {
+            nextRetryMs = Double.POSITIVE_INFINITY;
             actions.watchEndpoints();
         }
     }
--- a/src/main/java/larchridge/policy/EngineFeedback.java
+++ b/src/main/java/larchridge/policy/EngineFeedback.java
@@ -8,11 +8,11 @@
 /** Records what each event of an attempt or probe says of its engine. */
 final class EngineFeedback {
     private final PolicyActions actions;
-    private final EngineKnowledge known;
+    private final EngineView engineView;
 
-    EngineFeedback(PolicyActions actions, EngineKnowledge known) {
+    EngineFeedback(PolicyActions actions, EngineView engineView) {
         this.actions = actions;
-        this.known = known;
+        this.engineView = engineView;
     }
 
     /** A read has completed; of its prompt so many tokens were cached. */
@@ -20,18 +20,18 @@
         double nowMs = actions.nowMs();
         int promptTokens = read.generation.promptTokens;
         double unread = PrefixAffinity.tokensToRead(promptTokens, cachedTokens);
-        known.outliers().recordSuccess(read.engine);
+        engineView.outliers().recordSuccess(read.engine);
         recordContact(read.engine, report);
-        known.latency().recordRead(read.engine, unread, nowMs - read.sentMs, nowMs);
-        known.load().recordRead(unread, promptTokens, nowMs);
-        known.affinity().recordRead(read, cachedTokens, nowMs);
-        known.slowStart().recordRead(read.engine, nowMs);
+        engineView.latency().recordRead(read.engine, unread, nowMs - read.sentMs, nowMs);
+        engineView.load().recordRead(unread, promptTokens, nowMs);
+        engineView.affinity().recordRead(read, cachedTokens, nowMs);
+        engineView.slowStart().recordRead(read.engine, nowMs);
     }
 
     /** An answer has started; its state, if it needed one, is still noted at the generation. */
     void recordFirstToken(Attempt write) {
         double nowMs = actions.nowMs();
-        known.outliers().recordSuccess(write.engine);
+        engineView.outliers().recordSuccess(write.engine);
         recordContact(write.engine, null);
         Attempt read = write.generation.heldRead();
         if (read != null) {
@@ -40,9 +40,9 @@
         // Guards against: late transfers would make every generation look too late, also those that
         // need no transfer.
         if (read == null || !StateTransfers.areLate(read.engine, nowMs)) {
-            known.latency().recordFirstToken(nowMs - write.sentMs);
+            engineView.latency().recordFirstToken(nowMs - write.sentMs);
         }
-        known.slowStart().recordWrite(write.engine, nowMs);
+        engineView.slowStart().recordWrite(write.engine, nowMs);
     }
 
     /** An attempt has ended otherwise than with a completed read. */
@@ -53,18 +53,18 @@
             case FAULT, CUT -> {
                 // Errors on generations that are over say nothing of the engine.
                 if (!attempt.generation.isFinished()) {
-                    known.outliers().recordError(engine);
+                    engineView.outliers().recordError(engine);
                 }
                 if (outcome == AttemptOutcome.FAULT) {
                     recordContact(engine, report);
                 }
-                known.outliers().ejectIfFailing(engine);
+                engineView.outliers().ejectIfFailing(engine);
             }
             case FULL -> {
                 recordContact(engine, report);
-                known.outliers().recordFull(engine, actions.nowMs());
+                engineView.outliers().recordFull(engine, actions.nowMs());
             }
-            case UNREACHABLE -> known.outliers().eject(engine);
+            case UNREACHABLE -> engineView.outliers().eject(engine);
             default -> {
                 // Nothing is known against an engine whose attempt was cancelled, timed out or
                 // never sent.
@@ -77,16 +77,16 @@
         if (answered) {
             recordContact(engine, report);
         } else {
-            known.outliers().eject(engine);
+            engineView.outliers().eject(engine);
         }
     }
 
     /** Something was heard from an engine; the report is null where it reported no load. */
     private void recordContact(Engine engine, LoadReport report) {
         double nowMs = actions.nowMs();
-        known.outliers().recordContact(engine, nowMs);
+        engineView.outliers().recordContact(engine, nowMs);
         if (report != null) {
-            known.load().recordReport(engine, report, nowMs);
+            engineView.load().recordReport(engine, report, nowMs);
         }
     }
 }
--- a/src/main/java/larchridge/policy/EngineKnowledge.java
+++ b/src/main/java/larchridge/policy/EngineView.java
@@ -5,7 +5,7 @@
 import larchridge.state.RoutingSettings;
 
 /** What a policy knows of its engines, by the part that knows it. */
-record EngineKnowledge(
+record EngineView(
         EngineRegistry registry,
         OutlierDetector outliers,
         SlowStart slowStart,
@@ -16,12 +16,12 @@
         WriterCapacity capacity) {
 
     /** Knowledge of no engine yet; the random generator is shared with the rest of the policy. */
-    static EngineKnowledge create(RoutingSettings settings, PolicyActions actions, Random random) {
+    static EngineView create(RoutingSettings settings, PolicyActions actions, Random random) {
         EngineRegistry registry = new EngineRegistry();
         OutlierDetector outliers = new OutlierDetector(actions, random);
         SlowStart slowStart = new SlowStart(settings, registry, random, actions.nowMs());
         LoadEstimator load = new LoadEstimator(settings, actions, registry.writers());
-        return new EngineKnowledge(
+        return new EngineView(
                 registry,
                 outliers,
                 slowStart,
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -16,56 +16,56 @@
  */
 final class HedgingPolicy {
     /** Silence over a read that is no sign of anything, beside the time that the read takes. */
-    private static final double READ_SILENCE_MS = 400;
+    private static final double READ_SILENCE_MARGIN_MS = 400;
 
     /** The same for an answer that has not started. */
-    private static final double WRITE_SILENCE_MS = 700;
+    private static final double WRITE_SILENCE_MARGIN_MS = 700;
 
     /** An attempt may take so many times what its engine usually takes. */
-    private static final double USUAL_TIME_FACTOR = 3;
+    private static final double EXPECTED_TIME_FACTOR = 3;
 
     private final OutlierDetector outliers;
     private final WriterCapacity capacity;
     private final EngineSelection selection;
-    private final AttemptDispatcher attempts;
-    private final RetryPolicy retries;
-    private final boolean hedgingAllowed;
+    private final AttemptDispatcher dispatcher;
+    private final RetryPolicy retryPolicy;
+    private final boolean hedgingEnabled;
 
     HedgingPolicy(
             RoutingSettings settings,
-            EngineKnowledge known,
+            EngineView engineView,
             EngineSelection selection,
-            AttemptDispatcher attempts,
-            RetryPolicy retries) {
+            AttemptDispatcher dispatcher,
+            RetryPolicy retryPolicy) {
         this.selection = selection;
-        this.attempts = attempts;
-        this.retries = retries;
-        outliers = known.outliers();
-        capacity = known.capacity();
-        hedgingAllowed = settings.cancellationAllowed() && settings.hedgingAllowed();
+        this.dispatcher = dispatcher;
+        this.retryPolicy = retryPolicy;
+        outliers = engineView.outliers();
+        capacity = engineView.capacity();
+        hedgingEnabled = settings.cancellationAllowed() && settings.hedgingAllowed();
     }
 
     /** For how long an engine may be silent over a read that is likely to take so long. */
     static double readTimeoutMs(double readMs) {
-        return READ_SILENCE_MS + USUAL_TIME_FACTOR * readMs;
+        return READ_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * readMs;
     }
 
     /**
      * For how long an engine may be silent over an answer that is likely to start after so long.
      */
     static double writeTimeoutMs(double startMs) {
-        return WRITE_SILENCE_MS + USUAL_TIME_FACTOR * startMs;
+        return WRITE_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * startMs;
     }
 
     /** Hedges a generation with attempts in flight if the engine of the newest one is silent. */
     void hedgeIfSilent(Generation generation, double nowMs) {
         if (generation.trafficClass.effect != Effect.IDEMPOTENT
-                || !hedgingAllowed
-                || !retries.hasAttemptsLeft(generation)) {
+                || !hedgingEnabled
+                || !retryPolicy.hasAttemptsLeft(generation)) {
             return;
         }
         Attempt newest = generation.newestAttempt();
-        double silentMs = nowMs - Math.max(newest.engine.heardMs(), newest.sentMs);
+        double silentMs = nowMs - Math.max(newest.engine.lastContactMs(), newest.sentMs);
         if (newest.isActive() && silentMs > newest.silenceTimeoutMs()) {
             hedge(generation, newest.engine);
         }
@@ -76,14 +76,14 @@
         if (generation.heldRead() == null) {
             Engine reader = selection.readers().select(generation);
             if (reader != null && reader != silent) {
-                attempts.sendRead(generation, reader);
+                dispatcher.sendRead(generation, reader);
             }
             return;
         }
         Engine writer = selection.writers().select(generation);
         if (writer != null && writer != silent && capacity.hasCapacity(writer, generation)) {
-            attempts.cancelAll(generation);
-            attempts.sendWrite(generation, writer);
+            dispatcher.cancelAll(generation);
+            dispatcher.sendWrite(generation, writer);
         }
     }
 }
--- a/src/main/java/larchridge/policy/IdempotencyRule.java
+++ b/src/main/java/larchridge/policy/IdempotencyRule.java
@@ -16,26 +16,26 @@
     /**
      * Of the window in which engines drop repeats, the part in which a repeat may still be decided.
      */
-    private static final double DECIDED_WITHIN_PART = 0.8;
+    private static final double DECISION_WINDOW_FRACTION = 0.8;
 
     /** A process may be held up for so long between reading its clock and writing. */
-    private static final double HELD_UP_MS = 150;
+    private static final double PROCESS_PAUSE_MARGIN_MS = 150;
 
     private IdempotencyRule() {}
 
     /** Whether an attempt of a generation may be decided for an engine now. */
     static boolean mayAttempt(
-            Generation generation, Engine engine, double nowMs, boolean copiesAllowed) {
-        double latestPart = DECIDED_WITHIN_PART * generation.trafficClass.deduplicationWindowMs;
-        double latest =
-                Math.min(latestPart, generation.trafficClass.deduplicationWindowMs - HELD_UP_MS);
-        return mayRun(generation, engine, null, nowMs - latest, copiesAllowed);
+            Generation generation, Engine engine, double nowMs, boolean hedgingAllowed) {
+        double fractionMs = DECISION_WINDOW_FRACTION * generation.trafficClass.deduplicationWindowMs;
+        double maxAgeMs =
+                Math.min(fractionMs, generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS);
+        return mayRun(generation, engine, null, nowMs - maxAgeMs, hedgingAllowed);
     }
 
     /** Whether an attempt that was decided may be written now. */
-    public static boolean mayWrite(Attempt attempt, double nowMs, boolean copiesAllowed) {
-        double latest = attempt.generation.trafficClass.deduplicationWindowMs - HELD_UP_MS;
-        return mayRun(attempt.generation, attempt.engine, attempt, nowMs - latest, copiesAllowed);
+    public static boolean mayWrite(Attempt attempt, double nowMs, boolean hedgingAllowed) {
+        double maxAgeMs = attempt.generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS;
+        return mayRun(attempt.generation, attempt.engine, attempt, nowMs - maxAgeMs, hedgingAllowed);
     }
 
     /**
@@ -44,25 +44,25 @@
     private static boolean mayRun(
             Generation generation,
             Engine engine,
-            Attempt own,
-            double sentSinceMs,
-            boolean copiesAllowed) {
+            Attempt attempt,
+            double oldestSentMs,
+            boolean hedgingAllowed) {
         Effect effect = generation.trafficClass.effect;
-        if (effect == Effect.IDEMPOTENT && copiesAllowed) {
+        if (effect == Effect.IDEMPOTENT && hedgingAllowed) {
             return true;
         }
-        int othersOut = generation.attemptsInFlight() - (own != null && own.isInFlight() ? 1 : 0);
-        if (othersOut > 0) {
+        int otherAttemptsInFlight = generation.attemptsInFlight() - (attempt != null && attempt.isInFlight() ? 1 : 0);
+        if (otherAttemptsInFlight > 0) {
             return false;
         }
         if (effect == Effect.IDEMPOTENT) {
             return true;
         }
         for (Attempt earlier : generation.attempts()) {
-            if (earlier != own
+            if (earlier != attempt
                     && earlier.mayHaveRun()
                     && (effect == Effect.SIDE_EFFECTING
-                            || earlier.sentMs < sentSinceMs
+                            || earlier.sentMs < oldestSentMs
                             || !dropsRepeats(
                                     generation.trafficClass.deduplicationScope,
                                     earlier.engine,
@@ -74,8 +74,8 @@
     }
 
     /** Whether one engine drops repeats of what the other has run. */
-    private static boolean dropsRepeats(DeduplicationScope span, Engine first, Engine second) {
-        return switch (span) {
+    private static boolean dropsRepeats(DeduplicationScope scope, Engine first, Engine second) {
+        return switch (scope) {
             case ALL -> true;
             case ZONE -> first.zone().equals(second.zone());
             case RACK -> first.rack() == second.rack();
--- a/src/main/java/larchridge/policy/LatencyEstimator.java
+++ b/src/main/java/larchridge/policy/LatencyEstimator.java
@@ -6,21 +6,21 @@
 /** How long a read or the start of an answer is likely to take, from what took place of late. */
 final class LatencyEstimator {
     /** Tokens a millisecond that are assumed until a read has completed. */
-    private static final double UNMEASURED_TOKENS_PER_MS = 12;
+    private static final double DEFAULT_READ_TOKENS_PER_MS = 12;
 
     /** Completed reads from which on an engine's own speed counts instead of the pool's. */
-    private static final double OWN_READS = 3;
+    private static final double MIN_READS_FOR_ENGINE_SPEED = 3;
 
     /** Milliseconds from sending an answer to its first token, until one has been measured. */
     private static final double INITIAL_FIRST_TOKEN_MS = 100;
 
     /** What the newest measurement counts in the time to the first token. */
-    private static final double FIRST_TOKEN_WEIGHT = 0.05;
+    private static final double FIRST_TOKEN_EWMA_WEIGHT = 0.05;
 
     private final LoadEstimator load;
 
     /** The best speed of the reads of late at any engine, in tokens a millisecond. */
-    private final SlidingWindow speeds = new SlidingWindow(20, 1000);
+    private final SlidingWindow readSpeeds = new SlidingWindow(20, 1000);
 
     private double firstTokenMs = INITIAL_FIRST_TOKEN_MS;
 
@@ -29,23 +29,23 @@
     }
 
     /** Counts a completed read of so many tokens that took so long from its sending. */
-    void recordRead(Engine engine, double unreadTokens, double tookMs, double nowMs) {
-        double speed = unreadTokens / Math.max(1, tookMs);
+    void recordRead(Engine engine, double unreadTokens, double durationMs, double nowMs) {
+        double speed = unreadTokens / Math.max(1, durationMs);
         engine.recordRead(speed, nowMs);
-        speeds.addMax(nowMs, speed);
+        readSpeeds.addMax(nowMs, speed);
     }
 
     /** Counts the time from the sending of an answer to its first token. */
-    void recordFirstToken(double tookMs) {
-        firstTokenMs += FIRST_TOKEN_WEIGHT * (tookMs - firstTokenMs);
+    void recordFirstToken(double durationMs) {
+        firstTokenMs += FIRST_TOKEN_EWMA_WEIGHT * (durationMs - firstTokenMs);
     }
 
     /**
      * Forgets that reads and answers were slow; what was measured before no longer says anything.
      */
-    void forgetSlowness() {
+    void resetSlowEstimates() {
         firstTokenMs = Math.min(firstTokenMs, INITIAL_FIRST_TOKEN_MS);
-        speeds.clear();
+        readSpeeds.clear();
     }
 
     /** Milliseconds from the sending of an answer to its first token. */
@@ -58,19 +58,19 @@
      * has slowed: a mean would count other prompts in the queue twice.
      */
     double msPerToken(Engine engine, double nowMs) {
-        return inverse(
-                engine.recentReads(nowMs) >= OWN_READS
-                        ? engine.bestReadSpeed(nowMs)
-                        : speeds.max(nowMs));
+        return toMsPerToken(
+                engine.recentReads(nowMs) >= MIN_READS_FOR_ENGINE_SPEED
+                        ? engine.maxReadSpeed(nowMs)
+                        : readSpeeds.max(nowMs));
     }
 
     /** Milliseconds that the fastest engine takes to read a token. */
     double bestMsPerToken(double nowMs) {
-        return inverse(speeds.max(nowMs));
+        return toMsPerToken(readSpeeds.max(nowMs));
     }
 
-    private static double inverse(double tokensPerMs) {
-        return 1 / (tokensPerMs > 0 ? tokensPerMs : UNMEASURED_TOKENS_PER_MS);
+    private static double toMsPerToken(double tokensPerMs) {
+        return 1 / (tokensPerMs > 0 ? tokensPerMs : DEFAULT_READ_TOKENS_PER_MS);
     }
 
     /**
@@ -78,8 +78,8 @@
      * been silent over it.
      */
     double backlogMs(Engine engine, double nowMs) {
-        double sinceMs = engine.unreadSinceMs();
-        double silentMs = Double.isNaN(sinceMs) ? 0 : nowMs - Math.max(engine.heardMs(), sinceMs);
+        double unreadSinceMs = engine.unreadSinceMs();
+        double silentMs = Double.isNaN(unreadSinceMs) ? 0 : nowMs - Math.max(engine.lastContactMs(), unreadSinceMs);
         return Math.max(load.unreadTokens(engine, nowMs) * msPerToken(engine, nowMs), silentMs);
     }
 }
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -15,19 +15,19 @@
  */
 final class LoadProbes {
     /** Affinity readers that are probed when a generation arrives: those that it will go to. */
-    private static final int READERS_PROBED = 2;
+    private static final int READER_PROBES_PER_GENERATION = 2;
 
     /** Writers that are probed, by chance, while a generation is read. */
-    private static final int WRITERS_PROBED = 3;
+    private static final int WRITER_PROBES_PER_READ = 3;
 
     /** A younger report is not requested again, in milliseconds. */
-    private static final double FRESH_MS = 300;
+    private static final double MIN_PROBE_INTERVAL_MS = 300;
 
     /** How long a generation waits for the reports of its readers: a few round trips. */
-    private static final double REPORT_WAIT_MS = 15;
+    private static final double MAX_REPORT_WAIT_MS = 15;
 
     /** After so long a generation that still waits probes its readers again. */
-    private static final double PROBE_AGAIN_MS = 200;
+    private static final double READER_REPROBE_MS = 200;
 
     private final PolicyActions actions;
     private final PrefixAffinity affinity;
@@ -36,43 +36,43 @@
     private final boolean probesAllowed;
 
     LoadProbes(
-            RoutingSettings settings, PolicyActions actions, EngineKnowledge known, Random random) {
+            RoutingSettings settings, PolicyActions actions, EngineView engineView, Random random) {
         this.actions = actions;
         this.random = random;
-        affinity = known.affinity();
-        writers = known.registry().writers();
+        affinity = engineView.affinity();
+        writers = engineView.registry().writers();
         probesAllowed = settings.reportsWithProbes() && settings.probesAllowed();
     }
 
     /**
      * Whether the readers that would come first for a generation are still to report their load.
      */
-    boolean areReadersAwaited(Generation generation) {
+    boolean isAwaitingReaderReports(Generation generation) {
         double nowMs = actions.nowMs();
-        if (nowMs - generation.readersProbedMs() > PROBE_AGAIN_MS) {
+        if (nowMs - generation.readersProbedMs() > READER_REPROBE_MS) {
             generation.recordReadersProbed(nowMs);
             generation.probedReaders().clear();
             List<Engine> readers = affinity.readersOf(generation);
             generation
                     .probedReaders()
-                    .addAll(readers.subList(0, Math.min(READERS_PROBED, readers.size())));
+                    .addAll(readers.subList(0, Math.min(READER_PROBES_PER_GENERATION, readers.size())));
             generation.probedReaders().forEach(this::probe);
         }
         return probesAllowed
-                && nowMs < generation.readersProbedMs() + REPORT_WAIT_MS
-                && generation.probedReaders().stream().anyMatch(Engine::isReportAwaited);
+                && nowMs < generation.readersProbedMs() + MAX_REPORT_WAIT_MS
+                && generation.probedReaders().stream().anyMatch(Engine::isReportPending);
     }
 
     /** Probes a few writers while a prompt is read, for the choice that follows. */
-    void probeSomeWriters() {
-        for (int i = 0; i < WRITERS_PROBED && !writers.isEmpty(); i++) {
+    void probeRandomWriters() {
+        for (int i = 0; i < WRITER_PROBES_PER_READ && !writers.isEmpty(); i++) {
             probe(writers.get(random.nextInt(writers.size())));
         }
     }
 
     private void probe(Engine engine) {
         double nowMs = actions.nowMs();
-        if (probesAllowed && nowMs - engine.lastProbeOrReportMs() > FRESH_MS) {
+        if (probesAllowed && nowMs - engine.lastProbeOrReportMs() > MIN_PROBE_INTERVAL_MS) {
             engine.recordProbe(nowMs);
             actions.probeLoad(engine);
         }
--- a/src/main/java/larchridge/policy/OutlierDetector.java
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -10,22 +10,22 @@
  */
 final class OutlierDetector {
     /** The first ejection, and the longest one, to which each further ejection doubles. */
-    private static final double FIRST_EJECTION_MS = 500;
+    private static final double BASE_EJECTION_MS = 500;
 
-    private static final double LONGEST_EJECTION_MS = 4000;
+    private static final double MAX_EJECTION_MS = 4000;
 
     /** What the newest answer counts in the share of an engine's errors. */
-    private static final double ERROR_WEIGHT = 0.25;
+    private static final double ERROR_RATE_EWMA_WEIGHT = 0.25;
 
     /** The share of errors from which on an engine is ejected: two in a row, not one. */
-    private static final double ERROR_SHARE_LIMIT = 0.4;
+    private static final double EJECTION_ERROR_RATE = 0.4;
 
     /**
      * How long an engine that was full gets no more; shorter where reports tell its load exactly.
      */
-    private static final double FULL_MS = 2000;
+    private static final double FULL_BACKOFF_MS = 2000;
 
-    private static final double FULL_WITH_REPORTS_MS = 300;
+    private static final double FULL_BACKOFF_WITH_REPORTS_MS = 300;
 
     private final PolicyActions actions;
     private final Random random;
@@ -40,13 +40,13 @@
         // Guards against: an affinity reader that has just been full would be tried again until no
         // attempt is left.
         return !engine.isEjected(nowMs)
-                && (!engine.isOnTrial() || engine.attempts().isEmpty())
+                && (!engine.isOnProbation() || engine.attempts().isEmpty())
                 && (engine.role() != Role.READER || !engine.isFull(nowMs));
     }
 
     /** Counts an answer that was none of an error. */
     void recordSuccess(Engine engine) {
-        engine.recordAnswer(0, ERROR_WEIGHT);
+        engine.recordAnswer(0, ERROR_RATE_EWMA_WEIGHT);
     }
 
     /**
@@ -57,7 +57,7 @@
      * probes too, must not clear it.
      */
     void recordError(Engine engine) {
-        engine.recordAnswer(1, ERROR_WEIGHT);
+        engine.recordAnswer(1, ERROR_RATE_EWMA_WEIGHT);
     }
 
     /**
@@ -67,7 +67,7 @@
      * most engines would be ejected while connections are reset all over.
      */
     void ejectIfFailing(Engine engine) {
-        if (engine.errorShare() >= ERROR_SHARE_LIMIT) {
+        if (engine.errorRate() >= EJECTION_ERROR_RATE) {
             eject(engine);
         }
     }
@@ -75,14 +75,14 @@
     /** Takes an engine back that has answered, unless it answers with errors. */
     void recordContact(Engine engine, double nowMs) {
         engine.recordContact(nowMs);
-        if (engine.errorShare() < ERROR_SHARE_LIMIT) {
-            engine.takeBack();
+        if (engine.errorRate() < EJECTION_ERROR_RATE) {
+            engine.uneject();
         }
     }
 
     /** Spares an engine that had no capacity. */
     void recordFull(Engine engine, double nowMs) {
-        engine.recordFull(nowMs + (engine.hasReported() ? FULL_WITH_REPORTS_MS : FULL_MS));
+        engine.recordFull(nowMs + (engine.hasReported() ? FULL_BACKOFF_WITH_REPORTS_MS : FULL_BACKOFF_MS));
     }
 
     /** Ejects an engine that can't be reached or is silent, unless it is ejected already. */
@@ -91,8 +91,8 @@
         if (engine.isEjected(nowMs)) {
             return;
         }
-        double doubledMs = Math.max(FIRST_EJECTION_MS, 2 * engine.ejectionMs());
-        double ejectionMs = Math.min(LONGEST_EJECTION_MS, doubledMs);
+        double doubledMs = Math.max(BASE_EJECTION_MS, 2 * engine.ejectionMs());
+        double ejectionMs = Math.min(MAX_EJECTION_MS, doubledMs);
         // Spread by chance, so that routers do not all come back in one moment.
         engine.eject(ejectionMs, nowMs + ejectionMs * (0.75 + 0.5 * random.nextDouble()));
         actions.log("engine " + engine.id + " ejected for " + Math.round(ejectionMs) + " ms");
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -24,14 +24,14 @@
     private static final int READERS_PER_ZONE = 2;
 
     /** The least that a read takes, in tokens, however much of its prompt is cached. */
-    private static final double LEAST_TOKENS_TO_READ = 32;
+    private static final double MIN_TOKENS_TO_READ = 32;
 
     private final PolicyActions actions;
     private final EngineRegistry registry;
     private final String zone;
 
     /** The part of a prompt that was cached at the first of its affinity readers. */
-    private final SlidingWindowMean cachedParts = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean cachedFractions = new SlidingWindowMean(20, 1000);
 
     PrefixAffinity(RoutingSettings settings, PolicyActions actions, EngineRegistry registry) {
         this.actions = actions;
@@ -41,7 +41,7 @@
 
     /** What is left to read of a prompt. */
     static double tokensToRead(int promptTokens, int cachedTokens) {
-        return Math.max(promptTokens - cachedTokens, LEAST_TOKENS_TO_READ);
+        return Math.max(promptTokens - cachedTokens, MIN_TOKENS_TO_READ);
     }
 
     /**
@@ -49,25 +49,25 @@
      * others. The list is the generation's own and not to be changed.
      */
     List<Engine> readersOf(Generation generation) {
-        CachedPrefix first = generation.prefix != null ? generation.prefix : generation.session;
-        if (generation.affinityRevision() != registry.revision() && first != null) {
+        CachedPrefix affinityPrefix = generation.prefix != null ? generation.prefix : generation.session;
+        if (generation.affinityRevision() != registry.revision() && affinityPrefix != null) {
             generation.setAffinityRevision(registry.revision());
             generation.affinityReaders().clear();
-            addReaders(first, generation.affinityReaders());
-            CachedPrefix text = generation.session != null ? generation.session : first;
+            addReaders(affinityPrefix, generation.affinityReaders());
+            CachedPrefix prefix = generation.session != null ? generation.session : affinityPrefix;
             generation
                     .affinityReaders()
                     .sort(
                             Comparator.comparing((Engine engine) -> !engine.zone().equals(zone))
                                     .thenComparing(
-                                            Comparator.comparingLong(text::affinity).reversed()));
+                                            Comparator.comparingLong(prefix::rendezvousWeight).reversed()));
         }
         return generation.affinityReaders();
     }
 
-    private void addReaders(CachedPrefix text, List<Engine> chosen) {
+    private void addReaders(CachedPrefix prefix, List<Engine> chosen) {
         List<Engine> byAffinity = new ArrayList<>(registry.readers());
-        byAffinity.sort(Comparator.comparingLong(text::affinity).reversed());
+        byAffinity.sort(Comparator.comparingLong(prefix::rendezvousWeight).reversed());
         for (Engine reader : byAffinity) {
             long inZone = chosen.stream().filter(e -> e.zone().equals(reader.zone())).count();
             if (inZone < READERS_PER_ZONE) {
@@ -88,26 +88,26 @@
                     Math.max(
                             cached,
                             reader == readers.get(0)
-                                    ? usuallyCachedTokens(generation)
+                                    ? typicalCachedTokens(generation)
                                     : generation.sharedTokens);
         }
         return tokensToRead(generation.promptTokens, cached);
     }
 
     /** The least that any reader would have to read of a generation's prompt; 0 without readers. */
-    double leastTokensToRead(Generation generation) {
+    double minTokensToRead(Generation generation) {
         return registry.readers().stream()
                 .mapToDouble(reader -> tokensToRead(generation, reader))
                 .min()
                 .orElse(0);
     }
 
-    private static int cachedTokens(CachedPrefix text, Engine reader, int most) {
-        return text == null ? 0 : Math.min(text.tokensAt(reader), most);
+    private static int cachedTokens(CachedPrefix prefix, Engine reader, int maxTokens) {
+        return prefix == null ? 0 : Math.min(prefix.cachedTokensAt(reader), maxTokens);
     }
 
-    private int usuallyCachedTokens(Generation generation) {
-        return (int) (cachedParts.at(actions.nowMs()) * generation.promptTokens);
+    private int typicalCachedTokens(Generation generation) {
+        return (int) (cachedFractions.mean(actions.nowMs()) * generation.promptTokens);
     }
 
     /** Notes that a reader will have the texts of a generation cached. */
@@ -123,7 +123,7 @@
     /** Counts what of a prompt was cached, if its first affinity reader has read it. */
     void recordRead(Attempt read, int cachedTokens, double nowMs) {
         if (readersOf(read.generation).indexOf(read.engine) == 0) {
-            cachedParts.add(nowMs, cachedTokens, read.generation.promptTokens);
+            cachedFractions.add(nowMs, cachedTokens, read.generation.promptTokens);
         }
     }
 }
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -17,18 +17,18 @@
      * Backlog up to which a reader is short (the paper's alpha): little beside SLO times of
      * seconds.
      */
-    private static final double ALPHA_MS = 250;
+    private static final double SHORT_BACKLOG_MS = 250;
 
     /**
      * Backlog over which a reader is overloaded (the paper's beta): a queue longer misses the SLO.
      */
-    private static final double BETA_MS = 1750;
+    private static final double OVERLOADED_BACKLOG_MS = 1750;
 
     /** An engine reads for itself while it has under this part of the mean streams. */
-    private static final double SELF_READ_STREAMS = 0.6;
+    private static final double LOCAL_READ_STREAMS_FACTOR = 0.6;
 
     /** The same while transfers are late, since answers then wait for their states elsewhere. */
-    private static final double SELF_READ_LATE_STREAMS = 1.5;
+    private static final double LOCAL_READ_STREAMS_FACTOR_LATE = 1.5;
 
     private final PolicyActions actions;
     private final List<Engine> readers;
@@ -41,70 +41,70 @@
     private final String zone;
     private final boolean writersCanRead;
 
-    ReaderSelection(RoutingSettings settings, PolicyActions actions, EngineKnowledge known) {
+    ReaderSelection(RoutingSettings settings, PolicyActions actions, EngineView engineView) {
         this.actions = actions;
-        readers = known.registry().readers();
-        writers = known.registry().writers();
-        eligible = known.eligible();
-        affinity = known.affinity();
-        load = known.load();
-        latency = known.latency();
-        capacity = known.capacity();
+        readers = engineView.registry().readers();
+        writers = engineView.registry().writers();
+        eligible = engineView.eligible();
+        affinity = engineView.affinity();
+        load = engineView.load();
+        latency = engineView.latency();
+        capacity = engineView.capacity();
         zone = settings.zone();
         writersCanRead = settings.writersCanRead();
     }
 
     /** The engine to read a generation's prompt, or null where it has to wait. */
     Engine select(Generation generation) {
-        return capacity.isAvailableFor(generation) ? selectFromPool(generation) : null;
+        return capacity.hasTotalCapacityFor(generation) ? selectFromPool(generation) : null;
     }
 
     private Engine selectFromPool(Generation generation) {
         double nowMs = actions.nowMs();
-        List<Engine> fit = eligible.of(readers, generation);
+        List<Engine> eligibleReaders = eligible.of(readers, generation);
         List<Engine> candidates = new ArrayList<>(affinity.readersOf(generation));
-        candidates.retainAll(fit);
-        Engine last = generation.session == null ? null : generation.session.lastReader();
-        if (last == null || !fit.contains(last)) {
-            last = candidates.isEmpty() ? null : candidates.get(0);
-        } else if (!candidates.contains(last)) {
-            candidates.add(last);
+        candidates.retainAll(eligibleReaders);
+        Engine lastReader = generation.session == null ? null : generation.session.lastReader();
+        if (lastReader == null || !eligibleReaders.contains(lastReader)) {
+            lastReader = candidates.isEmpty() ? null : candidates.get(0);
+        } else if (!candidates.contains(lastReader)) {
+            candidates.add(lastReader);
         }
-        if (last != null && isShort(last, nowMs) && !StateTransfers.areLate(last, nowMs)) {
-            return last;
+        if (lastReader != null && hasShortBacklog(lastReader, nowMs) && !StateTransfers.areLate(lastReader, nowMs)) {
+            return lastReader;
         }
         // Deviation from the paper: only affinity readers read, while any is eligible. Guards
         // against: text read anew elsewhere doubles the work and drives other texts out, until
         // every read is long. Where no reader is short, an engine that reads for itself takes
         // prompt
         // and answer.
-        candidates = candidates.isEmpty() ? fit : candidates;
-        boolean late = candidates.stream().anyMatch(e -> StateTransfers.areLate(e, nowMs));
-        addSelfReaders(candidates, generation, late, nowMs);
-        return best(candidates, last, generation, late);
+        candidates = candidates.isEmpty() ? eligibleReaders : candidates;
+        boolean transfersLate = candidates.stream().anyMatch(e -> StateTransfers.areLate(e, nowMs));
+        addLocalReaders(candidates, generation, transfersLate, nowMs);
+        return best(candidates, lastReader, generation, transfersLate);
     }
 
-    private boolean isShort(Engine engine, double nowMs) {
-        return latency.backlogMs(engine, nowMs) <= ALPHA_MS;
+    private boolean hasShortBacklog(Engine engine, double nowMs) {
+        return latency.backlogMs(engine, nowMs) <= SHORT_BACKLOG_MS;
     }
 
-    private void addSelfReaders(
-            List<Engine> candidates, Generation generation, boolean late, double nowMs) {
-        double mean = writers.stream().mapToDouble(load::streamsPerUnit).average().orElse(0);
+    private void addLocalReaders(
+            List<Engine> candidates, Generation generation, boolean transfersLate, double nowMs) {
+        double meanStreams = writers.stream().mapToDouble(load::streamsPerUnit).average().orElse(0);
         for (Engine engine : eligible.of(writers, generation)) {
             if ((engine.role() == Role.BOTH || writersCanRead)
                     && capacity.hasCapacity(engine, generation)
-                    && isShort(engine, nowMs)
+                    && hasShortBacklog(engine, nowMs)
                     && load.streams(engine)
-                            <= (late ? SELF_READ_LATE_STREAMS : SELF_READ_STREAMS)
-                                    * mean
+                            <= (transfersLate ? LOCAL_READ_STREAMS_FACTOR_LATE : LOCAL_READ_STREAMS_FACTOR)
+                                    * meanStreams
                                     * engine.units()) {
                 candidates.add(engine);
             }
         }
     }
 
-    private Engine best(List<Engine> candidates, Engine last, Generation generation, boolean late) {
+    private Engine best(List<Engine> candidates, Engine lastReader, Generation generation, boolean transfersLate) {
         double nowMs = actions.nowMs();
         double limitMs = backlogLimitMs(generation);
         Engine best = null;
@@ -112,7 +112,7 @@
         int bestRank = 0;
         for (Engine engine : candidates) {
             double backlogMs = latency.backlogMs(engine, nowMs);
-            int rank = rank(engine, backlogMs, late, nowMs);
+            int rank = rank(engine, backlogMs, transfersLate, nowMs);
             double unread = affinity.tokensToRead(generation, engine);
             double tokens = load.unreadTokens(engine, nowMs) + unread;
             double firstTokenAtMs =
@@ -129,8 +129,8 @@
                 bestRank = rank;
             }
         }
-        return best != null && last != null && isCheaper(last, bestTokens, generation, limitMs)
-                ? last
+        return best != null && lastReader != null && isCheaper(lastReader, bestTokens, generation, limitMs)
+                ? lastReader
                 : best;
     }
 
@@ -142,17 +142,17 @@
      * to short readers only.
      */
     private static double backlogLimitMs(Generation generation) {
-        return ALPHA_MS
-                + (generation.clientRetry ? 0 : generation.randomShare()) * (BETA_MS - ALPHA_MS);
+        return SHORT_BACKLOG_MS
+                + (generation.clientRetry ? 0 : generation.randomFraction()) * (OVERLOADED_BACKLOG_MS - SHORT_BACKLOG_MS);
     }
 
     /** The order of preference, lowest first, before tokens count. */
-    private int rank(Engine engine, double backlogMs, boolean late, double nowMs) {
+    private int rank(Engine engine, double backlogMs, boolean transfersLate, double nowMs) {
         boolean near = engine.zone().equals(zone);
         if (engine.role() != Role.READER) {
-            return late ? 1 : near ? 2 : 3;
+            return transfersLate ? 1 : near ? 2 : 3;
         }
-        if (backlogMs > ALPHA_MS || StateTransfers.areLate(engine, nowMs)) {
+        if (backlogMs > SHORT_BACKLOG_MS || StateTransfers.areLate(engine, nowMs)) {
             return 2;
         }
         return near ? 0 : 1;
@@ -163,10 +163,10 @@
      * takes more tokens.
      */
     private boolean isCheaper(
-            Engine last, double bestTokens, Generation generation, double limitMs) {
+            Engine lastReader, double bestTokens, Generation generation, double limitMs) {
         double nowMs = actions.nowMs();
-        return latency.backlogMs(last, nowMs) <= limitMs
-                && load.unreadTokens(last, nowMs) + affinity.tokensToRead(generation, last)
+        return latency.backlogMs(lastReader, nowMs) <= limitMs
+                && load.unreadTokens(lastReader, nowMs) + affinity.tokensToRead(generation, lastReader)
                         < bestTokens;
     }
 }
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -13,21 +13,21 @@
  */
 final class RetryPolicy {
     /** A read is of use only with an answer after it. */
-    private static final int ATTEMPTS_FROM_READ = 2;
+    private static final int MIN_ATTEMPTS_FROM_READ = 2;
 
-    private static final int ATTEMPTS_FROM_WRITE = 1;
+    private static final int MIN_ATTEMPTS_FROM_WRITE = 1;
 
     /**
      * How long before the client's deadline the final answer is given, so that it arrives in time.
      */
-    private static final double ANSWER_EARLY_MS = 30;
+    private static final double FINAL_ANSWER_MARGIN_MS = 30;
 
     /**
      * The backoff after an attempt that could not be sent from here; it doubles up to the longest.
      */
-    private static final double NOT_SENT_BACKOFF_MS = 20;
+    private static final double BASE_NOT_SENT_BACKOFF_MS = 20;
 
-    private static final double LONGEST_NOT_SENT_BACKOFF_MS = 320;
+    private static final double MAX_NOT_SENT_BACKOFF_MS = 320;
 
     private final PolicyActions actions;
     private final Random random;
@@ -43,13 +43,13 @@
 
     /** Whether a generation has attempts left for its next stage, and for what must follow it. */
     boolean hasAttemptsLeft(Generation generation) {
-        int needed = generation.heldRead() == null ? ATTEMPTS_FROM_READ : ATTEMPTS_FROM_WRITE;
+        int needed = generation.heldRead() == null ? MIN_ATTEMPTS_FROM_READ : MIN_ATTEMPTS_FROM_WRITE;
         return generation.attemptsSent() + needed <= maxAttempts;
     }
 
     /** Whether the moment has come to give a generation its final answer, whatever it is. */
     boolean isDeadlineNear(Generation generation, double nowMs) {
-        return nowMs >= generation.deadlineMs - ANSWER_EARLY_MS;
+        return nowMs >= generation.deadlineMs - FINAL_ANSWER_MARGIN_MS;
     }
 
     /** Whether a backoff of a generation is over. */
@@ -64,8 +64,8 @@
      * tried again at once would use up its attempts within a millisecond and be given up.
      */
     void backOff(Generation generation) {
-        double ms = NOT_SENT_BACKOFF_MS * Math.pow(2, generation.attemptsNotSent());
-        generation.backOff(actions.nowMs() + Math.min(LONGEST_NOT_SENT_BACKOFF_MS, ms));
+        double backoffMs = BASE_NOT_SENT_BACKOFF_MS * Math.pow(2, generation.attemptsNotSent());
+        generation.backOff(actions.nowMs() + Math.min(MAX_NOT_SENT_BACKOFF_MS, backoffMs));
     }
 
     /** Gives the final answer to the client of a generation that is given up. */
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -23,25 +23,25 @@
  */
 public final class RoutingPolicy implements PolicyEvents {
     /** How often generations are looked at for their deadline, backoff and silent engines. */
-    private static final double SWEEP_MS = 20;
+    private static final double SWEEP_INTERVAL_MS = 20;
 
     private final PolicyActions actions;
     private final Random random;
-    private final EngineKnowledge known;
+    private final EngineView engineView;
     private final EngineFeedback feedback;
     private final EngineSelection selection;
     private final LoadProbes probes;
-    private final AttemptDispatcher attempts;
+    private final AttemptDispatcher dispatcher;
     private final StateReservations reservations;
-    private final RetryPolicy retries;
+    private final RetryPolicy retryPolicy;
     private final HedgingPolicy hedging;
     private final AdmissionQueue queue;
     private final EndpointWatch endpointWatch;
 
     /** The generations that have arrived and are not over, in the order of arrival. */
-    private final List<Generation> open = new ArrayList<>();
+    private final List<Generation> openGenerations = new ArrayList<>();
 
-    private boolean wakePlanned;
+    private boolean wakeUpScheduled;
 
     /**
      * The policy of one router, which begins with no engine; its draws follow the settings' seed.
@@ -49,22 +49,22 @@
     public RoutingPolicy(RoutingSettings settings, PolicyActions actions) {
         this.actions = actions;
         random = new Random(settings.seed());
-        known = EngineKnowledge.create(settings, actions, random);
-        feedback = new EngineFeedback(actions, known);
+        engineView = EngineView.create(settings, actions, random);
+        feedback = new EngineFeedback(actions, engineView);
         selection =
                 new EngineSelection(
-                        new ReaderSelection(settings, actions, known),
-                        new WriterSelection(actions, known, random));
-        probes = new LoadProbes(settings, actions, known, random);
-        attempts = new AttemptDispatcher(settings, actions, known, probes);
+                        new ReaderSelection(settings, actions, engineView),
+                        new WriterSelection(actions, engineView, random));
+        probes = new LoadProbes(settings, actions, engineView, random);
+        dispatcher = new AttemptDispatcher(settings, actions, engineView, probes);
         reservations = new StateReservations(actions);
-        retries = new RetryPolicy(settings, actions, random);
-        hedging = new HedgingPolicy(settings, known, selection, attempts, retries);
+        retryPolicy = new RetryPolicy(settings, actions, random);
+        hedging = new HedgingPolicy(settings, engineView, selection, dispatcher, retryPolicy);
         queue =
                 new AdmissionQueue(
                         actions,
-                        known.latency(),
-                        open,
+                        engineView.latency(),
+                        openGenerations,
                         this::advance,
                         generation -> giveUp(generation, GiveUpReason.TOO_LATE));
         endpointWatch = new EndpointWatch(actions, random);
@@ -77,10 +77,10 @@
 
     @Override
     public void requestArrived(Generation generation) {
-        open.add(generation);
-        generation.setRandomShare(random.nextDouble());
+        openGenerations.add(generation);
+        generation.setRandomFraction(random.nextDouble());
         advance(generation);
-        planWake();
+        scheduleWakeUp();
     }
 
     @Override
@@ -88,17 +88,17 @@
             Attempt attempt, int cachedTokens, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
         feedback.recordRead(attempt, cachedTokens, report);
-        attempts.close(attempt);
+        dispatcher.close(attempt);
         if (finished) {
             generation.finish();
         }
-        reservations.held(attempt);
+        reservations.recordHeld(attempt);
         if (!generation.isUnanswered()) {
             // Guards against: a read that ends after its generation would leave its state held.
             reservations.release(generation);
         } else if (!generation.isAtWriter() || generation.isStateReleased()) {
             generation.clearStateReleased();
-            attempts.cancelOthers(generation, attempt);
+            dispatcher.cancelOthers(generation, attempt);
             advance(generation);
         }
         queue.admitWaiting();
@@ -110,8 +110,8 @@
         feedback.recordFirstToken(attempt);
         attempt.markRead();
         generation.startResponse();
-        reservations.fetched(generation);
-        attempts.cancelOthers(generation, attempt);
+        reservations.recordFetched(generation);
+        dispatcher.cancelOthers(generation, attempt);
     }
 
     @Override
@@ -119,13 +119,13 @@
             Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
         attempt.recordOutcome(outcome);
-        attempts.close(attempt);
+        dispatcher.close(attempt);
         if (finished) {
             generation.finish();
         }
         feedback.recordOutcome(attempt, outcome, report);
         if (outcome == AttemptOutcome.NOT_SENT) {
-            retries.backOff(generation);
+            retryPolicy.backOff(generation);
         }
         if (!generation.isUnanswered() || outcome == AttemptOutcome.NO_STATE) {
             reservations.release(generation);
@@ -133,7 +133,7 @@
         if (generation.isUnanswered()
                 && !generation.isWaiting()
                 && generation.attemptsInFlight() == 0
-                && retries.isDue(generation, actions.nowMs())) {
+                && retryPolicy.isDue(generation, actions.nowMs())) {
             advance(generation);
         }
         queue.admitWaiting();
@@ -146,7 +146,7 @@
      */
     @Override
     public void stateReleased(Attempt attempt) {
-        reservations.releasedBeside(attempt);
+        reservations.recordReleasedBeforeFetch(attempt);
     }
 
     @Override
@@ -166,30 +166,30 @@
 
     @Override
     public void endpointsChanged(List<EndpointUpdate> entries, boolean complete) {
-        known.registry().apply(entries, complete, actions.nowMs());
+        engineView.registry().apply(entries, complete, actions.nowMs());
         queue.admitWaiting();
     }
 
     /** The endpoint list could not be had; it is requested again after a while. */
     public void endpointWatchFailed() {
-        endpointWatch.failed();
-        planWake();
+        endpointWatch.scheduleRetry();
+        scheduleWakeUp();
     }
 
     @Override
     public void wakeUp() {
-        wakePlanned = false;
+        wakeUpScheduled = false;
         double nowMs = actions.nowMs();
         endpointWatch.retryIfDue(nowMs);
-        open.removeIf(generation -> generation.isFinished() && generation.attemptsInFlight() == 0);
+        openGenerations.removeIf(generation -> generation.isFinished() && generation.attemptsInFlight() == 0);
         try {
-            for (int i = 0; i < open.size(); i++) {
-                sweep(open.get(i), nowMs);
+            for (int i = 0; i < openGenerations.size(); i++) {
+                sweep(openGenerations.get(i), nowMs);
             }
             queue.admitWaiting();
         } finally {
             // Guards against: a fault at one generation would end the sweeps of all others.
-            planWake();
+            scheduleWakeUp();
         }
     }
 
@@ -199,19 +199,19 @@
             return;
         }
         StateTransfers.recordIfOverdue(generation, nowMs);
-        if (retries.isDeadlineNear(generation, nowMs)) {
+        if (retryPolicy.isDeadlineNear(generation, nowMs)) {
             giveUp(generation, GiveUpReason.TIME_UP);
         } else if (generation.attemptsInFlight() > 0) {
             hedging.hedgeIfSilent(generation, nowMs);
-        } else if (!generation.isWaiting() && retries.isDue(generation, nowMs)) {
+        } else if (!generation.isWaiting() && retryPolicy.isDue(generation, nowMs)) {
             advance(generation);
         }
     }
 
-    private void planWake() {
-        if (!wakePlanned && (!open.isEmpty() || endpointWatch.isRetryPlanned())) {
-            wakePlanned = true;
-            actions.wakeAt(actions.nowMs() + SWEEP_MS);
+    private void scheduleWakeUp() {
+        if (!wakeUpScheduled && (!openGenerations.isEmpty() || endpointWatch.isRetryScheduled())) {
+            wakeUpScheduled = true;
+            actions.wakeAt(actions.nowMs() + SWEEP_INTERVAL_MS);
         }
     }
 
@@ -226,14 +226,14 @@
         // its
         // state.
         generation.stopWaiting();
-        if (retries.isDeadlineNear(generation, actions.nowMs())) {
+        if (retryPolicy.isDeadlineNear(generation, actions.nowMs())) {
             giveUp(generation, GiveUpReason.TIME_UP);
             return;
         }
-        if (generation.heldRead() != null && generation.heldRead().isLost()) {
+        if (generation.heldRead() != null && generation.heldRead().isStateLost()) {
             reservations.release(generation);
         }
-        if (!retries.hasAttemptsLeft(generation)) {
+        if (!retryPolicy.hasAttemptsLeft(generation)) {
             giveUp(generation, GiveUpReason.ATTEMPTS_USED);
         } else if (generation.heldRead() == null) {
             readOrWait(generation);
@@ -244,20 +244,20 @@
 
     private void readOrWait(Generation generation) {
         Engine reader =
-                probes.areReadersAwaited(generation)
+                probes.isAwaitingReaderReports(generation)
                         ? null
                         : selection.readers().select(generation);
         if (reader != null) {
-            attempts.sendRead(generation, reader);
+            dispatcher.sendRead(generation, reader);
             return;
         }
-        generation.startWaiting(known.affinity().leastTokensToRead(generation));
+        generation.startWaiting(engineView.affinity().minTokensToRead(generation));
     }
 
     private void writeOrGiveUp(Generation generation) {
         Engine writer = selection.writers().select(generation);
         if (writer != null) {
-            attempts.sendWrite(generation, writer);
+            dispatcher.sendWrite(generation, writer);
         } else {
             giveUp(generation, GiveUpReason.NO_WRITER);
         }
@@ -265,8 +265,8 @@
 
     private void giveUp(Generation generation, GiveUpReason reason) {
         generation.recordGiveUp(reason);
-        attempts.cancelAll(generation);
+        dispatcher.cancelAll(generation);
         clientDisconnected(generation);
-        retries.answerGivenUp(generation);
+        retryPolicy.answerGivenUp(generation);
     }
 }
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -17,12 +17,12 @@
      * The part of a warming engine's budget that is used, since all routers only meet it on
      * average.
      */
-    private static final double USED_SHARE = 0.5;
+    private static final double BUDGET_FRACTION = 0.5;
 
     private final EngineRegistry registry;
     private final Random random;
     private final double slowStartMs;
-    private final double share;
+    private final double effectiveShare;
     private final double createdMs;
 
     /** Attempts that warm readers and writers have completed of late. */
@@ -34,7 +34,7 @@
         this.registry = registry;
         this.random = random;
         slowStartMs = settings.slowStartMs();
-        share = settings.slowStartShare() * settings.overloadMultiple() * USED_SHARE;
+        effectiveShare = settings.slowStartShare() * settings.overloadMultiple() * BUDGET_FRACTION;
         createdMs = nowMs;
     }
 
@@ -55,7 +55,7 @@
 
     /** Whether an engine may be used now: always when warm, else by a draw. */
     boolean admits(Engine engine, double nowMs) {
-        return !isWarmingUp(engine, nowMs) || draw(engine, nowMs);
+        return !isWarmingUp(engine, nowMs) || drawAdmission(engine, nowMs);
     }
 
     /**
@@ -66,19 +66,19 @@
      * new engine looks best to all of them at once; no draw is worth more than the time since the
      * last one.
      */
-    private boolean draw(Engine engine, double nowMs) {
-        boolean reads = engine.role() == Role.READER;
-        List<Engine> peers = reads ? registry.readers() : registry.writers();
+    private boolean drawAdmission(Engine engine, double nowMs) {
+        boolean isReader = engine.role() == Role.READER;
+        List<Engine> peers = isReader ? registry.readers() : registry.writers();
         double warmUnits =
                 peers.stream()
                         .filter(peer -> !isWarmingUp(peer, nowMs))
                         .mapToDouble(peer -> peer.units())
                         .sum();
-        SlidingWindow completed = reads ? warmReads : warmWrites;
+        SlidingWindow completed = isReader ? warmReads : warmWrites;
         double spanMs = Math.min(completed.spanMs(), nowMs - createdMs + 1);
-        double perMs = completed.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units());
-        double sinceMs = nowMs - Math.max(engine.slowStartDrawMs(), engine.startMs());
+        double warmRatePerMs = completed.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units());
+        double sinceLastDrawMs = nowMs - Math.max(engine.lastSlowStartDrawMs(), engine.startMs());
         engine.recordSlowStartDraw(nowMs);
-        return random.nextDouble() < share * perMs * engine.units() * sinceMs;
+        return random.nextDouble() < effectiveShare * warmRatePerMs * engine.units() * sinceLastDrawMs;
     }
 }
--- a/src/main/java/larchridge/policy/StateReservations.java
+++ b/src/main/java/larchridge/policy/StateReservations.java
@@ -12,23 +12,23 @@
     }
 
     /** A read has completed: its state is to be fetched, unless another one is already. */
-    void held(Attempt read) {
+    void recordHeld(Attempt read) {
         if (read.generation.heldRead() == null) {
             read.generation.holdState(read);
         }
     }
 
     /** An answer has started: its state has been fetched; other attempts may still leave one. */
-    void fetched(Generation generation) {
+    void recordFetched(Generation generation) {
         generation.dropState();
         generation.setMayHoldState(generation.attemptsInFlight() > 1);
     }
 
     /** A state has been released beside the attempt that is to fetch it. */
-    void releasedBeside(Attempt write) {
+    void recordReleasedBeforeFetch(Attempt write) {
         Generation generation = write.generation;
         if (write.isActive() && generation.isUnanswered()) {
-            generation.stateReleasedBesideAttempt();
+            generation.recordStateReleased();
         }
     }
 
--- a/src/main/java/larchridge/policy/StateTransfers.java
+++ b/src/main/java/larchridge/policy/StateTransfers.java
@@ -14,15 +14,15 @@
  */
 final class StateTransfers {
     /** Transfers that start later than this are late; a tenth to a quarter of an SLO time. */
-    private static final double LATE_MS = 400;
+    private static final double LATE_START_MS = 400;
 
     /** What a transfer counts that has not started by then: it will take at least twice as long. */
-    private static final double UNSTARTED_MS = 2 * LATE_MS;
+    private static final double OVERDUE_START_MS = 2 * LATE_START_MS;
 
     private StateTransfers() {}
 
     /** The cost of a transfer: 0 within the rack, 1 within the zone, 2 across zones. */
-    static int distance(Engine reader, Engine writer) {
+    static int transferDistance(Engine reader, Engine writer) {
         if (!reader.zone().equals(writer.zone())) {
             return 2;
         }
@@ -31,12 +31,12 @@
 
     /** Whether transfers out of a reader's rack have started late on average. */
     static boolean areLate(Engine reader, double nowMs) {
-        return reader.meanTransferStartMs(nowMs) > LATE_MS;
+        return reader.meanTransferStartMs(nowMs) > LATE_START_MS;
     }
 
     /** Counts the transfer of an answer that has started. */
     static void recordStarted(Engine reader, Attempt write, double nowMs) {
-        if (distance(reader, write.engine) > 0) {
+        if (transferDistance(reader, write.engine) > 0) {
             reader.recordTransferStart(nowMs - write.sentMs, nowMs);
         }
     }
@@ -52,10 +52,10 @@
         Attempt newest = generation.newestAttempt();
         if (newest.isInFlight()
                 && !newest.isCountedAsLateTransfer()
-                && nowMs - newest.sentMs > LATE_MS
-                && distance(generation.heldRead().engine, newest.engine) > 0) {
+                && nowMs - newest.sentMs > LATE_START_MS
+                && transferDistance(generation.heldRead().engine, newest.engine) > 0) {
             newest.countAsLateTransfer();
-            generation.heldRead().engine.recordTransferStart(UNSTARTED_MS, nowMs);
+            generation.heldRead().engine.recordTransferStart(OVERDUE_START_MS, nowMs);
         }
     }
 }
--- a/src/main/java/larchridge/policy/WriterCapacity.java
+++ b/src/main/java/larchridge/policy/WriterCapacity.java
@@ -11,14 +11,14 @@
  */
 final class WriterCapacity {
     /** The expected length of an answer whose length was not hinted, as a part of its maximum. */
-    private static final double EXPECTED_SHARE_OF_MAX = 0.5;
+    private static final double DEFAULT_OUTPUT_FRACTION = 0.5;
 
     private final PolicyActions actions;
     private final LoadEstimator load;
     private final List<Engine> writers;
 
     /** Tokens of generations that are being read and have no writer yet. */
-    private double awaitingTokens;
+    private double reservedTokens;
 
     WriterCapacity(PolicyActions actions, LoadEstimator load, List<Engine> writers) {
         this.actions = actions;
@@ -30,36 +30,36 @@
     static double neededTokens(Generation generation) {
         double output =
                 Double.isNaN(generation.expectedOutputTokens)
-                        ? EXPECTED_SHARE_OF_MAX * generation.maxTokens
+                        ? DEFAULT_OUTPUT_FRACTION * generation.maxTokens
                         : generation.expectedOutputTokens;
         return generation.promptTokens + output;
     }
 
     /** Tokens of all generations that are being read and have no writer yet. */
-    double awaitingTokens() {
-        return awaitingTokens;
+    double reservedTokens() {
+        return reservedTokens;
     }
 
     /** Counts a generation whose read begins. */
     void reserve(Generation generation) {
-        awaitingTokens += neededTokens(generation);
+        reservedTokens += neededTokens(generation);
     }
 
     /** No longer counts the generation of a read that has ended. */
     void release(Attempt read) {
-        awaitingTokens = Math.max(0, awaitingTokens - neededTokens(read.generation));
+        reservedTokens = Math.max(0, reservedTokens - neededTokens(read.generation));
     }
 
     /**
      * Whether the writers together have capacity for a generation beside all that are being read.
      */
-    boolean isAvailableFor(Generation generation) {
+    boolean hasTotalCapacityFor(Generation generation) {
         double free =
                 writers.stream()
                         .filter(writer -> hasCapacity(writer, generation))
                         .mapToDouble(this::freeTokens)
                         .sum();
-        return writers.isEmpty() || !(free < awaitingTokens + neededTokens(generation));
+        return writers.isEmpty() || !(free < reservedTokens + neededTokens(generation));
     }
 
     /**
--- a/src/main/java/larchridge/policy/WriterSelection.java
+++ b/src/main/java/larchridge/policy/WriterSelection.java
@@ -15,18 +15,18 @@
  */
 final class WriterSelection {
     /** Z is the mean tokens of the writers, with what awaits a writer, times this (the paper's). */
-    private static final double Z_MARGIN = 1.05;
+    private static final double TOKEN_LIMIT_MARGIN = 1.05;
 
     /**
-     * Streams per unit up to this many times the fewest, plus {@link #NEAR_STREAMS_MORE}, are
+     * Streams per unit up to this many times the fewest, plus {@link #SIMILAR_STREAMS_MARGIN}, are
      * alike.
      */
-    private static final double NEAR_STREAMS_FACTOR = 1.3;
+    private static final double SIMILAR_STREAMS_FACTOR = 1.3;
 
-    private static final double NEAR_STREAMS_MORE = 2;
+    private static final double SIMILAR_STREAMS_MARGIN = 2;
 
     /** While transfers are late, writers in the reader's rack may hold so many times Z. */
-    private static final double NEAR_TOKENS_FACTOR = 2.5;
+    private static final double SAME_RACK_TOKEN_LIMIT_FACTOR = 2.5;
 
     private final PolicyActions actions;
     private final List<Engine> writers;
@@ -35,83 +35,83 @@
     private final WriterCapacity capacity;
     private final Random random;
 
-    WriterSelection(PolicyActions actions, EngineKnowledge known, Random random) {
+    WriterSelection(PolicyActions actions, EngineView engineView, Random random) {
         this.actions = actions;
         this.random = random;
-        writers = known.registry().writers();
-        eligible = known.eligible();
-        load = known.load();
-        capacity = known.capacity();
+        writers = engineView.registry().writers();
+        eligible = engineView.eligible();
+        load = engineView.load();
+        capacity = engineView.capacity();
     }
 
     /**
      * The engine to write the answer of a generation whose state is held, or null if there is none.
      */
     Engine select(Generation generation) {
-        List<Engine> fit = eligible.of(writers, generation);
+        List<Engine> eligibleWriters = eligible.of(writers, generation);
         // Equals are told apart by chance. Without reports most writers look alike to a router that
         // sees little, and all routers together would take the first of the list.
-        Collections.shuffle(fit, random);
-        List<Engine> roomy = new ArrayList<>(fit);
-        roomy.removeIf(writer -> !capacity.hasCapacity(writer, generation));
-        if (roomy.isEmpty()) {
-            return leastLoadedByTokens(fit);
+        Collections.shuffle(eligibleWriters, random);
+        List<Engine> withCapacity = new ArrayList<>(eligibleWriters);
+        withCapacity.removeIf(writer -> !capacity.hasCapacity(writer, generation));
+        if (withCapacity.isEmpty()) {
+            return fewestHeldTokens(eligibleWriters);
         }
         Engine reader = generation.heldRead().engine;
-        double z = tokenLimit(roomy, generation);
+        double tokenLimit = tokenLimit(withCapacity, generation);
         if (StateTransfers.areLate(reader, actions.nowMs())) {
-            Engine near = selectInRack(roomy, reader, z);
-            if (near != null) {
-                return near;
+            Engine sameRack = selectInRack(withCapacity, reader, tokenLimit);
+            if (sameRack != null) {
+                return sameRack;
             }
         }
-        return selectWithinLimit(roomy, reader, z);
+        return selectWithinLimit(withCapacity, reader, tokenLimit);
     }
 
     /** Z, in tokens per unit: what the writers hold and will get, spread evenly, with a margin. */
-    private double tokenLimit(List<Engine> roomy, Generation generation) {
-        double free = roomy.stream().mapToDouble(capacity::freeTokens).sum();
-        double held = roomy.stream().mapToDouble(load::heldTokens).sum();
-        double units = roomy.stream().mapToDouble(writer -> writer.units()).sum();
-        double awaiting = capacity.awaitingTokens() + WriterCapacity.neededTokens(generation);
-        return Z_MARGIN * ((free < awaiting ? free : awaiting) + held) / units;
+    private double tokenLimit(List<Engine> withCapacity, Generation generation) {
+        double free = withCapacity.stream().mapToDouble(capacity::freeTokens).sum();
+        double held = withCapacity.stream().mapToDouble(load::heldTokens).sum();
+        double units = withCapacity.stream().mapToDouble(writer -> writer.units()).sum();
+        double reserved = capacity.reservedTokens() + WriterCapacity.neededTokens(generation);
+        return TOKEN_LIMIT_MARGIN * ((free < reserved ? free : reserved) + held) / units;
     }
 
     /**
      * Deviation from the paper: where transfers out of the reader's rack are late, its own rack
      * goes beyond Z for a while.
      */
-    private Engine selectInRack(List<Engine> roomy, Engine reader, double z) {
-        List<Engine> near = new ArrayList<>(roomy);
-        near.removeIf(
+    private Engine selectInRack(List<Engine> withCapacity, Engine reader, double tokenLimit) {
+        List<Engine> sameRack = new ArrayList<>(withCapacity);
+        sameRack.removeIf(
                 writer ->
-                        StateTransfers.distance(reader, writer) > 0
-                                || load.heldTokensPerUnit(writer) > NEAR_TOKENS_FACTOR * z);
-        return near.isEmpty()
+                        StateTransfers.transferDistance(reader, writer) > 0
+                                || load.heldTokensPerUnit(writer) > SAME_RACK_TOKEN_LIMIT_FACTOR * tokenLimit);
+        return sameRack.isEmpty()
                 ? null
-                : Collections.min(near, Comparator.comparingDouble(load::streamsPerUnit));
+                : Collections.min(sameRack, Comparator.comparingDouble(load::streamsPerUnit));
     }
 
     /**
      * Deviation from the paper: among those at or under Z with about the fewest streams, the
      * nearest to the state.
      */
-    private Engine selectWithinLimit(List<Engine> roomy, Engine reader, double z) {
-        List<Engine> within = new ArrayList<>(roomy);
-        within.removeIf(writer -> load.heldTokensPerUnit(writer) > z);
-        if (within.isEmpty()) {
-            return leastLoadedByTokens(roomy);
+    private Engine selectWithinLimit(List<Engine> withCapacity, Engine reader, double tokenLimit) {
+        List<Engine> withinLimit = new ArrayList<>(withCapacity);
+        withinLimit.removeIf(writer -> load.heldTokensPerUnit(writer) > tokenLimit);
+        if (withinLimit.isEmpty()) {
+            return fewestHeldTokens(withCapacity);
         }
-        double fewest = within.stream().mapToDouble(load::streamsPerUnit).min().getAsDouble();
-        double most = fewest * NEAR_STREAMS_FACTOR + NEAR_STREAMS_MORE;
-        within.removeIf(writer -> load.streamsPerUnit(writer) > most);
+        double fewest = withinLimit.stream().mapToDouble(load::streamsPerUnit).min().getAsDouble();
+        double maxStreams = fewest * SIMILAR_STREAMS_FACTOR + SIMILAR_STREAMS_MARGIN;
+        withinLimit.removeIf(writer -> load.streamsPerUnit(writer) > maxStreams);
         return Collections.min(
-                within,
-                Comparator.comparingInt((Engine writer) -> StateTransfers.distance(reader, writer))
+                withinLimit,
+                Comparator.comparingInt((Engine writer) -> StateTransfers.transferDistance(reader, writer))
                         .thenComparingDouble(load::streamsPerUnit));
     }
 
-    private Engine leastLoadedByTokens(List<Engine> pool) {
+    private Engine fewestHeldTokens(List<Engine> pool) {
         return pool.stream().min(Comparator.comparingDouble(load::heldTokensPerUnit)).orElse(null);
     }
 }
--- a/src/main/java/larchridge/router/AttemptSender.java
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -61,7 +61,7 @@
     /** The read whose state the attempt is to fetch, or null. */
     private static InFlightAttempt sourceOf(InFlightRequest request, Attempt policyAttempt) {
         Attempt read = policyAttempt.generation.heldRead();
-        return policyAttempt.read || read == null ? null : request.attemptOf(read);
+        return policyAttempt.readOnly || read == null ? null : request.attemptOf(read);
     }
 
     private AttemptRequest attemptRequest(InFlightRequest request, InFlightAttempt attempt) {
--- a/src/main/java/larchridge/router/DeadlinePolicy.java
+++ b/src/main/java/larchridge/router/DeadlinePolicy.java
@@ -41,7 +41,7 @@
         // An answer in one piece is late when its last token is: the first is due before the
         // remaining time is too short to generate the rest.
         double completionMs =
-                Math.min(productMs + maxTokens * offering.product.tokenMs, clientTimeoutMs)
+                Math.min(productMs + maxTokens * offering.product.targetTokenIntervalMs, clientTimeoutMs)
                         - MARGIN_MS;
         return new DeadlinePolicy(
                 Math.max(0, Math.min(productMs, completionMs)), Math.max(0, completionMs));
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -36,7 +36,7 @@
         this.endpoint = endpoint;
         this.attemptId = attemptId;
         this.source = source;
-        holdsState = policyAttempt.read;
+        holdsState = policyAttempt.readOnly;
     }
 
     Attempt policyAttempt() {
@@ -56,12 +56,12 @@
     }
 
     boolean isRead() {
-        return policyAttempt.read;
+        return policyAttempt.readOnly;
     }
 
     /** The stage as metrics and logs name it. */
     String stage() {
-        return policyAttempt.read ? "read" : "write";
+        return policyAttempt.readOnly ? "read" : "write";
     }
 
     UpstreamClient.AttemptHandle handle() {
--- a/src/main/java/larchridge/settings/DeploymentSettings.java
+++ b/src/main/java/larchridge/settings/DeploymentSettings.java
@@ -18,7 +18,7 @@
  * @param memoryTokens what a kind of engine has memory for, by kind; NaN where it is not known
  * @param clientTimeoutMs how long clients wait in all, by traffic class
  * @param reportFields the names of the figures of load reports, in their order
- * @param connectMs how long a connection to an engine may take
+ * @param connectTimeoutMs how long a connection to an engine may take
  * @param keepAliveMs after so long without use an engine closes a connection
  * @param drainGraceMs within this nothing may be sent any more to an engine that drains
  * @param releaseMs within this a held state is to be used or released
@@ -31,7 +31,7 @@
         Map<String, Double> memoryTokens,
         Map<String, Double> clientTimeoutMs,
         List<String> reportFields,
-        double connectMs,
+        double connectTimeoutMs,
         double keepAliveMs,
         double drainGraceMs,
         double releaseMs) {}
--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -20,9 +20,9 @@
  */
 public final class DeploymentSettingsReader {
     private final JsonNode root;
-    private final JsonNode family;
+    private final JsonNode familyInfo;
     private final JsonNode limits;
-    private final JsonNode rules;
+    private final JsonNode invariants;
     private final JsonNode reporting;
     private final Map<String, TrafficClass> trafficClasses = new LinkedHashMap<>();
     private final Map<String, TenantQuota> tenants = new LinkedHashMap<>();
@@ -33,9 +33,9 @@
 
     private DeploymentSettingsReader(JsonNode root) {
         this.root = root;
-        family = root.path("family_info");
+        familyInfo = root.path("family_info");
         limits = root.path("limits");
-        rules = root.path("invariants");
+        invariants = root.path("invariants");
         reporting = root.path("reporting");
     }
 
@@ -52,7 +52,7 @@
         int routers = Math.max(1, (int) number(root, "n_instances", 1));
         readTrafficClasses(root.path("request_classes"));
         readTenants(root.path("accounts"));
-        readKinds(root.path("host_types"));
+        readEngineTypes(root.path("host_types"));
         reporting.path("fields").forEach(field -> reportFields.add(field.asText()));
         return new DeploymentSettings(
                 readRouting(seed, routers),
@@ -64,8 +64,8 @@
                 Collections.unmodifiableList(reportFields),
                 ms(limits, "dial_timeout_s", 1),
                 ms(limits, "keepalive_s", 15),
-                ms(rules, "stop_sending_within_s", 0),
-                ms(family, "release_within_s", 1));
+                ms(invariants, "stop_sending_within_s", 0),
+                ms(familyInfo, "release_within_s", 1));
     }
 
     private RoutingSettings readRouting(long seed, int routers) throws InvalidSettingsException {
@@ -78,16 +78,16 @@
                 .cancellationAllowed(flag(limits, "may_cancel"))
                 .probesAllowed(flag(limits, "may_probe"))
                 .hedgingAllowed(flag(limits, "parallel_tries"))
-                .writersCanRead(flag(family, "local_read"))
+                .writersCanRead(flag(familyInfo, "local_read"))
                 .endpointListPolled(root.path("discovery").asText("push").equals("ask"))
                 .reportsWithAnswers(source.equals("inline"))
                 .reportsWithProbes(!source.equals("off"))
                 .retryAfterMaxMs(
                         flag(limits, "retry_after") ? ms(limits, "max_retry_after_s", 0) : 0)
-                .slowStartShare(number(rules, "cold_share", 1))
-                .slowStartMs(ms(rules, "cold_s", 0))
-                .overloadMultiple(number(rules, "overload_factor", 1))
-                .overloadMs(ms(rules, "tip_after_s", 1))
+                .slowStartShare(number(invariants, "cold_share", 1))
+                .slowStartMs(ms(invariants, "cold_s", 0))
+                .overloadMultiple(number(invariants, "overload_factor", 1))
+                .overloadMs(ms(invariants, "tip_after_s", 1))
                 .overQuotaRevenue(number(root, "over_share_worth", 1))
                 .build();
     }
@@ -109,7 +109,7 @@
 
     private TrafficClass readTrafficClass(JsonNode node, String name, double sloMs, int i)
             throws InvalidSettingsException {
-        double usPerThousand = family.path("aim_us_per_1000_prompt_tokens").path(i).asDouble(0);
+        double usPerThousand = familyInfo.path("aim_us_per_1000_prompt_tokens").path(i).asDouble(0);
         return new TrafficClass(
                 name,
                 effect(node),
@@ -119,7 +119,7 @@
                 number(node, "late_worth", 0),
                 sloMs,
                 usPerThousand / 1e6,
-                family.path("token_aim_s").path(i).asDouble(0.06) * 1000);
+                familyInfo.path("token_aim_s").path(i).asDouble(0.06) * 1000);
     }
 
     private static Effect effect(JsonNode node) {
@@ -145,12 +145,12 @@
         }
     }
 
-    private void readKinds(JsonNode kinds) {
+    private void readEngineTypes(JsonNode kinds) {
         int i = 0;
         for (JsonNode node : kinds) {
             String kind = node.asText();
-            roles.put(kind, role(family.path("stage_of_kind").path(i).asText("both")));
-            memoryTokens.put(kind, family.path("kv_tokens").path(i).asDouble(Double.NaN));
+            roles.put(kind, role(familyInfo.path("stage_of_kind").path(i).asText("both")));
+            memoryTokens.put(kind, familyInfo.path("kv_tokens").path(i).asDouble(Double.NaN));
             i++;
         }
     }
@@ -164,18 +164,18 @@
     }
 
     /** A load report from its figures by name; a figure that is not there is NaN. */
-    public static <E extends Exception> LoadReport report(Figures<E> figures) throws E {
+    public static <E extends Exception> LoadReport report(MetricLookup<E> metrics) throws E {
         return new LoadReport(
-                figures.named("concurrent"),
-                figures.named("depth"),
-                figures.named("x0"),
-                figures.named("x1") * 1000);
+                metrics.value("concurrent"),
+                metrics.value("depth"),
+                metrics.value("x0"),
+                metrics.value("x1") * 1000);
     }
 
     /** Figures by the names that the settings use. */
-    public interface Figures<E extends Exception> {
+    public interface MetricLookup<E extends Exception> {
         /** The figure, or NaN. */
-        double named(String name) throws E;
+        double value(String name) throws E;
     }
 
     private static double ms(JsonNode node, String key, double fallbackSeconds)
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -63,7 +63,7 @@
                         1,
                         lineMs / 2,
                         product.sloMsPerToken,
-                        product.tokenMs);
+                        product.targetTokenIntervalMs);
         TrafficClass slower =
                 new TrafficClass(
                         product.name,
@@ -74,7 +74,7 @@
                         1,
                         lineMs / 2,
                         product.sloMsPerToken,
-                        product.tokenMs);
+                        product.targetTokenIntervalMs);
         return new ProductOffering(
                 slow, slower, engineModel, lineMs, limitMsPerToken, mostTokens, measure, true);
     }
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -175,7 +175,7 @@
                             product.lateRevenue,
                             product.sloMs,
                             product.sloMsPerToken,
-                            product.tokenMs);
+                            product.targetTokenIntervalMs);
             site.prices.put(
                     name,
                     new Price(
--- a/src/main/java/larchridge/state/Attempt.java
+++ b/src/main/java/larchridge/state/Attempt.java
@@ -22,7 +22,7 @@
     public final int number;
 
     /** Whether it only reads the prompt; else it writes the answer, and may read for itself. */
-    public final boolean read;
+    public final boolean readOnly;
 
     /** When it was sent. */
     public final double sentMs;
@@ -49,14 +49,14 @@
     public Attempt(
             Generation generation,
             Engine engine,
-            boolean read,
+            boolean readOnly,
             double sentMs,
             double countedTokens,
             double unreadTokens) {
         this.generation = generation;
         this.engine = engine;
         this.number = generation.attempts().size();
-        this.read = read;
+        this.readOnly = readOnly;
         this.sentMs = sentMs;
         this.countedTokens = countedTokens;
         this.unreadTokens = unreadTokens;
@@ -148,11 +148,11 @@
 
     /** Whether it was at a writer and is not proved to have had no effect. */
     public boolean mayHaveRun() {
-        return !read && (outcome == null || !outcome.provesNotRun);
+        return !readOnly && (outcome == null || !outcome.provesNotRun);
     }
 
     /** Whether what it left at its engine is lost with the engine or its process. */
-    public boolean isLost() {
+    public boolean isStateLost() {
         return engine.state() == EndpointState.REMOVED || engine.startMs() != engineStartMs;
     }
 }
--- a/src/main/java/larchridge/state/CachedPrefix.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -25,14 +25,14 @@
      * on.
      */
     public void recordSent(Engine engine, int tokens, double nowMs) {
-        copies.removeIf(copy -> copy.engine == engine || copy.sentMs < copy.engine.cachedSinceMs());
+        copies.removeIf(copy -> copy.engine == engine || copy.sentMs < copy.engine.cacheValidSinceMs());
         copies.add(new Copy(engine, nowMs, tokens));
     }
 
     /** How much of it an engine was sent since it last lost its cache. */
-    public int tokensAt(Engine engine) {
+    public int cachedTokensAt(Engine engine) {
         for (Copy copy : copies) {
-            if (copy.engine == engine && copy.sentMs >= engine.cachedSinceMs()) {
+            if (copy.engine == engine && copy.sentMs >= engine.cacheValidSinceMs()) {
                 return copy.tokens;
             }
         }
@@ -45,11 +45,11 @@
             return null;
         }
         Copy last = copies.get(copies.size() - 1);
-        return last.sentMs >= last.engine.cachedSinceMs() ? last.engine : null;
+        return last.sentMs >= last.engine.cacheValidSinceMs() ? last.engine : null;
     }
 
     /** A fixed figure for this text and an engine, alike at every router. */
-    public long affinity(Engine engine) {
+    public long rendezvousWeight(Engine engine) {
         long mixed = id.hashCode() * 0x9E3779B97F4A7C15L ^ engine.id * 0xC2B2AE3D27D4EB4FL;
         mixed = (mixed ^ mixed >>> 31) * 0xD6E8FEB86659FD93L;
         return mixed ^ mixed >>> 32;
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -27,31 +27,31 @@
     int streams;
 
     // Speed, in tokens a millisecond, and starts of transfers, of late.
-    private final SlidingWindow reads = new SlidingWindow(10, 1000);
-    private final SlidingWindow speeds = new SlidingWindow(10, 1000);
+    private final SlidingWindow completedReads = new SlidingWindow(10, 1000);
+    private final SlidingWindow readSpeeds = new SlidingWindow(10, 1000);
     private final SlidingWindowMean transferStarts = new SlidingWindowMean(3, 1000);
 
     // Load by its reports; fresh is what was sent so lately that no report counts it yet.
     private boolean reported;
-    double reportMs = Double.NEGATIVE_INFINITY;
-    private double probedMs = Double.NEGATIVE_INFINITY;
-    double othersTokens;
-    double othersStreams;
-    double othersUnreadTokens;
+    double lastReportMs = Double.NEGATIVE_INFINITY;
+    private double lastProbeMs = Double.NEGATIVE_INFINITY;
+    double otherRoutersTokens;
+    double otherRoutersStreams;
+    double otherRoutersUnreadTokens;
     private double reportedOwnStreams;
-    private final SlidingWindow freshTokens = new SlidingWindow(5, 100);
-    private final SlidingWindow freshStreams = new SlidingWindow(5, 100);
+    private final SlidingWindow recentWriteTokens = new SlidingWindow(5, 100);
+    private final SlidingWindow recentStreams = new SlidingWindow(5, 100);
 
     // Health.
     private double fullUntilMs;
     double ejectedUntilMs;
     private double ejectionMs;
-    private boolean onTrial;
-    private double errorShare;
-    double heardMs = Double.NEGATIVE_INFINITY;
+    private boolean onProbation;
+    private double errorRate;
+    double lastContactMs = Double.NEGATIVE_INFINITY;
 
-    private double processKnownSinceMs = Double.NEGATIVE_INFINITY;
-    private double slowStartDrawMs;
+    private double processListedMs = Double.NEGATIVE_INFINITY;
+    private double lastSlowStartDrawMs;
 
     /** An engine that no list has named yet. */
     public Engine(long id) {
@@ -112,26 +112,26 @@
     }
 
     /** Drops what was learned of a process that has ended. */
-    void forgetProcess(double nowMs) {
-        processKnownSinceMs = nowMs;
-        reads.clear();
-        speeds.clear();
-        othersTokens = 0;
-        othersStreams = 0;
+    void resetForNewProcess(double nowMs) {
+        processListedMs = nowMs;
+        completedReads.clear();
+        readSpeeds.clear();
+        otherRoutersTokens = 0;
+        otherRoutersStreams = 0;
         reportedOwnStreams = 0;
         reported = false;
-        reportMs = Double.NEGATIVE_INFINITY;
+        lastReportMs = Double.NEGATIVE_INFINITY;
         fullUntilMs = 0;
         ejectedUntilMs = 0;
         ejectionMs = 0;
-        onTrial = false;
-        errorShare = 0;
-        slowStartDrawMs = nowMs;
+        onProbation = false;
+        errorRate = 0;
+        lastSlowStartDrawMs = nowMs;
     }
 
     /** Texts that were sent there before this time are no longer cached. */
-    double cachedSinceMs() {
-        return processKnownSinceMs;
+    double cacheValidSinceMs() {
+        return processListedMs;
     }
 
     // ------------------------------------------------------------------ this router's attempts
@@ -170,7 +170,7 @@
     void opened(Attempt attempt) {
         attempts.add(attempt);
         unreadTokens += attempt.unreadTokens();
-        if (!attempt.read) {
+        if (!attempt.readOnly) {
             writeTokens += attempt.countedTokens;
             streams++;
         }
@@ -184,7 +184,7 @@
     /** No longer counts an attempt. */
     void closed(Attempt attempt) {
         attempts.remove(attempt);
-        if (!attempt.read) {
+        if (!attempt.readOnly) {
             writeTokens = attempts.isEmpty() ? 0 : Math.max(0, writeTokens - attempt.countedTokens);
             streams = Math.max(0, streams - 1);
         }
@@ -194,18 +194,18 @@
 
     /** Counts a completed read by its speed. */
     public void recordRead(double tokensPerMs, double nowMs) {
-        speeds.addMax(nowMs, tokensPerMs);
-        reads.add(nowMs, 1);
+        readSpeeds.addMax(nowMs, tokensPerMs);
+        completedReads.add(nowMs, 1);
     }
 
     /** How many reads have completed there of late. */
     public double recentReads(double nowMs) {
-        return reads.sum(nowMs);
+        return completedReads.sum(nowMs);
     }
 
     /** The best speed of a read of late, in tokens a millisecond. */
-    public double bestReadSpeed(double nowMs) {
-        return speeds.max(nowMs);
+    public double maxReadSpeed(double nowMs) {
+        return readSpeeds.max(nowMs);
     }
 
     /** Counts how long the transfer of a state that was read here took to start. */
@@ -215,26 +215,26 @@
 
     /** How long transfers of states that were read here took to start of late, on average. */
     public double meanTransferStartMs(double nowMs) {
-        return transferStarts.at(nowMs);
+        return transferStarts.mean(nowMs);
     }
 
     // ------------------------------------------------------------------ reported load
 
     /** Counts tokens of an answer that is sent there. */
     public void recordWrite(double tokens, double nowMs) {
-        freshTokens.add(nowMs, tokens);
-        freshStreams.add(nowMs, 1);
+        recentWriteTokens.add(nowMs, tokens);
+        recentStreams.add(nowMs, 1);
     }
 
     /** Notes that its load was requested. */
     public void recordProbe(double nowMs) {
-        probedMs = nowMs;
+        lastProbeMs = nowMs;
     }
 
     /** Notes that it has reported its load. */
     public void recordReport(double nowMs) {
         reported = true;
-        reportMs = nowMs;
+        lastReportMs = nowMs;
     }
 
     /** Whether its process has ever reported its load. */
@@ -243,28 +243,28 @@
     }
 
     /** When it reported its load last. */
-    public double reportMs() {
-        return reportMs;
+    public double lastReportMs() {
+        return lastReportMs;
     }
 
     /** When its load was last requested or reported. */
     public double lastProbeOrReportMs() {
-        return Math.max(probedMs, reportMs);
+        return Math.max(lastProbeMs, lastReportMs);
     }
 
     /** Whether its load was requested and has not been reported since. */
-    public boolean isReportAwaited() {
-        return reportMs < probedMs;
+    public boolean isReportPending() {
+        return lastReportMs < lastProbeMs;
     }
 
     /** Tokens of this router's answers that a report counts by now. */
-    public double settledWriteTokens(double nowMs) {
-        return Math.max(0, writeTokens - freshTokens.sum(nowMs));
+    public double reportedWriteTokens(double nowMs) {
+        return Math.max(0, writeTokens - recentWriteTokens.sum(nowMs));
     }
 
     /** Takes over how many of this router's answers the report that has just come counts. */
     public void countReportedStreams(double nowMs) {
-        reportedOwnStreams = Math.max(0, streams - freshStreams.sum(nowMs));
+        reportedOwnStreams = Math.max(0, streams - recentStreams.sum(nowMs));
     }
 
     /** This router's answers that the last report counted. */
@@ -273,51 +273,51 @@
     }
 
     /** Other routers' prompt tokens that waited there at its last report. */
-    public double othersUnreadTokens() {
-        return othersUnreadTokens;
+    public double otherRoutersUnreadTokens() {
+        return otherRoutersUnreadTokens;
     }
 
     /** Sets other routers' prompt tokens by a report. */
-    public void setOthersUnreadTokens(double tokens) {
-        othersUnreadTokens = tokens;
+    public void setOtherRoutersUnreadTokens(double tokens) {
+        otherRoutersUnreadTokens = tokens;
     }
 
     /** Other routers' tokens held there, by its reports. */
-    public double othersTokens() {
-        return othersTokens;
+    public double otherRoutersTokens() {
+        return otherRoutersTokens;
     }
 
     /** Other routers' answers streamed there, by its reports. */
-    public double othersStreams() {
-        return othersStreams;
+    public double otherRoutersStreams() {
+        return otherRoutersStreams;
     }
 
     /** Moves the estimate of other routers' load towards a report by the given weight. */
-    public void adjustOthersLoad(double tokens, double streamCount, double weight) {
-        othersTokens += weight * (tokens - othersTokens);
-        othersStreams += weight * (streamCount - othersStreams);
+    public void adjustOtherRoutersLoad(double tokens, double streamCount, double weight) {
+        otherRoutersTokens += weight * (tokens - otherRoutersTokens);
+        otherRoutersStreams += weight * (streamCount - otherRoutersStreams);
     }
 
     // ------------------------------------------------------------------ health
 
     /** When anything was heard from it last. */
-    public double heardMs() {
-        return heardMs;
+    public double lastContactMs() {
+        return lastContactMs;
     }
 
     /** Notes that something was heard from it. */
     public void recordContact(double nowMs) {
-        heardMs = nowMs;
+        lastContactMs = nowMs;
     }
 
     /** The share of errors in its answers of late. */
-    public double errorShare() {
-        return errorShare;
+    public double errorRate() {
+        return errorRate;
     }
 
     /** Counts an answer, 1 for an error and 0 for none, by the weight of the newest answer. */
     public void recordAnswer(int error, double weight) {
-        errorShare += weight * (error - errorShare);
+        errorRate += weight * (error - errorRate);
     }
 
     /** Whether it was full a short while ago. */
@@ -346,31 +346,31 @@
     }
 
     /** Whether it gets no more than one attempt, to see whether it works. */
-    public boolean isOnTrial() {
-        return onTrial;
+    public boolean isOnProbation() {
+        return onProbation;
     }
 
     /** Ejects it until a time; then it is on trial. */
     public void eject(double lastsMs, double untilMs) {
         ejectionMs = lastsMs;
         ejectedUntilMs = untilMs;
-        onTrial = true;
+        onProbation = true;
     }
 
     /** Takes it back from ejection and trial. */
-    public void takeBack() {
+    public void uneject() {
         ejectedUntilMs = 0;
         ejectionMs = 0;
-        onTrial = false;
+        onProbation = false;
     }
 
     /** When its slow start was last drawn for, or its process was listed. */
-    public double slowStartDrawMs() {
-        return slowStartDrawMs;
+    public double lastSlowStartDrawMs() {
+        return lastSlowStartDrawMs;
     }
 
     /** Notes a draw of its slow start. */
     public void recordSlowStartDraw(double nowMs) {
-        slowStartDrawMs = nowMs;
+        lastSlowStartDrawMs = nowMs;
     }
 }
--- a/src/main/java/larchridge/state/EngineRegistry.java
+++ b/src/main/java/larchridge/state/EngineRegistry.java
@@ -56,7 +56,7 @@
         // Guards against: a new process under an old id keeps nothing of what the old one was known
         // for.
         if (engine.startMs() != entry.startMs()) {
-            engine.forgetProcess(nowMs);
+            engine.resetForNewProcess(nowMs);
         }
         engine.apply(entry);
     }
--- a/src/main/java/larchridge/state/Generation.java
+++ b/src/main/java/larchridge/state/Generation.java
@@ -62,9 +62,9 @@
 
     private Phase phase = Phase.UNANSWERED;
     private boolean waiting;
-    private double leastTokensToRead;
+    private double minTokensToRead;
     private GiveUpReason giveUpReason;
-    private double randomShare;
+    private double randomFraction;
 
     private Attempt heldRead;
     private boolean stateReleased;
@@ -147,7 +147,7 @@
     /** It waits for a reader; the one with the most of it cached would read so many tokens. */
     public void startWaiting(double tokensToRead) {
         waiting = true;
-        leastTokensToRead = tokensToRead;
+        minTokensToRead = tokensToRead;
     }
 
     /** It no longer waits. */
@@ -161,18 +161,18 @@
     }
 
     /** The fewest tokens that any reader would have to read for it, since it waits. */
-    public double leastTokensToRead() {
-        return leastTokensToRead;
+    public double minTokensToRead() {
+        return minTokensToRead;
     }
 
     /** Draws its own share between 0 and 1, which stays with it. */
-    public void setRandomShare(double share) {
-        randomShare = share;
+    public void setRandomFraction(double share) {
+        randomFraction = share;
     }
 
     /** A draw between 0 and 1 that stays with it. */
-    public double randomShare() {
-        return randomShare;
+    public double randomFraction() {
+        return randomFraction;
     }
 
     // ------------------------------------------------------------------ attempts
@@ -215,7 +215,7 @@
 
     /** Whether an attempt at a writer is in flight and not cancelled. */
     public boolean isAtWriter() {
-        return attempts.stream().anyMatch(attempt -> !attempt.read && attempt.isActive());
+        return attempts.stream().anyMatch(attempt -> !attempt.readOnly && attempt.isActive());
     }
 
     void opened(Attempt attempt) {
@@ -245,7 +245,7 @@
     }
 
     /** The state was released beside the attempt that is to fetch it. */
-    public void stateReleasedBesideAttempt() {
+    public void recordStateReleased() {
         heldRead = null;
         stateReleased = true;
     }
--- a/src/main/java/larchridge/state/PrefixRegistry.java
+++ b/src/main/java/larchridge/state/PrefixRegistry.java
@@ -8,7 +8,7 @@
     private static final long serialVersionUID = 1;
 
     /** The most prefixes that are kept, so that memory is bounded whatever clients send. */
-    private static final int MOST = 20_000;
+    private static final int MAX_PREFIXES = 20_000;
 
     /** A registry without prefixes. */
     public PrefixRegistry() {
@@ -17,6 +17,6 @@
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<String, CachedPrefix> eldest) {
-        return size() > MOST;
+        return size() > MAX_PREFIXES;
     }
 }
--- a/src/main/java/larchridge/state/SlidingWindow.java
+++ b/src/main/java/larchridge/state/SlidingWindow.java
@@ -6,7 +6,7 @@
 public final class SlidingWindow {
     private final double bucketMs;
     private final double[] sums;
-    private long newest = Long.MIN_VALUE;
+    private long newestBucket = Long.MIN_VALUE;
 
     /** A window of so many buckets of so many milliseconds each. */
     public SlidingWindow(int buckets, double bucketMs) {
@@ -17,13 +17,13 @@
     /** Adds an amount to the running bucket. */
     public void add(double nowMs, double amount) {
         advanceTo(nowMs);
-        sums[(int) Math.floorMod(newest, (long) sums.length)] += amount;
+        sums[(int) Math.floorMod(newestBucket, (long) sums.length)] += amount;
     }
 
     /** Keeps the highest amount of the running bucket. */
     public void addMax(double nowMs, double amount) {
         advanceTo(nowMs);
-        int i = (int) Math.floorMod(newest, (long) sums.length);
+        int i = (int) Math.floorMod(newestBucket, (long) sums.length);
         sums[i] = Math.max(sums[i], amount);
     }
 
@@ -55,13 +55,13 @@
 
     private void advanceTo(double nowMs) {
         long bucket = (long) Math.floor(nowMs / bucketMs);
-        if (newest == Long.MIN_VALUE || bucket - newest >= sums.length) {
+        if (newestBucket == Long.MIN_VALUE || bucket - newestBucket >= sums.length) {
             clear();
-            newest = bucket;
+            newestBucket = bucket;
         }
-        while (newest < bucket) {
-            newest++;
-            sums[(int) Math.floorMod(newest, (long) sums.length)] = 0;
+        while (newestBucket < bucket) {
+            newestBucket++;
+            sums[(int) Math.floorMod(newestBucket, (long) sums.length)] = 0;
         }
     }
 }
--- a/src/main/java/larchridge/state/SlidingWindowMean.java
+++ b/src/main/java/larchridge/state/SlidingWindowMean.java
@@ -18,7 +18,7 @@
     }
 
     /** The sum of amounts by the sum of weights, or 0 where nothing was added of late. */
-    public double at(double nowMs) {
+    public double mean(double nowMs) {
         double weight = weights.sum(nowMs);
         return weight > 0 ? sums.sum(nowMs) / weight : 0;
     }
--- a/src/main/java/larchridge/state/TrafficClass.java
+++ b/src/main/java/larchridge/state/TrafficClass.java
@@ -29,7 +29,7 @@
     public final double sloMsPerToken;
 
     /** The time between two tokens that is aimed at. */
-    public final double tokenMs;
+    public final double targetTokenIntervalMs;
 
     /** A kind of generation. */
     public TrafficClass(
@@ -41,7 +41,7 @@
             double lateRevenue,
             double sloMs,
             double sloMsPerToken,
-            double tokenMs) {
+            double targetTokenIntervalMs) {
         this.name = name;
         this.effect = effect;
         this.deduplicationScope = deduplicationScope;
@@ -50,6 +50,6 @@
         this.lateRevenue = lateRevenue;
         this.sloMs = sloMs;
         this.sloMsPerToken = sloMsPerToken;
-        this.tokenMs = tokenMs;
+        this.targetTokenIntervalMs = targetTokenIntervalMs;
     }
 }
--- a/src/test/java/larchridge/policy/AdmissionQueueTest.java
+++ b/src/test/java/larchridge/policy/AdmissionQueueTest.java
@@ -21,7 +21,7 @@
     private final RoutingPolicy policy = fixture.start();
 
     @Test
-    void generationThatCanNoLongerMakeItsSloIsGivenUpWhileItWaits() {
+    void waitingGenerationThatCannotMeetItsSloIsGivenUp() {
         Engine[] engines = fixture.engines(1, 1);
         policy.requestArrived(
                 fixture.generation(
@@ -50,7 +50,7 @@
                         11_000));
         Attempt big = fixture.last();
         policy.requestArrived(fixture.generation("cheap"));
-        TrafficClass dear =
+        TrafficClass highRevenue =
                 new TrafficClass(
                         "d",
                         Effect.IDEMPOTENT,
@@ -61,7 +61,7 @@
                         1000,
                         0.04,
                         60);
-        policy.requestArrived(fixture.generation("dear", dear, null, 8_000));
+        policy.requestArrived(fixture.generation("dear", highRevenue, null, 8_000));
         fixture.nowMs += 300;
         policy.readCompleted(big, 0, null, false);
         assertEquals("dear", fixture.sent.get(2).generation.id);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void routerThatSawSlowFirstTokensTriesAgainWhenTheyAreLongPast() {
+    void staleSlowFirstTokenEstimateDoesNotBlockNewGenerations() {
         fixture.engines(1, 1);
         for (int i = 0; i < 200; i++) {
             policy.requestArrived(fixture.generation("slow" + i));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void thousandsThatWaitAreNotAllTriedWheneverOneEnds() {
+    void admissionPassTriesALimitedNumberOfWaitingGenerations() {
         Engine[] engines = fixture.engines(1, 1);
         EngineFixture.setUnreadTokens(engines[0], 50_000);
         List<Generation> generations = new ArrayList<>();
@@ -114,7 +114,7 @@
         assertEquals(
                 100,
                 generations.stream()
-                        .filter(generation -> generation.leastTokensToRead() >= 0)
+                        .filter(generation -> generation.minTokensToRead() >= 0)
                         .count());
     }
 }
--- a/src/test/java/larchridge/policy/HedgingPolicyTest.java
+++ b/src/test/java/larchridge/policy/HedgingPolicyTest.java
@@ -38,7 +38,7 @@
         Engine[] engines = fixture.engines(2, 1);
         policy.requestArrived(fixture.generation("a"));
         Attempt silent = fixture.last();
-        EngineFixture.setHeardMs(silent.engine, fixture.nowMs + 100);
+        EngineFixture.setLastContactMs(silent.engine, fixture.nowMs + 100);
         fixture.nowMs += 400;
         policy.wakeUp();
         assertSame(silent, fixture.last());
@@ -54,14 +54,14 @@
         policy.requestArrived(fixture.generation("a"));
         policy.readCompleted(fixture.last(), 0, null, false);
         Attempt write = fixture.last();
-        EngineFixture.setOthersTokens(engines[1], 200_000);
-        EngineFixture.setOthersTokens(engines[2], 200_000);
-        EngineFixture.setReportMs(engines[1], fixture.nowMs + 1500);
-        EngineFixture.setReportMs(engines[2], fixture.nowMs + 1500);
+        EngineFixture.setOtherRoutersTokens(engines[1], 200_000);
+        EngineFixture.setOtherRoutersTokens(engines[2], 200_000);
+        EngineFixture.setLastReportMs(engines[1], fixture.nowMs + 1500);
+        EngineFixture.setLastReportMs(engines[2], fixture.nowMs + 1500);
         fixture.nowMs += 1500;
         policy.wakeUp();
         assertSame(write, fixture.last());
-        EngineFixture.setOthersTokens(write.engine == engines[1] ? engines[2] : engines[1], 0);
+        EngineFixture.setOtherRoutersTokens(write.engine == engines[1] ? engines[2] : engines[1], 0);
         policy.wakeUp();
         assertEquals(3, fixture.sent.size());
     }
@@ -70,21 +70,21 @@
      * It may wait in its writer's queue, which keeps the state; any other writer would find none.
      */
     @Test
-    void answerWhoseStateWasReleasedBesideItStaysUntilItsPromptIsReadAnew() {
+    void answerWhoseStateWasReleasedStaysUntilThePromptIsReadAgain() {
         fixture.engines(2, 2);
         Generation generation = fixture.generation("a");
         policy.requestArrived(generation);
         policy.readCompleted(fixture.last(), 0, null, false);
-        Attempt waits = fixture.last();
-        policy.stateReleased(waits);
-        waits.setSilenceTimeoutMs(100);
-        fixture.nowMs += waits.silenceTimeoutMs() + 1;
+        Attempt waiting = fixture.last();
+        policy.stateReleased(waiting);
+        waiting.setSilenceTimeoutMs(100);
+        fixture.nowMs += waiting.silenceTimeoutMs() + 1;
         policy.wakeUp();
         Attempt again = fixture.last();
-        assertTrue(again.read, "the prompt is read anew before the answer moves");
+        assertTrue(again.readOnly, "the prompt is read anew before the answer moves");
         assertFalse(fixture.hasAction("cancel a"));
         policy.readCompleted(again, 0, null, false);
-        assertFalse(fixture.last().read);
-        assertTrue(waits.isCancelled());
+        assertFalse(fixture.last().readOnly);
+        assertTrue(waiting.isCancelled());
     }
 }
--- a/src/test/java/larchridge/policy/IdempotencyRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -14,7 +14,7 @@
 
 /** Repeats at the two moments at which they are judged. */
 class IdempotencyRuleTest {
-    private static final double WINDOW_MS = 1000;
+    private static final double DEDUPLICATION_WINDOW_MS = 1000;
     private static final double SENT_MS = 50_000;
 
     private final Engine engine = new Engine(1);
@@ -25,13 +25,13 @@
         return attempt;
     }
 
-    private Generation cutOnce(Effect effect) {
-        TrafficClass product =
-                new TrafficClass("p", effect, DeduplicationScope.ALL, WINDOW_MS, 1, 0, 1000, 0, 60);
+    private Generation generationWithOneCutAttempt(Effect effect) {
+        TrafficClass trafficClass =
+                new TrafficClass("p", effect, DeduplicationScope.ALL, DEDUPLICATION_WINDOW_MS, 1, 0, 1000, 0, 60);
         Generation generation =
                 new Generation(
                         "g",
-                        product,
+                        trafficClass,
                         null,
                         null,
                         null,
@@ -50,8 +50,8 @@
 
     /** Its connection came up so late that engines have forgotten the first attempt by then. */
     @Test
-    void repeatDecidedInsideTheWindowIsNotWrittenAfterIt() {
-        Generation generation = cutOnce(Effect.DEDUPLICATED);
+    void retryDecidedWithinTheWindowIsNotWrittenAfterIt() {
+        Generation generation = generationWithOneCutAttempt(Effect.DEDUPLICATED);
         assertTrue(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 790, false));
         Attempt again = attempt(generation, SENT_MS + 790);
         assertTrue(IdempotencyRule.mayWrite(again, SENT_MS + 800, false));
@@ -60,17 +60,17 @@
 
     /** Between reading the clock and writing a process may be held up for 0.15 s. */
     @Test
-    void shortWindowLeavesRoomForAProcessThatIsHeldUp() {
-        Generation generation = cutOnce(Effect.DEDUPLICATED);
+    void shortWindowLeavesAMarginForAPausedProcess() {
+        Generation generation = generationWithOneCutAttempt(Effect.DEDUPLICATED);
         assertFalse(
                 IdempotencyRule.mayWrite(attempt(generation, SENT_MS + 860), SENT_MS + 860, false));
-        TrafficClass brief =
+        TrafficClass shortWindow =
                 new TrafficClass(
                         "b", Effect.DEDUPLICATED, DeduplicationScope.ALL, 400, 1, 0, 1000, 0, 60);
         Generation other =
                 new Generation(
                         "h",
-                        brief,
+                        shortWindow,
                         null,
                         null,
                         null,
@@ -89,15 +89,15 @@
     }
 
     @Test
-    void whatMayHaveHadAnEffectIsNeverRepeated() {
-        Generation generation = cutOnce(Effect.SIDE_EFFECTING);
+    void generationThatMayHaveHadAnEffectIsNeverRepeated() {
+        Generation generation = generationWithOneCutAttempt(Effect.SIDE_EFFECTING);
         assertFalse(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 1, true));
         assertFalse(IdempotencyRule.mayWrite(attempt(generation, SENT_MS + 1), SENT_MS + 1, true));
     }
 
     @Test
-    void copiesOfAnIdempotentOneGoOnlyWhereTheyAreAllowed() {
-        Generation generation = cutOnce(Effect.IDEMPOTENT);
+    void idempotentGenerationRunsConcurrentlyOnlyWithHedgingAllowed() {
+        Generation generation = generationWithOneCutAttempt(Effect.IDEMPOTENT);
         attempt(generation, SENT_MS + 1);
         assertTrue(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 2, true));
         assertFalse(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 2, false));
--- a/src/test/java/larchridge/policy/LoadEstimatorTest.java
+++ b/src/test/java/larchridge/policy/LoadEstimatorTest.java
@@ -13,29 +13,29 @@
     private final RoutingPolicy policy = fixture.start();
 
     @Test
-    void oneOwnSendDoesNotOutweighAReportWhereRoutersAreMany() {
+    void ownSendDoesNotOutweighAReportWithManyRouters() {
         fixture.settings.routers(150);
-        RoutingPolicy one = fixture.start();
+        RoutingPolicy policyWithManyRouters = fixture.start();
         Engine[] engines = fixture.engines(1, 3);
-        one.requestArrived(fixture.generation("a"));
-        one.readCompleted(fixture.last(), 0, new LoadReport(0, 0, 0, 0), false);
+        policyWithManyRouters.requestArrived(fixture.generation("a"));
+        policyWithManyRouters.readCompleted(fixture.last(), 0, new LoadReport(0, 0, 0, 0), false);
         Engine first = fixture.last().engine;
         for (int i = 1; i <= 3; i++) {
-            EngineFixture.setReportMs(engines[i], fixture.nowMs);
-            EngineFixture.setOthersStreams(engines[i], engines[i] == first ? 4 : 30);
-            EngineFixture.setOthersTokens(engines[i], 1000 * engines[i].othersStreams());
+            EngineFixture.setLastReportMs(engines[i], fixture.nowMs);
+            EngineFixture.setOtherRoutersStreams(engines[i], engines[i] == first ? 4 : 30);
+            EngineFixture.setOtherRoutersTokens(engines[i], 1000 * engines[i].otherRoutersStreams());
         }
-        one.requestArrived(fixture.generation("b"));
-        one.readCompleted(fixture.last(), 0, null, false);
+        policyWithManyRouters.requestArrived(fixture.generation("b"));
+        policyWithManyRouters.readCompleted(fixture.last(), 0, null, false);
         assertSame(first, fixture.last().engine);
     }
 
     @Test
-    void othersPromptsCountWhileTheirReportIsFresh() {
+    void otherRoutersPromptsCountWhileTheReportIsFresh() {
         Engine[] engines = fixture.engines(2, 1);
-        EngineFixture.setOthersUnreadTokens(engines[0], 5000);
-        EngineFixture.setReportMs(engines[0], fixture.nowMs);
-        EngineFixture.setHeardMs(engines[0], fixture.nowMs);
+        EngineFixture.setOtherRoutersUnreadTokens(engines[0], 5000);
+        EngineFixture.setLastReportMs(engines[0], fixture.nowMs);
+        EngineFixture.setLastContactMs(engines[0], fixture.nowMs);
         EngineFixture.setUnreadTokens(engines[1], 800);
         policy.requestArrived(fixture.generation("a"));
         assertSame(engines[1], fixture.last().engine);
--- a/src/test/java/larchridge/policy/LoadProbesTest.java
+++ b/src/test/java/larchridge/policy/LoadProbesTest.java
@@ -9,7 +9,7 @@
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
     @Test
-    void probesFollowGenerationsAndNotTheClock() {
+    void probesAreSentPerGenerationNotPeriodically() {
         fixture.settings.reportsWithProbes(true);
         RoutingPolicy probing = fixture.start();
         fixture.engines(4, 10);
--- a/src/test/java/larchridge/policy/OutlierDetectorTest.java
+++ b/src/test/java/larchridge/policy/OutlierDetectorTest.java
@@ -17,7 +17,7 @@
     private final RoutingPolicy policy = fixture.start();
 
     @Test
-    void restartedEngineIsNoLongerEjectedAlsoAfterItsRemoval() {
+    void restartedEngineIsNotEjectedEvenAfterRemoval() {
         Engine[] engines = fixture.engines(1, 1);
         EngineFixture.setEjectedUntilMs(engines[0], fixture.nowMs + 60_000);
         policy.endpointsChanged(
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void engineThatFailsAtOnceIsEjectedThoughItAnswersProbes() {
+    void fastFailingEngineIsEjectedThoughItAnswersProbes() {
         Engine[] engines = fixture.engines(2, 0);
         for (int i = 0; i < 3; i++) {
             policy.requestArrived(fixture.generation("g" + i));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void fullReaderGetsNoFurtherAttemptAtOnce() {
+    void fullReaderGetsNoImmediateRetry() {
         Engine[] engines = fixture.engines(2, 0);
         policy.requestArrived(fixture.generation("a"));
         policy.attemptEnded(fixture.last(), AttemptOutcome.FULL, null, false);
--- a/src/test/java/larchridge/policy/PrefixAffinityTest.java
+++ b/src/test/java/larchridge/policy/PrefixAffinityTest.java
@@ -49,10 +49,10 @@
     @Test
     void prefixCountsAsCachedAtEveryReaderItWasSentTo() {
         Engine[] engines = fixture.engines(2, 1);
-        CachedPrefix text = new CachedPrefix("t");
-        text.recordSent(engines[0], 900, 1);
-        text.recordSent(engines[1], 900, 2);
-        assertEquals(900, text.tokensAt(engines[0]));
-        assertSame(engines[1], text.lastReader());
+        CachedPrefix prefix = new CachedPrefix("t");
+        prefix.recordSent(engines[0], 900, 1);
+        prefix.recordSent(engines[1], 900, 2);
+        assertEquals(900, prefix.cachedTokensAt(engines[0]));
+        assertSame(engines[1], prefix.lastReader());
     }
 }
--- a/src/test/java/larchridge/policy/ReaderSelectionTest.java
+++ b/src/test/java/larchridge/policy/ReaderSelectionTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void clientRetryIsReadByShortReadersOnly() {
+    void clientRetryIsReadOnlyByReadersWithShortBacklog() {
         Engine[] engines = fixture.engines(1, 1);
         EngineFixture.setUnreadTokens(engines[0], 4000);
         Generation retry =
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void sessionStaysWithItsReaderWhereReadingAnewTakesMore() {
+    void sessionStaysWithItsReaderWhenReadingElsewhereCostsMore() {
         Engine[] engines = fixture.engines(2, 1);
         CachedPrefix session = new CachedPrefix("s");
         session.recordSent(engines[0], 9_000, fixture.nowMs);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void engineOfBothRolesReadsInPlaceWhereNoReaderIsShort() {
+    void engineWithBothRolesReadsLocallyWhenNoReaderHasAShortBacklog() {
         Engine[] engines = fixture.engines(1, 2);
         EngineFixture.setRole(engines[1], Role.BOTH);
         EngineFixture.setStreams(engines[2], 20);
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -19,7 +19,7 @@
  */
 final class RoutingPolicyFixture implements PolicyActions {
     /** How often the policy has planned a wake-up. */
-    int wakes;
+    int scheduledWakeUps;
 
     final List<String> actions = new ArrayList<>();
     final List<Attempt> sent = new ArrayList<>();
@@ -66,8 +66,8 @@
         return engines;
     }
 
-    static TrafficClass trafficClass(Effect effect, DeduplicationScope span) {
-        return new TrafficClass("p", effect, span, 5000, 1, 0.1, 1000, 0.04, 60);
+    static TrafficClass trafficClass(Effect effect, DeduplicationScope scope) {
+        return new TrafficClass("p", effect, scope, 5000, 1, 0.1, 1000, 0.04, 60);
     }
 
     Generation generation(String id) {
@@ -137,7 +137,7 @@
 
     @Override
     public void wakeAt(double atMs) {
-        wakes++;
+        scheduledWakeUps++;
     }
 
     @Override
--- a/src/test/java/larchridge/policy/RoutingPolicyTest.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyTest.java
@@ -12,12 +12,12 @@
 
     /** A fault at one generation must not end the regular look at the others. */
     @Test
-    void sweepsGoOnAfterAFaultAtOneGeneration() {
+    void sweepsContinueAfterAnExceptionInOneGeneration() {
         fixture.engines(1, 1);
         policy.requestArrived(fixture.generation("a"));
-        fixture.wakes = 0;
+        fixture.scheduledWakeUps = 0;
         fixture.last().generation.attempts().set(0, null);
         assertThrows(NullPointerException.class, policy::wakeUp);
-        assertEquals(1, fixture.wakes);
+        assertEquals(1, fixture.scheduledWakeUps);
     }
 }
--- a/src/test/java/larchridge/policy/StateReservationsTest.java
+++ b/src/test/java/larchridge/policy/StateReservationsTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void stateOfARemovedReaderIsReleasedBeforeItsPromptIsReadAnew() {
+    void stateOfARemovedReaderIsReleasedBeforeThePromptIsReadAgain() {
         Engine[] engines = fixture.engines(2, 1);
         Generation generation = fixture.generation("a");
         policy.requestArrived(generation);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void stateOfALostAnswerIsReleasedAfterTheLastAttempt() {
+    void stateIsReleasedAfterTheLastAttemptOfADisconnectedClient() {
         fixture.engines(1, 1);
         Generation generation = fixture.generation("a");
         policy.requestArrived(generation);
@@ -55,16 +55,16 @@
     }
 
     @Test
-    void stateThatComesDuringAnInPlaceAttemptIsUsedWhenThatFails() {
+    void stateFromAReadIsUsedWhenAConcurrentLocalReadFails() {
         Engine[] engines = fixture.engines(1, 2);
         policy.requestArrived(fixture.generation("a"));
         Attempt read = fixture.last();
-        Attempt inPlace =
+        Attempt localRead =
                 new Attempt(read.generation, engines[1], false, fixture.nowMs, 1100, 1000);
-        inPlace.open();
+        localRead.open();
         policy.readCompleted(read, 0, null, false);
         assertFalse(fixture.hasAction("release"));
-        policy.attemptEnded(inPlace, AttemptOutcome.FAULT, null, false);
+        policy.attemptEnded(localRead, AttemptOutcome.FAULT, null, false);
         assertEquals(2, fixture.sent.size());
         assertSame(Role.WRITER, fixture.last().engine.role());
     }
--- a/src/test/java/larchridge/policy/WriterSelectionTest.java
+++ b/src/test/java/larchridge/policy/WriterSelectionTest.java
@@ -27,7 +27,7 @@
      * alike.
      */
     @Test
-    void routersThatSeeLittleSpreadTheirAnswersOverEqualWriters() {
+    void routersWithoutReportsSpreadAnswersOverEqualWriters() {
         int routers = 120;
         int[] answers = new int[4];
         for (int router = 0; router < routers; router++) {
@@ -42,18 +42,18 @@
                 answers[i] += fixture.last().engine == engines[1 + i] ? 1 : 0;
             }
         }
-        for (int taken : answers) {
+        for (int count : answers) {
             assertTrue(
-                    taken > 15 && taken < 50,
-                    taken + " of " + routers + " answers at one of four equal writers");
+                    count > 15 && count < 50,
+                    count + " of " + routers + " answers at one of four equal writers");
         }
     }
 
     @Test
-    void newGenerationsWaitWhileTheWritersHaveNoCapacityForWhatIsRead() {
+    void generationsWaitWhileWritersLackCapacityForReadsInProgress() {
         Engine[] engines = fixture.engines(2, 1);
-        EngineFixture.setOthersTokens(engines[2], 200_000 - 4000);
-        EngineFixture.setReportMs(engines[2], fixture.nowMs);
+        EngineFixture.setOtherRoutersTokens(engines[2], 200_000 - 4000);
+        EngineFixture.setLastReportMs(engines[2], fixture.nowMs);
         for (int i = 0; i < 5; i++) {
             policy.requestArrived(fixture.generation("g" + i));
         }
--- a/src/test/java/larchridge/settings/DeploymentSettingsReaderTest.java
+++ b/src/test/java/larchridge/settings/DeploymentSettingsReaderTest.java
@@ -15,24 +15,24 @@
     }
 
     @Test
-    void figuresAreTakenInMilliseconds() throws Exception {
-        DeploymentSettings given =
+    void secondsAreConvertedToMilliseconds() throws Exception {
+        DeploymentSettings settings =
                 read(
                         "{\"host_types\":[\"a\",\"b\"],\"family_info\":{\"stage_of_kind\":[\"read\",\"write\"],"
                                 + "\"release_within_s\":0.5},\"limits\":{\"dial_timeout_s\":0.25,\"keepalive_s\":15},"
                                 + "\"invariants\":{\"stop_sending_within_s\":0.25},"
                                 + "\"request_classes\":[{\"name\":\"p\",\"repeat\":\"token\",\"slo_s\":1.2,\"give_up_s\":5}]}");
-        assertEquals(250, given.connectMs());
-        assertEquals(15_000, given.keepAliveMs());
-        assertEquals(250, given.drainGraceMs());
-        assertEquals(500, given.releaseMs());
-        assertEquals(5000, given.clientTimeoutMs().get("p"));
-        assertEquals(Effect.DEDUPLICATED, given.trafficClasses().get("p").effect);
-        assertEquals(Role.READER, given.roles().get("a"));
+        assertEquals(250, settings.connectTimeoutMs());
+        assertEquals(15_000, settings.keepAliveMs());
+        assertEquals(250, settings.drainGraceMs());
+        assertEquals(500, settings.releaseMs());
+        assertEquals(5000, settings.clientTimeoutMs().get("p"));
+        assertEquals(Effect.DEDUPLICATED, settings.trafficClasses().get("p").effect);
+        assertEquals(Role.READER, settings.roles().get("a"));
     }
 
     @Test
-    void faultNamesTheMember() {
+    void errorNamesTheInvalidMember() {
         assertTrue(
                 assertThrows(
                                 InvalidSettingsException.class,
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -186,7 +186,7 @@
     }
 
     private static String kind(Attempt attempt) {
-        return attempt.read ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
+        return attempt.readOnly ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
     }
 
     /** The policy of one router, with its events and actions written down. */
@@ -346,7 +346,7 @@
                     attempt.countedTokens,
                     attempt.unreadTokens(),
                     attempt.silenceTimeoutMs());
-            if (!attempt.read) {
+            if (!attempt.readOnly) {
                 writes.add(attempt);
             }
             if (attempt.engine.startMs() > host.nowMs() - 2500) {
--- a/src/test/java/larchridge/state/EngineFixture.java
+++ b/src/test/java/larchridge/state/EngineFixture.java
@@ -17,28 +17,28 @@
     }
 
     /** Sets other routers' tokens there. */
-    public static void setOthersTokens(Engine engine, double tokens) {
-        engine.othersTokens = tokens;
+    public static void setOtherRoutersTokens(Engine engine, double tokens) {
+        engine.otherRoutersTokens = tokens;
     }
 
     /** Sets other routers' answers there. */
-    public static void setOthersStreams(Engine engine, double streams) {
-        engine.othersStreams = streams;
+    public static void setOtherRoutersStreams(Engine engine, double streams) {
+        engine.otherRoutersStreams = streams;
     }
 
     /** Sets other routers' unread prompt tokens there. */
-    public static void setOthersUnreadTokens(Engine engine, double tokens) {
-        engine.othersUnreadTokens = tokens;
+    public static void setOtherRoutersUnreadTokens(Engine engine, double tokens) {
+        engine.otherRoutersUnreadTokens = tokens;
     }
 
     /** Sets when it reported last. */
-    public static void setReportMs(Engine engine, double ms) {
-        engine.reportMs = ms;
+    public static void setLastReportMs(Engine engine, double ms) {
+        engine.lastReportMs = ms;
     }
 
     /** Sets when anything was heard from it. */
-    public static void setHeardMs(Engine engine, double ms) {
-        engine.heardMs = ms;
+    public static void setLastContactMs(Engine engine, double ms) {
+        engine.lastContactMs = ms;
     }
 
     /** Sets until when it is ejected. */
