--- a/src/main/java/larchridge/state/Attempt.java
+++ b/src/main/java/larchridge/state/Attempt.java
@@ -1,36 +1,37 @@
 package larchridge.state;
 
-/**
- * One send of a generation to one engine. Its identity never changes; its state does once or twice.
- */
+/** One request for a generation, sent to one engine. Only its state and outcome change. */
 public final class Attempt {
     private enum State {
         IN_FLIGHT,
-        /** Cancelled, and its outcome has not come yet. */
+        /** Cancelled; the outcome has not been reported yet. */
         CANCELLED,
-        /** No longer in flight. */
+        /** Ended, and removed from the in-flight counts. */
         CLOSED
     }
 
-    /** The generation that it serves. */
+    /** The generation this attempt belongs to. */
     public final Generation generation;
 
-    /** The engine that it was sent to. */
+    /** The engine the attempt was sent to. */
     public final Engine engine;
 
-    /** Its place among the generation's attempts, from 0. */
+    /** Zero-based index among the generation's attempts. */
     public final int number;
 
-    /** Whether it only reads the prompt; else it writes the answer, and may read for itself. */
+    /**
+     * Whether the attempt only reads the prompt. Otherwise it writes the answer, and may also read
+     * the prompt itself.
+     */
     public final boolean readOnly;
 
-    /** When it was sent. */
+    /** Time at which the attempt was sent. */
     public final double sentMs;
 
-    /** What it was counted at on its engine: prompt tokens to read, or tokens to hold. */
+    /** Tokens accounted for on the engine: prompt tokens to read, or tokens held in memory. */
     public final double countedTokens;
 
-    /** The start of the engine's process it was sent to. */
+    /** Start time of the engine process the attempt was sent to. */
     private final double engineStartMs;
 
     private double unreadTokens;
@@ -40,11 +41,11 @@
     private AttemptOutcome outcome;
 
     /**
-     * An attempt that is about to be sent; {@link #open} counts it.
+     * Creates an attempt that is about to be sent; {@link #open} adds it to the in-flight counts.
      *
-     * @param countedTokens what it counts at on its engine: prompt tokens to read, or tokens to
-     *     hold
-     * @param unreadTokens prompt tokens to be read there for it
+     * @param countedTokens tokens accounted for on the engine: prompt tokens to read, or tokens
+     *     held in memory
+     * @param unreadTokens prompt tokens the engine has to read for this attempt
      */
     public Attempt(
             Generation generation,
@@ -65,29 +66,29 @@
 
     // ------------------------------------------------------------------ transitions
 
-    /** Counts this attempt at its generation and engine. */
+    /** Adds this attempt to the in-flight counts of its generation and engine. */
     public void open() {
         generation.opened(this);
         engine.opened(this);
     }
 
-    /** Takes its prompt off what is unread at its engine. */
+    /** Subtracts the prompt from the engine's unread tokens. */
     public void markRead() {
         engine.promptRead(unreadTokens);
         unreadTokens = 0;
     }
 
-    /** Cancels it while it is in flight; its outcome is still to come. */
+    /** Marks the attempt as cancelled if it is in flight; its outcome is still reported later. */
     public void cancel() {
         state = state == State.CLOSED ? State.CLOSED : State.CANCELLED;
     }
 
-    /** Notes how it ended. */
+    /** Records how the attempt ended. */
     public void recordOutcome(AttemptOutcome ended) {
         outcome = ended;
     }
 
-    /** Takes this attempt off the counts; false if that was done before. */
+    /** Removes this attempt from the in-flight counts; returns false if it was closed before. */
     public boolean close() {
         if (state == State.CLOSED) {
             return false;
@@ -99,59 +100,59 @@
         return true;
     }
 
-    /** Sets for how long its engine may be silent over it. */
+    /** Sets how long the engine may be silent before the attempt is hedged. */
     public void setSilenceTimeoutMs(double ms) {
         silenceTimeoutMs = ms;
     }
 
-    /** Notes that it was counted as a late transfer before its answer started. */
+    /** Records that the attempt was counted as a late transfer before its answer started. */
     public void countAsLateTransfer() {
         countedAsLateTransfer = true;
     }
 
-    // ------------------------------------------------------------------ what is known of it
+    // ------------------------------------------------------------------ queries
 
-    /** Whether its end is still to come. */
+    /** Whether the attempt has not ended yet. */
     public boolean isInFlight() {
         return state != State.CLOSED;
     }
 
-    /** Whether it was cancelled and its outcome is still to come. */
+    /** Whether the attempt was cancelled and its outcome has not been reported yet. */
     public boolean isCancelled() {
         return state == State.CANCELLED;
     }
 
-    /** Whether it is in flight and was not cancelled. */
+    /** Whether the attempt is in flight and was not cancelled. */
     public boolean isActive() {
         return state == State.IN_FLIGHT;
     }
 
-    /** How it ended, or null: it is in flight, or ended with a completed read. */
+    /** The outcome; null while in flight and after a completed read. */
     public AttemptOutcome outcome() {
         return outcome;
     }
 
-    /** Prompt tokens that are still to be read at its engine for it. */
+    /** Prompt tokens the engine still has to read for this attempt. */
     public double unreadTokens() {
         return unreadTokens;
     }
 
-    /** For how long its engine may be silent over it. */
+    /** How long the engine may be silent before the attempt is hedged. */
     public double silenceTimeoutMs() {
         return silenceTimeoutMs;
     }
 
-    /** Whether it was counted as a late transfer before its answer started. */
+    /** Whether the attempt was counted as a late transfer before its answer started. */
     public boolean isCountedAsLateTransfer() {
         return countedAsLateTransfer;
     }
 
-    /** Whether it was at a writer and is not proved to have had no effect. */
+    /** Whether the attempt may have had an effect: it wrote, and no outcome rules an effect out. */
     public boolean mayHaveRun() {
         return !readOnly && (outcome == null || !outcome.provesNotRun);
     }
 
-    /** Whether what it left at its engine is lost with the engine or its process. */
+    /** Whether the state it left on the engine is gone: engine removed or process restarted. */
     public boolean isStateLost() {
         return engine.state() == EndpointState.REMOVED || engine.startMs() != engineStartMs;
     }
--- a/src/main/java/larchridge/state/AttemptOutcome.java
+++ b/src/main/java/larchridge/state/AttemptOutcome.java
@@ -1,27 +1,27 @@
 package larchridge.state;
 
-/** How an attempt ended, when it did not end with a completed read. */
+/** How an attempt ended, unless it ended with a completed read. */
 public enum AttemptOutcome {
-    /** Its answer was complete. */
+    /** The answer was received completely. */
     STREAMED(false),
-    /** The engine answered with an error, or with what can't be understood. */
+    /** The engine answered with an error or an invalid response. */
     FAULT(false),
     /** The engine had no capacity. */
     FULL(true),
-    /** The state to be fetched was not there. */
+    /** The read state that the writer was to fetch did not exist. */
     NO_STATE(true),
-    /** The router's own timer ended it. */
+    /** The router's timeout expired. */
     TIMED_OUT(false),
-    /** No connection could be had. */
+    /** No connection to the engine could be established. */
     UNREACHABLE(true),
-    /** The connection broke before its end. */
+    /** The connection broke before the response was complete. */
     CUT(false),
-    /** The router cancelled it. */
+    /** The router cancelled the attempt. */
     CANCELLED(false),
-    /** It was never written. */
+    /** The request was never written to a connection. */
     NOT_SENT(true);
 
-    /** Whether this outcome is proof that the attempt had no effect. */
+    /** Whether this outcome proves that the attempt had no effect. */
     public final boolean provesNotRun;
 
     AttemptOutcome(boolean provesNotRun) {
--- a/src/main/java/larchridge/state/CachedPrefix.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -4,32 +4,29 @@
 import java.util.List;
 
 /**
- * A text that readers may have cached: a session's prompts so far, or a beginning that sessions
- * share. It remembers what this router has sent where.
+ * A prompt prefix that readers may have cached: a session's prompts so far, or a prefix shared by
+ * several sessions. Tracks which engines this router has sent it to.
  */
 public final class CachedPrefix {
-    /** Its id, alike at every router. */
+    /** Id of the prefix, the same on every router. */
     public final String id;
 
     private final List<Copy> copies = new ArrayList<>(2);
 
     private record Copy(Engine engine, double sentMs, int tokens) {}
 
-    /** A text that was sent nowhere yet. */
+    /** Creates a prefix that has not been sent to any engine. */
     public CachedPrefix(String id) {
         this.id = id;
     }
 
-    /**
-     * Notes that this many tokens of the text go to an engine, which is its last reader from now
-     * on.
-     */
+    /** Records that this many tokens were sent to an engine, which becomes the last reader. */
     public void recordSent(Engine engine, int tokens, double nowMs) {
         copies.removeIf(copy -> copy.engine == engine || copy.sentMs < copy.engine.cacheValidSinceMs());
         copies.add(new Copy(engine, nowMs, tokens));
     }
 
-    /** How much of it an engine was sent since it last lost its cache. */
+    /** Tokens of the prefix sent to an engine since that engine last lost its cache. */
     public int cachedTokensAt(Engine engine) {
         for (Copy copy : copies) {
             if (copy.engine == engine && copy.sentMs >= engine.cacheValidSinceMs()) {
@@ -39,7 +36,7 @@
         return 0;
     }
 
-    /** The engine that read this text last, or null if that has lost its cache since. */
+    /** The engine that read this prefix last, or null if it has lost its cache since. */
     public Engine lastReader() {
         if (copies.isEmpty()) {
             return null;
@@ -48,7 +45,7 @@
         return last.sentMs >= last.engine.cacheValidSinceMs() ? last.engine : null;
     }
 
-    /** A fixed figure for this text and an engine, alike at every router. */
+    /** Rendezvous-hashing weight of an engine for this prefix, the same on every router. */
     public long rendezvousWeight(Engine engine) {
         long mixed = id.hashCode() * 0x9E3779B97F4A7C15L ^ engine.id * 0xC2B2AE3D27D4EB4FL;
         mixed = (mixed ^ mixed >>> 31) * 0xD6E8FEB86659FD93L;
--- a/src/main/java/larchridge/state/DeduplicationScope.java
+++ b/src/main/java/larchridge/state/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package larchridge.state;
 
-/** The set of engines that drops repeats of a deduplicated generation. */
+/** The set of engines that share deduplication of repeated generations. */
 public enum DeduplicationScope {
-    /** Every engine drops repeats of what any other has run. */
+    /** Every engine drops repeats of what any other engine has run. */
     ALL,
-    /** Those of one zone. */
+    /** Engines of the same zone drop each other's repeats. */
     ZONE,
-    /** Those of one rack. */
+    /** Engines of the same rack drop each other's repeats. */
     RACK
 }
--- a/src/main/java/larchridge/state/Effect.java
+++ b/src/main/java/larchridge/state/Effect.java
@@ -1,11 +1,11 @@
 package larchridge.state;
 
-/** What running a generation more than once would do. */
+/** The effect of running a generation more than once. */
 public enum Effect {
-    /** Nothing: any number of attempts may run, also side by side. */
+    /** None: any number of attempts may run, also concurrently. */
     IDEMPOTENT,
-    /** Nothing, while engines still drop the repeat by its idempotency key. */
+    /** None while engines still recognize the idempotency key and drop the repeat. */
     DEDUPLICATED,
-    /** The effect again: once an attempt may have run, no other one may. */
+    /** The side effect is repeated: once an attempt may have run, no other attempt is allowed. */
     SIDE_EFFECTING
 }
--- a/src/main/java/larchridge/state/EndpointState.java
+++ b/src/main/java/larchridge/state/EndpointState.java
@@ -1,11 +1,11 @@
 package larchridge.state;
 
-/** Whether an engine may get attempts, by the endpoint list. */
+/** Whether an engine may receive attempts, according to the endpoint list. */
 public enum EndpointState {
-    /** It may. */
+    /** The engine accepts new attempts. */
     READY,
-    /** It may not; what is in flight there may end. */
+    /** No new attempts; attempts in flight may finish. */
     DRAINING,
-    /** The list does not name it any more. */
+    /** The endpoint list no longer contains the engine. */
     REMOVED
 }
--- a/src/main/java/larchridge/state/EndpointUpdate.java
+++ b/src/main/java/larchridge/state/EndpointUpdate.java
@@ -1,12 +1,12 @@
 package larchridge.state;
 
 /**
- * One entry of the endpoint list: an engine as it is from now on.
+ * One entry of the endpoint list: the current properties of an engine.
  *
- * @param startMs when its process started, or 0 where that is not known
- * @param units its weight beside others of its kind
- * @param rack its rack
- * @param memoryTokens tokens that it has memory for; NaN where that is not known
+ * @param startMs start time of the engine process; 0 if unknown
+ * @param units capacity weight relative to other engines of the same type
+ * @param rack rack id, unique across zones
+ * @param memoryTokens number of tokens that fit in the engine's memory; NaN if unknown
  */
 public record EndpointUpdate(
         Engine engine,
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * A model server as one router sees it: its entry in the endpoint list, this router's attempts
- * there, and what was learned of its load, speed and health. Owned by the router's event loop.
+ * A model server as seen by one router: its entry in the endpoint list, this router's attempts on
+ * it, and its observed load, speed and health. Confined to the router's event loop.
  */
 public final class Engine {
-    /** Its id in the endpoint list. */
+    /** Id in the endpoint list. */
     public final long id;
 
-    // The entry in the endpoint list.
+    // Entry in the endpoint list.
     Role role;
     EndpointState state;
     String zone;
@@ -26,12 +26,12 @@
     private double writeTokens;
     int streams;
 
-    // Speed, in tokens a millisecond, and starts of transfers, of late.
+    // Recent read speeds in tokens per millisecond, and recent transfer start delays.
     private final SlidingWindow completedReads = new SlidingWindow(10, 1000);
     private final SlidingWindow readSpeeds = new SlidingWindow(10, 1000);
     private final SlidingWindowMean transferStarts = new SlidingWindowMean(3, 1000);
 
-    // Load by its reports; fresh is what was sent so lately that no report counts it yet.
+    // Reported load. The recent windows hold writes too new to be included in a report.
     private boolean reported;
     double lastReportMs = Double.NEGATIVE_INFINITY;
     private double lastProbeMs = Double.NEGATIVE_INFINITY;
@@ -53,49 +53,49 @@
     private double processListedMs = Double.NEGATIVE_INFINITY;
     private double lastSlowStartDrawMs;
 
-    /** An engine that no list has named yet. */
+    /** Creates an engine without an endpoint list entry. */
     public Engine(long id) {
         this.id = id;
     }
 
     // ------------------------------------------------------------------ the endpoint list
 
-    /** What it does: read prompts, write answers, or both. */
+    /** The stages the engine serves. */
     public Role role() {
         return role;
     }
 
-    /** Whether it may get attempts, by the list. */
+    /** Whether the engine may receive attempts, according to the endpoint list. */
     public EndpointState state() {
         return state;
     }
 
-    /** Its zone. */
+    /** The engine's zone. */
     public String zone() {
         return zone;
     }
 
-    /** Its rack within all zones. */
+    /** The engine's rack; rack ids are unique across zones. */
     public long rack() {
         return rack;
     }
 
-    /** Its weight beside others of its kind. */
+    /** Capacity weight relative to other engines of the same type. */
     public double units() {
         return units;
     }
 
-    /** Tokens that it has memory for, or NaN where that is not known. */
+    /** Number of tokens that fit in the engine's memory; NaN if unknown. */
     public double memoryTokens() {
         return memoryTokens;
     }
 
-    /** When its process started, or 0 where that is not known. */
+    /** Start time of the engine process; 0 if unknown. */
     public double startMs() {
         return startMs;
     }
 
-    /** Takes an entry of the list over. */
+    /** Applies an entry of the endpoint list. */
     void apply(EndpointUpdate entry) {
         state = entry.state();
         startMs = entry.startMs();
@@ -106,12 +106,12 @@
         memoryTokens = entry.memoryTokens();
     }
 
-    /** The list no longer names it. */
+    /** Marks the engine as removed from the endpoint list. */
     void remove() {
         state = EndpointState.REMOVED;
     }
 
-    /** Drops what was learned of a process that has ended. */
+    /** Resets load, speed and health when the engine process was replaced. */
     void resetForNewProcess(double nowMs) {
         processListedMs = nowMs;
         completedReads.clear();
@@ -129,34 +129,34 @@
         lastSlowStartDrawMs = nowMs;
     }
 
-    /** Texts that were sent there before this time are no longer cached. */
+    /** Prefixes sent to the engine before this time are no longer cached. */
     double cacheValidSinceMs() {
         return processListedMs;
     }
 
     // ------------------------------------------------------------------ this router's attempts
 
-    /** This router's attempts in flight there, in the order sent; not to be changed. */
+    /** This router's attempts in flight, in send order; the caller must not modify the list. */
     public List<Attempt> attempts() {
         return attempts;
     }
 
-    /** Prompt tokens of this router's attempts that are still to be read. */
+    /** Prompt tokens of this router's attempts that the engine still has to read. */
     public double unreadTokens() {
         return unreadTokens;
     }
 
-    /** Tokens of the answers that this router has in flight there. */
+    /** Tokens held for this router's answers in flight. */
     public double writeTokens() {
         return writeTokens;
     }
 
-    /** Answers that this router has in flight there. */
+    /** Number of this router's answers in flight. */
     public int streams() {
         return streams;
     }
 
-    /** When the oldest attempt with an unread prompt was sent there; NaN if there is none. */
+    /** Send time of the oldest attempt with an unread prompt; NaN if there is none. */
     public double unreadSinceMs() {
         for (Attempt attempt : attempts) {
             if (attempt.unreadTokens() > 0) {
@@ -166,7 +166,7 @@
         return Double.NaN;
     }
 
-    /** Counts an attempt that is sent. */
+    /** Adds an attempt that is being sent. */
     void opened(Attempt attempt) {
         attempts.add(attempt);
         unreadTokens += attempt.unreadTokens();
@@ -176,12 +176,12 @@
         }
     }
 
-    /** Takes so many tokens off what is still to be read. */
+    /** Subtracts tokens that no longer have to be read. */
     void promptRead(double tokens) {
         unreadTokens = Math.max(0, unreadTokens - tokens);
     }
 
-    /** No longer counts an attempt. */
+    /** Removes an attempt that has ended. */
     void closed(Attempt attempt) {
         attempts.remove(attempt);
         if (!attempt.readOnly) {
@@ -192,107 +192,107 @@
 
     // ------------------------------------------------------------------ speed
 
-    /** Counts a completed read by its speed. */
+    /** Records the speed of a completed read. */
     public void recordRead(double tokensPerMs, double nowMs) {
         readSpeeds.addMax(nowMs, tokensPerMs);
         completedReads.add(nowMs, 1);
     }
 
-    /** How many reads have completed there of late. */
+    /** Number of reads completed in the recent window. */
     public double recentReads(double nowMs) {
         return completedReads.sum(nowMs);
     }
 
-    /** The best speed of a read of late, in tokens a millisecond. */
+    /** Highest read speed in the recent window, in tokens per millisecond. */
     public double maxReadSpeed(double nowMs) {
         return readSpeeds.max(nowMs);
     }
 
-    /** Counts how long the transfer of a state that was read here took to start. */
+    /** Records the start delay of a transfer of a state that was read on this engine. */
     public void recordTransferStart(double tookMs, double nowMs) {
         transferStarts.add(nowMs, tookMs, 1);
     }
 
-    /** How long transfers of states that were read here took to start of late, on average. */
+    /** Mean start delay of recent transfers of states that were read on this engine. */
     public double meanTransferStartMs(double nowMs) {
         return transferStarts.mean(nowMs);
     }
 
     // ------------------------------------------------------------------ reported load
 
-    /** Counts tokens of an answer that is sent there. */
+    /** Records the tokens of an answer sent to the engine. */
     public void recordWrite(double tokens, double nowMs) {
         recentWriteTokens.add(nowMs, tokens);
         recentStreams.add(nowMs, 1);
     }
 
-    /** Notes that its load was requested. */
+    /** Records that a load report was requested. */
     public void recordProbe(double nowMs) {
         lastProbeMs = nowMs;
     }
 
-    /** Notes that it has reported its load. */
+    /** Records that a load report was received. */
     public void recordReport(double nowMs) {
         reported = true;
         lastReportMs = nowMs;
     }
 
-    /** Whether its process has ever reported its load. */
+    /** Whether the current process has ever reported its load. */
     public boolean hasReported() {
         return reported;
     }
 
-    /** When it reported its load last. */
+    /** Time of the last load report. */
     public double lastReportMs() {
         return lastReportMs;
     }
 
-    /** When its load was last requested or reported. */
+    /** Time of the last load probe or report. */
     public double lastProbeOrReportMs() {
         return Math.max(lastProbeMs, lastReportMs);
     }
 
-    /** Whether its load was requested and has not been reported since. */
+    /** Whether a probe was sent since the last load report. */
     public boolean isReportPending() {
         return lastReportMs < lastProbeMs;
     }
 
-    /** Tokens of this router's answers that a report counts by now. */
+    /** Tokens of this router's answers that are old enough to be included in a report. */
     public double reportedWriteTokens(double nowMs) {
         return Math.max(0, writeTokens - recentWriteTokens.sum(nowMs));
     }
 
-    /** Takes over how many of this router's answers the report that has just come counts. */
+    /** Records how many of this router's answers the report just received includes. */
     public void countReportedStreams(double nowMs) {
         reportedOwnStreams = Math.max(0, streams - recentStreams.sum(nowMs));
     }
 
-    /** This router's answers that the last report counted. */
+    /** Number of this router's answers included in the last report. */
     public double reportedOwnStreams() {
         return reportedOwnStreams;
     }
 
-    /** Other routers' prompt tokens that waited there at its last report. */
+    /** Unread prompt tokens of other routers, according to the last report. */
     public double otherRoutersUnreadTokens() {
         return otherRoutersUnreadTokens;
     }
 
-    /** Sets other routers' prompt tokens by a report. */
+    /** Sets other routers' unread prompt tokens from a report. */
     public void setOtherRoutersUnreadTokens(double tokens) {
         otherRoutersUnreadTokens = tokens;
     }
 
-    /** Other routers' tokens held there, by its reports. */
+    /** Tokens held for other routers, estimated from reports. */
     public double otherRoutersTokens() {
         return otherRoutersTokens;
     }
 
-    /** Other routers' answers streamed there, by its reports. */
+    /** Number of answers streamed to other routers, estimated from reports. */
     public double otherRoutersStreams() {
         return otherRoutersStreams;
     }
 
-    /** Moves the estimate of other routers' load towards a report by the given weight. */
+    /** Moves the estimate of other routers' load towards reported values by the given weight. */
     public void adjustOtherRoutersLoad(double tokens, double streamCount, double weight) {
         otherRoutersTokens += weight * (tokens - otherRoutersTokens);
         otherRoutersStreams += weight * (streamCount - otherRoutersStreams);
@@ -300,76 +300,76 @@
 
     // ------------------------------------------------------------------ health
 
-    /** When anything was heard from it last. */
+    /** Time of the last response or other contact from the engine. */
     public double lastContactMs() {
         return lastContactMs;
     }
 
-    /** Notes that something was heard from it. */
+    /** Records a contact from the engine. */
     public void recordContact(double nowMs) {
         lastContactMs = nowMs;
     }
 
-    /** The share of errors in its answers of late. */
+    /** Exponentially weighted error rate of the engine's answers. */
     public double errorRate() {
         return errorRate;
     }
 
-    /** Counts an answer, 1 for an error and 0 for none, by the weight of the newest answer. */
+    /** Updates the error rate with an answer: 1 for an error, 0 for a success. */
     public void recordAnswer(int error, double weight) {
         errorRate += weight * (error - errorRate);
     }
 
-    /** Whether it was full a short while ago. */
+    /** Whether the engine recently rejected an attempt for lack of capacity. */
     public boolean isFull(double nowMs) {
         return nowMs < fullUntilMs;
     }
 
-    /** It is full until a time. */
+    /** Treats the engine as full until the given time. */
     public void recordFull(double untilMs) {
         fullUntilMs = untilMs;
     }
 
-    /** Whether it is ejected. */
+    /** Whether the engine is ejected. */
     public boolean isEjected(double nowMs) {
         return nowMs < ejectedUntilMs;
     }
 
-    /** Until when it is ejected, or 0. */
+    /** End of the ejection, or 0. */
     public double ejectedUntilMs() {
         return ejectedUntilMs;
     }
 
-    /** How long its last ejection was to last, before it was spread; 0 since it was taken back. */
+    /** Duration of the last ejection, before jitter; 0 after unejection. */
     public double ejectionMs() {
         return ejectionMs;
     }
 
-    /** Whether it gets no more than one attempt, to see whether it works. */
+    /** Whether the engine is limited to one attempt at a time that tests whether it has recovered. */
     public boolean isOnProbation() {
         return onProbation;
     }
 
-    /** Ejects it until a time; then it is on trial. */
+    /** Ejects the engine until the given time; it is on probation afterwards. */
     public void eject(double lastsMs, double untilMs) {
         ejectionMs = lastsMs;
         ejectedUntilMs = untilMs;
         onProbation = true;
     }
 
-    /** Takes it back from ejection and trial. */
+    /** Ends ejection and probation. */
     public void uneject() {
         ejectedUntilMs = 0;
         ejectionMs = 0;
         onProbation = false;
     }
 
-    /** When its slow start was last drawn for, or its process was listed. */
+    /** Time of the last slow-start draw; until the first one, the time the process was listed. */
     public double lastSlowStartDrawMs() {
         return lastSlowStartDrawMs;
     }
 
-    /** Notes a draw of its slow start. */
+    /** Records a slow-start draw. */
     public void recordSlowStartDraw(double nowMs) {
         lastSlowStartDrawMs = nowMs;
     }
--- a/src/main/java/larchridge/state/EngineRegistry.java
+++ b/src/main/java/larchridge/state/EngineRegistry.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The engines that the endpoint list has named, by what they can do now. An engine that the list
- * removes is kept until its last attempt has ended, so that it is known again if it comes back.
+ * The engines of the endpoint list, grouped by role. An engine that the list removes is kept until
+ * its last attempt has ended, so that its state is still there if the list adds it again.
  */
 public final class EngineRegistry {
     private final List<Engine> engines = new ArrayList<>();
@@ -14,22 +14,22 @@
     private final List<Engine> writers = new ArrayList<>();
     private int revision;
 
-    /** The engines that read and may get attempts, by id; not to be changed. */
+    /** Ready engines of role READER, ordered by id; the caller must not modify the list. */
     public List<Engine> readers() {
         return readers;
     }
 
-    /** The engines that write and may get attempts, by id; not to be changed. */
+    /** Ready engines that can write, ordered by id; the caller must not modify the list. */
     public List<Engine> writers() {
         return writers;
     }
 
-    /** How many lists or changes were applied. */
+    /** Number of updates applied so far. */
     public int revision() {
         return revision;
     }
 
-    /** Applies entries of the list; a complete list removes every engine that it lacks. */
+    /** Applies entries of the list; a complete list removes every engine it does not contain. */
     public void apply(List<EndpointUpdate> entries, boolean complete, double nowMs) {
         if (complete) {
             engines.forEach(Engine::remove);
@@ -53,8 +53,7 @@
             engine.remove();
             return;
         }
-        // Guards against: a new process under an old id keeps nothing of what the old one was known
-        // for.
+        // Guards against: a new process under the id of an old one inheriting its load and health.
         if (engine.startMs() != entry.startMs()) {
             engine.resetForNewProcess(nowMs);
         }
--- a/src/main/java/larchridge/state/Generation.java
+++ b/src/main/java/larchridge/state/Generation.java
@@ -4,55 +4,55 @@
 import java.util.List;
 
 /**
- * A generation: one prompt that is owed one final answer. What was asked never changes; the rest is
- * the policy's record of its way, changed by one method for each transition on the router's event
- * loop.
+ * A generation: one client request for an answer to one prompt. The request itself is immutable;
+ * the routing state is changed by the policy on the router's event loop, through one method per
+ * transition. Every generation gets exactly one final answer.
  */
 public final class Generation {
-    /** Where its answer stands; only ever the next. */
+    /** Progress of the answer; only ever advances. */
     private enum Phase {
-        /** Its client has got nothing yet. */
+        /** The client has received nothing yet. */
         UNANSWERED,
-        /** The first token has come. */
+        /** The first token has arrived. */
         STREAMING,
-        /** It has its final answer. */
+        /** The final answer has been given. */
         FINISHED
     }
 
-    /** Its id, unique among the router's. */
+    /** Id, unique on the router. */
     public final String id;
 
-    /** What is promised for it. */
+    /** Latency targets, revenue and retry rules. */
     public final TrafficClass trafficClass;
 
-    /** Its tenant's share, or null. */
+    /** The tenant's quota, or null. */
     public final TenantQuota tenantQuota;
 
     /** The session's prompts so far, or null. */
     public final CachedPrefix session;
 
-    /** The beginning that it shares with other sessions, or null. */
+    /** The prompt prefix shared with other sessions, or null. */
     public final CachedPrefix prefix;
 
-    /** Tokens of its prompt. */
+    /** Number of prompt tokens. */
     public final int promptTokens;
 
-    /** Tokens of the shared beginning. */
+    /** Number of tokens in the shared prefix. */
     public final int sharedTokens;
 
-    /** The most tokens that its answer may have. */
+    /** Maximum number of answer tokens. */
     public final int maxTokens;
 
-    /** The hinted length of the answer, or NaN. */
+    /** Answer length hinted by the client, or NaN. */
     public final double expectedOutputTokens;
 
-    /** Whether the client marks it as a retry. */
+    /** Whether the client marked the request as a retry. */
     public final boolean clientRetry;
 
-    /** When it arrived. */
+    /** Arrival time. */
     public final double arrivedMs;
 
-    /** When its client gives up. */
+    /** Time at which the client gives up. */
     public final double deadlineMs;
 
     private final List<Attempt> attempts = new ArrayList<>(3);
@@ -75,7 +75,7 @@
     private final List<Engine> affinityReaders = new ArrayList<>(4);
     private int affinityRevision = -1;
 
-    /** A generation that has arrived and has no attempt yet. */
+    /** Creates a generation that has arrived and has no attempt yet. */
     public Generation(
             String id,
             TrafficClass trafficClass,
@@ -103,81 +103,81 @@
         this.deadlineMs = deadlineMs;
     }
 
-    /** Until when its first token has to come to earn full revenue. */
+    /** Time by which the first token has to arrive to earn full revenue. */
     public double sloDeadlineMs() {
         return arrivedMs + trafficClass.sloMs + trafficClass.sloMsPerToken * promptTokens;
     }
 
     // ------------------------------------------------------------------ phase
 
-    /** The first token of its answer has come. */
+    /** Records the first token of the answer. */
     public void startResponse() {
         if (phase == Phase.UNANSWERED) {
             phase = Phase.STREAMING;
         }
     }
 
-    /** It has its final answer. */
+    /** Records that the final answer has been given. */
     public void finish() {
         phase = Phase.FINISHED;
     }
 
-    /** Whether its client has got nothing yet, neither a token nor a final answer. */
+    /** Whether the client has received neither a token nor a final answer. */
     public boolean isUnanswered() {
         return phase == Phase.UNANSWERED;
     }
 
-    /** Whether it has its final answer. */
+    /** Whether the final answer has been given. */
     public boolean isFinished() {
         return phase == Phase.FINISHED;
     }
 
-    /** Why the policy gave it up, or null. */
+    /** Why the policy gave up, or null. */
     public GiveUpReason giveUpReason() {
         return giveUpReason;
     }
 
-    /** Notes why the policy gives it up. */
+    /** Records why the policy gives up. */
     public void recordGiveUp(GiveUpReason reason) {
         giveUpReason = reason;
     }
 
     // ------------------------------------------------------------------ waiting
 
-    /** It waits for a reader; the one with the most of it cached would read so many tokens. */
+    /** Starts waiting for a reader; the reader with the most cached would read this many tokens. */
     public void startWaiting(double tokensToRead) {
         waiting = true;
         minTokensToRead = tokensToRead;
     }
 
-    /** It no longer waits. */
+    /** Stops waiting. */
     public void stopWaiting() {
         waiting = false;
     }
 
-    /** Whether it waits for a reader. */
+    /** Whether the generation waits for a reader. */
     public boolean isWaiting() {
         return waiting;
     }
 
-    /** The fewest tokens that any reader would have to read for it, since it waits. */
+    /** Fewest tokens that any reader would have to read, as of when the wait started. */
     public double minTokensToRead() {
         return minTokensToRead;
     }
 
-    /** Draws its own share between 0 and 1, which stays with it. */
+    /** Sets the generation's random fraction between 0 and 1. */
     public void setRandomFraction(double share) {
         randomFraction = share;
     }
 
-    /** A draw between 0 and 1 that stays with it. */
+    /** A random fraction between 0 and 1, drawn once per generation. */
     public double randomFraction() {
         return randomFraction;
     }
 
     // ------------------------------------------------------------------ attempts
 
-    /** All its attempts, in the order sent; not to be changed. */
+    /** All attempts in send order; the caller must not modify the list. */
     public List<Attempt> attempts() {
         return attempts;
     }
@@ -187,28 +187,28 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** How many attempts have not ended. */
+    /** Number of attempts that have not ended. */
     public int attemptsInFlight() {
         return attemptsInFlight;
     }
 
-    /** Attempts that count against the most that are allowed. */
+    /** Number of attempts that count against the limit. */
     public int attemptsSent() {
         return attempts.size() - attemptsNotSent;
     }
 
-    /** Attempts that this router could not send at all. */
+    /** Number of attempts that this router could not send. */
     public int attemptsNotSent() {
         return attemptsNotSent;
     }
 
-    /** Counts an attempt that could not be sent; the next one is not due before a time. */
+    /** Counts an attempt that could not be sent and delays the next one until the given time. */
     public void backOff(double untilMs) {
         attemptsNotSent++;
         nextAttemptMs = untilMs;
     }
 
-    /** When the next attempt is due at the earliest. */
+    /** Earliest time of the next attempt. */
     public double nextAttemptMs() {
         return nextAttemptMs;
     }
@@ -227,77 +227,77 @@
         attemptsInFlight--;
     }
 
-    // ------------------------------------------------------------------ the read state
+    // ------------------------------------------------------------------ read state
 
     /** The attempt whose read state waits to be fetched, or null. */
     public Attempt heldRead() {
         return heldRead;
     }
 
-    /** The state of a completed read waits to be fetched. */
+    /** Records that the state of a completed read waits to be fetched. */
     public void holdState(Attempt read) {
         heldRead = read;
     }
 
-    /** No state waits to be fetched any more. */
+    /** Records that no state waits to be fetched any more. */
     public void dropState() {
         heldRead = null;
     }
 
-    /** The state was released beside the attempt that is to fetch it. */
+    /** Records that the state was released while the attempt that is to fetch it is in flight. */
     public void recordStateReleased() {
         heldRead = null;
         stateReleased = true;
     }
 
-    /** A new attempt makes up for a state that was released beside an earlier one. */
+    /** Clears {@link #isStateReleased} once another attempt replaces the affected one. */
     public void clearStateReleased() {
         stateReleased = false;
     }
 
-    /** Whether the state was released beside the attempt that is to fetch it. */
+    /** Whether the state was released while the attempt that is to fetch it is in flight. */
     public boolean isStateReleased() {
         return stateReleased;
     }
 
-    /** Whether an engine may hold a state for it. */
+    /** Whether an engine may hold a state for this generation. */
     public boolean mayHoldState() {
         return mayHoldState;
     }
 
-    /** Sets whether an engine may hold a state for it. */
+    /** Sets whether an engine may hold a state for this generation. */
     public void setMayHoldState(boolean may) {
         mayHoldState = may;
     }
 
-    // ------------------------------------------------------------------ readers that come first
+    // ------------------------------------------------------------------ preferred readers
 
-    /** The readers whose load was requested for it; the policy's own list. */
+    /** Readers probed for this generation; a mutable list maintained by the policy. */
     public List<Engine> probedReaders() {
         return probedReaders;
     }
 
-    /** When the load of its readers was requested. */
+    /** Time of the last probe of the readers. */
     public double readersProbedMs() {
         return readersProbedMs;
     }
 
-    /** The load of its readers is requested. */
+    /** Records that the readers are being probed. */
     public void recordReadersProbed(double nowMs) {
         readersProbedMs = nowMs;
     }
 
-    /** The readers that hashes name for it, best first; the policy's own list. */
+    /** Readers chosen by affinity hashing, best first; a mutable list maintained by the policy. */
     public List<Engine> affinityReaders() {
         return affinityReaders;
     }
 
-    /** The revision of the endpoint list that the affinity readers are of. */
+    /** Endpoint list revision for which the affinity readers were computed. */
     public int affinityRevision() {
         return affinityRevision;
     }
 
-    /** The affinity readers are of this revision of the endpoint list. */
+    /** Sets the endpoint list revision for which the affinity readers were computed. */
     public void setAffinityRevision(int revision) {
         affinityRevision = revision;
     }
--- a/src/main/java/larchridge/state/GiveUpReason.java
+++ b/src/main/java/larchridge/state/GiveUpReason.java
@@ -1,13 +1,13 @@
 package larchridge.state;
 
-/** Why the policy gives a generation up. */
+/** Why the policy gave up on a generation. */
 public enum GiveUpReason {
-    /** Its client's deadline is close. */
+    /** The client's deadline is about to expire. */
     TIME_UP,
-    /** It can no longer make the time in which it earns anything. */
+    /** The first token can no longer arrive within the SLO time. */
     TOO_LATE,
-    /** As many attempts as are allowed have been sent. */
+    /** The remaining attempts do not suffice for an answer. */
     ATTEMPTS_USED,
-    /** No writer may get it: none is ready, or a repeat could have an effect. */
+    /** No writer is eligible: none is ready, or a repeat could have an effect. */
     NO_WRITER
 }
--- a/src/main/java/larchridge/state/PrefixRegistry.java
+++ b/src/main/java/larchridge/state/PrefixRegistry.java
@@ -3,14 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Prefixes by id; when there are too many to keep, the least recently used is dropped. */
+/** LRU cache of prefixes by id. */
 public final class PrefixRegistry extends LinkedHashMap<String, CachedPrefix> {
     private static final long serialVersionUID = 1;
 
-    /** The most prefixes that are kept, so that memory is bounded whatever clients send. */
+    /** Bounds the memory that clients can make the router use. */
     private static final int MAX_PREFIXES = 20_000;
 
-    /** A registry without prefixes. */
+    /** Creates an empty registry. */
     public PrefixRegistry() {
         super(16, 0.75f, true);
     }
--- a/src/main/java/larchridge/state/RoutingSettings.java
+++ b/src/main/java/larchridge/state/RoutingSettings.java
@@ -3,26 +3,27 @@
 import java.util.Objects;
 
 /**
- * What a policy is allowed and what is promised to whom, fixed for its lifetime. Times are
+ * Limits, capabilities and targets of a routing policy, fixed for its lifetime. Times are
  * milliseconds.
  *
- * @param seed of the policy's random draws
- * @param routers how many routers share the engines, this one included
+ * @param seed seed of the policy's random generator
+ * @param routers number of routers that share the engines, including this one
  * @param zone the router's own zone
- * @param maxAttempts how often a generation may be sent in all
+ * @param maxAttempts maximum number of attempts per generation
  * @param cancellationAllowed whether attempts may be cancelled
  * @param probesAllowed whether engines may be probed for their load
- * @param hedgingAllowed whether two attempts of a generation may be in flight side by side
+ * @param hedgingAllowed whether two attempts of a generation may be in flight concurrently
  * @param writersCanRead whether every writer can read prompts itself
  * @param endpointListPolled whether the policy has to request the endpoint list
  * @param reportsWithAnswers whether engines report their load with answers
- * @param reportsWithProbes whether engines report their load to probes
- * @param retryAfterMaxMs the longest Retry-After that a client honours; 0 where there is none
- * @param slowStartShare the part of a warm engine's attempts that a warming one may get
- * @param slowStartMs how long an engine warms up
- * @param overloadMultiple by what factor that part may be passed before it counts as overload
- * @param overloadMs for how long it has to be passed
- * @param overQuotaRevenue what a generation over its tenant's quota earns, beside one within
+ * @param reportsWithProbes whether engines report their load in probe responses
+ * @param retryAfterMaxMs longest Retry-After that clients honor; 0 if they honor none
+ * @param slowStartShare fraction of a warm engine's attempts that a warming engine may receive
+ * @param slowStartMs warm-up time of an engine
+ * @param overloadMultiple factor by which the slow-start share may be exceeded before the engine
+ *     counts as overloaded
+ * @param overloadMs how long the share has to be exceeded for that
+ * @param overQuotaRevenue revenue of a generation over its tenant's quota, relative to one within
  */
 public record RoutingSettings(
         long seed,
@@ -43,7 +44,7 @@
         double overloadMs,
         double overQuotaRevenue) {
 
-    /** Checks what every part of the policy relies on. */
+    /** Validates the components that the policy relies on. */
     public RoutingSettings {
         Objects.requireNonNull(zone, "zone");
         if (routers < 1) {
@@ -51,12 +52,12 @@
         }
     }
 
-    /** A builder that allows nothing and promises nothing yet. */
+    /** A builder with every permission off and every limit at its default. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** A builder with these settings. */
+    /** A builder initialized with these settings. */
     public Builder toBuilder() {
         return new Builder()
                 .seed(seed)
@@ -78,12 +79,12 @@
                 .overQuotaRevenue(overQuotaRevenue);
     }
 
-    /** The same settings with another seed. */
+    /** A copy of these settings with another seed. */
     public RoutingSettings withSeed(long other) {
         return toBuilder().seed(other).build();
     }
 
-    /** Collects settings; each setter is named after the component that it sets. */
+    /** Builder of routing settings; each setter is named after the component it sets. */
     public static final class Builder {
         private long seed;
         private int routers = 1;
@@ -207,7 +208,7 @@
             return this;
         }
 
-        /** The settings, checked. */
+        /** Builds and validates the settings. */
         public RoutingSettings build() {
             return new RoutingSettings(
                     seed,
--- a/src/main/java/larchridge/state/SlidingWindow.java
+++ b/src/main/java/larchridge/state/SlidingWindow.java
@@ -2,38 +2,38 @@
 
 import java.util.Arrays;
 
-/** Sums over the last span of time, in fixed buckets that are reused as a ring. */
+/** Sums over a sliding time window, kept in a ring of fixed-size buckets. */
 public final class SlidingWindow {
     private final double bucketMs;
     private final double[] sums;
     private long newestBucket = Long.MIN_VALUE;
 
-    /** A window of so many buckets of so many milliseconds each. */
+    /** Creates a window of the given number and duration of buckets. */
     public SlidingWindow(int buckets, double bucketMs) {
         this.bucketMs = bucketMs;
         this.sums = new double[buckets];
     }
 
-    /** Adds an amount to the running bucket. */
+    /** Adds an amount to the current bucket. */
     public void add(double nowMs, double amount) {
         advanceTo(nowMs);
         sums[(int) Math.floorMod(newestBucket, (long) sums.length)] += amount;
     }
 
-    /** Keeps the highest amount of the running bucket. */
+    /** Raises the current bucket to the amount if that is higher. */
     public void addMax(double nowMs, double amount) {
         advanceTo(nowMs);
         int i = (int) Math.floorMod(newestBucket, (long) sums.length);
         sums[i] = Math.max(sums[i], amount);
     }
 
-    /** The highest bucket of the window. */
+    /** The maximum over the buckets of the window. */
     public double max(double nowMs) {
         advanceTo(nowMs);
         return Arrays.stream(sums).max().getAsDouble();
     }
 
-    /** The sum over the window, the running bucket included. */
+    /** The sum over the window, including the current bucket. */
     public double sum(double nowMs) {
         advanceTo(nowMs);
         double sum = 0;
@@ -43,12 +43,12 @@
         return sum;
     }
 
-    /** The span of time that counts. */
+    /** The duration of the window. */
     public double spanMs() {
         return bucketMs * sums.length;
     }
 
-    /** Forgets all amounts. */
+    /** Resets all buckets to 0. */
     public void clear() {
         Arrays.fill(sums, 0);
     }
--- a/src/main/java/larchridge/state/TenantQuota.java
+++ b/src/main/java/larchridge/state/TenantQuota.java
@@ -1,9 +1,9 @@
 package larchridge.state;
 
 /**
- * A tenant with its stated share of the service.
+ * A tenant and its quota.
  *
  * @param name the tenant's name
- * @param quotaPerSecond generations a second within the share
+ * @param quotaPerSecond generations per second within the quota
  */
 public record TenantQuota(String name, double quotaPerSecond) {}
--- a/src/main/java/larchridge/state/TrafficClass.java
+++ b/src/main/java/larchridge/state/TrafficClass.java
@@ -1,37 +1,35 @@
 package larchridge.state;
 
-/** One kind of generation: what is promised for it, what it earns and whether it may run again. */
+/** A class of generations with common latency targets, revenue and retry rules. */
 public final class TrafficClass {
-    /** Its name, as settings and metrics have it. */
+    /** Name of the class in settings and metrics. */
     public final String name;
 
-    /** What running one of its generations again would do. */
+    /** The effect of running one of its generations again. */
     public final Effect effect;
 
-    /** Which engines drop repeats, where it is deduplicated. */
+    /** Which engines drop repeats, if the class is deduplicated. */
     public final DeduplicationScope deduplicationScope;
 
-    /** For how long engines drop repeats. */
+    /** How long engines drop repeats. */
     public final double deduplicationWindowMs;
 
-    /** What an answer in time earns. */
+    /** Revenue of an answer within the SLO time. */
     public final double revenue;
 
-    /** The part of it that a late answer earns. */
+    /** Fraction of the revenue that a late answer earns. */
     public final double lateRevenue;
 
-    /**
-     * Until when the first token has to come, plus {@link #sloMsPerToken} for each prompt token.
-     */
+    /** Target time to first token, plus {@link #sloMsPerToken} for each prompt token. */
     public final double sloMs;
 
-    /** What each token of the prompt adds to {@link #sloMs}. */
+    /** Added to {@link #sloMs} for each prompt token. */
     public final double sloMsPerToken;
 
-    /** The time between two tokens that is aimed at. */
+    /** Target time between two output tokens. */
     public final double targetTokenIntervalMs;
 
-    /** A kind of generation. */
+    /** Creates a traffic class. */
     public TrafficClass(
             String name,
             Effect effect,
--- a/src/main/java/larchridge/state/package-info.java
+++ b/src/main/java/larchridge/state/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The policy's view of the world: generations, their attempts, engines and what was learned of
- * them, and the settings that a policy is created with.
+ * State that the routing policy works on: generations, their attempts, engines with observed load
+ * and health, and the settings that a policy is created with.
  *
  * <p>These are plain objects without threads, timers or I/O. {@link larchridge.state.Generation},
  * {@link larchridge.state.Attempt} and {@link larchridge.state.Engine} belong to the event loop of
- * one router, are created by it and are changed by its policy only, through one method for each
- * transition. Nothing here decides anything; {@code larchridge.policy} does. Times are milliseconds
- * since the epoch, spans are milliseconds.
+ * one router. The router creates them; only its policy changes them, through one method per
+ * transition. Decisions are made in {@code larchridge.policy}. Times are milliseconds since the
+ * epoch, durations are milliseconds.
  */
 package larchridge.state;
--- a/src/test/java/larchridge/state/EngineFixture.java
+++ b/src/test/java/larchridge/state/EngineFixture.java
@@ -1,57 +1,55 @@
 package larchridge.state;
 
-/**
- * Puts an engine into a state that a test begins with, past the events that would bring it about.
- */
+/** Sets fields of an engine directly, as the initial state of a test. */
 public final class EngineFixture {
     private EngineFixture() {}
 
-    /** Sets this router's unread prompt tokens there. */
+    /** Sets this router's unread prompt tokens on the engine. */
     public static void setUnreadTokens(Engine engine, double tokens) {
         engine.unreadTokens = tokens;
     }
 
-    /** Sets this router's answers there. */
+    /** Sets the number of answers that this router streams from the engine. */
     public static void setStreams(Engine engine, int streams) {
         engine.streams = streams;
     }
 
-    /** Sets other routers' tokens there. */
+    /** Sets the tokens that the engine holds for other routers. */
     public static void setOtherRoutersTokens(Engine engine, double tokens) {
         engine.otherRoutersTokens = tokens;
     }
 
-    /** Sets other routers' answers there. */
+    /** Sets the number of answers that other routers stream from the engine. */
     public static void setOtherRoutersStreams(Engine engine, double streams) {
         engine.otherRoutersStreams = streams;
     }
 
-    /** Sets other routers' unread prompt tokens there. */
+    /** Sets other routers' unread prompt tokens on the engine. */
     public static void setOtherRoutersUnreadTokens(Engine engine, double tokens) {
         engine.otherRoutersUnreadTokens = tokens;
     }
 
-    /** Sets when it reported last. */
+    /** Sets the time of the last load report. */
     public static void setLastReportMs(Engine engine, double ms) {
         engine.lastReportMs = ms;
     }
 
-    /** Sets when anything was heard from it. */
+    /** Sets the time of the last contact with the engine. */
     public static void setLastContactMs(Engine engine, double ms) {
         engine.lastContactMs = ms;
     }
 
-    /** Sets until when it is ejected. */
+    /** Sets the end of the engine's ejection. */
     public static void setEjectedUntilMs(Engine engine, double ms) {
         engine.ejectedUntilMs = ms;
     }
 
-    /** Sets what it does. */
+    /** Sets the engine's role. */
     public static void setRole(Engine engine, Role role) {
         engine.role = role;
     }
 
-    /** Sets its rack. */
+    /** Sets the engine's rack. */
     public static void setRack(Engine engine, long rack) {
         engine.rack = rack;
     }
