--- a/src/main/java/larchridge/policy/AdmissionQueue.java
+++ b/src/main/java/larchridge/policy/AdmissionQueue.java
@@ -7,17 +7,17 @@
 import larchridge.state.Generation;
 
 /**
- * The order in which waiting generations are admitted when readers are short.
+ * Admits waiting generations when reader capacity is short.
  *
- * <p>Guards against: first come, first served under shortage serves everyone just too late. The
- * most revenue for its work goes first, the newest first among equals, and what can no longer make
- * its SLO time is given up.
+ * <p>Guards against: under overload, first-come-first-served order makes every generation miss its
+ * SLO by a little. Generations with the highest revenue are admitted first, the newest first among
+ * equals, and those that can no longer meet their SLO are given up.
  */
 final class AdmissionQueue {
-    /** How often a router with nothing in flight tries one that looks too late, in milliseconds. */
+    /** Minimum interval at which an idle router sends a generation that is estimated too late. */
     private static final double LATE_RETRY_INTERVAL_MS = 2000;
 
-    /** Of those that wait, so many are tried at a time, the first in order. */
+    /** Maximum number of waiting generations tried per pass, in admission order. */
     private static final int MAX_TRIED_PER_PASS = 100;
 
     private static final Comparator<Generation> BY_REVENUE_THEN_NEWEST =
@@ -33,11 +33,11 @@
     private double lastLateRetryMs;
 
     /**
-     * A queue over the generations of a router.
+     * Creates a queue over the generations of a router.
      *
-     * @param open all its generations that are not over
-     * @param admit tries to send one that has waited
-     * @param giveUpAsLate gives up one that can no longer make its SLO time
+     * @param openGenerations all generations of the router that are not finished
+     * @param admit tries to send a waiting generation
+     * @param giveUpAsLate gives up a generation that can no longer meet its SLO
      */
     AdmissionQueue(
             PolicyActions actions,
@@ -52,7 +52,7 @@
         this.giveUpAsLate = giveUpAsLate;
     }
 
-    /** Tries those that wait, in order, and gives up those that are too late. */
+    /** Tries to send waiting generations in order and gives up those that are too late. */
     void admitWaiting() {
         List<Generation> waiting = new ArrayList<>(openGenerations);
         waiting.removeIf(generation -> !generation.isWaiting());
@@ -71,8 +71,8 @@
             if (late) {
                 giveUpAsLate.accept(generation);
             } else if (tried++ < MAX_TRIED_PER_PASS) {
-                // Guards against: thousands that wait, all tried whenever an attempt ends, keep the
-                // loop busy.
+                // Guards against: thousands of waiting generations, all tried whenever an attempt
+                // ends, would keep the event loop busy.
                 admit.accept(generation);
             }
         }
@@ -84,8 +84,11 @@
     }
 
     /**
-     * Guards against: once all was slow, all is given up, and nothing is sent that could show that
-     * it no longer is: everyone would be rejected. With nothing in flight, what is known is void.
+     * Whether a generation that looks too late may be sent anyway.
+     *
+     * <p>Guards against: after a slow period every generation is estimated too late and given up,
+     * so nothing is sent that could correct the estimates and all generations are rejected. With no
+     * attempt in flight the estimates are outdated and are reset.
      */
     private boolean mayRetryLate(double nowMs) {
         return nowMs > lastLateRetryMs + LATE_RETRY_INTERVAL_MS
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -6,7 +6,7 @@
 import larchridge.state.Role;
 import larchridge.state.RoutingSettings;
 
-/** Sends, closes and cancels attempts, and keeps the counts of load that go with them. */
+/** Sends, closes and cancels attempts, and updates the load accounting. */
 final class AttemptDispatcher {
     private final PolicyActions actions;
     private final PrefixAffinity affinity;
@@ -30,7 +30,7 @@
         cancellationAllowed = settings.cancellationAllowed();
     }
 
-    /** Sends a generation to be read; an engine that is no mere reader also writes its answer. */
+    /** Sends a prompt to be read; an engine that is not only a reader also writes the answer. */
     void sendRead(Generation generation, Engine engine) {
         double nowMs = actions.nowMs();
         double unreadTokens = affinity.tokensToRead(generation, engine);
@@ -43,7 +43,8 @@
                 readOnly
                         ? HedgingPolicy.readTimeoutMs(readMs)
                         : HedgingPolicy.writeTimeoutMs(readMs));
-        // Guards against: a read whose answer is lost leaves a state that no outcome reports.
+        // Guards against: a read whose response is lost leaves a state behind that no outcome
+        // reports.
         generation.setMayHoldState(true);
         if (readOnly) {
             capacity.reserve(generation);
@@ -55,7 +56,7 @@
         }
     }
 
-    /** Sends a generation whose state is held to the writer that fetches it. */
+    /** Sends a generation with a held state to the writer that fetches the state. */
     void sendWrite(Generation generation, Engine writer) {
         double accountedTokens = WriterCapacity.neededTokens(generation);
         Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), accountedTokens, 0);
@@ -72,19 +73,19 @@
         actions.send(attempt);
     }
 
-    /** Takes an attempt that has ended off the counts. */
+    /** Removes an attempt that has ended from the load accounting. */
     void close(Attempt attempt) {
         if (attempt.close() && attempt.readOnly) {
             capacity.release(attempt);
         }
     }
 
-    /** Cancels all attempts of a generation that are in flight. */
+    /** Cancels all active attempts of a generation. */
     void cancelAll(Generation generation) {
         cancelOthers(generation, null);
     }
 
-    /** Cancels all attempts of a generation that are in flight, but one. */
+    /** Cancels all active attempts of a generation except one. */
     void cancelOthers(Generation generation, Attempt kept) {
         for (Attempt attempt : generation.attempts()) {
             if (attempt != kept && attempt.isActive() && cancellationAllowed) {
--- a/src/main/java/larchridge/policy/EligibleEngines.java
+++ b/src/main/java/larchridge/policy/EligibleEngines.java
@@ -6,7 +6,7 @@
 import larchridge.state.Generation;
 import larchridge.state.RoutingSettings;
 
-/** Which engines of a pool may get an attempt of a generation now. */
+/** Selects the engines of a pool that may receive an attempt of a generation now. */
 final class EligibleEngines {
     private final PolicyActions actions;
     private final OutlierDetector outliers;
@@ -24,11 +24,11 @@
         hedgingAllowed = settings.hedgingAllowed();
     }
 
-    /** The eligible engines, in the pool's order, as a list of the caller's own. */
+    /** The eligible engines in pool order, as a new list that the caller may modify. */
     List<Engine> of(List<Engine> pool, Generation generation) {
         double nowMs = actions.nowMs();
         List<Engine> eligible = new ArrayList<>(pool.size());
-        // All ejected counts as none ejected: doubt must never empty a pool.
+        // If all engines are ejected, ejection is ignored: it must never leave a pool empty.
         boolean anyHealthy = pool.stream().anyMatch(engine -> outliers.isHealthy(engine, nowMs));
         for (Engine engine : pool) {
             if ((!anyHealthy || outliers.isHealthy(engine, nowMs))
--- a/src/main/java/larchridge/policy/EndpointWatch.java
+++ b/src/main/java/larchridge/policy/EndpointWatch.java
@@ -2,9 +2,9 @@
 
 import java.util.Random;
 
-/** Requests the endpoint list where it has to be requested, and again some time after a failure. */
+/** Requests the endpoint list where it has to be polled, and retries after failures. */
 final class EndpointWatch {
-    /** The shortest wait after a failure; the longest is twice as long, so that routers spread. */
+    /** Minimum delay after a failure; jitter up to twice as long spreads the routers' retries. */
     private static final double MIN_RETRY_DELAY_MS = 500;
 
     private final PolicyActions actions;
@@ -21,17 +21,17 @@
         actions.watchEndpoints();
     }
 
-    /** Plans the next request after one has failed. */
+    /** Schedules the next request after a failure. */
     void scheduleRetry() {
         nextRetryMs = actions.nowMs() + MIN_RETRY_DELAY_MS * (1 + random.nextDouble());
     }
 
-    /** Whether a request is planned. */
+    /** Whether a request is scheduled. */
     boolean isRetryScheduled() {
         return nextRetryMs < Double.POSITIVE_INFINITY;
     }
 
-    /** Requests the list if a planned request is due. */
+    /** Requests the list if a scheduled request is due. */
     void retryIfDue(double nowMs) {
         if (nowMs >= nextRetryMs) {
             nextRetryMs = Double.POSITIVE_INFINITY;
--- a/src/main/java/larchridge/policy/EngineFeedback.java
+++ b/src/main/java/larchridge/policy/EngineFeedback.java
@@ -5,7 +5,7 @@
 import larchridge.state.Engine;
 import larchridge.state.LoadReport;
 
-/** Records what each event of an attempt or probe says of its engine. */
+/** Updates load, latency and health estimates of engines from events of attempts and probes. */
 final class EngineFeedback {
     private final PolicyActions actions;
     private final EngineView engineView;
@@ -15,7 +15,7 @@
         this.engineView = engineView;
     }
 
-    /** A read has completed; of its prompt so many tokens were cached. */
+    /** Records a completed read and how many tokens of its prompt were cached. */
     void recordRead(Attempt read, int cachedTokens, LoadReport report) {
         double nowMs = actions.nowMs();
         int promptTokens = read.generation.promptTokens;
@@ -28,7 +28,7 @@
         engineView.slowStart().recordRead(read.engine, nowMs);
     }
 
-    /** An answer has started; its state, if it needed one, is still noted at the generation. */
+    /** Records the start of an answer; must be called before the generation's state is dropped. */
     void recordFirstToken(Attempt write) {
         double nowMs = actions.nowMs();
         engineView.outliers().recordSuccess(write.engine);
@@ -37,21 +37,21 @@
         if (read != null) {
             StateTransfers.recordStarted(read.engine, write, nowMs);
         }
-        // Guards against: late transfers would make every generation look too late, also those that
-        // need no transfer.
+        // Guards against: late transfers would make every generation look too late, including
+        // those that need no transfer.
         if (read == null || !StateTransfers.areLate(read.engine, nowMs)) {
             engineView.latency().recordFirstToken(nowMs - write.sentMs);
         }
         engineView.slowStart().recordWrite(write.engine, nowMs);
     }
 
-    /** An attempt has ended otherwise than with a completed read. */
+    /** Records the end of an attempt other than by a completed read. */
     void recordOutcome(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
         Engine engine = attempt.engine;
         switch (outcome) {
             case STREAMED, NO_STATE -> recordContact(engine, report);
             case FAULT, CUT -> {
-                // Errors on generations that are over say nothing of the engine.
+                // Errors on finished generations are no evidence against the engine.
                 if (!attempt.generation.isFinished()) {
                     engineView.outliers().recordError(engine);
                 }
@@ -66,13 +66,12 @@
             }
             case UNREACHABLE -> engineView.outliers().eject(engine);
             default -> {
-                // Nothing is known against an engine whose attempt was cancelled, timed out or
-                // never sent.
+                // A cancelled, timed-out or unsent attempt is no evidence against the engine.
             }
         }
     }
 
-    /** A probe was answered or not. */
+    /** Records whether a probe was answered. */
     void recordProbe(Engine engine, boolean answered, LoadReport report) {
         if (answered) {
             recordContact(engine, report);
@@ -81,7 +80,7 @@
         }
     }
 
-    /** Something was heard from an engine; the report is null where it reported no load. */
+    /** Records a response from an engine; the report is null if it contained no load report. */
     private void recordContact(Engine engine, LoadReport report) {
         double nowMs = actions.nowMs();
         engineView.outliers().recordContact(engine, nowMs);
--- a/src/main/java/larchridge/policy/EngineSelection.java
+++ b/src/main/java/larchridge/policy/EngineSelection.java
@@ -1,4 +1,4 @@
 package larchridge.policy;
 
-/** How the engines of both stages are chosen. */
+/** Selects the engines of both stages, reading and writing. */
 record EngineSelection(ReaderSelection readers, WriterSelection writers) {}
--- a/src/main/java/larchridge/policy/EngineView.java
+++ b/src/main/java/larchridge/policy/EngineView.java
@@ -4,7 +4,7 @@
 import larchridge.state.EngineRegistry;
 import larchridge.state.RoutingSettings;
 
-/** What a policy knows of its engines, by the part that knows it. */
+/** The components that track engines: membership, health, load, latency and cached prefixes. */
 record EngineView(
         EngineRegistry registry,
         OutlierDetector outliers,
@@ -15,7 +15,7 @@
         LatencyEstimator latency,
         WriterCapacity capacity) {
 
-    /** Knowledge of no engine yet; the random generator is shared with the rest of the policy. */
+    /** Creates a view without engines; the random generator is shared with the whole policy. */
     static EngineView create(RoutingSettings settings, PolicyActions actions, Random random) {
         EngineRegistry registry = new EngineRegistry();
         OutlierDetector outliers = new OutlierDetector(actions, random);
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -7,21 +7,22 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Hedges an idempotent generation whose engine has fallen silent: a read gets a second one beside
- * it, since cancelling one that only takes long would waste it; an answer that waits for its writer
- * moves to another, but only to one with capacity, or it would queue anew.
+ * Hedges an idempotent generation whose engine has stopped responding. A read gets a second,
+ * concurrent attempt, since cancelling a read that is merely slow would waste its work. An answer
+ * that has not started moves to another writer, but only to one with capacity, since it would have
+ * to queue again otherwise.
  *
- * <p>Guards against: an engine that takes work and falls silent would keep it until the client
- * leaves.
+ * <p>Guards against: an engine that accepts work and stops responding would keep the generation
+ * until the client disconnects.
  */
 final class HedgingPolicy {
-    /** Silence over a read that is no sign of anything, beside the time that the read takes. */
+    /** Tolerated silence during a read, in addition to the expected duration of the read. */
     private static final double READ_SILENCE_MARGIN_MS = 400;
 
-    /** The same for an answer that has not started. */
+    /** Tolerated silence before an answer, in addition to the expected time to its start. */
     private static final double WRITE_SILENCE_MARGIN_MS = 700;
 
-    /** An attempt may take so many times what its engine usually takes. */
+    /** An attempt may take this many times its expected duration. */
     private static final double EXPECTED_TIME_FACTOR = 3;
 
     private final OutlierDetector outliers;
@@ -45,19 +46,17 @@
         hedgingEnabled = settings.cancellationAllowed() && settings.hedgingAllowed();
     }
 
-    /** For how long an engine may be silent over a read that is likely to take so long. */
+    /** How long an engine may be silent during a read of the given expected duration. */
     static double readTimeoutMs(double readMs) {
         return READ_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * readMs;
     }
 
-    /**
-     * For how long an engine may be silent over an answer that is likely to start after so long.
-     */
+    /** How long an engine may be silent before an answer with the given expected start delay. */
     static double writeTimeoutMs(double startMs) {
         return WRITE_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * startMs;
     }
 
-    /** Hedges a generation with attempts in flight if the engine of the newest one is silent. */
+    /** Hedges a generation in flight if the engine of its newest attempt is silent for too long. */
     void hedgeIfSilent(Generation generation, double nowMs) {
         if (generation.trafficClass.effect != Effect.IDEMPOTENT
                 || !hedgingEnabled
--- a/src/main/java/larchridge/policy/IdempotencyRule.java
+++ b/src/main/java/larchridge/policy/IdempotencyRule.java
@@ -7,23 +7,21 @@
 import larchridge.state.Generation;
 
 /**
- * Rule 2: whether one more attempt of a generation could repeat an effect, or run beside another
- * where that is not allowed. Asked twice: when an attempt is decided, and again when it is written,
- * since a connection may come up long after the decision and the window in which engines drop
- * repeats goes on running.
+ * Decides whether one more attempt of a generation could repeat an effect, or run concurrently with
+ * another where that is not allowed (rule 2 of the system tests). Checked twice: when an attempt is
+ * decided, and again when it is written, since the connection may be established long after the
+ * decision while the deduplication window of the engines keeps running.
  */
 public final class IdempotencyRule {
-    /**
-     * Of the window in which engines drop repeats, the part in which a repeat may still be decided.
-     */
+    /** Fraction of the deduplication window within which a repeat may still be decided. */
     private static final double DECISION_WINDOW_FRACTION = 0.8;
 
-    /** A process may be held up for so long between reading its clock and writing. */
+    /** Allowance for a process pause between reading the clock and writing. */
     private static final double PROCESS_PAUSE_MARGIN_MS = 150;
 
     private IdempotencyRule() {}
 
-    /** Whether an attempt of a generation may be decided for an engine now. */
+    /** Whether an attempt of a generation on an engine may be decided now. */
     static boolean mayAttempt(
             Generation generation, Engine engine, double nowMs, boolean hedgingAllowed) {
         double fractionMs = DECISION_WINDOW_FRACTION * generation.trafficClass.deduplicationWindowMs;
@@ -32,15 +30,13 @@
         return mayRun(generation, engine, null, nowMs - maxAgeMs, hedgingAllowed);
     }
 
-    /** Whether an attempt that was decided may be written now. */
+    /** Whether a decided attempt may be written now. */
     public static boolean mayWrite(Attempt attempt, double nowMs, boolean hedgingAllowed) {
         double maxAgeMs = attempt.generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS;
         return mayRun(attempt.generation, attempt.engine, attempt, nowMs - maxAgeMs, hedgingAllowed);
     }
 
-    /**
-     * Whether no earlier attempt, beside the one asked about, stands against a run at an engine.
-     */
+    /** Whether no other attempt of the generation forbids a run on an engine. */
     private static boolean mayRun(
             Generation generation,
             Engine engine,
--- a/src/main/java/larchridge/policy/LatencyEstimator.java
+++ b/src/main/java/larchridge/policy/LatencyEstimator.java
@@ -3,23 +3,23 @@
 import larchridge.state.Engine;
 import larchridge.state.SlidingWindow;
 
-/** How long a read or the start of an answer is likely to take, from what took place of late. */
+/** Estimates the duration of reads and the time to the first token from recent measurements. */
 final class LatencyEstimator {
-    /** Tokens a millisecond that are assumed until a read has completed. */
+    /** Read speed assumed until a read has completed. */
     private static final double DEFAULT_READ_TOKENS_PER_MS = 12;
 
-    /** Completed reads from which on an engine's own speed counts instead of the pool's. */
+    /** Recent reads an engine needs for its own speed to be used instead of the pool's. */
     private static final double MIN_READS_FOR_ENGINE_SPEED = 3;
 
-    /** Milliseconds from sending an answer to its first token, until one has been measured. */
+    /** Time to the first token assumed until one has been measured. */
     private static final double INITIAL_FIRST_TOKEN_MS = 100;
 
-    /** What the newest measurement counts in the time to the first token. */
+    /** Weight of the newest measurement in the moving average of the time to the first token. */
     private static final double FIRST_TOKEN_EWMA_WEIGHT = 0.05;
 
     private final LoadEstimator load;
 
-    /** The best speed of the reads of late at any engine, in tokens a millisecond. */
+    /** Highest recent read speed of any engine, in tokens per millisecond. */
     private final SlidingWindow readSpeeds = new SlidingWindow(20, 1000);
 
     private double firstTokenMs = INITIAL_FIRST_TOKEN_MS;
@@ -28,34 +28,35 @@
         this.load = load;
     }
 
-    /** Counts a completed read of so many tokens that took so long from its sending. */
+    /** Records a completed read; the duration is measured from when it was sent. */
     void recordRead(Engine engine, double unreadTokens, double durationMs, double nowMs) {
         double speed = unreadTokens / Math.max(1, durationMs);
         engine.recordRead(speed, nowMs);
         readSpeeds.addMax(nowMs, speed);
     }
 
-    /** Counts the time from the sending of an answer to its first token. */
+    /** Records the time from sending a write attempt to the first token of its answer. */
     void recordFirstToken(double durationMs) {
         firstTokenMs += FIRST_TOKEN_EWMA_WEIGHT * (durationMs - firstTokenMs);
     }
 
     /**
-     * Forgets that reads and answers were slow; what was measured before no longer says anything.
+     * Resets the pool's read speed, and the time to the first token if it is above its initial
+     * value, when past measurements are outdated.
      */
     void resetSlowEstimates() {
         firstTokenMs = Math.min(firstTokenMs, INITIAL_FIRST_TOKEN_MS);
         readSpeeds.clear();
     }
 
-    /** Milliseconds from the sending of an answer to its first token. */
+    /** Estimated time from sending a write attempt to the first token of its answer. */
     double firstTokenMs() {
         return firstTokenMs;
     }
 
     /**
-     * Milliseconds that an engine takes to read a token, by the best speed of late, which no queue
-     * has slowed: a mean would count other prompts in the queue twice.
+     * Milliseconds an engine takes to read a token. Uses the highest recent speed, which is the
+     * least affected by queueing: a mean would count the other prompts in the queue twice.
      */
     double msPerToken(Engine engine, double nowMs) {
         return toMsPerToken(
@@ -64,7 +65,7 @@
                         : readSpeeds.max(nowMs));
     }
 
-    /** Milliseconds that the fastest engine takes to read a token. */
+    /** Milliseconds the fastest engine takes to read a token. */
     double bestMsPerToken(double nowMs) {
         return toMsPerToken(readSpeeds.max(nowMs));
     }
@@ -74,8 +75,8 @@
     }
 
     /**
-     * How long what waits to be read at an engine takes; never less than how long the engine has
-     * been silent over it.
+     * Estimated time an engine needs to read its unread tokens; at least as long as the engine has
+     * been silent since they were sent.
      */
     double backlogMs(Engine engine, double nowMs) {
         double unreadSinceMs = engine.unreadSinceMs();
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -9,41 +9,42 @@
 import larchridge.state.SlidingWindowMean;
 
 /**
- * The load of each engine as it is likely to be now: this router's own attempts, exactly, plus the
- * other routers', from the engine's last load report, faded by its age.
+ * Estimates the current load of each engine: this router's own attempts, which are known exactly,
+ * plus the load of other routers, taken from the engine's last report with a weight that decays
+ * with the age of the report.
  */
 final class LoadEstimator {
-    /** How fast a reader's report fades, in milliseconds: prompts are read within that time. */
+    /** Decay time of a reader's report: prompts are read within that time. */
     private static final double READER_REPORT_DECAY_MS = 500;
 
-    /** How fast a writer's report fades, in milliseconds: answers stream for seconds. */
+    /** Decay time of a writer's report: answers stream for seconds. */
     private static final double WRITER_REPORT_DECAY_MS = 2000;
 
-    /** What the report before still counts when the next one comes at once. */
+    /** Weight of the previous report when the next one arrives immediately. */
     private static final double PREVIOUS_REPORT_WEIGHT = 0.5;
 
-    /** The part of a prompt that is still to be read, on average, while it is being read. */
+    /** Mean fraction of a prompt that is still unread while it is being read. */
     private static final double UNREAD_FRACTION_DURING_READ = 0.5;
 
-    /** How many sends of its own a router must have seen before it takes others to send alike. */
+    /** Expected own sends at which extrapolation to other routers' sends has half its weight. */
     private static final double SIMILAR_TRAFFIC_SENDS = 0.25;
 
     private final PolicyActions actions;
     private final int routers;
     private final List<Engine> writers;
 
-    /** The part of a prompt that is not cached where it is read, and its tokens. */
+    /** Fraction and number of prompt tokens that were not cached where they were read. */
     private final SlidingWindowMean unreadFractions = new SlidingWindowMean(20, 1000);
 
     private final SlidingWindowMean unreadTokensPerRead = new SlidingWindowMean(20, 1000);
 
-    /** What engines usually report beside this router's own attempts, per unit of weight. */
+    /** Mean reported load of other routers: unread tokens per engine, others per capacity unit. */
     private final SlidingWindowMean otherRoutersUnreadMean = new SlidingWindowMean(5, 1000);
 
     private final SlidingWindowMean otherRoutersTokensMean = new SlidingWindowMean(5, 1000);
     private final SlidingWindowMean otherRoutersStreamsMean = new SlidingWindowMean(5, 1000);
 
-    /** Tokens and number of this router's own sends to writers. */
+    /** Tokens and number of this router's own writes. */
     private final SlidingWindowMean sentWrites = new SlidingWindowMean(10, 1000);
 
     LoadEstimator(RoutingSettings settings, PolicyActions actions, List<Engine> writers) {
@@ -52,19 +53,19 @@
         routers = settings.routers();
     }
 
-    /** Counts a completed read by what of the prompt was not cached. */
+    /** Records how many tokens of a completed read were not cached. */
     void recordRead(double unreadTokens, int promptTokens, double nowMs) {
         unreadFractions.add(nowMs, unreadTokens, promptTokens);
         unreadTokensPerRead.add(nowMs, unreadTokens, 1);
     }
 
-    /** Counts an attempt that is about to be sent to a writer. */
+    /** Records an attempt that is about to be sent to a writer. */
     void recordWrite(Attempt write, double nowMs) {
         write.engine.recordWrite(write.countedTokens, nowMs);
         sentWrites.add(nowMs, write.countedTokens, 1);
     }
 
-    /** Takes in what an engine reports of its load. */
+    /** Updates the estimates from a load report of an engine. */
     void recordReport(Engine engine, LoadReport report, double nowMs) {
         double previousWeight = PREVIOUS_REPORT_WEIGHT * Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
         engine.recordReport(nowMs);
@@ -76,8 +77,8 @@
     }
 
     /**
-     * Reports count whole prompts, also what of them is cached, but not what is left of a prompt
-     * that is being read.
+     * Reported pending tokens include cached tokens of queued prompts, but not the unread rest of
+     * prompts that are being read. Both are corrected with this router's own measurements.
      */
     private void recordReaderReport(Engine engine, LoadReport report, double nowMs) {
         double partlyRead = orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
@@ -93,8 +94,8 @@
         engine.setOtherRoutersUnreadTokens(Math.max(0, pending - engine.unreadTokens()));
         engine.countReportedStreams(nowMs);
         double own = engine.reportedWriteTokens(nowMs);
-        // Guards against: a full writer's memory share says nothing of the states that queue for
-        // it.
+        // Guards against: the memory usage of a full writer does not include the states that queue
+        // for it, so pending tokens are added.
         double tokens = orZero(report.memoryShare() * engine.memoryTokens() + pending - own);
         double streams = orZero(report.inflight() - engine.reportedOwnStreams());
         engine.adjustOtherRoutersLoad(Math.max(0, tokens), Math.max(0, streams), 1 - previousWeight);
@@ -103,8 +104,8 @@
     }
 
     /**
-     * Prompt tokens that wait to be read at an engine: this router's own and, by a fresh report,
-     * the others', since a router's own sends are only a sliver of the traffic.
+     * Unread prompt tokens on an engine: this router's own plus those of other routers according to
+     * a recent report, since a router's own sends are only a small part of the traffic.
      */
     double unreadTokens(Engine engine, double nowMs) {
         double weight = Math.exp((engine.lastReportMs() - nowMs) / READER_REPORT_DECAY_MS);
@@ -112,34 +113,34 @@
         return engine.unreadTokens() + weight * engine.otherRoutersUnreadTokens() + typical;
     }
 
-    /** Tokens that an engine holds for answers. */
+    /** Tokens held in an engine's memory for answers. */
     double heldTokens(Engine engine) {
         double meanPerSend = sentWrites.mean(actions.nowMs());
         return estimate(
                 engine, engine.writeTokens(), engine.otherRoutersTokens(), otherRoutersTokensMean, meanPerSend);
     }
 
-    /** Answers that an engine streams. */
+    /** Number of answers that an engine streams. */
     double streams(Engine engine) {
         return estimate(engine, engine.streams(), engine.otherRoutersStreams(), otherRoutersStreamsMean, 1);
     }
 
-    /** Answers that an engine streams per unit of its weight. */
+    /** Number of answers that an engine streams, per capacity unit. */
     double streamsPerUnit(Engine engine) {
         return streams(engine) / engine.units();
     }
 
-    /** Tokens that an engine holds per unit of its weight. */
+    /** Tokens held in an engine's memory for answers, per capacity unit. */
     double heldTokensPerUnit(Engine engine) {
         return heldTokens(engine) / engine.units();
     }
 
     /**
-     * A load as it is likely to be now: the own part, the others' by a report that fades into what
-     * writers usually report, and the others' sends since then.
+     * Estimated current load: this router's part, the other routers' part from a report that decays
+     * towards the mean reported load, and the estimated sends of other routers since the report.
      *
-     * <p>Guards against: each own send counted as one of every router would outweigh all reports;
-     * the more routers there are, the less a router's own few sends say of the others'.
+     * <p>Guards against: extrapolating each own send to one send of every router would outweigh all
+     * reports; with many routers, the few sends of one router say little about the others.
      */
     private double estimate(
             Engine engine, double own, double otherRouters, SlidingWindowMean reported, double meanPerSend) {
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -7,26 +7,25 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Requests load reports where engines give them to probes only.
+ * Requests load reports from engines that report their load only in response to probes.
  *
- * <p>Guards against: routers that probe by the clock probe as often as there are routers; probes
- * that follow generations stay the same few for each, and chance keeps routers from one common
- * choice.
+ * <p>Guards against: the rate of periodic probes would grow with the number of routers. Probes per
+ * generation stay constant, and random choice keeps routers from all probing the same writers.
  */
 final class LoadProbes {
-    /** Affinity readers that are probed when a generation arrives: those that it will go to. */
+    /** Affinity readers probed when a generation arrives: its most likely targets. */
     private static final int READER_PROBES_PER_GENERATION = 2;
 
-    /** Writers that are probed, by chance, while a generation is read. */
+    /** Random writers probed while a prompt is read. */
     private static final int WRITER_PROBES_PER_READ = 3;
 
-    /** A younger report is not requested again, in milliseconds. */
+    /** Minimum time between a probe or report and the next probe of an engine. */
     private static final double MIN_PROBE_INTERVAL_MS = 300;
 
-    /** How long a generation waits for the reports of its readers: a few round trips. */
+    /** Maximum wait of a generation for reports of its readers: a few round trips. */
     private static final double MAX_REPORT_WAIT_MS = 15;
 
-    /** After so long a generation that still waits probes its readers again. */
+    /** Interval after which a generation that still waits probes its readers again. */
     private static final double READER_REPROBE_MS = 200;
 
     private final PolicyActions actions;
@@ -45,7 +44,8 @@
     }
 
     /**
-     * Whether the readers that would come first for a generation are still to report their load.
+     * Whether a generation still waits for load reports of its preferred readers; probes them if
+     * due.
      */
     boolean isAwaitingReaderReports(Generation generation) {
         double nowMs = actions.nowMs();
@@ -63,7 +63,7 @@
                 && generation.probedReaders().stream().anyMatch(Engine::isReportPending);
     }
 
-    /** Probes a few writers while a prompt is read, for the choice that follows. */
+    /** Probes a few random writers while a prompt is read, to prepare the writer selection. */
     void probeRandomWriters() {
         for (int i = 0; i < WRITER_PROBES_PER_READ && !writers.isEmpty(); i++) {
             probe(writers.get(random.nextInt(writers.size())));
--- a/src/main/java/larchridge/policy/OutlierDetector.java
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -5,24 +5,23 @@
 import larchridge.state.Role;
 
 /**
- * Ejects engines that can't be reached, fall silent or answer with errors: such an engine gets no
- * attempt for a while, then one as a trial, and is taken back as soon as anything is heard from it.
+ * Ejects engines that are unreachable, stop responding or answer with errors. An ejected engine
+ * gets no attempts for a while, then one at a time on probation, and is unejected as soon as it
+ * responds, unless its error rate is still too high.
  */
 final class OutlierDetector {
-    /** The first ejection, and the longest one, to which each further ejection doubles. */
+    /** Duration of the first ejection; it doubles with each further one up to the maximum. */
     private static final double BASE_EJECTION_MS = 500;
 
     private static final double MAX_EJECTION_MS = 4000;
 
-    /** What the newest answer counts in the share of an engine's errors. */
+    /** Weight of the newest answer in the moving average of the error rate. */
     private static final double ERROR_RATE_EWMA_WEIGHT = 0.25;
 
-    /** The share of errors from which on an engine is ejected: two in a row, not one. */
+    /** Error rate at which an engine is ejected: reached by two errors in a row, not by one. */
     private static final double EJECTION_ERROR_RATE = 0.4;
 
-    /**
-     * How long an engine that was full gets no more; shorter where reports tell its load exactly.
-     */
+    /** How long a full engine is spared; shorter if load reports show its actual load. */
     private static final double FULL_BACKOFF_MS = 2000;
 
     private static final double FULL_BACKOFF_WITH_REPORTS_MS = 300;
@@ -35,16 +34,16 @@
         this.random = random;
     }
 
-    /** Whether an engine may get an attempt. */
+    /** Whether the health of an engine allows an attempt. */
     boolean isHealthy(Engine engine, double nowMs) {
-        // Guards against: an affinity reader that has just been full would be tried again until no
-        // attempt is left.
+        // Guards against: a full affinity reader would be tried again until the generation has no
+        // attempts left.
         return !engine.isEjected(nowMs)
                 && (!engine.isOnProbation() || engine.attempts().isEmpty())
                 && (engine.role() != Role.READER || !engine.isFull(nowMs));
     }
 
-    /** Counts an answer that was none of an error. */
+    /** Counts a successful answer. */
     void recordSuccess(Engine engine) {
         engine.recordAnswer(0, ERROR_RATE_EWMA_WEIGHT);
     }
@@ -52,19 +51,19 @@
     /**
      * Counts an error.
      *
-     * <p>Guards against: an engine that fails at once is always idle and would draw one attempt
-     * after another, until its generations have used up their attempts; that it still answers,
-     * probes too, must not clear it.
+     * <p>Guards against: an engine that fails immediately always looks idle and would attract one
+     * attempt after another, until the generations have used up their attempts. It must not be
+     * unejected just because it still responds, also to probes.
      */
     void recordError(Engine engine) {
         engine.recordAnswer(1, ERROR_RATE_EWMA_WEIGHT);
     }
 
     /**
-     * Ejects an engine of whose answers too many were errors.
+     * Ejects an engine whose error rate is too high.
      *
-     * <p>Guards against: a kept connection that breaks says little; were each to eject its engine,
-     * most engines would be ejected while connections are reset all over.
+     * <p>Guards against: a single broken keep-alive connection is weak evidence; if each one
+     * ejected its engine, most engines would be ejected during widespread connection resets.
      */
     void ejectIfFailing(Engine engine) {
         if (engine.errorRate() >= EJECTION_ERROR_RATE) {
@@ -72,7 +71,7 @@
         }
     }
 
-    /** Takes an engine back that has answered, unless it answers with errors. */
+    /** Records a response and unejects the engine unless its error rate is too high. */
     void recordContact(Engine engine, double nowMs) {
         engine.recordContact(nowMs);
         if (engine.errorRate() < EJECTION_ERROR_RATE) {
@@ -80,12 +79,12 @@
         }
     }
 
-    /** Spares an engine that had no capacity. */
+    /** Records that an engine had no capacity, so that it is spared for a while. */
     void recordFull(Engine engine, double nowMs) {
         engine.recordFull(nowMs + (engine.hasReported() ? FULL_BACKOFF_WITH_REPORTS_MS : FULL_BACKOFF_MS));
     }
 
-    /** Ejects an engine that can't be reached or is silent, unless it is ejected already. */
+    /** Ejects an engine unless it is already ejected. */
     void eject(Engine engine) {
         double nowMs = actions.nowMs();
         if (engine.isEjected(nowMs)) {
@@ -93,7 +92,7 @@
         }
         double doubledMs = Math.max(BASE_EJECTION_MS, 2 * engine.ejectionMs());
         double ejectionMs = Math.min(MAX_EJECTION_MS, doubledMs);
-        // Spread by chance, so that routers do not all come back in one moment.
+        // Jitter keeps the routers from all returning to the engine at the same moment.
         engine.eject(ejectionMs, nowMs + ejectionMs * (0.75 + 0.5 * random.nextDouble()));
         actions.log("engine " + engine.id + " ejected for " + Math.round(ejectionMs) + " ms");
     }
--- a/src/main/java/larchridge/policy/PolicyActions.java
+++ b/src/main/java/larchridge/policy/PolicyActions.java
@@ -4,39 +4,39 @@
 import larchridge.state.Engine;
 import larchridge.state.Generation;
 
-/** What a policy can do: the decisions that its router carries out. Times are milliseconds. */
+/** Actions of a policy, carried out by its router. Times are milliseconds. */
 public interface PolicyActions {
-    /** The clock; it stands still while the policy handles one event. */
+    /** The current time; constant while the policy handles one event. */
     double nowMs();
 
-    /** Sends an attempt; it ends at the latest at the client's deadline. */
+    /** Sends an attempt; it ends no later than the client's deadline. */
     void send(Attempt attempt);
 
     /** Cancels an attempt; its outcome is still reported. */
     void cancel(Attempt attempt);
 
-    /** Releases every state that is held for a generation and that no attempt waits for. */
+    /** Releases every state held for a generation that no attempt is waiting for. */
     void releaseState(Generation generation);
 
     /**
-     * Final answer: rejected, and trying again is harmless.
+     * Gives the final answer that the generation is rejected and may safely be retried.
      *
-     * @param retryAfterMs the advice when to retry, or 0 for none
+     * @param retryAfterMs advised delay before the retry, or 0 for none
      */
     void reject(Generation generation, double retryAfterMs);
 
-    /** Final answer: failed, and nothing is promised of its effects. */
+    /** Gives the final answer that the generation failed; it may have had effects. */
     void fail(Generation generation);
 
-    /** Probes an engine for its load; the answer is reported as an event. */
+    /** Probes an engine for its load; the result is reported as an event. */
     void probeLoad(Engine engine);
 
-    /** Plans a call of {@link PolicyEvents#wakeUp} at a time. */
+    /** Schedules a call of {@link PolicyEvents#wakeUp}. */
     void wakeAt(double atMs);
 
-    /** Requests the endpoint list and its changes from now on. */
+    /** Requests the endpoint list and subscribes to its changes. */
     void watchEndpoints();
 
-    /** Logs a line as a warning. */
+    /** Logs a line at warning level. */
     void log(String line);
 }
--- a/src/main/java/larchridge/policy/PolicyEvents.java
+++ b/src/main/java/larchridge/policy/PolicyEvents.java
@@ -10,27 +10,27 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * The events that a router reports to its policy, one call each and one at a time. In service the
- * policy is {@link RoutingPolicy}; experiments also compare it with baseline policies.
+ * Events that a router reports to its policy, one call per event, never concurrently. In production
+ * the policy is {@link RoutingPolicy}; experiments compare it with baseline policies.
  */
 public interface PolicyEvents {
-    /** A generation was admitted by its tenant's budget. */
+    /** A generation arrived and its tenant's budget admitted it. */
     void requestArrived(Generation generation);
 
     /**
-     * A read has completed and its state is held at its reader.
+     * A read has completed and the reader holds its state.
      *
-     * @param cachedTokens tokens of the prompt that were cached there
+     * @param cachedTokens prompt tokens that were cached on the reader
      * @param report the engine's load, or null
      * @param finished whether the generation has its final answer
      */
     void readCompleted(Attempt attempt, int cachedTokens, LoadReport report, boolean finished);
 
-    /** The first token of an answer has come from an attempt. */
+    /** The first token of an answer arrived from an attempt. */
     void responseStarted(Attempt attempt);
 
     /**
-     * An attempt has ended otherwise than with a completed read.
+     * An attempt has ended, other than by a completed read.
      *
      * @param report the engine's load, or null
      * @param finished whether the generation has its final answer
@@ -38,26 +38,26 @@
     void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean finished);
 
     /**
-     * The state that an attempt is to fetch has been released beside it; only an attempt that has
-     * arrived keeps it.
+     * The state that an attempt is to fetch was released while the attempt is in flight; it keeps
+     * the state only if it has already reached the engine.
      */
     default void stateReleased(Attempt attempt) {}
 
-    /** The client of a generation has left, or the router has ended the generation itself. */
+    /** The client of a generation disconnected, or the router ended the generation itself. */
     void clientDisconnected(Generation generation);
 
-    /** A probe of an engine's load was answered, with a report or null, or was not. */
+    /** A load probe was answered, with a report or null, or it failed. */
     void loadProbed(Engine engine, boolean answered, LoadReport report);
 
-    /** The endpoint list has changed; a complete list also removes every engine that it lacks. */
+    /** The endpoint list changed; a complete list removes every engine it does not contain. */
     void endpointsChanged(List<EndpointUpdate> entries, boolean complete);
 
-    /** The time has come that {@link PolicyActions#wakeAt} named. */
+    /** The time passed to {@link PolicyActions#wakeAt} has come. */
     void wakeUp();
 
     /** Creates the policy of one router. */
     interface Factory {
-        /** A policy by the settings that acts through the given actions. */
+        /** Creates a policy with the given settings that acts through the given actions. */
         PolicyEvents create(RoutingSettings settings, PolicyActions actions);
     }
 }
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -12,25 +12,25 @@
 import larchridge.state.SlidingWindowMean;
 
 /**
- * Sends equal beginnings of prompts to the same few readers, so that they are found cached there,
- * and estimates how much of a prompt is cached at a reader.
+ * Sends prompts with the same prefix to the same few readers, to hit their prefix caches, and
+ * estimates how much of a prompt is cached on a reader.
  *
- * <p>The readers are named by hashes of prefix and session that are alike at all routers: each
- * router sees a sliver of the traffic, and only a common hash keeps one text in one place. A prefix
- * has a few readers in each zone; a session prefers one of them.
+ * <p>The readers are chosen by rendezvous hashing of prefix and session, with the same hash on all
+ * routers: each router sees only a small part of the traffic, and only a common hash keeps a prefix
+ * in one place. A prefix has a few readers in each zone; a session prefers one of them.
  */
 final class PrefixAffinity {
-    /** Readers of one prefix in a zone: two, so that one outlier does not lose its texts. */
+    /** Readers per prefix in a zone: two, so that losing one does not lose the cached prefix. */
     private static final int READERS_PER_ZONE = 2;
 
-    /** The least that a read takes, in tokens, however much of its prompt is cached. */
+    /** Minimum cost of a read in tokens, however much of the prompt is cached. */
     private static final double MIN_TOKENS_TO_READ = 32;
 
     private final PolicyActions actions;
     private final EngineRegistry registry;
     private final String zone;
 
-    /** The part of a prompt that was cached at the first of its affinity readers. */
+    /** Fraction of a prompt that was cached on the first of its affinity readers. */
     private final SlidingWindowMean cachedFractions = new SlidingWindowMean(20, 1000);
 
     PrefixAffinity(RoutingSettings settings, PolicyActions actions, EngineRegistry registry) {
@@ -39,14 +39,14 @@
         zone = settings.zone();
     }
 
-    /** What is left to read of a prompt. */
+    /** Prompt tokens that are left to read. */
     static double tokensToRead(int promptTokens, int cachedTokens) {
         return Math.max(promptTokens - cachedTokens, MIN_TOKENS_TO_READ);
     }
 
     /**
-     * The readers that the hashes name for a generation, best first, the router's own zone before
-     * others. The list is the generation's own and not to be changed.
+     * The affinity readers of a generation, best first, the router's own zone before others. The
+     * caller must not modify the list, which belongs to the generation.
      */
     List<Engine> readersOf(Generation generation) {
         CachedPrefix affinityPrefix = generation.prefix != null ? generation.prefix : generation.session;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** What a reader would have to read of a generation's prompt, as far as is known. */
+    /** Estimated tokens that a reader would have to read of a generation's prompt. */
     double tokensToRead(Generation generation, Engine reader) {
         int cached =
                 Math.max(
@@ -94,7 +94,7 @@
         return tokensToRead(generation.promptTokens, cached);
     }
 
-    /** The least that any reader would have to read of a generation's prompt; 0 without readers. */
+    /** Fewest tokens any reader would have to read of a generation's prompt; 0 without readers. */
     double minTokensToRead(Generation generation) {
         return registry.readers().stream()
                 .mapToDouble(reader -> tokensToRead(generation, reader))
@@ -110,7 +110,7 @@
         return (int) (cachedFractions.mean(actions.nowMs()) * generation.promptTokens);
     }
 
-    /** Notes that a reader will have the texts of a generation cached. */
+    /** Records that a reader will have the prefixes of a generation cached. */
     void recordSent(Generation generation, Engine reader, double nowMs) {
         if (generation.session != null) {
             generation.session.recordSent(reader, generation.promptTokens, nowMs);
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Counts what of a prompt was cached, if its first affinity reader has read it. */
+    /** Records how much of a prompt was cached, if its first affinity reader has read it. */
     void recordRead(Attempt read, int cachedTokens, double nowMs) {
         if (readersOf(read.generation).indexOf(read.engine) == 0) {
             cachedFractions.add(nowMs, cachedTokens, read.generation.promptTokens);
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -8,26 +8,22 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Chooses the reader of a prompt: the one that read the session or prefix last while its backlog is
- * short, else the one with the fewest tokens among those that are short, else among those whose
- * backlog is under the generation's own limit; none while all are overloaded.
+ * Selects the reader of a prompt: the last reader of the session, or else the first affinity
+ * reader, while its backlog is short; else the one with the fewest tokens among those with a short
+ * backlog, or else among those with a backlog under the generation's own limit. Selects none while
+ * all are overloaded.
  */
 final class ReaderSelection {
-    /**
-     * Backlog up to which a reader is short (the paper's alpha): little beside SLO times of
-     * seconds.
-     */
+    /** Longest backlog that counts as short (the paper's alpha): small against SLOs of seconds. */
     private static final double SHORT_BACKLOG_MS = 250;
 
-    /**
-     * Backlog over which a reader is overloaded (the paper's beta): a queue longer misses the SLO.
-     */
+    /** Backlog above which a reader is overloaded (the paper's beta): more misses the SLO. */
     private static final double OVERLOADED_BACKLOG_MS = 1750;
 
-    /** An engine reads for itself while it has under this part of the mean streams. */
+    /** A writer reads prompts itself up to this many times the mean number of streams. */
     private static final double LOCAL_READ_STREAMS_FACTOR = 0.6;
 
-    /** The same while transfers are late, since answers then wait for their states elsewhere. */
+    /** The same while transfers are late, as answers on other writers wait for their states. */
     private static final double LOCAL_READ_STREAMS_FACTOR_LATE = 1.5;
 
     private final PolicyActions actions;
@@ -54,7 +50,7 @@
         writersCanRead = settings.writersCanRead();
     }
 
-    /** The engine to read a generation's prompt, or null where it has to wait. */
+    /** The engine to read a generation's prompt, or null if the generation has to wait. */
     Engine select(Generation generation) {
         return capacity.hasTotalCapacityFor(generation) ? selectFromPool(generation) : null;
     }
@@ -73,11 +69,10 @@
         if (lastReader != null && hasShortBacklog(lastReader, nowMs) && !StateTransfers.areLate(lastReader, nowMs)) {
             return lastReader;
         }
-        // Deviation from the paper: only affinity readers read, while any is eligible. Guards
-        // against: text read anew elsewhere doubles the work and drives other texts out, until
-        // every read is long. Where no reader is short, an engine that reads for itself takes
-        // prompt
-        // and answer.
+        // Deviation from the paper: while any affinity reader is eligible, no other reader is used.
+        // Guards against: reading a cached prefix again on another reader doubles the work and
+        // evicts other prefixes, until every read is long. If no reader has a short backlog, a
+        // writer that can read takes both prompt and answer.
         candidates = candidates.isEmpty() ? eligibleReaders : candidates;
         boolean transfersLate = candidates.stream().anyMatch(e -> StateTransfers.areLate(e, nowMs));
         addLocalReaders(candidates, generation, transfersLate, nowMs);
@@ -135,18 +130,19 @@
     }
 
     /**
-     * The backlog over which a reader is overloaded for a generation, between alpha and beta.
+     * Backlog above which a reader is overloaded for a generation, between {@link
+     * #SHORT_BACKLOG_MS} and {@link #OVERLOADED_BACKLOG_MS}.
      *
-     * <p>Guards against: routers that go by one late report would all stop and start at once; each
-     * generation has its own limit. A client's retry, which comes too late for full revenue, goes
-     * to short readers only.
+     * <p>Guards against: with a common limit, routers that use the same outdated report would all
+     * stop and resume sending at once; so each generation has its own random limit. A client's
+     * retry, which is too late for full revenue, uses only readers with a short backlog.
      */
     private static double backlogLimitMs(Generation generation) {
         return SHORT_BACKLOG_MS
                 + (generation.clientRetry ? 0 : generation.randomFraction()) * (OVERLOADED_BACKLOG_MS - SHORT_BACKLOG_MS);
     }
 
-    /** The order of preference, lowest first, before tokens count. */
+    /** Preference of an engine, lowest first; tokens decide between equal ranks. */
     private int rank(Engine engine, double backlogMs, boolean transfersLate, double nowMs) {
         boolean near = engine.zone().equals(zone);
         if (engine.role() != Role.READER) {
@@ -159,8 +155,8 @@
     }
 
     /**
-     * Deviation from the paper: a last reader that is not short still wins where reading all anew
-     * takes more tokens.
+     * Deviation from the paper: a last reader without a short backlog is still preferred if reading
+     * the whole prompt elsewhere takes more tokens.
      */
     private boolean isCheaper(
             Engine lastReader, double bestTokens, Generation generation, double limitMs) {
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -8,23 +8,19 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * How often and when a generation may be attempted again, and how it is answered when it may not:
- * rejected with advice when to retry where a retry of the client is harmless, else failed.
+ * Decides how often and when a generation may be attempted again, and how it is answered if it may
+ * not: rejected, with advice when to retry, if a retry by the client is safe; failed otherwise.
  */
 final class RetryPolicy {
-    /** A read is of use only with an answer after it. */
+    /** A read is useful only if a write can follow it. */
     private static final int MIN_ATTEMPTS_FROM_READ = 2;
 
     private static final int MIN_ATTEMPTS_FROM_WRITE = 1;
 
-    /**
-     * How long before the client's deadline the final answer is given, so that it arrives in time.
-     */
+    /** Time before the client's deadline at which the final answer is given, to arrive in time. */
     private static final double FINAL_ANSWER_MARGIN_MS = 30;
 
-    /**
-     * The backoff after an attempt that could not be sent from here; it doubles up to the longest.
-     */
+    /** Initial backoff after an attempt that could not be sent; doubles up to the maximum. */
     private static final double BASE_NOT_SENT_BACKOFF_MS = 20;
 
     private static final double MAX_NOT_SENT_BACKOFF_MS = 320;
@@ -41,34 +37,34 @@
         retryAfterMaxMs = settings.retryAfterMaxMs();
     }
 
-    /** Whether a generation has attempts left for its next stage, and for what must follow it. */
+    /** Whether a generation has enough attempts left for its next stage and those after it. */
     boolean hasAttemptsLeft(Generation generation) {
         int needed = generation.heldRead() == null ? MIN_ATTEMPTS_FROM_READ : MIN_ATTEMPTS_FROM_WRITE;
         return generation.attemptsSent() + needed <= maxAttempts;
     }
 
-    /** Whether the moment has come to give a generation its final answer, whatever it is. */
+    /** Whether the client's deadline is so near that the final answer has to be given now. */
     boolean isDeadlineNear(Generation generation, double nowMs) {
         return nowMs >= generation.deadlineMs - FINAL_ANSWER_MARGIN_MS;
     }
 
-    /** Whether a backoff of a generation is over. */
+    /** Whether the backoff of a generation has elapsed. */
     boolean isDue(Generation generation, double nowMs) {
         return nowMs >= generation.nextAttemptMs();
     }
 
     /**
-     * Begins a backoff after an attempt that was not sent; nothing is known against its engine.
+     * Starts a backoff after an attempt that was not sent, which is no evidence against its engine.
      *
-     * <p>Guards against: where this machine can't open a connection for a moment, a generation
-     * tried again at once would use up its attempts within a millisecond and be given up.
+     * <p>Guards against: while this machine cannot open connections for a moment, a generation
+     * retried immediately would use up its attempts within a millisecond and be given up.
      */
     void backOff(Generation generation) {
         double backoffMs = BASE_NOT_SENT_BACKOFF_MS * Math.pow(2, generation.attemptsNotSent());
         generation.backOff(actions.nowMs() + Math.min(MAX_NOT_SENT_BACKOFF_MS, backoffMs));
     }
 
-    /** Gives the final answer to the client of a generation that is given up. */
+    /** Gives the client of a given-up generation its final answer. */
     void answerGivenUp(Generation generation) {
         if (isClientRetryHarmless(generation)) {
             actions.reject(generation, retryAfterMs());
@@ -77,7 +73,7 @@
         }
     }
 
-    /** Rule 2: a rejection says that trying again is harmless. */
+    /** A rejection tells the client that a retry is safe (rule 2 of the system tests). */
     private static boolean isClientRetryHarmless(Generation generation) {
         Effect effect = generation.trafficClass.effect;
         return effect == Effect.IDEMPOTENT
@@ -86,9 +82,7 @@
                 || generation.attempts().stream().noneMatch(Attempt::mayHaveRun);
     }
 
-    /**
-     * Spread, so that those that are rejected together don't come back together; 0 is no advice.
-     */
+    /** Retry delay with jitter, so that clients rejected together do not retry together; or 0. */
     private double retryAfterMs() {
         return retryAfterMaxMs <= 0 ? 0 : retryAfterMaxMs * (0.3 + 0.7 * random.nextDouble());
     }
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -13,16 +13,16 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Every decision of one router: which reader reads a prompt, which writer writes its answer, and
- * what to do when either fails. One instance belongs to one router and runs on its event loop; each
- * event is one call, and the policy acts by calling {@link PolicyActions}.
+ * Makes the routing decisions of one router: which reader reads a prompt, which writer writes the
+ * answer, and what happens when either fails. One instance belongs to one router and runs on its
+ * event loop; each event is one call, and the policy acts by calling {@link PolicyActions}.
  *
- * <p>{@link #advance} is the ordinary path of a generation, from top to bottom; the questions that
- * it asks are answered by one class each. What is remembered of generations and engines is in
- * {@code larchridge.state}. Times are in milliseconds.
+ * <p>{@link #advance} is the normal path of a generation; each decision on it is made by a class of
+ * its own. The state of generations and engines is in {@code larchridge.state}. Times are in
+ * milliseconds.
  */
 public final class RoutingPolicy implements PolicyEvents {
-    /** How often generations are looked at for their deadline, backoff and silent engines. */
+    /** Interval at which generations are checked for deadlines, backoffs and silent engines. */
     private static final double SWEEP_INTERVAL_MS = 20;
 
     private final PolicyActions actions;
@@ -38,14 +38,12 @@
     private final AdmissionQueue queue;
     private final EndpointWatch endpointWatch;
 
-    /** The generations that have arrived and are not over, in the order of arrival. */
+    /** Generations that have arrived and are not finished, in order of arrival. */
     private final List<Generation> openGenerations = new ArrayList<>();
 
     private boolean wakeUpScheduled;
 
-    /**
-     * The policy of one router, which begins with no engine; its draws follow the settings' seed.
-     */
+    /** Creates a policy without engines; its random draws are determined by the settings' seed. */
     public RoutingPolicy(RoutingSettings settings, PolicyActions actions) {
         this.actions = actions;
         random = new Random(settings.seed());
@@ -94,7 +92,8 @@
         }
         reservations.recordHeld(attempt);
         if (!generation.isUnanswered()) {
-            // Guards against: a read that ends after its generation would leave its state held.
+            // Guards against: a read that completes after its generation has been answered would
+            // leave its state held.
             reservations.release(generation);
         } else if (!generation.isAtWriter() || generation.isStateReleased()) {
             generation.clearStateReleased();
@@ -140,9 +139,9 @@
     }
 
     /**
-     * The state that an attempt is to fetch has been released, since nothing was heard of the
-     * attempt in time. In its engine's queue it goes on; moved to another writer, or sent again, it
-     * would find no state.
+     * The state that an attempt is to fetch was released because nothing was received from the
+     * attempt in time. If the attempt is in its engine's queue it still completes; moved to another
+     * writer or sent again, it would find no state.
      */
     @Override
     public void stateReleased(Attempt attempt) {
@@ -170,7 +169,7 @@
         queue.admitWaiting();
     }
 
-    /** The endpoint list could not be had; it is requested again after a while. */
+    /** The endpoint list could not be fetched; it is requested again after a delay. */
     public void endpointWatchFailed() {
         endpointWatch.scheduleRetry();
         scheduleWakeUp();
@@ -188,12 +187,12 @@
             }
             queue.admitWaiting();
         } finally {
-            // Guards against: a fault at one generation would end the sweeps of all others.
+            // Guards against: an exception in one generation would end the sweeps of all others.
             scheduleWakeUp();
         }
     }
 
-    /** Looks at a generation whose answer has not started: its deadline, backoff, silent engine. */
+    /** Checks deadline, backoff and silent engine of a generation whose answer has not started. */
     private void sweep(Generation generation, double nowMs) {
         if (!generation.isUnanswered()) {
             return;
@@ -215,16 +214,15 @@
         }
     }
 
-    // ------------------------------------------------------------------ the ordinary path
+    // ------------------------------------------------------------------ the normal path
 
     /**
-     * Takes a generation with no attempt in flight one step on: to a reader, to a writer, into the
-     * queue or to its end.
+     * Advances a generation one step: sends it to a reader or a writer, makes it wait, or gives it
+     * up.
      */
     private void advance(Generation generation) {
-        // Guards against: a generation that waits twice is sent twice, and the second send drops
-        // its
-        // state.
+        // Guards against: a generation that is still marked as waiting would be sent a second time,
+        // and the second send would drop its state.
         generation.stopWaiting();
         if (retryPolicy.isDeadlineNear(generation, actions.nowMs())) {
             giveUp(generation, GiveUpReason.TIME_UP);
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -9,14 +9,12 @@
 import larchridge.state.SlidingWindow;
 
 /**
- * Slow start of engines whose process began a short while ago: while one warms up, each use of it
- * is a chance draw, so that all routers together send it a stated share of what warm engines get.
+ * Slow start of engines whose process started recently. While an engine warms up, each use of it is
+ * decided by a random draw, so that all routers together send it the configured share of the
+ * traffic of a warm engine.
  */
 final class SlowStart {
-    /**
-     * The part of a warming engine's budget that is used, since all routers only meet it on
-     * average.
-     */
+    /** Fraction of a warming engine's budget to use, since routers keep to it only on average. */
     private static final double BUDGET_FRACTION = 0.5;
 
     private final EngineRegistry registry;
@@ -25,7 +23,7 @@
     private final double effectiveShare;
     private final double createdMs;
 
-    /** Attempts that warm readers and writers have completed of late. */
+    /** Recent reads completed and answers started by warm engines. */
     private final SlidingWindow warmReads = new SlidingWindow(30, 1000);
 
     private final SlidingWindow warmWrites = new SlidingWindow(30, 1000);
@@ -38,33 +36,33 @@
         createdMs = nowMs;
     }
 
-    /** Whether an engine is still warming up; one whose start is unknown counts as warm. */
+    /** Whether an engine is still warming up; one with an unknown start time counts as warm. */
     boolean isWarmingUp(Engine engine, double nowMs) {
         return engine.startMs() > 0 && nowMs < engine.startMs() + slowStartMs;
     }
 
-    /** Counts a completed read. */
+    /** Records a completed read. */
     void recordRead(Engine engine, double nowMs) {
         warmReads.add(nowMs, isWarmingUp(engine, nowMs) ? 0 : 1);
     }
 
-    /** Counts an answer that has started. */
+    /** Records the start of an answer. */
     void recordWrite(Engine engine, double nowMs) {
         warmWrites.add(nowMs, isWarmingUp(engine, nowMs) ? 0 : 1);
     }
 
-    /** Whether an engine may be used now: always when warm, else by a draw. */
+    /** Whether an engine may be used now: always if warm, else by a random draw. */
     boolean admits(Engine engine, double nowMs) {
         return !isWarmingUp(engine, nowMs) || drawAdmission(engine, nowMs);
     }
 
     /**
-     * A draw whose mean over all routers is the part of the budget that a warming engine may get,
-     * by what warm peers take.
+     * Admits an attempt at random, such that all routers together use the intended fraction of the
+     * budget, which is derived from the rate of warm peers.
      *
-     * <p>Guards against: one attempt a router is too much where there are many routers, and an idle
-     * new engine looks best to all of them at once; no draw is worth more than the time since the
-     * last one.
+     * <p>Guards against: with many routers, even one attempt per router is too much, and an idle
+     * new engine looks best to all of them at once. The probability of a draw is proportional to
+     * the time since the previous draw.
      */
     private boolean drawAdmission(Engine engine, double nowMs) {
         boolean isReader = engine.role() == Role.READER;
--- a/src/main/java/larchridge/policy/StateReservations.java
+++ b/src/main/java/larchridge/policy/StateReservations.java
@@ -3,7 +3,7 @@
 import larchridge.state.Attempt;
 import larchridge.state.Generation;
 
-/** The read states that wait at readers to be fetched: held, fetched, released. */
+/** Tracks read states that readers hold until they are fetched or released. */
 final class StateReservations {
     private final PolicyActions actions;
 
@@ -11,20 +11,20 @@
         this.actions = actions;
     }
 
-    /** A read has completed: its state is to be fetched, unless another one is already. */
+    /** Records a completed read: its state is to be fetched, unless another state already is. */
     void recordHeld(Attempt read) {
         if (read.generation.heldRead() == null) {
             read.generation.holdState(read);
         }
     }
 
-    /** An answer has started: its state has been fetched; other attempts may still leave one. */
+    /** Records that an answer started: its state was fetched; other attempts may leave another. */
     void recordFetched(Generation generation) {
         generation.dropState();
         generation.setMayHoldState(generation.attemptsInFlight() > 1);
     }
 
-    /** A state has been released beside the attempt that is to fetch it. */
+    /** Records that a state was released while the attempt that is to fetch it is in flight. */
     void recordReleasedBeforeFetch(Attempt write) {
         Generation generation = write.generation;
         if (write.isActive() && generation.isUnanswered()) {
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Releases what is held for a generation.
+     * Releases the states held for a generation.
      *
-     * <p>Guards against: a release frees nothing that an attempt still in flight may take; it is
-     * repeated after that.
+     * <p>Guards against: a release does not free a state that an attempt in flight may still use,
+     * so the release is repeated after that attempt.
      */
     void release(Generation generation) {
         if (generation.mayHoldState()) {
--- a/src/main/java/larchridge/policy/StateTransfers.java
+++ b/src/main/java/larchridge/policy/StateTransfers.java
@@ -5,23 +5,23 @@
 import larchridge.state.Generation;
 
 /**
- * Transfers of a read state from its reader to the writer that fetches it: how far they go, and
- * whether those that leave a reader's rack have started late in the last seconds.
+ * Tracks transfers of read states from readers to the writers that fetch them: their distance, and
+ * whether those that leave a reader's rack have recently started late.
  *
- * <p>Guards against: all states of a rack's readers share its one link; once that is slow or full,
- * each answer waits for seconds while writers in the rack, and engines that can read for
- * themselves, have capacity.
+ * <p>Guards against: all transfers out of a rack share its uplink. When it is slow or saturated,
+ * each answer waits for seconds, although writers in the rack and engines that can read prompts
+ * themselves have capacity.
  */
 final class StateTransfers {
-    /** Transfers that start later than this are late; a tenth to a quarter of an SLO time. */
+    /** Start delay above which transfers are late: a tenth to a quarter of typical SLO times. */
     private static final double LATE_START_MS = 400;
 
-    /** What a transfer counts that has not started by then: it will take at least twice as long. */
+    /** Start delay recorded for an overdue transfer, which will take at least twice the limit. */
     private static final double OVERDUE_START_MS = 2 * LATE_START_MS;
 
     private StateTransfers() {}
 
-    /** The cost of a transfer: 0 within the rack, 1 within the zone, 2 across zones. */
+    /** Distance of a transfer: 0 within the rack, 1 within the zone, 2 across zones. */
     static int transferDistance(Engine reader, Engine writer) {
         if (!reader.zone().equals(writer.zone())) {
             return 2;
@@ -29,12 +29,12 @@
         return reader.rack() != writer.rack() ? 1 : 0;
     }
 
-    /** Whether transfers out of a reader's rack have started late on average. */
+    /** Whether the recent mean start delay of transfers out of a reader's rack is too long. */
     static boolean areLate(Engine reader, double nowMs) {
         return reader.meanTransferStartMs(nowMs) > LATE_START_MS;
     }
 
-    /** Counts the transfer of an answer that has started. */
+    /** Records the transfer for an answer that has started. */
     static void recordStarted(Engine reader, Attempt write, double nowMs) {
         if (transferDistance(reader, write.engine) > 0) {
             reader.recordTransferStart(nowMs - write.sentMs, nowMs);
@@ -42,8 +42,9 @@
     }
 
     /**
-     * Counts the transfer of a generation that should have started by now, since it shows lateness
-     * sooner than those that have started; once, since a single answer may be lost.
+     * Records the transfer of a generation that is overdue, which shows delays earlier than
+     * transfers that have started. Each transfer is recorded only once, since the answer may simply
+     * have been lost.
      */
     static void recordIfOverdue(Generation generation, double nowMs) {
         if (generation.heldRead() == null) {
--- a/src/main/java/larchridge/policy/WriterCapacity.java
+++ b/src/main/java/larchridge/policy/WriterCapacity.java
@@ -6,18 +6,18 @@
 import larchridge.state.Generation;
 
 /**
- * Memory for answers at writers: what an engine has left, and what the prompts being read will need
- * of it.
+ * Tracks writer memory for answers: what each engine has free, and what the prompts being read will
+ * need.
  */
 final class WriterCapacity {
-    /** The expected length of an answer whose length was not hinted, as a part of its maximum. */
+    /** Expected answer length as a fraction of its maximum, if the client gave no hint. */
     private static final double DEFAULT_OUTPUT_FRACTION = 0.5;
 
     private final PolicyActions actions;
     private final LoadEstimator load;
     private final List<Engine> writers;
 
-    /** Tokens of generations that are being read and have no writer yet. */
+    /** Tokens needed by generations that are being read and have no writer yet. */
     private double reservedTokens;
 
     WriterCapacity(PolicyActions actions, LoadEstimator load, List<Engine> writers) {
@@ -26,7 +26,7 @@
         this.writers = writers;
     }
 
-    /** Tokens that a generation will hold at its writer. */
+    /** Tokens that a generation will hold in its writer's memory. */
     static double neededTokens(Generation generation) {
         double output =
                 Double.isNaN(generation.expectedOutputTokens)
@@ -35,24 +35,22 @@
         return generation.promptTokens + output;
     }
 
-    /** Tokens of all generations that are being read and have no writer yet. */
+    /** Tokens needed by all generations that are being read and have no writer yet. */
     double reservedTokens() {
         return reservedTokens;
     }
 
-    /** Counts a generation whose read begins. */
+    /** Reserves tokens for a generation whose read starts. */
     void reserve(Generation generation) {
         reservedTokens += neededTokens(generation);
     }
 
-    /** No longer counts the generation of a read that has ended. */
+    /** Releases the reservation of a read that has ended. */
     void release(Attempt read) {
         reservedTokens = Math.max(0, reservedTokens - neededTokens(read.generation));
     }
 
-    /**
-     * Whether the writers together have capacity for a generation beside all that are being read.
-     */
+    /** Whether the writers together have capacity for a generation and all that are being read. */
     boolean hasTotalCapacityFor(Generation generation) {
         double free =
                 writers.stream()
@@ -62,16 +60,12 @@
         return writers.isEmpty() || !(free < reservedTokens + neededTokens(generation));
     }
 
-    /**
-     * Whether an engine has capacity for a generation; so it counts where its memory is unknown.
-     */
+    /** Whether an engine has capacity for a generation; true if its memory is unknown. */
     boolean hasCapacity(Engine engine, Generation generation) {
         return !engine.isFull(actions.nowMs()) && !(freeTokens(engine) < neededTokens(generation));
     }
 
-    /**
-     * Tokens that an engine has memory for beside those it holds; NaN where its memory is unknown.
-     */
+    /** Free memory of an engine in tokens; NaN if its memory is unknown. */
     double freeTokens(Engine engine) {
         return engine.memoryTokens() - load.heldTokens(engine);
     }
--- a/src/main/java/larchridge/policy/WriterSelection.java
+++ b/src/main/java/larchridge/policy/WriterSelection.java
@@ -9,23 +9,23 @@
 import larchridge.state.Generation;
 
 /**
- * Chooses the writer of an answer once its prompt is read: among those with capacity that hold no
- * more than Z tokens, one with about the fewest streams near the read state; else the one with the
- * fewest tokens.
+ * Selects the writer of an answer once its prompt is read: among writers with capacity that hold no
+ * more tokens than a limit (Z in the paper), the nearest to the read state of those with about the
+ * fewest streams; else the writer that holds the fewest tokens.
  */
 final class WriterSelection {
-    /** Z is the mean tokens of the writers, with what awaits a writer, times this (the paper's). */
+    /** The token limit (the paper's Z) is the writers' mean load with reservations, times this. */
     private static final double TOKEN_LIMIT_MARGIN = 1.05;
 
     /**
-     * Streams per unit up to this many times the fewest, plus {@link #SIMILAR_STREAMS_MARGIN}, are
-     * alike.
+     * Writers with up to this many times the fewest streams per unit, plus {@link
+     * #SIMILAR_STREAMS_MARGIN}, count as equally loaded.
      */
     private static final double SIMILAR_STREAMS_FACTOR = 1.3;
 
     private static final double SIMILAR_STREAMS_MARGIN = 2;
 
-    /** While transfers are late, writers in the reader's rack may hold so many times Z. */
+    /** While transfers are late, writers in the reader's rack may exceed the limit this much. */
     private static final double SAME_RACK_TOKEN_LIMIT_FACTOR = 2.5;
 
     private final PolicyActions actions;
@@ -44,13 +44,11 @@
         capacity = engineView.capacity();
     }
 
-    /**
-     * The engine to write the answer of a generation whose state is held, or null if there is none.
-     */
+    /** The engine to write the answer of a generation with a held state, or null if none can. */
     Engine select(Generation generation) {
         List<Engine> eligibleWriters = eligible.of(writers, generation);
-        // Equals are told apart by chance. Without reports most writers look alike to a router that
-        // sees little, and all routers together would take the first of the list.
+        // Ties are broken at random. Without reports most writers look alike to a router with
+        // little traffic, and all routers would select the first one of the list.
         Collections.shuffle(eligibleWriters, random);
         List<Engine> withCapacity = new ArrayList<>(eligibleWriters);
         withCapacity.removeIf(writer -> !capacity.hasCapacity(writer, generation));
@@ -68,7 +66,7 @@
         return selectWithinLimit(withCapacity, reader, tokenLimit);
     }
 
-    /** Z, in tokens per unit: what the writers hold and will get, spread evenly, with a margin. */
+    /** Token limit per unit: what the writers hold and will get, spread evenly, with a margin. */
     private double tokenLimit(List<Engine> withCapacity, Generation generation) {
         double free = withCapacity.stream().mapToDouble(capacity::freeTokens).sum();
         double held = withCapacity.stream().mapToDouble(load::heldTokens).sum();
@@ -78,8 +76,8 @@
     }
 
     /**
-     * Deviation from the paper: where transfers out of the reader's rack are late, its own rack
-     * goes beyond Z for a while.
+     * Deviation from the paper: while transfers out of the reader's rack are late, writers in that
+     * rack may exceed the token limit.
      */
     private Engine selectInRack(List<Engine> withCapacity, Engine reader, double tokenLimit) {
         List<Engine> sameRack = new ArrayList<>(withCapacity);
@@ -93,8 +91,8 @@
     }
 
     /**
-     * Deviation from the paper: among those at or under Z with about the fewest streams, the
-     * nearest to the state.
+     * Deviation from the paper: among writers within the token limit with about the fewest streams,
+     * selects the nearest to the read state.
      */
     private Engine selectWithinLimit(List<Engine> withCapacity, Engine reader, double tokenLimit) {
         List<Engine> withinLimit = new ArrayList<>(withCapacity);
--- a/src/main/java/larchridge/policy/package-info.java
+++ b/src/main/java/larchridge/policy/package-info.java
@@ -2,21 +2,21 @@
  * Decides, for one router, which engine reads a prompt, which engine writes the answer, and what
  * happens when either fails.
  *
- * <p>{@link larchridge.policy.RoutingPolicy} is the entry: events come in through {@link
+ * <p>{@link larchridge.policy.RoutingPolicy} is the entry point: events come in through {@link
  * larchridge.policy.PolicyEvents}, decisions go out through {@link
- * larchridge.policy.PolicyActions}, and every other class here answers one question for it: {@code
- * ReaderSelection}, {@code WriterSelection} and {@code EligibleEngines} which engine; {@code
- * LoadEstimator}, {@code LatencyEstimator}, {@code WriterCapacity}, {@code PrefixAffinity} and
- * {@code StateTransfers} what is known of engines; {@code AdmissionQueue}, {@code RetryPolicy},
- * {@code IdempotencyRule} and {@code HedgingPolicy} what may still be attempted; {@code
- * OutlierDetector} and {@code SlowStart} which engines to spare; {@code AttemptDispatcher}, {@code
- * StateReservations} and {@code LoadProbes} carry the decisions out.
+ * larchridge.policy.PolicyActions}. The other classes each have one task: {@code ReaderSelection},
+ * {@code WriterSelection} and {@code EligibleEngines} select engines; {@code LoadEstimator}, {@code
+ * LatencyEstimator}, {@code WriterCapacity}, {@code PrefixAffinity} and {@code StateTransfers}
+ * estimate load, latency, memory, cached prefixes and transfers; {@code AdmissionQueue}, {@code
+ * RetryPolicy}, {@code IdempotencyRule} and {@code HedgingPolicy} decide what may be attempted;
+ * {@code OutlierDetector} and {@code SlowStart} decide which engines to spare; {@code
+ * AttemptDispatcher}, {@code StateReservations} and {@code LoadProbes} carry out the decisions.
  *
- * <p>The package holds no timer, thread, socket or log of its own and knows nothing of the router
- * or of the wire. Everything runs on the router's event loop. All random draws come from one seeded
- * generator, so that one seed and one sequence of events give one sequence of actions ({@code
- * PolicyActionsTest}). {@code docs/design.md} gives the reasons of the rules. Times are
- * milliseconds of the clock of {@link larchridge.policy.PolicyActions#nowMs}, which stands still
+ * <p>The package has no timers, threads, sockets or logger of its own and does not depend on the
+ * router or on wire formats. Everything runs on the router's event loop. All random draws come from
+ * one seeded generator, so that a seed and a sequence of events determine the sequence of actions
+ * ({@code PolicyActionsTest}). {@code docs/design.md} gives the reasons for the rules. Times are
+ * milliseconds of the clock of {@link larchridge.policy.PolicyActions#nowMs}, which is constant
  * during an event.
  */
 package larchridge.policy;
--- a/src/main/java/larchridge/settings/DeploymentSettings.java
+++ b/src/main/java/larchridge/settings/DeploymentSettings.java
@@ -8,20 +8,21 @@
 import larchridge.state.TrafficClass;
 
 /**
- * What the settings object of a deployment says, in the terms of the policy, a router and a node.
- * Times are milliseconds; maps and lists keep the order of the object.
+ * Parsed settings of a deployment, used by the policy, the router and the node. Times are
+ * milliseconds; maps and lists keep the order of the JSON object.
  *
- * @param routing what the policy is allowed and owes
- * @param trafficClasses by name
- * @param tenants by name
- * @param roles by kind of engine
- * @param memoryTokens what a kind of engine has memory for, by kind; NaN where it is not known
- * @param clientTimeoutMs how long clients wait in all, by traffic class
- * @param reportFields the names of the figures of load reports, in their order
- * @param connectTimeoutMs how long a connection to an engine may take
- * @param keepAliveMs after so long without use an engine closes a connection
- * @param drainGraceMs within this nothing may be sent any more to an engine that drains
- * @param releaseMs within this a held state is to be used or released
+ * @param routing limits and targets of the routing policy
+ * @param trafficClasses traffic classes by name
+ * @param tenants tenants by name
+ * @param roles roles by engine type
+ * @param memoryTokens number of tokens that fit in the memory of an engine, by engine type; NaN if
+ *     unknown
+ * @param clientTimeoutMs total time that clients wait for an answer, by traffic class
+ * @param reportFields names of the fields of load reports, in order
+ * @param connectTimeoutMs timeout for connecting to an engine
+ * @param keepAliveMs idle time after which an engine closes a connection
+ * @param drainGraceMs time after the start of a drain within which sending to the engine must stop
+ * @param releaseMs time within which a held state must be used or released
  */
 public record DeploymentSettings(
         RoutingSettings routing,
--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -15,8 +15,8 @@
 import larchridge.state.TrafficClass;
 
 /**
- * Reads the settings object of a deployment. The same object comes on the bench's wire and in a
- * node's configuration.
+ * Reads the JSON settings of a deployment. The same object is used in the benchmark protocol and in
+ * a node's configuration.
  */
 public final class DeploymentSettingsReader {
     private final JsonNode root;
@@ -39,7 +39,7 @@
         reporting = root.path("reporting");
     }
 
-    /** Reads the object; the seed is the one of the router that it was given to. */
+    /** Reads the settings; the seed is that of the router they are for. */
     public static DeploymentSettings read(JsonNode root, long seed)
             throws InvalidSettingsException {
         if (root == null || !root.isObject()) {
@@ -163,7 +163,7 @@
         };
     }
 
-    /** A load report from its figures by name; a figure that is not there is NaN. */
+    /** Creates a load report from metrics looked up by name; missing metrics are NaN. */
     public static <E extends Exception> LoadReport report(MetricLookup<E> metrics) throws E {
         return new LoadReport(
                 metrics.value("concurrent"),
@@ -172,9 +172,9 @@
                 metrics.value("x1") * 1000);
     }
 
-    /** Figures by the names that the settings use. */
+    /** Looks up metrics by the names used in the settings. */
     public interface MetricLookup<E extends Exception> {
-        /** The figure, or NaN. */
+        /** The value of a metric, or NaN. */
         double value(String name) throws E;
     }
 
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -345,7 +345,7 @@
         return ejectionMs;
     }
 
-    /** Whether the engine is limited to one attempt at a time that tests whether it has recovered. */
+    /** Whether the engine may get only one attempt at a time, to test its recovery. */
     public boolean isOnProbation() {
         return onProbation;
     }
--- a/src/test/java/larchridge/policy/AdmissionQueueTest.java
+++ b/src/test/java/larchridge/policy/AdmissionQueueTest.java
@@ -15,7 +15,7 @@
 import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-/** Generations that wait for a reader. */
+/** Tests the admission of generations that wait for a reader. */
 class AdmissionQueueTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
--- a/src/test/java/larchridge/policy/EligibleEnginesTest.java
+++ b/src/test/java/larchridge/policy/EligibleEnginesTest.java
@@ -9,7 +9,7 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-/** Which engines may get attempts at all. */
+/** Tests which engines may receive attempts. */
 class EligibleEnginesTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
--- a/src/test/java/larchridge/policy/HedgingPolicyTest.java
+++ b/src/test/java/larchridge/policy/HedgingPolicyTest.java
@@ -13,7 +13,7 @@
 import larchridge.state.Generation;
 import org.junit.jupiter.api.Test;
 
-/** Engines that fall silent over an attempt. */
+/** Tests attempts whose engines stop responding. */
 class HedgingPolicyTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
@@ -66,9 +66,7 @@
         assertEquals(3, fixture.sent.size());
     }
 
-    /**
-     * It may wait in its writer's queue, which keeps the state; any other writer would find none.
-     */
+    /** The attempt may be queued at its writer, which keeps the state; other writers find none. */
     @Test
     void answerWhoseStateWasReleasedStaysUntilThePromptIsReadAgain() {
         fixture.engines(2, 2);
@@ -81,7 +79,7 @@
         fixture.nowMs += waiting.silenceTimeoutMs() + 1;
         policy.wakeUp();
         Attempt again = fixture.last();
-        assertTrue(again.readOnly, "the prompt is read anew before the answer moves");
+        assertTrue(again.readOnly, "the prompt is read again before the answer moves");
         assertFalse(fixture.hasAction("cancel a"));
         policy.readCompleted(again, 0, null, false);
         assertFalse(fixture.last().readOnly);
--- a/src/test/java/larchridge/policy/IdempotencyRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -12,7 +12,7 @@
 import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-/** Repeats at the two moments at which they are judged. */
+/** Tests the checks of repeated attempts at decision time and at write time. */
 class IdempotencyRuleTest {
     private static final double DEDUPLICATION_WINDOW_MS = 1000;
     private static final double SENT_MS = 50_000;
@@ -48,7 +48,7 @@
         return generation;
     }
 
-    /** Its connection came up so late that engines have forgotten the first attempt by then. */
+    /** The connection is established so late that engines no longer know the first attempt. */
     @Test
     void retryDecidedWithinTheWindowIsNotWrittenAfterIt() {
         Generation generation = generationWithOneCutAttempt(Effect.DEDUPLICATED);
@@ -58,7 +58,7 @@
         assertFalse(IdempotencyRule.mayWrite(again, SENT_MS + 1040, false));
     }
 
-    /** Between reading the clock and writing a process may be held up for 0.15 s. */
+    /** A process may be paused for 150 ms between reading the clock and writing. */
     @Test
     void shortWindowLeavesAMarginForAPausedProcess() {
         Generation generation = generationWithOneCutAttempt(Effect.DEDUPLICATED);
--- a/src/test/java/larchridge/policy/LoadEstimatorTest.java
+++ b/src/test/java/larchridge/policy/LoadEstimatorTest.java
@@ -7,7 +7,7 @@
 import larchridge.state.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** Load by own counts and by reports. */
+/** Tests load estimates from own attempts and from reports. */
 class LoadEstimatorTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
--- a/src/test/java/larchridge/policy/LoadProbesTest.java
+++ b/src/test/java/larchridge/policy/LoadProbesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When engines are probed for their load. */
+/** Tests when engines are probed for their load. */
 class LoadProbesTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
--- a/src/test/java/larchridge/policy/OutlierDetectorTest.java
+++ b/src/test/java/larchridge/policy/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-/** Ejection of engines, and its end. */
+/** Tests the ejection and unejection of engines. */
 class OutlierDetectorTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
--- a/src/test/java/larchridge/policy/PrefixAffinityTest.java
+++ b/src/test/java/larchridge/policy/PrefixAffinityTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Where texts are likely to be cached. */
+/** Tests which readers are expected to have prefixes cached. */
 class PrefixAffinityTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
--- a/src/test/java/larchridge/policy/ReaderSelectionTest.java
+++ b/src/test/java/larchridge/policy/ReaderSelectionTest.java
@@ -14,7 +14,7 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-/** Which reader gets a prompt. */
+/** Tests the selection of the reader of a prompt. */
 class ReaderSelectionTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
--- a/src/test/java/larchridge/policy/RetryPolicyTest.java
+++ b/src/test/java/larchridge/policy/RetryPolicyTest.java
@@ -13,7 +13,7 @@
 import larchridge.state.Generation;
 import org.junit.jupiter.api.Test;
 
-/** Whether a generation is attempted again, and how it is answered otherwise. */
+/** Tests whether a generation is attempted again, and how it is answered otherwise. */
 class RetryPolicyTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -15,10 +15,11 @@
 import larchridge.state.TrafficClass;
 
 /**
- * A router that records the actions of its policy, and short ways to build engines and generations.
+ * A fake router that records the actions of its policy, with helpers to create engines and
+ * generations.
  */
 final class RoutingPolicyFixture implements PolicyActions {
-    /** How often the policy has planned a wake-up. */
+    /** Number of wake-ups the policy has scheduled. */
     int scheduledWakeUps;
 
     final List<String> actions = new ArrayList<>();
--- a/src/test/java/larchridge/policy/RoutingPolicyTest.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Events of the policy as a whole. */
+/** Tests the event handling of the policy. */
 class RoutingPolicyTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
 
-    /** A fault at one generation must not end the regular look at the others. */
+    /** An exception in one generation must not end the periodic checks of the others. */
     @Test
     void sweepsContinueAfterAnExceptionInOneGeneration() {
         fixture.engines(1, 1);
--- a/src/test/java/larchridge/policy/SlowStartTest.java
+++ b/src/test/java/larchridge/policy/SlowStartTest.java
@@ -9,7 +9,7 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-/** Engines whose process has just started. */
+/** Tests engines whose process has just started. */
 class SlowStartTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
--- a/src/test/java/larchridge/policy/StateReservationsTest.java
+++ b/src/test/java/larchridge/policy/StateReservationsTest.java
@@ -14,7 +14,7 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-/** Held states are used or released, never left. */
+/** Tests that held states are always used or released. */
 class StateReservationsTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
--- a/src/test/java/larchridge/policy/StateTransfersTest.java
+++ b/src/test/java/larchridge/policy/StateTransfersTest.java
@@ -11,7 +11,7 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-/** Transfers of states that start late. */
+/** Tests the routing of answers while state transfers start late. */
 class StateTransfersTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
@@ -30,7 +30,7 @@
                         new EndpointUpdate(
                                 far, EndpointState.READY, 0, 1, "z", 7, Role.WRITER, 200_000)),
                 true);
-        // The near one holds more than Z, so that answers go out of the rack.
+        // The near writer is over the token limit, so answers leave the rack.
         for (int i = 0; i < 4; i++) {
             Generation generation = fixture.generation("near" + i);
             new Attempt(generation, near, false, fixture.nowMs, 2000, 0).open();
@@ -43,7 +43,7 @@
         policy.requestArrived(fixture.generation("second"));
         policy.readCompleted(fixture.last(), 0, null, false);
         assertEquals(near, fixture.last().engine);
-        // Some seconds without any late one, and they go out again.
+        // After a few seconds without late transfers, answers leave the rack again.
         fixture.nowMs += 5000;
         policy.requestArrived(fixture.generation("third"));
         policy.readCompleted(fixture.last(), 0, null, false);
--- a/src/test/java/larchridge/policy/WriterSelectionTest.java
+++ b/src/test/java/larchridge/policy/WriterSelectionTest.java
@@ -8,7 +8,7 @@
 import larchridge.state.EngineFixture;
 import org.junit.jupiter.api.Test;
 
-/** Which writer gets an answer, and when. */
+/** Tests which writer gets an answer, and when. */
 class WriterSelectionTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
@@ -22,10 +22,7 @@
         assertSame(engines[2], fixture.last().engine);
     }
 
-    /**
-     * Each router has sent nothing yet and hears no report: to it, all writers of the rack are
-     * alike.
-     */
+    /** A router that has sent nothing and received no report sees all writers as equal. */
     @Test
     void routersWithoutReportsSpreadAnswersOverEqualWriters() {
         int routers = 120;
