--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -70,17 +70,17 @@
         }
     }
 
-    private void hedge(Generation generation, Engine silent) {
-        outliers.eject(silent);
+    private void hedge(Generation generation, Engine silentEngine) {
+        outliers.eject(silentEngine);
         if (generation.heldRead() == null) {
             Engine reader = selection.readers().select(generation);
-            if (reader != null && reader != silent) {
+            if (reader != null && reader != silentEngine) {
                 dispatcher.sendRead(generation, reader);
             }
             return;
         }
         Engine writer = selection.writers().select(generation);
-        if (writer != null && writer != silent && capacity.hasCapacity(writer, generation)) {
+        if (writer != null && writer != silentEngine && capacity.hasCapacity(writer, generation)) {
             dispatcher.cancelAll(generation);
             dispatcher.sendWrite(generation, writer);
         }
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -76,7 +76,7 @@
         candidates = candidates.isEmpty() ? eligibleReaders : candidates;
         boolean transfersLate = candidates.stream().anyMatch(e -> StateTransfers.areLate(e, nowMs));
         addLocalReaders(candidates, generation, transfersLate, nowMs);
-        return best(candidates, lastReader, generation, transfersLate);
+        return selectBest(candidates, lastReader, generation, transfersLate);
     }
 
     private boolean hasShortBacklog(Engine engine, double nowMs) {
@@ -99,7 +99,7 @@
         }
     }
 
-    private Engine best(List<Engine> candidates, Engine lastReader, Generation generation, boolean transfersLate) {
+    private Engine selectBest(List<Engine> candidates, Engine lastReader, Generation generation, boolean transfersLate) {
         double nowMs = actions.nowMs();
         double limitMs = backlogLimitMs(generation);
         Engine best = null;
@@ -144,14 +144,14 @@
 
     /** Preference of an engine, lowest first; tokens decide between equal ranks. */
     private int rank(Engine engine, double backlogMs, boolean transfersLate, double nowMs) {
-        boolean near = engine.zone().equals(zone);
+        boolean sameZone = engine.zone().equals(zone);
         if (engine.role() != Role.READER) {
-            return transfersLate ? 1 : near ? 2 : 3;
+            return transfersLate ? 1 : sameZone ? 2 : 3;
         }
         if (backlogMs > SHORT_BACKLOG_MS || StateTransfers.areLate(engine, nowMs)) {
             return 2;
         }
-        return near ? 0 : 1;
+        return sameZone ? 0 : 1;
     }
 
     /**
--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -145,12 +145,12 @@
         }
     }
 
-    private void readEngineTypes(JsonNode kinds) {
+    private void readEngineTypes(JsonNode engineTypes) {
         int i = 0;
-        for (JsonNode node : kinds) {
-            String kind = node.asText();
-            roles.put(kind, role(familyInfo.path("stage_of_kind").path(i).asText("both")));
-            memoryTokens.put(kind, familyInfo.path("kv_tokens").path(i).asDouble(Double.NaN));
+        for (JsonNode node : engineTypes) {
+            String engineType = node.asText();
+            roles.put(engineType, role(familyInfo.path("stage_of_kind").path(i).asText("both")));
+            memoryTokens.put(engineType, familyInfo.path("kv_tokens").path(i).asDouble(Double.NaN));
             i++;
         }
     }
