--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -15,8 +15,8 @@
 import larchridge.state.TrafficClass;
 
 /**
- * Reads the JSON settings of a deployment. The same object is used in the benchmark protocol and in
- * a node's configuration.
+ * Reads the JSON settings of a deployment. The same object is used in the bench protocol ({@code
+ * larchridge.benchlink}) and in a node's configuration.
  */
 public final class DeploymentSettingsReader {
     private final JsonNode root;
