--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -6,7 +6,7 @@
 import larchridge.state.Role;
 import larchridge.state.RoutingSettings;
 
-/** Sends, closes and cancels attempts, and keeps the counts of load that go with them. */
+/** Sends, closes and cancels attempts, and updates the load accounting. */
 final class AttemptDispatcher {
     private final PolicyActions actions;
     private final PrefixAffinity affinity;
@@ -19,31 +19,32 @@
     AttemptDispatcher(
             RoutingSettings settings,
             PolicyActions actions,
-            EngineKnowledge known,
+            EngineView engineView,
             LoadProbes probes) {
         this.actions = actions;
         this.probes = probes;
-        affinity = known.affinity();
-        load = known.load();
-        latency = known.latency();
-        capacity = known.capacity();
+        affinity = engineView.affinity();
+        load = engineView.load();
+        latency = engineView.latency();
+        capacity = engineView.capacity();
         cancellationAllowed = settings.cancellationAllowed();
     }
 
-    /** Sends a generation to be read; an engine that is no mere reader also writes its answer. */
+    /** Sends a prompt to be read; an engine that is not only a reader also writes the answer. */
     void sendRead(Generation generation, Engine engine) {
         double nowMs = actions.nowMs();
-        double unread = affinity.tokensToRead(generation, engine);
+        double unreadTokens = affinity.tokensToRead(generation, engine);
         boolean readOnly = engine.role() == Role.READER;
-        double counted = readOnly ? unread : WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, counted, unread);
+        double accountedTokens = readOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, accountedTokens, unreadTokens);
         double readMs =
-                (load.unreadTokens(engine, nowMs) + unread) * latency.msPerToken(engine, nowMs);
+                (load.unreadTokens(engine, nowMs) + unreadTokens) * latency.msPerToken(engine, nowMs);
         attempt.setSilenceTimeoutMs(
                 readOnly
                         ? HedgingPolicy.readTimeoutMs(readMs)
                         : HedgingPolicy.writeTimeoutMs(readMs));
-        // Guards against: a read whose answer is lost leaves a state that no outcome reports.
+        // Guards against: a read whose response is lost leaves a state behind that no outcome
+        // reports.
         generation.setMayHoldState(true);
         if (readOnly) {
             capacity.reserve(generation);
@@ -51,40 +52,40 @@
         affinity.recordSent(generation, engine, nowMs);
         send(attempt);
         if (readOnly) {
-            probes.probeSomeWriters();
+            probes.probeRandomWriters();
         }
     }
 
-    /** Sends a generation whose state is held to the writer that fetches it. */
+    /** Sends a generation with a held state to the writer that fetches the state. */
     void sendWrite(Generation generation, Engine writer) {
-        double counted = WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), counted, 0);
+        double accountedTokens = WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), accountedTokens, 0);
         attempt.setSilenceTimeoutMs(HedgingPolicy.writeTimeoutMs(latency.firstTokenMs()));
         generation.clearStateReleased();
         send(attempt);
     }
 
     private void send(Attempt attempt) {
-        if (!attempt.read) {
+        if (!attempt.readOnly) {
             load.recordWrite(attempt, actions.nowMs());
         }
         attempt.open();
         actions.send(attempt);
     }
 
-    /** Takes an attempt that has ended off the counts. */
+    /** Removes an attempt that has ended from the load accounting. */
     void close(Attempt attempt) {
-        if (attempt.close() && attempt.read) {
+        if (attempt.close() && attempt.readOnly) {
             capacity.release(attempt);
         }
     }
 
-    /** Cancels all attempts of a generation that are in flight. */
+    /** Cancels all active attempts of a generation. */
     void cancelAll(Generation generation) {
         cancelOthers(generation, null);
     }
 
-    /** Cancels all attempts of a generation that are in flight, but one. */
+    /** Cancels all active attempts of a generation except one. */
     void cancelOthers(Generation generation, Attempt kept) {
         for (Attempt attempt : generation.attempts()) {
             if (attempt != kept && attempt.isActive() && cancellationAllowed) {
--- a/src/main/java/larchridge/policy/EngineKnowledge.java
+++ b/src/main/java/larchridge/policy/EngineView.java
@@ -4,8 +4,8 @@
 import larchridge.state.EngineRegistry;
 import larchridge.state.RoutingSettings;
 
-/** What a policy knows of its engines, by the part that knows it. */
-record EngineKnowledge(
+/** The components that track engines: membership, health, load, latency and cached prefixes. */
+record EngineView(
         EngineRegistry registry,
         OutlierDetector outliers,
         SlowStart slowStart,
@@ -15,13 +15,13 @@
         LatencyEstimator latency,
         WriterCapacity capacity) {
 
-    /** Knowledge of no engine yet; the random generator is shared with the rest of the policy. */
-    static EngineKnowledge create(RoutingSettings settings, PolicyActions actions, Random random) {
+    /** Creates a view without engines; the random generator is shared with the whole policy. */
+    static EngineView create(RoutingSettings settings, PolicyActions actions, Random random) {
         EngineRegistry registry = new EngineRegistry();
         OutlierDetector outliers = new OutlierDetector(actions, random);
         SlowStart slowStart = new SlowStart(settings, registry, random, actions.nowMs());
         LoadEstimator load = new LoadEstimator(settings, actions, registry.writers());
-        return new EngineKnowledge(
+        return new EngineView(
                 registry,
                 outliers,
                 slowStart,
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -7,83 +7,82 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Hedges an idempotent generation whose engine has fallen silent: a read gets a second one beside
- * it, since cancelling one that only takes long would waste it; an answer that waits for its writer
- * moves to another, but only to one with capacity, or it would queue anew.
+ * Hedges an idempotent generation whose engine has stopped responding. A read gets a second,
+ * concurrent attempt, since cancelling a read that is merely slow would waste its work. An answer
+ * that has not started moves to another writer, but only to one with capacity, since it would have
+ * to queue again otherwise.
  *
- * <p>Guards against: an engine that takes work and falls silent would keep it until the client
- * leaves.
+ * <p>Guards against: an engine that accepts work and stops responding would keep the generation
+ * until the client disconnects.
  */
 final class HedgingPolicy {
-    /** Silence over a read that is no sign of anything, beside the time that the read takes. */
-    private static final double READ_SILENCE_MS = 400;
+    /** Tolerated silence during a read, in addition to the expected duration of the read. */
+    private static final double READ_SILENCE_MARGIN_MS = 400;
 
-    /** The same for an answer that has not started. */
-    private static final double WRITE_SILENCE_MS = 700;
+    /** Tolerated silence before an answer, in addition to the expected time to its start. */
+    private static final double WRITE_SILENCE_MARGIN_MS = 700;
 
-    /** An attempt may take so many times what its engine usually takes. */
-    private static final double USUAL_TIME_FACTOR = 3;
+    /** An attempt may take this many times its expected duration. */
+    private static final double EXPECTED_TIME_FACTOR = 3;
 
     private final OutlierDetector outliers;
     private final WriterCapacity capacity;
     private final EngineSelection selection;
-    private final AttemptDispatcher attempts;
-    private final RetryPolicy retries;
-    private final boolean hedgingAllowed;
+    private final AttemptDispatcher dispatcher;
+    private final RetryPolicy retryPolicy;
+    private final boolean hedgingEnabled;
 
     HedgingPolicy(
             RoutingSettings settings,
-            EngineKnowledge known,
+            EngineView engineView,
             EngineSelection selection,
-            AttemptDispatcher attempts,
-            RetryPolicy retries) {
+            AttemptDispatcher dispatcher,
+            RetryPolicy retryPolicy) {
         this.selection = selection;
-        this.attempts = attempts;
-        this.retries = retries;
-        outliers = known.outliers();
-        capacity = known.capacity();
-        hedgingAllowed = settings.cancellationAllowed() && settings.hedgingAllowed();
+        this.dispatcher = dispatcher;
+        this.retryPolicy = retryPolicy;
+        outliers = engineView.outliers();
+        capacity = engineView.capacity();
+        hedgingEnabled = settings.cancellationAllowed() && settings.hedgingAllowed();
     }
 
-    /** For how long an engine may be silent over a read that is likely to take so long. */
+    /** How long an engine may be silent during a read of the given expected duration. */
     static double readTimeoutMs(double readMs) {
-        return READ_SILENCE_MS + USUAL_TIME_FACTOR * readMs;
+        return READ_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * readMs;
     }
 
-    /**
-     * For how long an engine may be silent over an answer that is likely to start after so long.
-     */
+    /** How long an engine may be silent before an answer with the given expected start delay. */
     static double writeTimeoutMs(double startMs) {
-        return WRITE_SILENCE_MS + USUAL_TIME_FACTOR * startMs;
+        return WRITE_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * startMs;
     }
 
-    /** Hedges a generation with attempts in flight if the engine of the newest one is silent. */
+    /** Hedges a generation in flight if the engine of its newest attempt is silent for too long. */
     void hedgeIfSilent(Generation generation, double nowMs) {
         if (generation.trafficClass.effect != Effect.IDEMPOTENT
-                || !hedgingAllowed
-                || !retries.hasAttemptsLeft(generation)) {
+                || !hedgingEnabled
+                || !retryPolicy.hasAttemptsLeft(generation)) {
             return;
         }
         Attempt newest = generation.newestAttempt();
-        double silentMs = nowMs - Math.max(newest.engine.heardMs(), newest.sentMs);
+        double silentMs = nowMs - Math.max(newest.engine.lastContactMs(), newest.sentMs);
         if (newest.isActive() && silentMs > newest.silenceTimeoutMs()) {
             hedge(generation, newest.engine);
         }
     }
 
-    private void hedge(Generation generation, Engine silent) {
-        outliers.eject(silent);
+    private void hedge(Generation generation, Engine silentEngine) {
+        outliers.eject(silentEngine);
         if (generation.heldRead() == null) {
             Engine reader = selection.readers().select(generation);
-            if (reader != null && reader != silent) {
-                attempts.sendRead(generation, reader);
+            if (reader != null && reader != silentEngine) {
+                dispatcher.sendRead(generation, reader);
             }
             return;
         }
         Engine writer = selection.writers().select(generation);
-        if (writer != null && writer != silent && capacity.hasCapacity(writer, generation)) {
-            attempts.cancelAll(generation);
-            attempts.sendWrite(generation, writer);
+        if (writer != null && writer != silentEngine && capacity.hasCapacity(writer, generation)) {
+            dispatcher.cancelAll(generation);
+            dispatcher.sendWrite(generation, writer);
         }
     }
 }
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -9,42 +9,43 @@
 import larchridge.state.SlidingWindowMean;
 
 /**
- * The load of each engine as it is likely to be now: this router's own attempts, exactly, plus the
- * other routers', from the engine's last load report, faded by its age.
+ * Estimates the current load of each engine: this router's own attempts, which are known exactly,
+ * plus the load of other routers, taken from the engine's last report with a weight that decays
+ * with the age of the report.
  */
 final class LoadEstimator {
-    /** How fast a reader's report fades, in milliseconds: prompts are read within that time. */
-    private static final double READ_REPORT_MS = 500;
+    /** Decay time of a reader's report: prompts are read within that time. */
+    private static final double READER_REPORT_DECAY_MS = 500;
 
-    /** How fast a writer's report fades, in milliseconds: answers stream for seconds. */
-    private static final double WRITE_REPORT_MS = 2000;
+    /** Decay time of a writer's report: answers stream for seconds. */
+    private static final double WRITER_REPORT_DECAY_MS = 2000;
 
-    /** What the report before still counts when the next one comes at once. */
-    private static final double REPORT_KEPT = 0.5;
+    /** Weight of the previous report when the next one arrives immediately. */
+    private static final double PREVIOUS_REPORT_WEIGHT = 0.5;
 
-    /** The part of a prompt that is still to be read, on average, while it is being read. */
-    private static final double BEING_READ = 0.5;
+    /** Mean fraction of a prompt that is still unread while it is being read. */
+    private static final double UNREAD_FRACTION_DURING_READ = 0.5;
 
-    /** How many sends of its own a router must have seen before it takes others to send alike. */
-    private static final double LIKE_OTHERS = 0.25;
+    /** Expected own sends at which extrapolation to other routers' sends has half its weight. */
+    private static final double SIMILAR_TRAFFIC_SENDS = 0.25;
 
     private final PolicyActions actions;
     private final int routers;
     private final List<Engine> writers;
 
-    /** The part of a prompt that is not cached where it is read, and its tokens. */
-    private final SlidingWindowMean unreadParts = new SlidingWindowMean(20, 1000);
+    /** Fraction and number of prompt tokens that were not cached where they were read. */
+    private final SlidingWindowMean unreadFractions = new SlidingWindowMean(20, 1000);
 
-    private final SlidingWindowMean unreadSizes = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean unreadTokensPerRead = new SlidingWindowMean(20, 1000);
 
-    /** What engines usually report beside this router's own attempts, per unit of weight. */
-    private final SlidingWindowMean reportedUnread = new SlidingWindowMean(5, 1000);
+    /** Mean reported load of other routers: unread tokens per engine, others per capacity unit. */
+    private final SlidingWindowMean otherRoutersUnreadMean = new SlidingWindowMean(5, 1000);
 
-    private final SlidingWindowMean reportedTokens = new SlidingWindowMean(5, 1000);
-    private final SlidingWindowMean reportedStreams = new SlidingWindowMean(5, 1000);
+    private final SlidingWindowMean otherRoutersTokensMean = new SlidingWindowMean(5, 1000);
+    private final SlidingWindowMean otherRoutersStreamsMean = new SlidingWindowMean(5, 1000);
 
-    /** Tokens and number of this router's own sends to writers. */
-    private final SlidingWindowMean writesSent = new SlidingWindowMean(10, 1000);
+    /** Tokens and number of this router's own writes. */
+    private final SlidingWindowMean sentWrites = new SlidingWindowMean(10, 1000);
 
     LoadEstimator(RoutingSettings settings, PolicyActions actions, List<Engine> writers) {
         this.actions = actions;
@@ -52,105 +53,105 @@
         routers = settings.routers();
     }
 
-    /** Counts a completed read by what of the prompt was not cached. */
+    /** Records how many tokens of a completed read were not cached. */
     void recordRead(double unreadTokens, int promptTokens, double nowMs) {
-        unreadParts.add(nowMs, unreadTokens, promptTokens);
-        unreadSizes.add(nowMs, unreadTokens, 1);
+        unreadFractions.add(nowMs, unreadTokens, promptTokens);
+        unreadTokensPerRead.add(nowMs, unreadTokens, 1);
     }
 
-    /** Counts an attempt that is about to be sent to a writer. */
+    /** Records an attempt that is about to be sent to a writer. */
     void recordWrite(Attempt write, double nowMs) {
         write.engine.recordWrite(write.countedTokens, nowMs);
-        writesSent.add(nowMs, write.countedTokens, 1);
+        sentWrites.add(nowMs, write.countedTokens, 1);
     }
 
-    /** Takes in what an engine reports of its load. */
+    /** Updates the estimates from a load report of an engine. */
     void recordReport(Engine engine, LoadReport report, double nowMs) {
-        double kept = REPORT_KEPT * Math.exp((engine.reportMs() - nowMs) / WRITE_REPORT_MS);
+        double previousWeight = PREVIOUS_REPORT_WEIGHT * Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
         engine.recordReport(nowMs);
         if (engine.role() == Role.READER) {
             recordReaderReport(engine, report, nowMs);
         } else {
-            recordWriterReport(engine, report, kept, nowMs);
+            recordWriterReport(engine, report, previousWeight, nowMs);
         }
     }
 
     /**
-     * Reports count whole prompts, also what of them is cached, but not what is left of a prompt
-     * that is being read.
+     * Reported pending tokens include cached tokens of queued prompts, but not the unread rest of
+     * prompts that are being read. Both are corrected with this router's own measurements.
      */
     private void recordReaderReport(Engine engine, LoadReport report, double nowMs) {
-        double halfRead = orZero(report.inflight() - orZero(report.queue())) * BEING_READ;
+        double partlyRead = orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
         double unread =
-                orZero(report.pendingTokens()) * unreadParts.at(nowMs)
-                        + halfRead * unreadSizes.at(nowMs);
-        engine.setOthersUnreadTokens(Math.max(0, unread - engine.unreadTokens()));
-        reportedUnread.add(nowMs, engine.othersUnreadTokens(), 1);
+                orZero(report.pendingTokens()) * unreadFractions.mean(nowMs)
+                        + partlyRead * unreadTokensPerRead.mean(nowMs);
+        engine.setOtherRoutersUnreadTokens(Math.max(0, unread - engine.unreadTokens()));
+        otherRoutersUnreadMean.add(nowMs, engine.otherRoutersUnreadTokens(), 1);
     }
 
-    private void recordWriterReport(Engine engine, LoadReport report, double kept, double nowMs) {
+    private void recordWriterReport(Engine engine, LoadReport report, double previousWeight, double nowMs) {
         double pending = orZero(report.pendingTokens());
-        engine.setOthersUnreadTokens(Math.max(0, pending - engine.unreadTokens()));
+        engine.setOtherRoutersUnreadTokens(Math.max(0, pending - engine.unreadTokens()));
         engine.countReportedStreams(nowMs);
-        double own = engine.settledWriteTokens(nowMs);
-        // Guards against: a full writer's memory share says nothing of the states that queue for
-        // it.
+        double own = engine.reportedWriteTokens(nowMs);
+        // Guards against: the memory usage of a full writer does not include the states that queue
+        // for it, so pending tokens are added.
         double tokens = orZero(report.memoryShare() * engine.memoryTokens() + pending - own);
         double streams = orZero(report.inflight() - engine.reportedOwnStreams());
-        engine.adjustOthersLoad(Math.max(0, tokens), Math.max(0, streams), 1 - kept);
-        reportedTokens.add(nowMs, engine.othersTokens(), engine.units());
-        reportedStreams.add(nowMs, engine.othersStreams(), engine.units());
+        engine.adjustOtherRoutersLoad(Math.max(0, tokens), Math.max(0, streams), 1 - previousWeight);
+        otherRoutersTokensMean.add(nowMs, engine.otherRoutersTokens(), engine.units());
+        otherRoutersStreamsMean.add(nowMs, engine.otherRoutersStreams(), engine.units());
     }
 
     /**
-     * Prompt tokens that wait to be read at an engine: this router's own and, by a fresh report,
-     * the others', since a router's own sends are only a sliver of the traffic.
+     * Unread prompt tokens on an engine: this router's own plus those of other routers according to
+     * a recent report, since a router's own sends are only a small part of the traffic.
      */
     double unreadTokens(Engine engine, double nowMs) {
-        double weight = Math.exp((engine.reportMs() - nowMs) / READ_REPORT_MS);
-        double usual = engine.role() == Role.READER ? (1 - weight) * reportedUnread.at(nowMs) : 0;
-        return engine.unreadTokens() + weight * engine.othersUnreadTokens() + usual;
+        double weight = Math.exp((engine.lastReportMs() - nowMs) / READER_REPORT_DECAY_MS);
+        double typical = engine.role() == Role.READER ? (1 - weight) * otherRoutersUnreadMean.mean(nowMs) : 0;
+        return engine.unreadTokens() + weight * engine.otherRoutersUnreadTokens() + typical;
     }
 
-    /** Tokens that an engine holds for answers. */
+    /** Tokens held in an engine's memory for answers. */
     double heldTokens(Engine engine) {
-        double eachSent = writesSent.at(actions.nowMs());
+        double meanPerSend = sentWrites.mean(actions.nowMs());
         return estimate(
-                engine, engine.writeTokens(), engine.othersTokens(), reportedTokens, eachSent);
+                engine, engine.writeTokens(), engine.otherRoutersTokens(), otherRoutersTokensMean, meanPerSend);
     }
 
-    /** Answers that an engine streams. */
+    /** Number of answers that an engine streams. */
     double streams(Engine engine) {
-        return estimate(engine, engine.streams(), engine.othersStreams(), reportedStreams, 1);
+        return estimate(engine, engine.streams(), engine.otherRoutersStreams(), otherRoutersStreamsMean, 1);
     }
 
-    /** Answers that an engine streams per unit of its weight. */
+    /** Number of answers that an engine streams, per capacity unit. */
     double streamsPerUnit(Engine engine) {
         return streams(engine) / engine.units();
     }
 
-    /** Tokens that an engine holds per unit of its weight. */
+    /** Tokens held in an engine's memory for answers, per capacity unit. */
     double heldTokensPerUnit(Engine engine) {
         return heldTokens(engine) / engine.units();
     }
 
     /**
-     * A load as it is likely to be now: the own part, the others' by a report that fades into what
-     * writers usually report, and the others' sends since then.
+     * Estimated current load: this router's part, the other routers' part from a report that decays
+     * towards the mean reported load, and the estimated sends of other routers since the report.
      *
-     * <p>Guards against: each own send counted as one of every router would outweigh all reports;
-     * the more routers there are, the less a router's own few sends say of the others'.
+     * <p>Guards against: extrapolating each own send to one send of every router would outweigh all
+     * reports; with many routers, the few sends of one router say little about the others.
      */
     private double estimate(
-            Engine engine, double own, double others, SlidingWindowMean reported, double eachSent) {
+            Engine engine, double own, double otherRouters, SlidingWindowMean reported, double meanPerSend) {
         double nowMs = actions.nowMs();
-        double weight = Math.exp((engine.reportMs() - nowMs) / WRITE_REPORT_MS);
-        double usual = reported.at(nowMs) * engine.units();
-        double sinceMs = Math.min(nowMs - engine.reportMs(), WRITE_REPORT_MS);
-        double share = writesSent.weight(nowMs) / writesSent.spanMs() * sinceMs / writers.size();
-        double since = Math.max(0, engine.streams() - engine.reportedOwnStreams());
-        double sentByOthers = (routers - 1) * share * (since - share) / (LIKE_OTHERS + share);
-        return own + Math.max(0, weight * others + (1 - weight) * usual + sentByOthers * eachSent);
+        double weight = Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
+        double typical = reported.mean(nowMs) * engine.units();
+        double reportAgeMs = Math.min(nowMs - engine.lastReportMs(), WRITER_REPORT_DECAY_MS);
+        double expectedSends = sentWrites.weight(nowMs) / sentWrites.spanMs() * reportAgeMs / writers.size();
+        double ownSends = Math.max(0, engine.streams() - engine.reportedOwnStreams());
+        double otherRoutersSends = (routers - 1) * expectedSends * (ownSends - expectedSends) / (SIMILAR_TRAFFIC_SENDS + expectedSends);
+        return own + Math.max(0, weight * otherRouters + (1 - weight) * typical + otherRoutersSends * meanPerSend);
     }
 
     private static double orZero(double value) {
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -13,58 +13,56 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Every decision of one router: which reader reads a prompt, which writer writes its answer, and
- * what to do when either fails. One instance belongs to one router and runs on its event loop; each
- * event is one call, and the policy acts by calling {@link PolicyActions}.
+ * Makes the routing decisions of one router: which reader reads a prompt, which writer writes the
+ * answer, and what happens when either fails. One instance belongs to one router and runs on its
+ * event loop; each event is one call, and the policy acts by calling {@link PolicyActions}.
  *
- * <p>{@link #advance} is the ordinary path of a generation, from top to bottom; the questions that
- * it asks are answered by one class each. What is remembered of generations and engines is in
- * {@code larchridge.state}. Times are in milliseconds.
+ * <p>{@link #advance} is the normal path of a generation; each decision on it is made by a class of
+ * its own. The state of generations and engines is in {@code larchridge.state}. Times are in
+ * milliseconds.
  */
 public final class RoutingPolicy implements PolicyEvents {
-    /** How often generations are looked at for their deadline, backoff and silent engines. */
-    private static final double SWEEP_MS = 20;
+    /** Interval at which generations are checked for deadlines, backoffs and silent engines. */
+    private static final double SWEEP_INTERVAL_MS = 20;
 
     private final PolicyActions actions;
     private final Random random;
-    private final EngineKnowledge known;
+    private final EngineView engineView;
     private final EngineFeedback feedback;
     private final EngineSelection selection;
     private final LoadProbes probes;
-    private final AttemptDispatcher attempts;
+    private final AttemptDispatcher dispatcher;
     private final StateReservations reservations;
-    private final RetryPolicy retries;
+    private final RetryPolicy retryPolicy;
     private final HedgingPolicy hedging;
     private final AdmissionQueue queue;
     private final EndpointWatch endpointWatch;
 
-    /** The generations that have arrived and are not over, in the order of arrival. */
-    private final List<Generation> open = new ArrayList<>();
+    /** Generations that have arrived and are not finished, in order of arrival. */
+    private final List<Generation> openGenerations = new ArrayList<>();
 
-    private boolean wakePlanned;
+    private boolean wakeUpScheduled;
 
-    /**
-     * The policy of one router, which begins with no engine; its draws follow the settings' seed.
-     */
+    /** Creates a policy without engines; its random draws are determined by the settings' seed. */
     public RoutingPolicy(RoutingSettings settings, PolicyActions actions) {
         this.actions = actions;
         random = new Random(settings.seed());
-        known = EngineKnowledge.create(settings, actions, random);
-        feedback = new EngineFeedback(actions, known);
+        engineView = EngineView.create(settings, actions, random);
+        feedback = new EngineFeedback(actions, engineView);
         selection =
                 new EngineSelection(
-                        new ReaderSelection(settings, actions, known),
-                        new WriterSelection(actions, known, random));
-        probes = new LoadProbes(settings, actions, known, random);
-        attempts = new AttemptDispatcher(settings, actions, known, probes);
+                        new ReaderSelection(settings, actions, engineView),
+                        new WriterSelection(actions, engineView, random));
+        probes = new LoadProbes(settings, actions, engineView, random);
+        dispatcher = new AttemptDispatcher(settings, actions, engineView, probes);
         reservations = new StateReservations(actions);
-        retries = new RetryPolicy(settings, actions, random);
-        hedging = new HedgingPolicy(settings, known, selection, attempts, retries);
+        retryPolicy = new RetryPolicy(settings, actions, random);
+        hedging = new HedgingPolicy(settings, engineView, selection, dispatcher, retryPolicy);
         queue =
                 new AdmissionQueue(
                         actions,
-                        known.latency(),
-                        open,
+                        engineView.latency(),
+                        openGenerations,
                         this::advance,
                         generation -> giveUp(generation, GiveUpReason.TOO_LATE));
         endpointWatch = new EndpointWatch(actions, random);
@@ -77,10 +75,10 @@
 
     @Override
     public void requestArrived(Generation generation) {
-        open.add(generation);
-        generation.setRandomShare(random.nextDouble());
+        openGenerations.add(generation);
+        generation.setRandomFraction(random.nextDouble());
         advance(generation);
-        planWake();
+        scheduleWakeUp();
     }
 
     @Override
@@ -88,17 +86,18 @@
             Attempt attempt, int cachedTokens, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
         feedback.recordRead(attempt, cachedTokens, report);
-        attempts.close(attempt);
+        dispatcher.close(attempt);
         if (finished) {
             generation.finish();
         }
-        reservations.held(attempt);
+        reservations.recordHeld(attempt);
         if (!generation.isUnanswered()) {
-            // Guards against: a read that ends after its generation would leave its state held.
+            // Guards against: a read that completes after its generation has been answered would
+            // leave its state held.
             reservations.release(generation);
         } else if (!generation.isAtWriter() || generation.isStateReleased()) {
             generation.clearStateReleased();
-            attempts.cancelOthers(generation, attempt);
+            dispatcher.cancelOthers(generation, attempt);
             advance(generation);
         }
         queue.admitWaiting();
@@ -110,8 +109,8 @@
         feedback.recordFirstToken(attempt);
         attempt.markRead();
         generation.startResponse();
-        reservations.fetched(generation);
-        attempts.cancelOthers(generation, attempt);
+        reservations.recordFetched(generation);
+        dispatcher.cancelOthers(generation, attempt);
     }
 
     @Override
@@ -119,13 +118,13 @@
             Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
         attempt.recordOutcome(outcome);
-        attempts.close(attempt);
+        dispatcher.close(attempt);
         if (finished) {
             generation.finish();
         }
         feedback.recordOutcome(attempt, outcome, report);
         if (outcome == AttemptOutcome.NOT_SENT) {
-            retries.backOff(generation);
+            retryPolicy.backOff(generation);
         }
         if (!generation.isUnanswered() || outcome == AttemptOutcome.NO_STATE) {
             reservations.release(generation);
@@ -133,20 +132,20 @@
         if (generation.isUnanswered()
                 && !generation.isWaiting()
                 && generation.attemptsInFlight() == 0
-                && retries.isDue(generation, actions.nowMs())) {
+                && retryPolicy.isDue(generation, actions.nowMs())) {
             advance(generation);
         }
         queue.admitWaiting();
     }
 
     /**
-     * The state that an attempt is to fetch has been released, since nothing was heard of the
-     * attempt in time. In its engine's queue it goes on; moved to another writer, or sent again, it
-     * would find no state.
+     * The state that an attempt is to fetch was released because nothing was received from the
+     * attempt in time. If the attempt is in its engine's queue it still completes; moved to another
+     * writer or sent again, it would find no state.
      */
     @Override
     public void stateReleased(Attempt attempt) {
-        reservations.releasedBeside(attempt);
+        reservations.recordReleasedBeforeFetch(attempt);
     }
 
     @Override
@@ -166,74 +165,73 @@
 
     @Override
     public void endpointsChanged(List<EndpointUpdate> entries, boolean complete) {
-        known.registry().apply(entries, complete, actions.nowMs());
+        engineView.registry().apply(entries, complete, actions.nowMs());
         queue.admitWaiting();
     }
 
-    /** The endpoint list could not be had; it is requested again after a while. */
+    /** The endpoint list could not be fetched; it is requested again after a delay. */
     public void endpointWatchFailed() {
-        endpointWatch.failed();
-        planWake();
+        endpointWatch.scheduleRetry();
+        scheduleWakeUp();
     }
 
     @Override
     public void wakeUp() {
-        wakePlanned = false;
+        wakeUpScheduled = false;
         double nowMs = actions.nowMs();
         endpointWatch.retryIfDue(nowMs);
-        open.removeIf(generation -> generation.isFinished() && generation.attemptsInFlight() == 0);
+        openGenerations.removeIf(generation -> generation.isFinished() && generation.attemptsInFlight() == 0);
         try {
-            for (int i = 0; i < open.size(); i++) {
-                sweep(open.get(i), nowMs);
+            for (int i = 0; i < openGenerations.size(); i++) {
+                sweep(openGenerations.get(i), nowMs);
             }
             queue.admitWaiting();
         } finally {
-            // Guards against: a fault at one generation would end the sweeps of all others.
-            planWake();
+            // Guards against: an exception in one generation would end the sweeps of all others.
+            scheduleWakeUp();
         }
     }
 
-    /** Looks at a generation whose answer has not started: its deadline, backoff, silent engine. */
+    /** Checks deadline, backoff and silent engine of a generation whose answer has not started. */
     private void sweep(Generation generation, double nowMs) {
         if (!generation.isUnanswered()) {
             return;
         }
         StateTransfers.recordIfOverdue(generation, nowMs);
-        if (retries.isDeadlineNear(generation, nowMs)) {
+        if (retryPolicy.isDeadlineNear(generation, nowMs)) {
             giveUp(generation, GiveUpReason.TIME_UP);
         } else if (generation.attemptsInFlight() > 0) {
             hedging.hedgeIfSilent(generation, nowMs);
-        } else if (!generation.isWaiting() && retries.isDue(generation, nowMs)) {
+        } else if (!generation.isWaiting() && retryPolicy.isDue(generation, nowMs)) {
             advance(generation);
         }
     }
 
-    private void planWake() {
-        if (!wakePlanned && (!open.isEmpty() || endpointWatch.isRetryPlanned())) {
-            wakePlanned = true;
-            actions.wakeAt(actions.nowMs() + SWEEP_MS);
+    private void scheduleWakeUp() {
+        if (!wakeUpScheduled && (!openGenerations.isEmpty() || endpointWatch.isRetryScheduled())) {
+            wakeUpScheduled = true;
+            actions.wakeAt(actions.nowMs() + SWEEP_INTERVAL_MS);
         }
     }
 
-    // ------------------------------------------------------------------ the ordinary path
+    // ------------------------------------------------------------------ the normal path
 
     /**
-     * Takes a generation with no attempt in flight one step on: to a reader, to a writer, into the
-     * queue or to its end.
+     * Advances a generation one step: sends it to a reader or a writer, makes it wait, or gives it
+     * up.
      */
     private void advance(Generation generation) {
-        // Guards against: a generation that waits twice is sent twice, and the second send drops
-        // its
-        // state.
+        // Guards against: a generation that is still marked as waiting would be sent a second time,
+        // and the second send would drop its state.
         generation.stopWaiting();
-        if (retries.isDeadlineNear(generation, actions.nowMs())) {
+        if (retryPolicy.isDeadlineNear(generation, actions.nowMs())) {
             giveUp(generation, GiveUpReason.TIME_UP);
             return;
         }
-        if (generation.heldRead() != null && generation.heldRead().isLost()) {
+        if (generation.heldRead() != null && generation.heldRead().isStateLost()) {
             reservations.release(generation);
         }
-        if (!retries.hasAttemptsLeft(generation)) {
+        if (!retryPolicy.hasAttemptsLeft(generation)) {
             giveUp(generation, GiveUpReason.ATTEMPTS_USED);
         } else if (generation.heldRead() == null) {
             readOrWait(generation);
@@ -244,20 +242,20 @@
 
     private void readOrWait(Generation generation) {
         Engine reader =
-                probes.areReadersAwaited(generation)
+                probes.isAwaitingReaderReports(generation)
                         ? null
                         : selection.readers().select(generation);
         if (reader != null) {
-            attempts.sendRead(generation, reader);
+            dispatcher.sendRead(generation, reader);
             return;
         }
-        generation.startWaiting(known.affinity().leastTokensToRead(generation));
+        generation.startWaiting(engineView.affinity().minTokensToRead(generation));
     }
 
     private void writeOrGiveUp(Generation generation) {
         Engine writer = selection.writers().select(generation);
         if (writer != null) {
-            attempts.sendWrite(generation, writer);
+            dispatcher.sendWrite(generation, writer);
         } else {
             giveUp(generation, GiveUpReason.NO_WRITER);
         }
@@ -265,8 +263,8 @@
 
     private void giveUp(Generation generation, GiveUpReason reason) {
         generation.recordGiveUp(reason);
-        attempts.cancelAll(generation);
+        dispatcher.cancelAll(generation);
         clientDisconnected(generation);
-        retries.answerGivenUp(generation);
+        retryPolicy.answerGivenUp(generation);
     }
 }
--- a/src/test/java/larchridge/policy/LoadProbesTest.java
+++ b/src/test/java/larchridge/policy/LoadProbesTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When engines are probed for their load. */
+/** Tests when engines are probed for their load. */
 class LoadProbesTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
     @Test
-    void probesFollowGenerationsAndNotTheClock() {
+    void probesAreSentPerGenerationNotPeriodically() {
         fixture.settings.reportsWithProbes(true);
         RoutingPolicy probing = fixture.start();
         fixture.engines(4, 10);
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -15,11 +15,12 @@
 import larchridge.state.TrafficClass;
 
 /**
- * A router that records the actions of its policy, and short ways to build engines and generations.
+ * A fake router that records the actions of its policy, with helpers to create engines and
+ * generations.
  */
 final class RoutingPolicyFixture implements PolicyActions {
-    /** How often the policy has planned a wake-up. */
-    int wakes;
+    /** Number of wake-ups the policy has scheduled. */
+    int scheduledWakeUps;
 
     final List<String> actions = new ArrayList<>();
     final List<Attempt> sent = new ArrayList<>();
@@ -66,8 +67,8 @@
         return engines;
     }
 
-    static TrafficClass trafficClass(Effect effect, DeduplicationScope span) {
-        return new TrafficClass("p", effect, span, 5000, 1, 0.1, 1000, 0.04, 60);
+    static TrafficClass trafficClass(Effect effect, DeduplicationScope scope) {
+        return new TrafficClass("p", effect, scope, 5000, 1, 0.1, 1000, 0.04, 60);
     }
 
     Generation generation(String id) {
@@ -137,7 +138,7 @@
 
     @Override
     public void wakeAt(double atMs) {
-        wakes++;
+        scheduledWakeUps++;
     }
 
     @Override
--- a/src/test/java/larchridge/policy/SlowStartTest.java
+++ b/src/test/java/larchridge/policy/SlowStartTest.java
@@ -9,12 +9,12 @@
 import larchridge.state.Role;
 import org.junit.jupiter.api.Test;
 
-/** Engines whose process has just started. */
+/** Tests engines whose process has just started. */
 class SlowStartTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
     @Test
-    void manyRoutersTogetherKeepToTheBudgetOfAWarmingEngine() {
+    void routersTogetherStayWithinTheSlowStartBudget() {
         fixture.settings.routers(150);
         int attempts = 0;
         for (int router = 0; router < 150; router++) {
