--- a/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
+++ b/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
@@ -29,7 +29,7 @@
     private EventStreamSplitter events;
 
     /** Null until a part of a completed read's body was received. */
-    private SmallBody readBody;
+    private BoundedBody readBody;
 
     private LoadReport loadReport;
 
@@ -43,7 +43,7 @@
     }
 
     /** Reads the load report in the response's headers, and prepares for an answer's events. */
-    void responseHead(HttpResponse response) {
+    void responseHeadReceived(HttpResponse response) {
         if (response.status().code() == HttpResponseStatus.OK.code()) {
             events = new EventStreamSplitter(MAX_EVENT_BYTES, LOAD_REPORT_NAME);
         }
@@ -53,7 +53,7 @@
     /** Takes a part of the body of a completed read; false if it is too long. */
     boolean appendReadBody(ByteBuf content) {
         if (readBody == null) {
-            readBody = new SmallBody();
+            readBody = new BoundedBody();
         }
         return readBody.append(content);
     }
--- a/src/main/java/larchridge/node/upstream/SmallBody.java
+++ b/src/main/java/larchridge/node/upstream/BoundedBody.java
@@ -5,11 +5,11 @@
 import java.io.ByteArrayOutputStream;
 
 /** The body of a response that is short by its nature, kept up to a limit. */
-final class SmallBody extends ByteArrayOutputStream {
+final class BoundedBody extends ByteArrayOutputStream {
     private static final int INITIAL_BYTES = 64;
     private static final int MAX_BYTES = 4096;
 
-    SmallBody() {
+    BoundedBody() {
         super(INITIAL_BYTES);
     }
 
--- a/src/main/java/larchridge/node/upstream/ConnectionPool.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPool.java
@@ -21,13 +21,13 @@
      * Part of an engine's keep-alive time up to which a connection is used; the rest is for what is
      * on its way.
      */
-    private static final double KEEP_ALIVE_PART = 0.8;
+    private static final double KEEP_ALIVE_FRACTION = 0.8;
 
     /** A process may be stalled for so long between choosing a connection and writing to it. */
     private static final double MAX_STALL_MS = 150;
 
     private final Endpoint endpoint;
-    private final ConnectionPools owner;
+    private final ConnectionPools pools;
 
     /** Idle connections, the most recently used first. */
     private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
@@ -38,8 +38,8 @@
     private int inFlightAttempts;
     private double lastReceivedMs = Double.NEGATIVE_INFINITY;
 
-    ConnectionPool(ConnectionPools owner, Endpoint endpoint) {
-        this.owner = owner;
+    ConnectionPool(ConnectionPools pools, Endpoint endpoint) {
+        this.pools = pools;
         this.endpoint = endpoint;
     }
 
@@ -72,7 +72,7 @@
 
     /** Takes an idle connection that can be used, or null if there is none. */
     UpstreamConnection takeIdle() {
-        double nowMs = owner.nowMs();
+        double nowMs = pools.nowMs();
         double limitMs = idleLimitMs();
         for (UpstreamConnection connection : idle) {
             double idleMs = nowMs - connection.idleSinceMs();
@@ -92,17 +92,17 @@
         UpstreamConnection newest = idle.peekFirst();
         return newest != null
                 && newest.isUsable()
-                && owner.nowMs() - newest.idleSinceMs() < idleLimitMs();
+                && pools.nowMs() - newest.idleSinceMs() < idleLimitMs();
     }
 
     void addOpening(UpstreamConnection connection) {
-        connection.setIdleSince(owner.nowMs());
+        connection.setIdleSince(pools.nowMs());
         all.add(connection);
     }
 
     /** Keeps a connection whose response has just been read. */
     void returnAfterResponse(UpstreamConnection connection) {
-        connection.setIdleSince(owner.nowMs());
+        connection.setIdleSince(pools.nowMs());
         lastReceivedMs = connection.idleSinceMs();
         returnUnused(connection);
     }
@@ -128,7 +128,7 @@
     void remove(UpstreamConnection connection, CloseReason reason) {
         if (all.remove(connection)) {
             idle.remove(connection);
-            owner.connectionClosed(reason);
+            pools.connectionClosed(reason);
         }
     }
 
@@ -159,7 +159,7 @@
 
     /** A connection that was idle for so long is not used any more. */
     double idleLimitMs() {
-        double keepAliveMs = owner.limits().keepAliveMs();
-        return Math.min(keepAliveMs * KEEP_ALIVE_PART, keepAliveMs - MAX_STALL_MS);
+        double keepAliveMs = pools.limits().keepAliveMs();
+        return Math.min(keepAliveMs * KEEP_ALIVE_FRACTION, keepAliveMs - MAX_STALL_MS);
     }
 }
--- a/src/main/java/larchridge/node/upstream/ControlCall.java
+++ b/src/main/java/larchridge/node/upstream/ControlCall.java
@@ -16,7 +16,7 @@
     private final Scheduler scheduler;
     private final ConnectionPools pools;
     private final Endpoint endpoint;
-    private final SmallBody body = new SmallBody();
+    private final BoundedBody body = new BoundedBody();
     private int status;
     private UpstreamConnection connection;
     private boolean ended;
@@ -69,13 +69,13 @@
     }
 
     @Override
-    public final boolean responseHead(HttpResponse response) {
+    public final boolean responseHeadReceived(HttpResponse response) {
         status = response.status().code();
         return true;
     }
 
     @Override
-    public final boolean responseBody(ByteBuf content) {
+    public final boolean responseBodyReceived(ByteBuf content) {
         return body.append(content);
     }
 
--- a/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
+++ b/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
@@ -97,7 +97,7 @@
      */
     private boolean accept(int start, int end) {
         if (buffer[start] == ':') {
-            comment(start, end);
+            parseComment(start, end);
             return false;
         }
         if (done) {
@@ -118,7 +118,7 @@
         return true;
     }
 
-    private void comment(int start, int end) {
+    private void parseComment(int start, int end) {
         String text =
                 new String(buffer, start + 1, end - start - 1, StandardCharsets.ISO_8859_1).strip();
         if (text.startsWith(loadReportName + ":")) {
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -20,14 +20,14 @@
  */
 final class ForwardedAttempt
         implements UpstreamExchange, AttemptHandle, StateReservation.ReleaseListener {
-    private static final int NOT_WRITTEN = -1;
+    private static final int NO_EVENT_NUMBER = -1;
 
     /** Nothing but the end itself is known of an answer whose events are not parsed. */
     private static final Completion UNPARSED_COMPLETION =
             new Completion(
                     Completion.FinishReason.END_OF_TURN, null, Completion.TOKENS_UNREPORTED, 0);
 
-    private static final HeldAtEngine HELD_AT_ENGINE = new HeldAtEngine();
+    private static final EmptyStateHandle EMPTY_STATE_HANDLE = new EmptyStateHandle();
 
     private final UpstreamContext context;
     private final AttemptRequest attemptRequest;
@@ -45,10 +45,10 @@
     private boolean paused;
 
     /** The number that {@link larchridge.audit.RequestEvents} gave the attempt. */
-    private int eventNumber = NOT_WRITTEN;
+    private int eventNumber = NO_EVENT_NUMBER;
 
     /** A read state is held under the request's own id, so that a handle has nothing to name. */
-    private static final class HeldAtEngine implements StateHandle {}
+    private static final class EmptyStateHandle implements StateHandle {}
 
     ForwardedAttempt(
             UpstreamContext context,
@@ -114,7 +114,7 @@
 
     /** It is not written, for a reason that says nothing about the engine. */
     private void reject(SendRejection reason) {
-        classifier.rejected();
+        classifier.sendRejected();
         if (state != AttemptState.ENDED) {
             listener.notSent(reason);
         }
@@ -123,7 +123,7 @@
 
     @Override
     public void requestWritten() {
-        classifier.written();
+        classifier.requestWritten();
     }
 
     @Override
@@ -138,10 +138,10 @@
     // ------------------------------------------------------------------ response
 
     @Override
-    public boolean responseHead(HttpResponse response) {
-        classifier.responseHead(
+    public boolean responseHeadReceived(HttpResponse response) {
+        classifier.responseHeadReceived(
                 response.status().code(), AttemptResponseDecoder.isDeclined(response));
-        decoder.responseHead(response);
+        decoder.responseHeadReceived(response);
         // Guards against: a stream without chunks has no end of its own, so that the end of the
         // connection would pass for it.
         return !classifier.isAnswer()
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public boolean responseBody(ByteBuf content) {
+    public boolean responseBodyReceived(ByteBuf content) {
         if (classifier.isCompletedRead()) {
             return decoder.appendReadBody(content);
         }
@@ -195,7 +195,7 @@
                 endRead(cachedTokens);
                 return true;
             }
-            classifier.malformed();
+            classifier.responseMalformed();
         }
         end();
         return true;
@@ -212,7 +212,7 @@
 
     @Override
     public void responseMalformed() {
-        classifier.malformed();
+        classifier.responseMalformed();
         end();
     }
 
@@ -234,7 +234,7 @@
     @Override
     public void expire() {
         if (state != AttemptState.ENDED) {
-            classifier.expired();
+            classifier.deadlineExpired();
             abandon();
         }
     }
@@ -269,7 +269,7 @@
      * a request in its queue.
      */
     @Override
-    public void releasedBesideAttempt() {
+    public void releasedDuringAttempt() {
         if (state != AttemptState.ENDED) {
             listener.stateReleased();
         }
@@ -283,10 +283,10 @@
     /** A read has ended well: its engine holds the state. */
     private void endRead(int cachedTokens) {
         state = AttemptState.ENDED;
-        leavePool();
+        recordEndInPool();
         context.events().readCompleted(reservation.requestId(), eventNumber);
         context.releaser().readCompleted(reservation);
-        listener.readCompleted(HELD_AT_ENGINE, cachedTokens, 0, decoder.loadReport());
+        listener.readCompleted(EMPTY_STATE_HANDLE, cachedTokens, 0, decoder.loadReport());
     }
 
     /** The attempt has ended in any other way. */
@@ -298,10 +298,10 @@
         if (paused && connection != null) {
             connection.setAutoRead(true);
         }
-        if (classifier.isUnusable()) {
+        if (classifier.isRequestUnprocessable()) {
             listener.requestUnprocessable();
         }
-        leavePool();
+        recordEndInPool();
         AttemptOutcome outcome = classifier.outcome();
         boolean responseReceived = classifier.hasResponse();
         context.events()
@@ -315,7 +315,7 @@
         listener.attemptEnded(outcome, decoder.loadReport(), UNPARSED_COMPLETION);
     }
 
-    private void leavePool() {
+    private void recordEndInPool() {
         pool.attemptEnded();
         if (classifier.hasResponse()) {
             pool.recordReceived(context.scheduler().nowMs());
--- a/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -21,20 +21,20 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private boolean written;
+    private boolean requestWritten;
     private int status = NO_STATUS;
     private boolean declined;
-    private boolean malformed;
+    private boolean responseMalformed;
     private boolean streamComplete;
-    private boolean abandoned;
-    private boolean expired;
-    private boolean rejected;
+    private boolean cancelled;
+    private boolean deadlineExpired;
+    private boolean sendRejected;
 
     /**
      * The last byte of the request was written to the socket: from here on the engine may run it.
      */
-    void written() {
-        written = true;
+    void requestWritten() {
+        requestWritten = true;
     }
 
     /**
@@ -43,7 +43,7 @@
      * @param code the status
      * @param declinedByEngine whether the engine itself states that it did not run the request
      */
-    void responseHead(int code, boolean declinedByEngine) {
+    void responseHeadReceived(int code, boolean declinedByEngine) {
         status = code;
         declined = declinedByEngine;
     }
@@ -64,8 +64,8 @@
     }
 
     /** What was received can't be decoded, or does not fit the request. */
-    void malformed() {
-        malformed = true;
+    void responseMalformed() {
+        responseMalformed = true;
     }
 
     /** The stream of events came to its proper end. */
@@ -75,26 +75,26 @@
 
     /** The sender cancelled the attempt. */
     void cancelled() {
-        abandoned = true;
-        expired = false;
+        cancelled = true;
+        deadlineExpired = false;
     }
 
     /** The sender's time for the attempt is over. */
-    void expired() {
-        abandoned = true;
-        expired = true;
+    void deadlineExpired() {
+        cancelled = true;
+        deadlineExpired = true;
     }
 
     /** This node kept the attempt from being written. */
-    void rejected() {
-        rejected = true;
+    void sendRejected() {
+        sendRejected = true;
     }
 
     /** Whether the engine says that no engine can use the request as it is. */
-    boolean isUnusable() {
+    boolean isRequestUnprocessable() {
         return !declined
-                && !malformed
-                && !abandoned
+                && !responseMalformed
+                && !cancelled
                 && status >= FIRST_CLIENT_ERROR
                 && status < FIRST_SERVER_ERROR
                 && status != REQUEST_TIMEOUT
@@ -103,26 +103,26 @@
 
     /** The outcome, once nothing more can be received. */
     AttemptOutcome outcome() {
-        if (streamComplete && !malformed && isAnswer()) {
+        if (streamComplete && !responseMalformed && isAnswer()) {
             return AttemptOutcome.STREAMED;
         }
-        if (!written && status == NO_STATUS) {
-            return rejected || abandoned ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
+        if (!requestWritten && status == NO_STATUS) {
+            return sendRejected || cancelled ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
         if (declined
-                && !malformed
+                && !responseMalformed
                 && (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)) {
             return AttemptOutcome.FULL;
         }
-        if (declined && !malformed && status == GONE) {
+        if (declined && !responseMalformed && status == GONE) {
             return AttemptOutcome.NO_STATE;
         }
-        if (abandoned) {
-            return expired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
+        if (cancelled) {
+            return deadlineExpired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
         // Guards against: malformed input in place of a response proves nothing about what ran
         // before it.
-        if (malformed) {
+        if (responseMalformed) {
             return AttemptOutcome.FAULT;
         }
         return status == NO_STATUS || isAnswer() || isCompletedRead()
--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -8,8 +8,8 @@
 
 /** Reads load reports: figures under the names that the settings use. */
 final class LoadReportReader {
-    private static final int MAX_CHARACTERS = 512;
-    private static final double MAX_FIGURE = 1e12;
+    private static final int MAX_REPORT_CHARACTERS = 512;
+    private static final double IMPLAUSIBLE_VALUE = 1e12;
 
     private final List<String> fields;
 
@@ -19,10 +19,10 @@
 
     /** Reads a text such as {@code a=7,b=0.61}; null if it is not a valid report. */
     LoadReport read(String text) {
-        if (text == null || text.isEmpty() || text.length() > MAX_CHARACTERS) {
+        if (text == null || text.isEmpty() || text.length() > MAX_REPORT_CHARACTERS) {
             return null;
         }
-        Map<String, Double> figures = new HashMap<>();
+        Map<String, Double> values = new HashMap<>();
         for (String pair : text.strip().split(",")) {
             int equals = pair.indexOf('=');
             if (equals <= 0) {
@@ -30,19 +30,19 @@
             }
             String name = pair.substring(0, equals).strip();
             try {
-                double figure = Double.parseDouble(pair.substring(equals + 1).strip());
-                if (!(figure >= 0 && figure < MAX_FIGURE)) {
+                double value = Double.parseDouble(pair.substring(equals + 1).strip());
+                if (!(value >= 0 && value < IMPLAUSIBLE_VALUE)) {
                     return null;
                 }
                 if (fields.contains(name)) {
-                    figures.put(name, figure);
+                    values.put(name, value);
                 }
             } catch (NumberFormatException e) {
                 return null;
             }
         }
-        return figures.isEmpty()
+        return values.isEmpty()
                 ? null
-                : DeploymentSettingsReader.report(name -> figures.getOrDefault(name, Double.NaN));
+                : DeploymentSettingsReader.report(name -> values.getOrDefault(name, Double.NaN));
     }
 }
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -25,28 +25,28 @@
  */
 final class StateReleaser {
     /** A release is tried this many times within the time for which a state may be held. */
-    private static final int TRIES_IN_TIME = 5;
+    private static final int TRIES_PER_HOLD_TIME = 5;
 
     /** One beside an attempt starts late, and is tried this many times up to the latest moment. */
-    private static final int LATE_TRIES = 4;
+    private static final int TRIES_DURING_ATTEMPT = 4;
 
     /** A release is tried this many times in all, each at another engine. */
     private static final int MAX_TRIES = 10;
 
     /** The platform counts a state as held for too long only this much after its time. */
-    private static final double GRACE_MS = 300;
+    private static final double HOLD_GRACE_MS = 300;
 
     /** Requests that are kept account of at a time. */
-    private static final int MAX_REQUESTS = 20_000;
+    private static final int MAX_TRACKED_REQUESTS = 20_000;
 
     /**
      * A release is sent at this part of the time for a held state; the rest is for tries at engines
      * that do not answer.
      */
-    private static final double RELEASE_PART = 0.85;
+    private static final double RELEASE_AT_FRACTION = 0.85;
 
     /** A release that this machine could not send is tried again for so many times that time. */
-    private static final double LOCAL_FAULT_PART = 5;
+    private static final double LOCAL_FAILURE_RETRY_FACTOR = 5;
 
     private static final Logger LOG = LoggerFactory.getLogger(StateReleaser.class);
 
@@ -57,7 +57,7 @@
     private final double tryTimeoutMs;
 
     /** The same for a release that is sent beside an attempt. */
-    private final double lateTryTimeoutMs;
+    private final double duringAttemptTryTimeoutMs;
 
     private final Transport transport;
 
@@ -84,9 +84,9 @@
         this.scheduler = scheduler;
         this.stateHoldMs = stateHoldMs;
         this.transport = transport;
-        tryTimeoutMs = stateHoldMs / TRIES_IN_TIME;
-        lateTryTimeoutMs =
-                Math.min(tryTimeoutMs, ((1 - RELEASE_PART) * stateHoldMs + GRACE_MS) / LATE_TRIES);
+        tryTimeoutMs = stateHoldMs / TRIES_PER_HOLD_TIME;
+        duringAttemptTryTimeoutMs =
+                Math.min(tryTimeoutMs, ((1 - RELEASE_AT_FRACTION) * stateHoldMs + HOLD_GRACE_MS) / TRIES_DURING_ATTEMPT);
     }
 
     // ------------------------------------------------------------------ what happens to attempts
@@ -103,7 +103,7 @@
     void readCompleted(StateReservation reservation) {
         reservation.attemptEnded();
         markHeld(reservation);
-        settleLater(reservation);
+        scheduleReleaseOrRemove(reservation);
     }
 
     /** A response has started, and its attempt has fetched what was held. */
@@ -127,7 +127,7 @@
             cancelHoldTimer(reservation);
             markHeld(reservation);
         }
-        settleLater(reservation);
+        scheduleReleaseOrRemove(reservation);
     }
 
     // ------------------------------------------------------------------ releases
@@ -136,7 +136,7 @@
     void release(String requestId, Endpoint holder) {
         StateReservation reservation = reservations.get(requestId);
         if (reservation == null) {
-            if (reservations.size() >= MAX_REQUESTS) {
+            if (reservations.size() >= MAX_TRACKED_REQUESTS) {
                 LOG.atWarn()
                         .addKeyValue("id", requestId)
                         .log("too many releases under way; a state is left to its engine");
@@ -149,7 +149,7 @@
         if (reservation.mayBeFetched() && !reservation.hasHoldTimer()) {
             markHeld(reservation);
         }
-        settleLater(reservation);
+        scheduleReleaseOrRemove(reservation);
     }
 
     /** Whether a release is requested or under way. */
@@ -171,12 +171,12 @@
         if (!reservation.hasHoldTimer()) {
             reservation.holdTimerStarted(
                     scheduler.schedule(
-                            RELEASE_PART * stateHoldMs, () -> holdTimeEnding(reservation)));
+                            RELEASE_AT_FRACTION * stateHoldMs, () -> holdTimeExpiring(reservation)));
         }
     }
 
-    private void holdTimeEnding(StateReservation reservation) {
-        reservation.removeHoldTimer();
+    private void holdTimeExpiring(StateReservation reservation) {
+        reservation.clearHoldTimer();
         if (!reservation.mayBeHeld() || reservation.isReleasing()) {
             return;
         }
@@ -186,23 +186,23 @@
                 .log(
                         "releases a state before its time is over, "
                                 + "beside attempts that were not heard of");
-        boolean besideAttempt = reservation.mayBeFetched();
+        boolean duringAttempt = reservation.mayBeFetched();
         startRelease(
                 reservation,
-                besideAttempt ? ReleaseMode.BESIDE_ATTEMPT : ReleaseMode.AFTER_ATTEMPTS);
-        if (besideAttempt) {
-            reservation.notifyReleasedBesideAttempt();
+                duringAttempt ? ReleaseMode.DURING_ATTEMPT : ReleaseMode.AFTER_ATTEMPTS);
+        if (duringAttempt) {
+            reservation.notifyReleasedDuringAttempt();
         }
     }
 
     private void cancelHoldTimer(StateReservation reservation) {
         if (reservation.hasHoldTimer()) {
-            scheduler.cancel(reservation.removeHoldTimer());
+            scheduler.cancel(reservation.clearHoldTimer());
         }
     }
 
-    private void settleLater(StateReservation reservation) {
-        scheduler.execute(() -> settle(reservation));
+    private void scheduleReleaseOrRemove(StateReservation reservation) {
+        scheduler.execute(() -> releaseOrRemove(reservation));
     }
 
     /**
@@ -210,62 +210,62 @@
      * whole request; sent earlier than it has to be, it could free the state that an attempt on its
      * way is to fetch.
      */
-    private void settle(StateReservation reservation) {
+    private void releaseOrRemove(StateReservation reservation) {
         if (reservation.isReleaseRequested()
                 && !reservation.isReleasing()
                 && !reservation.mayBeFetched()) {
             startRelease(reservation, ReleaseMode.AFTER_ATTEMPTS);
         } else if (reservation.isIdle()) {
-            forget(reservation);
+            remove(reservation);
         }
     }
 
-    private void forget(StateReservation reservation) {
+    private void remove(StateReservation reservation) {
         cancelHoldTimer(reservation);
         reservations.remove(reservation.requestId(), reservation);
     }
 
     private void startRelease(StateReservation reservation, ReleaseMode mode) {
         reservation.releaseStarted(mode, scheduler.nowMs());
-        tryNext(reservation);
+        sendToNextEndpoint(reservation);
     }
 
-    private void tryNext(StateReservation reservation) {
+    private void sendToNextEndpoint(StateReservation reservation) {
         Set<Endpoint> tried = reservation.triedEndpoints();
         Endpoint endpoint =
                 tried.size() < MAX_TRIES
                         ? transport.nextEndpoint(reservation.holder(), tried)
                         : null;
         if (endpoint == null) {
-            allTried(reservation);
+            endpointsExhausted(reservation);
             return;
         }
         reservation.recordTry(endpoint);
         transport.release(
                 endpoint,
                 reservation.requestId(),
-                reservation.isReleasingBesideAttempt() ? lateTryTimeoutMs : tryTimeoutMs,
-                result -> tryEnded(reservation, result));
+                reservation.isReleasingDuringAttempt() ? duringAttemptTryTimeoutMs : tryTimeoutMs,
+                result -> tryCompleted(reservation, result));
     }
 
-    private void tryEnded(StateReservation reservation, ControlCallResult result) {
-        boolean stillWanted =
-                reservation.isReleasingBesideAttempt()
+    private void tryCompleted(StateReservation reservation, ControlCallResult result) {
+        boolean stillNeeded =
+                reservation.isReleasingDuringAttempt()
                         ? !reservation.hasResponseStarted()
                         : !reservation.mayBeFetched();
         if (result == ControlCallResult.ANSWERED) {
             if (!reservation.mayBeFetched()) {
-                reservation.markFreed();
+                reservation.markReleased();
                 cancelHoldTimer(reservation);
             }
             // Else a state that a request in an engine's queue waits for stays, and is released
             // after that attempt's end.
             releaseEnded(reservation);
-        } else if (stillWanted) {
+        } else if (stillNeeded) {
             if (result == ControlCallResult.NOT_SENT) {
                 reservation.recordUnsentTry();
             }
-            tryNext(reservation);
+            sendToNextEndpoint(reservation);
         } else {
             reservation.requestReleaseAgain();
             releaseEnded(reservation);
@@ -276,11 +276,11 @@
      * No engine has taken it. Where this machine could not send, for want of a descriptor or a
      * buffer, that passes: all are tried anew a little later.
      */
-    private void allTried(StateReservation reservation) {
+    private void endpointsExhausted(StateReservation reservation) {
         double sinceStartMs = scheduler.nowMs() - reservation.releaseStartMs();
-        if (reservation.hasUnsentTry() && sinceStartMs < LOCAL_FAULT_PART * stateHoldMs) {
+        if (reservation.hasUnsentTry() && sinceStartMs < LOCAL_FAILURE_RETRY_FACTOR * stateHoldMs) {
             reservation.clearTries();
-            scheduler.schedule(tryTimeoutMs, () -> tryNext(reservation));
+            scheduler.schedule(tryTimeoutMs, () -> sendToNextEndpoint(reservation));
             return;
         }
         LOG.atWarn()
@@ -291,6 +291,6 @@
 
     private void releaseEnded(StateReservation reservation) {
         reservation.releaseEnded();
-        settleLater(reservation);
+        scheduleReleaseOrRemove(reservation);
     }
 }
--- a/src/main/java/larchridge/node/upstream/StateReservation.java
+++ b/src/main/java/larchridge/node/upstream/StateReservation.java
@@ -50,13 +50,13 @@
         /** One that waited until no attempt could fetch the state any more. */
         AFTER_ATTEMPTS,
         /** One sent beside an attempt, since the time for which the state may be held runs out. */
-        BESIDE_ATTEMPT
+        DURING_ATTEMPT
     }
 
     /** Notified of releases that an attempt in flight did not wait for. */
     interface ReleaseListener {
         /** The state that the attempt is to fetch is being released beside it. */
-        void releasedBesideAttempt();
+        void releasedDuringAttempt();
     }
 
     StateReservation(String requestId) {
@@ -102,9 +102,9 @@
         releaseListener = null;
     }
 
-    void notifyReleasedBesideAttempt() {
+    void notifyReleasedDuringAttempt() {
         if (releaseListener != null) {
-            releaseListener.releasedBesideAttempt();
+            releaseListener.releasedDuringAttempt();
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     /** No engine holds a state any more. */
-    void markFreed() {
+    void markReleased() {
         mayBeHeld = false;
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** Forgets the timer, which has fired or is being cancelled; returns its number. */
-    long removeHoldTimer() {
+    long clearHoldTimer() {
         long timer = holdTimer;
         holdTimer = NO_TIMER;
         return timer;
@@ -169,8 +169,8 @@
         return releaseMode != ReleaseMode.NONE;
     }
 
-    boolean isReleasingBesideAttempt() {
-        return releaseMode == ReleaseMode.BESIDE_ATTEMPT;
+    boolean isReleasingDuringAttempt() {
+        return releaseMode == ReleaseMode.DURING_ATTEMPT;
     }
 
     /** A release is under way from now on. */
--- a/src/main/java/larchridge/node/upstream/UpstreamConnection.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamConnection.java
@@ -40,7 +40,7 @@
     private boolean informational;
 
     /** The response allows further exchanges on this connection. */
-    private boolean keepsAlive;
+    private boolean keepAlive;
 
     /** The response is complete, and the connection may be used again when this read ends. */
     private boolean reusableAfterRead;
@@ -135,69 +135,69 @@
                 close(CloseReason.BAD_INPUT);
                 return;
             }
-            received((HttpObject) message);
+            partReceived((HttpObject) message);
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void received(HttpObject part) {
+    private void partReceived(HttpObject part) {
         if (part.decoderResult().isFailure()) {
-            malformed(part.decoderResult().cause());
+            closeMalformed(part.decoderResult().cause());
             return;
         }
-        if (part instanceof HttpResponse response && !receivedHead(response)) {
+        if (part instanceof HttpResponse response && !headReceived(response)) {
             return;
         }
         if (part instanceof HttpContent content && !informational) {
-            receivedContent(content);
+            contentReceived(content);
         }
     }
 
     /** Takes the head of a response; false if nothing else of this part is to be read. */
-    private boolean receivedHead(HttpResponse response) {
+    private boolean headReceived(HttpResponse response) {
         informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
         if (informational) {
             return false;
         }
-        keepsAlive = HttpUtil.isKeepAlive(response) && hasExplicitEnd(response);
-        if (!exchange.responseHead(response)) {
-            malformed(response.status());
+        keepAlive = HttpUtil.isKeepAlive(response) && hasSelfDefinedLength(response);
+        if (!exchange.responseHeadReceived(response)) {
+            closeMalformed(response.status());
             return false;
         }
         return true;
     }
 
     /** Whether the response's end shows without the end of the connection. */
-    private static boolean hasExplicitEnd(HttpResponse response) {
+    private static boolean hasSelfDefinedLength(HttpResponse response) {
         return HttpUtil.isTransferEncodingChunked(response)
                 || HttpUtil.isContentLengthSet(response)
                 || response.status().code() == HttpResponseStatus.NO_CONTENT.code();
     }
 
-    private void receivedContent(HttpContent content) {
-        if (content.content().isReadable() && !exchange.responseBody(content.content())) {
-            malformed("body");
+    private void contentReceived(HttpContent content) {
+        if (content.content().isReadable() && !exchange.responseBodyReceived(content.content())) {
+            closeMalformed("body");
             return;
         }
         if (content instanceof LastHttpContent) {
-            receivedEnd();
+            endReceived();
         }
     }
 
-    private void receivedEnd() {
+    private void endReceived() {
         UpstreamExchange ended = exchange;
         // Guards against: after a response that precedes the request's last byte, requests and
         // responses of this connection would not correspond any more.
-        boolean inOrder = keepsAlive && requestWritten;
-        reusableAfterRead = ended.responseCompleted() && inOrder;
+        boolean inSync = keepAlive && requestWritten;
+        reusableAfterRead = ended.responseCompleted() && inSync;
         exchange = reusableAfterRead ? exchange : null;
         if (!reusableAfterRead) {
             close(CloseReason.LAST_ANSWER);
         }
     }
 
-    private void malformed(Object detail) {
+    private void closeMalformed(Object detail) {
         LOG.debug("an answer of {} can't be read: {}", pool.endpoint(), detail);
         UpstreamExchange ended = exchange;
         exchange = null;
@@ -231,7 +231,7 @@
         if (cause instanceof IOException) {
             close(CloseReason.IO_FAILURE);
         } else {
-            malformed(cause);
+            closeMalformed(cause);
         }
     }
 
--- a/src/main/java/larchridge/node/upstream/UpstreamExchange.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -18,10 +18,10 @@
     default void requestWritten() {}
 
     /** The response's status and headers; false if they can't be used. */
-    boolean responseHead(HttpResponse response);
+    boolean responseHeadReceived(HttpResponse response);
 
     /** A part of the response's body; false if it can't be used. */
-    boolean responseBody(ByteBuf content);
+    boolean responseBodyReceived(ByteBuf content);
 
     /** The end of the response; false if the connection must not be used again. */
     boolean responseCompleted();
--- a/src/main/java/larchridge/upstream/AttemptRequest.java
+++ b/src/main/java/larchridge/upstream/AttemptRequest.java
@@ -10,7 +10,7 @@
  * @param model the model's name as the engine knows it
  * @param prompt the prompt's text
  * @param maxTokens the most tokens that may be written
- * @param stops texts that end the answer
+ * @param stopSequences texts that end the answer
  * @param sampling how tokens are sampled
  * @param state the read state to fetch, or null to read in place (or to read only)
  * @param idempotencyKey the key by which engines drop duplicates, or null
@@ -23,7 +23,7 @@
         String model,
         String prompt,
         int maxTokens,
-        List<String> stops,
+        List<String> stopSequences,
         Sampling sampling,
         StateHandle state,
         String idempotencyKey,
--- a/src/main/java/larchridge/upstream/CompletionsAttempt.java
+++ b/src/main/java/larchridge/upstream/CompletionsAttempt.java
@@ -33,7 +33,7 @@
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MAX_BODY_OR_LINE_BYTES = 1 << 20;
-    private static final String EVENT_PREFIX = "data:";
+    private static final String DATA_PREFIX = "data:";
     private static final String END_OF_STREAM = "[DONE]";
 
     private final AttemptRequest attemptRequest;
@@ -46,7 +46,7 @@
     private LoadReport loadReport;
 
     /** Whether the last call to the listener was made, or is scheduled. */
-    private boolean done;
+    private boolean ended;
 
     private boolean paused;
     private boolean responseStarted;
@@ -78,22 +78,22 @@
         if (attemptRequest.idempotencyKey() != null) {
             options.putHeader("idempotency-key", attemptRequest.idempotencyKey());
         }
-        client.request(options).onComplete(connection -> connected(connection, body));
+        client.request(options).onComplete(requestResult -> connected(requestResult, body));
     }
 
-    private void connected(AsyncResult<HttpClientRequest> connection, ObjectNode body) {
-        if (done) {
+    private void connected(AsyncResult<HttpClientRequest> requestResult, ObjectNode body) {
+        if (ended) {
             // Cancelled while it waited for a connection: nothing was written.
-            if (connection.succeeded()) {
-                connection.result().reset();
+            if (requestResult.succeeded()) {
+                requestResult.result().reset();
             }
             return;
         }
-        if (connection.failed()) {
-            finishLater(AttemptClassifier.connectionFailed(connection.cause()));
+        if (requestResult.failed()) {
+            finishLater(AttemptClassifier.connectionFailed(requestResult.cause()));
             return;
         }
-        request = connection.result();
+        request = requestResult.result();
         // Guards against: an attempt that waited for a connection would reach an engine that has
         // begun to drain since.
         if (attemptRequest.sendCheck().rejection() != null) {
@@ -105,9 +105,9 @@
         request.exceptionHandler(e -> connectionLost());
         request.response()
                 .onComplete(
-                        arrival -> {
-                            if (arrival.succeeded()) {
-                                responseReceived(arrival.result());
+                        responseResult -> {
+                            if (responseResult.succeeded()) {
+                                responseReceived(responseResult.result());
                             } else {
                                 connectionLost();
                             }
@@ -117,7 +117,7 @@
     }
 
     private void responseReceived(HttpClientResponse received) {
-        if (done) {
+        if (ended) {
             return;
         }
         response = received;
@@ -149,14 +149,14 @@
         lines.exceptionHandler(e -> malformed());
         response.handler(
                 part -> {
-                    if (!done) {
+                    if (!ended) {
                         lines.handle(part);
                         scheduleBatchNotification();
                     }
                 });
         response.endHandler(
                 end -> {
-                    if (!done) {
+                    if (!ended) {
                         classifier.bodyEnded();
                         finish(classifier.outcome());
                     }
@@ -171,12 +171,12 @@
      * is notified when the event loop has handled them all.
      */
     private void scheduleBatchNotification() {
-        if (responseStarted && !done && !batchNotificationScheduled) {
+        if (responseStarted && !ended && !batchNotificationScheduled) {
             batchNotificationScheduled = true;
             loop.runOnContext(
                     v -> {
                         batchNotificationScheduled = false;
-                        if (!done) {
+                        if (!ended) {
                             listener.batchCompleted();
                         }
                     });
@@ -184,7 +184,7 @@
     }
 
     private void bodyCompleted() {
-        if (done) {
+        if (ended) {
             return;
         }
         classifier.bodyEnded();
@@ -196,13 +196,13 @@
             return;
         }
         JsonNode parameters =
-                body == null ? null : body.get(CompletionsRequestEncoder.TRANSFER_PARAMETERS);
+                body == null ? null : body.get(CompletionsRequestEncoder.TRANSFER_PARAMETERS_FIELD);
         if (parameters == null || !parameters.isObject()) {
             classifier.responseMalformed();
             finish(classifier.outcome());
             return;
         }
-        done = true;
+        ended = true;
         JsonNode usage = body.path("usage");
         listener.readCompleted(
                 new CompletionsRequestEncoder.TransferHandle(parameters),
@@ -212,10 +212,10 @@
     }
 
     private void lineReceived(String line) {
-        if (done || !line.startsWith(EVENT_PREFIX)) {
+        if (ended || !line.startsWith(DATA_PREFIX)) {
             return;
         }
-        String data = line.substring(EVENT_PREFIX.length()).strip();
+        String data = line.substring(DATA_PREFIX.length()).strip();
         if (data.equals(END_OF_STREAM)) {
             if (responseStarted) {
                 classifier.answerCompleted();
@@ -242,7 +242,7 @@
             responseStarted = true;
             listener.responseStarted();
         }
-        if (!text.isEmpty() && !done) {
+        if (!text.isEmpty() && !ended) {
             textEvents++;
             listener.textReceived(text);
         }
@@ -274,7 +274,7 @@
     }
 
     private void malformed() {
-        if (!done) {
+        if (!ended) {
             classifier.responseMalformed();
             request.reset();
             finish(classifier.outcome());
@@ -282,13 +282,13 @@
     }
 
     private void connectionLost() {
-        if (!done) {
+        if (!ended) {
             finish(classifier.outcome());
         }
     }
 
     private void finish(AttemptOutcome outcome) {
-        done = true;
+        ended = true;
         listener.attemptEnded(
                 outcome, loadReport, outcome == AttemptOutcome.STREAMED ? completion() : null);
     }
@@ -306,13 +306,13 @@
      * the middle of a decision and must not be re-entered.
      */
     private void finishLater(AttemptOutcome outcome) {
-        done = true;
+        ended = true;
         loop.runOnContext(v -> finish(outcome));
     }
 
     @Override
     public void cancel() {
-        if (!done) {
+        if (!ended) {
             classifier.cancelled();
             abort();
         }
@@ -320,7 +320,7 @@
 
     @Override
     public void expire() {
-        if (!done) {
+        if (!ended) {
             classifier.deadlineExpired();
             abort();
         }
@@ -328,7 +328,7 @@
 
     private void abort() {
         // Set before the reset, whose events must not end the attempt a second time.
-        done = true;
+        ended = true;
         if (request != null) {
             request.reset();
         }
--- a/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
+++ b/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
@@ -7,10 +7,10 @@
 /** Encodes attempts as request bodies of the completions API. */
 final class CompletionsRequestEncoder {
     /** The field that carries the hand-over of a read state, in requests and in responses. */
-    static final String TRANSFER_PARAMETERS = "kv_transfer_params";
+    static final String TRANSFER_PARAMETERS_FIELD = "kv_transfer_params";
 
-    private static final String LEAVE_STATE = "do_remote_decode";
-    private static final String FETCH_STATE = "do_remote_prefill";
+    private static final String REMOTE_DECODE_FIELD = "do_remote_decode";
+    private static final String REMOTE_PREFILL_FIELD = "do_remote_prefill";
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private CompletionsRequestEncoder() {}
@@ -27,7 +27,7 @@
         ObjectNode body = commonBody(attemptRequest);
         body.put("max_tokens", 1);
         body.put("stream", false);
-        body.putObject(TRANSFER_PARAMETERS).put(LEAVE_STATE, true).put(FETCH_STATE, false);
+        body.putObject(TRANSFER_PARAMETERS_FIELD).put(REMOTE_DECODE_FIELD, true).put(REMOTE_PREFILL_FIELD, false);
         return body;
     }
 
@@ -39,8 +39,8 @@
         body.putObject("stream_options").put("include_usage", true);
         if (attemptRequest.state() instanceof TransferHandle handle) {
             ObjectNode parameters = handle.transferParameters.deepCopy();
-            parameters.put(FETCH_STATE, true).put(LEAVE_STATE, false);
-            body.set(TRANSFER_PARAMETERS, parameters);
+            parameters.put(REMOTE_PREFILL_FIELD, true).put(REMOTE_DECODE_FIELD, false);
+            body.set(TRANSFER_PARAMETERS_FIELD, parameters);
         }
         return body;
     }
@@ -54,8 +54,8 @@
         ObjectNode body = MAPPER.createObjectNode();
         body.put("model", attemptRequest.model());
         body.put("prompt", attemptRequest.prompt());
-        if (!attemptRequest.stops().isEmpty()) {
-            attemptRequest.stops().forEach(body.putArray("stop")::add);
+        if (!attemptRequest.stopSequences().isEmpty()) {
+            attemptRequest.stopSequences().forEach(body.putArray("stop")::add);
         }
         AttemptRequest.Sampling sampling = attemptRequest.sampling();
         if (sampling.temperature() != null) {
--- a/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
+++ b/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
@@ -18,7 +18,7 @@
 final class CompletionsStateReleaser {
     private static final Logger LOG = LoggerFactory.getLogger(CompletionsStateReleaser.class);
     private static final int MAX_PENDING_RELEASES = 20_000;
-    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_TRIES = 4;
     private static final int BACKOFF_STEP_MS = 60;
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
 
@@ -46,10 +46,10 @@
             return;
         }
         pendingReleases++;
-        send(endpoint, attemptId, MAX_ATTEMPTS);
+        send(endpoint, attemptId, MAX_TRIES);
     }
 
-    private void send(Endpoint endpoint, String attemptId, int attemptsLeft) {
+    private void send(Endpoint endpoint, String attemptId, int triesLeft) {
         Buffer body = Buffer.buffer(CompletionsRequestEncoder.releaseBody(attemptId));
         client.request(
                         requestOptions
@@ -62,10 +62,10 @@
                         result -> {
                             if (result.succeeded() && isAcknowledged(result.result())) {
                                 pendingReleases--;
-                            } else if (attemptsLeft > 1) {
+                            } else if (triesLeft > 1) {
                                 vertx.setTimer(
-                                        (long) BACKOFF_STEP_MS * (1 + MAX_ATTEMPTS - attemptsLeft),
-                                        timer -> send(endpoint, attemptId, attemptsLeft - 1));
+                                        (long) BACKOFF_STEP_MS * (1 + MAX_TRIES - triesLeft),
+                                        timer -> send(endpoint, attemptId, triesLeft - 1));
                             } else {
                                 pendingReleases--;
                                 logUnreleased(endpoint, attemptId);
--- a/src/test/java/larchridge/node/upstream/EventStreamSplitterTest.java
+++ b/src/test/java/larchridge/node/upstream/EventStreamSplitterTest.java
@@ -54,14 +54,14 @@
 
     @Test
     void malformedEndlessAndTrailingEventsAreNotForwarded() {
-        String[] bad = {
+        String[] malformedStreams = {
             "noise\n\n",
             "data: {\u0001}\n\n",
             "data: \n\n",
             "x".repeat(2000),
             "data: [DONE]\n\ndata: {}\n\n"
         };
-        for (String text : bad) {
+        for (String text : malformedStreams) {
             EventStreamSplitter splitter = new EventStreamSplitter(1000, "Srv-Load");
             byte[] events = feed(splitter, text);
             assertTrue(splitter.isMalformed(), text);
--- a/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
+++ b/src/test/java/larchridge/node/upstream/ForwardedAttemptClassifierTest.java
@@ -10,9 +10,9 @@
 class ForwardedAttemptClassifierTest {
     private static ForwardedAttemptClassifier written(int status, boolean declined) {
         ForwardedAttemptClassifier classifier = new ForwardedAttemptClassifier();
-        classifier.written();
+        classifier.requestWritten();
         if (status > 0) {
-            classifier.responseHead(status, declined);
+            classifier.responseHeadReceived(status, declined);
         }
         return classifier;
     }
@@ -37,7 +37,7 @@
             assertFalse(written(status, false).outcome().provesNotRun, "status " + status);
         }
         ForwardedAttemptClassifier malformed = written(503, true);
-        malformed.malformed();
+        malformed.responseMalformed();
         assertFalse(malformed.outcome().provesNotRun);
     }
 
@@ -47,7 +47,7 @@
         written.cancelled();
         assertEquals(AttemptOutcome.CANCELLED, written.outcome());
         ForwardedAttemptClassifier late = written(0, false);
-        late.expired();
+        late.deadlineExpired();
         assertEquals(AttemptOutcome.TIMED_OUT, late.outcome());
         ForwardedAttemptClassifier early = new ForwardedAttemptClassifier();
         early.cancelled();
@@ -55,10 +55,10 @@
     }
 
     @Test
-    void declinedRequestsAreNotUnusable() {
-        assertTrue(written(400, false).isUnusable());
-        assertFalse(written(410, true).isUnusable());
-        assertFalse(written(503, true).isUnusable());
-        assertFalse(written(500, false).isUnusable());
+    void declinedRequestsAreNotUnprocessable() {
+        assertTrue(written(400, false).isRequestUnprocessable());
+        assertFalse(written(410, true).isRequestUnprocessable());
+        assertFalse(written(503, true).isRequestUnprocessable());
+        assertFalse(written(500, false).isRequestUnprocessable());
     }
 }
--- a/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
+++ b/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
@@ -13,7 +13,7 @@
             new LoadReportReader(List.of("concurrent", "depth", "x0", "x1"));
 
     @Test
-    void figuresAreReadByTheirNames() {
+    void valuesAreReadByTheirNames() {
         LoadReport report = reader.read("concurrent=7,x0=0.61,x1=1.5,other=4");
         assertEquals(7, report.inflight());
         assertEquals(0.61, report.memoryShare());
--- a/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
+++ b/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
@@ -15,18 +15,18 @@
 
 /** Where releases go, in virtual time. */
 class PooledReleaseTransportTest {
-    private final Map<Endpoint, EmbeddedChannel> up = new HashMap<>();
+    private final Map<Endpoint, EmbeddedChannel> reachable = new HashMap<>();
     private final List<Endpoint> tried = new ArrayList<>();
     private final ForwardingUpstreamClientFixture fixture =
             new ForwardingUpstreamClientFixture(
                     (endpoint, handlers) -> {
                         tried.add(endpoint);
                         EmbeddedChannel engine = new EmbeddedChannel(handlers);
-                        if (!up.containsKey(endpoint)) {
+                        if (!reachable.containsKey(endpoint)) {
                             // Its connection is never established.
                             return engine.newPromise();
                         }
-                        up.put(endpoint, engine);
+                        reachable.put(endpoint, engine);
                         return engine.newSucceededFuture();
                     });
 
@@ -35,10 +35,10 @@
     }
 
     /** An engine that answers a probe and has an idle connection from then on. */
-    private EmbeddedChannel answersProbe(Endpoint endpoint) {
-        up.put(endpoint, null);
+    private EmbeddedChannel connectAndProbe(Endpoint endpoint) {
+        reachable.put(endpoint, null);
         fixture.client.probe(endpoint, (answered, report) -> {});
-        EmbeddedChannel engine = up.get(endpoint);
+        EmbeddedChannel engine = reachable.get(endpoint);
         respond(engine, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         engine.releaseOutbound();
         fixture.advance(10);
@@ -47,17 +47,17 @@
 
     @Test
     void
-            releaseGoesOverAnIdleConnectionWhereItsHolderAndTheEnginesThatRespondedLastAreUnreachable() {
+            releasePrefersAnIdleConnectionIfTheHolderAndTheLastRespondersAreUnreachable() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             endpoints.add(endpoint(i));
         }
         fixture.client.updateEndpoints(endpoints);
-        EmbeddedChannel idle = answersProbe(endpoint(7));
+        EmbeddedChannel idle = connectAndProbe(endpoint(7));
         for (int i = 8; i < 12; i++) {
             // Responded later, and disconnected since.
-            answersProbe(endpoint(i)).close();
-            up.remove(endpoint(i));
+            connectAndProbe(endpoint(i)).close();
+            reachable.remove(endpoint(i));
         }
         tried.clear();
         fixture.client.release(endpoint(0), "9b1f03aa5c7e2d41.0");
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -16,7 +16,7 @@
     private static final double STATE_HOLD_MS = 1000;
 
     /** The platform's own allowance on top. */
-    private static final double GRACE_MS = 300;
+    private static final double HOLD_GRACE_MS = 300;
 
     private static final String REQUEST_ID = "9b1f03aa5c7e2d41";
     private static final Endpoint HOLDER = new Endpoint("10.0.0.1", 8443);
@@ -53,7 +53,7 @@
                     });
 
     /** A state is held, and an attempt to fetch it is out. */
-    private StateReservation readAndWritten() {
+    private StateReservation heldStateWithFetchingAttempt() {
         StateReservation reservation = releaser.attemptStarted(REQUEST_ID);
         releaser.readCompleted(reservation);
         releaser.attemptStarted(REQUEST_ID);
@@ -72,41 +72,41 @@
      */
     @Test
     void stateThatStayedForAQueuedAttemptIsReleasedAgainAfterThatAttemptBreaks() {
-        StateReservation reservation = readAndWritten();
-        time.run(STATE_HOLD_MS + GRACE_MS);
+        StateReservation reservation = heldStateWithFetchingAttempt();
+        time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
         time.run(3000);
         releaser.attemptEnded(reservation, false);
         releaser.attemptStarted(REQUEST_ID);
-        time.run(3000 + STATE_HOLD_MS + GRACE_MS);
+        time.run(3000 + STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(3000 + STATE_HOLD_MS);
     }
 
     @Test
     void holdTimeStartsAgainWithTheEndOfAnAttemptThatGotAResponse() {
-        StateReservation reservation = readAndWritten();
+        StateReservation reservation = heldStateWithFetchingAttempt();
         time.run(500);
         releaser.attemptEnded(reservation, true);
         releaser.attemptStarted(REQUEST_ID);
         time.run(500 + STATE_HOLD_MS / 2);
         assertEquals(List.of(), sentMs);
-        time.run(500 + STATE_HOLD_MS + GRACE_MS);
+        time.run(500 + STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(500 + STATE_HOLD_MS);
     }
 
     @Test
     void holdTimeRunsOnOverAttemptsThatGotNoResponse() {
-        StateReservation reservation = readAndWritten();
+        StateReservation reservation = heldStateWithFetchingAttempt();
         time.run(500);
         releaser.attemptEnded(reservation, false);
         releaser.attemptStarted(REQUEST_ID);
-        time.run(STATE_HOLD_MS + GRACE_MS);
+        time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
     }
 
     @Test
     void startedResponseNeedsNoRelease() {
-        StateReservation reservation = readAndWritten();
+        StateReservation reservation = heldStateWithFetchingAttempt();
         releaser.responseStarted(reservation);
         time.run(5000);
         releaser.attemptEnded(reservation, true);
--- a/src/test/java/larchridge/node/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/UpstreamConnectionTest.java
@@ -34,7 +34,7 @@
      * A connection is closed at the first sweep after it has been idle for its part of the engines'
      * keep-alive time.
      */
-    private static final double CLOSED_MS = 0.8 * KEEP_ALIVE_MS + KEEP_ALIVE_MS / 20;
+    private static final double IDLE_CLOSE_MS = 0.8 * KEEP_ALIVE_MS + KEEP_ALIVE_MS / 20;
 
     private static final Endpoint ENDPOINT = new Endpoint("10.0.0.1", 8443);
     private static final SendCheck MAY_BE_SENT = () -> null;
@@ -118,7 +118,7 @@
         fixture.advance(KEEP_ALIVE_MS / 2);
         RecordingListener second = new RecordingListener();
         read("9b1f03aa5c7e2d42", MUST_NOT_BE_SENT, second);
-        fixture.advance(CLOSED_MS - KEEP_ALIVE_MS / 2);
+        fixture.advance(IDLE_CLOSE_MS - KEEP_ALIVE_MS / 2);
         assertEquals(List.of(AttemptOutcome.NOT_SENT), second.outcomes);
         assertEquals(1, opened.size());
         // Its engine would close it after the whole time, and a request written then may have run
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -57,8 +57,8 @@
     void streamIsDeliveredEventByEventAlsoInSmallParts() throws Exception {
         String response =
                 CompletionsUpstreamFixture.STREAM_HEAD
-                        + CompletionsUpstreamFixture.piece("a\u00e1", null)
-                        + CompletionsUpstreamFixture.piece("b", "stop")
+                        + CompletionsUpstreamFixture.textEvent("a\u00e1", null)
+                        + CompletionsUpstreamFixture.textEvent("b", "stop")
                         + CompletionsUpstreamFixture.chunk("data: [DONE]\n\n")
                         + "0\r\n\r\n";
         fixture.engine = (socket, request) -> writeInSmallParts(socket, Buffer.buffer(response), 0);
@@ -72,9 +72,9 @@
 
     @Test
     void eventsThatArriveTogetherAreBatched() throws Exception {
-        String pieces = CompletionsUpstreamFixture.piece("a", null).repeat(50);
+        String textEvents = CompletionsUpstreamFixture.textEvent("a", null).repeat(50);
         fixture.engine =
-                (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + pieces);
+                (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + textEvents);
         UpstreamClient.AttemptHandle attempt = fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
         for (int i = 0; i < 50; i++) {
@@ -122,7 +122,7 @@
 
     @Test
     void tooManyRequestsIsFull() throws Exception {
-        respondWith(CompletionsUpstreamFixture.status(429, "{}"));
+        respondWith(CompletionsUpstreamFixture.response(429, "{}"));
         fixture.sendRead();
         assertEquals("FULL", fixture.nextNotification());
     }
@@ -140,7 +140,7 @@
     @Test
     void unknownStateIsNoState() throws Exception {
         respondWith(
-                CompletionsUpstreamFixture.status(
+                CompletionsUpstreamFixture.response(
                         409, "{\"error\":{\"code\":\"kv_state_unknown\"}}"));
         fixture.sendWrite();
         assertEquals("NO_STATE", fixture.nextNotification());
@@ -148,14 +148,14 @@
 
     @Test
     void serverErrorIsAFault() throws Exception {
-        respondWith(CompletionsUpstreamFixture.status(500, "oops"));
+        respondWith(CompletionsUpstreamFixture.response(500, "oops"));
         fixture.sendWrite();
         assertEquals("FAULT", fixture.nextNotification());
     }
 
     @Test
     void malformedResponseIsAFault() throws Exception {
-        respondWith(CompletionsUpstreamFixture.json("{\"choices\":["));
+        respondWith(CompletionsUpstreamFixture.jsonResponse("{\"choices\":["));
         fixture.sendRead();
         assertEquals("FAULT", fixture.nextNotification());
         respondWith(
@@ -167,14 +167,14 @@
 
     @Test
     void readWithoutAStateHandleIsAFault() throws Exception {
-        respondWith(CompletionsUpstreamFixture.json("{\"choices\":[]}"));
+        respondWith(CompletionsUpstreamFixture.jsonResponse("{\"choices\":[]}"));
         fixture.sendRead();
         assertEquals("FAULT", fixture.nextNotification());
     }
 
     @Test
     void pooledConnectionThatClosesBeforeAByteIsCut() throws Exception {
-        respondWith(CompletionsUpstreamFixture.status(429, "{}"));
+        respondWith(CompletionsUpstreamFixture.response(429, "{}"));
         fixture.sendRead();
         assertEquals("FULL", fixture.nextNotification());
         fixture.engine = (socket, request) -> socket.close();
@@ -198,7 +198,7 @@
                 (socket, request) ->
                         socket.write(
                                         CompletionsUpstreamFixture.STREAM_HEAD
-                                                + CompletionsUpstreamFixture.piece("a", null))
+                                                + CompletionsUpstreamFixture.textEvent("a", null))
                                 .onSuccess(v -> socket.close());
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
@@ -212,7 +212,7 @@
                 (socket, request) ->
                         socket.write(
                                         CompletionsUpstreamFixture.STREAM_HEAD
-                                                + CompletionsUpstreamFixture.piece("a", "length"))
+                                                + CompletionsUpstreamFixture.textEvent("a", "length"))
                                 .onSuccess(v -> socket.close());
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
@@ -279,7 +279,7 @@
                     if (times.incrementAndGet() < 3) {
                         socket.close();
                     } else {
-                        socket.write(CompletionsUpstreamFixture.status(200, "{}"));
+                        socket.write(CompletionsUpstreamFixture.response(200, "{}"));
                     }
                 };
         fixture.onLoop(
@@ -300,7 +300,7 @@
     @Test
     void probeReportsTheLoadOrNothing() throws Exception {
         respondWith(
-                CompletionsUpstreamFixture.status(
+                CompletionsUpstreamFixture.response(
                         200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
         CompletableFuture<LoadReport> probed = new CompletableFuture<>();
         fixture.onLoop(
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -138,11 +138,11 @@
         return notification == null ? "nothing" : notification;
     }
 
-    static String json(String body) {
+    static String jsonResponse(String body) {
         return JSON_HEAD + "content-length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static String status(int status, String body) {
+    static String response(int status, String body) {
         return "HTTP/1.1 " + status + " X\r\ncontent-length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -153,7 +153,7 @@
                 + "\r\n";
     }
 
-    static String piece(String text, String reason) {
+    static String textEvent(String text, String reason) {
         return chunk(
                 "data: {\"choices\":[{\"text\":\""
                         + text
