--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -19,7 +19,7 @@
  * {@link AttemptState} for its states; pausing is independent of them.
  */
 final class ForwardedAttempt
-        implements UpstreamExchange, AttemptHandle, StateReservation.ReleaseListener {
+        implements UpstreamExchange, AttemptHandle, RequestReadState.ReleaseListener {
     private static final int NO_EVENT_NUMBER = -1;
 
     /** Nothing but the end itself is known of an answer whose events are not parsed. */
@@ -33,7 +33,7 @@
     private final AttemptRequest attemptRequest;
     private final AttemptListener listener;
     private final AttemptKind kind;
-    private final StateReservation reservation;
+    private final RequestReadState readState;
     private final ConnectionPool pool;
     private final ForwardedAttemptClassifier classifier = new ForwardedAttemptClassifier();
     private final AttemptResponseDecoder decoder;
@@ -59,7 +59,7 @@
         this.attemptRequest = attemptRequest;
         this.listener = listener;
         this.kind = kind;
-        reservation = context.releaser().attemptStarted(attemptRequest.forwardedRequest().id());
+        readState = context.releaser().attemptStarted(attemptRequest.forwardedRequest().id());
         pool = context.pools().pool(attemptRequest.endpoint());
         decoder = new AttemptResponseDecoder(context.loadReports());
     }
@@ -68,9 +68,9 @@
     void start() {
         pool.attemptStarted();
         if (kind == AttemptKind.WRITE) {
-            reservation.setReleaseListener(this);
+            readState.setReleaseListener(this);
         } else {
-            reservation.clearReleaseListener();
+            readState.clearReleaseListener();
         }
         connection = context.pools().startExchange(pool, this);
         if (connection == null) {
@@ -166,8 +166,8 @@
     private void eventsReceived(byte[] events) {
         if (state == AttemptState.AWAITING_RESPONSE) {
             state = AttemptState.STREAMING;
-            context.releaser().responseStarted(reservation);
-            context.events().responseStarted(reservation.requestId(), eventNumber);
+            context.releaser().responseStarted(readState);
+            context.events().responseStarted(readState.requestId(), eventNumber);
             listener.responseStarted();
         }
         if (state != AttemptState.ENDED) {
@@ -284,8 +284,8 @@
     private void endRead(int cachedTokens) {
         state = AttemptState.ENDED;
         recordEndInPool();
-        context.events().readCompleted(reservation.requestId(), eventNumber);
-        context.releaser().readCompleted(reservation);
+        context.events().readCompleted(readState.requestId(), eventNumber);
+        context.releaser().readCompleted(readState);
         listener.readCompleted(EMPTY_STATE_HANDLE, cachedTokens, 0, decoder.loadReport());
     }
 
@@ -306,12 +306,12 @@
         boolean responseReceived = classifier.hasResponse();
         context.events()
                 .attemptEnded(
-                        reservation.requestId(),
+                        readState.requestId(),
                         eventNumber,
                         outcome.name(),
                         outcome.provesNotRun,
                         responseReceived);
-        context.releaser().attemptEnded(reservation, responseReceived);
+        context.releaser().attemptEnded(readState, responseReceived);
         listener.attemptEnded(outcome, decoder.loadReport(), UNPARSED_COMPLETION);
     }
 
--- a/src/main/java/larchridge/node/upstream/StateReservation.java
+++ b/src/main/java/larchridge/node/upstream/RequestReadState.java
@@ -8,7 +8,7 @@
  * What this node knows of the attempts of one request and of the read state that engines may hold
  * for it. One method for each transition; the decisions are {@link StateReleaser}'s.
  */
-final class StateReservation {
+final class RequestReadState {
     private static final long NO_TIMER = -1;
 
     private final String requestId;
@@ -59,7 +59,7 @@
         void releasedDuringAttempt();
     }
 
-    StateReservation(String requestId) {
+    RequestReadState(String requestId) {
         this.requestId = requestId;
     }
 
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import larchridge.node.upstream.StateReservation.ReleaseMode;
+import larchridge.node.upstream.RequestReadState.ReleaseMode;
 import larchridge.router.Scheduler;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
@@ -62,7 +62,7 @@
     private final Transport transport;
 
     /** The requests that are kept account of, by the client's id. */
-    private final Map<String, StateReservation> reservations = new HashMap<>();
+    private final Map<String, RequestReadState> readStates = new HashMap<>();
 
     /** How releases reach engines. */
     interface Transport {
@@ -92,24 +92,24 @@
     // ------------------------------------------------------------------ what happens to attempts
 
     /** An attempt of a request starts. */
-    StateReservation attemptStarted(String requestId) {
-        StateReservation reservation =
-                reservations.computeIfAbsent(requestId, StateReservation::new);
-        reservation.attemptStarted();
-        return reservation;
+    RequestReadState attemptStarted(String requestId) {
+        RequestReadState readState =
+                readStates.computeIfAbsent(requestId, RequestReadState::new);
+        readState.attemptStarted();
+        return readState;
     }
 
     /** A read has ended well: its engine holds the state. */
-    void readCompleted(StateReservation reservation) {
-        reservation.attemptEnded();
-        markHeld(reservation);
-        scheduleReleaseOrRemove(reservation);
+    void readCompleted(RequestReadState readState) {
+        readState.attemptEnded();
+        markHeld(readState);
+        scheduleReleaseOrRemove(readState);
     }
 
     /** A response has started, and its attempt has fetched what was held. */
-    void responseStarted(StateReservation reservation) {
-        reservation.responseStarted();
-        cancelHoldTimer(reservation);
+    void responseStarted(RequestReadState readState) {
+        readState.responseStarted();
+        cancelHoldTimer(readState);
     }
 
     /**
@@ -118,91 +118,91 @@
      * @param responseReceived whether its engine answered anything, so that the attempt had arrived
      *     there
      */
-    void attemptEnded(StateReservation reservation, boolean responseReceived) {
-        reservation.attemptEnded();
+    void attemptEnded(RequestReadState readState, boolean responseReceived) {
+        readState.attemptEnded();
         // Released beside it, the state may have stayed for this attempt alone, and is held anew
         // from now on.
-        boolean releasedBefore = !reservation.hasHoldTimer();
-        if (reservation.mayBeHeld() && (responseReceived || releasedBefore)) {
-            cancelHoldTimer(reservation);
-            markHeld(reservation);
+        boolean releasedBefore = !readState.hasHoldTimer();
+        if (readState.mayBeHeld() && (responseReceived || releasedBefore)) {
+            cancelHoldTimer(readState);
+            markHeld(readState);
         }
-        scheduleReleaseOrRemove(reservation);
+        scheduleReleaseOrRemove(readState);
     }
 
     // ------------------------------------------------------------------ releases
 
     /** Nothing of the request's state is wanted any more. */
     void release(String requestId, Endpoint holder) {
-        StateReservation reservation = reservations.get(requestId);
-        if (reservation == null) {
-            if (reservations.size() >= MAX_TRACKED_REQUESTS) {
+        RequestReadState readState = readStates.get(requestId);
+        if (readState == null) {
+            if (readStates.size() >= MAX_TRACKED_REQUESTS) {
                 LOG.atWarn()
                         .addKeyValue("id", requestId)
                         .log("too many releases under way; a state is left to its engine");
                 return;
             }
-            reservation = new StateReservation(requestId);
-            reservations.put(requestId, reservation);
+            readState = new RequestReadState(requestId);
+            readStates.put(requestId, readState);
         }
-        reservation.requestRelease(holder);
-        if (reservation.mayBeFetched() && !reservation.hasHoldTimer()) {
-            markHeld(reservation);
+        readState.requestRelease(holder);
+        if (readState.mayBeFetched() && !readState.hasHoldTimer()) {
+            markHeld(readState);
         }
-        scheduleReleaseOrRemove(reservation);
+        scheduleReleaseOrRemove(readState);
     }
 
     /** Whether a release is requested or under way. */
     boolean hasPendingReleases() {
-        return reservations.values().stream()
+        return readStates.values().stream()
                 .anyMatch(
-                        reservation ->
-                                reservation.isReleaseRequested() || reservation.isReleasing());
+                        readState ->
+                                readState.isReleaseRequested() || readState.isReleasing());
     }
 
     /** Requests with an attempt in flight or a state to release. */
     int openRequests() {
-        return reservations.size();
+        return readStates.size();
     }
 
     /** A state may be held from now on; where an older one is, that one's time runs on. */
-    private void markHeld(StateReservation reservation) {
-        reservation.markMayBeHeld();
-        if (!reservation.hasHoldTimer()) {
-            reservation.holdTimerStarted(
+    private void markHeld(RequestReadState readState) {
+        readState.markMayBeHeld();
+        if (!readState.hasHoldTimer()) {
+            readState.holdTimerStarted(
                     scheduler.schedule(
-                            RELEASE_AT_FRACTION * stateHoldMs, () -> holdTimeExpiring(reservation)));
+                            RELEASE_AT_FRACTION * stateHoldMs, () -> holdTimeExpiring(readState)));
         }
     }
 
-    private void holdTimeExpiring(StateReservation reservation) {
-        reservation.clearHoldTimer();
-        if (!reservation.mayBeHeld() || reservation.isReleasing()) {
+    private void holdTimeExpiring(RequestReadState readState) {
+        readState.clearHoldTimer();
+        if (!readState.mayBeHeld() || readState.isReleasing()) {
             return;
         }
         LOG.atDebug()
-                .addKeyValue("id", reservation.requestId())
-                .addKeyValue("attempts", reservation.inFlightAttempts())
+                .addKeyValue("id", readState.requestId())
+                .addKeyValue("attempts", readState.inFlightAttempts())
                 .log(
                         "releases a state before its time is over, "
                                 + "beside attempts that were not heard of");
-        boolean duringAttempt = reservation.mayBeFetched();
+        boolean duringAttempt = readState.mayBeFetched();
         startRelease(
-                reservation,
+                readState,
                 duringAttempt ? ReleaseMode.DURING_ATTEMPT : ReleaseMode.AFTER_ATTEMPTS);
         if (duringAttempt) {
-            reservation.notifyReleasedDuringAttempt();
+            readState.notifyReleasedDuringAttempt();
         }
     }
 
-    private void cancelHoldTimer(StateReservation reservation) {
-        if (reservation.hasHoldTimer()) {
-            scheduler.cancel(reservation.clearHoldTimer());
+    private void cancelHoldTimer(RequestReadState readState) {
+        if (readState.hasHoldTimer()) {
+            scheduler.cancel(readState.clearHoldTimer());
         }
     }
 
-    private void scheduleReleaseOrRemove(StateReservation reservation) {
-        scheduler.execute(() -> releaseOrRemove(reservation));
+    private void scheduleReleaseOrRemove(RequestReadState readState) {
+        scheduler.execute(() -> releaseOrRemove(readState));
     }
 
     /**
@@ -210,65 +210,65 @@
      * whole request; sent earlier than it has to be, it could free the state that an attempt on its
      * way is to fetch.
      */
-    private void releaseOrRemove(StateReservation reservation) {
-        if (reservation.isReleaseRequested()
-                && !reservation.isReleasing()
-                && !reservation.mayBeFetched()) {
-            startRelease(reservation, ReleaseMode.AFTER_ATTEMPTS);
-        } else if (reservation.isIdle()) {
-            remove(reservation);
+    private void releaseOrRemove(RequestReadState readState) {
+        if (readState.isReleaseRequested()
+                && !readState.isReleasing()
+                && !readState.mayBeFetched()) {
+            startRelease(readState, ReleaseMode.AFTER_ATTEMPTS);
+        } else if (readState.isIdle()) {
+            remove(readState);
         }
     }
 
-    private void remove(StateReservation reservation) {
-        cancelHoldTimer(reservation);
-        reservations.remove(reservation.requestId(), reservation);
+    private void remove(RequestReadState readState) {
+        cancelHoldTimer(readState);
+        readStates.remove(readState.requestId(), readState);
     }
 
-    private void startRelease(StateReservation reservation, ReleaseMode mode) {
-        reservation.releaseStarted(mode, scheduler.nowMs());
-        sendToNextEndpoint(reservation);
+    private void startRelease(RequestReadState readState, ReleaseMode mode) {
+        readState.releaseStarted(mode, scheduler.nowMs());
+        sendToNextEndpoint(readState);
     }
 
-    private void sendToNextEndpoint(StateReservation reservation) {
-        Set<Endpoint> tried = reservation.triedEndpoints();
+    private void sendToNextEndpoint(RequestReadState readState) {
+        Set<Endpoint> tried = readState.triedEndpoints();
         Endpoint endpoint =
                 tried.size() < MAX_TRIES
-                        ? transport.nextEndpoint(reservation.holder(), tried)
+                        ? transport.nextEndpoint(readState.holder(), tried)
                         : null;
         if (endpoint == null) {
-            endpointsExhausted(reservation);
+            endpointsExhausted(readState);
             return;
         }
-        reservation.recordTry(endpoint);
+        readState.recordTry(endpoint);
         transport.release(
                 endpoint,
-                reservation.requestId(),
-                reservation.isReleasingDuringAttempt() ? duringAttemptTryTimeoutMs : tryTimeoutMs,
-                result -> tryCompleted(reservation, result));
+                readState.requestId(),
+                readState.isReleasingDuringAttempt() ? duringAttemptTryTimeoutMs : tryTimeoutMs,
+                result -> tryCompleted(readState, result));
     }
 
-    private void tryCompleted(StateReservation reservation, ControlCallResult result) {
+    private void tryCompleted(RequestReadState readState, ControlCallResult result) {
         boolean stillNeeded =
-                reservation.isReleasingDuringAttempt()
-                        ? !reservation.hasResponseStarted()
-                        : !reservation.mayBeFetched();
+                readState.isReleasingDuringAttempt()
+                        ? !readState.hasResponseStarted()
+                        : !readState.mayBeFetched();
         if (result == ControlCallResult.ANSWERED) {
-            if (!reservation.mayBeFetched()) {
-                reservation.markReleased();
-                cancelHoldTimer(reservation);
+            if (!readState.mayBeFetched()) {
+                readState.markReleased();
+                cancelHoldTimer(readState);
             }
             // Else a state that a request in an engine's queue waits for stays, and is released
             // after that attempt's end.
-            releaseEnded(reservation);
+            releaseEnded(readState);
         } else if (stillNeeded) {
             if (result == ControlCallResult.NOT_SENT) {
-                reservation.recordUnsentTry();
+                readState.recordUnsentTry();
             }
-            sendToNextEndpoint(reservation);
+            sendToNextEndpoint(readState);
         } else {
-            reservation.requestReleaseAgain();
-            releaseEnded(reservation);
+            readState.requestReleaseAgain();
+            releaseEnded(readState);
         }
     }
 
@@ -276,21 +276,21 @@
      * No engine has taken it. Where this machine could not send, for want of a descriptor or a
      * buffer, that passes: all are tried anew a little later.
      */
-    private void endpointsExhausted(StateReservation reservation) {
-        double sinceStartMs = scheduler.nowMs() - reservation.releaseStartMs();
-        if (reservation.hasUnsentTry() && sinceStartMs < LOCAL_FAILURE_RETRY_FACTOR * stateHoldMs) {
-            reservation.clearTries();
-            scheduler.schedule(tryTimeoutMs, () -> sendToNextEndpoint(reservation));
+    private void endpointsExhausted(RequestReadState readState) {
+        double sinceStartMs = scheduler.nowMs() - readState.releaseStartMs();
+        if (readState.hasUnsentTry() && sinceStartMs < LOCAL_FAILURE_RETRY_FACTOR * stateHoldMs) {
+            readState.clearTries();
+            scheduler.schedule(tryTimeoutMs, () -> sendToNextEndpoint(readState));
             return;
         }
         LOG.atWarn()
-                .addKeyValue("id", reservation.requestId())
+                .addKeyValue("id", readState.requestId())
                 .log("no engine took a release; the state is left to its engine");
-        releaseEnded(reservation);
+        releaseEnded(readState);
     }
 
-    private void releaseEnded(StateReservation reservation) {
-        reservation.releaseEnded();
-        scheduleReleaseOrRemove(reservation);
+    private void releaseEnded(RequestReadState readState) {
+        readState.releaseEnded();
+        scheduleReleaseOrRemove(readState);
     }
 }
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -53,11 +53,11 @@
                     });
 
     /** A state is held, and an attempt to fetch it is out. */
-    private StateReservation heldStateWithFetchingAttempt() {
-        StateReservation reservation = releaser.attemptStarted(REQUEST_ID);
-        releaser.readCompleted(reservation);
+    private RequestReadState heldStateWithFetchingAttempt() {
+        RequestReadState readState = releaser.attemptStarted(REQUEST_ID);
+        releaser.readCompleted(readState);
         releaser.attemptStarted(REQUEST_ID);
-        return reservation;
+        return readState;
     }
 
     private void assertOneSentBy(double latestMs) {
@@ -72,11 +72,11 @@
      */
     @Test
     void stateThatStayedForAQueuedAttemptIsReleasedAgainAfterThatAttemptBreaks() {
-        StateReservation reservation = heldStateWithFetchingAttempt();
+        RequestReadState readState = heldStateWithFetchingAttempt();
         time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
         time.run(3000);
-        releaser.attemptEnded(reservation, false);
+        releaser.attemptEnded(readState, false);
         releaser.attemptStarted(REQUEST_ID);
         time.run(3000 + STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(3000 + STATE_HOLD_MS);
@@ -84,9 +84,9 @@
 
     @Test
     void holdTimeStartsAgainWithTheEndOfAnAttemptThatGotAResponse() {
-        StateReservation reservation = heldStateWithFetchingAttempt();
+        RequestReadState readState = heldStateWithFetchingAttempt();
         time.run(500);
-        releaser.attemptEnded(reservation, true);
+        releaser.attemptEnded(readState, true);
         releaser.attemptStarted(REQUEST_ID);
         time.run(500 + STATE_HOLD_MS / 2);
         assertEquals(List.of(), sentMs);
@@ -96,9 +96,9 @@
 
     @Test
     void holdTimeRunsOnOverAttemptsThatGotNoResponse() {
-        StateReservation reservation = heldStateWithFetchingAttempt();
+        RequestReadState readState = heldStateWithFetchingAttempt();
         time.run(500);
-        releaser.attemptEnded(reservation, false);
+        releaser.attemptEnded(readState, false);
         releaser.attemptStarted(REQUEST_ID);
         time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
@@ -106,10 +106,10 @@
 
     @Test
     void startedResponseNeedsNoRelease() {
-        StateReservation reservation = heldStateWithFetchingAttempt();
-        releaser.responseStarted(reservation);
+        RequestReadState readState = heldStateWithFetchingAttempt();
+        releaser.responseStarted(readState);
         time.run(5000);
-        releaser.attemptEnded(reservation, true);
+        releaser.attemptEnded(readState, true);
         time.run(9000);
         assertEquals(List.of(), sentMs);
         assertEquals(0, releaser.openRequests());
