--- a/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
+++ b/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
@@ -9,11 +9,11 @@
 import larchridge.state.LoadReport;
 
 /**
- * Decodes an engine's response to an attempt: the stream of events of an answer, the cached tokens
- * of a completed read, and the load report that comes with either.
+ * Decodes an engine's response to an attempt: the event stream of an answer, the cached token count
+ * of a completed read, and the load report in either.
  */
 final class AttemptResponseDecoder {
-    /** {@link #cachedTokens()} of a body that does not tell them. */
+    /** Value of {@link #cachedTokens()} for a body without a valid count. */
     static final int NO_COUNT = -1;
 
     private static final String LOAD_REPORT_NAME = "Srv-Load";
@@ -25,10 +25,10 @@
 
     private final LoadReportReader loadReports;
 
-    /** Null unless the response is an answer. */
+    /** Null unless the response is a streamed answer. */
     private EventStreamSplitter events;
 
-    /** Null until a part of a completed read's body was received. */
+    /** Null until body bytes of a completed read have been received. */
     private BoundedBody readBody;
 
     private LoadReport loadReport;
@@ -37,12 +37,12 @@
         this.loadReports = loadReports;
     }
 
-    /** Whether the engine itself states that it did not run the request. */
+    /** Whether the engine states that it did not run the request. */
     static boolean isDeclined(HttpResponse response) {
         return DECLINED_VALUE.equals(response.headers().get(DECLINED_HEADER));
     }
 
-    /** Reads the load report in the response's headers, and prepares for an answer's events. */
+    /** Reads the load report in the headers and prepares to decode the events of an answer. */
     void responseHeadReceived(HttpResponse response) {
         if (response.status().code() == HttpResponseStatus.OK.code()) {
             events = new EventStreamSplitter(MAX_EVENT_BYTES, LOAD_REPORT_NAME);
@@ -50,7 +50,7 @@
         loadReport = loadReports.read(response.headers().get(LOAD_REPORT_NAME));
     }
 
-    /** Takes a part of the body of a completed read; false if it is too long. */
+    /** Appends body bytes of a completed read; returns false if the body is too long. */
     boolean appendReadBody(ByteBuf content) {
         if (readBody == null) {
             readBody = new BoundedBody();
@@ -58,29 +58,29 @@
         return readBody.append(content);
     }
 
-    /** Takes a part of an answer; returns the events that are now complete, or null. */
+    /** Appends body bytes of an answer; returns the events that are now complete, or null. */
     byte[] appendEvents(ByteBuf content) {
         return events.feed(content);
     }
 
-    /** Whether the answer can't be decoded any further. */
+    /** Whether the event stream is malformed. */
     boolean isMalformed() {
         return events.isMalformed();
     }
 
-    /** Whether the answer's final event was received, and nothing after it. */
+    /** Whether the final event of the answer was received, with nothing after it. */
     boolean isStreamComplete() {
         return events.isComplete();
     }
 
-    /** The answer has ended: a load report among its events replaces that of the headers. */
+    /** Ends the stream; a load report in its events replaces the one from the headers. */
     void streamEnded() {
         if (events.loadReport() != null) {
             loadReport = loadReports.read(events.loadReport());
         }
     }
 
-    /** The prompt tokens that the engine had cached, or {@link #NO_COUNT}. */
+    /** Returns the number of prompt tokens that the engine had cached, or {@link #NO_COUNT}. */
     int cachedTokens() {
         try {
             JsonNode count =
@@ -92,7 +92,7 @@
         }
     }
 
-    /** The newest load report of the response, or null. */
+    /** Returns the latest load report in the response, or null. */
     LoadReport loadReport() {
         return loadReport;
     }
--- a/src/main/java/larchridge/node/upstream/AttemptState.java
+++ b/src/main/java/larchridge/node/upstream/AttemptState.java
@@ -1,11 +1,11 @@
 package larchridge.node.upstream;
 
-/** How far an attempt has come. */
+/** State of an attempt. */
 enum AttemptState {
-    /** Nothing of an answer was received; the request may not even have been written. */
+    /** No event of the answer has been received; the request may not have been written yet. */
     AWAITING_RESPONSE,
-    /** The first event of the answer was received. */
+    /** The first event of the answer has been received. */
     STREAMING,
-    /** The listener has got, or is getting, its last call. */
+    /** The last listener call has been made or is in progress. */
     ENDED
 }
--- a/src/main/java/larchridge/node/upstream/BoundedBody.java
+++ b/src/main/java/larchridge/node/upstream/BoundedBody.java
@@ -4,7 +4,7 @@
 import io.netty.buffer.ByteBufUtil;
 import java.io.ByteArrayOutputStream;
 
-/** The body of a response that is short by its nature, kept up to a limit. */
+/** Buffers the body of a short response, up to a size limit. */
 final class BoundedBody extends ByteArrayOutputStream {
     private static final int INITIAL_BYTES = 64;
     private static final int MAX_BYTES = 4096;
@@ -13,7 +13,7 @@
         super(INITIAL_BYTES);
     }
 
-    /** Appends a part of the body; false if the body is now longer than allowed. */
+    /** Appends body bytes; returns false if the body now exceeds the limit. */
     boolean append(ByteBuf content) {
         writeBytes(ByteBufUtil.getBytes(content));
         return size() <= MAX_BYTES;
--- a/src/main/java/larchridge/node/upstream/ConnectionOpener.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionOpener.java
@@ -5,8 +5,8 @@
 import io.netty.channel.ChannelInitializer;
 import larchridge.upstream.Endpoint;
 
-/** Opens connections to engines: sockets in service, channels without sockets in tests. */
+/** Opens connections to engines; tests replace sockets with embedded channels. */
 public interface ConnectionOpener {
-    /** Starts to open a connection to an endpoint and installs the handlers on its channel. */
+    /** Starts connecting to an endpoint and installs the handlers on the channel. */
     ChannelFuture open(Endpoint endpoint, ChannelInitializer<Channel> handlers);
 }
--- a/src/main/java/larchridge/node/upstream/ConnectionPool.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPool.java
@@ -7,29 +7,29 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * The connections to one endpoint. Idle ones are used most recent first, so that the others age and
- * are closed.
+ * The connections to one endpoint. The most recently used idle connection is reused first, so that
+ * surplus connections reach the idle limit and are closed.
  */
 final class ConnectionPool {
     /**
-     * A response that follows directly behind another must find its connection still idle, so that
-     * it is recognised as one without a request.
+     * Minimum idle time before reuse. A surplus response that follows immediately after another one
+     * must arrive while the connection is idle, to be recognised as unsolicited.
      */
     private static final double MIN_IDLE_MS = 3;
 
     /**
-     * Part of an engine's keep-alive time up to which a connection is used; the rest is for what is
-     * on its way.
+     * Fraction of an engine's keep-alive time for which an idle connection is reused. The rest
+     * allows for requests in transit.
      */
     private static final double KEEP_ALIVE_FRACTION = 0.8;
 
-    /** A process may be stalled for so long between choosing a connection and writing to it. */
+    /** Allowance for a process stall between choosing a connection and writing to it. */
     private static final double MAX_STALL_MS = 150;
 
     private final Endpoint endpoint;
     private final ConnectionPools pools;
 
-    /** Idle connections, the most recently used first. */
+    /** Idle connections, most recently used first. */
     private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
 
     /** All connections: opening, in use and idle. */
@@ -47,7 +47,7 @@
         return endpoint;
     }
 
-    /** Attempts at this endpoint whose end has not been reported yet. */
+    /** Returns the number of attempts at this endpoint that have not ended. */
     int inFlightAttempts() {
         return inFlightAttempts;
     }
@@ -60,17 +60,17 @@
         inFlightAttempts--;
     }
 
-    /** When anything was last received from this endpoint; negative infinity if never. */
+    /** When a response was last received from this endpoint; negative infinity if never. */
     double lastReceivedMs() {
         return lastReceivedMs;
     }
 
-    /** Something was received from this endpoint. */
+    /** Records that a response was received from this endpoint. */
     void recordReceived(double nowMs) {
         lastReceivedMs = nowMs;
     }
 
-    /** Takes an idle connection that can be used, or null if there is none. */
+    /** Removes and returns a usable idle connection, or null if there is none. */
     UpstreamConnection takeIdle() {
         double nowMs = pools.nowMs();
         double limitMs = idleLimitMs();
@@ -87,7 +87,7 @@
         return null;
     }
 
-    /** Whether an idle connection could be used now. */
+    /** Whether there is a usable idle connection. */
     boolean hasUsableIdle() {
         UpstreamConnection newest = idle.peekFirst();
         return newest != null
@@ -100,7 +100,7 @@
         all.add(connection);
     }
 
-    /** Keeps a connection whose response has just been read. */
+    /** Returns a connection to the pool after its response was read. */
     void returnAfterResponse(UpstreamConnection connection) {
         connection.setIdleSince(pools.nowMs());
         lastReceivedMs = connection.idleSinceMs();
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Keeps a connection on which nothing was sent: it has been idle all the time. Counted from
-     * now, it would be used after its engine has closed it.
+     * Returns a connection on which nothing was sent, keeping its idle time. If that restarted, the
+     * connection could be reused after the engine's keep-alive timeout has closed it.
      */
     void returnUnused(UpstreamConnection connection) {
         if (!connection.isUsable()) {
@@ -124,7 +124,7 @@
         newer.forEach(idle::addFirst);
     }
 
-    /** Removes a connection that has ended. */
+    /** Removes a closed connection. */
     void remove(UpstreamConnection connection, CloseReason reason) {
         if (all.remove(connection)) {
             idle.remove(connection);
@@ -140,14 +140,14 @@
         return all.isEmpty();
     }
 
-    /** Closes those that have been idle since then or longer. */
+    /** Closes the connections that have been idle since the given time or longer. */
     void closeIdleSince(double sinceMs, CloseReason reason) {
         while (!idle.isEmpty() && idle.peekLast().idleSinceMs() <= sinceMs) {
             idle.pollLast().close(reason);
         }
     }
 
-    /** Since when the connection that was idle longest is so; infinity if none is idle. */
+    /** Returns the start of the longest idle time; positive infinity if none is idle. */
     double oldestIdleSinceMs() {
         return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekLast().idleSinceMs();
     }
@@ -157,7 +157,7 @@
         Set.copyOf(all).forEach(connection -> connection.close(CloseReason.SHUTDOWN));
     }
 
-    /** A connection that was idle for so long is not used any more. */
+    /** Returns the idle time from which a connection is no longer reused. */
     double idleLimitMs() {
         double keepAliveMs = pools.limits().keepAliveMs();
         return Math.min(keepAliveMs * KEEP_ALIVE_FRACTION, keepAliveMs - MAX_STALL_MS);
--- a/src/main/java/larchridge/node/upstream/ConnectionPools.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPools.java
@@ -13,12 +13,12 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * The connections to all engines: one {@link ConnectionPool} for each endpoint, within a limit on
- * connections in all. At that limit the connection that has been idle longest makes room. All
- * methods run on the loop.
+ * The connections to all engines: one {@link ConnectionPool} per endpoint, with a limit on the
+ * total number of connections. At that limit, the connection with the longest idle time is closed
+ * to open a new one. All methods run on the event loop.
  */
 final class ConnectionPools {
-    /** Idle connections are swept this many times within an engine's keep-alive time. */
+    /** Checks for expired idle connections per keep-alive time of the engines. */
     private static final int SWEEPS_PER_KEEP_ALIVE = 20;
 
     private static final double MIN_SWEEP_INTERVAL_MS = 100;
@@ -53,29 +53,29 @@
         return limits;
     }
 
-    /** Replaces the list of current engines. */
+    /** Sets the current engine endpoints. */
     void updateEndpoints(List<Endpoint> current) {
         endpoints = List.copyOf(current);
     }
 
-    /** The current engines, in the order of their list. */
+    /** Returns the current engine endpoints, in list order. */
     List<Endpoint> endpoints() {
         return endpoints;
     }
 
-    /** The pool of an endpoint, created at its first use. */
+    /** Returns the pool of an endpoint, creating it on first use. */
     ConnectionPool pool(Endpoint endpoint) {
         return pools.computeIfAbsent(endpoint, key -> new ConnectionPool(this, key));
     }
 
-    /** The pool of an endpoint, or null if it has none yet. */
+    /** Returns the pool of an endpoint, or null if it has none. */
     ConnectionPool existingPool(Endpoint endpoint) {
         return pools.get(endpoint);
     }
 
     /**
-     * Starts an exchange on the most recently used idle connection or on a new one; null if there
-     * is no room for one more.
+     * Starts an exchange on the most recently used idle connection or on a new one; returns null if
+     * a connection limit is reached.
      */
     UpstreamConnection startExchange(ConnectionPool pool, UpstreamExchange exchange) {
         UpstreamConnection idle = pool.takeIdle();
@@ -102,7 +102,7 @@
         return connection;
     }
 
-    /** Closes the connection that has been idle longest of all; false if none is idle. */
+    /** Closes the connection with the longest idle time; returns false if none is idle. */
     private boolean closeLongestIdle() {
         ConnectionPool oldest = null;
         for (ConnectionPool pool : pools.values()) {
@@ -117,7 +117,7 @@
         return connectionCount < limits.maxConnections();
     }
 
-    /** A connection has left its pool. */
+    /** Called when a connection was removed from its pool. */
     void connectionClosed(CloseReason reason) {
         connectionCount--;
         events.connectionClosed(ConnectionSide.ENGINE, reason);
@@ -130,7 +130,7 @@
         pools.values().removeIf(pool -> pool.isEmpty() && !endpoints.contains(pool.endpoint()));
     }
 
-    /** Closes every connection, in use or idle. */
+    /** Closes all connections, whether in use or idle. */
     void closeAll() {
         new ArrayList<>(pools.values()).forEach(ConnectionPool::closeAll);
     }
--- a/src/main/java/larchridge/node/upstream/ControlCall.java
+++ b/src/main/java/larchridge/node/upstream/ControlCall.java
@@ -10,7 +10,8 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * A request of this node's own to an engine: without a body, with a small response and a timeout.
+ * A request that this node itself makes to an engine: a probe or a release. It has no body, a small
+ * response and a timeout.
  */
 abstract class ControlCall implements UpstreamExchange {
     private final Scheduler scheduler;
@@ -28,16 +29,16 @@
         this.endpoint = endpoint;
     }
 
-    /** The HTTP method. */
+    /** Returns the HTTP method. */
     abstract HttpMethod method();
 
-    /** The path at the engine. */
+    /** Returns the request path. */
     abstract String target();
 
-    /** Called once, never from inside {@link #start}. */
+    /** Called once with the result, never from within {@link #start}. */
     abstract void completed(ControlCallResult result);
 
-    /** Sends it; it ends after the timeout at the latest. */
+    /** Sends the request; it ends at the latest after the timeout. */
     final void start(double timeoutMs) {
         timeoutTimer = scheduler.schedule(timeoutMs, this::timedOut);
         connection = pools.startExchange(pools.pool(endpoint), this);
@@ -53,12 +54,12 @@
         end(ControlCallResult.UNANSWERED);
     }
 
-    /** The response's status, or 0. */
+    /** Returns the response status, or 0 if none was received. */
     final int status() {
         return status;
     }
 
-    /** The response's body. */
+    /** Returns the response body. */
     final String bodyText() {
         return body.toString(StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/larchridge/node/upstream/ControlCallResult.java
+++ b/src/main/java/larchridge/node/upstream/ControlCallResult.java
@@ -1,11 +1,11 @@
 package larchridge.node.upstream;
 
-/** How a {@link ControlCall}, a release or a probe, ended. */
+/** Result of a {@link ControlCall}. */
 enum ControlCallResult {
-    /** The engine answered in time. */
+    /** The engine responded in time, with any status. */
     ANSWERED,
-    /** The engine did not answer in time, disconnected, or could not be reached. */
+    /** The engine was unreachable, disconnected, or sent no valid response in time. */
     UNANSWERED,
-    /** This machine could not send it; that says nothing about the engine. */
+    /** The request could not be sent for a local reason, which says nothing about the engine. */
     NOT_SENT
 }
--- a/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
+++ b/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
@@ -6,15 +6,15 @@
 import java.util.Arrays;
 
 /**
- * Splits a stream of server-sent events into complete events. Events are passed on byte by byte as
- * they came; comments are not, but a load report in one is kept. Anything else makes the stream
- * malformed, and nothing after it is used. Without I/O, clock or threads.
+ * Splits a stream of server-sent events into complete events. Events are forwarded byte for byte.
+ * Comments are dropped, except that a load report in a comment is kept. Anything else makes the
+ * stream malformed, and the rest of it is ignored. Performs no I/O and uses no clock or threads.
  */
 final class EventStreamSplitter {
     private static final byte[] DONE = "data: [DONE]".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] DATA_START = "data: {".getBytes(StandardCharsets.US_ASCII);
 
-    /** Two line feeds end an event. */
+    /** An event ends with two line feeds. */
     private static final int SEPARATOR_BYTES = 2;
 
     private static final int INITIAL_BUFFER_BYTES = 512;
@@ -22,7 +22,7 @@
     private final int maxEventBytes;
     private final String loadReportName;
 
-    /** The beginning of an event that is not complete yet: {@link #length} bytes. */
+    /** Holds {@link #length} bytes of an incomplete event. */
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
 
     private int length;
@@ -31,10 +31,10 @@
     private String loadReport;
 
     /**
-     * A splitter for one stream.
+     * Creates a splitter for one stream.
      *
-     * @param maxEventBytes the longest event that is accepted
-     * @param loadReportName what a load report's comment begins with, after the colon
+     * @param maxEventBytes maximum size of an event
+     * @param loadReportName name with which the comment of a load report starts, after the colon
      */
     EventStreamSplitter(int maxEventBytes, String loadReportName) {
         this.maxEventBytes = maxEventBytes;
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Takes received bytes; returns the events that are now complete, or null if there are none.
+     * Appends received bytes; returns the events that are now complete, or null if there are none.
      */
     byte[] feed(ByteBuf received) {
         int size = received.readableBytes();
@@ -83,17 +83,17 @@
         length += size;
     }
 
-    /** Drops the bytes of the events that are complete. */
+    /** Removes the bytes of complete events from the buffer. */
     private void discard(int bytes) {
         System.arraycopy(buffer, bytes, buffer, 0, length - bytes);
         length -= bytes;
-        // Guards against: an endless line would fill the memory.
+        // Guards against: an event without an end would exhaust the memory.
         malformed |= length > maxEventBytes;
     }
 
     /**
-     * Whether the lines between two positions are an event to pass on; notes malformed input, the
-     * end of the stream and a load report.
+     * Whether the bytes between two positions are an event to forward; also records malformed
+     * input, the end of the stream and a load report.
      */
     private boolean accept(int start, int end) {
         if (buffer[start] == ':') {
@@ -101,7 +101,7 @@
             return false;
         }
         if (done) {
-            // Guards against: what follows the end of an answer belongs to another one.
+            // Guards against: data after the end of this answer would be forwarded as part of it.
             malformed = true;
             return false;
         }
@@ -146,12 +146,12 @@
         return malformed;
     }
 
-    /** Whether the last event was the one that ends an answer, with no partial event after it. */
+    /** Whether the final event of the answer was received, with nothing after it. */
     boolean isComplete() {
         return done && !malformed && length == 0;
     }
 
-    /** The load report that came as a comment, or null. */
+    /** Returns the load report from the comments, or null. */
     String loadReport() {
         return loadReport;
     }
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -15,14 +15,14 @@
 import larchridge.upstream.UpstreamClient.AttemptHandle;
 
 /**
- * One attempt in flight, from the choice of its connection to the last call of its listener. See
- * {@link AttemptState} for its states; pausing is independent of them.
+ * One in-flight attempt, from the choice of a connection to the last listener call. Pausing is
+ * independent of its {@link AttemptState}.
  */
 final class ForwardedAttempt
         implements UpstreamExchange, AttemptHandle, RequestReadState.ReleaseListener {
     private static final int NO_EVENT_NUMBER = -1;
 
-    /** Nothing but the end itself is known of an answer whose events are not parsed. */
+    /** Completion of every answer, because the forwarded events are not parsed for details. */
     private static final Completion UNPARSED_COMPLETION =
             new Completion(
                     Completion.FinishReason.END_OF_TURN, null, Completion.TOKENS_UNREPORTED, 0);
@@ -39,15 +39,15 @@
     private final AttemptResponseDecoder decoder;
     private AttemptState state = AttemptState.AWAITING_RESPONSE;
 
-    /** Null if there was no room for a connection. */
+    /** Null if no connection was available. */
     private UpstreamConnection connection;
 
     private boolean paused;
 
-    /** The number that {@link larchridge.audit.RequestEvents} gave the attempt. */
+    /** The attempt's number in {@link larchridge.audit.RequestEvents}. */
     private int eventNumber = NO_EVENT_NUMBER;
 
-    /** A read state is held under the request's own id, so that a handle has nothing to name. */
+    /** Carries nothing, because engines identify a read state by the request id. */
     private static final class EmptyStateHandle implements StateHandle {}
 
     ForwardedAttempt(
@@ -64,7 +64,7 @@
         decoder = new AttemptResponseDecoder(context.loadReports());
     }
 
-    /** Starts it on a connection, or rejects it if there is no room for one. */
+    /** Starts the attempt on a connection, or rejects it if none is available. */
     void start() {
         pool.attemptStarted();
         if (kind == AttemptKind.WRITE) {
@@ -102,7 +102,7 @@
         return request;
     }
 
-    /** Why it must not be written any more, or null if it may. */
+    /** Returns why the attempt must no longer be written, or null if it may be. */
     private SendRejection rejection(double remainingMs) {
         if (state == AttemptState.ENDED) {
             return SendRejection.CANCELLED;
@@ -112,7 +112,7 @@
                 : attemptRequest.sendCheck().rejection();
     }
 
-    /** It is not written, for a reason that says nothing about the engine. */
+    /** Ends the attempt without writing it, for a reason that says nothing about the engine. */
     private void reject(SendRejection reason) {
         classifier.sendRejected();
         if (state != AttemptState.ENDED) {
@@ -142,8 +142,8 @@
         classifier.responseHeadReceived(
                 response.status().code(), AttemptResponseDecoder.isDeclined(response));
         decoder.responseHeadReceived(response);
-        // Guards against: a stream without chunks has no end of its own, so that the end of the
-        // connection would pass for it.
+        // Guards against: without chunked encoding, a lost connection would be taken for the end of
+        // the stream.
         return !classifier.isAnswer()
                 || (kind == AttemptKind.WRITE && HttpUtil.isTransferEncodingChunked(response));
     }
@@ -221,7 +221,7 @@
         endLater();
     }
 
-    // ------------------------------------------------------------------ the sender's calls
+    // ------------------------------------------------------------------ calls by the sender
 
     @Override
     public void cancel() {
@@ -265,8 +265,8 @@
     // ------------------------------------------------------------------ end
 
     /**
-     * The state that it is to fetch has been released; its engine keeps the state nevertheless for
-     * a request in its queue.
+     * Notifies the listener that the state that this attempt fetches was released. The engines keep
+     * the state nevertheless if the attempt is already in an engine's queue.
      */
     @Override
     public void releasedDuringAttempt() {
@@ -275,12 +275,12 @@
         }
     }
 
-    /** Guards against: the listener must not be called from inside a call of the sender's. */
+    /** Guards against: the listener would be called from within a call by the sender. */
     private void endLater() {
         context.scheduler().execute(this::end);
     }
 
-    /** A read has ended well: its engine holds the state. */
+    /** Ends a completed read, whose state the engine holds. */
     private void endRead(int cachedTokens) {
         state = AttemptState.ENDED;
         recordEndInPool();
@@ -289,7 +289,7 @@
         listener.readCompleted(EMPTY_STATE_HANDLE, cachedTokens, 0, decoder.loadReport());
     }
 
-    /** The attempt has ended in any other way. */
+    /** Ends the attempt in any other way. */
     private void end() {
         if (state == AttemptState.ENDED) {
             return;
--- a/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -3,12 +3,12 @@
 import larchridge.state.AttemptOutcome;
 
 /**
- * Classifies how an attempt ended from what was seen of it; without I/O, clock or threads. The
- * rules on repeating a request rest on this: an outcome that proves that an attempt never ran is
- * only given where the engine can't have started it or says so itself.
+ * Determines the outcome of one attempt from the observed events. Safe retries depend on this
+ * class: an outcome that proves the attempt did not run is returned only if the engine cannot have
+ * started it or states that it did not. Performs no I/O and uses no clock or threads.
  */
 final class ForwardedAttemptClassifier {
-    /** The status as long as no response was received. */
+    /** Status before a response is received. */
     private static final int NO_STATUS = 0;
 
     private static final int OK = 200;
@@ -31,66 +31,67 @@
     private boolean sendRejected;
 
     /**
-     * The last byte of the request was written to the socket: from here on the engine may run it.
+     * Records that the last byte of the request was written to the socket; from now on the engine
+     * may run it.
      */
     void requestWritten() {
         requestWritten = true;
     }
 
     /**
-     * The response's head was received.
+     * Records the head of the response.
      *
-     * @param code the status
-     * @param declinedByEngine whether the engine itself states that it did not run the request
+     * @param code the status code
+     * @param declinedByEngine whether the engine states that it did not run the request
      */
     void responseHeadReceived(int code, boolean declinedByEngine) {
         status = code;
         declined = declinedByEngine;
     }
 
-    /** Whether the response is an answer, a stream of events. */
+    /** Whether the response is an answer, that is, a stream of events. */
     boolean isAnswer() {
         return status == OK;
     }
 
-    /** Whether the response is that of a completed read: the engine holds the state. */
+    /** Whether the response is that of a completed read, whose state the engine holds. */
     boolean isCompletedRead() {
         return status == ACCEPTED;
     }
 
-    /** Whether the engine answered anything, so that the attempt had arrived there. */
+    /** Whether a response was received, which shows that the attempt reached the engine. */
     boolean hasResponse() {
         return status != NO_STATUS;
     }
 
-    /** What was received can't be decoded, or does not fit the request. */
+    /** Records that the response cannot be decoded or does not match the request. */
     void responseMalformed() {
         responseMalformed = true;
     }
 
-    /** The stream of events came to its proper end. */
+    /** Records that the event stream is complete. */
     void streamCompleted() {
         streamComplete = true;
     }
 
-    /** The sender cancelled the attempt. */
+    /** Records that the sender cancelled the attempt. */
     void cancelled() {
         cancelled = true;
         deadlineExpired = false;
     }
 
-    /** The sender's time for the attempt is over. */
+    /** Records that the sender cancelled the attempt because its deadline passed. */
     void deadlineExpired() {
         cancelled = true;
         deadlineExpired = true;
     }
 
-    /** This node kept the attempt from being written. */
+    /** Records that this node rejected the attempt before it was written. */
     void sendRejected() {
         sendRejected = true;
     }
 
-    /** Whether the engine says that no engine can use the request as it is. */
+    /** Whether the engine reports that no engine can process the request as it is. */
     boolean isRequestUnprocessable() {
         return !declined
                 && !responseMalformed
@@ -101,7 +102,7 @@
                 && status != TOO_MANY_REQUESTS;
     }
 
-    /** The outcome, once nothing more can be received. */
+    /** Returns the outcome; called once nothing more can arrive. */
     AttemptOutcome outcome() {
         if (streamComplete && !responseMalformed && isAnswer()) {
             return AttemptOutcome.STREAMED;
@@ -120,8 +121,8 @@
         if (cancelled) {
             return deadlineExpired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
-        // Guards against: malformed input in place of a response proves nothing about what ran
-        // before it.
+        // Guards against: a malformed response would be taken as proof that the attempt did not
+        // run.
         if (responseMalformed) {
             return AttemptOutcome.FAULT;
         }
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -11,20 +11,20 @@
 import larchridge.upstream.UpstreamClient;
 
 /**
- * Engines that speak the clients' own protocol: requests are forwarded as they came, and events are
- * returned as they are. A read state belongs to the request's id at whichever engine, so that it is
- * released once for all of a request's attempts, and only while no attempt may still fetch it. All
- * methods run on the loop.
+ * Client for engines that speak the same protocol as the router's clients: requests and events are
+ * forwarded unchanged. Engines identify a read state by the request id, so one release covers all
+ * attempts of a request and is normally delayed until no attempt can fetch the state; see {@link
+ * StateReleaser}. All methods run on the event loop.
  */
 public final class ForwardingUpstreamClient implements UpstreamClient {
-    /** Separates a request's id from an attempt's number in an attempt's id. */
+    /** Separates the request id from the attempt number in an attempt id. */
     private static final char ATTEMPT_NUMBER_SEPARATOR = '.';
 
     private final ConnectionPools pools;
     private final StateReleaser releaser;
     private final UpstreamContext context;
 
-    /** A client over sockets. */
+    /** Creates a client that connects over TCP. */
     public ForwardingUpstreamClient(
             EventLoop loop,
             Scheduler scheduler,
@@ -34,13 +34,13 @@
         this(scheduler, limits, new SocketConnectionOpener(loop, allocator, limits), events);
     }
 
-    /** A client whose connections are opened otherwise. */
+    /** Creates a client with another way of opening connections. */
     public ForwardingUpstreamClient(
             Scheduler scheduler, UpstreamLimits limits, ConnectionOpener opener) {
         this(scheduler, limits, opener, RequestEvents.IGNORED);
     }
 
-    /** A client whose connections are opened otherwise, and whose events are observed. */
+    /** Creates a client with another way of opening connections, which reports its events. */
     public ForwardingUpstreamClient(
             Scheduler scheduler,
             UpstreamLimits limits,
@@ -62,20 +62,20 @@
     }
 
     /**
-     * Replaces the list of current engines; a release that its holder does not take goes to another
-     * of them.
+     * Sets the current engine endpoints. A release that the engine holding the state does not
+     * accept is sent to another of them.
      */
     public void updateEndpoints(List<Endpoint> current) {
         pools.updateEndpoints(current);
     }
 
-    /** Attempts in flight at an engine, to compare with the policy's count. */
+    /** Returns the number of in-flight attempts at an engine, to check the policy's count. */
     public int inFlightAttempts(Endpoint endpoint) {
         ConnectionPool pool = pools.existingPool(endpoint);
         return pool == null ? 0 : pool.inFlightAttempts();
     }
 
-    /** Connections to an engine: opening, in use and idle. */
+    /** Returns the number of connections to an engine: opening, in use and idle. */
     public int connectionCount(Endpoint endpoint) {
         ConnectionPool pool = pools.existingPool(endpoint);
         return pool == null ? 0 : pool.size();
@@ -86,7 +86,7 @@
         return releaser.hasPendingReleases();
     }
 
-    /** Requests with an attempt in flight or a state to release. */
+    /** Returns the number of requests with an in-flight attempt or a state to release. */
     public int openRequests() {
         return releaser.openRequests();
     }
--- a/src/main/java/larchridge/node/upstream/LoadProbe.java
+++ b/src/main/java/larchridge/node/upstream/LoadProbe.java
@@ -5,7 +5,7 @@
 import larchridge.upstream.Endpoint;
 import larchridge.upstream.UpstreamClient.ProbeListener;
 
-/** A health check that asks an engine for its load. */
+/** A health check that requests an engine's load report. */
 final class LoadProbe extends ControlCall {
     private static final String TARGET = "/metrics/load";
 
@@ -35,8 +35,7 @@
         }
         boolean answered =
                 result == ControlCallResult.ANSWERED && status() == HttpResponseStatus.OK.code();
-        // An engine that has no report yet answers without one; it is not to be taken for a failed
-        // one.
+        // An engine that has no report yet responds without one and must not count as failed.
         listener.completed(answered, answered ? loadReports.read(bodyText()) : null);
     }
 }
--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -6,9 +6,10 @@
 import larchridge.settings.DeploymentSettingsReader;
 import larchridge.state.LoadReport;
 
-/** Reads load reports: figures under the names that the settings use. */
+/** Parses load reports, keeping the metrics that are named in the settings. */
 final class LoadReportReader {
     private static final int MAX_REPORT_CHARACTERS = 512;
+    /** A report with a value from this one on is invalid. */
     private static final double IMPLAUSIBLE_VALUE = 1e12;
 
     private final List<String> fields;
@@ -17,7 +18,7 @@
         this.fields = fields;
     }
 
-    /** Reads a text such as {@code a=7,b=0.61}; null if it is not a valid report. */
+    /** Parses text such as {@code a=7,b=0.61}; returns null if it is not a valid report. */
     LoadReport read(String text) {
         if (text == null || text.isEmpty() || text.length() > MAX_REPORT_CHARACTERS) {
             return null;
--- a/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
+++ b/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
@@ -7,7 +7,7 @@
 import larchridge.router.Scheduler;
 import larchridge.upstream.Endpoint;
 
-/** Sends releases over the pools' connections, and chooses the engines that they go to. */
+/** Sends releases over pooled connections and chooses the engines to which they are sent. */
 final class PooledReleaseTransport implements StateReleaser.Transport {
     private static final String TARGET_PREFIX = "/v1/holds/";
 
@@ -31,10 +31,10 @@
     }
 
     /**
-     * The holder first; then others that were not tried yet, those with an idle connection before
-     * those without, and those that responded last before the rest. Guards against: a connection
-     * that has to be opened first may take all the time there is, and where engines are unreachable
-     * most of them are tried in vain.
+     * Returns the holder first, then other engines that were not tried yet: those with an idle
+     * connection before those without, and within each group the one that responded last. Guards
+     * against: opening a connection could take the whole remaining time, and while engines are
+     * unreachable most tries would fail.
      */
     @Override
     public Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried) {
@@ -62,7 +62,7 @@
         return best;
     }
 
-    /** Asks one engine to release all that engines hold for a request. */
+    /** Asks one engine to release all states that engines hold for a request. */
     private final class ReleaseCall extends ControlCall {
         private final String requestId;
         private final Consumer<ControlCallResult> listener;
--- a/src/main/java/larchridge/node/upstream/RequestReadState.java
+++ b/src/main/java/larchridge/node/upstream/RequestReadState.java
@@ -5,57 +5,57 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * What this node knows of the attempts of one request and of the read state that engines may hold
- * for it. One method for each transition; the decisions are {@link StateReleaser}'s.
+ * Tracks the in-flight attempts of one request and the read state that engines may hold for it. It
+ * has one method per transition; {@link StateReleaser} makes the decisions.
  */
 final class RequestReadState {
     private static final long NO_TIMER = -1;
 
     private final String requestId;
 
-    /** Attempts whose end was not reported yet. */
+    /** Number of attempts that have not ended. */
     private int inFlightAttempts;
 
-    /** The response has started: nothing is left to be fetched. */
+    /** Whether the response has started, so that no state is left to fetch. */
     private boolean responseStarted;
 
-    /** An engine may hold a state. */
+    /** Whether an engine may hold a state. */
     private boolean mayBeHeld;
 
-    /** The timer of the time for which a state may be held, or {@link #NO_TIMER}. */
+    /** Timer for the hold time of a state, or {@link #NO_TIMER}. */
     private long holdTimer = NO_TIMER;
 
-    /** A release was requested and has not been sent; also true beside one under way. */
+    /** Whether a release is requested but not sent; it may be requested again while one is sent. */
     private boolean releaseRequested;
 
     private ReleaseMode releaseMode = ReleaseMode.NONE;
     private double releaseStartMs;
 
-    /** This machine could not send the release under way to one of the engines. */
+    /** Whether this machine could not send one of the tries of the current release. */
     private boolean releaseNotSent;
 
-    /** The engines that the release under way was sent to. */
+    /** The engines to which the current release was sent. */
     private final Set<Endpoint> triedEndpoints = new HashSet<>();
 
-    /** The engine that the read went to, tried first; null until a release is requested. */
+    /** The engine that read the prompt, tried first; null until a release is requested. */
     private Endpoint holder;
 
-    /** The newest attempt if it may fetch a state, else null. */
+    /** The latest attempt if it may fetch a state, else null. */
     private ReleaseListener releaseListener;
 
-    /** Which release is under way. */
+    /** Which kind of release is in progress. */
     enum ReleaseMode {
-        /** None is. */
+        /** No release is in progress. */
         NONE,
-        /** One that waited until no attempt could fetch the state any more. */
+        /** A release that waited until no attempt could fetch the state. */
         AFTER_ATTEMPTS,
-        /** One sent beside an attempt, since the time for which the state may be held runs out. */
+        /** A release sent during an attempt, because the hold time is about to expire. */
         DURING_ATTEMPT
     }
 
-    /** Notified of releases that an attempt in flight did not wait for. */
+    /** Receives notice of releases that are sent during an attempt. */
     interface ReleaseListener {
-        /** The state that the attempt is to fetch is being released beside it. */
+        /** Called when the state that the attempt may fetch is being released. */
         void releasedDuringAttempt();
     }
 
@@ -63,7 +63,7 @@
         this.requestId = requestId;
     }
 
-    /** The client's id of the request. */
+    /** Returns the client's request id. */
     String requestId() {
         return requestId;
     }
@@ -86,18 +86,18 @@
         return responseStarted;
     }
 
-    /** The response has started, and its attempt has fetched what was held. */
+    /** Records that the response has started, so its attempt has fetched the state. */
     void responseStarted() {
         responseStarted = true;
         mayBeHeld = false;
     }
 
-    /** The newest attempt may fetch a state. */
+    /** Sets the listener for the latest attempt, which may fetch a state. */
     void setReleaseListener(ReleaseListener listener) {
         releaseListener = listener;
     }
 
-    /** The newest attempt fetches no state. */
+    /** Clears the listener, because the latest attempt fetches no state. */
     void clearReleaseListener() {
         releaseListener = null;
     }
@@ -119,12 +119,12 @@
         return mayBeHeld;
     }
 
-    /** An engine holds a state, or may do so. */
+    /** Records that an engine may hold a state. */
     void markMayBeHeld() {
         mayBeHeld = true;
     }
 
-    /** No engine holds a state any more. */
+    /** Records that no engine holds a state any more. */
     void markReleased() {
         mayBeHeld = false;
     }
@@ -137,7 +137,7 @@
         holdTimer = timer;
     }
 
-    /** Forgets the timer, which has fired or is being cancelled; returns its number. */
+    /** Clears the timer, which has fired or is being cancelled, and returns its id. */
     long clearHoldTimer() {
         long timer = holdTimer;
         holdTimer = NO_TIMER;
@@ -150,13 +150,13 @@
         return releaseRequested;
     }
 
-    /** Nothing of the state is wanted any more. */
+    /** Requests a release, because the state is no longer needed. */
     void requestRelease(Endpoint holdingEndpoint) {
         releaseRequested = true;
         holder = holdingEndpoint;
     }
 
-    /** A release that broke off has to be sent again, unless the response has started. */
+    /** Requests a release again after an aborted one, unless the response has started. */
     void requestReleaseAgain() {
         releaseRequested |= !responseStarted;
     }
@@ -173,7 +173,7 @@
         return releaseMode == ReleaseMode.DURING_ATTEMPT;
     }
 
-    /** A release is under way from now on. */
+    /** Records the start of a release. */
     void releaseStarted(ReleaseMode mode, double nowMs) {
         releaseRequested = false;
         releaseMode = mode;
@@ -193,28 +193,28 @@
         return triedEndpoints;
     }
 
-    /** The release under way is being sent to this engine. */
+    /** Records that the current release is being sent to an engine. */
     void recordTry(Endpoint endpoint) {
         triedEndpoints.add(endpoint);
     }
 
-    /** Whether this machine could not send one of the tries. */
+    /** Whether this machine could not send one of the tries of the current release. */
     boolean hasUnsentTry() {
         return releaseNotSent;
     }
 
-    /** This machine could not send one of the tries. */
+    /** Records that this machine could not send one of the tries. */
     void recordUnsentTry() {
         releaseNotSent = true;
     }
 
-    /** All engines may be tried anew. */
+    /** Allows all engines to be tried again. */
     void clearTries() {
         releaseNotSent = false;
         triedEndpoints.clear();
     }
 
-    /** Whether nothing of the request is left to keep account of. */
+    /** Whether the request no longer needs to be tracked. */
     boolean isIdle() {
         return inFlightAttempts == 0 && !releaseRequested && !isReleasing() && !hasHoldTimer();
     }
--- a/src/main/java/larchridge/node/upstream/SocketConnectionOpener.java
+++ b/src/main/java/larchridge/node/upstream/SocketConnectionOpener.java
@@ -10,7 +10,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import larchridge.upstream.Endpoint;
 
-/** Opens TCP connections on the node's event loop. */
+/** Opens TCP connections that run on the node's event loop. */
 final class SocketConnectionOpener implements ConnectionOpener {
     private final Bootstrap bootstrap;
 
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -12,40 +12,39 @@
 
 /**
  * Releases the read states that engines hold for requests: once no attempt can fetch a state any
- * more, and in any case before the time is over for which it may be held. All methods run on the
- * loop.
+ * more, and in any case before its maximum hold time expires. All methods run on the event loop.
  *
- * <p>The time for a held state rests while an attempt is at an engine. An attempt that was written
- * to a connection may never have arrived there, and nothing shows it. So the time is taken to run
- * on until the engine responds to an attempt, and the release is sent when most of it is over,
- * whether or not an attempt is in flight. That is harmless where the attempt did arrive: an engine
- * frees no state that a request in its queue waits for. Where it did not arrive, the state is freed
- * in time; an attempt that arrives later is declined by the engine for want of a state, and the
- * prompt is read again.
+ * <p>The hold time of a state is suspended while an attempt is at an engine. But an attempt that
+ * was written to a connection may never have reached the engine, which this node cannot detect. So
+ * the hold time is assumed to continue until the engine responds to an attempt, and the release is
+ * sent when most of the hold time has passed, even during an attempt. If the attempt did reach the
+ * engine, this is harmless, because an engine does not free a state that a queued request waits
+ * for. If it did not, the state is released in time; should the attempt arrive later, the engine
+ * declines it because the state is missing, and the prompt is read again.
  */
 final class StateReleaser {
-    /** A release is tried this many times within the time for which a state may be held. */
+    /** Number of tries of a release that fit into the hold time. */
     private static final int TRIES_PER_HOLD_TIME = 5;
 
-    /** One beside an attempt starts late, and is tried this many times up to the latest moment. */
+    /** Number of tries in what remains of the hold time for a release during an attempt. */
     private static final int TRIES_DURING_ATTEMPT = 4;
 
-    /** A release is tried this many times in all, each at another engine. */
+    /** Maximum number of tries of a release, each at a different engine. */
     private static final int MAX_TRIES = 10;
 
-    /** The platform counts a state as held for too long only this much after its time. */
+    /** Grace period after the hold time before the platform counts a state as held too long. */
     private static final double HOLD_GRACE_MS = 300;
 
-    /** Requests that are kept account of at a time. */
+    /** Number of tracked requests from which a release for an untracked one is not sent. */
     private static final int MAX_TRACKED_REQUESTS = 20_000;
 
     /**
-     * A release is sent at this part of the time for a held state; the rest is for tries at engines
-     * that do not answer.
+     * Fraction of the hold time after which a release is sent; the rest allows for engines that do
+     * not respond.
      */
     private static final double RELEASE_AT_FRACTION = 0.85;
 
-    /** A release that this machine could not send is tried again for so many times that time. */
+    /** A release that this machine could not send is retried for this many hold times. */
     private static final double LOCAL_FAILURE_RETRY_FACTOR = 5;
 
     private static final Logger LOG = LoggerFactory.getLogger(StateReleaser.class);
@@ -53,22 +52,22 @@
     private final Scheduler scheduler;
     private final double stateHoldMs;
 
-    /** An engine may take this long to answer a release before another is tried. */
+    /** Time for an engine to respond to a release before the next one is tried. */
     private final double tryTimeoutMs;
 
-    /** The same for a release that is sent beside an attempt. */
+    /** The same for a release during an attempt. */
     private final double duringAttemptTryTimeoutMs;
 
     private final Transport transport;
 
-    /** The requests that are kept account of, by the client's id. */
+    /** The tracked requests, by request id. */
     private final Map<String, RequestReadState> readStates = new HashMap<>();
 
-    /** How releases reach engines. */
+    /** Sends releases to engines. */
     interface Transport {
         /**
-         * Asks an engine to release all that engines hold for a request; the listener gets the
-         * result, never from inside the call.
+         * Asks an engine to release all states that engines hold for a request. The listener
+         * receives the result, never from within this call.
          */
         void release(
                 Endpoint endpoint,
@@ -76,7 +75,7 @@
                 double timeoutMs,
                 Consumer<ControlCallResult> listener);
 
-        /** The engine to try next, or null if all have been tried. */
+        /** Returns the engine to try next, or null if all have been tried. */
         Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried);
     }
 
@@ -89,9 +88,9 @@
                 Math.min(tryTimeoutMs, ((1 - RELEASE_AT_FRACTION) * stateHoldMs + HOLD_GRACE_MS) / TRIES_DURING_ATTEMPT);
     }
 
-    // ------------------------------------------------------------------ what happens to attempts
+    // ------------------------------------------------------------------ attempts
 
-    /** An attempt of a request starts. */
+    /** Tracks a new attempt of a request. */
     RequestReadState attemptStarted(String requestId) {
         RequestReadState readState =
                 readStates.computeIfAbsent(requestId, RequestReadState::new);
@@ -99,29 +98,29 @@
         return readState;
     }
 
-    /** A read has ended well: its engine holds the state. */
+    /** Called when a read has completed and its engine holds the state. */
     void readCompleted(RequestReadState readState) {
         readState.attemptEnded();
         markHeld(readState);
         scheduleReleaseOrRemove(readState);
     }
 
-    /** A response has started, and its attempt has fetched what was held. */
+    /** Called when a response has started, so its attempt has fetched the state. */
     void responseStarted(RequestReadState readState) {
         readState.responseStarted();
         cancelHoldTimer(readState);
     }
 
     /**
-     * An attempt has ended otherwise.
+     * Called when an attempt has ended in any other way.
      *
-     * @param responseReceived whether its engine answered anything, so that the attempt had arrived
-     *     there
+     * @param responseReceived whether the engine sent a response, which shows that the attempt
+     *     reached it
      */
     void attemptEnded(RequestReadState readState, boolean responseReceived) {
         readState.attemptEnded();
-        // Released beside it, the state may have stayed for this attempt alone, and is held anew
-        // from now on.
+        // If a release was sent during this attempt, the engine may have kept the state only for
+        // the attempt, and a new hold time starts now.
         boolean releasedBefore = !readState.hasHoldTimer();
         if (readState.mayBeHeld() && (responseReceived || releasedBefore)) {
             cancelHoldTimer(readState);
@@ -132,14 +131,14 @@
 
     // ------------------------------------------------------------------ releases
 
-    /** Nothing of the request's state is wanted any more. */
+    /** Releases the state of a request, which is no longer needed. */
     void release(String requestId, Endpoint holder) {
         RequestReadState readState = readStates.get(requestId);
         if (readState == null) {
             if (readStates.size() >= MAX_TRACKED_REQUESTS) {
                 LOG.atWarn()
                         .addKeyValue("id", requestId)
-                        .log("too many releases under way; a state is left to its engine");
+                        .log("too many tracked requests; release not sent");
                 return;
             }
             readState = new RequestReadState(requestId);
@@ -152,7 +151,7 @@
         scheduleReleaseOrRemove(readState);
     }
 
-    /** Whether a release is requested or under way. */
+    /** Whether any release is requested or in progress. */
     boolean hasPendingReleases() {
         return readStates.values().stream()
                 .anyMatch(
@@ -160,12 +159,12 @@
                                 readState.isReleaseRequested() || readState.isReleasing());
     }
 
-    /** Requests with an attempt in flight or a state to release. */
+    /** Returns the number of requests with an in-flight attempt or a state to release. */
     int openRequests() {
         return readStates.size();
     }
 
-    /** A state may be held from now on; where an older one is, that one's time runs on. */
+    /** Records that a state may be held; the hold time of an earlier one continues. */
     private void markHeld(RequestReadState readState) {
         readState.markMayBeHeld();
         if (!readState.hasHoldTimer()) {
@@ -183,9 +182,7 @@
         LOG.atDebug()
                 .addKeyValue("id", readState.requestId())
                 .addKeyValue("attempts", readState.inFlightAttempts())
-                .log(
-                        "releases a state before its time is over, "
-                                + "beside attempts that were not heard of");
+                .log("hold time is expiring without a response; releasing the state");
         boolean duringAttempt = readState.mayBeFetched();
         startRelease(
                 readState,
@@ -206,9 +203,9 @@
     }
 
     /**
-     * Sends a release that is requested once nothing can be fetched any more. A release names the
-     * whole request; sent earlier than it has to be, it could free the state that an attempt on its
-     * way is to fetch.
+     * Sends a requested release once no attempt can fetch the state, or stops tracking a request
+     * that needs no more tracking. A release applies to the whole request; if it were sent too
+     * early, it could free the state that an attempt in transit is about to fetch.
      */
     private void releaseOrRemove(RequestReadState readState) {
         if (readState.isReleaseRequested()
@@ -258,8 +255,8 @@
                 readState.markReleased();
                 cancelHoldTimer(readState);
             }
-            // Else a state that a request in an engine's queue waits for stays, and is released
-            // after that attempt's end.
+            // Otherwise the engine keeps a state that a queued request waits for; it is released
+            // after that attempt has ended.
             releaseEnded(readState);
         } else if (stillNeeded) {
             if (result == ControlCallResult.NOT_SENT) {
@@ -273,8 +270,8 @@
     }
 
     /**
-     * No engine has taken it. Where this machine could not send, for want of a descriptor or a
-     * buffer, that passes: all are tried anew a little later.
+     * Called when no engine has accepted the release. If this machine could not send it, for lack
+     * of a file descriptor or buffer, the cause is temporary and all engines are tried again later.
      */
     private void endpointsExhausted(RequestReadState readState) {
         double sinceStartMs = scheduler.nowMs() - readState.releaseStartMs();
@@ -285,7 +282,7 @@
         }
         LOG.atWarn()
                 .addKeyValue("id", readState.requestId())
-                .log("no engine took a release; the state is left to its engine");
+                .log("no engine accepted the release; state not released");
         releaseEnded(readState);
     }
 
--- a/src/main/java/larchridge/node/upstream/UpstreamChannelInitializer.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamChannelInitializer.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Installs the HTTP codecs and the connection's own handler on a new channel. */
+/** Installs the HTTP codecs and the connection's handler on a new channel. */
 final class UpstreamChannelInitializer extends ChannelInitializer<Channel> {
     private static final int MAX_STATUS_LINE_BYTES = 1024;
     private static final int MAX_HEADER_BYTES = 8192;
--- a/src/main/java/larchridge/node/upstream/UpstreamConnection.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamConnection.java
@@ -19,35 +19,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to an engine, with one exchange at a time. It returns to its pool only if
- * everything about the response was in order; anything received without a request closes it.
+ * One connection to an engine, which carries one exchange at a time. It is reused only after a
+ * complete and valid response; unsolicited data closes it.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(UpstreamConnection.class);
 
     private final ConnectionPool pool;
 
-    /** Null if the system call for a socket failed. */
+    /** Null if no socket could be created. */
     private Channel channel;
 
-    /** The exchange in progress, also while the connection is opening; null if there is none. */
+    /** The current exchange, also while the connection is opening; null if there is none. */
     private UpstreamExchange exchange;
 
-    /** The exchange's request has been written to the socket. */
+    /** Whether the current request has been written to the socket. */
     private boolean requestWritten;
 
-    /** What is being read belongs to an informational (1xx) response. */
+    /** Whether the response being read is informational (1xx). */
     private boolean informational;
 
-    /** The response allows further exchanges on this connection. */
+    /** Whether the response allows further exchanges on this connection. */
     private boolean keepAlive;
 
-    /** The response is complete, and the connection may be used again when this read ends. */
+    /** Whether the response is complete and the connection is reusable after this socket read. */
     private boolean reusableAfterRead;
 
     private boolean closed;
 
-    /** Why it ends; the peer ends it as long as nobody here does. */
+    /** Why the connection ends: {@code PEER} unless this side closes it. */
     private CloseReason closeReason = CloseReason.PEER;
 
     private double idleSinceMs;
@@ -57,7 +57,7 @@
         this.exchange = exchange;
     }
 
-    /** Sets the channel of a connection that is opening; null if there is none. */
+    /** Sets the channel of the opening connection; null if there is none. */
     void channelCreated(Channel created) {
         channel = created;
     }
@@ -66,7 +66,7 @@
         return !closed && channel.isActive();
     }
 
-    /** When it was last used; while it is idle, since when it is. */
+    /** Returns when the connection last became idle, or when it was opened. */
     double idleSinceMs() {
         return idleSinceMs;
     }
@@ -75,7 +75,7 @@
         idleSinceMs = nowMs;
     }
 
-    /** Starts an exchange on an idle connection, or the first one on a new connection. */
+    /** Starts an exchange on an idle connection, or the first exchange on a new one. */
     void start(UpstreamExchange next) {
         exchange = next;
         requestWritten = false;
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Abandons the exchange: the connection is closed, and the exchange gets no further calls. */
+    /** Closes the connection; the current exchange receives no further calls. */
     void abandonExchange() {
         exchange = null;
         close(CloseReason.CALLED_OFF);
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Reads from the socket, or leaves what arrives there so that the engine is held back. */
+    /** Enables or disables socket reads; disabling them puts back pressure on the engine. */
     void setAutoRead(boolean autoRead) {
         if (channel != null) {
             channel.config().setAutoRead(autoRead);
@@ -128,8 +128,8 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
             if (exchange == null || reusableAfterRead) {
-                // Guards against: a response without a request would be taken for the next
-                // request's.
+                // Guards against: an unsolicited response would be taken for the response to the
+                // next request.
                 reusableAfterRead = false;
                 exchange = null;
                 close(CloseReason.BAD_INPUT);
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Takes the head of a response; false if nothing else of this part is to be read. */
+    /** Handles the head of a response; returns false if the rest of the message is ignored. */
     private boolean headReceived(HttpResponse response) {
         informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
         if (informational) {
@@ -168,7 +168,7 @@
         return true;
     }
 
-    /** Whether the response's end shows without the end of the connection. */
+    /** Whether the end of the response can be recognised without closing the connection. */
     private static boolean hasSelfDefinedLength(HttpResponse response) {
         return HttpUtil.isTransferEncodingChunked(response)
                 || HttpUtil.isContentLengthSet(response)
@@ -187,8 +187,8 @@
 
     private void endReceived() {
         UpstreamExchange ended = exchange;
-        // Guards against: after a response that precedes the request's last byte, requests and
-        // responses of this connection would not correspond any more.
+        // Guards against: after a response that precedes the last byte of its request, requests and
+        // responses on this connection would no longer correspond.
         boolean inSync = keepAlive && requestWritten;
         reusableAfterRead = ended.responseCompleted() && inSync;
         exchange = reusableAfterRead ? exchange : null;
@@ -198,7 +198,7 @@
     }
 
     private void closeMalformed(Object detail) {
-        LOG.debug("an answer of {} can't be read: {}", pool.endpoint(), detail);
+        LOG.debug("malformed response from {}: {}", pool.endpoint(), detail);
         UpstreamExchange ended = exchange;
         exchange = null;
         close(CloseReason.BAD_INPUT);
@@ -235,7 +235,7 @@
         }
     }
 
-    /** The connection never came up. */
+    /** Called when the connection could not be established. */
     void connectFailed(ConnectFailure failure) {
         closeReason = CloseReason.NOT_CONNECTED;
         UpstreamExchange interrupted = leavePool();
@@ -244,7 +244,7 @@
         }
     }
 
-    /** Leaves the pool; returns the exchange that ends with the connection, or null. */
+    /** Removes the connection from its pool; returns the interrupted exchange, or null. */
     private UpstreamExchange leavePool() {
         if (closed) {
             return null;
--- a/src/main/java/larchridge/node/upstream/UpstreamContext.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamContext.java
@@ -4,13 +4,13 @@
 import larchridge.router.Scheduler;
 
 /**
- * What the attempts and probes of one client share.
+ * Dependencies shared by the attempts and probes of one client.
  *
- * @param scheduler clock, timers and loop
- * @param pools where connections come from
- * @param loadReports reads the load reports of responses
- * @param releaser keeps account of the states that attempts leave or fetch
- * @param events notified of what happens to attempts
+ * @param scheduler clock, timers and event loop
+ * @param pools provides connections
+ * @param loadReports parses load reports in responses
+ * @param releaser tracks the states that attempts leave or fetch
+ * @param events receives the events of attempts
  */
 record UpstreamContext(
         Scheduler scheduler,
--- a/src/main/java/larchridge/node/upstream/UpstreamExchange.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -6,35 +6,35 @@
 import larchridge.node.transport.ConnectFailure;
 
 /**
- * One request on a connection and its response. All methods are called on the loop, and the last
+ * One request on a connection and its response. All methods are called on the event loop; the last
  * call is one of {@link #responseCompleted}, {@link #responseMalformed}, {@link #disconnected} and
  * {@link #connectFailed}.
  */
 interface UpstreamExchange {
-    /** Encodes the request at the last moment; null if it must not be sent any more. */
+    /** Encodes the request just before it is sent; returns null if it must no longer be sent. */
     FullHttpRequest encodeRequest();
 
-    /** The last byte of the request was written to the socket. */
+    /** Called when the last byte of the request was written to the socket. */
     default void requestWritten() {}
 
-    /** The response's status and headers; false if they can't be used. */
+    /** Called with the response's status and headers; returns false if they are invalid. */
     boolean responseHeadReceived(HttpResponse response);
 
-    /** A part of the response's body; false if it can't be used. */
+    /** Called with a part of the response's body; returns false if it is invalid. */
     boolean responseBodyReceived(ByteBuf content);
 
-    /** The end of the response; false if the connection must not be used again. */
+    /** Called at the end of the response; returns false if the connection must not be reused. */
     boolean responseCompleted();
 
-    /** All that one read of the socket brought has been passed on. */
+    /** Called when everything from one socket read has been delivered. */
     default void readBatchCompleted() {}
 
-    /** What was received can't be decoded; the connection is being closed by the caller. */
+    /** Called when the response cannot be decoded; the caller closes the connection. */
     void responseMalformed();
 
-    /** The connection ended before the response did. */
+    /** Called when the connection ended before the response did. */
     void disconnected();
 
-    /** The connection never came up; never called from inside the call that opened it. */
+    /** Called when the connection could not be established, never from within the opening call. */
     void connectFailed(ConnectFailure failure);
 }
--- a/src/main/java/larchridge/node/upstream/UpstreamLimits.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamLimits.java
@@ -3,15 +3,14 @@
 import java.util.List;
 
 /**
- * Limits and times of the connections to engines, all derived from the configuration. Times are
- * milliseconds.
+ * Limits and timeouts of the connections to engines, derived from the configuration.
  *
- * @param connectTimeoutMs how long a connection may take to come up, or a probe to be answered
- * @param keepAliveMs an engine closes a connection that was not used for this long
- * @param stateHoldMs how long an engine may hold a read state; it is to be released within this
- * @param maxConnections connections in all
- * @param maxConnectionsPerEndpoint connections to one engine
- * @param loadReportFields names of the figures in load reports
+ * @param connectTimeoutMs timeout for opening a connection, and for the response to a probe
+ * @param keepAliveMs idle time after which an engine closes a connection
+ * @param stateHoldMs maximum time for which an engine may hold a read state before its release
+ * @param maxConnections maximum number of connections to all engines
+ * @param maxConnectionsPerEndpoint maximum number of connections to one engine
+ * @param loadReportFields names of the metrics in load reports
  */
 public record UpstreamLimits(
         double connectTimeoutMs,
--- a/src/main/java/larchridge/node/upstream/UpstreamRequestEncoder.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamRequestEncoder.java
@@ -9,7 +9,7 @@
 import larchridge.upstream.Endpoint;
 import larchridge.upstream.ForwardedRequest;
 
-/** Encodes the requests that go to engines. */
+/** Encodes requests to engines. */
 final class UpstreamRequestEncoder {
     private static final String REQUEST_ID_HEADER = "Req-Id";
     private static final String DEADLINE_HEADER = "Req-Deadline-Ms";
@@ -19,9 +19,9 @@
     private UpstreamRequestEncoder() {}
 
     /**
-     * Encodes a client's request as it came, with the time that is left of its deadline.
+     * Encodes a client's request unchanged, with the time remaining until its deadline.
      *
-     * @param remainingMs how long the engine may take until the first token
+     * @param remainingMs time remaining for the first token
      */
     static FullHttpRequest encodeForwarded(
             ForwardedRequest forwarded, Endpoint endpoint, long remainingMs) {
@@ -42,7 +42,7 @@
         return request;
     }
 
-    /** Encodes a request of this node's own, without a body. */
+    /** Encodes a request that this node itself makes, without a body. */
     static FullHttpRequest encodeControl(Endpoint endpoint, HttpMethod method, String target) {
         return encode(endpoint, method, target, NO_BODY);
     }
--- a/src/main/java/larchridge/upstream/AttemptClassifier.java
+++ b/src/main/java/larchridge/upstream/AttemptClassifier.java
@@ -8,12 +8,12 @@
 import larchridge.state.AttemptOutcome;
 
 /**
- * Decides the outcome of one attempt from what was observed of it. Safe retries rest on this class:
- * an outcome that proves the attempt never ran is given only where the engine cannot have seen the
- * request, or says itself that it did not run it.
+ * Determines the outcome of one attempt from the observed events. Safe retries depend on this
+ * class: an outcome that proves the attempt did not run is returned only if the engine cannot have
+ * received the request or states that it did not run it.
  */
 public final class AttemptClassifier {
-    /** The error code by which an engine says that it does not hold the requested state. */
+    /** Error code of an engine that does not hold the requested state. */
     static final String STATE_UNKNOWN = "kv_state_unknown";
 
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
@@ -29,64 +29,64 @@
     private boolean sendRejected;
     private String errorCode;
 
-    /** The outcome of an attempt for which no connection could be acquired. */
+    /** Returns the outcome of an attempt for which no connection could be acquired. */
     static AttemptOutcome connectionFailed(Throwable cause) {
         return cause instanceof ConnectionPoolTooBusyException
                 ? AttemptOutcome.NOT_SENT
                 : AttemptOutcome.UNREACHABLE;
     }
 
-    /** The request was handed to the socket: from here on the engine may have it. */
+    /** Records that the request was written to the socket; the engine may now receive it. */
     void requestWritten() {
         requestWritten = true;
     }
 
-    /** The head of a response arrived. */
+    /** Records the status of the response. */
     void responseReceived(int responseStatus) {
         status = responseStatus;
     }
 
-    /** The body of an error response carries this error code; null if it carries none. */
+    /** Records the error code in the body of an error response; null if there is none. */
     void errorCodeReceived(String code) {
         errorCode = code;
     }
 
-    /** The response cannot be parsed. */
+    /** Records that the response cannot be parsed. */
     void responseMalformed() {
         responseMalformed = true;
     }
 
-    /** The engine said that the answer, or the reading of the prompt, is complete. */
+    /** Records that the engine reported the end of the answer. */
     void answerCompleted() {
         answerComplete = true;
     }
 
-    /** The body ended as its framing announced. */
+    /** Records that the body is complete by its HTTP framing. */
     void bodyEnded() {
         bodyEnded = true;
     }
 
-    /** The caller cancelled the attempt. */
+    /** Records that the caller cancelled the attempt. */
     void cancelled() {
         cancelled = true;
     }
 
-    /** The caller cancelled the attempt because its time ran out. */
+    /** Records that the caller cancelled the attempt because its deadline passed. */
     void deadlineExpired() {
         cancelled = true;
         deadlineExpired = true;
     }
 
-    /** The attempt was rejected before it was written. */
+    /** Records that the attempt was rejected before it was written. */
     void sendRejected() {
         sendRejected = true;
     }
 
-    /** The outcome, once nothing more can arrive. */
+    /** Returns the outcome; called once nothing more can arrive. */
     AttemptOutcome outcome() {
         if (answerComplete && !responseMalformed && status == HTTP_OK) {
-            // Guards against: an engine that dies between the last token and the end of its stream
-            // has answered in full.
+            // Guards against: an engine that exits between the last token and the end of the stream
+            // would be reported as failed although its answer is complete.
             return AttemptOutcome.STREAMED;
         }
         if (!requestWritten) {
@@ -98,8 +98,9 @@
         if (responseMalformed) {
             return AttemptOutcome.FAULT;
         }
-        // Guards against: a pooled connection that closes before any byte of the response looks as
-        // if nothing was sent; the engine may have read the request and died. It proves nothing.
+        // Guards against: a pooled connection that closes before the first byte of the response
+        // would be taken as proof that the attempt did not run. The engine may have read the
+        // request before it exited.
         if (status == NO_RESPONSE || !bodyEnded) {
             return AttemptOutcome.CUT;
         }
--- a/src/main/java/larchridge/upstream/AttemptListener.java
+++ b/src/main/java/larchridge/upstream/AttemptListener.java
@@ -4,64 +4,66 @@
 import larchridge.state.LoadReport;
 
 /**
- * Receives the events of one attempt, on the event loop of the sender and never from inside the
- * call that sent or cancelled the attempt.
+ * Receives the events of one attempt. Methods are called on the sender's event loop, and never from
+ * within the call that sends or cancels the attempt.
  */
 public interface AttemptListener {
     /**
-     * The prompt was read and its state is held at the reader; the last call for this attempt.
+     * Called when the prompt was read and its state is held at the reader. This is the last call
+     * for this attempt.
      *
-     * @param state the handle that fetches the state
+     * @param state the handle with which a writer fetches the state
      * @param cachedTokens prompt tokens that the reader found in its cache
      * @param promptTokens prompt tokens as the engine counted them, or {@link
      *     Completion#TOKENS_UNREPORTED}
-     * @param report the load that the engine reported with its response, or null
+     * @param report the load report in the response, or null
      */
     void readCompleted(StateHandle state, int cachedTokens, int promptTokens, LoadReport report);
 
-    /** The answer begins; its text follows. */
+    /** Called when the answer starts, before its first text or events. */
     void responseStarted();
 
-    /** The next part of the answer's text. */
+    /** Called with the next part of the answer's text. */
     void textReceived(String text);
 
     /**
-     * Complete events of the answer, to be forwarded unchanged; only from clients that forward
-     * requests.
+     * Called with complete server-sent events of the answer, which are forwarded unchanged. Only
+     * clients that forward requests call this.
      */
     default void eventsReceived(byte[] events) {
         throw new UnsupportedOperationException("this listener forwards no events");
     }
 
     /**
-     * Everything that arrived in one read of the socket has been delivered; what was gathered of it
-     * may be written to the client now, in one write.
+     * Called when everything from one socket read has been delivered, so that the listener can
+     * write it to the client in one write.
      */
     void batchCompleted();
 
     /**
-     * The engine says that no engine can process the request as it is; the end of the attempt
-     * follows.
+     * Called when the engine reports an error in the request itself, which no other engine could
+     * process either; {@link #attemptEnded} follows.
      */
     default void requestUnprocessable() {}
 
     /**
-     * The state that this attempt is to fetch has been released, since its time is nearly over and
-     * the engine has not responded. An attempt that waits in its engine's queue continues; no other
-     * attempt can fetch that state.
+     * Called when the state that this attempt fetches has been released, because its maximum hold
+     * time was about to expire and the engine had not responded. An attempt that is queued at its
+     * engine continues; no other attempt can fetch that state.
      */
     default void stateReleased() {}
 
-    /** The attempt was rejected before it was written; the end of the attempt follows. */
+    /** Called when the attempt was rejected before writing; {@link #attemptEnded} follows. */
     default void notSent(SendRejection reason) {}
 
     /**
-     * The last call for this attempt.
+     * Called when the attempt has ended other than by {@link #readCompleted}. This is the last call
+     * for this attempt.
      *
-     * @param outcome what became of the attempt
-     * @param report the load that the engine reported, or null
-     * @param completion how the answer ended; present with {@link AttemptOutcome#STREAMED} only,
-     *     else null
+     * @param outcome the outcome of the attempt
+     * @param report the engine's load report, or null
+     * @param completion how the answer ended; may be null unless the outcome is {@link
+     *     AttemptOutcome#STREAMED}
      */
     void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion completion);
 }
--- a/src/main/java/larchridge/upstream/AttemptRequest.java
+++ b/src/main/java/larchridge/upstream/AttemptRequest.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * What one attempt requests of an engine.
+ * The request of one attempt to an engine.
  *
- * @param attemptId identifies the attempt at the engine, also for the release of its state
- * @param endpoint where the engine listens
- * @param model the model's name as the engine knows it
- * @param prompt the prompt's text
- * @param maxTokens the most tokens that may be written
+ * @param attemptId identifies the attempt at the engine, also when its state is released
+ * @param endpoint the engine's address
+ * @param model the model name at the engine
+ * @param prompt the prompt text
+ * @param maxTokens the maximum number of output tokens
  * @param stopSequences texts that end the answer
- * @param sampling how tokens are sampled
- * @param state the read state to fetch, or null to read in place (or to read only)
- * @param idempotencyKey the key by which engines drop duplicates, or null
- * @param forwardedRequest the client's request where it is forwarded unchanged, or null
- * @param sendCheck consulted at the last moment before the attempt is written
+ * @param sampling sampling parameters
+ * @param state the read state to fetch; null if the engine reads the prompt itself
+ * @param idempotencyKey the key by which engines detect duplicates, or null
+ * @param forwardedRequest the client's request if it is forwarded unchanged, or null
+ * @param sendCheck called immediately before the attempt is written
  */
 public record AttemptRequest(
         String attemptId,
@@ -31,11 +31,11 @@
         SendCheck sendCheck) {
 
     /**
-     * How tokens are sampled; null leaves a parameter to the engine's default.
+     * Sampling parameters; the engine's default applies to those that are null.
      *
      * @param temperature the sampling temperature
-     * @param topP the probability mass to sample from
-     * @param topK the number of candidates to sample from
+     * @param topP the cumulative probability of the candidates to sample from
+     * @param topK the number of most probable candidates to sample from
      */
     public record Sampling(Double temperature, Double topP, Integer topK) {}
 }
--- a/src/main/java/larchridge/upstream/CompletionsAttempt.java
+++ b/src/main/java/larchridge/upstream/CompletionsAttempt.java
@@ -19,15 +19,15 @@
 import larchridge.state.LoadReport;
 
 /**
- * One attempt in flight over the completions API: writes the request, decodes the response and
- * notifies the listener. All events are handled on the event loop of the client.
+ * One in-flight attempt over the completions API: writes the request, decodes the response and
+ * notifies the listener. All events are handled on the client's event loop.
  */
 final class CompletionsAttempt implements UpstreamClient.AttemptHandle {
-    /** What an attempt requests of its engine. */
+    /** What an attempt requests from its engine. */
     enum Kind {
-        /** Reads the prompt and leaves its state; answered in one body. */
+        /** Reads the prompt and leaves its state at the engine; the response is one JSON body. */
         READ,
-        /** Writes the answer; answered as a stream of events. */
+        /** Writes the answer; the response is a stream of server-sent events. */
         WRITE
     }
 
@@ -45,7 +45,7 @@
     private HttpClientResponse response;
     private LoadReport loadReport;
 
-    /** Whether the last call to the listener was made, or is scheduled. */
+    /** Whether the last listener call has been made or scheduled. */
     private boolean ended;
 
     private boolean paused;
@@ -83,7 +83,7 @@
 
     private void connected(AsyncResult<HttpClientRequest> requestResult, ObjectNode body) {
         if (ended) {
-            // Cancelled while it waited for a connection: nothing was written.
+            // Cancelled while waiting for a connection; nothing was written.
             if (requestResult.succeeded()) {
                 requestResult.result().reset();
             }
@@ -94,8 +94,8 @@
             return;
         }
         request = requestResult.result();
-        // Guards against: an attempt that waited for a connection would reach an engine that has
-        // begun to drain since.
+        // Guards against: an attempt that waited for a connection would be sent to an engine that
+        // started draining in the meantime.
         if (attemptRequest.sendCheck().rejection() != null) {
             classifier.sendRejected();
             request.reset();
@@ -167,8 +167,8 @@
     }
 
     /**
-     * An engine sends each token as a chunk of its own, and many arrive in one read: the listener
-     * is notified when the event loop has handled them all.
+     * Notifies the listener after the event loop has handled all chunks of one socket read: an
+     * engine sends each token as a separate chunk, and many of them arrive together.
      */
     private void scheduleBatchNotification() {
         if (responseStarted && !ended && !batchNotificationScheduled) {
@@ -263,7 +263,7 @@
                 : Completion.FinishReason.END_OF_TURN;
     }
 
-    /** The JSON object that a text holds; null if it holds none. */
+    /** Parses a JSON object; returns null if the text is not one. */
     private static JsonNode parseObject(String text) {
         try {
             JsonNode json = MAPPER.readTree(text);
@@ -302,8 +302,8 @@
     }
 
     /**
-     * Ends the attempt on the next turn of the event loop: the caller that sends or cancels is in
-     * the middle of a decision and must not be re-entered.
+     * Ends the attempt in a separate task on the event loop, because the caller that sends or
+     * cancels it must not be re-entered.
      */
     private void finishLater(AttemptOutcome outcome) {
         ended = true;
@@ -327,7 +327,7 @@
     }
 
     private void abort() {
-        // Set before the reset, whose events must not end the attempt a second time.
+        // Set before the reset, whose events would otherwise end the attempt a second time.
         ended = true;
         if (request != null) {
             request.reset();
--- a/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
+++ b/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
@@ -6,7 +6,7 @@
 
 /** Encodes attempts as request bodies of the completions API. */
 final class CompletionsRequestEncoder {
-    /** The field that carries the hand-over of a read state, in requests and in responses. */
+    /** Field for the transfer of a read state, in requests and responses. */
     static final String TRANSFER_PARAMETERS_FIELD = "kv_transfer_params";
 
     private static final String REMOTE_DECODE_FIELD = "do_remote_decode";
@@ -18,11 +18,11 @@
     /**
      * A state held at a reader.
      *
-     * @param transferParameters what the reader returned, to be passed to the writer unchanged
+     * @param transferParameters the reader's transfer parameters, passed on to the writer
      */
     record TransferHandle(JsonNode transferParameters) implements StateHandle {}
 
-    /** The body of an attempt that reads the prompt and leaves its state at the reader. */
+    /** Encodes an attempt that reads the prompt and leaves its state at the reader. */
     static ObjectNode readBody(AttemptRequest attemptRequest) {
         ObjectNode body = commonBody(attemptRequest);
         body.put("max_tokens", 1);
@@ -31,7 +31,7 @@
         return body;
     }
 
-    /** The body of an attempt that writes the answer as a stream of events. */
+    /** Encodes an attempt that writes the answer as a stream of events. */
     static ObjectNode writeBody(AttemptRequest attemptRequest) {
         ObjectNode body = commonBody(attemptRequest);
         body.put("max_tokens", attemptRequest.maxTokens());
@@ -45,7 +45,7 @@
         return body;
     }
 
-    /** The body of a release of the state that an attempt left. */
+    /** Encodes the release of the state that an attempt left at an engine. */
     static String releaseBody(String attemptId) {
         return MAPPER.createObjectNode().put("rid", attemptId).toString();
     }
--- a/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
+++ b/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
@@ -10,10 +10,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases read states at engines, with retries, since a state that is not released occupies the
- * engine's memory; after the last retry the engine's own timeout frees it. At most {@value
- * #MAX_PENDING_RELEASES} releases are pending at once; one beyond that is logged and left to the
- * engine's timeout too.
+ * Releases read states at engines, with retries, because a state that is not released occupies the
+ * engine's memory. If all tries fail, the engine's own timeout frees the state. At most {@value
+ * #MAX_PENDING_RELEASES} releases are pending at a time; further ones are logged and not sent, so
+ * that the engine's timeout frees those states too.
  */
 final class CompletionsStateReleaser {
     private static final Logger LOG = LoggerFactory.getLogger(CompletionsStateReleaser.class);
@@ -36,13 +36,13 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** Releases the state that an attempt left, or may have left, at an engine. */
+    /** Releases the state that an attempt left or may have left at an engine. */
     void release(Endpoint endpoint, String attemptId) {
         if (pendingReleases >= MAX_PENDING_RELEASES) {
             LOG.atWarn()
                     .addKeyValue("engine", endpoint)
                     .addKeyValue("attempt", attemptId)
-                    .log("too many releases at once");
+                    .log("too many pending releases; the engine's timeout will free the state");
             return;
         }
         pendingReleases++;
@@ -73,7 +73,10 @@
                         });
     }
 
-    /** Any answer but a server error or "busy": an engine that does not know the state is done. */
+    /**
+     * Whether the release needs no retry. Only a server error or status 429 does: an engine that
+     * does not know the state has nothing to release.
+     */
     private static boolean isAcknowledged(int status) {
         return status < HTTP_INTERNAL_ERROR && status != STATUS_TOO_MANY_REQUESTS;
     }
@@ -82,6 +85,6 @@
         LOG.atWarn()
                 .addKeyValue("engine", endpoint)
                 .addKeyValue("attempt", attemptId)
-                .log("state not released; the engine's own timeout must free it");
+                .log("failed to release state; the engine's timeout will free it");
     }
 }
--- a/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
+++ b/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
@@ -13,10 +13,10 @@
 import larchridge.site.SiteLimits;
 
 /**
- * Reaches engines over the OpenAI-compatible completions API with disaggregated prefill and decode,
- * as vLLM and others publish it: a read attempt requests one token with {@code do_remote_decode}, a
- * write attempt passes the handle of that state with {@code do_remote_prefill} and is streamed as
- * server-sent events. An attempt is cancelled by closing its connection.
+ * Client for engines with the OpenAI-compatible completions API and disaggregated prefill and
+ * decode, as in vLLM. A read attempt requests one token with {@code do_remote_decode}; a write
+ * attempt passes the handle of the resulting state with {@code do_remote_prefill}, and its response
+ * is streamed as server-sent events. An attempt is cancelled by closing its connection.
  */
 public final class CompletionsUpstreamClient implements UpstreamClient {
     private static final int MAX_HEADER_BYTES = 32_768;
@@ -28,7 +28,7 @@
     private final CompletionsStateReleaser stateReleaser;
     private final long probeTimeoutMs;
 
-    /** Must be called on the event loop that is to own the client. */
+    /** Creates a client that runs on the calling event loop. */
     public CompletionsUpstreamClient(Vertx vertx, SiteLimits limits) {
         loop = vertx.getOrCreateContext();
         HttpClientOptions clientOptions =
--- a/src/main/java/larchridge/upstream/Endpoint.java
+++ b/src/main/java/larchridge/upstream/Endpoint.java
@@ -1,7 +1,7 @@
 package larchridge.upstream;
 
 /**
- * Where an engine listens.
+ * The network address of an engine.
  *
  * @param host host name or address
  * @param port TCP port
@@ -9,7 +9,7 @@
 public record Endpoint(String host, int port) {
     private static final int MAX_PORT = 65_535;
 
-    /** Parses {@code host:port}, port 0 to 65535; null if the text is not of that form. */
+    /** Parses {@code host:port} with a port from 0 to 65535; returns null for invalid text. */
     public static Endpoint parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/larchridge/upstream/LoadReportParser.java
+++ b/src/main/java/larchridge/upstream/LoadReportParser.java
@@ -8,9 +8,9 @@
 import larchridge.state.LoadReport;
 
 /**
- * Parses the load that engines report: the ORCA header {@code endpoint-load-metrics} of responses
- * in its text and JSON forms, and the metrics page that a probe fetches (Prometheus text). Figures
- * that are not reported are NaN; a report that can't be parsed is null.
+ * Parses engines' load reports: the ORCA response header {@code endpoint-load-metrics} in its text
+ * and JSON forms, and the metrics page that a probe fetches (Prometheus text format). Metrics that
+ * are not reported are NaN; a report that cannot be parsed is null.
  */
 final class LoadReportParser {
     /** The response header that carries a load report. */
@@ -28,19 +28,19 @@
     private static final String PAGE_WAITING = "vllm:num_requests_waiting";
     private static final String PAGE_CACHE_USAGE = "vllm:kv_cache_usage_perc";
 
-    /** The name that earlier engine versions give to {@link #PAGE_CACHE_USAGE}. */
+    /** Name of {@link #PAGE_CACHE_USAGE} in earlier engine versions. */
     private static final String PAGE_GPU_CACHE_USAGE = "vllm:gpu_cache_usage_perc";
 
     private static final String PAGE_PENDING_TOKENS = "vllm:prompt_tokens_waiting";
 
-    /** Figures from here on are not plausible and count as not reported. */
+    /** Values from this one on are treated as not reported. */
     private static final double IMPLAUSIBLE_VALUE = 1e15;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private LoadReportParser() {}
 
-    /** The load in a response's header; null if the header is missing or can't be parsed. */
+    /** Parses a response header; returns null if it is missing or cannot be parsed. */
     static LoadReport fromHeader(String header) {
         if (header == null) {
             return null;
@@ -64,7 +64,7 @@
                 metrics.getOrDefault(HEADER_PENDING_TOKENS, Double.NaN));
     }
 
-    /** The load on a metrics page in Prometheus text form; null if the page does not show it. */
+    /** Parses a Prometheus metrics page; returns null if it contains no load metrics. */
     static LoadReport fromMetricsPage(String page) {
         Map<String, Double> metrics = new HashMap<>();
         for (String line : page.split("\n")) {
@@ -124,7 +124,7 @@
                 metrics.put(name, value);
             }
         } catch (NumberFormatException e) {
-            // One malformed figure does not invalidate the others.
+            // One malformed value does not invalidate the others.
             return;
         }
     }
--- a/src/main/java/larchridge/upstream/RequestOptionsFactory.java
+++ b/src/main/java/larchridge/upstream/RequestOptionsFactory.java
@@ -3,7 +3,7 @@
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.RequestOptions;
 
-/** Creates the options of requests to engines, with the configured connect timeout. */
+/** Creates Vert.x options for requests to engines, with the configured connect timeout. */
 final class RequestOptionsFactory {
     private final long connectTimeoutMs;
 
--- a/src/main/java/larchridge/upstream/StateHandle.java
+++ b/src/main/java/larchridge/upstream/StateHandle.java
@@ -1,4 +1,4 @@
 package larchridge.upstream;
 
-/** Identifies a read state held at a reader; opaque to all but the client that returned it. */
+/** Identifies a read state held at a reader; opaque except to the client that returned it. */
 public interface StateHandle {}
--- a/src/main/java/larchridge/upstream/UpstreamClient.java
+++ b/src/main/java/larchridge/upstream/UpstreamClient.java
@@ -3,8 +3,8 @@
 import larchridge.state.LoadReport;
 
 /**
- * Sends attempts, releases and load probes to engines. One implementation for each protocol, one
- * instance for each router; all calls are made on the router's event loop.
+ * Sends attempts, state releases and load probes to engines. There is one implementation per
+ * protocol and one instance per router; all methods are called on the router's event loop.
  */
 public interface UpstreamClient {
     /** Sends an attempt that reads a prompt and leaves its state at the reader. */
@@ -13,25 +13,25 @@
     /** Sends an attempt that writes the answer. */
     AttemptHandle write(AttemptRequest attemptRequest, AttemptListener listener);
 
-    /** Releases the state that a read attempt left, or may have left, at an engine. */
+    /** Releases the state that a read attempt left or may have left at an engine. */
     void release(Endpoint endpoint, String attemptId);
 
-    /** Probes an engine for its load. */
+    /** Requests an engine's load report. */
     void probe(Endpoint endpoint, ProbeListener listener);
 
     /** Receives the result of a probe. */
     interface ProbeListener {
         /**
-         * The probe ended.
+         * Called when the probe has ended.
          *
-         * @param answered whether the engine answered in time
-         * @param report the load that it reported; null if it did not answer, or answered without
-         *     knowing its load yet
+         * @param answered whether the engine responded successfully in time
+         * @param report the engine's load report; null if the probe failed or the engine has no
+         *     report yet
          */
         void completed(boolean answered, LoadReport report);
     }
 
-    /** Whether a release is pending that no engine has acknowledged yet. */
+    /** Whether any release has not been acknowledged by an engine yet. */
     default boolean hasPendingReleases() {
         return false;
     }
@@ -41,13 +41,13 @@
 
     /** An attempt in flight. */
     interface AttemptHandle {
-        /** Cancels the attempt; its outcome is still delivered, unless it was delivered already. */
+        /** Cancels the attempt; its outcome is still reported unless it has ended already. */
         void cancel();
 
-        /** Cancels the attempt with the outcome that its time ran out. */
+        /** Cancels the attempt because its deadline passed. */
         void expire();
 
-        /** Suspends delivery of the answer, with back pressure to the engine's socket. */
+        /** Pauses delivery of the answer, with back pressure on the engine's socket. */
         void pause();
 
         /** Resumes delivery after {@link #pause()}. */
--- a/src/test/java/larchridge/node/upstream/ForwardingUpstreamClientFixture.java
+++ b/src/test/java/larchridge/node/upstream/ForwardingUpstreamClientFixture.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import larchridge.router.VirtualTimeScheduler;
 
-/** A client over channels without sockets, in virtual time; each test opens the connections. */
+/** A client over embedded channels, in virtual time; tests provide the connections. */
 final class ForwardingUpstreamClientFixture {
     static final double KEEP_ALIVE_MS = 15_000;
 
@@ -21,17 +21,17 @@
         client = new ForwardingUpstreamClient(time.schedulerOf(0, 1), LIMITS, opener);
     }
 
-    /** Lets so much time pass. */
+    /** Advances virtual time. */
     void advance(double ms) {
         time.run(time.sinceMs() + ms);
     }
 
-    /** An engine sends these bytes. */
+    /** Delivers bytes from an engine to the client. */
     static void respond(EmbeddedChannel engine, String response) {
         engine.writeInbound(Unpooled.copiedBuffer(response, StandardCharsets.ISO_8859_1));
     }
 
-    /** All that was written to an engine since the last call. */
+    /** Returns everything that was written to an engine since the last call. */
     static String written(EmbeddedChannel engine) {
         StringBuilder all = new StringBuilder();
         for (ByteBuf part = engine.readOutbound(); part != null; part = engine.readOutbound()) {
--- a/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
+++ b/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
@@ -13,7 +13,7 @@
 import larchridge.upstream.Endpoint;
 import org.junit.jupiter.api.Test;
 
-/** Where releases go, in virtual time. */
+/** Tests the choice of the engines to which releases are sent, in virtual time. */
 class PooledReleaseTransportTest {
     private final Map<Endpoint, EmbeddedChannel> reachable = new HashMap<>();
     private final List<Endpoint> tried = new ArrayList<>();
@@ -23,7 +23,7 @@
                         tried.add(endpoint);
                         EmbeddedChannel engine = new EmbeddedChannel(handlers);
                         if (!reachable.containsKey(endpoint)) {
-                            // Its connection is never established.
+                            // The connection is never established.
                             return engine.newPromise();
                         }
                         reachable.put(endpoint, engine);
@@ -34,7 +34,7 @@
         return new Endpoint("10.0.0." + number, 8443);
     }
 
-    /** An engine that answers a probe and has an idle connection from then on. */
+    /** Connects to an engine with a probe, which leaves the connection idle. */
     private EmbeddedChannel connectAndProbe(Endpoint endpoint) {
         reachable.put(endpoint, null);
         fixture.client.probe(endpoint, (answered, report) -> {});
@@ -55,7 +55,7 @@
         fixture.client.updateEndpoints(endpoints);
         EmbeddedChannel idle = connectAndProbe(endpoint(7));
         for (int i = 8; i < 12; i++) {
-            // Responded later, and disconnected since.
+            // These engines respond later and then disconnect.
             connectAndProbe(endpoint(i)).close();
             reachable.remove(endpoint(i));
         }
@@ -65,7 +65,7 @@
         assertEquals(
                 List.of(endpoint(0)),
                 tried,
-                "the holder is asked first, and then none that has to be connected to");
+                "after the holder, no engine that needs a new connection is tried");
         ByteBuf sent = idle.readOutbound();
         assertEquals(
                 "DELETE /v1/holds/9b1f03aa5c7e2d41 HTTP/1.1",
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -11,11 +11,11 @@
 import larchridge.upstream.Endpoint;
 import org.junit.jupiter.api.Test;
 
-/** When releases are sent, in virtual time, over a transport whose results the tests choose. */
+/** Tests when releases are sent, in virtual time, with results chosen by the tests. */
 class StateReleaserTest {
     private static final double STATE_HOLD_MS = 1000;
 
-    /** The platform's own allowance on top. */
+    /** Grace period of the platform after the hold time. */
     private static final double HOLD_GRACE_MS = 300;
 
     private static final String REQUEST_ID = "9b1f03aa5c7e2d41";
@@ -52,7 +52,7 @@
                         }
                     });
 
-    /** A state is held, and an attempt to fetch it is out. */
+    /** Creates a held state with an in-flight attempt that fetches it. */
     private RequestReadState heldStateWithFetchingAttempt() {
         RequestReadState readState = releaser.attemptStarted(REQUEST_ID);
         releaser.readCompleted(readState);
@@ -67,8 +67,8 @@
     }
 
     /**
-     * The engine kept it for the request in its queue; when that attempt breaks, nobody waits for
-     * it any more.
+     * Guards against: an engine keeps a released state while a queued request waits for it. If that
+     * attempt then fails, the state would stay held.
      */
     @Test
     void stateThatStayedForAQueuedAttemptIsReleasedAgainAfterThatAttemptBreaks() {
@@ -115,7 +115,7 @@
         assertEquals(0, releaser.openRequests());
     }
 
-    /** Where this machine can't send for a while, the release is tried until it can. */
+    /** Guards against: a temporary local failure to send would leave a state held. */
     @Test
     void releaseThatCouldNotBeSentIsTriedAgain() {
         result = ControlCallResult.NOT_SENT;
--- a/src/test/java/larchridge/node/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/UpstreamConnectionTest.java
@@ -26,13 +26,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Connections to engines between attempts, in virtual time: their age, and attempts that end before
- * or beside them.
+ * Tests connections to engines across attempts, in virtual time: idle times, and attempts that end
+ * before or while a connection is in use.
  */
 class UpstreamConnectionTest {
     /**
-     * A connection is closed at the first sweep after it has been idle for its part of the engines'
-     * keep-alive time.
+     * Latest time at which an idle connection is closed: the idle limit, 0.8 of the engines'
+     * keep-alive time, plus one check interval.
      */
     private static final double IDLE_CLOSE_MS = 0.8 * KEEP_ALIVE_MS + KEEP_ALIVE_MS / 20;
 
@@ -55,7 +55,7 @@
                         return connects ? promise.setSuccess() : promise;
                     });
 
-    /** Records the end of one attempt. */
+    /** Records how one attempt ends. */
     private static final class RecordingListener implements AttemptListener {
         private final List<AttemptOutcome> outcomes = new ArrayList<>();
         private int reads;
@@ -68,12 +68,12 @@
 
         @Override
         public void responseStarted() {
-            throw new AssertionError("a read starts no answer");
+            throw new AssertionError("a read attempt must not start an answer");
         }
 
         @Override
         public void textReceived(String text) {
-            throw new AssertionError("a read brings no text");
+            throw new AssertionError("a read attempt must not deliver text");
         }
 
         @Override
@@ -121,8 +121,8 @@
         fixture.advance(IDLE_CLOSE_MS - KEEP_ALIVE_MS / 2);
         assertEquals(List.of(AttemptOutcome.NOT_SENT), second.outcomes);
         assertEquals(1, opened.size());
-        // Its engine would close it after the whole time, and a request written then may have run
-        // for all that is known.
+        // Guards against: if the unused attempt restarted the idle time, a request could be written
+        // after the engine's keep-alive timeout, and whether it ran would be unknown.
         assertFalse(opened.get(0).isOpen());
     }
 
@@ -146,7 +146,7 @@
         attempt.cancel();
         RecordingListener second = new RecordingListener();
         read("9b1f03aa5c7e2d42", MAY_BE_SENT, second);
-        // The connection is closed: what its engine still writes reaches nobody.
+        // The connection is closed, so nothing that the engine still sends is delivered.
         assertFalse(opened.get(0).isOpen());
         fixture.advance(10);
         assertEquals(2, opened.size());
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Whether the last byte was written decides between an attempt that never ran and one that may
-     * have run.
+     * Guards against: an attempt whose last byte was written may have run, so a disconnect after
+     * that must not be reported as proof that it did not.
      */
     @Test
     void disconnectProvesThatAnAttemptNeverRanOnlyBeforeItsLastByteWasWritten() {
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each outcome of an attempt, provoked on a real socket. */
+/** Tests each outcome of an attempt over a real socket. */
 class CompletionsUpstreamClientTest {
     private CompletionsUpstreamFixture fixture;
 
@@ -64,8 +64,8 @@
         fixture.engine = (socket, request) -> writeInSmallParts(socket, Buffer.buffer(response), 0);
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
-        assertEquals("piece a\u00e1", fixture.nextNotification());
-        assertEquals("piece b", fixture.nextNotification());
+        assertEquals("text a\u00e1", fixture.nextNotification());
+        assertEquals("text b", fixture.nextNotification());
         assertEquals("STREAMED", fixture.nextNotification());
         assertEquals(Completion.FinishReason.END_OF_TURN, fixture.completion.finishReason());
     }
@@ -78,7 +78,7 @@
         UpstreamClient.AttemptHandle attempt = fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
         for (int i = 0; i < 50; i++) {
-            assertEquals("piece a", fixture.nextNotification());
+            assertEquals("text a", fixture.nextNotification());
         }
         fixture.onLoop(() -> null);
         int batchesCompleted = fixture.onLoop(fixture.batchesCompleted::get);
@@ -202,7 +202,7 @@
                                 .onSuccess(v -> socket.close());
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
-        assertEquals("piece a", fixture.nextNotification());
+        assertEquals("text a", fixture.nextNotification());
         assertEquals("CUT", fixture.nextNotification());
     }
 
@@ -216,7 +216,7 @@
                                 .onSuccess(v -> socket.close());
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
-        assertEquals("piece a", fixture.nextNotification());
+        assertEquals("text a", fixture.nextNotification());
         assertEquals("STREAMED", fixture.nextNotification());
         assertEquals(Completion.FinishReason.MAX_TOKENS, fixture.completion.finishReason());
         assertEquals(1, fixture.completion.outputTokens());
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -20,8 +20,8 @@
 import larchridge.state.LoadReport;
 
 /**
- * An engine whose every byte a test decides, a client connected to it, and a listener that records
- * its notifications as text.
+ * A client connected to an engine whose responses are scripted byte by byte, and a listener that
+ * records its notifications as text.
  */
 final class CompletionsUpstreamFixture implements AutoCloseable {
     static final String STREAM_HEAD =
@@ -101,18 +101,18 @@
         return client;
     }
 
-    /** Sends an attempt that reads. */
+    /** Sends a read attempt. */
     UpstreamClient.AttemptHandle sendRead() throws Exception {
         return onLoop(() -> client.read(attemptRequest(null), listener));
     }
 
-    /** Sends an attempt that reads, which the check before writing rejects. */
+    /** Sends a read attempt that the send check rejects. */
     UpstreamClient.AttemptHandle sendReadRejectedByCheck() throws Exception {
         return onLoop(
                 () -> client.read(attemptRequest(SendRejection.ENDPOINT_UNAVAILABLE), listener));
     }
 
-    /** Sends an attempt that writes. */
+    /** Sends a write attempt. */
     UpstreamClient.AttemptHandle sendWrite() throws Exception {
         return onLoop(() -> client.write(attemptRequest(null), listener));
     }
@@ -132,7 +132,7 @@
                 () -> rejection);
     }
 
-    /** The next notification of the listener, "nothing" if none arrives. */
+    /** Returns the listener's next notification, or "nothing" if none arrives in time. */
     String nextNotification() throws InterruptedException {
         String notification = notifications.poll(5, TimeUnit.SECONDS);
         return notification == null ? "nothing" : notification;
@@ -186,7 +186,7 @@
 
         @Override
         public void textReceived(String text) {
-            notifications.add("piece " + text);
+            notifications.add("text " + text);
         }
 
         @Override
