--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -26,7 +26,7 @@
     /** Number of tries of a release that fit into the hold time. */
     private static final int TRIES_PER_HOLD_TIME = 5;
 
-    /** Number of tries in what remains of the hold time for a release during an attempt. */
+    /** Number of tries of a release during an attempt, in the rest of the hold time plus grace. */
     private static final int TRIES_DURING_ATTEMPT = 4;
 
     /** Maximum number of tries of a release, each at a different engine. */
--- a/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
+++ b/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
@@ -28,7 +28,7 @@
     private final CompletionsStateReleaser stateReleaser;
     private final long probeTimeoutMs;
 
-    /** Creates a client that runs on the calling event loop. */
+    /** Creates a client. Must be called on the event loop on which the client will run. */
     public CompletionsUpstreamClient(Vertx vertx, SiteLimits limits) {
         loop = vertx.getOrCreateContext();
         HttpClientOptions clientOptions =
