--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -85,15 +85,17 @@
         this.transport = transport;
         tryTimeoutMs = stateHoldMs / TRIES_PER_HOLD_TIME;
         duringAttemptTryTimeoutMs =
-                Math.min(tryTimeoutMs, ((1 - RELEASE_AT_FRACTION) * stateHoldMs + HOLD_GRACE_MS) / TRIES_DURING_ATTEMPT);
+                Math.min(
+                        tryTimeoutMs,
+                        ((1 - RELEASE_AT_FRACTION) * stateHoldMs + HOLD_GRACE_MS)
+                                / TRIES_DURING_ATTEMPT);
     }
 
     // ------------------------------------------------------------------ attempts
 
     /** Tracks a new attempt of a request. */
     RequestReadState attemptStarted(String requestId) {
-        RequestReadState readState =
-                readStates.computeIfAbsent(requestId, RequestReadState::new);
+        RequestReadState readState = readStates.computeIfAbsent(requestId, RequestReadState::new);
         readState.attemptStarted();
         return readState;
     }
--- a/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
+++ b/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
@@ -27,7 +27,9 @@
         ObjectNode body = commonBody(attemptRequest);
         body.put("max_tokens", 1);
         body.put("stream", false);
-        body.putObject(TRANSFER_PARAMETERS_FIELD).put(REMOTE_DECODE_FIELD, true).put(REMOTE_PREFILL_FIELD, false);
+        body.putObject(TRANSFER_PARAMETERS_FIELD)
+                .put(REMOTE_DECODE_FIELD, true)
+                .put(REMOTE_PREFILL_FIELD, false);
         return body;
     }
 
--- a/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
+++ b/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
@@ -46,8 +46,7 @@
     }
 
     @Test
-    void
-            releasePrefersAnIdleConnectionIfTheHolderAndTheLastRespondersAreUnreachable() {
+    void releasePrefersAnIdleConnectionIfTheHolderAndTheLastRespondersAreUnreachable() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             endpoints.add(endpoint(i));
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -74,7 +74,8 @@
     void eventsThatArriveTogetherAreBatched() throws Exception {
         String textEvents = CompletionsUpstreamFixture.textEvent("a", null).repeat(50);
         fixture.engine =
-                (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + textEvents);
+                (socket, request) ->
+                        socket.write(CompletionsUpstreamFixture.STREAM_HEAD + textEvents);
         UpstreamClient.AttemptHandle attempt = fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
         for (int i = 0; i < 50; i++) {
@@ -212,7 +213,8 @@
                 (socket, request) ->
                         socket.write(
                                         CompletionsUpstreamFixture.STREAM_HEAD
-                                                + CompletionsUpstreamFixture.textEvent("a", "length"))
+                                                + CompletionsUpstreamFixture.textEvent(
+                                                        "a", "length"))
                                 .onSuccess(v -> socket.close());
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
