--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -15,40 +15,40 @@
 import larchridge.upstream.UpstreamClient.AttemptHandle;
 
 /**
- * One attempt in flight, from the choice of its connection to the last call of its listener. See
- * {@link AttemptState} for its states; pausing is independent of them.
+ * One in-flight attempt, from the choice of a connection to the last listener call. Pausing is
+ * independent of its {@link AttemptState}.
  */
 final class ForwardedAttempt
-        implements UpstreamExchange, AttemptHandle, StateReservation.ReleaseListener {
-    private static final int NOT_WRITTEN = -1;
+        implements UpstreamExchange, AttemptHandle, RequestReadState.ReleaseListener {
+    private static final int NO_EVENT_NUMBER = -1;
 
-    /** Nothing but the end itself is known of an answer whose events are not parsed. */
+    /** Completion of every answer, because the forwarded events are not parsed for details. */
     private static final Completion UNPARSED_COMPLETION =
             new Completion(
                     Completion.FinishReason.END_OF_TURN, null, Completion.TOKENS_UNREPORTED, 0);
 
-    private static final HeldAtEngine HELD_AT_ENGINE = new HeldAtEngine();
+    private static final EmptyStateHandle EMPTY_STATE_HANDLE = new EmptyStateHandle();
 
     private final UpstreamContext context;
     private final AttemptRequest attemptRequest;
     private final AttemptListener listener;
     private final AttemptKind kind;
-    private final StateReservation reservation;
+    private final RequestReadState readState;
     private final ConnectionPool pool;
     private final ForwardedAttemptClassifier classifier = new ForwardedAttemptClassifier();
     private final AttemptResponseDecoder decoder;
     private AttemptState state = AttemptState.AWAITING_RESPONSE;
 
-    /** Null if there was no room for a connection. */
+    /** Null if no connection was available. */
     private UpstreamConnection connection;
 
     private boolean paused;
 
-    /** The number that {@link larchridge.audit.RequestEvents} gave the attempt. */
-    private int eventNumber = NOT_WRITTEN;
+    /** The attempt's number in {@link larchridge.audit.RequestEvents}. */
+    private int eventNumber = NO_EVENT_NUMBER;
 
-    /** A read state is held under the request's own id, so that a handle has nothing to name. */
-    private static final class HeldAtEngine implements StateHandle {}
+    /** Carries nothing, because engines identify a read state by the request id. */
+    private static final class EmptyStateHandle implements StateHandle {}
 
     ForwardedAttempt(
             UpstreamContext context,
@@ -59,18 +59,18 @@
         this.attemptRequest = attemptRequest;
         this.listener = listener;
         this.kind = kind;
-        reservation = context.releaser().attemptStarted(attemptRequest.forwardedRequest().id());
+        readState = context.releaser().attemptStarted(attemptRequest.forwardedRequest().id());
         pool = context.pools().pool(attemptRequest.endpoint());
         decoder = new AttemptResponseDecoder(context.loadReports());
     }
 
-    /** Starts it on a connection, or rejects it if there is no room for one. */
+    /** Starts the attempt on a connection, or rejects it if none is available. */
     void start() {
         pool.attemptStarted();
         if (kind == AttemptKind.WRITE) {
-            reservation.setReleaseListener(this);
+            readState.setReleaseListener(this);
         } else {
-            reservation.clearReleaseListener();
+            readState.clearReleaseListener();
         }
         connection = context.pools().startExchange(pool, this);
         if (connection == null) {
@@ -102,7 +102,7 @@
         return request;
     }
 
-    /** Why it must not be written any more, or null if it may. */
+    /** Returns why the attempt must no longer be written, or null if it may be. */
     private SendRejection rejection(double remainingMs) {
         if (state == AttemptState.ENDED) {
             return SendRejection.CANCELLED;
@@ -112,9 +112,9 @@
                 : attemptRequest.sendCheck().rejection();
     }
 
-    /** It is not written, for a reason that says nothing about the engine. */
+    /** Ends the attempt without writing it, for a reason that says nothing about the engine. */
     private void reject(SendRejection reason) {
-        classifier.rejected();
+        classifier.sendRejected();
         if (state != AttemptState.ENDED) {
             listener.notSent(reason);
         }
@@ -123,7 +123,7 @@
 
     @Override
     public void requestWritten() {
-        classifier.written();
+        classifier.requestWritten();
     }
 
     @Override
@@ -138,18 +138,18 @@
     // ------------------------------------------------------------------ response
 
     @Override
-    public boolean responseHead(HttpResponse response) {
-        classifier.responseHead(
+    public boolean responseHeadReceived(HttpResponse response) {
+        classifier.responseHeadReceived(
                 response.status().code(), AttemptResponseDecoder.isDeclined(response));
-        decoder.responseHead(response);
-        // Guards against: a stream without chunks has no end of its own, so that the end of the
-        // connection would pass for it.
+        decoder.responseHeadReceived(response);
+        // Guards against: without chunked encoding, a lost connection would be taken for the end of
+        // the stream.
         return !classifier.isAnswer()
                 || (kind == AttemptKind.WRITE && HttpUtil.isTransferEncodingChunked(response));
     }
 
     @Override
-    public boolean responseBody(ByteBuf content) {
+    public boolean responseBodyReceived(ByteBuf content) {
         if (classifier.isCompletedRead()) {
             return decoder.appendReadBody(content);
         }
@@ -166,8 +166,8 @@
     private void eventsReceived(byte[] events) {
         if (state == AttemptState.AWAITING_RESPONSE) {
             state = AttemptState.STREAMING;
-            context.releaser().responseStarted(reservation);
-            context.events().responseStarted(reservation.requestId(), eventNumber);
+            context.releaser().responseStarted(readState);
+            context.events().responseStarted(readState.requestId(), eventNumber);
             listener.responseStarted();
         }
         if (state != AttemptState.ENDED) {
@@ -195,7 +195,7 @@
                 endRead(cachedTokens);
                 return true;
             }
-            classifier.malformed();
+            classifier.responseMalformed();
         }
         end();
         return true;
@@ -212,7 +212,7 @@
 
     @Override
     public void responseMalformed() {
-        classifier.malformed();
+        classifier.responseMalformed();
         end();
     }
 
@@ -221,7 +221,7 @@
         endLater();
     }
 
-    // ------------------------------------------------------------------ the sender's calls
+    // ------------------------------------------------------------------ calls by the sender
 
     @Override
     public void cancel() {
@@ -234,7 +234,7 @@
     @Override
     public void expire() {
         if (state != AttemptState.ENDED) {
-            classifier.expired();
+            classifier.deadlineExpired();
             abandon();
         }
     }
@@ -265,31 +265,31 @@
     // ------------------------------------------------------------------ end
 
     /**
-     * The state that it is to fetch has been released; its engine keeps the state nevertheless for
-     * a request in its queue.
+     * Notifies the listener that the state that this attempt fetches was released. The engines keep
+     * the state nevertheless if the attempt is already in an engine's queue.
      */
     @Override
-    public void releasedBesideAttempt() {
+    public void releasedDuringAttempt() {
         if (state != AttemptState.ENDED) {
             listener.stateReleased();
         }
     }
 
-    /** Guards against: the listener must not be called from inside a call of the sender's. */
+    /** Guards against: the listener would be called from within a call by the sender. */
     private void endLater() {
         context.scheduler().execute(this::end);
     }
 
-    /** A read has ended well: its engine holds the state. */
+    /** Ends a completed read, whose state the engine holds. */
     private void endRead(int cachedTokens) {
         state = AttemptState.ENDED;
-        leavePool();
-        context.events().readCompleted(reservation.requestId(), eventNumber);
-        context.releaser().readCompleted(reservation);
-        listener.readCompleted(HELD_AT_ENGINE, cachedTokens, 0, decoder.loadReport());
+        recordEndInPool();
+        context.events().readCompleted(readState.requestId(), eventNumber);
+        context.releaser().readCompleted(readState);
+        listener.readCompleted(EMPTY_STATE_HANDLE, cachedTokens, 0, decoder.loadReport());
     }
 
-    /** The attempt has ended in any other way. */
+    /** Ends the attempt in any other way. */
     private void end() {
         if (state == AttemptState.ENDED) {
             return;
@@ -298,24 +298,24 @@
         if (paused && connection != null) {
             connection.setAutoRead(true);
         }
-        if (classifier.isUnusable()) {
+        if (classifier.isRequestUnprocessable()) {
             listener.requestUnprocessable();
         }
-        leavePool();
+        recordEndInPool();
         AttemptOutcome outcome = classifier.outcome();
         boolean responseReceived = classifier.hasResponse();
         context.events()
                 .attemptEnded(
-                        reservation.requestId(),
+                        readState.requestId(),
                         eventNumber,
                         outcome.name(),
                         outcome.provesNotRun,
                         responseReceived);
-        context.releaser().attemptEnded(reservation, responseReceived);
+        context.releaser().attemptEnded(readState, responseReceived);
         listener.attemptEnded(outcome, decoder.loadReport(), UNPARSED_COMPLETION);
     }
 
-    private void leavePool() {
+    private void recordEndInPool() {
         pool.attemptEnded();
         if (classifier.hasResponse()) {
             pool.recordReceived(context.scheduler().nowMs());
--- a/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -3,12 +3,12 @@
 import larchridge.state.AttemptOutcome;
 
 /**
- * Classifies how an attempt ended from what was seen of it; without I/O, clock or threads. The
- * rules on repeating a request rest on this: an outcome that proves that an attempt never ran is
- * only given where the engine can't have started it or says so itself.
+ * Determines the outcome of one attempt from the observed events. Safe retries depend on this
+ * class: an outcome that proves the attempt did not run is returned only if the engine cannot have
+ * started it or states that it did not. Performs no I/O and uses no clock or threads.
  */
 final class ForwardedAttemptClassifier {
-    /** The status as long as no response was received. */
+    /** Status before a response is received. */
     private static final int NO_STATUS = 0;
 
     private static final int OK = 200;
@@ -21,108 +21,109 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private boolean written;
+    private boolean requestWritten;
     private int status = NO_STATUS;
     private boolean declined;
-    private boolean malformed;
+    private boolean responseMalformed;
     private boolean streamComplete;
-    private boolean abandoned;
-    private boolean expired;
-    private boolean rejected;
+    private boolean cancelled;
+    private boolean deadlineExpired;
+    private boolean sendRejected;
 
     /**
-     * The last byte of the request was written to the socket: from here on the engine may run it.
+     * Records that the last byte of the request was written to the socket; from now on the engine
+     * may run it.
      */
-    void written() {
-        written = true;
+    void requestWritten() {
+        requestWritten = true;
     }
 
     /**
-     * The response's head was received.
+     * Records the head of the response.
      *
-     * @param code the status
-     * @param declinedByEngine whether the engine itself states that it did not run the request
+     * @param code the status code
+     * @param declinedByEngine whether the engine states that it did not run the request
      */
-    void responseHead(int code, boolean declinedByEngine) {
+    void responseHeadReceived(int code, boolean declinedByEngine) {
         status = code;
         declined = declinedByEngine;
     }
 
-    /** Whether the response is an answer, a stream of events. */
+    /** Whether the response is an answer, that is, a stream of events. */
     boolean isAnswer() {
         return status == OK;
     }
 
-    /** Whether the response is that of a completed read: the engine holds the state. */
+    /** Whether the response is that of a completed read, whose state the engine holds. */
     boolean isCompletedRead() {
         return status == ACCEPTED;
     }
 
-    /** Whether the engine answered anything, so that the attempt had arrived there. */
+    /** Whether a response was received, which shows that the attempt reached the engine. */
     boolean hasResponse() {
         return status != NO_STATUS;
     }
 
-    /** What was received can't be decoded, or does not fit the request. */
-    void malformed() {
-        malformed = true;
+    /** Records that the response cannot be decoded or does not match the request. */
+    void responseMalformed() {
+        responseMalformed = true;
     }
 
-    /** The stream of events came to its proper end. */
+    /** Records that the event stream is complete. */
     void streamCompleted() {
         streamComplete = true;
     }
 
-    /** The sender cancelled the attempt. */
+    /** Records that the sender cancelled the attempt. */
     void cancelled() {
-        abandoned = true;
-        expired = false;
+        cancelled = true;
+        deadlineExpired = false;
     }
 
-    /** The sender's time for the attempt is over. */
-    void expired() {
-        abandoned = true;
-        expired = true;
+    /** Records that the sender cancelled the attempt because its deadline passed. */
+    void deadlineExpired() {
+        cancelled = true;
+        deadlineExpired = true;
     }
 
-    /** This node kept the attempt from being written. */
-    void rejected() {
-        rejected = true;
+    /** Records that this node rejected the attempt before it was written. */
+    void sendRejected() {
+        sendRejected = true;
     }
 
-    /** Whether the engine says that no engine can use the request as it is. */
-    boolean isUnusable() {
+    /** Whether the engine reports that no engine can process the request as it is. */
+    boolean isRequestUnprocessable() {
         return !declined
-                && !malformed
-                && !abandoned
+                && !responseMalformed
+                && !cancelled
                 && status >= FIRST_CLIENT_ERROR
                 && status < FIRST_SERVER_ERROR
                 && status != REQUEST_TIMEOUT
                 && status != TOO_MANY_REQUESTS;
     }
 
-    /** The outcome, once nothing more can be received. */
+    /** Returns the outcome; called once nothing more can arrive. */
     AttemptOutcome outcome() {
-        if (streamComplete && !malformed && isAnswer()) {
+        if (streamComplete && !responseMalformed && isAnswer()) {
             return AttemptOutcome.STREAMED;
         }
-        if (!written && status == NO_STATUS) {
-            return rejected || abandoned ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
+        if (!requestWritten && status == NO_STATUS) {
+            return sendRejected || cancelled ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
         if (declined
-                && !malformed
+                && !responseMalformed
                 && (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)) {
             return AttemptOutcome.FULL;
         }
-        if (declined && !malformed && status == GONE) {
+        if (declined && !responseMalformed && status == GONE) {
             return AttemptOutcome.NO_STATE;
         }
-        if (abandoned) {
-            return expired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
+        if (cancelled) {
+            return deadlineExpired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
-        // Guards against: malformed input in place of a response proves nothing about what ran
-        // before it.
-        if (malformed) {
+        // Guards against: a malformed response would be taken as proof that the attempt did not
+        // run.
+        if (responseMalformed) {
             return AttemptOutcome.FAULT;
         }
         return status == NO_STATUS || isAnswer() || isCompletedRead()
--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -6,10 +6,11 @@
 import larchridge.settings.DeploymentSettingsReader;
 import larchridge.state.LoadReport;
 
-/** Reads load reports: figures under the names that the settings use. */
+/** Parses load reports, keeping the metrics that are named in the settings. */
 final class LoadReportReader {
-    private static final int MAX_CHARACTERS = 512;
-    private static final double MAX_FIGURE = 1e12;
+    private static final int MAX_REPORT_CHARACTERS = 512;
+    /** A report with a value from this one on is invalid. */
+    private static final double IMPLAUSIBLE_VALUE = 1e12;
 
     private final List<String> fields;
 
@@ -17,12 +18,12 @@
         this.fields = fields;
     }
 
-    /** Reads a text such as {@code a=7,b=0.61}; null if it is not a valid report. */
+    /** Parses text such as {@code a=7,b=0.61}; returns null if it is not a valid report. */
     LoadReport read(String text) {
-        if (text == null || text.isEmpty() || text.length() > MAX_CHARACTERS) {
+        if (text == null || text.isEmpty() || text.length() > MAX_REPORT_CHARACTERS) {
             return null;
         }
-        Map<String, Double> figures = new HashMap<>();
+        Map<String, Double> values = new HashMap<>();
         for (String pair : text.strip().split(",")) {
             int equals = pair.indexOf('=');
             if (equals <= 0) {
@@ -30,19 +31,19 @@
             }
             String name = pair.substring(0, equals).strip();
             try {
-                double figure = Double.parseDouble(pair.substring(equals + 1).strip());
-                if (!(figure >= 0 && figure < MAX_FIGURE)) {
+                double value = Double.parseDouble(pair.substring(equals + 1).strip());
+                if (!(value >= 0 && value < IMPLAUSIBLE_VALUE)) {
                     return null;
                 }
                 if (fields.contains(name)) {
-                    figures.put(name, figure);
+                    values.put(name, value);
                 }
             } catch (NumberFormatException e) {
                 return null;
             }
         }
-        return figures.isEmpty()
+        return values.isEmpty()
                 ? null
-                : DeploymentSettingsReader.report(name -> figures.getOrDefault(name, Double.NaN));
+                : DeploymentSettingsReader.report(name -> values.getOrDefault(name, Double.NaN));
     }
 }
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import larchridge.node.upstream.StateReservation.ReleaseMode;
+import larchridge.node.upstream.RequestReadState.ReleaseMode;
 import larchridge.router.Scheduler;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
@@ -12,63 +12,62 @@
 
 /**
  * Releases the read states that engines hold for requests: once no attempt can fetch a state any
- * more, and in any case before the time is over for which it may be held. All methods run on the
- * loop.
+ * more, and in any case before its maximum hold time expires. All methods run on the event loop.
  *
- * <p>The time for a held state rests while an attempt is at an engine. An attempt that was written
- * to a connection may never have arrived there, and nothing shows it. So the time is taken to run
- * on until the engine responds to an attempt, and the release is sent when most of it is over,
- * whether or not an attempt is in flight. That is harmless where the attempt did arrive: an engine
- * frees no state that a request in its queue waits for. Where it did not arrive, the state is freed
- * in time; an attempt that arrives later is declined by the engine for want of a state, and the
- * prompt is read again.
+ * <p>The hold time of a state is suspended while an attempt is at an engine. But an attempt that
+ * was written to a connection may never have reached the engine, which this node cannot detect. So
+ * the hold time is assumed to continue until the engine responds to an attempt, and the release is
+ * sent when most of the hold time has passed, even during an attempt. If the attempt did reach the
+ * engine, this is harmless, because an engine does not free a state that a queued request waits
+ * for. If it did not, the state is released in time; should the attempt arrive later, the engine
+ * declines it because the state is missing, and the prompt is read again.
  */
 final class StateReleaser {
-    /** A release is tried this many times within the time for which a state may be held. */
-    private static final int TRIES_IN_TIME = 5;
+    /** Number of tries of a release that fit into the hold time. */
+    private static final int TRIES_PER_HOLD_TIME = 5;
 
-    /** One beside an attempt starts late, and is tried this many times up to the latest moment. */
-    private static final int LATE_TRIES = 4;
+    /** Number of tries of a release during an attempt, in the rest of the hold time plus grace. */
+    private static final int TRIES_DURING_ATTEMPT = 4;
 
-    /** A release is tried this many times in all, each at another engine. */
+    /** Maximum number of tries of a release, each at a different engine. */
     private static final int MAX_TRIES = 10;
 
-    /** The platform counts a state as held for too long only this much after its time. */
-    private static final double GRACE_MS = 300;
+    /** Grace period after the hold time before the platform counts a state as held too long. */
+    private static final double HOLD_GRACE_MS = 300;
 
-    /** Requests that are kept account of at a time. */
-    private static final int MAX_REQUESTS = 20_000;
+    /** Number of tracked requests from which a release for an untracked one is not sent. */
+    private static final int MAX_TRACKED_REQUESTS = 20_000;
 
     /**
-     * A release is sent at this part of the time for a held state; the rest is for tries at engines
-     * that do not answer.
+     * Fraction of the hold time after which a release is sent; the rest allows for engines that do
+     * not respond.
      */
-    private static final double RELEASE_PART = 0.85;
+    private static final double RELEASE_AT_FRACTION = 0.85;
 
-    /** A release that this machine could not send is tried again for so many times that time. */
-    private static final double LOCAL_FAULT_PART = 5;
+    /** A release that this machine could not send is retried for this many hold times. */
+    private static final double LOCAL_FAILURE_RETRY_FACTOR = 5;
 
     private static final Logger LOG = LoggerFactory.getLogger(StateReleaser.class);
 
     private final Scheduler scheduler;
     private final double stateHoldMs;
 
-    /** An engine may take this long to answer a release before another is tried. */
+    /** Time for an engine to respond to a release before the next one is tried. */
     private final double tryTimeoutMs;
 
-    /** The same for a release that is sent beside an attempt. */
-    private final double lateTryTimeoutMs;
+    /** The same for a release during an attempt. */
+    private final double duringAttemptTryTimeoutMs;
 
     private final Transport transport;
 
-    /** The requests that are kept account of, by the client's id. */
-    private final Map<String, StateReservation> reservations = new HashMap<>();
+    /** The tracked requests, by request id. */
+    private final Map<String, RequestReadState> readStates = new HashMap<>();
 
-    /** How releases reach engines. */
+    /** Sends releases to engines. */
     interface Transport {
         /**
-         * Asks an engine to release all that engines hold for a request; the listener gets the
-         * result, never from inside the call.
+         * Asks an engine to release all states that engines hold for a request. The listener
+         * receives the result, never from within this call.
          */
         void release(
                 Endpoint endpoint,
@@ -76,7 +75,7 @@
                 double timeoutMs,
                 Consumer<ControlCallResult> listener);
 
-        /** The engine to try next, or null if all have been tried. */
+        /** Returns the engine to try next, or null if all have been tried. */
         Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried);
     }
 
@@ -84,213 +83,213 @@
         this.scheduler = scheduler;
         this.stateHoldMs = stateHoldMs;
         this.transport = transport;
-        tryTimeoutMs = stateHoldMs / TRIES_IN_TIME;
-        lateTryTimeoutMs =
-                Math.min(tryTimeoutMs, ((1 - RELEASE_PART) * stateHoldMs + GRACE_MS) / LATE_TRIES);
+        tryTimeoutMs = stateHoldMs / TRIES_PER_HOLD_TIME;
+        duringAttemptTryTimeoutMs =
+                Math.min(
+                        tryTimeoutMs,
+                        ((1 - RELEASE_AT_FRACTION) * stateHoldMs + HOLD_GRACE_MS)
+                                / TRIES_DURING_ATTEMPT);
     }
 
-    // ------------------------------------------------------------------ what happens to attempts
+    // ------------------------------------------------------------------ attempts
 
-    /** An attempt of a request starts. */
-    StateReservation attemptStarted(String requestId) {
-        StateReservation reservation =
-                reservations.computeIfAbsent(requestId, StateReservation::new);
-        reservation.attemptStarted();
-        return reservation;
+    /** Tracks a new attempt of a request. */
+    RequestReadState attemptStarted(String requestId) {
+        RequestReadState readState = readStates.computeIfAbsent(requestId, RequestReadState::new);
+        readState.attemptStarted();
+        return readState;
     }
 
-    /** A read has ended well: its engine holds the state. */
-    void readCompleted(StateReservation reservation) {
-        reservation.attemptEnded();
-        markHeld(reservation);
-        settleLater(reservation);
+    /** Called when a read has completed and its engine holds the state. */
+    void readCompleted(RequestReadState readState) {
+        readState.attemptEnded();
+        markHeld(readState);
+        scheduleReleaseOrRemove(readState);
     }
 
-    /** A response has started, and its attempt has fetched what was held. */
-    void responseStarted(StateReservation reservation) {
-        reservation.responseStarted();
-        cancelHoldTimer(reservation);
+    /** Called when a response has started, so its attempt has fetched the state. */
+    void responseStarted(RequestReadState readState) {
+        readState.responseStarted();
+        cancelHoldTimer(readState);
     }
 
     /**
-     * An attempt has ended otherwise.
+     * Called when an attempt has ended in any other way.
      *
-     * @param responseReceived whether its engine answered anything, so that the attempt had arrived
-     *     there
+     * @param responseReceived whether the engine sent a response, which shows that the attempt
+     *     reached it
      */
-    void attemptEnded(StateReservation reservation, boolean responseReceived) {
-        reservation.attemptEnded();
-        // Released beside it, the state may have stayed for this attempt alone, and is held anew
-        // from now on.
-        boolean releasedBefore = !reservation.hasHoldTimer();
-        if (reservation.mayBeHeld() && (responseReceived || releasedBefore)) {
-            cancelHoldTimer(reservation);
-            markHeld(reservation);
+    void attemptEnded(RequestReadState readState, boolean responseReceived) {
+        readState.attemptEnded();
+        // If a release was sent during this attempt, the engine may have kept the state only for
+        // the attempt, and a new hold time starts now.
+        boolean releasedBefore = !readState.hasHoldTimer();
+        if (readState.mayBeHeld() && (responseReceived || releasedBefore)) {
+            cancelHoldTimer(readState);
+            markHeld(readState);
         }
-        settleLater(reservation);
+        scheduleReleaseOrRemove(readState);
     }
 
     // ------------------------------------------------------------------ releases
 
-    /** Nothing of the request's state is wanted any more. */
+    /** Releases the state of a request, which is no longer needed. */
     void release(String requestId, Endpoint holder) {
-        StateReservation reservation = reservations.get(requestId);
-        if (reservation == null) {
-            if (reservations.size() >= MAX_REQUESTS) {
+        RequestReadState readState = readStates.get(requestId);
+        if (readState == null) {
+            if (readStates.size() >= MAX_TRACKED_REQUESTS) {
                 LOG.atWarn()
                         .addKeyValue("id", requestId)
-                        .log("too many releases under way; a state is left to its engine");
+                        .log("too many tracked requests; release not sent");
                 return;
             }
-            reservation = new StateReservation(requestId);
-            reservations.put(requestId, reservation);
+            readState = new RequestReadState(requestId);
+            readStates.put(requestId, readState);
         }
-        reservation.requestRelease(holder);
-        if (reservation.mayBeFetched() && !reservation.hasHoldTimer()) {
-            markHeld(reservation);
+        readState.requestRelease(holder);
+        if (readState.mayBeFetched() && !readState.hasHoldTimer()) {
+            markHeld(readState);
         }
-        settleLater(reservation);
+        scheduleReleaseOrRemove(readState);
     }
 
-    /** Whether a release is requested or under way. */
+    /** Whether any release is requested or in progress. */
     boolean hasPendingReleases() {
-        return reservations.values().stream()
+        return readStates.values().stream()
                 .anyMatch(
-                        reservation ->
-                                reservation.isReleaseRequested() || reservation.isReleasing());
+                        readState ->
+                                readState.isReleaseRequested() || readState.isReleasing());
     }
 
-    /** Requests with an attempt in flight or a state to release. */
+    /** Returns the number of requests with an in-flight attempt or a state to release. */
     int openRequests() {
-        return reservations.size();
+        return readStates.size();
     }
 
-    /** A state may be held from now on; where an older one is, that one's time runs on. */
-    private void markHeld(StateReservation reservation) {
-        reservation.markMayBeHeld();
-        if (!reservation.hasHoldTimer()) {
-            reservation.holdTimerStarted(
+    /** Records that a state may be held; the hold time of an earlier one continues. */
+    private void markHeld(RequestReadState readState) {
+        readState.markMayBeHeld();
+        if (!readState.hasHoldTimer()) {
+            readState.holdTimerStarted(
                     scheduler.schedule(
-                            RELEASE_PART * stateHoldMs, () -> holdTimeEnding(reservation)));
+                            RELEASE_AT_FRACTION * stateHoldMs, () -> holdTimeExpiring(readState)));
         }
     }
 
-    private void holdTimeEnding(StateReservation reservation) {
-        reservation.removeHoldTimer();
-        if (!reservation.mayBeHeld() || reservation.isReleasing()) {
+    private void holdTimeExpiring(RequestReadState readState) {
+        readState.clearHoldTimer();
+        if (!readState.mayBeHeld() || readState.isReleasing()) {
             return;
         }
         LOG.atDebug()
-                .addKeyValue("id", reservation.requestId())
-                .addKeyValue("attempts", reservation.inFlightAttempts())
-                .log(
-                        "releases a state before its time is over, "
-                                + "beside attempts that were not heard of");
-        boolean besideAttempt = reservation.mayBeFetched();
+                .addKeyValue("id", readState.requestId())
+                .addKeyValue("attempts", readState.inFlightAttempts())
+                .log("hold time is expiring without a response; releasing the state");
+        boolean duringAttempt = readState.mayBeFetched();
         startRelease(
-                reservation,
-                besideAttempt ? ReleaseMode.BESIDE_ATTEMPT : ReleaseMode.AFTER_ATTEMPTS);
-        if (besideAttempt) {
-            reservation.notifyReleasedBesideAttempt();
+                readState,
+                duringAttempt ? ReleaseMode.DURING_ATTEMPT : ReleaseMode.AFTER_ATTEMPTS);
+        if (duringAttempt) {
+            readState.notifyReleasedDuringAttempt();
         }
     }
 
-    private void cancelHoldTimer(StateReservation reservation) {
-        if (reservation.hasHoldTimer()) {
-            scheduler.cancel(reservation.removeHoldTimer());
+    private void cancelHoldTimer(RequestReadState readState) {
+        if (readState.hasHoldTimer()) {
+            scheduler.cancel(readState.clearHoldTimer());
         }
     }
 
-    private void settleLater(StateReservation reservation) {
-        scheduler.execute(() -> settle(reservation));
+    private void scheduleReleaseOrRemove(RequestReadState readState) {
+        scheduler.execute(() -> releaseOrRemove(readState));
     }
 
     /**
-     * Sends a release that is requested once nothing can be fetched any more. A release names the
-     * whole request; sent earlier than it has to be, it could free the state that an attempt on its
-     * way is to fetch.
+     * Sends a requested release once no attempt can fetch the state, or stops tracking a request
+     * that needs no more tracking. A release applies to the whole request; if it were sent too
+     * early, it could free the state that an attempt in transit is about to fetch.
      */
-    private void settle(StateReservation reservation) {
-        if (reservation.isReleaseRequested()
-                && !reservation.isReleasing()
-                && !reservation.mayBeFetched()) {
-            startRelease(reservation, ReleaseMode.AFTER_ATTEMPTS);
-        } else if (reservation.isIdle()) {
-            forget(reservation);
+    private void releaseOrRemove(RequestReadState readState) {
+        if (readState.isReleaseRequested()
+                && !readState.isReleasing()
+                && !readState.mayBeFetched()) {
+            startRelease(readState, ReleaseMode.AFTER_ATTEMPTS);
+        } else if (readState.isIdle()) {
+            remove(readState);
         }
     }
 
-    private void forget(StateReservation reservation) {
-        cancelHoldTimer(reservation);
-        reservations.remove(reservation.requestId(), reservation);
+    private void remove(RequestReadState readState) {
+        cancelHoldTimer(readState);
+        readStates.remove(readState.requestId(), readState);
     }
 
-    private void startRelease(StateReservation reservation, ReleaseMode mode) {
-        reservation.releaseStarted(mode, scheduler.nowMs());
-        tryNext(reservation);
+    private void startRelease(RequestReadState readState, ReleaseMode mode) {
+        readState.releaseStarted(mode, scheduler.nowMs());
+        sendToNextEndpoint(readState);
     }
 
-    private void tryNext(StateReservation reservation) {
-        Set<Endpoint> tried = reservation.triedEndpoints();
+    private void sendToNextEndpoint(RequestReadState readState) {
+        Set<Endpoint> tried = readState.triedEndpoints();
         Endpoint endpoint =
                 tried.size() < MAX_TRIES
-                        ? transport.nextEndpoint(reservation.holder(), tried)
+                        ? transport.nextEndpoint(readState.holder(), tried)
                         : null;
         if (endpoint == null) {
-            allTried(reservation);
+            endpointsExhausted(readState);
             return;
         }
-        reservation.recordTry(endpoint);
+        readState.recordTry(endpoint);
         transport.release(
                 endpoint,
-                reservation.requestId(),
-                reservation.isReleasingBesideAttempt() ? lateTryTimeoutMs : tryTimeoutMs,
-                result -> tryEnded(reservation, result));
+                readState.requestId(),
+                readState.isReleasingDuringAttempt() ? duringAttemptTryTimeoutMs : tryTimeoutMs,
+                result -> tryCompleted(readState, result));
     }
 
-    private void tryEnded(StateReservation reservation, ControlCallResult result) {
-        boolean stillWanted =
-                reservation.isReleasingBesideAttempt()
-                        ? !reservation.hasResponseStarted()
-                        : !reservation.mayBeFetched();
+    private void tryCompleted(RequestReadState readState, ControlCallResult result) {
+        boolean stillNeeded =
+                readState.isReleasingDuringAttempt()
+                        ? !readState.hasResponseStarted()
+                        : !readState.mayBeFetched();
         if (result == ControlCallResult.ANSWERED) {
-            if (!reservation.mayBeFetched()) {
-                reservation.markFreed();
-                cancelHoldTimer(reservation);
+            if (!readState.mayBeFetched()) {
+                readState.markReleased();
+                cancelHoldTimer(readState);
             }
-            // Else a state that a request in an engine's queue waits for stays, and is released
-            // after that attempt's end.
-            releaseEnded(reservation);
-        } else if (stillWanted) {
+            // Otherwise the engine keeps a state that a queued request waits for; it is released
+            // after that attempt has ended.
+            releaseEnded(readState);
+        } else if (stillNeeded) {
             if (result == ControlCallResult.NOT_SENT) {
-                reservation.recordUnsentTry();
+                readState.recordUnsentTry();
             }
-            tryNext(reservation);
+            sendToNextEndpoint(readState);
         } else {
-            reservation.requestReleaseAgain();
-            releaseEnded(reservation);
+            readState.requestReleaseAgain();
+            releaseEnded(readState);
         }
     }
 
     /**
-     * No engine has taken it. Where this machine could not send, for want of a descriptor or a
-     * buffer, that passes: all are tried anew a little later.
+     * Called when no engine has accepted the release. If this machine could not send it, for lack
+     * of a file descriptor or buffer, the cause is temporary and all engines are tried again later.
      */
-    private void allTried(StateReservation reservation) {
-        double sinceStartMs = scheduler.nowMs() - reservation.releaseStartMs();
-        if (reservation.hasUnsentTry() && sinceStartMs < LOCAL_FAULT_PART * stateHoldMs) {
-            reservation.clearTries();
-            scheduler.schedule(tryTimeoutMs, () -> tryNext(reservation));
+    private void endpointsExhausted(RequestReadState readState) {
+        double sinceStartMs = scheduler.nowMs() - readState.releaseStartMs();
+        if (readState.hasUnsentTry() && sinceStartMs < LOCAL_FAILURE_RETRY_FACTOR * stateHoldMs) {
+            readState.clearTries();
+            scheduler.schedule(tryTimeoutMs, () -> sendToNextEndpoint(readState));
             return;
         }
         LOG.atWarn()
-                .addKeyValue("id", reservation.requestId())
-                .log("no engine took a release; the state is left to its engine");
-        releaseEnded(reservation);
+                .addKeyValue("id", readState.requestId())
+                .log("no engine accepted the release; state not released");
+        releaseEnded(readState);
     }
 
-    private void releaseEnded(StateReservation reservation) {
-        reservation.releaseEnded();
-        settleLater(reservation);
+    private void releaseEnded(RequestReadState readState) {
+        readState.releaseEnded();
+        scheduleReleaseOrRemove(readState);
     }
 }
--- a/src/main/java/larchridge/upstream/CompletionsAttempt.java
+++ b/src/main/java/larchridge/upstream/CompletionsAttempt.java
@@ -19,21 +19,21 @@
 import larchridge.state.LoadReport;
 
 /**
- * One attempt in flight over the completions API: writes the request, decodes the response and
- * notifies the listener. All events are handled on the event loop of the client.
+ * One in-flight attempt over the completions API: writes the request, decodes the response and
+ * notifies the listener. All events are handled on the client's event loop.
  */
 final class CompletionsAttempt implements UpstreamClient.AttemptHandle {
-    /** What an attempt requests of its engine. */
+    /** What an attempt requests from its engine. */
     enum Kind {
-        /** Reads the prompt and leaves its state; answered in one body. */
+        /** Reads the prompt and leaves its state at the engine; the response is one JSON body. */
         READ,
-        /** Writes the answer; answered as a stream of events. */
+        /** Writes the answer; the response is a stream of server-sent events. */
         WRITE
     }
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MAX_BODY_OR_LINE_BYTES = 1 << 20;
-    private static final String EVENT_PREFIX = "data:";
+    private static final String DATA_PREFIX = "data:";
     private static final String END_OF_STREAM = "[DONE]";
 
     private final AttemptRequest attemptRequest;
@@ -45,8 +45,8 @@
     private HttpClientResponse response;
     private LoadReport loadReport;
 
-    /** Whether the last call to the listener was made, or is scheduled. */
-    private boolean done;
+    /** Whether the last listener call has been made or scheduled. */
+    private boolean ended;
 
     private boolean paused;
     private boolean responseStarted;
@@ -78,24 +78,24 @@
         if (attemptRequest.idempotencyKey() != null) {
             options.putHeader("idempotency-key", attemptRequest.idempotencyKey());
         }
-        client.request(options).onComplete(connection -> connected(connection, body));
+        client.request(options).onComplete(requestResult -> connected(requestResult, body));
     }
 
-    private void connected(AsyncResult<HttpClientRequest> connection, ObjectNode body) {
-        if (done) {
-            // Cancelled while it waited for a connection: nothing was written.
-            if (connection.succeeded()) {
-                connection.result().reset();
+    private void connected(AsyncResult<HttpClientRequest> requestResult, ObjectNode body) {
+        if (ended) {
+            // Cancelled while waiting for a connection; nothing was written.
+            if (requestResult.succeeded()) {
+                requestResult.result().reset();
             }
             return;
         }
-        if (connection.failed()) {
-            finishLater(AttemptClassifier.connectionFailed(connection.cause()));
+        if (requestResult.failed()) {
+            finishLater(AttemptClassifier.connectionFailed(requestResult.cause()));
             return;
         }
-        request = connection.result();
-        // Guards against: an attempt that waited for a connection would reach an engine that has
-        // begun to drain since.
+        request = requestResult.result();
+        // Guards against: an attempt that waited for a connection would be sent to an engine that
+        // started draining in the meantime.
         if (attemptRequest.sendCheck().rejection() != null) {
             classifier.sendRejected();
             request.reset();
@@ -105,9 +105,9 @@
         request.exceptionHandler(e -> connectionLost());
         request.response()
                 .onComplete(
-                        arrival -> {
-                            if (arrival.succeeded()) {
-                                responseReceived(arrival.result());
+                        responseResult -> {
+                            if (responseResult.succeeded()) {
+                                responseReceived(responseResult.result());
                             } else {
                                 connectionLost();
                             }
@@ -117,7 +117,7 @@
     }
 
     private void responseReceived(HttpClientResponse received) {
-        if (done) {
+        if (ended) {
             return;
         }
         response = received;
@@ -149,14 +149,14 @@
         lines.exceptionHandler(e -> malformed());
         response.handler(
                 part -> {
-                    if (!done) {
+                    if (!ended) {
                         lines.handle(part);
                         scheduleBatchNotification();
                     }
                 });
         response.endHandler(
                 end -> {
-                    if (!done) {
+                    if (!ended) {
                         classifier.bodyEnded();
                         finish(classifier.outcome());
                     }
@@ -167,16 +167,16 @@
     }
 
     /**
-     * An engine sends each token as a chunk of its own, and many arrive in one read: the listener
-     * is notified when the event loop has handled them all.
+     * Notifies the listener after the event loop has handled all chunks of one socket read: an
+     * engine sends each token as a separate chunk, and many of them arrive together.
      */
     private void scheduleBatchNotification() {
-        if (responseStarted && !done && !batchNotificationScheduled) {
+        if (responseStarted && !ended && !batchNotificationScheduled) {
             batchNotificationScheduled = true;
             loop.runOnContext(
                     v -> {
                         batchNotificationScheduled = false;
-                        if (!done) {
+                        if (!ended) {
                             listener.batchCompleted();
                         }
                     });
@@ -184,7 +184,7 @@
     }
 
     private void bodyCompleted() {
-        if (done) {
+        if (ended) {
             return;
         }
         classifier.bodyEnded();
@@ -196,13 +196,13 @@
             return;
         }
         JsonNode parameters =
-                body == null ? null : body.get(CompletionsRequestEncoder.TRANSFER_PARAMETERS);
+                body == null ? null : body.get(CompletionsRequestEncoder.TRANSFER_PARAMETERS_FIELD);
         if (parameters == null || !parameters.isObject()) {
             classifier.responseMalformed();
             finish(classifier.outcome());
             return;
         }
-        done = true;
+        ended = true;
         JsonNode usage = body.path("usage");
         listener.readCompleted(
                 new CompletionsRequestEncoder.TransferHandle(parameters),
@@ -212,10 +212,10 @@
     }
 
     private void lineReceived(String line) {
-        if (done || !line.startsWith(EVENT_PREFIX)) {
+        if (ended || !line.startsWith(DATA_PREFIX)) {
             return;
         }
-        String data = line.substring(EVENT_PREFIX.length()).strip();
+        String data = line.substring(DATA_PREFIX.length()).strip();
         if (data.equals(END_OF_STREAM)) {
             if (responseStarted) {
                 classifier.answerCompleted();
@@ -242,7 +242,7 @@
             responseStarted = true;
             listener.responseStarted();
         }
-        if (!text.isEmpty() && !done) {
+        if (!text.isEmpty() && !ended) {
             textEvents++;
             listener.textReceived(text);
         }
@@ -263,7 +263,7 @@
                 : Completion.FinishReason.END_OF_TURN;
     }
 
-    /** The JSON object that a text holds; null if it holds none. */
+    /** Parses a JSON object; returns null if the text is not one. */
     private static JsonNode parseObject(String text) {
         try {
             JsonNode json = MAPPER.readTree(text);
@@ -274,7 +274,7 @@
     }
 
     private void malformed() {
-        if (!done) {
+        if (!ended) {
             classifier.responseMalformed();
             request.reset();
             finish(classifier.outcome());
@@ -282,13 +282,13 @@
     }
 
     private void connectionLost() {
-        if (!done) {
+        if (!ended) {
             finish(classifier.outcome());
         }
     }
 
     private void finish(AttemptOutcome outcome) {
-        done = true;
+        ended = true;
         listener.attemptEnded(
                 outcome, loadReport, outcome == AttemptOutcome.STREAMED ? completion() : null);
     }
@@ -302,17 +302,17 @@
     }
 
     /**
-     * Ends the attempt on the next turn of the event loop: the caller that sends or cancels is in
-     * the middle of a decision and must not be re-entered.
+     * Ends the attempt in a separate task on the event loop, because the caller that sends or
+     * cancels it must not be re-entered.
      */
     private void finishLater(AttemptOutcome outcome) {
-        done = true;
+        ended = true;
         loop.runOnContext(v -> finish(outcome));
     }
 
     @Override
     public void cancel() {
-        if (!done) {
+        if (!ended) {
             classifier.cancelled();
             abort();
         }
@@ -320,15 +320,15 @@
 
     @Override
     public void expire() {
-        if (!done) {
+        if (!ended) {
             classifier.deadlineExpired();
             abort();
         }
     }
 
     private void abort() {
-        // Set before the reset, whose events must not end the attempt a second time.
-        done = true;
+        // Set before the reset, whose events would otherwise end the attempt a second time.
+        ended = true;
         if (request != null) {
             request.reset();
         }
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -11,12 +11,12 @@
 import larchridge.upstream.Endpoint;
 import org.junit.jupiter.api.Test;
 
-/** When releases are sent, in virtual time, over a transport whose results the tests choose. */
+/** Tests when releases are sent, in virtual time, with results chosen by the tests. */
 class StateReleaserTest {
     private static final double STATE_HOLD_MS = 1000;
 
-    /** The platform's own allowance on top. */
-    private static final double GRACE_MS = 300;
+    /** Grace period of the platform after the hold time. */
+    private static final double HOLD_GRACE_MS = 300;
 
     private static final String REQUEST_ID = "9b1f03aa5c7e2d41";
     private static final Endpoint HOLDER = new Endpoint("10.0.0.1", 8443);
@@ -52,12 +52,12 @@
                         }
                     });
 
-    /** A state is held, and an attempt to fetch it is out. */
-    private StateReservation readAndWritten() {
-        StateReservation reservation = releaser.attemptStarted(REQUEST_ID);
-        releaser.readCompleted(reservation);
+    /** Creates a held state with an in-flight attempt that fetches it. */
+    private RequestReadState heldStateWithFetchingAttempt() {
+        RequestReadState readState = releaser.attemptStarted(REQUEST_ID);
+        releaser.readCompleted(readState);
         releaser.attemptStarted(REQUEST_ID);
-        return reservation;
+        return readState;
     }
 
     private void assertOneSentBy(double latestMs) {
@@ -67,55 +67,55 @@
     }
 
     /**
-     * The engine kept it for the request in its queue; when that attempt breaks, nobody waits for
-     * it any more.
+     * Guards against: an engine keeps a released state while a queued request waits for it. If that
+     * attempt then fails, the state would stay held.
      */
     @Test
     void stateThatStayedForAQueuedAttemptIsReleasedAgainAfterThatAttemptBreaks() {
-        StateReservation reservation = readAndWritten();
-        time.run(STATE_HOLD_MS + GRACE_MS);
+        RequestReadState readState = heldStateWithFetchingAttempt();
+        time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
         time.run(3000);
-        releaser.attemptEnded(reservation, false);
+        releaser.attemptEnded(readState, false);
         releaser.attemptStarted(REQUEST_ID);
-        time.run(3000 + STATE_HOLD_MS + GRACE_MS);
+        time.run(3000 + STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(3000 + STATE_HOLD_MS);
     }
 
     @Test
     void holdTimeStartsAgainWithTheEndOfAnAttemptThatGotAResponse() {
-        StateReservation reservation = readAndWritten();
+        RequestReadState readState = heldStateWithFetchingAttempt();
         time.run(500);
-        releaser.attemptEnded(reservation, true);
+        releaser.attemptEnded(readState, true);
         releaser.attemptStarted(REQUEST_ID);
         time.run(500 + STATE_HOLD_MS / 2);
         assertEquals(List.of(), sentMs);
-        time.run(500 + STATE_HOLD_MS + GRACE_MS);
+        time.run(500 + STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(500 + STATE_HOLD_MS);
     }
 
     @Test
     void holdTimeRunsOnOverAttemptsThatGotNoResponse() {
-        StateReservation reservation = readAndWritten();
+        RequestReadState readState = heldStateWithFetchingAttempt();
         time.run(500);
-        releaser.attemptEnded(reservation, false);
+        releaser.attemptEnded(readState, false);
         releaser.attemptStarted(REQUEST_ID);
-        time.run(STATE_HOLD_MS + GRACE_MS);
+        time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
     }
 
     @Test
     void startedResponseNeedsNoRelease() {
-        StateReservation reservation = readAndWritten();
-        releaser.responseStarted(reservation);
+        RequestReadState readState = heldStateWithFetchingAttempt();
+        releaser.responseStarted(readState);
         time.run(5000);
-        releaser.attemptEnded(reservation, true);
+        releaser.attemptEnded(readState, true);
         time.run(9000);
         assertEquals(List.of(), sentMs);
         assertEquals(0, releaser.openRequests());
     }
 
-    /** Where this machine can't send for a while, the release is tried until it can. */
+    /** Guards against: a temporary local failure to send would leave a state held. */
     @Test
     void releaseThatCouldNotBeSentIsTriedAgain() {
         result = ControlCallResult.NOT_SENT;
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each outcome of an attempt, provoked on a real socket. */
+/** Tests each outcome of an attempt over a real socket. */
 class CompletionsUpstreamClientTest {
     private CompletionsUpstreamFixture fixture;
 
@@ -57,28 +57,29 @@
     void streamIsDeliveredEventByEventAlsoInSmallParts() throws Exception {
         String response =
                 CompletionsUpstreamFixture.STREAM_HEAD
-                        + CompletionsUpstreamFixture.piece("a\u00e1", null)
-                        + CompletionsUpstreamFixture.piece("b", "stop")
+                        + CompletionsUpstreamFixture.textEvent("a\u00e1", null)
+                        + CompletionsUpstreamFixture.textEvent("b", "stop")
                         + CompletionsUpstreamFixture.chunk("data: [DONE]\n\n")
                         + "0\r\n\r\n";
         fixture.engine = (socket, request) -> writeInSmallParts(socket, Buffer.buffer(response), 0);
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
-        assertEquals("piece a\u00e1", fixture.nextNotification());
-        assertEquals("piece b", fixture.nextNotification());
+        assertEquals("text a\u00e1", fixture.nextNotification());
+        assertEquals("text b", fixture.nextNotification());
         assertEquals("STREAMED", fixture.nextNotification());
         assertEquals(Completion.FinishReason.END_OF_TURN, fixture.completion.finishReason());
     }
 
     @Test
     void eventsThatArriveTogetherAreBatched() throws Exception {
-        String pieces = CompletionsUpstreamFixture.piece("a", null).repeat(50);
+        String textEvents = CompletionsUpstreamFixture.textEvent("a", null).repeat(50);
         fixture.engine =
-                (socket, request) -> socket.write(CompletionsUpstreamFixture.STREAM_HEAD + pieces);
+                (socket, request) ->
+                        socket.write(CompletionsUpstreamFixture.STREAM_HEAD + textEvents);
         UpstreamClient.AttemptHandle attempt = fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
         for (int i = 0; i < 50; i++) {
-            assertEquals("piece a", fixture.nextNotification());
+            assertEquals("text a", fixture.nextNotification());
         }
         fixture.onLoop(() -> null);
         int batchesCompleted = fixture.onLoop(fixture.batchesCompleted::get);
@@ -122,7 +123,7 @@
 
     @Test
     void tooManyRequestsIsFull() throws Exception {
-        respondWith(CompletionsUpstreamFixture.status(429, "{}"));
+        respondWith(CompletionsUpstreamFixture.response(429, "{}"));
         fixture.sendRead();
         assertEquals("FULL", fixture.nextNotification());
     }
@@ -140,7 +141,7 @@
     @Test
     void unknownStateIsNoState() throws Exception {
         respondWith(
-                CompletionsUpstreamFixture.status(
+                CompletionsUpstreamFixture.response(
                         409, "{\"error\":{\"code\":\"kv_state_unknown\"}}"));
         fixture.sendWrite();
         assertEquals("NO_STATE", fixture.nextNotification());
@@ -148,14 +149,14 @@
 
     @Test
     void serverErrorIsAFault() throws Exception {
-        respondWith(CompletionsUpstreamFixture.status(500, "oops"));
+        respondWith(CompletionsUpstreamFixture.response(500, "oops"));
         fixture.sendWrite();
         assertEquals("FAULT", fixture.nextNotification());
     }
 
     @Test
     void malformedResponseIsAFault() throws Exception {
-        respondWith(CompletionsUpstreamFixture.json("{\"choices\":["));
+        respondWith(CompletionsUpstreamFixture.jsonResponse("{\"choices\":["));
         fixture.sendRead();
         assertEquals("FAULT", fixture.nextNotification());
         respondWith(
@@ -167,14 +168,14 @@
 
     @Test
     void readWithoutAStateHandleIsAFault() throws Exception {
-        respondWith(CompletionsUpstreamFixture.json("{\"choices\":[]}"));
+        respondWith(CompletionsUpstreamFixture.jsonResponse("{\"choices\":[]}"));
         fixture.sendRead();
         assertEquals("FAULT", fixture.nextNotification());
     }
 
     @Test
     void pooledConnectionThatClosesBeforeAByteIsCut() throws Exception {
-        respondWith(CompletionsUpstreamFixture.status(429, "{}"));
+        respondWith(CompletionsUpstreamFixture.response(429, "{}"));
         fixture.sendRead();
         assertEquals("FULL", fixture.nextNotification());
         fixture.engine = (socket, request) -> socket.close();
@@ -198,11 +199,11 @@
                 (socket, request) ->
                         socket.write(
                                         CompletionsUpstreamFixture.STREAM_HEAD
-                                                + CompletionsUpstreamFixture.piece("a", null))
+                                                + CompletionsUpstreamFixture.textEvent("a", null))
                                 .onSuccess(v -> socket.close());
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
-        assertEquals("piece a", fixture.nextNotification());
+        assertEquals("text a", fixture.nextNotification());
         assertEquals("CUT", fixture.nextNotification());
     }
 
@@ -212,11 +213,12 @@
                 (socket, request) ->
                         socket.write(
                                         CompletionsUpstreamFixture.STREAM_HEAD
-                                                + CompletionsUpstreamFixture.piece("a", "length"))
+                                                + CompletionsUpstreamFixture.textEvent(
+                                                        "a", "length"))
                                 .onSuccess(v -> socket.close());
         fixture.sendWrite();
         assertEquals("begun", fixture.nextNotification());
-        assertEquals("piece a", fixture.nextNotification());
+        assertEquals("text a", fixture.nextNotification());
         assertEquals("STREAMED", fixture.nextNotification());
         assertEquals(Completion.FinishReason.MAX_TOKENS, fixture.completion.finishReason());
         assertEquals(1, fixture.completion.outputTokens());
@@ -279,7 +281,7 @@
                     if (times.incrementAndGet() < 3) {
                         socket.close();
                     } else {
-                        socket.write(CompletionsUpstreamFixture.status(200, "{}"));
+                        socket.write(CompletionsUpstreamFixture.response(200, "{}"));
                     }
                 };
         fixture.onLoop(
@@ -300,7 +302,7 @@
     @Test
     void probeReportsTheLoadOrNothing() throws Exception {
         respondWith(
-                CompletionsUpstreamFixture.status(
+                CompletionsUpstreamFixture.response(
                         200, "vllm:num_requests_running 3\nvllm:num_requests_waiting 1\n"));
         CompletableFuture<LoadReport> probed = new CompletableFuture<>();
         fixture.onLoop(
