--- a/src/main/java/larchridge/audit/AuditSettings.java
+++ b/src/main/java/larchridge/audit/AuditSettings.java
@@ -4,7 +4,7 @@
  * The figures that the invariants are stated in, from the settings. Times are milliseconds.
  *
  * @param drainGraceMs how long an engine may still be sent to once it is set to drain
- * @param releaseMs how long a state may be held with no attempt at an engine
+ * @param maxStateHoldMs how long a state may be held with no attempt at an engine
  * @param slowStartMs how long an engine warms up after its start
  * @param slowStartShare what an engine can do at its start, as a part of what it can do when warm
  * @param overloadMultiple this multiple of what it can do overloads a warming engine
@@ -13,7 +13,7 @@
  */
 public record AuditSettings(
         double drainGraceMs,
-        double releaseMs,
+        double maxStateHoldMs,
         double slowStartMs,
         double slowStartShare,
         double overloadMultiple,
--- a/src/main/java/larchridge/audit/AuditedAttempt.java
+++ b/src/main/java/larchridge/audit/AuditedAttempt.java
@@ -10,18 +10,18 @@
     /** The engine as listed when the attempt was written; null if no list named it. */
     final AuditedEngine engine;
 
-    final boolean reads;
-    final double writtenMs;
+    final boolean isRead;
+    final double sentMs;
     private boolean ended;
-    private boolean neverRan;
+    private boolean provenNotRun;
 
     AuditedAttempt(
-            int number, Endpoint endpoint, AuditedEngine engine, boolean reads, double writtenMs) {
+            int number, Endpoint endpoint, AuditedEngine engine, boolean isRead, double sentMs) {
         this.number = number;
         this.endpoint = endpoint;
         this.engine = engine;
-        this.reads = reads;
-        this.writtenMs = writtenMs;
+        this.isRead = isRead;
+        this.sentMs = sentMs;
     }
 
     boolean hasEnded() {
@@ -33,17 +33,17 @@
     }
 
     /** Notes whether the end proves that the engine has not run the attempt. */
-    void setNeverRan(boolean proven) {
-        neverRan = proven;
+    void setProvenNotRun(boolean proven) {
+        provenNotRun = proven;
     }
 
     /** Whether it is a read after which the engine may hold a state. */
-    boolean mayHaveRead() {
-        return reads && !neverRan;
+    boolean mayHoldReadState() {
+        return isRead && !provenNotRun;
     }
 
     /** Whether it may have had an effect; reads have none, however they end. */
     boolean mayHaveRun() {
-        return !reads && !neverRan;
+        return !isRead && !provenNotRun;
     }
 }
--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -21,21 +21,21 @@
     private final Deque<Transition> transitions = new ArrayDeque<>();
 
     boolean responseStarted;
-    boolean answered;
-    double answeredMs;
+    boolean finalResponseSent;
+    double finalResponseMs;
     boolean clientClosed;
 
     /**
      * Whether a state that was released may still exist, since a request in an engine's queue waits
      * for it.
      */
-    boolean releasedBesideAttempt;
+    boolean releasedDuringAttempt;
 
     /** Violations that are reported once a request, not at each check. */
-    boolean lateAnswerReported;
+    boolean lateResponseReported;
 
     boolean lateReleaseReported;
-    boolean leftoverReported;
+    boolean orphanedAttemptReported;
 
     private double heldSinceMs = NOT_HELD;
 
@@ -77,7 +77,7 @@
 
     /** Whether nothing of the request is left at the client or any engine. */
     boolean isComplete() {
-        return (answered || clientClosed)
+        return (finalResponseSent || clientClosed)
                 && !isHeld()
                 && attempts.stream().allMatch(AuditedAttempt::hasEnded);
     }
--- a/src/main/java/larchridge/audit/EndpointAudit.java
+++ b/src/main/java/larchridge/audit/EndpointAudit.java
@@ -6,7 +6,7 @@
 
 /** Checks the engine that an attempt is written to: its drain grace and its slow-start budget. */
 final class EndpointAudit {
-    private static final int MAX_STOPPED = 20_000;
+    private static final int MAX_STOPPED_ENDPOINTS = 20_000;
 
     private final AuditSettings settings;
     private final Violations violations;
@@ -44,7 +44,7 @@
                         stoppedServingMs.putIfAbsent(endpoint, nowMs);
                     }
                 });
-        while (stoppedServingMs.size() > MAX_STOPPED) {
+        while (stoppedServingMs.size() > MAX_STOPPED_ENDPOINTS) {
             stoppedServingMs.remove(stoppedServingMs.keySet().iterator().next());
         }
         engines = Map.copyOf(listed);
@@ -52,7 +52,7 @@
     }
 
     /** Checks a write of an attempt; the request is null if it is not followed. */
-    void checkWrite(String requestId, AuditedRequest request, Endpoint endpoint, double nowMs) {
+    void checkSend(String requestId, AuditedRequest request, Endpoint endpoint, double nowMs) {
         AuditedEngine engine = engines.get(endpoint);
         Double stoppedMs = stoppedServingMs.get(endpoint);
         if (stoppedMs == null && engine == null) {
@@ -72,7 +72,7 @@
                             + Math.round(nowMs - stoppedMs)
                             + " ms after it was set to drain or removed");
         }
-        if (engine != null && !slowStartBudget.isWithinBudget(endpoint, engine, engines, nowMs)) {
+        if (engine != null && !slowStartBudget.recordSendWithinBudget(endpoint, engine, engines, nowMs)) {
             report(
                     Invariant.SLOW_START_BUDGET,
                     requestId,
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -15,34 +15,34 @@
  */
 public final class RequestAudit implements RequestEvents {
     /** Tolerances beside the platform's time limits. */
-    private static final double ANSWER_TOLERANCE_MS = 500;
+    private static final double RESPONSE_TOLERANCE_MS = 500;
 
     private static final double RELEASE_TOLERANCE_MS = 300;
-    private static final double ANNOUNCED_TOLERANCE_MS = 150;
+    private static final double ATTEMPT_TIMEOUT_TOLERANCE_MS = 150;
 
     /** Attempts of a request that is answered are cancelled, and end, long before that. */
-    private static final double LEFTOVER_TIMEOUT_MS = 30_000;
+    private static final double ORPHANED_ATTEMPT_TIMEOUT_MS = 30_000;
 
     /** Complete requests are kept until so many others, so that later events are noticed. */
-    private static final int MAX_COMPLETE = 512;
+    private static final int MAX_COMPLETED_REQUESTS = 512;
 
-    private static final int MAX_OPEN = 20_000;
+    private static final int MAX_OPEN_REQUESTS = 20_000;
     private static final int NO_ATTEMPT = -1;
 
     private final AuditSettings settings;
     private final DoubleSupplier clockMs;
     private final Violations violations;
     private final CloseCounters closeCounters;
-    private final EndpointAudit endpoints;
-    private final RetryAudit retries;
-    private final Map<String, AuditedRequest> open = new HashMap<>();
-    private final Map<String, AuditedRequest> complete =
+    private final EndpointAudit endpointAudit;
+    private final RetryAudit retryAudit;
+    private final Map<String, AuditedRequest> openRequests = new HashMap<>();
+    private final Map<String, AuditedRequest> completedRequests =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, AuditedRequest> eldest) {
-                    return size() > MAX_COMPLETE;
+                    return size() > MAX_COMPLETED_REQUESTS;
                 }
             };
 
@@ -56,24 +56,24 @@
         this.clockMs = clockMs;
         this.violations = violations;
         this.closeCounters = closeCounters;
-        endpoints = new EndpointAudit(settings, violations, clockMs.getAsDouble());
-        retries = new RetryAudit(settings.hedgingAllowed(), violations);
+        endpointAudit = new EndpointAudit(settings, violations, clockMs.getAsDouble());
+        retryAudit = new RetryAudit(settings.hedgingAllowed(), violations);
     }
 
     /** Requests that are not complete. */
     public int openRequests() {
-        return open.size();
+        return openRequests.size();
     }
 
     // ------------------------------------------------------------------ clients
 
     @Override
     public void accepted(String id, TrafficClass trafficClass, double deadlineMs) {
-        if (open.size() >= MAX_OPEN) {
+        if (openRequests.size() >= MAX_OPEN_REQUESTS) {
             return;
         }
         AuditedRequest request = new AuditedRequest(id, trafficClass, deadlineMs);
-        open.put(id, request);
+        openRequests.put(id, request);
         record(request, Transition.Kind.ACCEPTED, NO_ATTEMPT, trafficClass.name);
     }
 
@@ -88,59 +88,59 @@
     }
 
     @Override
-    public void answered(String id, String kind) {
+    public void finalResponseSent(String id, String kind) {
         AuditedRequest request = find(id);
         if (request == null) {
             return;
         }
         record(request, Transition.Kind.ANSWERED, NO_ATTEMPT, kind);
-        if (request.answered || request.clientClosed) {
+        if (request.finalResponseSent || request.clientClosed) {
             report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request's end");
         }
         if (!request.responseStarted) {
             checkDeadline(request);
         }
-        request.answered = true;
-        request.answeredMs = clockMs.getAsDouble();
+        request.finalResponseSent = true;
+        request.finalResponseMs = clockMs.getAsDouble();
         moveIfComplete(request);
     }
 
     // ------------------------------------------------------------------ attempts
 
     @Override
-    public int attemptWritten(String id, Endpoint endpoint, boolean reads, long announcedMs) {
+    public int attemptSent(String id, Endpoint endpoint, boolean isRead, long attemptTimeoutMs) {
         double nowMs = clockMs.getAsDouble();
         AuditedRequest request = find(id);
-        endpoints.checkWrite(id, request, endpoint, nowMs);
+        endpointAudit.checkSend(id, request, endpoint, nowMs);
         if (request == null) {
             return NO_ATTEMPT;
         }
         int number = request.attempts.size();
         request.record(nowMs, Transition.Kind.WRITTEN, number, endpoint);
-        checkWrite(request, announcedMs, nowMs);
+        checkSend(request, attemptTimeoutMs, nowMs);
         AuditedAttempt attempt =
-                new AuditedAttempt(number, endpoint, endpoints.engineAt(endpoint), reads, nowMs);
-        retries.checkAttempt(request, attempt);
+                new AuditedAttempt(number, endpoint, endpointAudit.engineAt(endpoint), isRead, nowMs);
+        retryAudit.checkAttempt(request, attempt);
         request.attempts.add(attempt);
         return number;
     }
 
-    private void checkWrite(AuditedRequest request, long announcedMs, double nowMs) {
+    private void checkSend(AuditedRequest request, long attemptTimeoutMs, double nowMs) {
         if (request.clientClosed) {
             report(
                     Invariant.NO_ATTEMPT_AFTER_CLOSE,
                     request,
                     "written for a client that has closed");
         }
-        if (request.answered || request.responseStarted) {
+        if (request.finalResponseSent || request.responseStarted) {
             report(Invariant.NO_ATTEMPT_AFTER_ANSWER, request, "written after the answer");
         }
         double remainingMs = request.deadlineMs - nowMs;
-        if (announcedMs > Math.max(0, remainingMs) + ANNOUNCED_TOLERANCE_MS) {
+        if (attemptTimeoutMs > Math.max(0, remainingMs) + ATTEMPT_TIMEOUT_TOLERANCE_MS) {
             report(
                     Invariant.DEADLINE_PROPAGATED,
                     request,
-                    "announced " + announcedMs + " ms of " + Math.round(remainingMs));
+                    "announced " + attemptTimeoutMs + " ms of " + Math.round(remainingMs));
         }
     }
 
@@ -148,7 +148,7 @@
     public void readCompleted(String id, int attempt) {
         AuditedRequest request = endAttempt(id, attempt, Transition.Kind.READ_COMPLETED, null);
         if (request != null) {
-            hold(request);
+            startHold(request);
             moveIfComplete(request);
         }
     }
@@ -160,7 +160,7 @@
             return;
         }
         record(request, Transition.Kind.RESPONSE_STARTED, attempt, null);
-        if (!request.answered && !request.clientClosed) {
+        if (!request.finalResponseSent && !request.clientClosed) {
             checkDeadline(request);
         }
         request.responseStarted = true;
@@ -169,18 +169,18 @@
 
     @Override
     public void attemptEnded(
-            String id, int attempt, String outcome, boolean neverRan, boolean engineAnswered) {
+            String id, int attempt, String outcome, boolean provenNotRun, boolean engineResponded) {
         AuditedRequest request = endAttempt(id, attempt, Transition.Kind.ENDED, outcome);
         if (request == null || attempt < 0) {
             return;
         }
         AuditedAttempt ended = request.attempts.get(attempt);
-        ended.setNeverRan(neverRan);
-        boolean mayHaveBegunHolding = ended.mayHaveRead() && !request.isHeld();
+        ended.setProvenNotRun(provenNotRun);
+        boolean mayHaveStartedHold = ended.mayHoldReadState() && !request.isHeld();
         boolean mayStillBeHeld =
-                request.releasedBesideAttempt || (engineAnswered && request.isHeld());
-        if (!request.responseStarted && (mayHaveBegunHolding || mayStillBeHeld)) {
-            hold(request);
+                request.releasedDuringAttempt || (engineResponded && request.isHeld());
+        if (!request.responseStarted && (mayHaveStartedHold || mayStillBeHeld)) {
+            startHold(request);
         }
         moveIfComplete(request);
     }
@@ -199,14 +199,14 @@
 
     // ------------------------------------------------------------------ held states
 
-    private void hold(AuditedRequest request) {
+    private void startHold(AuditedRequest request) {
         double nowMs = clockMs.getAsDouble();
         request.holdSince(nowMs);
-        request.releasedBesideAttempt = false;
+        request.releasedDuringAttempt = false;
         request.lateReleaseReported = false;
         request.record(nowMs, Transition.Kind.HELD, NO_ATTEMPT, null);
-        if (complete.remove(request.id) != null) {
-            open.put(request.id, request);
+        if (completedRequests.remove(request.id) != null) {
+            openRequests.put(request.id, request);
         }
     }
 
@@ -215,9 +215,9 @@
         AuditedRequest request = find(id);
         if (request != null) {
             record(request, Transition.Kind.RELEASED, NO_ATTEMPT, null);
-            checkHeld(request, clockMs.getAsDouble());
+            checkStateHold(request, clockMs.getAsDouble());
             request.clearHeld();
-            request.releasedBesideAttempt =
+            request.releasedDuringAttempt =
                     request.attempts.stream().anyMatch(attempt -> !attempt.hasEnded());
             moveIfComplete(request);
         }
@@ -232,7 +232,7 @@
 
     @Override
     public void endpointsChanged(Map<Endpoint, AuditedEngine> engines) {
-        endpoints.endpointsChanged(engines, clockMs.getAsDouble());
+        endpointAudit.endpointsChanged(engines, clockMs.getAsDouble());
     }
 
     // ------------------------------------------------------------------ the periodic check
@@ -240,19 +240,19 @@
     /** Checks for what should have happened by now and has not. */
     public void check() {
         double nowMs = clockMs.getAsDouble();
-        for (AuditedRequest request : List.copyOf(open.values())) {
-            if (!request.responseStarted && !request.answered && !request.clientClosed) {
+        for (AuditedRequest request : List.copyOf(openRequests.values())) {
+            if (!request.responseStarted && !request.finalResponseSent && !request.clientClosed) {
                 checkDeadline(request);
             }
-            checkHeld(request, nowMs);
-            checkLeftover(request, nowMs);
+            checkStateHold(request, nowMs);
+            checkOrphanedAttempts(request, nowMs);
         }
     }
 
     private void checkDeadline(AuditedRequest request) {
         double lateMs = clockMs.getAsDouble() - request.deadlineMs;
-        if (lateMs > ANSWER_TOLERANCE_MS && !request.lateAnswerReported) {
-            request.lateAnswerReported = true;
+        if (lateMs > RESPONSE_TOLERANCE_MS && !request.lateResponseReported) {
+            request.lateResponseReported = true;
             report(
                     Invariant.ANSWERED_BY_DEADLINE,
                     request,
@@ -260,9 +260,9 @@
         }
     }
 
-    private void checkHeld(AuditedRequest request, double nowMs) {
+    private void checkStateHold(AuditedRequest request, double nowMs) {
         double heldForMs = request.heldForMs(nowMs);
-        if (heldForMs > settings.releaseMs() + RELEASE_TOLERANCE_MS
+        if (heldForMs > settings.maxStateHoldMs() + RELEASE_TOLERANCE_MS
                 && !request.lateReleaseReported) {
             request.lateReleaseReported = true;
             report(
@@ -272,11 +272,11 @@
         }
     }
 
-    private void checkLeftover(AuditedRequest request, double nowMs) {
-        if (request.answered
-                && nowMs - request.answeredMs > LEFTOVER_TIMEOUT_MS
-                && !request.leftoverReported) {
-            request.leftoverReported = true;
+    private void checkOrphanedAttempts(AuditedRequest request, double nowMs) {
+        if (request.finalResponseSent
+                && nowMs - request.finalResponseMs > ORPHANED_ATTEMPT_TIMEOUT_MS
+                && !request.orphanedAttemptReported) {
+            request.orphanedAttemptReported = true;
             report(
                     Invariant.RESOURCES_RELEASED,
                     request,
@@ -287,13 +287,13 @@
     // ------------------------------------------------------------------ helpers
 
     private AuditedRequest find(String id) {
-        AuditedRequest request = open.get(id);
-        return request != null ? request : complete.get(id);
+        AuditedRequest request = openRequests.get(id);
+        return request != null ? request : completedRequests.get(id);
     }
 
     private void moveIfComplete(AuditedRequest request) {
-        if (request.isComplete() && open.remove(request.id) != null) {
-            complete.put(request.id, request);
+        if (request.isComplete() && openRequests.remove(request.id) != null) {
+            completedRequests.put(request.id, request);
         }
     }
 
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -10,7 +10,7 @@
  */
 public interface RequestEvents {
     /** Ignores all events. */
-    RequestEvents IGNORED = new RequestEvents() {};
+    RequestEvents NO_OP = new RequestEvents() {};
 
     /** A request was accepted from a client that waits for its first event until the deadline. */
     default void accepted(String id, TrafficClass trafficClass, double deadlineMs) {}
@@ -19,16 +19,16 @@
     default void clientClosed(String id) {}
 
     /** A final answer was written to the client, or its stream was cut; kind says which. */
-    default void answered(String id, String kind) {}
+    default void finalResponseSent(String id, String kind) {}
 
     /**
      * An attempt is written to an engine.
      *
-     * @param reads whether it reads the prompt rather than writes the answer
-     * @param announcedMs the time that the attempt announces to the engine
+     * @param isRead whether it reads the prompt rather than writes the answer
+     * @param attemptTimeoutMs the time that the attempt announces to the engine
      * @return the attempt's number, or -1 if nobody follows the request
      */
-    default int attemptWritten(String id, Endpoint endpoint, boolean reads, long announcedMs) {
+    default int attemptSent(String id, Endpoint endpoint, boolean isRead, long attemptTimeoutMs) {
         return -1;
     }
 
@@ -41,11 +41,11 @@
     /**
      * An attempt has ended otherwise.
      *
-     * @param neverRan whether the end proves that the engine has not run it
-     * @param engineAnswered whether the engine has answered anything
+     * @param provenNotRun whether the end proves that the engine has not run it
+     * @param engineResponded whether the engine has answered anything
      */
     default void attemptEnded(
-            String id, int attempt, String outcome, boolean neverRan, boolean engineAnswered) {}
+            String id, int attempt, String outcome, boolean provenNotRun, boolean engineResponded) {}
 
     /** An engine has confirmed the release of all that is held for the request. */
     default void stateReleased(String id) {}
--- a/src/main/java/larchridge/audit/RetryAudit.java
+++ b/src/main/java/larchridge/audit/RetryAudit.java
@@ -28,7 +28,7 @@
             }
             if (!idempotent
                     && earlier.mayHaveRun()
-                    && !attempt.reads
+                    && !attempt.isRead
                     && !isDeduplicated(trafficClass, earlier, attempt)) {
                 violations.report(
                         Invariant.NO_FORBIDDEN_RETRY,
@@ -36,7 +36,7 @@
                         "attempt "
                                 + earlier.number
                                 + " may have run "
-                                + Math.round(attempt.writtenMs - earlier.writtenMs)
+                                + Math.round(attempt.sentMs - earlier.sentMs)
                                 + " ms before",
                         request.transitions());
             }
@@ -47,7 +47,7 @@
     private static boolean isDeduplicated(
             TrafficClass trafficClass, AuditedAttempt earlier, AuditedAttempt attempt) {
         if (trafficClass.effect == Effect.SIDE_EFFECTING
-                || attempt.writtenMs - earlier.writtenMs > trafficClass.deduplicationWindowMs) {
+                || attempt.sentMs - earlier.sentMs > trafficClass.deduplicationWindowMs) {
             return false;
         }
         if (earlier.engine == null
--- a/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
+++ b/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
@@ -19,15 +19,15 @@
     private static final double SECOND_MS = 1000;
 
     /** Budgets below this many writes get the platform's allowance for small counts. */
-    private static final double SMALL_BUDGET = 30;
+    private static final double SMALL_BUDGET_SENDS = 30;
 
     private final AuditSettings settings;
     private final double startMs;
-    private final SlidingWindow warmReads = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
-    private final SlidingWindow warmWrites = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
+    private final SlidingWindow warmReaderSends = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
+    private final SlidingWindow warmWriterSends = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
 
     /** Times of the writes to each warming engine within the overload window. */
-    private final Map<Endpoint, Deque<Double>> recentWrites = new HashMap<>();
+    private final Map<Endpoint, Deque<Double>> recentSends = new HashMap<>();
 
     SlowStartBudgetAudit(AuditSettings settings, double nowMs) {
         this.settings = settings;
@@ -35,49 +35,49 @@
     }
 
     /** Counts a write; false if the engine is warming and has got more than this node's part. */
-    boolean isWithinBudget(
+    boolean recordSendWithinBudget(
             Endpoint endpoint,
             AuditedEngine engine,
             Map<Endpoint, AuditedEngine> engines,
             double nowMs) {
-        boolean reads = engine.role() == Role.READER;
+        boolean isReader = engine.role() == Role.READER;
         if (!isWarming(engine, nowMs)) {
-            recentWrites.remove(endpoint);
-            (reads ? warmReads : warmWrites).add(nowMs, 1);
+            recentSends.remove(endpoint);
+            (isReader ? warmReaderSends : warmWriterSends).add(nowMs, 1);
             return true;
         }
-        Deque<Double> recent = recentWrites.computeIfAbsent(endpoint, key -> new ArrayDeque<>());
+        Deque<Double> recent = recentSends.computeIfAbsent(endpoint, key -> new ArrayDeque<>());
         recent.addLast(nowMs);
         while (recent.peekFirst() < nowMs - settings.overloadWindowMs()) {
             recent.removeFirst();
         }
-        return recent.size() <= allowedWrites(engine, engines, nowMs);
+        return recent.size() <= maxSends(engine, engines, nowMs);
     }
 
-    private double allowedWrites(
+    private double maxSends(
             AuditedEngine engine, Map<Endpoint, AuditedEngine> engines, double nowMs) {
-        boolean reads = engine.role() == Role.READER;
+        boolean isReader = engine.role() == Role.READER;
         double warmUnits =
                 engines.values().stream()
                         .filter(AuditedEngine::serving)
                         .filter(
                                 other ->
-                                        (other.role() == Role.READER) == reads
+                                        (other.role() == Role.READER) == isReader
                                                 && !isWarming(other, nowMs))
-                        .mapToDouble(AuditedEngine::units)
+                        .mapToDouble(AuditedEngine::capacityUnits)
                         .sum();
-        SlidingWindow warm = reads ? warmReads : warmWrites;
+        SlidingWindow warm = isReader ? warmReaderSends : warmWriterSends;
         double spanMs = Math.max(SECOND_MS, Math.min(warm.spanMs(), nowMs - startMs));
-        double ratePerUnit = warm.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units());
-        double warmedPart = Math.min(1, (nowMs - engine.startMs()) / settings.slowStartMs());
-        double share = settings.slowStartShare() + (1 - settings.slowStartShare()) * warmedPart;
+        double ratePerUnit = warm.sum(nowMs) / spanMs / Math.max(warmUnits, engine.capacityUnits());
+        double warmupFraction = Math.min(1, (nowMs - engine.startMs()) / settings.slowStartMs());
+        double capacityFraction = settings.slowStartShare() + (1 - settings.slowStartShare()) * warmupFraction;
         double budget =
                 settings.overloadMultiple()
-                        * share
+                        * capacityFraction
                         * ratePerUnit
-                        * engine.units()
+                        * engine.capacityUnits()
                         * settings.overloadWindowMs();
-        return budget < SMALL_BUDGET
+        return budget < SMALL_BUDGET_SENDS
                 ? budget + 3 * Math.sqrt(budget) + 3
                 : budget + 2 * Math.sqrt(budget) + 2;
     }
@@ -88,6 +88,6 @@
 
     /** Forgets engines that the list no longer names. */
     void retainListed(Map<Endpoint, AuditedEngine> engines) {
-        recentWrites.keySet().retainAll(engines.keySet());
+        recentSends.keySet().retainAll(engines.keySet());
     }
 }
--- a/src/main/java/larchridge/audit/Violations.java
+++ b/src/main/java/larchridge/audit/Violations.java
@@ -13,7 +13,7 @@
     public static final String MESSAGE = "invariant violated";
 
     /** Log lines of one invariant; beyond it violations are only counted. */
-    private static final int MAX_LOG_LINES = 100;
+    private static final int MAX_LOG_LINES_PER_INVARIANT = 100;
 
     private static final Logger LOG = LoggerFactory.getLogger(Violations.class);
 
@@ -44,7 +44,7 @@
      */
     public void report(Invariant invariant, String requestId, String problem, String transitions) {
         counters.get(invariant).increment();
-        if (logLines.merge(invariant, 1, Integer::sum) <= MAX_LOG_LINES) {
+        if (logLines.merge(invariant, 1, Integer::sum) <= MAX_LOG_LINES_PER_INVARIANT) {
             LOG.atError()
                     .addKeyValue("invariant", invariant.tag())
                     .addKeyValue("id", requestId)
--- a/src/main/java/larchridge/messages/MessageBodies.java
+++ b/src/main/java/larchridge/messages/MessageBodies.java
@@ -58,7 +58,7 @@
                 .limits(read.maxTokens(), read.stops())
                 .sampling(read.sampling())
                 .session(read.opening(), read.talkBefore(), read.talkNow())
-                .unstreamed(true)
+                .nonStreaming(true)
                 // Like a client's late retry it goes to readers with short queues only: others wait
                 // there for their first token.
                 .clientRetry(true)
@@ -77,7 +77,7 @@
             String text,
             Completion ending) {
         int kept = Math.min(keptTokens, ask.promptTokens());
-        int created = ask.sharedPrefixId() == null ? 0 : Math.max(0, ask.sharedTokens() - kept);
+        int created = ask.sharedPrefixId() == null ? 0 : Math.max(0, ask.sharedPrefixTokens() - kept);
         return MessageEvents.whole(
                 MessageEvents.message(id, model, ask.promptTokens(), kept, created), text, ending);
     }
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -325,7 +325,7 @@
                             .limits(body.maxTokens(), body.stops())
                             .sampling(body.sampling())
                             .session(body.opening(), body.talkBefore(), body.talkNow())
-                            .unstreamed(!body.stream())
+                            .nonStreaming(!body.stream())
                             .clientRetry(retries() > 0)
                             .clientTimeoutMs(patienceMs())
                             .idempotencyKey(
--- a/src/main/java/larchridge/messages/MessagesResponseSink.java
+++ b/src/main/java/larchridge/messages/MessagesResponseSink.java
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public int pendingPieces() {
+    public int pendingChunks() {
         return gatheredPieces;
     }
 
--- a/src/main/java/larchridge/metrics/RouterMetrics.java
+++ b/src/main/java/larchridge/metrics/RouterMetrics.java
@@ -26,7 +26,7 @@
     private final Map<String, Timer> timers = new HashMap<>();
 
     /** Incremented for every piece of text, so looked up once. */
-    private Counter pieces;
+    private Counter textChunks;
 
     /** Metrics that are registered with this registry as they are first used. */
     public RouterMetrics(MeterRegistry registry) {
@@ -41,7 +41,7 @@
     }
 
     /** Registers the gauges of the cache of token counts: its size, hits and misses. */
-    public static void registerCountCache(
+    public static void registerTokenCountCache(
             MeterRegistry registry,
             Supplier<Number> size,
             Supplier<Number> hits,
@@ -59,7 +59,7 @@
                 .tag(ROUTER_TAG, tag)
                 .register(registry);
         Gauge.builder("larchridge_held_states", heldStates).tag(ROUTER_TAG, tag).register(registry);
-        pieces =
+        textChunks =
                 Counter.builder("larchridge_pieces")
                         .tag(ROUTER_TAG, tag)
                         .tag("kind", "text")
@@ -73,76 +73,76 @@
      * @param kind streamed, throttled, terminated, gone, slow_client or over_budget
      * @param elapsedMs the time since the arrival, or NaN where it tells nothing
      */
-    public void answered(int router, String product, String kind, double elapsedMs) {
-        count("larchridge_final_answers", router, "product", product, "kind", kind);
+    public void requestFinished(int router, String product, String kind, double elapsedMs) {
+        increment("larchridge_final_answers", router, "product", product, "kind", kind);
         if (elapsedMs >= 0) {
-            time("larchridge_answer_time", router, product, elapsedMs);
+            recordTime("larchridge_answer_time", router, product, elapsedMs);
         }
     }
 
     /** An answer began, so long after the arrival. */
-    public void firstToken(int router, String product, double elapsedMs) {
-        time("larchridge_first_token_time", router, product, elapsedMs);
+    public void firstTokenReceived(int router, String product, double elapsedMs) {
+        recordTime("larchridge_first_token_time", router, product, elapsedMs);
     }
 
     /** An attempt ended with this outcome. */
     public void attemptEnded(int router, String stage, String outcome) {
-        count("larchridge_attempts", router, "stage", stage, "outcome", outcome);
+        increment("larchridge_attempts", router, "stage", stage, "outcome", outcome);
     }
 
     /** A piece of text came from an engine. */
-    public void pieceReceived() {
-        pieces.increment();
+    public void textChunkReceived() {
+        textChunks.increment();
     }
 
     /** An exchange was rejected as it started; kind is too_many, stopping or ledger. */
     public void exchangeRejected(int router, String kind) {
-        count("larchridge_turned_away", router, "kind", kind, "stage", "door");
+        increment("larchridge_turned_away", router, "kind", kind, "stage", "door");
     }
 
     /** An attempt that the policy decided on was not sent. */
-    public void notSent(int router, String reason) {
-        count("larchridge_attempts_not_sent", router, "reason", reason, "stage", "link");
+    public void attemptNotSent(int router, String reason) {
+        increment("larchridge_attempts_not_sent", router, "reason", reason, "stage", "link");
     }
 
     /**
      * An attempt was a retry or a hedged request; the reason says what became of the one before.
      */
     public void retried(int router, String stage, String reason) {
-        count("larchridge_retries", router, "stage", stage, "reason", reason);
+        increment("larchridge_retries", router, "stage", stage, "reason", reason);
     }
 
     /** The policy gave a generation up. */
-    public void givenUp(int router, String product, String reason) {
-        count("larchridge_given_up", router, "product", product, "reason", reason);
+    public void requestAbandoned(int router, String product, String reason) {
+        increment("larchridge_given_up", router, "product", product, "reason", reason);
     }
 
     /** An attempt was cancelled. */
     public void attemptCancelled(int router, String stage, String reason) {
-        count("larchridge_called_off", router, "stage", stage, "reason", reason);
+        increment("larchridge_called_off", router, "stage", stage, "reason", reason);
     }
 
     /** A request was rejected before a router took it. */
     public void requestRejected(String reason) {
-        count("larchridge_requests_refused", 0, "reason", reason, "stage", "door");
+        increment("larchridge_requests_refused", 0, "reason", reason, "stage", "door");
     }
 
     /** The routing policy threw an exception. */
-    public void policyFault(int router) {
-        count("larchridge_module_faults", router, "kind", "exception", "stage", "module");
+    public void policyFailed(int router) {
+        increment("larchridge_module_faults", router, "kind", "exception", "stage", "module");
     }
 
     /** A usage record was lost, as the ledger's queue was full. */
-    public void unbilled(int router) {
-        count("larchridge_unbilled", router, "kind", "queue_full", "stage", "ledger");
+    public void usageRecordLost(int router) {
+        increment("larchridge_unbilled", router, "kind", "queue_full", "stage", "ledger");
     }
 
     /** A periodic step ran so much later than it was due. */
     public void loopDelay(int router, double delayMs) {
-        time("larchridge_loop_delay", router, "", delayMs);
+        recordTime("larchridge_loop_delay", router, "", delayMs);
     }
 
-    private void count(
+    private void increment(
             String name, int router, String tag, String value, String tag2, String value2) {
         counters.computeIfAbsent(
                         name + '|' + value + '|' + value2,
@@ -155,7 +155,7 @@
                 .increment();
     }
 
-    private void time(String name, int router, String product, double ms) {
+    private void recordTime(String name, int router, String product, double ms) {
         timers.computeIfAbsent(
                         name + '|' + product,
                         key ->
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -55,7 +55,7 @@
     private NodeWarmup() throws InvalidSettingsException, IOException {
         DeploymentSettings settings =
                 DeploymentSettingsReader.read(new ObjectMapper().readTree(WarmupSettings.JSON), 1);
-        Scheduler scheduler = time.schedulerOf(0, settings.routing().seed());
+        Scheduler scheduler = time.routerScheduler(0, settings.routing().seed());
         Site site = site(settings);
         NodeAudit audit = new NodeAudit(scheduler, settings);
         ForwardingUpstreamClient upstream =
@@ -168,7 +168,7 @@
     }
 
     private void step() {
-        time.run(time.sinceMs() + STEP_MS);
+        time.run(time.elapsedMs() + STEP_MS);
         engines.step();
         clients.step();
     }
--- a/src/main/java/larchridge/node/server/ClientExchange.java
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -149,7 +149,7 @@
     @Override
     public void completed(Completion completion) {
         if (finish()) {
-            server.events.answered(id, STREAMED);
+            server.events.finalResponseSent(id, STREAMED);
             connection.finishResponse(
                     LastHttpContent.EMPTY_LAST_CONTENT,
                     connection.decideAfterResponse(announcedAfter));
@@ -159,7 +159,7 @@
     @Override
     public void rejected(double retryAfterMs) {
         if (finish()) {
-            server.events.answered(id, THROTTLED);
+            server.events.finalResponseSent(id, THROTTLED);
             connection.respond(
                     Responses.error(
                             HttpResponseStatus.SERVICE_UNAVAILABLE, "not now", retryAfterMs),
@@ -172,7 +172,7 @@
         if (responseStarted) {
             aborted();
         } else if (finish()) {
-            server.events.answered(id, cause.name());
+            server.events.finalResponseSent(id, cause.name());
             connection.respond(
                     Responses.error(statusOf(cause), "failed"),
                     cause == FailureCause.UNUSABLE_ANSWER ? AfterResponse.CLOSE : requestedAfter);
@@ -191,7 +191,7 @@
     @Override
     public void aborted() {
         if (finish()) {
-            server.events.answered(id, CUT);
+            server.events.finalResponseSent(id, CUT);
             // Without the last chunk, so that the client does not take it for complete.
             connection.halfClose(CloseReason.STREAM_CUT);
         }
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -94,7 +94,7 @@
                         forwarded, attemptRequest.endpoint(), (long) remainingMs);
         eventNumber =
                 context.events()
-                        .attemptWritten(
+                        .attemptSent(
                                 forwarded.id(),
                                 attemptRequest.endpoint(),
                                 kind == AttemptKind.READ,
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -37,7 +37,7 @@
     /** A client whose connections are opened otherwise. */
     public ForwardingUpstreamClient(
             Scheduler scheduler, UpstreamLimits limits, ConnectionOpener opener) {
-        this(scheduler, limits, opener, RequestEvents.IGNORED);
+        this(scheduler, limits, opener, RequestEvents.NO_OP);
     }
 
     /** A client whose connections are opened otherwise, and whose events are observed. */
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -20,7 +20,7 @@
 final class AdmissionController {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionController.class);
 
-    private static final int LABEL_RADIX = 36;
+    private static final int ID_RADIX = 36;
 
     private final Router router;
     private final RequestServices services;
@@ -31,7 +31,7 @@
     private final String idPrefix;
     private final SessionRegistry sessions = new SessionRegistry();
     private final Map<String, TenantQuota> tenantQuotas = new HashMap<>();
-    private long admitted;
+    private long admittedCount;
 
     /** Null where no quota is lent. */
     private QuotaClient quotaClient;
@@ -88,7 +88,7 @@
             }
             budgets.setLenderAvailable(quotaClient.isResponsive());
         }
-        decide(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
+        admitOrReject(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
     }
 
     private BudgetDecision checkBudget(GenerationRequest generationRequest) {
@@ -130,13 +130,13 @@
                             grantedTokens,
                             context.nowMs() + context.site.lapseMs);
                     if (!responseSink.isDisconnected()) {
-                        BudgetDecision second = checkBudget(generationRequest);
-                        decide(
+                        BudgetDecision newDecision = checkBudget(generationRequest);
+                        admitOrReject(
                                 generationRequest,
                                 responseSink,
-                                second.isAdmitted()
-                                        ? second
-                                        : second.withRetryAfterAtLeast(retryAfterMs),
+                                newDecision.isAdmitted()
+                                        ? newDecision
+                                        : newDecision.withRetryAfterAtLeast(retryAfterMs),
                                 arrivedMs,
                                 onAdmitted);
                     }
@@ -144,7 +144,7 @@
         return quotaClient.request(quotaRequest, listener);
     }
 
-    private void decide(
+    private void admitOrReject(
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             BudgetDecision decision,
@@ -156,11 +156,11 @@
             return;
         }
         InFlightRequest request = newRequest(generationRequest, responseSink, decision, arrivedMs);
-        usageRecorder.assignBill(request);
+        usageRecorder.assignBillId(request);
         context.requests.put(request.generation(), request);
         services.timeouts().watchDeadline(request);
         services.policy().requestArrived(request);
-        services.closer().closeIfOver(request);
+        services.closer().closeIfFinished(request);
         onAdmitted.accept(request);
     }
 
@@ -168,7 +168,7 @@
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             BudgetDecision decision) {
-        context.metrics.answered(
+        context.metrics.requestFinished(
                 context.routerNumber,
                 generationRequest.offering().product.name,
                 "over_budget",
@@ -185,23 +185,23 @@
             ResponseSink responseSink,
             BudgetDecision decision,
             double arrivedMs) {
-        DeadlinePolicy deadlines =
-                DeadlinePolicy.of(
+        ResponseDeadlines deadlines =
+                ResponseDeadlines.of(
                         generationRequest.offering(),
                         generationRequest.promptTokens(),
                         generationRequest.maxTokens(),
-                        generationRequest.unstreamed(),
+                        generationRequest.nonStreaming(),
                         generationRequest.clientTimeoutMs());
         ProductOffering offering = generationRequest.offering();
         Generation generation =
                 new Generation(
-                        labelOf(generationRequest),
+                        generationIdOf(generationRequest),
                         decision.charge().isBorrowed() ? offering.borrowed : offering.product,
                         tenantQuotaOf(generationRequest.tenant()),
                         sessions.sessionOf(generationRequest),
                         sessions.sharedPrefixOf(generationRequest),
                         generationRequest.promptTokens(),
-                        generationRequest.sharedTokens(),
+                        generationRequest.sharedPrefixTokens(),
                         generationRequest.maxTokens(),
                         Double.NaN,
                         generationRequest.clientRetry(),
@@ -217,10 +217,10 @@
     }
 
     /** The client's id of a forwarded request, or a name that no other router gives. */
-    private String labelOf(GenerationRequest generationRequest) {
+    private String generationIdOf(GenerationRequest generationRequest) {
         return generationRequest.forwardedRequest() != null
                 ? generationRequest.forwardedRequest().id()
-                : idPrefix + Long.toString(admitted++, LABEL_RADIX);
+                : idPrefix + Long.toString(admittedCount++, ID_RADIX);
     }
 
     private TenantQuota tenantQuotaOf(Site.Tenant tenant) {
--- a/src/main/java/larchridge/router/AttemptCanceller.java
+++ b/src/main/java/larchridge/router/AttemptCanceller.java
@@ -44,7 +44,7 @@
     }
 
     /** Ends the attempt whose stream has been silent for too long. */
-    void expireSilentStream(InFlightAttempt attempt) {
+    void expireIdleStream(InFlightAttempt attempt) {
         context.metrics.attemptCancelled(
                 context.routerNumber, attempt.stage(), CancellationReason.SILENT_STREAM.tag());
         attempt.handle().expire();
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -33,47 +33,47 @@
         RouterContext context = services.context();
         context.updateClock();
         attempt.readCompleted(state, request.usageMeter().promptRead(promptTokens), cachedTokens);
-        request.generationRequest().promptTokensReported().accept(promptTokens);
+        request.generationRequest().onPromptTokensReported().accept(promptTokens);
         context.metrics.attemptEnded(context.routerNumber, attempt.stage(), "READ");
-        logStep("READ");
+        logEvent("READ");
         services.policy().readCompleted(request, attempt, report);
-        services.closer().closeIfOver(request);
+        services.closer().closeIfFinished(request);
     }
 
     @Override
     public void responseStarted() {
         RouterContext context = services.context();
         context.updateClock();
-        if (!request.responseGuard().begin()) {
+        if (!request.responseGuard().start()) {
             return;
         }
         double nowMs = context.nowMs();
         request.startStreaming(attempt, nowMs);
-        logStep("BEGUN");
-        context.metrics.firstToken(
+        logEvent("BEGUN");
+        context.metrics.firstTokenReceived(
                 context.routerNumber,
                 request.generation().trafficClass.name,
                 request.elapsedMs(nowMs));
-        context.latency.responseStarted(request, nowMs);
+        context.latencyTracker.responseStarted(request, nowMs);
         meterPrompt();
         services.policy().responseStarted(request, attempt);
         services.readStates().releaseUnclaimed(request.generation());
-        services.timeouts().watchStream(request);
-        if (!request.responseGuard().isDone()) {
-            InFlightAttempt source = attempt.source();
-            request.responseSink().responseStarted(source == null ? 0 : source.cachedTokens());
+        services.timeouts().watchStreamIdle(request);
+        if (!request.responseGuard().isFinished()) {
+            InFlightAttempt stateSource = attempt.stateSource();
+            request.responseSink().responseStarted(stateSource == null ? 0 : stateSource.cachedTokens());
         }
     }
 
     private void meterPrompt() {
-        InFlightAttempt source = attempt.source();
-        if (source == null) {
+        InFlightAttempt stateSource = attempt.stateSource();
+        if (stateSource == null) {
             request.usageMeter().responseStartedInPlace(request.generationRequest().promptTokens());
         } else {
             // The state has been fetched: nothing of it is left at its reader.
-            source.stateRemoved();
+            stateSource.markStateRemoved();
             request.usageMeter()
-                    .responseStartedFromRead(source.readTokens(), source.cachedTokens());
+                    .responseStartedFromRead(stateSource.meteredReadTokens(), stateSource.cachedTokens());
         }
     }
 
@@ -82,8 +82,8 @@
         RouterContext context = services.context();
         if (request.streamsFrom(attempt)) {
             context.updateClock();
-            request.pieceReceived(context.nowMs());
-            context.metrics.pieceReceived();
+            request.chunkReceived(context.nowMs());
+            context.metrics.textChunkReceived();
             if (request.responseSink().textReceived(text)) {
                 request.usageMeter().pieceSent();
             }
@@ -95,7 +95,7 @@
         RouterContext context = services.context();
         if (request.streamsFrom(attempt)) {
             context.updateClock();
-            request.pieceReceived(context.nowMs());
+            request.chunkReceived(context.nowMs());
             request.responseSink().eventsReceived(events);
         }
     }
@@ -110,14 +110,14 @@
     @Override
     public void stateReleased() {
         services.context().updateClock();
-        logStep("STATE_RELEASED");
+        logEvent("STATE_RELEASED");
         services.policy().stateReleased(request, attempt);
     }
 
     @Override
     public void notSent(SendRejection reason) {
         RouterContext context = services.context();
-        context.metrics.notSent(context.routerNumber, reason.tag());
+        context.metrics.attemptNotSent(context.routerNumber, reason.tag());
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("attempt", attempt.policyAttempt().number)
@@ -130,7 +130,7 @@
         services.context().updateClock();
         // Guards against: retried, the request would use up its attempts and make every engine that
         // rightly rejects it look unhealthy.
-        attempt.end();
+        attempt.markEnded();
         services.closer().failAndAbandon(request, ResponseSink.FailureCause.UNUSABLE_ANSWER);
     }
 
@@ -138,10 +138,10 @@
     public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion completion) {
         RouterContext context = services.context();
         context.updateClock();
-        attempt.end();
+        attempt.markEnded();
         context.metrics.attemptEnded(context.routerNumber, attempt.stage(), outcome.name());
         if (attempt.holdsState()) {
-            removeState(outcome);
+            dropOrReleaseState(outcome);
         }
         if (request.streamingAttempt() == attempt) {
             streamEnded(outcome, completion);
@@ -152,12 +152,12 @@
                 .addKeyValue("engine", attempt.policyAttempt().engine.id)
                 .log(outcome.name());
         services.policy().attemptEnded(request, attempt, outcome, report);
-        services.closer().closeIfOver(request);
+        services.closer().closeIfFinished(request);
     }
 
-    private void removeState(AttemptOutcome outcome) {
+    private void dropOrReleaseState(AttemptOutcome outcome) {
         if (outcome.provesNotRun) {
-            attempt.stateRemoved();
+            attempt.markStateRemoved();
         } else {
             // Guards against: its state may be held there though its answer did not come.
             services.readStates().release(attempt);
@@ -167,15 +167,15 @@
     private void streamEnded(AttemptOutcome outcome, Completion completion) {
         boolean completed =
                 outcome == AttemptOutcome.STREAMED
-                        && services.finalAnswers().complete(request, completion);
+                        && services.finalResponses().complete(request, completion);
         if (!completed) {
             // A stream that breaks is lost: the client has seen part of it, so no other attempt can
             // continue it.
-            services.finalAnswers().fail(request, ResponseSink.FailureCause.UPSTREAM_FAILED);
+            services.finalResponses().fail(request, ResponseSink.FailureCause.UPSTREAM_FAILED);
         }
     }
 
-    private void logStep(String step) {
+    private void logEvent(String event) {
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("attempt", attempt.policyAttempt().number)
@@ -184,6 +184,6 @@
                 .addKeyValue("cached_tokens", attempt.cachedTokens())
                 .addKeyValue("sent", Math.round(request.elapsedMs(attempt.policyAttempt().sentMs)))
                 .addKeyValue("ms", Math.round(request.elapsedMs(services.context().nowMs())))
-                .log(step);
+                .log(event);
     }
 }
--- a/src/main/java/larchridge/router/AttemptSender.java
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -15,10 +15,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(AttemptSender.class);
 
     /** The reason of an attempt that is the first of its stage. */
-    private static final String FIRST = "first";
+    private static final String FIRST_ATTEMPT = "first";
 
     /** The reason of an attempt beside another of its stage that is still in flight. */
-    private static final String BESIDE = "beside";
+    private static final String HEDGED = "beside";
 
     /** The reason of an attempt after one whose state has been lost. */
     private static final String STATE_LOST = "state_lost";
@@ -43,13 +43,13 @@
                         policyAttempt,
                         endpoint,
                         policyAttempt.generation.id + "." + policyAttempt.number,
-                        sourceOf(request, policyAttempt));
+                        stateSourceOf(request, policyAttempt));
         request.addAttempt(attempt);
         AttemptRequest attemptRequest = attemptRequest(request, attempt);
         AttemptListener listener = new AttemptEventHandler(services, request, attempt);
-        noteSend(request, attempt);
+        logAndCountSend(request, attempt);
         UpstreamClient upstream = context.upstream;
-        attempt.sent(
+        attempt.setHandle(
                 attempt.isRead()
                         ? upstream.read(attemptRequest, listener)
                         : upstream.write(attemptRequest, listener));
@@ -59,7 +59,7 @@
     }
 
     /** The read whose state the attempt is to fetch, or null. */
-    private static InFlightAttempt sourceOf(InFlightRequest request, Attempt policyAttempt) {
+    private static InFlightAttempt stateSourceOf(InFlightRequest request, Attempt policyAttempt) {
         Attempt read = policyAttempt.generation.heldRead();
         return policyAttempt.read || read == null ? null : request.attemptOf(read);
     }
@@ -72,9 +72,9 @@
                 generationRequest.model(),
                 generationRequest.prompt(),
                 generationRequest.maxTokens(),
-                generationRequest.stops(),
+                generationRequest.stopSequences(),
                 generationRequest.sampling(),
-                attempt.source() == null ? null : attempt.source().state(),
+                attempt.stateSource() == null ? null : attempt.stateSource().state(),
                 deduplicationKey(request),
                 generationRequest.forwardedRequest(),
                 new SendGuard(attempt.policyAttempt(), request, context.scheduler, hedgingAllowed));
@@ -93,15 +93,15 @@
     }
 
     /** Logs an attempt, and counts it with its reason where it is a retry of its stage. */
-    private void noteSend(InFlightRequest request, InFlightAttempt attempt) {
-        InFlightAttempt before = null;
+    private void logAndCountSend(InFlightRequest request, InFlightAttempt attempt) {
+        InFlightAttempt previous = null;
         for (InFlightAttempt earlier : request.attempts()) {
             if (earlier != attempt && earlier.isRead() == attempt.isRead()) {
-                before = earlier;
+                previous = earlier;
             }
         }
-        String reason = sendReason(before);
-        if (before != null) {
+        String reason = sendReason(previous);
+        if (previous != null) {
             context.metrics.retried(context.routerNumber, attempt.stage(), reason);
         }
         LOG.atDebug()
@@ -114,13 +114,13 @@
     }
 
     /** Why an attempt is sent, by what became of the one before it in its stage, or null. */
-    private static String sendReason(InFlightAttempt before) {
-        if (before == null) {
-            return FIRST;
+    private static String sendReason(InFlightAttempt previous) {
+        if (previous == null) {
+            return FIRST_ATTEMPT;
         }
-        Attempt policyAttempt = before.policyAttempt();
+        Attempt policyAttempt = previous.policyAttempt();
         if (policyAttempt.isInFlight()) {
-            return BESIDE;
+            return HEDGED;
         }
         return policyAttempt.outcome() == null
                 ? STATE_LOST
--- a/src/main/java/larchridge/router/EndpointTable.java
+++ b/src/main/java/larchridge/router/EndpointTable.java
@@ -41,16 +41,16 @@
 
     private Engine engineOf(EngineEntry entry) {
         Engine engine = enginesById.computeIfAbsent(entry.id(), Engine::new);
-        EngineEntry before = entries.get(engine);
-        if (before == null
-                || (before.port() == entry.port() && before.host().equals(entry.host()))) {
+        EngineEntry previous = entries.get(engine);
+        if (previous == null
+                || (previous.port() == entry.port() && previous.host().equals(entry.host()))) {
             return engine;
         }
         // Guards against: what is known of an address, and the attempts in flight there, are not
         // those of the new one.
-        Engine moved = new Engine(entry.id());
-        enginesById.put(entry.id(), moved);
-        return moved;
+        Engine replacement = new Engine(entry.id());
+        enginesById.put(entry.id(), replacement);
+        return replacement;
     }
 
     /** Drops the engines that the policy has removed and that have no attempt in flight. */
--- a/src/main/java/larchridge/router/FinalAnswers.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Gives each client its one final answer, and counts and logs it. */
-final class FinalAnswers {
-    private static final Logger LOG = LoggerFactory.getLogger(FinalAnswers.class);
+final class FinalResponseSender {
+    private static final Logger LOG = LoggerFactory.getLogger(FinalResponseSender.class);
 
     /** A failure this close to the deadline for the first token is blamed on the deadline. */
     private static final double NEAR_DEADLINE_MS = 100;
@@ -18,27 +18,27 @@
     private final RouterContext context;
     private final UsageRecorder usageRecorder;
 
-    FinalAnswers(RouterContext context, UsageRecorder usageRecorder) {
+    FinalResponseSender(RouterContext context, UsageRecorder usageRecorder) {
         this.context = context;
         this.usageRecorder = usageRecorder;
     }
 
     /** The answer is complete; false if a final answer was given before. */
     boolean complete(InFlightRequest request, Completion completion) {
-        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.COMPLETED)) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalResponse.COMPLETED)) {
             return false;
         }
         request.usageMeter().responseCompleted(completion.outputTokens());
-        answered(request, "streamed");
+        recordFinalResponse(request, "streamed");
         usageRecorder.recordThen(request, () -> request.responseSink().completed(completion));
         return true;
     }
 
     /** Not now; retrying is harmless. Without effect after a final answer. */
     void reject(InFlightRequest request, double retryAfterMs) {
-        if (request.responseGuard().finish(ResponseGuard.FinalAnswer.REJECTED)) {
-            answered(request, "throttled");
-            context.latency.rejected(request);
+        if (request.responseGuard().finish(ResponseGuard.FinalResponse.REJECTED)) {
+            recordFinalResponse(request, "throttled");
+            context.latencyTracker.rejected(request);
             request.responseSink().rejected(retryAfterMs);
         }
     }
@@ -55,10 +55,10 @@
 
     /** Failed, for this cause. Without effect after a final answer. */
     void fail(InFlightRequest request, ResponseSink.FailureCause cause) {
-        if (request.responseGuard().finish(ResponseGuard.FinalAnswer.FAILED)) {
-            answered(request, "terminated");
+        if (request.responseGuard().finish(ResponseGuard.FinalResponse.FAILED)) {
+            recordFinalResponse(request, "terminated");
             if (cause == ResponseSink.FailureCause.DEADLINE_EXCEEDED) {
-                context.latency.rejected(request);
+                context.latencyTracker.rejected(request);
             }
             request.responseSink().failed(cause, mayRetry(request.generation().trafficClass));
         }
@@ -71,21 +71,21 @@
     }
 
     /** Counts the end of a request whose client has disconnected or takes no answer. */
-    void unanswered(InFlightRequest request, String kind) {
-        context.metrics.answered(
+    void recordAborted(InFlightRequest request, String kind) {
+        context.metrics.requestFinished(
                 context.routerNumber, request.offering().product.name, kind, Double.NaN);
     }
 
-    private void answered(InFlightRequest request, String kind) {
+    private void recordFinalResponse(InFlightRequest request, String kind) {
         String product = request.generation().trafficClass.name;
         double elapsedMs = request.elapsedMs(context.nowMs());
         if (request.generation().giveUpReason() != null) {
-            context.metrics.givenUp(
+            context.metrics.requestAbandoned(
                     context.routerNumber,
                     product,
                     request.generation().giveUpReason().name().toLowerCase(Locale.ROOT));
         }
-        context.metrics.answered(context.routerNumber, product, kind, elapsedMs);
+        context.metrics.requestFinished(context.routerNumber, product, kind, elapsedMs);
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("router", context.routerNumber)
--- a/src/main/java/larchridge/router/GenerationRequest.java
+++ b/src/main/java/larchridge/router/GenerationRequest.java
@@ -15,9 +15,9 @@
  * @param model the model's name for the engines
  * @param prompt the prompt as engines take it
  * @param promptTokens how many tokens it has
- * @param sharedTokens how many tokens the shared prefix has
+ * @param sharedPrefixTokens how many tokens the shared prefix has
  * @param maxTokens how many tokens the answer has at most
- * @param stops texts that end the answer
+ * @param stopSequences texts that end the answer
  * @param sampling how tokens are drawn
  * @param sharedPrefixId digest of the prefix that other sessions share, or null
  * @param sessionId digest of the session's first turn: the same at every router for all of a
@@ -25,12 +25,12 @@
  * @param previousTurnDigest digest of the prompt of the session's previous turn, or null for a
  *     first turn
  * @param turnDigest digest of this prompt, by which the next turn finds its session
- * @param unstreamed whether the client takes the answer in one piece
+ * @param nonStreaming whether the client takes the answer in one piece
  * @param clientRetry whether the client has sent it before
  * @param clientTimeoutMs how long the client waits, or infinity if it does not say
  * @param idempotencyKey the client's key for its retries, or null
  * @param queuedMs how long its body has waited to be read and counted
- * @param promptTokensReported receives on the router's loop the prompt's length as an engine
+ * @param onPromptTokensReported receives on the router's loop the prompt's length as an engine
  *     reports it
  * @param forwardedRequest what is forwarded to engines as it came, or null where the upstream
  *     client encodes its own requests; a forwarded generation has the client's id
@@ -41,20 +41,20 @@
         String model,
         String prompt,
         int promptTokens,
-        int sharedTokens,
+        int sharedPrefixTokens,
         int maxTokens,
-        List<String> stops,
+        List<String> stopSequences,
         AttemptRequest.Sampling sampling,
         String sharedPrefixId,
         String sessionId,
         String previousTurnDigest,
         String turnDigest,
-        boolean unstreamed,
+        boolean nonStreaming,
         boolean clientRetry,
         double clientTimeoutMs,
         String idempotencyKey,
         double queuedMs,
-        IntConsumer promptTokensReported,
+        IntConsumer onPromptTokensReported,
         ForwardedRequest forwardedRequest) {
 
     /**
@@ -68,7 +68,7 @@
             Site.Tenant tenant,
             ForwardedRequest forwardedRequest,
             int promptTokens,
-            int sharedTokens,
+            int sharedPrefixTokens,
             int maxTokens,
             String sharedPrefixId,
             String sessionId,
@@ -81,7 +81,7 @@
                 "",
                 "",
                 promptTokens,
-                sharedTokens,
+                sharedPrefixTokens,
                 maxTokens,
                 List.of(),
                 null,
@@ -110,20 +110,20 @@
         private String model;
         private String prompt;
         private int promptTokens;
-        private int sharedTokens;
+        private int sharedPrefixTokens;
         private int maxTokens;
-        private List<String> stops = List.of();
+        private List<String> stopSequences = List.of();
         private AttemptRequest.Sampling sampling;
         private String sharedPrefixId;
         private String sessionId;
         private String previousTurnDigest;
         private String turnDigest;
-        private boolean unstreamed;
+        private boolean nonStreaming;
         private boolean clientRetry;
         private double clientTimeoutMs = Double.POSITIVE_INFINITY;
         private String idempotencyKey;
         private double queuedMs;
-        private IntConsumer promptTokensReported = tokens -> {};
+        private IntConsumer onPromptTokensReported = tokens -> {};
 
         private Builder() {}
 
@@ -148,16 +148,16 @@
         }
 
         /** The prefix that other sessions share, null for none, and how many tokens it has. */
-        public Builder sharedPrefix(String newSharedPrefixId, int newSharedTokens) {
+        public Builder sharedPrefix(String newSharedPrefixId, int newSharedPrefixTokens) {
             sharedPrefixId = newSharedPrefixId;
-            sharedTokens = newSharedTokens;
+            sharedPrefixTokens = newSharedPrefixTokens;
             return this;
         }
 
         /** How long the answer may be, and which texts end it. */
-        public Builder limits(int newMaxTokens, List<String> newStops) {
+        public Builder limits(int newMaxTokens, List<String> newStopSequences) {
             maxTokens = newMaxTokens;
-            stops = newStops;
+            stopSequences = newStopSequences;
             return this;
         }
 
@@ -177,8 +177,8 @@
         }
 
         /** Whether the client takes the answer in one piece. */
-        public Builder unstreamed(boolean newUnstreamed) {
-            unstreamed = newUnstreamed;
+        public Builder nonStreaming(boolean newNonStreaming) {
+            nonStreaming = newNonStreaming;
             return this;
         }
 
@@ -208,7 +208,7 @@
 
         /** Receives the prompt's length as an engine reports it. */
         public Builder onPromptTokensReported(IntConsumer listener) {
-            promptTokensReported = listener;
+            onPromptTokensReported = listener;
             return this;
         }
 
@@ -220,20 +220,20 @@
                     model,
                     prompt,
                     promptTokens,
-                    sharedTokens,
+                    sharedPrefixTokens,
                     maxTokens,
-                    stops,
+                    stopSequences,
                     sampling,
                     sharedPrefixId,
                     sessionId,
                     previousTurnDigest,
                     turnDigest,
-                    unstreamed,
+                    nonStreaming,
                     clientRetry,
                     clientTimeoutMs,
                     idempotencyKey,
                     queuedMs,
-                    promptTokensReported,
+                    onPromptTokensReported,
                     null);
         }
     }
--- a/src/main/java/larchridge/router/GracefulShutdown.java
+++ b/src/main/java/larchridge/router/GracefulShutdown.java
@@ -60,11 +60,11 @@
      * Closes the connections once the last releases have been sent; after the time for which
      * engines hold states they have no effect.
      */
-    private void closeUpstream(double latestMs, Runnable whenStopped) {
+    private void closeUpstream(double deadlineMs, Runnable whenStopped) {
         context.updateClock();
-        if (context.upstream.hasPendingReleases() && context.nowMs() < latestMs) {
+        if (context.upstream.hasPendingReleases() && context.nowMs() < deadlineMs) {
             context.scheduler.schedule(
-                    RELEASE_CHECK_INTERVAL_MS, () -> closeUpstream(latestMs, whenStopped));
+                    RELEASE_CHECK_INTERVAL_MS, () -> closeUpstream(deadlineMs, whenStopped));
             return;
         }
         context.upstream.close();
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -14,12 +14,12 @@
     private final Attempt policyAttempt;
     private final Endpoint endpoint;
     private final String attemptId;
-    private final InFlightAttempt source;
+    private final InFlightAttempt stateSource;
     private UpstreamClient.AttemptHandle handle;
     private StateHandle state;
     private boolean holdsState;
     private boolean ended;
-    private long readTokens;
+    private long meteredReadTokens;
     private int cachedTokens;
 
     /**
@@ -28,14 +28,14 @@
      * @param policyAttempt the policy's view of it
      * @param endpoint where its engine listens
      * @param attemptId names it at the engine, also for the release of its state
-     * @param source the read whose state it is to fetch, or null
+     * @param stateSource the read whose state it is to fetch, or null
      */
     InFlightAttempt(
-            Attempt policyAttempt, Endpoint endpoint, String attemptId, InFlightAttempt source) {
+            Attempt policyAttempt, Endpoint endpoint, String attemptId, InFlightAttempt stateSource) {
         this.policyAttempt = policyAttempt;
         this.endpoint = endpoint;
         this.attemptId = attemptId;
-        this.source = source;
+        this.stateSource = stateSource;
         holdsState = policyAttempt.read;
     }
 
@@ -51,8 +51,8 @@
         return attemptId;
     }
 
-    InFlightAttempt source() {
-        return source;
+    InFlightAttempt stateSource() {
+        return stateSource;
     }
 
     boolean isRead() {
@@ -83,8 +83,8 @@
     }
 
     /** What its read counts as, or 0 before it has read. */
-    long readTokens() {
-        return readTokens;
+    long meteredReadTokens() {
+        return meteredReadTokens;
     }
 
     /** Prompt tokens that its engine had cached. */
@@ -92,7 +92,7 @@
         return cachedTokens;
     }
 
-    void sent(UpstreamClient.AttemptHandle attemptHandle) {
+    void setHandle(UpstreamClient.AttemptHandle attemptHandle) {
         handle = attemptHandle;
     }
 
@@ -100,16 +100,16 @@
     void readCompleted(StateHandle leftState, long countedTokens, int tokensFromCache) {
         ended = true;
         state = leftState;
-        readTokens = countedTokens;
+        meteredReadTokens = countedTokens;
         cachedTokens = tokensFromCache;
     }
 
-    void end() {
+    void markEnded() {
         ended = true;
     }
 
     /** Its state has been fetched or released, or never was there. */
-    void stateRemoved() {
+    void markStateRemoved() {
         holdsState = false;
     }
 }
--- a/src/main/java/larchridge/router/InFlightRequest.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -30,14 +30,14 @@
     private String billId;
     private String duplicateKey;
     private InFlightAttempt streamingAttempt;
-    private double lastPieceMs;
+    private double lastChunkMs;
     private boolean paused;
-    private double pausedMs;
+    private double pausedSinceMs;
     private boolean recorded;
-    private long recordedWaste;
+    private long recordedWastedTokens;
     private int recordedAttempts;
     private long deadlineTimer = NO_TIMER;
-    private long quietTimer = NO_TIMER;
+    private long streamIdleTimer = NO_TIMER;
 
     InFlightRequest(
             Router router,
@@ -122,7 +122,7 @@
     }
 
     /** The time since the arrival as a share of the time that its latency objective allows. */
-    double shareOfLatencyObjective(double nowMs) {
+    double latencyObjectiveFraction(double nowMs) {
         return (nowMs - generation.arrivedMs) / (generation.sloDeadlineMs() - generation.arrivedMs);
     }
 
@@ -146,7 +146,7 @@
      */
     boolean isStateClaimed(InFlightAttempt read) {
         for (InFlightAttempt attempt : attempts) {
-            if (attempt.source() == read && !attempt.isEnded()) {
+            if (attempt.stateSource() == read && !attempt.isEnded()) {
                 return true;
             }
         }
@@ -162,20 +162,20 @@
 
     /** Whether what this attempt sends goes to the client. */
     boolean streamsFrom(InFlightAttempt attempt) {
-        return streamingAttempt == attempt && !responseGuard.isDone();
+        return streamingAttempt == attempt && !responseGuard.isFinished();
     }
 
     void startStreaming(InFlightAttempt attempt, double nowMs) {
         streamingAttempt = attempt;
-        lastPieceMs = nowMs;
+        lastChunkMs = nowMs;
     }
 
-    void pieceReceived(double nowMs) {
-        lastPieceMs = nowMs;
+    void chunkReceived(double nowMs) {
+        lastChunkMs = nowMs;
     }
 
-    double lastPieceMs() {
-        return lastPieceMs;
+    double lastChunkMs() {
+        return lastChunkMs;
     }
 
     boolean isPaused() {
@@ -184,12 +184,12 @@
 
     /** Whether it has been paused without a break since that time. */
     boolean isPausedSince(double sinceMs) {
-        return paused && pausedMs == sinceMs;
+        return paused && pausedSinceMs == sinceMs;
     }
 
     void pauseStream(double nowMs) {
         paused = true;
-        pausedMs = nowMs;
+        pausedSinceMs = nowMs;
         if (streamingAttempt != null) {
             streamingAttempt.handle().pause();
         }
@@ -197,7 +197,7 @@
 
     void resumeStream(double nowMs) {
         paused = false;
-        lastPieceMs = nowMs;
+        lastChunkMs = nowMs;
         if (streamingAttempt != null) {
             streamingAttempt.handle().resume();
         }
@@ -210,7 +210,7 @@
         return billId;
     }
 
-    void assignBill(String id) {
+    void setBillId(String id) {
         billId = id;
     }
 
@@ -219,7 +219,7 @@
         return duplicateKey;
     }
 
-    void assignDuplicateKey(String key) {
+    void setDuplicateKey(String key) {
         duplicateKey = key;
     }
 
@@ -228,12 +228,12 @@
     }
 
     /** Whether waste or attempts were added after the use was recorded. */
-    boolean hasUnrecordedUse() {
-        return unrecordedWaste() > 0 || unrecordedAttempts() > 0;
+    boolean hasUnrecordedUsage() {
+        return unrecordedWastedTokens() > 0 || unrecordedAttempts() > 0;
     }
 
-    long unrecordedWaste() {
-        return usageMeter.wastedTokens() - recordedWaste;
+    long unrecordedWastedTokens() {
+        return usageMeter.wastedTokens() - recordedWastedTokens;
     }
 
     int unrecordedAttempts() {
@@ -241,9 +241,9 @@
     }
 
     /** Notes whether the use up to now is in the ledger's queue. */
-    void noteRecorded(boolean queued) {
+    void markRecorded(boolean queued) {
         recorded = queued;
-        recordedWaste = usageMeter.wastedTokens();
+        recordedWastedTokens = usageMeter.wastedTokens();
         recordedAttempts = attempts.size();
     }
 
@@ -257,20 +257,20 @@
         deadlineTimer = NO_TIMER;
     }
 
-    void setQuietTimer(long timer) {
-        quietTimer = timer;
+    void setStreamIdleTimer(long timer) {
+        streamIdleTimer = timer;
     }
 
-    void clearQuietTimer() {
-        quietTimer = NO_TIMER;
+    void clearStreamIdleTimer() {
+        streamIdleTimer = NO_TIMER;
     }
 
     void cancelTimers(Scheduler scheduler) {
         if (deadlineTimer != NO_TIMER) {
             scheduler.cancel(deadlineTimer);
         }
-        if (quietTimer != NO_TIMER) {
-            scheduler.cancel(quietTimer);
+        if (streamIdleTimer != NO_TIMER) {
+            scheduler.cancel(streamIdleTimer);
         }
     }
 }
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -9,7 +9,7 @@
     /** An answer has begun. */
     void responseStarted(InFlightRequest request, double nowMs) {
         if (!request.isBatch()) {
-            sample.begun(request.shareOfLatencyObjective(nowMs));
+            sample.begun(request.latencyObjectiveFraction(nowMs));
         }
     }
 
@@ -21,14 +21,14 @@
     }
 
     /** The sample since the last call, completed by the requests in flight now. */
-    LatencySample take(Iterable<InFlightRequest> requests, double nowMs) {
+    LatencySample takeSample(Iterable<InFlightRequest> requests, double nowMs) {
         int unanswered = 0;
         double longestWait = 0;
         for (InFlightRequest request : requests) {
-            if (!request.isBatch() && !request.responseGuard().isDone()) {
+            if (!request.isBatch() && !request.responseGuard().isFinished()) {
                 unanswered++;
                 if (request.generation().isWaiting()) {
-                    longestWait = Math.max(longestWait, request.shareOfLatencyObjective(nowMs));
+                    longestWait = Math.max(longestWait, request.latencyObjectiveFraction(nowMs));
                 }
             }
         }
--- a/src/main/java/larchridge/router/PolicyNotifier.java
+++ b/src/main/java/larchridge/router/PolicyNotifier.java
@@ -17,12 +17,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(PolicyNotifier.class);
 
     private final RouterContext context;
-    private final FinalAnswers finalAnswers;
+    private final FinalResponseSender finalResponses;
     private PolicyEvents policy;
 
-    PolicyNotifier(RouterContext context, FinalAnswers finalAnswers) {
+    PolicyNotifier(RouterContext context, FinalResponseSender finalResponses) {
         this.context = context;
-        this.finalAnswers = finalAnswers;
+        this.finalResponses = finalResponses;
     }
 
     /** Sets the policy, before the first event; it is made last, since it acts as it is made. */
@@ -31,30 +31,30 @@
     }
 
     void requestArrived(InFlightRequest request) {
-        guarded(request, () -> policy.requestArrived(request.generation()));
+        runGuarded(request, () -> policy.requestArrived(request.generation()));
     }
 
     void clientDisconnected(InFlightRequest request) {
-        guarded(request, () -> policy.clientDisconnected(request.generation()));
+        runGuarded(request, () -> policy.clientDisconnected(request.generation()));
     }
 
     void readCompleted(InFlightRequest request, InFlightAttempt attempt, LoadReport report) {
-        guarded(
+        runGuarded(
                 request,
                 () ->
                         policy.readCompleted(
                                 attempt.policyAttempt(),
                                 attempt.cachedTokens(),
                                 report,
-                                request.responseGuard().isDone()));
+                                request.responseGuard().isFinished()));
     }
 
     void responseStarted(InFlightRequest request, InFlightAttempt attempt) {
-        guarded(request, () -> policy.responseStarted(attempt.policyAttempt()));
+        runGuarded(request, () -> policy.responseStarted(attempt.policyAttempt()));
     }
 
     void stateReleased(InFlightRequest request, InFlightAttempt attempt) {
-        guarded(request, () -> policy.stateReleased(attempt.policyAttempt()));
+        runGuarded(request, () -> policy.stateReleased(attempt.policyAttempt()));
     }
 
     void attemptEnded(
@@ -62,33 +62,33 @@
             InFlightAttempt attempt,
             AttemptOutcome outcome,
             LoadReport report) {
-        boolean answered = request.responseGuard().isDone();
-        guarded(
+        boolean answered = request.responseGuard().isFinished();
+        runGuarded(
                 request,
                 () -> policy.attemptEnded(attempt.policyAttempt(), outcome, report, answered));
     }
 
     void loadProbed(Engine engine, boolean answered, LoadReport report) {
-        guarded(null, () -> policy.loadProbed(engine, answered, report));
+        runGuarded(null, () -> policy.loadProbed(engine, answered, report));
     }
 
     void endpointsChanged(List<EndpointUpdate> updates) {
-        guarded(null, () -> policy.endpointsChanged(updates, true));
+        runGuarded(null, () -> policy.endpointsChanged(updates, true));
     }
 
     void wakeUp() {
-        guarded(null, policy::wakeUp);
+        runGuarded(null, policy::wakeUp);
     }
 
     /** Runs one event; request is null for an event that is no single request's. */
-    private void guarded(InFlightRequest request, Runnable event) {
+    private void runGuarded(InFlightRequest request, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
-            context.metrics.policyFault(context.routerNumber);
+            context.metrics.policyFailed(context.routerNumber);
             LOG.error("the routing policy failed", e);
             if (request != null) {
-                finalAnswers.fail(request, ResponseSink.FailureCause.INTERNAL);
+                finalResponses.fail(request, ResponseSink.FailureCause.INTERNAL);
                 request.generation().finish();
             }
         }
--- a/src/main/java/larchridge/router/ReadStateReleases.java
+++ b/src/main/java/larchridge/router/ReadStateReleases.java
@@ -25,7 +25,7 @@
 
     /** Releases the state that this read holds, or may hold. */
     void release(InFlightAttempt attempt) {
-        attempt.stateRemoved();
+        attempt.markStateRemoved();
         context.upstream.release(attempt.endpoint(), attempt.attemptId());
     }
 
--- a/src/main/java/larchridge/router/RequestCloser.java
+++ b/src/main/java/larchridge/router/RequestCloser.java
@@ -11,7 +11,7 @@
 
     private final RouterContext context;
     private final PolicyNotifier policy;
-    private final FinalAnswers finalAnswers;
+    private final FinalResponseSender finalResponses;
     private final AttemptCanceller attemptCanceller;
     private final ReadStateReleases readStates;
     private final UsageRecorder usageRecorder;
@@ -20,14 +20,14 @@
     RequestCloser(
             RouterContext context,
             PolicyNotifier policy,
-            FinalAnswers finalAnswers,
+            FinalResponseSender finalResponses,
             AttemptCanceller attemptCanceller,
             ReadStateReleases readStates,
             UsageRecorder usageRecorder,
             GracefulShutdown shutdown) {
         this.context = context;
         this.policy = policy;
-        this.finalAnswers = finalAnswers;
+        this.finalResponses = finalResponses;
         this.attemptCanceller = attemptCanceller;
         this.readStates = readStates;
         this.usageRecorder = usageRecorder;
@@ -36,36 +36,36 @@
 
     /** The client has disconnected. */
     void clientDisconnected(InFlightRequest request) {
-        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.DISCONNECTED)) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalResponse.DISCONNECTED)) {
             return;
         }
         context.updateClock();
-        finalAnswers.unanswered(request, "gone");
+        finalResponses.recordAborted(request, "gone");
         LOG.atDebug().addKeyValue("generation", request.id()).log("client disconnected");
         abandon(request);
     }
 
     /** Cuts off a client that takes nothing of its answer. */
     void abortSlowClient(InFlightRequest request) {
-        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.FAILED)) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalResponse.FAILED)) {
             return;
         }
         context.updateClock();
-        finalAnswers.unanswered(request, "slow_client");
+        finalResponses.recordAborted(request, "slow_client");
         request.responseSink().aborted();
         abandon(request);
     }
 
     /** Fails a request and ends its attempts. */
     void failAndAbandon(InFlightRequest request, ResponseSink.FailureCause cause) {
-        finalAnswers.fail(request, cause);
+        finalResponses.fail(request, cause);
         abandon(request);
     }
 
     /** Fails all requests in flight that have no final answer yet. */
     void failAll(ResponseSink.FailureCause cause) {
         for (InFlightRequest request : List.copyOf(context.requests.values())) {
-            if (!request.responseGuard().isDone()) {
+            if (!request.responseGuard().isFinished()) {
                 failAndAbandon(request, cause);
             }
         }
@@ -75,12 +75,12 @@
     private void abandon(InFlightRequest request) {
         policy.clientDisconnected(request);
         attemptCanceller.cancelAll(request, CancellationReason.REQUEST_OVER);
-        closeIfOver(request);
+        closeIfFinished(request);
     }
 
     /** Removes the request if it is answered and has no attempt in flight. */
-    void closeIfOver(InFlightRequest request) {
-        if (!isOver(request) || context.requests.get(request.generation()) == null) {
+    void closeIfFinished(InFlightRequest request) {
+        if (!isFinished(request) || context.requests.get(request.generation()) == null) {
             return;
         }
         readStates.releaseUnclaimed(request.generation());
@@ -91,23 +91,23 @@
     }
 
     /** Removes all requests that are over, after an event that is no single request's. */
-    void closeAllOver() {
+    void closeAllFinished() {
         if (context.requests.isEmpty()) {
             return;
         }
-        List<InFlightRequest> over = null;
+        List<InFlightRequest> finished = null;
         for (InFlightRequest request : context.requests.values()) {
-            if (isOver(request)) {
-                over = over == null ? new ArrayList<>() : over;
-                over.add(request);
+            if (isFinished(request)) {
+                finished = finished == null ? new ArrayList<>() : finished;
+                finished.add(request);
             }
         }
-        if (over != null) {
-            over.forEach(this::closeIfOver);
+        if (finished != null) {
+            finished.forEach(this::closeIfFinished);
         }
     }
 
-    private static boolean isOver(InFlightRequest request) {
-        return request.responseGuard().isDone() && request.generation().attemptsInFlight() <= 0;
+    private static boolean isFinished(InFlightRequest request) {
+        return request.responseGuard().isFinished() && request.generation().attemptsInFlight() <= 0;
     }
 }
--- a/src/main/java/larchridge/router/RequestServices.java
+++ b/src/main/java/larchridge/router/RequestServices.java
@@ -5,7 +5,7 @@
  *
  * @param context what all parts share
  * @param policy passes events on to the routing policy
- * @param finalAnswers gives clients their final answers
+ * @param finalResponses gives clients their final answers
  * @param readStates releases states that reads have left
  * @param closer removes requests that are over
  * @param timeouts ends requests whose time is up
@@ -13,7 +13,7 @@
 record RequestServices(
         RouterContext context,
         PolicyNotifier policy,
-        FinalAnswers finalAnswers,
+        FinalResponseSender finalResponses,
         ReadStateReleases readStates,
         RequestCloser closer,
         RequestTimeouts timeouts) {}
--- a/src/main/java/larchridge/router/RequestTimeouts.java
+++ b/src/main/java/larchridge/router/RequestTimeouts.java
@@ -6,10 +6,10 @@
      * The router answers this long before the client's deadline if the policy, which gives up
      * earlier, has not.
      */
-    static final double LAST_RESORT_MS = 8;
+    static final double DEADLINE_MARGIN_MS = 8;
 
     /** A stream that has this much or less of its quiet time left counts as silent. */
-    private static final double QUIET_TOLERANCE_MS = 1;
+    private static final double IDLE_TOLERANCE_MS = 1;
 
     private final RouterContext context;
     private final RequestCloser closer;
@@ -26,7 +26,7 @@
 
     /** Ends the request if it has no answer shortly before its deadline. */
     void watchDeadline(InFlightRequest request) {
-        double delayMs = request.firstTokenDeadlineMs() - context.nowMs() - LAST_RESORT_MS;
+        double delayMs = request.firstTokenDeadlineMs() - context.nowMs() - DEADLINE_MARGIN_MS;
         request.setDeadlineTimer(
                 context.scheduler.schedule(delayMs, () -> firstTokenDeadlineReached(request)));
     }
@@ -35,15 +35,15 @@
         context.updateClock();
         request.clearDeadlineTimer();
         ResponseGuard responseGuard = request.responseGuard();
-        if (!responseGuard.isDone() && !responseGuard.isBegun()) {
+        if (!responseGuard.isFinished() && !responseGuard.isStarted()) {
             closer.failAndAbandon(request, ResponseSink.FailureCause.DEADLINE_EXCEEDED);
         }
-        if (!responseGuard.isBegun()) {
+        if (!responseGuard.isStarted()) {
             attemptCanceller.cancelAll(request, CancellationReason.TIME_UP);
         }
-        if (responseGuard.isBegun()
-                && !responseGuard.isDone()
-                && request.generationRequest().unstreamed()) {
+        if (responseGuard.isStarted()
+                && !responseGuard.isFinished()
+                && request.generationRequest().nonStreaming()) {
             double delayMs = request.completionDeadlineMs() - context.nowMs();
             request.setDeadlineTimer(
                     context.scheduler.schedule(delayMs, () -> completionDeadlineReached(request)));
@@ -52,7 +52,7 @@
 
     private void completionDeadlineReached(InFlightRequest request) {
         request.clearDeadlineTimer();
-        if (!request.responseGuard().isDone()) {
+        if (!request.responseGuard().isFinished()) {
             context.updateClock();
             closer.failAndAbandon(request, ResponseSink.FailureCause.DEADLINE_EXCEEDED);
         }
@@ -90,28 +90,28 @@
     // ------------------------------------------------------------------ silent streams
 
     /** Ends the stream that has just begun if it falls silent for too long. */
-    void watchStream(InFlightRequest request) {
-        scheduleQuietCheck(request, context.site.limit.quietStreamMs);
+    void watchStreamIdle(InFlightRequest request) {
+        scheduleStreamIdleCheck(request, context.site.limit.quietStreamMs);
     }
 
-    private void scheduleQuietCheck(InFlightRequest request, double delayMs) {
-        request.setQuietTimer(context.scheduler.schedule(delayMs, () -> checkQuietStream(request)));
+    private void scheduleStreamIdleCheck(InFlightRequest request, double delayMs) {
+        request.setStreamIdleTimer(context.scheduler.schedule(delayMs, () -> checkStreamIdle(request)));
     }
 
-    private void checkQuietStream(InFlightRequest request) {
-        request.clearQuietTimer();
-        if (request.responseGuard().isDone()) {
+    private void checkStreamIdle(InFlightRequest request) {
+        request.clearStreamIdleTimer();
+        if (request.responseGuard().isFinished()) {
             return;
         }
         context.updateClock();
-        double quietStreamMs = context.site.limit.quietStreamMs;
-        double leftMs = request.lastPieceMs() + quietStreamMs - context.nowMs();
+        double idleTimeoutMs = context.site.limit.quietStreamMs;
+        double remainingMs = request.lastChunkMs() + idleTimeoutMs - context.nowMs();
         if (request.isPaused()) {
-            scheduleQuietCheck(request, quietStreamMs);
-        } else if (leftMs > QUIET_TOLERANCE_MS) {
-            scheduleQuietCheck(request, leftMs);
+            scheduleStreamIdleCheck(request, idleTimeoutMs);
+        } else if (remainingMs > IDLE_TOLERANCE_MS) {
+            scheduleStreamIdleCheck(request, remainingMs);
         } else {
-            attemptCanceller.expireSilentStream(request.streamingAttempt());
+            attemptCanceller.expireIdleStream(request.streamingAttempt());
         }
     }
 }
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -6,7 +6,7 @@
  */
 final class ResponseGuard {
     /** The three final answers, and the end of a request whose client has disconnected. */
-    enum FinalAnswer {
+    enum FinalResponse {
         COMPLETED("streamed"),
         REJECTED("throttled"),
         FAILED("terminated"),
@@ -15,49 +15,49 @@
         /** The answer's name in usage records of the ledger; stored, so never changed. */
         final String recordedName;
 
-        FinalAnswer(String recordedName) {
+        FinalResponse(String recordedName) {
             this.recordedName = recordedName;
         }
     }
 
-    private FinalAnswer given;
-    private boolean begun;
+    private FinalResponse finalResponse;
+    private boolean started;
 
     /** Notes that the answer begins; false if it has begun, or a final answer was given, before. */
-    boolean begin() {
-        if (given != null || begun) {
+    boolean start() {
+        if (finalResponse != null || started) {
             return false;
         }
-        begun = true;
+        started = true;
         return true;
     }
 
-    boolean isBegun() {
-        return begun;
+    boolean isStarted() {
+        return started;
     }
 
-    boolean isDone() {
-        return given != null;
+    boolean isFinished() {
+        return finalResponse != null;
     }
 
     /** The final answer that was given, or null. */
-    FinalAnswer given() {
-        return given;
+    FinalResponse finalResponse() {
+        return finalResponse;
     }
 
     /**
      * Gives this final answer, or returns false if one was given before. An answer that the client
      * has seen part of can't be rejected, and one that has not begun can't be complete.
      */
-    boolean finish(FinalAnswer answer) {
-        if (given != null) {
+    boolean finish(FinalResponse answer) {
+        if (finalResponse != null) {
             return false;
         }
-        if ((answer == FinalAnswer.REJECTED && begun)
-                || (answer == FinalAnswer.COMPLETED && !begun)) {
+        if ((answer == FinalResponse.REJECTED && started)
+                || (answer == FinalResponse.COMPLETED && !started)) {
             throw new IllegalStateException(answer + " is not possible here");
         }
-        given = answer;
+        finalResponse = answer;
         return true;
     }
 }
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -26,7 +26,7 @@
     }
 
     /** How many pieces are buffered and have not been sent. */
-    default int pendingPieces() {
+    default int pendingChunks() {
         return 0;
     }
 
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -41,7 +41,7 @@
     private final EndpointTable endpoints = new EndpointTable();
     private final GracefulShutdown shutdown;
     private final ReadStateReleases readStates;
-    private final FinalAnswers finalAnswers;
+    private final FinalResponseSender finalResponses;
     private final PolicyNotifier policy;
     private final AttemptCanceller attemptCanceller;
     private final RequestCloser closer;
@@ -53,13 +53,13 @@
     public Router(
             Vertx vertx,
             Site site,
-            int number,
+            int routerNumber,
             UpstreamClient upstream,
             RouterMetrics metrics,
             Ledger ledger) {
         this(
                 vertx,
-                new RouterContext(new VertxScheduler(vertx), site, number, upstream, metrics),
+                new RouterContext(new VertxScheduler(vertx), site, routerNumber, upstream, metrics),
                 ledger,
                 RoutingPolicy::new);
     }
@@ -71,13 +71,13 @@
     public Router(
             Scheduler scheduler,
             Site site,
-            int number,
+            int routerNumber,
             UpstreamClient upstream,
             RouterMetrics metrics,
             PolicyEvents.Factory policyFactory) {
         this(
                 null,
-                new RouterContext(scheduler, site, number, upstream, metrics),
+                new RouterContext(scheduler, site, routerNumber, upstream, metrics),
                 null,
                 policyFactory);
     }
@@ -96,20 +96,20 @@
         readStates = new ReadStateReleases(context);
         attemptCanceller = new AttemptCanceller(context, readStates);
         UsageRecorder usageRecorder = new UsageRecorder(context, budgets, ledger);
-        finalAnswers = new FinalAnswers(context, usageRecorder);
-        policy = new PolicyNotifier(context, finalAnswers);
+        finalResponses = new FinalResponseSender(context, usageRecorder);
+        policy = new PolicyNotifier(context, finalResponses);
         closer =
                 new RequestCloser(
                         context,
                         policy,
-                        finalAnswers,
+                        finalResponses,
                         attemptCanceller,
                         readStates,
                         usageRecorder,
                         shutdown);
         timeouts = new RequestTimeouts(context, closer, attemptCanceller);
         RequestServices services =
-                new RequestServices(context, policy, finalAnswers, readStates, closer, timeouts);
+                new RequestServices(context, policy, finalResponses, readStates, closer, timeouts);
         attemptSender = new AttemptSender(services, endpoints, settings.hedgingAllowed());
         admission =
                 new AdmissionController(this, services, budgets, usageRecorder, shutdown, idPrefix);
@@ -159,8 +159,8 @@
     }
 
     /** Sets what a tenant has used this month by the ledger; before anything is admitted. */
-    public void restoreUsage(String tenant, String product, double used) {
-        budgets.restoreMonthlyUsage(tenant, product, used, context.nowMs());
+    public void restoreUsage(String tenant, String product, double usedTokens) {
+        budgets.restoreMonthlyUsage(tenant, product, usedTokens, context.nowMs());
     }
 
     // ------------------------------------------------------------------ state for its neighbours
@@ -193,7 +193,7 @@
     /** What interactive generations experienced since the last call; on the loop. */
     public LatencySample latencySample() {
         context.updateClock();
-        return context.latency.take(context.requests.values(), context.nowMs());
+        return context.latencyTracker.takeSample(context.requests.values(), context.nowMs());
     }
 
     /** Visits the engines that the policy knows, with where they listen; to be read only. */
@@ -224,7 +224,7 @@
         List<EndpointUpdate> updates = endpoints.replaceWith(list);
         policy.endpointsChanged(updates);
         endpoints.dropRemoved();
-        closer.closeAllOver();
+        closer.closeAllFinished();
     }
 
     /**
@@ -267,12 +267,12 @@
 
     @Override
     public void reject(Generation generation, double retryAfterMs) {
-        finalAnswers.reject(context.requests.get(generation), retryAfterMs);
+        finalResponses.reject(context.requests.get(generation), retryAfterMs);
     }
 
     @Override
     public void fail(Generation generation) {
-        finalAnswers.fail(context.requests.get(generation));
+        finalResponses.fail(context.requests.get(generation));
     }
 
     @Override
@@ -284,7 +284,7 @@
                                 () -> {
                                     context.updateClock();
                                     policy.loadProbed(engine, answered, report);
-                                    closer.closeAllOver();
+                                    closer.closeAllFinished();
                                 }));
     }
 
@@ -295,7 +295,7 @@
                 () -> {
                     context.updateClock();
                     policy.wakeUp();
-                    closer.closeAllOver();
+                    closer.closeAllFinished();
                 });
     }
 
--- a/src/main/java/larchridge/router/RouterContext.java
+++ b/src/main/java/larchridge/router/RouterContext.java
@@ -17,7 +17,7 @@
     final int routerNumber;
     final UpstreamClient upstream;
     final RouterMetrics metrics;
-    final LatencyTracker latency = new LatencyTracker();
+    final LatencyTracker latencyTracker = new LatencyTracker();
 
     /**
      * The requests in flight in the order of their admission; a request leaves once it has its
--- a/src/main/java/larchridge/router/Scheduler.java
+++ b/src/main/java/larchridge/router/Scheduler.java
@@ -11,16 +11,16 @@
     /**
      * Runs a step on the loop after a delay, 1 ms at least; returns a timer for {@link #cancel}.
      */
-    long schedule(double delayMs, Runnable step);
+    long schedule(double delayMs, Runnable task);
 
     /** Cancels a timer; without effect once its step has run. */
     void cancel(long timer);
 
     /** Runs a step on the loop, never from inside the call; on any thread. */
-    void execute(Runnable step);
+    void execute(Runnable task);
 
     /** Runs a step on the loop again and again. */
-    void scheduleAtFixedDelay(double delayMs, Runnable step);
+    void scheduleAtFixedDelay(double delayMs, Runnable task);
 
     /** A prefix for names that no other router uses, also one that starts at the same moment. */
     String uniqueIdPrefix();
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -33,7 +33,7 @@
         if (policyAttempt.engine.state() != EndpointState.READY) {
             return SendRejection.ENDPOINT_UNAVAILABLE;
         }
-        if (request.responseGuard().isDone() || request.responseGuard().isBegun()) {
+        if (request.responseGuard().isFinished() || request.responseGuard().isStarted()) {
             return SendRejection.ALREADY_ANSWERED;
         }
         if (!IdempotencyRule.mayWrite(policyAttempt, scheduler.nowMs(), hedgingAllowed)) {
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -42,10 +42,10 @@
      * Assigns the bill: by the client's idempotency key, or, without one, that of an identical
      * request that is in flight here.
      */
-    void assignBill(InFlightRequest request) {
+    void assignBillId(InFlightRequest request) {
         GenerationRequest generationRequest = request.generationRequest();
         if (generationRequest.idempotencyKey() != null) {
-            request.assignBill("key " + generationRequest.idempotencyKey());
+            request.setBillId("key " + generationRequest.idempotencyKey());
             return;
         }
         String duplicateKey =
@@ -56,9 +56,9 @@
                         + generationRequest.turnDigest()
                         + '\n'
                         + generationRequest.maxTokens();
-        request.assignDuplicateKey(duplicateKey);
+        request.setDuplicateKey(duplicateKey);
         InFlightRequest first = firstOfDuplicates.putIfAbsent(duplicateKey, request);
-        request.assignBill(first == null ? "gen " + request.id() : first.billId());
+        request.setBillId(first == null ? "gen " + request.id() : first.billId());
     }
 
     /** Settles and records a request that is over. */
@@ -68,9 +68,9 @@
         }
         // Guards against: billing text that was buffered for a client that disconnected and never
         // went to its socket.
-        request.usageMeter().piecesNotSent(request.responseSink().pendingPieces());
-        if (request.generationRequest().unstreamed()
-                && request.responseGuard().given() != ResponseGuard.FinalAnswer.COMPLETED) {
+        request.usageMeter().piecesNotSent(request.responseSink().pendingChunks());
+        if (request.generationRequest().nonStreaming()
+                && request.responseGuard().finalResponse() != ResponseGuard.FinalResponse.COMPLETED) {
             request.usageMeter().responseDiscarded();
         }
         budgets.settle(request.charge(), request.usageMeter().billedTokens(), context.nowMs());
@@ -80,9 +80,9 @@
         }
         if (!request.isRecorded()) {
             record(request, usage(request), null);
-        } else if (request.hasUnrecordedUse()) {
+        } else if (request.hasUnrecordedUsage()) {
             // A second attempt ended after the answer; its record is joined to the first.
-            record(request, lateWaste(request), null);
+            record(request, lateWasteUsage(request), null);
         }
     }
 
@@ -91,28 +91,28 @@
      * disk, so that no crash in between leaves an answer that nobody is billed for. A slow disk
      * delays it no longer than the site allows, nor than the client waits.
      */
-    void recordThen(InFlightRequest request, Runnable end) {
-        double answerWaitsMs = context.site.answerWaitsMs;
-        if (ledger == null || answerWaitsMs <= 0) {
-            end.run();
+    void recordThen(InFlightRequest request, Runnable finish) {
+        double maxWaitMs = context.site.answerWaitsMs;
+        if (ledger == null || maxWaitMs <= 0) {
+            finish.run();
             return;
         }
         request.responseSink().flush();
-        Runnable endOnce = new RunOnce(end);
-        request.noteRecorded(
-                record(request, usage(request), () -> context.scheduler.execute(endOnce)));
-        double waitMs = request.isRecorded() ? answerWaitsMs : 0;
-        if (request.generationRequest().unstreamed()) {
-            double leftMs =
+        Runnable finishOnce = new RunOnce(finish);
+        request.markRecorded(
+                record(request, usage(request), () -> context.scheduler.execute(finishOnce)));
+        double waitMs = request.isRecorded() ? maxWaitMs : 0;
+        if (request.generationRequest().nonStreaming()) {
+            double remainingMs =
                     request.completionDeadlineMs()
-                            - RequestTimeouts.LAST_RESORT_MS
+                            - RequestTimeouts.DEADLINE_MARGIN_MS
                             - context.nowMs();
-            waitMs = Math.min(waitMs, leftMs);
+            waitMs = Math.min(waitMs, remainingMs);
         }
         if (waitMs <= 0) {
-            endOnce.run();
+            finishOnce.run();
         } else {
-            context.scheduler.schedule(waitMs, endOnce);
+            context.scheduler.schedule(waitMs, finishOnce);
         }
     }
 
@@ -122,7 +122,7 @@
                 request.generationRequest().tenant().name(),
                 request.generation().trafficClass.name,
                 (long) context.nowMs(),
-                request.responseGuard().given().recordedName,
+                request.responseGuard().finalResponse().recordedName,
                 request.usageMeter().promptTokens(),
                 request.usageMeter().cachedTokens(),
                 request.usageMeter().outputTokens(),
@@ -130,7 +130,7 @@
                 request.attempts().size());
     }
 
-    private Usage lateWaste(InFlightRequest request) {
+    private Usage lateWasteUsage(InFlightRequest request) {
         return new Usage(
                 request.billId(),
                 request.generationRequest().tenant().name(),
@@ -140,16 +140,16 @@
                 0,
                 0,
                 0,
-                request.unrecordedWaste(),
+                request.unrecordedWastedTokens(),
                 request.unrecordedAttempts());
     }
 
     /** Queues a record; false, and logged with its figures, if the ledger's queue is full. */
-    private boolean record(InFlightRequest request, Usage usage, Runnable onDisk) {
-        if (ledger.offer(usage, onDisk)) {
+    private boolean record(InFlightRequest request, Usage usage, Runnable onPersisted) {
+        if (ledger.offer(usage, onPersisted)) {
             return true;
         }
-        context.metrics.unbilled(context.routerNumber);
+        context.metrics.usageRecordLost(context.routerNumber);
         LOG.atError()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("tenant", usage.tenant())
@@ -161,18 +161,18 @@
 
     /** Runs a step the first time it is called. */
     private static final class RunOnce implements Runnable {
-        private final Runnable step;
+        private final Runnable task;
         private boolean hasRun;
 
-        RunOnce(Runnable step) {
-            this.step = step;
+        RunOnce(Runnable task) {
+            this.task = task;
         }
 
         @Override
         public void run() {
             if (!hasRun) {
                 hasRun = true;
-                step.run();
+                task.run();
             }
         }
     }
--- a/src/main/java/larchridge/router/VertxScheduler.java
+++ b/src/main/java/larchridge/router/VertxScheduler.java
@@ -30,8 +30,8 @@
     }
 
     @Override
-    public long schedule(double delayMs, Runnable step) {
-        return vertx.setTimer(Math.max(1, (long) Math.ceil(delayMs)), timer -> step.run());
+    public long schedule(double delayMs, Runnable task) {
+        return vertx.setTimer(Math.max(1, (long) Math.ceil(delayMs)), timer -> task.run());
     }
 
     @Override
@@ -40,13 +40,13 @@
     }
 
     @Override
-    public void execute(Runnable step) {
-        loop.runOnContext(v -> step.run());
+    public void execute(Runnable task) {
+        loop.runOnContext(v -> task.run());
     }
 
     @Override
-    public void scheduleAtFixedDelay(double delayMs, Runnable step) {
-        vertx.setPeriodic(Math.max(1, (long) delayMs), timer -> step.run());
+    public void scheduleAtFixedDelay(double delayMs, Runnable task) {
+        vertx.setPeriodic(Math.max(1, (long) delayMs), timer -> task.run());
     }
 
     @Override
--- a/src/main/java/larchridge/router/VirtualTimeScheduler.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -21,15 +21,15 @@
     private static final long RANDOM_ID_MASK = 0xFFFFFF;
     private static final int SEED_FACTOR = 31;
 
-    private record Step(double atMs, long timer, Runnable run) {}
+    private record ScheduledTask(double atMs, long timer, Runnable action) {}
 
-    private final PriorityQueue<Step> steps =
+    private final PriorityQueue<ScheduledTask> tasks =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Step::atMs).thenComparingLong(Step::timer));
+                    Comparator.comparingDouble(ScheduledTask::atMs).thenComparingLong(ScheduledTask::timer));
     private final Set<Long> cancelled = new HashSet<>();
     private double nowMs = START_MS;
     private long lastTimer;
-    private long stepsRun;
+    private long tasksRun;
 
     /** The virtual Unix time. */
     public double nowMs() {
@@ -37,18 +37,18 @@
     }
 
     /** Milliseconds since the start. */
-    public double sinceMs() {
+    public double elapsedMs() {
         return nowMs - START_MS;
     }
 
     /** How many steps have run. */
-    public long stepsRun() {
-        return stepsRun;
+    public long tasksRun() {
+        return tasksRun;
     }
 
     /** Runs a step after a delay; returns a timer for {@link #cancel}. */
-    public long schedule(double delayMs, Runnable step) {
-        steps.add(new Step(nowMs + Math.max(0, delayMs), ++lastTimer, step));
+    public long schedule(double delayMs, Runnable task) {
+        tasks.add(new ScheduledTask(nowMs + Math.max(0, delayMs), ++lastTimer, task));
         return lastTimer;
     }
 
@@ -59,19 +59,19 @@
 
     /** Runs all steps up to so many milliseconds since the start. */
     public void run(double untilMs) {
-        while (!steps.isEmpty() && steps.peek().atMs <= START_MS + untilMs) {
-            Step step = steps.poll();
-            nowMs = step.atMs;
-            if (cancelled.isEmpty() || !cancelled.remove(step.timer)) {
-                stepsRun++;
-                step.run.run();
+        while (!tasks.isEmpty() && tasks.peek().atMs <= START_MS + untilMs) {
+            ScheduledTask task = tasks.poll();
+            nowMs = task.atMs;
+            if (cancelled.isEmpty() || !cancelled.remove(task.timer)) {
+                tasksRun++;
+                task.action.run();
             }
         }
         nowMs = START_MS + untilMs;
     }
 
     /** The scheduler of one router; the seed draws its names. */
-    public Scheduler schedulerOf(int router, long seed) {
+    public Scheduler routerScheduler(int router, long seed) {
         return new RouterScheduler(router, new Random(seed * SEED_FACTOR + router));
     }
 
@@ -91,8 +91,8 @@
         }
 
         @Override
-        public long schedule(double delayMs, Runnable step) {
-            return VirtualTimeScheduler.this.schedule(Math.max(1, Math.ceil(delayMs)), step);
+        public long schedule(double delayMs, Runnable task) {
+            return VirtualTimeScheduler.this.schedule(Math.max(1, Math.ceil(delayMs)), task);
         }
 
         @Override
@@ -101,17 +101,17 @@
         }
 
         @Override
-        public void execute(Runnable step) {
-            VirtualTimeScheduler.this.schedule(0, step);
+        public void execute(Runnable task) {
+            VirtualTimeScheduler.this.schedule(0, task);
         }
 
         @Override
-        public void scheduleAtFixedDelay(double delayMs, Runnable step) {
+        public void scheduleAtFixedDelay(double delayMs, Runnable task) {
             VirtualTimeScheduler.this.schedule(
                     delayMs,
                     () -> {
-                        step.run();
-                        scheduleAtFixedDelay(delayMs, step);
+                        task.run();
+                        scheduleAtFixedDelay(delayMs, task);
                     });
         }
 
--- a/src/main/java/larchridge/router/package-info.java
+++ b/src/main/java/larchridge/router/package-info.java
@@ -6,7 +6,7 @@
  * larchridge.router.GenerationRequest} to it and gets the answer through a {@link
  * larchridge.router.ResponseSink}. The parts of a router each have one concern: {@code
  * AdmissionController}, {@code AttemptSender} and {@code AttemptEventHandler}, {@code
- * ReadStateReleases}, {@code RequestTimeouts}, {@code FinalAnswers}, {@code RequestCloser}, {@code
+ * ReadStateReleases}, {@code RequestTimeouts}, {@code FinalResponseSender}, {@code RequestCloser}, {@code
  * UsageRecorder}, {@code EndpointTable} and {@code GracefulShutdown}.
  *
  * <p>Everything of one router runs on one loop, without locks. The package decides nothing about
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -88,7 +88,7 @@
                         site.limit.countThreads,
                         site.limit.countWaits,
                         site.limit.bytesPerToken);
-        RouterMetrics.registerCountCache(
+        RouterMetrics.registerTokenCountCache(
                 registry, counters.cache::size, counters.cache::found, counters.cache::missed);
         vertx =
                 Vertx.vertx(
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -109,7 +109,7 @@
             // Figures of so many fronts are nobody's; what was seen is the witness.
             fronts.add(
                     new Router(
-                            world.schedulerOf(i, script.seed()),
+                            world.routerScheduler(i, script.seed()),
                             site,
                             i,
                             town.link(zone),
@@ -145,7 +145,7 @@
                 ResultCounts.of(all, script),
                 town.sums(),
                 log.digest(),
-                world.stepsRun(),
+                world.tasksRun(),
                 end,
                 realMs);
     }
@@ -157,13 +157,13 @@
     // ------------------------------------------------------------------ load
 
     private void next() {
-        if (world.sinceMs() >= script.durationMs()) {
+        if (world.elapsedMs() >= script.durationMs()) {
             return;
         }
         world.schedule(
                 -Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rate),
                 () -> {
-                    if (world.sinceMs() < script.durationMs()) {
+                    if (world.elapsedMs() < script.durationMs()) {
                         operation();
                         next();
                     }
@@ -282,7 +282,7 @@
                             .limits(2 * mix.outTokens() + 2, List.of())
                             .sampling(new AttemptRequest.Sampling(null, null, null))
                             .session(session.opening, session.last, session.opening + "/" + text)
-                            .unstreamed(whole)
+                            .nonStreaming(whole)
                             .clientRetry(number > 0)
                             .clientTimeoutMs(
                                     mix.limitMs() + (whole ? (2 * mix.outTokens() + 2) * 60 : 0))
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -54,29 +54,29 @@
                 nowMs + TIME_LIMIT_MS);
     }
 
-    private int write(String id, Endpoint endpoint, boolean reads) {
-        return audit.attemptWritten(id, endpoint, reads, 100);
+    private int send(String id, Endpoint endpoint, boolean isRead) {
+        return audit.attemptSent(id, endpoint, isRead, 100);
     }
 
-    private void readAndHold() {
+    private void completeRead() {
         accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-        audit.readCompleted(ID, write(ID, READER, true));
+        audit.readCompleted(ID, send(ID, READER, true));
     }
 
-    private void writeThatMayHaveRun(Effect effect, DeduplicationScope scope) {
+    private void sendWriteThatMayHaveRun(Effect effect, DeduplicationScope scope) {
         accept(ID, effect, scope);
-        audit.readCompleted(ID, write(ID, READER, true));
-        audit.attemptEnded(ID, write(ID, WRITER, false), "CUT", false, false);
+        audit.readCompleted(ID, send(ID, READER, true));
+        audit.attemptEnded(ID, send(ID, WRITER, false), "CUT", false, false);
     }
 
     @Test
-    void orderlyRequestViolatesNothing() {
-        readAndHold();
-        int attempt = write(ID, WRITER, false);
+    void compliantRequestViolatesNothing() {
+        completeRead();
+        int attempt = send(ID, WRITER, false);
         nowMs += 500;
         audit.responseStarted(ID, attempt);
         nowMs += 5000;
-        audit.answered(ID, "streamed");
+        audit.finalResponseSent(ID, "streamed");
         audit.attemptEnded(ID, attempt, "STREAMED", false, true);
         audit.check();
         assertEquals(0, violations.total());
@@ -84,16 +84,16 @@
     }
 
     @Test
-    void releaseInTimeBesideAnAttemptViolatesNothing() {
-        readAndHold();
-        int attempt = write(ID, WRITER, false);
+    void timelyReleaseDuringAnAttemptViolatesNothing() {
+        completeRead();
+        int attempt = send(ID, WRITER, false);
         nowMs += RELEASE_MS;
         audit.stateReleased(ID);
         nowMs += RELEASE_MS;
         audit.check();
         audit.attemptEnded(ID, attempt, "NO_STATE", true, true);
         audit.stateReleased(ID);
-        audit.answered(ID, "throttled");
+        audit.finalResponseSent(ID, "throttled");
         assertEquals(0, violations.total());
     }
 
@@ -102,8 +102,8 @@
         switch (invariant) {
             case ONE_FINAL_ANSWER -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                audit.answered(ID, "throttled");
-                audit.answered(ID, "throttled");
+                audit.finalResponseSent(ID, "throttled");
+                audit.finalResponseSent(ID, "throttled");
             }
             case ANSWERED_BY_DEADLINE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
@@ -113,21 +113,21 @@
             case NO_ATTEMPT_AFTER_CLOSE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
                 audit.clientClosed(ID);
-                write(ID, READER, true);
+                send(ID, READER, true);
             }
             case NO_ATTEMPT_AFTER_ANSWER -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                audit.answered(ID, "throttled");
-                write(ID, READER, true);
+                audit.finalResponseSent(ID, "throttled");
+                send(ID, READER, true);
             }
             case NO_FORBIDDEN_HEDGE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                write(ID, READER, true);
-                write(ID, READER, true);
+                send(ID, READER, true);
+                send(ID, READER, true);
             }
             case NO_FORBIDDEN_RETRY -> {
-                writeThatMayHaveRun(Effect.SIDE_EFFECTING, DeduplicationScope.ALL);
-                write(ID, WRITER, false);
+                sendWriteThatMayHaveRun(Effect.SIDE_EFFECTING, DeduplicationScope.ALL);
+                send(ID, WRITER, false);
             }
             default -> violateByAttempts(invariant);
         }
@@ -140,28 +140,28 @@
                 engines.put(READER, new AuditedEngine(false, Role.READER, "a", 1, 1, 0));
                 audit.endpointsChanged(engines);
                 nowMs += GRACE_MS + 1;
-                write(ID, READER, true);
+                send(ID, READER, true);
             }
             case SLOW_START_BUDGET -> {
                 for (int i = 0; i < 4; i++) {
                     accept(ID + i, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                    write(ID + i, WARMING, false);
+                    send(ID + i, WARMING, false);
                 }
             }
             case DEADLINE_PROPAGATED -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                audit.attemptWritten(ID, READER, true, TIME_LIMIT_MS + 151);
+                audit.attemptSent(ID, READER, true, TIME_LIMIT_MS + 151);
             }
             case STATE_RELEASED -> {
-                readAndHold();
-                write(ID, WRITER, false);
+                completeRead();
+                send(ID, WRITER, false);
                 nowMs += RELEASE_MS + 301;
                 audit.check();
             }
             case RESOURCES_RELEASED -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                write(ID, READER, true);
-                audit.answered(ID, "throttled");
+                send(ID, READER, true);
+                audit.finalResponseSent(ID, "throttled");
                 nowMs += 31_000;
                 audit.check();
             }
@@ -180,27 +180,27 @@
     }
 
     @Test
-    void retryInItsScopeAndWindowViolatesNothing() {
-        writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
+    void retryWithinScopeAndWindowViolatesNothing() {
+        sendWriteThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
         nowMs += WINDOW_MS - 1;
-        write(ID, WRITER, false);
+        send(ID, WRITER, false);
         assertEquals(0, violations.count(Invariant.NO_FORBIDDEN_RETRY));
     }
 
     @Test
-    void retryAfterItsWindowOrOutsideItsScopeIsCounted() {
-        writeThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
-        write(ID, OTHER_RACK, false);
+    void retryAfterWindowOrOutsideScopeIsCounted() {
+        sendWriteThatMayHaveRun(Effect.DEDUPLICATED, DeduplicationScope.RACK);
+        send(ID, OTHER_RACK, false);
         assertEquals(1, violations.count(Invariant.NO_FORBIDDEN_RETRY));
         audit.attemptEnded(ID, 2, "CUT", false, false);
         nowMs += WINDOW_MS + 1;
-        write(ID, WRITER, false);
+        send(ID, WRITER, false);
         assertEquals(3, violations.count(Invariant.NO_FORBIDDEN_RETRY));
     }
 
     @Test
-    void engineThatNoListNamesIsCounted() {
-        write(ID, new Endpoint("10.0.0.9", 8443), true);
+    void sendToUnlistedEngineIsCounted() {
+        send(ID, new Endpoint("10.0.0.9", 8443), true);
         assertEquals(1, violations.count(Invariant.NO_SEND_PAST_DRAIN_GRACE));
     }
 }
--- a/src/test/java/larchridge/node/upstream/ForwardingUpstreamClientFixture.java
+++ b/src/test/java/larchridge/node/upstream/ForwardingUpstreamClientFixture.java
@@ -18,12 +18,12 @@
     final ForwardingUpstreamClient client;
 
     ForwardingUpstreamClientFixture(ConnectionOpener opener) {
-        client = new ForwardingUpstreamClient(time.schedulerOf(0, 1), LIMITS, opener);
+        client = new ForwardingUpstreamClient(time.routerScheduler(0, 1), LIMITS, opener);
     }
 
     /** Lets so much time pass. */
     void advance(double ms) {
-        time.run(time.sinceMs() + ms);
+        time.run(time.elapsedMs() + ms);
     }
 
     /** An engine sends these bytes. */
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -23,7 +23,7 @@
     private static final Endpoint OTHER = new Endpoint("10.0.0.2", 8443);
 
     private final VirtualTimeScheduler time = new VirtualTimeScheduler();
-    private final Scheduler scheduler = time.schedulerOf(0, 1);
+    private final Scheduler scheduler = time.routerScheduler(0, 1);
     private final List<Double> sentMs = new ArrayList<>();
     private ControlCallResult result = ControlCallResult.ANSWERED;
     private final StateReleaser releaser =
@@ -37,7 +37,7 @@
                                 String requestId,
                                 double timeoutMs,
                                 Consumer<ControlCallResult> listener) {
-                            sentMs.add(time.sinceMs());
+                            sentMs.add(time.elapsedMs());
                             ControlCallResult current = result;
                             scheduler.schedule(
                                     current == ControlCallResult.UNANSWERED ? timeoutMs : 1,
--- a/src/test/java/larchridge/router/DeadlinePolicyTest.java
+++ b/src/test/java/larchridge/router/ResponseDeadlinesTest.java
@@ -9,7 +9,7 @@
 import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-class DeadlinePolicyTest {
+class ResponseDeadlinesTest {
     private final TrafficClass product =
             new TrafficClass("p", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0, 1000, 0, 50);
     private final ProductOffering offering =
@@ -18,26 +18,26 @@
 
     @Test
     void streamedAnswerHasTheProductsDeadlineForItsFirstTokenOnly() {
-        DeadlinePolicy deadlines =
-                DeadlinePolicy.of(offering, 200, 100, false, Double.POSITIVE_INFINITY);
+        ResponseDeadlines deadlines =
+                ResponseDeadlines.of(offering, 200, 100, false, Double.POSITIVE_INFINITY);
         assertEquals(5200, deadlines.firstTokenMs);
         assertTrue(Double.isInfinite(deadlines.completionMs));
     }
 
     @Test
     void clientWithAShorterTimeoutIsAnsweredBeforeIt() {
-        assertTrue(DeadlinePolicy.of(offering, 200, 100, false, 900).firstTokenMs < 900);
+        assertTrue(ResponseDeadlines.of(offering, 200, 100, false, 900).firstTokenMs < 900);
     }
 
     @Test
     void unstreamedAnswerIsDueBeforeTheClientsTimeout() {
-        DeadlinePolicy deadlines = DeadlinePolicy.of(offering, 0, 100, true, 3000);
+        ResponseDeadlines deadlines = ResponseDeadlines.of(offering, 0, 100, true, 3000);
         assertTrue(deadlines.completionMs < 3000);
         assertTrue(deadlines.firstTokenMs <= deadlines.completionMs);
     }
 
     @Test
     void deadlineIsNeverNegative() {
-        assertEquals(0, DeadlinePolicy.of(offering, 0, 100, true, 0).completionMs);
+        assertEquals(0, ResponseDeadlines.of(offering, 0, 100, true, 0).completionMs);
     }
 }
--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -14,33 +14,33 @@
 
     @Test
     void oneFinalAnswerAndNoSecond() {
-        assertTrue(responseGuard.finish(ResponseGuard.FinalAnswer.FAILED));
-        for (ResponseGuard.FinalAnswer more : ResponseGuard.FinalAnswer.values()) {
+        assertTrue(responseGuard.finish(ResponseGuard.FinalResponse.FAILED));
+        for (ResponseGuard.FinalResponse more : ResponseGuard.FinalResponse.values()) {
             assertFalse(responseGuard.finish(more));
         }
-        assertEquals(ResponseGuard.FinalAnswer.FAILED, responseGuard.given());
+        assertEquals(ResponseGuard.FinalResponse.FAILED, responseGuard.finalResponse());
     }
 
     @Test
     void responseCannotBeginAfterTheFinalAnswer() {
-        responseGuard.finish(ResponseGuard.FinalAnswer.DISCONNECTED);
-        assertFalse(responseGuard.begin());
+        responseGuard.finish(ResponseGuard.FinalResponse.DISCONNECTED);
+        assertFalse(responseGuard.start());
     }
 
     @Test
     void responseThatHasBegunCannotBeRejected() {
-        responseGuard.begin();
+        responseGuard.start();
         assertThrows(
                 IllegalStateException.class,
-                () -> responseGuard.finish(ResponseGuard.FinalAnswer.REJECTED));
-        assertTrue(responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
+                () -> responseGuard.finish(ResponseGuard.FinalResponse.REJECTED));
+        assertTrue(responseGuard.finish(ResponseGuard.FinalResponse.COMPLETED));
     }
 
     @Test
     void responseThatHasNotBegunCannotBeCompleted() {
         assertThrows(
                 IllegalStateException.class,
-                () -> responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
+                () -> responseGuard.finish(ResponseGuard.FinalResponse.COMPLETED));
     }
 
     /** The ledgers of all builds since f8721a5 hold these words. */
@@ -48,7 +48,7 @@
     void recordedNamesAreThoseOfEarlierBuilds() {
         assertEquals(
                 List.of("streamed", "throttled", "terminated", "gone"),
-                Arrays.stream(ResponseGuard.FinalAnswer.values())
+                Arrays.stream(ResponseGuard.FinalResponse.values())
                         .map(answer -> answer.recordedName)
                         .toList());
     }
