--- a/src/main/java/larchridge/audit/AuditSettings.java
+++ b/src/main/java/larchridge/audit/AuditSettings.java
@@ -1,14 +1,14 @@
 package larchridge.audit;
 
 /**
- * The figures that the invariants are stated in, from the settings. Times are milliseconds.
+ * Limits that the invariants are checked against, from the settings. Times are in milliseconds.
  *
- * @param drainGraceMs how long an engine may still be sent to once it is set to drain
- * @param maxStateHoldMs how long a state may be held with no attempt at an engine
+ * @param drainGraceMs how long an engine may still receive attempts after it starts draining
+ * @param maxStateHoldMs how long a read state may be held while no attempt is at an engine
  * @param slowStartMs how long an engine warms up after its start
- * @param slowStartShare what an engine can do at its start, as a part of what it can do when warm
- * @param overloadMultiple this multiple of what it can do overloads a warming engine
- * @param overloadWindowMs over this time
+ * @param slowStartShare the fraction of its warm capacity that an engine has right after its start
+ * @param overloadMultiple the multiple of its current capacity that overloads a warming engine
+ * @param overloadWindowMs the time window over which that multiple is measured
  * @param hedgingAllowed whether two attempts of an idempotent request may be in flight at once
  */
 public record AuditSettings(
--- a/src/main/java/larchridge/audit/AuditedAttempt.java
+++ b/src/main/java/larchridge/audit/AuditedAttempt.java
@@ -2,12 +2,14 @@
 
 import larchridge.upstream.Endpoint;
 
-/** One attempt of a request that was written to an engine. */
+/** One attempt of a request that was sent to an engine. */
 final class AuditedAttempt {
     final int number;
     final Endpoint endpoint;
 
-    /** The engine as listed when the attempt was written; null if no list named it. */
+    /**
+     * The engine's entry in the endpoint list at the time of sending, or null if it was not listed.
+     */
     final AuditedEngine engine;
 
     final boolean isRead;
@@ -32,17 +34,17 @@
         ended = true;
     }
 
-    /** Notes whether the end proves that the engine has not run the attempt. */
+    /** Sets whether the attempt's outcome proves that the engine has not run it. */
     void setProvenNotRun(boolean proven) {
         provenNotRun = proven;
     }
 
-    /** Whether it is a read after which the engine may hold a state. */
+    /** Whether this is a read for which the engine may still hold a state. */
     boolean mayHoldReadState() {
         return isRead && !provenNotRun;
     }
 
-    /** Whether it may have had an effect; reads have none, however they end. */
+    /** Whether the attempt may have had an effect. Reads have none, whatever their outcome. */
     boolean mayHaveRun() {
         return !isRead && !provenNotRun;
     }
--- a/src/main/java/larchridge/audit/AuditedEngine.java
+++ b/src/main/java/larchridge/audit/AuditedEngine.java
@@ -3,10 +3,11 @@
 import larchridge.state.Role;
 
 /**
- * An engine as the newest list names it.
+ * An engine as described by the current endpoint list.
  *
- * @param capacityUnits its capacity relative to others of its role
- * @param startMs when its process started, in the node's clock; 0 means long ago
+ * @param serving whether the engine accepts new attempts
+ * @param capacityUnits its capacity relative to other engines of its role
+ * @param startMs start time of its process by the node's clock; 0 means that it started long ago
  */
 public record AuditedEngine(
         boolean serving, Role role, String zone, long rack, double capacityUnits, double startMs) {}
--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import larchridge.state.TrafficClass;
 
-/** What was seen of one request, and its last transitions. */
+/** The events observed for one request, with its most recent transitions. */
 final class AuditedRequest {
     private static final int MAX_TRANSITIONS = 32;
     private static final double NOT_HELD = Double.NaN;
@@ -14,7 +14,7 @@
     final String id;
     final TrafficClass trafficClass;
 
-    /** When the client stops waiting for its first event. */
+    /** Deadline by which the client expects the first event of the response. */
     final double deadlineMs;
 
     final List<AuditedAttempt> attempts = new ArrayList<>(2);
@@ -26,12 +26,15 @@
     boolean clientClosed;
 
     /**
-     * Whether a state that was released may still exist, since a request in an engine's queue waits
-     * for it.
+     * Whether the read state was released while an attempt was in flight. The state may still
+     * exist, since an attempt in an engine's queue may be waiting for it.
      */
     boolean releasedDuringAttempt;
 
-    /** Violations that are reported once a request, not at each check. */
+    /**
+     * Whether a violation has been reported; these are reported once per request rather than at
+     * each check.
+     */
     boolean lateResponseReported;
 
     boolean lateReleaseReported;
@@ -52,12 +55,12 @@
         transitions.addLast(new Transition(ms, kind, attempt, detail));
     }
 
-    /** The last transitions as text, for the log. */
+    /** Formats the most recent transitions for the log. */
     String transitions() {
         return transitions.toString();
     }
 
-    /** Starts the time in which the state has to be fetched or released. */
+    /** Records that a state is held; it must be fetched or released within the time limit. */
     void holdSince(double ms) {
         heldSinceMs = ms;
     }
@@ -70,12 +73,12 @@
         return !Double.isNaN(heldSinceMs);
     }
 
-    /** For how long the state has been held; NaN if none is. */
+    /** How long the state has been held, or NaN if none is held. */
     double heldForMs(double nowMs) {
         return nowMs - heldSinceMs;
     }
 
-    /** Whether nothing of the request is left at the client or any engine. */
+    /** Whether nothing is left of the request: neither at the client nor at any engine. */
     boolean isComplete() {
         return (finalResponseSent || clientClosed)
                 && !isHeld()
--- a/src/main/java/larchridge/audit/CloseReason.java
+++ b/src/main/java/larchridge/audit/CloseReason.java
@@ -2,36 +2,39 @@
 
 import java.util.Locale;
 
-/** Why a connection to a client or to an engine ended. */
+/** Why a connection to a client or to an engine was closed. */
 public enum CloseReason {
-    /** The other side closed or reset it. */
+    /** The peer closed or reset the connection. */
     PEER,
-    /** It rested for too long. */
+    /** The connection was idle for too long. */
     IDLE,
-    /** Others needed its room. */
+    /** The connection limit was reached, and other connections needed the slot. */
     NO_ROOM,
-    /** An answer was the last one, as one side had asked or as the process ends. */
+    /**
+     * The last response on the connection was sent: one side requested the close, or the process is
+     * shutting down.
+     */
     LAST_ANSWER,
-    /** What came can't be read, was not asked for, or is not allowed. */
+    /** The received data cannot be parsed, was not requested or is not allowed. */
     BAD_INPUT,
-    /** A request did not come in time. */
+    /** A request did not arrive in time. */
     REQUEST_TIMEOUT,
-    /** More was sent ahead than is kept. */
+    /** The peer sent more data ahead than is buffered. */
     SENT_AHEAD,
-    /** A stream was cut without its end. */
+    /** A stream ended before it was complete. */
     STREAM_CUT,
-    /** The attempt on it was called off. */
+    /** The attempt on the connection was cancelled. */
     CALLED_OFF,
     /** A read or write failed. */
     IO_FAILURE,
-    /** It did not come up. */
+    /** The connection could not be established. */
     NOT_CONNECTED,
-    /** The process ends. */
+    /** The process is shutting down. */
     SHUTDOWN,
-    /** The other side did not end its side in the time granted after this one had ended its own. */
+    /** The peer did not close its side in the time allowed after this side had closed its own. */
     LINGER_OVER;
 
-    /** The name as a tag of a figure. */
+    /** The name as a metric tag. */
     public String tag() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/larchridge/audit/ConnectionSide.java
+++ b/src/main/java/larchridge/audit/ConnectionSide.java
@@ -4,6 +4,6 @@
 public enum ConnectionSide {
     /** A client of this node. */
     CLIENT,
-    /** An engine that this node sends to. */
+    /** An engine that this node sends requests to. */
     ENGINE
 }
--- a/src/main/java/larchridge/audit/EndpointAudit.java
+++ b/src/main/java/larchridge/audit/EndpointAudit.java
@@ -4,7 +4,9 @@
 import java.util.Map;
 import larchridge.upstream.Endpoint;
 
-/** Checks the engine that an attempt is written to: its drain grace and its slow-start budget. */
+/**
+ * Checks the engine that an attempt is sent to: its drain grace period and its slow-start budget.
+ */
 final class EndpointAudit {
     private static final int MAX_STOPPED_ENDPOINTS = 20_000;
 
@@ -13,7 +15,10 @@
     private final SlowStartBudgetAudit slowStartBudget;
     private Map<Endpoint, AuditedEngine> engines = Map.of();
 
-    /** When a list first set an engine to drain, or no longer named it; the oldest first. */
+    /**
+     * When each engine first appeared as draining, or was first missing from the list; oldest
+     * first.
+     */
     private final Map<Endpoint, Double> stoppedServingMs = new LinkedHashMap<>();
 
     EndpointAudit(AuditSettings settings, Violations violations, double nowMs) {
@@ -22,12 +27,12 @@
         slowStartBudget = new SlowStartBudgetAudit(settings, nowMs);
     }
 
-    /** The engine as the newest list names it; null if it does not. */
+    /** Returns the engine's entry in the current endpoint list, or null if it is not listed. */
     AuditedEngine engineAt(Endpoint endpoint) {
         return engines.get(endpoint);
     }
 
-    /** The newest list of engines. */
+    /** Replaces the endpoint list. */
     void endpointsChanged(Map<Endpoint, AuditedEngine> listed, double nowMs) {
         engines.forEach(
                 (endpoint, engine) -> {
@@ -51,7 +56,9 @@
         slowStartBudget.retainListed(engines);
     }
 
-    /** Checks a write of an attempt; the request is null if it is not followed. */
+    /**
+     * Checks an attempt that is being sent; {@code request} is null if the request is not tracked.
+     */
     void checkSend(String requestId, AuditedRequest request, Endpoint endpoint, double nowMs) {
         AuditedEngine engine = engines.get(endpoint);
         Double stoppedMs = stoppedServingMs.get(endpoint);
@@ -60,24 +67,24 @@
                     Invariant.NO_SEND_PAST_DRAIN_GRACE,
                     requestId,
                     request,
-                    "written to " + endpoint + ", which no list names");
+                    "sent to " + endpoint + ", which is not in the endpoint list");
         } else if (stoppedMs != null && nowMs > stoppedMs + settings.drainGraceMs()) {
             report(
                     Invariant.NO_SEND_PAST_DRAIN_GRACE,
                     requestId,
                     request,
-                    "written to "
+                    "sent to "
                             + endpoint
                             + " "
                             + Math.round(nowMs - stoppedMs)
-                            + " ms after it was set to drain or removed");
+                            + " ms after it started draining or was removed");
         }
         if (engine != null && !slowStartBudget.recordSendWithinBudget(endpoint, engine, engines, nowMs)) {
             report(
                     Invariant.SLOW_START_BUDGET,
                     requestId,
                     request,
-                    "too many to " + endpoint + ", which is warming up");
+                    "slow-start budget exceeded for " + endpoint + ", which is warming up");
         }
     }
 
--- a/src/main/java/larchridge/audit/Invariant.java
+++ b/src/main/java/larchridge/audit/Invariant.java
@@ -2,34 +2,47 @@
 
 import java.util.Locale;
 
-/** What must hold at every moment; a violation is counted under its name. */
+/**
+ * The invariants that are checked at run time; a violation is counted under the name of its
+ * invariant.
+ */
 public enum Invariant {
-    /** A request gets one final answer and nothing after it. */
+    /** A request gets exactly one final response, and nothing after it. */
     ONE_FINAL_ANSWER,
-    /** It gets that answer, or its first event, before the client's deadline. */
+    /**
+     * The final response, or the first event of the response, is sent before the client's deadline.
+     */
     ANSWERED_BY_DEADLINE,
-    /** No attempt is written for a client that has closed. */
+    /** No attempt is sent for a client that has disconnected. */
     NO_ATTEMPT_AFTER_CLOSE,
-    /** No attempt is written for a request that has its answer, or whose answer has started. */
+    /** No attempt is sent for a request whose response has started or is complete. */
     NO_ATTEMPT_AFTER_ANSWER,
-    /** No two attempts are in flight at once where hedging is not allowed. */
+    /** No two attempts are in flight at once unless hedging is allowed. */
     NO_FORBIDDEN_HEDGE,
-    /** What may have run is not retried beyond its deduplication window or scope. */
+    /** An attempt that may have run is not retried outside its deduplication window or scope. */
     NO_FORBIDDEN_RETRY,
-    /** Nothing is written to an engine past its drain grace, or to one that no list names. */
+    /**
+     * No attempt is sent to an engine after its drain grace period, or to one that is not listed.
+     */
     NO_SEND_PAST_DRAIN_GRACE,
-    /** A warming engine gets no more from this node than its part of the engine's budget. */
+    /**
+     * A warming engine gets no more attempts from this node than the node's share of the engine's
+     * budget.
+     */
     SLOW_START_BUDGET,
-    /** An attempt announces no more time than the client has left. */
+    /**
+     * An attempt sends the engine a timeout no longer than the time left until the client's
+     * deadline.
+     */
     DEADLINE_PROPAGATED,
-    /** A held state is fetched or released in time. */
+    /** A held read state is fetched or released in time. */
     STATE_RELEASED,
-    /** The policy's and the upstream client's counts of attempts agree. */
+    /** The routing policy and the upstream client count the same number of attempts. */
     ATTEMPT_COUNTS_AGREE,
-    /** Every id, body, timer and connection that was taken is released. */
+    /** Every id, request body, timer and connection that was acquired is released. */
     RESOURCES_RELEASED;
 
-    /** The name as the tag of the counter. */
+    /** The name as a metric tag. */
     public String tag() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -9,21 +9,24 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * Follows every request from its acceptance to its end by what goes over the sockets, and reports
- * what violates an invariant. It keeps data of its own and relies on neither the policy nor the
- * upstream client. All methods run on the event loop.
+ * Tracks every request from its acceptance to its end by what the sockets carry, and reports
+ * violations of the invariants. It keeps its own data and relies on neither the routing policy nor
+ * the upstream client. All methods run on the event loop.
  */
 public final class RequestAudit implements RequestEvents {
-    /** Tolerances beside the platform's time limits. */
+    /** Tolerances added to the platform's time limits. */
     private static final double RESPONSE_TOLERANCE_MS = 500;
 
     private static final double RELEASE_TOLERANCE_MS = 300;
     private static final double ATTEMPT_TIMEOUT_TOLERANCE_MS = 150;
 
-    /** Attempts of a request that is answered are cancelled, and end, long before that. */
+    /**
+     * Attempts in flight this long after the final response count as orphaned; normally they are
+     * cancelled, and end, much earlier.
+     */
     private static final double ORPHANED_ATTEMPT_TIMEOUT_MS = 30_000;
 
-    /** Complete requests are kept until so many others, so that later events are noticed. */
+    /** Number of completed requests that are kept, so that late events for them are detected. */
     private static final int MAX_COMPLETED_REQUESTS = 512;
 
     private static final int MAX_OPEN_REQUESTS = 20_000;
@@ -46,7 +49,7 @@
                 }
             };
 
-    /** An audit in which no request is open and no list is known. */
+    /** Creates an audit without requests and with an empty endpoint list. */
     public RequestAudit(
             AuditSettings settings,
             DoubleSupplier clockMs,
@@ -60,7 +63,7 @@
         retryAudit = new RetryAudit(settings.hedgingAllowed(), violations);
     }
 
-    /** Requests that are not complete. */
+    /** Number of requests that are not complete. */
     public int openRequests() {
         return openRequests.size();
     }
@@ -95,7 +98,7 @@
         }
         record(request, Transition.Kind.ANSWERED, NO_ATTEMPT, kind);
         if (request.finalResponseSent || request.clientClosed) {
-            report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request's end");
+            report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request had ended");
         }
         if (!request.responseStarted) {
             checkDeadline(request);
@@ -130,17 +133,21 @@
             report(
                     Invariant.NO_ATTEMPT_AFTER_CLOSE,
                     request,
-                    "written for a client that has closed");
+                    "attempt sent after the client had disconnected");
         }
         if (request.finalResponseSent || request.responseStarted) {
-            report(Invariant.NO_ATTEMPT_AFTER_ANSWER, request, "written after the answer");
+            report(Invariant.NO_ATTEMPT_AFTER_ANSWER, request, "attempt sent after the response had started or ended");
         }
         double remainingMs = request.deadlineMs - nowMs;
         if (attemptTimeoutMs > Math.max(0, remainingMs) + ATTEMPT_TIMEOUT_TOLERANCE_MS) {
             report(
                     Invariant.DEADLINE_PROPAGATED,
                     request,
-                    "announced " + attemptTimeoutMs + " ms of " + Math.round(remainingMs));
+                    "attempt timeout of "
+                            + attemptTimeoutMs
+                            + " ms exceeds the remaining "
+                            + Math.round(remainingMs)
+                            + " ms");
         }
     }
 
@@ -185,7 +192,7 @@
         moveIfComplete(request);
     }
 
-    /** Ends an attempt; gives its request, or null if that is not followed. */
+    /** Marks an attempt as ended; returns its request, or null if the request is not tracked. */
     private AuditedRequest endAttempt(String id, int attempt, Transition.Kind kind, Object detail) {
         AuditedRequest request = find(id);
         if (request != null) {
@@ -235,9 +242,11 @@
         endpointAudit.endpointsChanged(engines, clockMs.getAsDouble());
     }
 
-    // ------------------------------------------------------------------ the periodic check
+    // ------------------------------------------------------------------ periodic check
 
-    /** Checks for what should have happened by now and has not. */
+    /**
+     * Checks the open requests for missed deadlines, states held too long and orphaned attempts.
+     */
     public void check() {
         double nowMs = clockMs.getAsDouble();
         for (AuditedRequest request : List.copyOf(openRequests.values())) {
@@ -256,7 +265,7 @@
             report(
                     Invariant.ANSWERED_BY_DEADLINE,
                     request,
-                    "no answer " + Math.round(lateMs) + " ms after its deadline");
+                    "no response " + Math.round(lateMs) + " ms after the deadline");
         }
     }
 
@@ -268,7 +277,7 @@
             report(
                     Invariant.STATE_RELEASED,
                     request,
-                    "a state is held for " + Math.round(heldForMs) + " ms");
+                    "read state held for " + Math.round(heldForMs) + " ms");
         }
     }
 
@@ -280,7 +289,7 @@
             report(
                     Invariant.RESOURCES_RELEASED,
                     request,
-                    "attempts are in flight long after its answer");
+                    "attempts still in flight long after the final response");
         }
     }
 
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -5,54 +5,59 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * What the connections of a node report of a request as it happens on their sockets. All methods
+ * The request events that a node's connections report as they happen on their sockets. All methods
  * are called on the event loop.
  */
 public interface RequestEvents {
-    /** Ignores all events. */
+    /** A listener that ignores all events. */
     RequestEvents NO_OP = new RequestEvents() {};
 
-    /** A request was accepted from a client that waits for its first event until the deadline. */
+    /**
+     * A request was accepted from a client that waits until the deadline for the first event of its
+     * response.
+     */
     default void accepted(String id, TrafficClass trafficClass, double deadlineMs) {}
 
-    /** The client has closed before its final answer. */
+    /** The client disconnected before its final response. */
     default void clientClosed(String id) {}
 
-    /** A final answer was written to the client, or its stream was cut; kind says which. */
+    /**
+     * A final response was written to the client, or its stream was cut; {@code kind} says which.
+     */
     default void finalResponseSent(String id, String kind) {}
 
     /**
-     * An attempt is written to an engine.
+     * An attempt is sent to an engine.
      *
-     * @param isRead whether it reads the prompt rather than writes the answer
-     * @param attemptTimeoutMs the time that the attempt announces to the engine
-     * @return the attempt's number, or -1 if nobody follows the request
+     * @param isRead whether the attempt reads the prompt rather than generates the response
+     * @param attemptTimeoutMs the timeout that the attempt sends to the engine
+     * @return the attempt's number, or -1 if the request is not tracked
      */
     default int attemptSent(String id, Endpoint endpoint, boolean isRead, long attemptTimeoutMs) {
         return -1;
     }
 
-    /** The prompt was read, and its state is held. */
+    /** The attempt has read the prompt, and the engine holds the read state. */
     default void readCompleted(String id, int attempt) {}
 
-    /** The first event of the answer has arrived. */
+    /** The first event of the response has arrived. */
     default void responseStarted(String id, int attempt) {}
 
     /**
-     * An attempt has ended otherwise.
+     * An attempt ended other than with a completed read.
      *
-     * @param provenNotRun whether the end proves that the engine has not run it
-     * @param engineResponded whether the engine has answered anything
+     * @param provenNotRun whether the outcome proves that the engine has not run the attempt
+     * @param engineResponded whether the engine has sent any response
      */
     default void attemptEnded(
             String id, int attempt, String outcome, boolean provenNotRun, boolean engineResponded) {}
 
-    /** An engine has confirmed the release of all that is held for the request. */
+    /** An engine confirmed the release of every read state that it held for the request. */
     default void stateReleased(String id) {}
 
     /** A connection was closed, by the peer or by this side. */
     default void connectionClosed(ConnectionSide side, CloseReason reason) {}
 
-    /** The endpoint list has changed; the map holds all of it. */
+    /** The endpoint list changed; the map holds the complete list. */
     default void endpointsChanged(Map<Endpoint, AuditedEngine> engines) {}
 }
--- a/src/main/java/larchridge/audit/RetryAudit.java
+++ b/src/main/java/larchridge/audit/RetryAudit.java
@@ -4,7 +4,9 @@
 import larchridge.state.Effect;
 import larchridge.state.TrafficClass;
 
-/** Checks an attempt against the earlier ones of its request: hedging and retries. */
+/**
+ * Checks an attempt against the earlier attempts of its request, for forbidden hedging and retries.
+ */
 final class RetryAudit {
     private final boolean hedgingAllowed;
     private final Violations violations;
@@ -14,7 +16,7 @@
         this.violations = violations;
     }
 
-    /** Checks an attempt that is not yet one of the request's attempts. */
+    /** Checks an attempt before it is added to its request. */
     void checkAttempt(AuditedRequest request, AuditedAttempt attempt) {
         TrafficClass trafficClass = request.trafficClass;
         boolean idempotent = trafficClass.effect == Effect.IDEMPOTENT;
@@ -23,7 +25,7 @@
                 violations.report(
                         Invariant.NO_FORBIDDEN_HEDGE,
                         request.id,
-                        "attempt " + earlier.number + " is still in flight",
+                        "earlier attempt " + earlier.number + " is still in flight",
                         request.transitions());
             }
             if (!idempotent
@@ -33,17 +35,17 @@
                 violations.report(
                         Invariant.NO_FORBIDDEN_RETRY,
                         request.id,
-                        "attempt "
+                        "earlier attempt "
                                 + earlier.number
                                 + " may have run "
                                 + Math.round(attempt.sentMs - earlier.sentMs)
-                                + " ms before",
+                                + " ms earlier",
                         request.transitions());
             }
         }
     }
 
-    /** Whether the engines recognize the attempt as a repeat of an earlier one. */
+    /** Whether the engines recognize the attempt as a duplicate of the earlier one. */
     private static boolean isDeduplicated(
             TrafficClass trafficClass, AuditedAttempt earlier, AuditedAttempt attempt) {
         if (trafficClass.effect == Effect.SIDE_EFFECTING
--- a/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
+++ b/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
@@ -9,16 +9,16 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * Compares what this node writes to warming engines with its part of their budget. A node sees its
- * own sends alone: its part is the rate at which it sends to a warm engine of the role, times the
- * overload multiple and the share that a warming engine can take. The allowance for chance is that
- * of the platform's rule.
+ * Checks the sends of this node to warming engines against its share of their budget. A node only
+ * sees its own sends, so its share is the rate at which it sends to a warm engine of the role,
+ * times the overload multiple and the fraction of its warm capacity that the warming engine has.
+ * The allowance for random variation is that of the platform's rule.
  */
 final class SlowStartBudgetAudit {
     private static final int RATE_WINDOW_SECONDS = 30;
     private static final double SECOND_MS = 1000;
 
-    /** Budgets below this many writes get the platform's allowance for small counts. */
+    /** Budgets with fewer sends get the platform's larger allowance for small counts. */
     private static final double SMALL_BUDGET_SENDS = 30;
 
     private final AuditSettings settings;
@@ -26,7 +26,7 @@
     private final SlidingWindow warmReaderSends = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
     private final SlidingWindow warmWriterSends = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
 
-    /** Times of the writes to each warming engine within the overload window. */
+    /** Times of the sends to each warming engine within the overload window. */
     private final Map<Endpoint, Deque<Double>> recentSends = new HashMap<>();
 
     SlowStartBudgetAudit(AuditSettings settings, double nowMs) {
@@ -34,7 +34,9 @@
         startMs = nowMs;
     }
 
-    /** Counts a write; false if the engine is warming and has got more than this node's part. */
+    /**
+     * Records a send; returns false if the engine is warming and has exceeded this node's share.
+     */
     boolean recordSendWithinBudget(
             Endpoint endpoint,
             AuditedEngine engine,
@@ -86,7 +88,7 @@
         return engine.startMs() > 0 && nowMs < engine.startMs() + settings.slowStartMs();
     }
 
-    /** Forgets engines that the list no longer names. */
+    /** Removes the engines that are no longer in the endpoint list. */
     void retainListed(Map<Endpoint, AuditedEngine> engines) {
         recentSends.keySet().retainAll(engines.keySet());
     }
--- a/src/main/java/larchridge/audit/Transition.java
+++ b/src/main/java/larchridge/audit/Transition.java
@@ -1,8 +1,8 @@
 package larchridge.audit;
 
-/** One transition of a request, as kept for the log of a violation. */
+/** One transition of a request, kept to be logged with a violation. */
 record Transition(double ms, Kind kind, int attempt, Object detail) {
-    /** The kinds of transitions; their names are logged. */
+    /** Kinds of transitions; their names appear in the log. */
     enum Kind {
         ACCEPTED,
         WRITTEN,
--- a/src/main/java/larchridge/audit/Violations.java
+++ b/src/main/java/larchridge/audit/Violations.java
@@ -7,12 +7,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts violations by invariant and logs them with what led there. The process goes on. */
+/**
+ * Counts violations by invariant, and logs each with the transitions that led to it. The process
+ * continues.
+ */
 public final class Violations {
-    /** The message of each log line, by which it is found. */
+    /** Message of each log line, by which tools find it. */
     public static final String MESSAGE = "invariant violated";
 
-    /** Log lines of one invariant; beyond it violations are only counted. */
+    /** Maximum number of log lines per invariant; further violations are only counted. */
     private static final int MAX_LOG_LINES_PER_INVARIANT = 100;
 
     private static final Logger LOG = LoggerFactory.getLogger(Violations.class);
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Reports a violation that belongs to no request. */
+    /** Reports a violation that is not related to a request. */
     public void report(Invariant invariant, String problem) {
         report(invariant, null, problem, null);
     }
@@ -40,7 +43,7 @@
      * Reports a violation.
      *
      * @param requestId the request, or null
-     * @param transitions the request's last transitions, or null
+     * @param transitions the request's most recent transitions, or null
      */
     public void report(Invariant invariant, String requestId, String problem, String transitions) {
         counters.get(invariant).increment();
@@ -54,12 +57,12 @@
         }
     }
 
-    /** The violations of one invariant so far. */
+    /** Number of violations of one invariant so far. */
     public long count(Invariant invariant) {
         return (long) counters.get(invariant).count();
     }
 
-    /** All violations so far. */
+    /** Number of violations of all invariants so far. */
     public long total() {
         return (long) counters.values().stream().mapToDouble(Counter::count).sum();
     }
--- a/src/main/java/larchridge/metrics/RouterMetrics.java
+++ b/src/main/java/larchridge/metrics/RouterMetrics.java
@@ -14,8 +14,8 @@
 import java.util.function.Supplier;
 
 /**
- * The metrics of one router. A process has one registry, and one of these for each of its routers,
- * since the meters found are cached without locks on the router's loop.
+ * Metrics of one router. A process has one registry and one instance of this class per router,
+ * since the meters are cached without locks on the router's loop.
  */
 public final class RouterMetrics {
     private static final String ROUTER_TAG = "front";
@@ -25,22 +25,22 @@
     private final Map<String, Counter> counters = new HashMap<>();
     private final Map<String, Timer> timers = new HashMap<>();
 
-    /** Incremented for every piece of text, so looked up once. */
+    /** Looked up only once, since it is incremented for every chunk of text. */
     private Counter textChunks;
 
-    /** Metrics that are registered with this registry as they are first used. */
+    /** Creates metrics whose meters are added to this registry on first use. */
     public RouterMetrics(MeterRegistry registry) {
         this.registry = registry;
     }
 
-    /** A registry for one process, with the memory metrics of its Java virtual machine. */
+    /** Creates the registry of a process, with the memory metrics of its JVM. */
     public static PrometheusMeterRegistry registry() {
         PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         new JvmMemoryMetrics().bindTo(registry);
         return registry;
     }
 
-    /** Registers the gauges of the cache of token counts: its size, hits and misses. */
+    /** Registers the gauges of the token count cache: its size, hits and misses. */
     public static void registerTokenCountCache(
             MeterRegistry registry,
             Supplier<Number> size,
@@ -51,7 +51,10 @@
         Gauge.builder("larchridge_counts_missed", misses).register(registry);
     }
 
-    /** Registers a router's gauges and its counter of text; before its first piece of text. */
+    /**
+     * Registers a router's gauges and its counter of text chunks. Must be called before the first
+     * chunk.
+     */
     public void registerRouter(
             int router, Supplier<Number> requestsInFlight, Supplier<Number> heldStates) {
         String tag = Integer.toString(router);
@@ -68,10 +71,10 @@
     }
 
     /**
-     * A final answer was given, or is not wanted any more.
+     * A request ended: its final response was sent, or is no longer wanted.
      *
      * @param kind streamed, throttled, terminated, gone, slow_client or over_budget
-     * @param elapsedMs the time since the arrival, or NaN where it tells nothing
+     * @param elapsedMs the time since the arrival, or NaN if it is not meaningful
      */
     public void requestFinished(int router, String product, String kind, double elapsedMs) {
         increment("larchridge_final_answers", router, "product", product, "kind", kind);
@@ -80,7 +83,7 @@
         }
     }
 
-    /** An answer began, so long after the arrival. */
+    /** A response started this long after the arrival of its request. */
     public void firstTokenReceived(int router, String product, double elapsedMs) {
         recordTime("larchridge_first_token_time", router, product, elapsedMs);
     }
@@ -90,29 +93,30 @@
         increment("larchridge_attempts", router, "stage", stage, "outcome", outcome);
     }
 
-    /** A piece of text came from an engine. */
+    /** A chunk of text arrived from an engine. */
     public void textChunkReceived() {
         textChunks.increment();
     }
 
-    /** An exchange was rejected as it started; kind is too_many, stopping or ledger. */
+    /** An exchange was rejected at its start; kind is too_many, stopping or ledger. */
     public void exchangeRejected(int router, String kind) {
         increment("larchridge_turned_away", router, "kind", kind, "stage", "door");
     }
 
-    /** An attempt that the policy decided on was not sent. */
+    /** An attempt that the policy requested was not sent. */
     public void attemptNotSent(int router, String reason) {
         increment("larchridge_attempts_not_sent", router, "reason", reason, "stage", "link");
     }
 
     /**
-     * An attempt was a retry or a hedged request; the reason says what became of the one before.
+     * An attempt was a retry or a hedged request; the reason is the outcome or state of the
+     * previous attempt.
      */
     public void retried(int router, String stage, String reason) {
         increment("larchridge_retries", router, "stage", stage, "reason", reason);
     }
 
-    /** The policy gave a generation up. */
+    /** The policy gave up on a generation. */
     public void requestAbandoned(int router, String product, String reason) {
         increment("larchridge_given_up", router, "product", product, "reason", reason);
     }
@@ -122,7 +126,7 @@
         increment("larchridge_called_off", router, "stage", stage, "reason", reason);
     }
 
-    /** A request was rejected before a router took it. */
+    /** A request was rejected before it reached a router. */
     public void requestRejected(String reason) {
         increment("larchridge_requests_refused", 0, "reason", reason, "stage", "door");
     }
@@ -132,12 +136,12 @@
         increment("larchridge_module_faults", router, "kind", "exception", "stage", "module");
     }
 
-    /** A usage record was lost, as the ledger's queue was full. */
+    /** A usage record was lost because the ledger's queue was full. */
     public void usageRecordLost(int router) {
         increment("larchridge_unbilled", router, "kind", "queue_full", "stage", "ledger");
     }
 
-    /** A periodic step ran so much later than it was due. */
+    /** A periodic task ran this long after it was due. */
     public void loopDelay(int router, double delayMs) {
         recordTime("larchridge_loop_delay", router, "", delayMs);
     }
--- a/src/main/java/larchridge/metrics/package-info.java
+++ b/src/main/java/larchridge/metrics/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The metrics that operators see. Its one class is {@link larchridge.metrics.RouterMetrics}, which
- * turns a router's events into meters of a registry; it knows the metrics' names and tags, and
- * nothing of routers, policies or engines.
+ * The metrics exposed to operators. Its only class, {@link larchridge.metrics.RouterMetrics}, turns
+ * a router's events into meters of a registry. It knows the names and tags of the metrics, but not
+ * routers, policies or engines.
  */
 package larchridge.metrics;
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Admits exchanges and generations, or rejects them: by the router's own limits, then by the
+ * Admits or rejects exchanges and generations: first by the router's own limits, then by the
  * tenant's budget, which may borrow quota from the other routers.
  */
 final class AdmissionController {
@@ -33,7 +33,7 @@
     private final Map<String, TenantQuota> tenantQuotas = new HashMap<>();
     private long admittedCount;
 
-    /** Null where no quota is lent. */
+    /** Null if quota borrowing is disabled. */
     private QuotaClient quotaClient;
 
     AdmissionController(
@@ -56,10 +56,10 @@
         quotaClient = client;
     }
 
-    /** Whether one more exchange may start; if so it is counted. */
+    /** Admits one more exchange and counts it, or returns false. */
     boolean tryAdmitExchange() {
-        // What is used and can't be recorded would be given away; the ledger reports in time that
-        // it is behind.
+        // Usage that cannot be recorded could not be billed. The ledger reports early that it is
+        // behind.
         boolean ledgerBehind = usageRecorder.isBehind();
         if (shutdown.isStopping()
                 || ledgerBehind
@@ -73,13 +73,16 @@
         return true;
     }
 
-    /** Admits a generation, or rejects it over budget; see {@link Router#submit}. */
+    /**
+     * Admits a generation, or rejects it because its tenant is over budget; see {@link
+     * Router#submit}.
+     */
     void submit(
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             Consumer<InFlightRequest> onAdmitted) {
-        // Guards against: a client whose body waited to be counted would wait that much longer than
-        // its deadline.
+        // Guards against: a client whose request body waited for its tokens to be counted would
+        // wait that much longer than its deadline.
         double arrivedMs = context.nowMs() - generationRequest.queuedMs();
         BudgetDecision decision = checkBudget(generationRequest);
         if (!decision.isAdmitted() && decision.isRateLimited() && quotaClient != null) {
@@ -104,8 +107,8 @@
     }
 
     /**
-     * Requests the quota that the generation lacks, to decide later; false if it can't be
-     * requested.
+     * Requests the missing quota and decides on admission once the lender responds; returns false
+     * if the quota cannot be requested.
      */
     private boolean borrowQuota(
             GenerationRequest generationRequest,
@@ -176,7 +179,7 @@
         LOG.atDebug()
                 .addKeyValue("tenant", generationRequest.tenant().name())
                 .addKeyValue("reason", decision.reason())
-                .log("over budget");
+                .log("request rejected: tenant is over budget");
         responseSink.rejectedOverBudget(decision);
     }
 
@@ -216,7 +219,7 @@
                 arrivedMs + deadlines.completionMs);
     }
 
-    /** The client's id of a forwarded request, or a name that no other router gives. */
+    /** The client's id for a forwarded request, or else an id that no other router assigns. */
     private String generationIdOf(GenerationRequest generationRequest) {
         return generationRequest.forwardedRequest() != null
                 ? generationRequest.forwardedRequest().id()
--- a/src/main/java/larchridge/router/AttemptCanceller.java
+++ b/src/main/java/larchridge/router/AttemptCanceller.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cancels attempts that are in flight; the outcome of a cancelled attempt still comes. */
+/** Cancels attempts that are in flight. The outcome of a cancelled attempt is still reported. */
 final class AttemptCanceller {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptCanceller.class);
 
@@ -28,13 +28,13 @@
             attempt.handle().cancel();
         }
         if (attempt.isRead() && attempt.holdsState()) {
-            // Guards against: a read that ended just as it was cancelled has left a state that no
+            // Guards against: a read that completes just as it is cancelled leaves a state that no
             // outcome reports.
             readStates.release(attempt);
         }
     }
 
-    /** Cancels the attempts of a request that have not ended. */
+    /** Cancels all attempts of a request that have not ended. */
     void cancelAll(InFlightRequest request, CancellationReason reason) {
         for (InFlightAttempt attempt : request.attempts()) {
             if (!attempt.isEnded()) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Ends the attempt whose stream has been silent for too long. */
+    /** Ends an attempt whose stream has been idle for too long. */
     void expireIdleStream(InFlightAttempt attempt) {
         context.metrics.attemptCancelled(
                 context.routerNumber, attempt.stage(), CancellationReason.SILENT_STREAM.tag());
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles the events of one attempt: passes its answer on to the client, meters it, and notifies
- * the policy.
+ * Handles the events of one attempt: passes its response on to the client, meters its usage and
+ * notifies the routing policy.
  */
 final class AttemptEventHandler implements AttemptListener {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptEventHandler.class);
@@ -70,7 +70,7 @@
         if (stateSource == null) {
             request.usageMeter().responseStartedInPlace(request.generationRequest().promptTokens());
         } else {
-            // The state has been fetched: nothing of it is left at its reader.
+            // The state was fetched, so the reader no longer holds it.
             stateSource.markStateRemoved();
             request.usageMeter()
                     .responseStartedFromRead(stateSource.meteredReadTokens(), stateSource.cachedTokens());
@@ -122,14 +122,14 @@
                 .addKeyValue("generation", request.id())
                 .addKeyValue("attempt", attempt.policyAttempt().number)
                 .addKeyValue("reason", reason)
-                .log("not sent");
+                .log("attempt not sent");
     }
 
     @Override
     public void requestUnprocessable() {
         services.context().updateClock();
-        // Guards against: retried, the request would use up its attempts and make every engine that
-        // rightly rejects it look unhealthy.
+        // Guards against: retrying the request would use up its attempts and make every engine that
+        // correctly rejects it appear unhealthy.
         attempt.markEnded();
         services.closer().failAndAbandon(request, ResponseSink.FailureCause.UNUSABLE_ANSWER);
     }
@@ -159,7 +159,8 @@
         if (outcome.provesNotRun) {
             attempt.markStateRemoved();
         } else {
-            // Guards against: its state may be held there though its answer did not come.
+            // Guards against: the engine may hold the state even though its response did not
+            // arrive.
             services.readStates().release(attempt);
         }
     }
@@ -169,8 +170,8 @@
                 outcome == AttemptOutcome.STREAMED
                         && services.finalResponses().complete(request, completion);
         if (!completed) {
-            // A stream that breaks is lost: the client has seen part of it, so no other attempt can
-            // continue it.
+            // A broken stream cannot be resumed: the client has already received part of it, so no
+            // other attempt can continue it.
             services.finalResponses().fail(request, ResponseSink.FailureCause.UPSTREAM_FAILED);
         }
     }
--- a/src/main/java/larchridge/router/AttemptSender.java
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -10,17 +10,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends the attempts that the policy has decided on, and counts retries with their reasons. */
+/** Sends the attempts that the routing policy requests, and counts retries by reason. */
 final class AttemptSender {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptSender.class);
 
-    /** The reason of an attempt that is the first of its stage. */
+    /** Reason of an attempt that is the first of its stage. */
     private static final String FIRST_ATTEMPT = "first";
 
-    /** The reason of an attempt beside another of its stage that is still in flight. */
+    /** Reason of an attempt that is sent while another of its stage is still in flight. */
     private static final String HEDGED = "beside";
 
-    /** The reason of an attempt after one whose state has been lost. */
+    /** Reason of an attempt that follows one whose state was lost. */
     private static final String STATE_LOST = "state_lost";
 
     private final RequestServices services;
@@ -81,8 +81,8 @@
     }
 
     /**
-     * What engines drop duplicates by: the client's own key, or the generation where the client
-     * gave none; null where engines drop none.
+     * The key by which engines detect duplicates: the client's own key, or the generation's id if
+     * the client sent none; null if engines do not detect duplicates.
      */
     private static String deduplicationKey(InFlightRequest request) {
         if (request.generation().trafficClass.effect != Effect.DEDUPLICATED) {
@@ -92,7 +92,7 @@
         return idempotencyKey != null ? idempotencyKey : request.id();
     }
 
-    /** Logs an attempt, and counts it with its reason where it is a retry of its stage. */
+    /** Logs the send of an attempt, and counts it by reason if it is a retry within its stage. */
     private void logAndCountSend(InFlightRequest request, InFlightAttempt attempt) {
         InFlightAttempt previous = null;
         for (InFlightAttempt earlier : request.attempts()) {
@@ -113,7 +113,10 @@
                 .log("SENT");
     }
 
-    /** Why an attempt is sent, by what became of the one before it in its stage, or null. */
+    /**
+     * The reason for sending an attempt, from the state of the previous attempt in its stage;
+     * {@code previous} may be null.
+     */
     private static String sendReason(InFlightAttempt previous) {
         if (previous == null) {
             return FIRST_ATTEMPT;
--- a/src/main/java/larchridge/router/CancellationReason.java
+++ b/src/main/java/larchridge/router/CancellationReason.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** Why an attempt in flight is cancelled. */
+/** Why an in-flight attempt is cancelled. */
 enum CancellationReason {
-    /** The client has disconnected, or its request has got its final answer. */
+    /** The client disconnected, or the request has its final response. */
     REQUEST_OVER,
-    /** The client's deadline has come. */
+    /** The client's deadline has passed. */
     TIME_UP,
-    /** The stream has been silent for too long. */
+    /** The stream has been idle for too long. */
     SILENT_STREAM,
     /** The policy prefers another attempt of the generation. */
     REPLACED;
 
-    /** The reason as a tag of metrics. */
+    /** The name as a metric tag. */
     String tag() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/larchridge/router/EndpointTable.java
+++ b/src/main/java/larchridge/router/EndpointTable.java
@@ -11,14 +11,14 @@
 import larchridge.state.Engine;
 import larchridge.upstream.Endpoint;
 
-/** The engines of the endpoint list, with the addresses at which they listen. */
+/** The engines in the endpoint list, with their addresses. */
 final class EndpointTable {
     private final Map<Long, Engine> enginesById = new HashMap<>();
     private final Map<Engine, EngineEntry> entries = new HashMap<>();
 
     /**
-     * Takes a new complete list and returns it as updates for the policy. An id at another address
-     * is another engine; the old one counts as removed.
+     * Replaces the complete list and returns it as updates for the routing policy. An id at a new
+     * address is a new engine; the previous one counts as removed.
      */
     List<EndpointUpdate> replaceWith(List<EngineEntry> list) {
         List<EndpointUpdate> updates = new ArrayList<>();
@@ -46,8 +46,8 @@
                 || (previous.port() == entry.port() && previous.host().equals(entry.host()))) {
             return engine;
         }
-        // Guards against: what is known of an address, and the attempts in flight there, are not
-        // those of the new one.
+        // Guards against: the statistics of the previous address, and the attempts in flight there,
+        // would be attributed to the new one.
         Engine replacement = new Engine(entry.id());
         enginesById.put(entry.id(), replacement);
         return replacement;
@@ -64,13 +64,13 @@
         entries.keySet().removeIf(engine -> !enginesById.containsValue(engine));
     }
 
-    /** Where an engine of the list listens. */
+    /** The address of a listed engine. */
     Endpoint endpointOf(Engine engine) {
         EngineEntry entry = entries.get(engine);
         return new Endpoint(entry.host(), entry.port());
     }
 
-    /** Visits all engines with where they listen. */
+    /** Visits all engines with their addresses. */
     void forEach(BiConsumer<Endpoint, Engine> visitor) {
         entries.forEach(
                 (engine, entry) ->
--- a/src/main/java/larchridge/router/FinalResponseSender.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -8,11 +8,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Gives each client its one final answer, and counts and logs it. */
+/** Sends each client its one final response, and counts and logs it. */
 final class FinalResponseSender {
     private static final Logger LOG = LoggerFactory.getLogger(FinalResponseSender.class);
 
-    /** A failure this close to the deadline for the first token is blamed on the deadline. */
+    /** A failure this close to the first-token deadline is reported as an exceeded deadline. */
     private static final double NEAR_DEADLINE_MS = 100;
 
     private final RouterContext context;
@@ -23,7 +23,7 @@
         this.usageRecorder = usageRecorder;
     }
 
-    /** The answer is complete; false if a final answer was given before. */
+    /** Completes the response; returns false if a final response was sent before. */
     boolean complete(InFlightRequest request, Completion completion) {
         if (!request.responseGuard().finish(ResponseGuard.FinalResponse.COMPLETED)) {
             return false;
@@ -34,7 +34,7 @@
         return true;
     }
 
-    /** Not now; retrying is harmless. Without effect after a final answer. */
+    /** Rejects the request; a retry is harmless. Does nothing after a final response. */
     void reject(InFlightRequest request, double retryAfterMs) {
         if (request.responseGuard().finish(ResponseGuard.FinalResponse.REJECTED)) {
             recordFinalResponse(request, "throttled");
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Failed, with a cause by whether its time is all but up. */
+    /** Fails the request; the cause depends on whether its first-token deadline is near. */
     void fail(InFlightRequest request) {
         boolean nearDeadline = context.nowMs() >= request.firstTokenDeadlineMs() - NEAR_DEADLINE_MS;
         fail(
@@ -53,7 +53,7 @@
                         : ResponseSink.FailureCause.UPSTREAM_FAILED);
     }
 
-    /** Failed, for this cause. Without effect after a final answer. */
+    /** Fails the request with this cause. Does nothing after a final response. */
     void fail(InFlightRequest request, ResponseSink.FailureCause cause) {
         if (request.responseGuard().finish(ResponseGuard.FinalResponse.FAILED)) {
             recordFinalResponse(request, "terminated");
@@ -70,7 +70,7 @@
                         && trafficClass.deduplicationScope == DeduplicationScope.ALL);
     }
 
-    /** Counts the end of a request whose client has disconnected or takes no answer. */
+    /** Counts the end of a request whose client disconnected or does not read its response. */
     void recordAborted(InFlightRequest request, String kind) {
         context.metrics.requestFinished(
                 context.routerNumber, request.offering().product.name, kind, Double.NaN);
--- a/src/main/java/larchridge/router/GenerationRequest.java
+++ b/src/main/java/larchridge/router/GenerationRequest.java
@@ -8,32 +8,32 @@
 import larchridge.upstream.ForwardedRequest;
 
 /**
- * A generation as a server has read it from its client.
+ * A generation request as a server has read it from its client.
  *
- * @param offering the product that the client asks for
- * @param tenant whose budget and bill it is
+ * @param offering the product that the client requests
+ * @param tenant the tenant that is billed
  * @param model the model's name for the engines
- * @param prompt the prompt as engines take it
- * @param promptTokens how many tokens it has
- * @param sharedPrefixTokens how many tokens the shared prefix has
- * @param maxTokens how many tokens the answer has at most
- * @param stopSequences texts that end the answer
- * @param sampling how tokens are drawn
- * @param sharedPrefixId digest of the prefix that other sessions share, or null
- * @param sessionId digest of the session's first turn: the same at every router for all of a
- *     session's turns
+ * @param prompt the prompt in the form that engines accept
+ * @param promptTokens length of the prompt in tokens
+ * @param sharedPrefixTokens length of the shared prefix in tokens
+ * @param maxTokens maximum length of the response in tokens
+ * @param stopSequences texts that end the response
+ * @param sampling sampling parameters
+ * @param sharedPrefixId digest of the prefix that is shared with other sessions, or null
+ * @param sessionId digest of the session's first turn: the same at every router for all turns of a
+ *     session
  * @param previousTurnDigest digest of the prompt of the session's previous turn, or null for a
  *     first turn
  * @param turnDigest digest of this prompt, by which the next turn finds its session
- * @param nonStreaming whether the client takes the answer in one piece
- * @param clientRetry whether the client has sent it before
- * @param clientTimeoutMs how long the client waits, or infinity if it does not say
+ * @param nonStreaming whether the client receives the response as a whole
+ * @param clientRetry whether the client has sent the request before
+ * @param clientTimeoutMs how long the client waits, or infinity if unknown
  * @param idempotencyKey the client's key for its retries, or null
- * @param queuedMs how long its body has waited to be read and counted
- * @param onPromptTokensReported receives on the router's loop the prompt's length as an engine
- *     reports it
- * @param forwardedRequest what is forwarded to engines as it came, or null where the upstream
- *     client encodes its own requests; a forwarded generation has the client's id
+ * @param queuedMs how long the request body has waited to be read and its tokens counted
+ * @param onPromptTokensReported called on the router's loop with the prompt length that an engine
+ *     reports
+ * @param forwardedRequest the request that is forwarded to engines unchanged, or null if the
+ *     upstream client encodes its own requests; a forwarded generation has the client's id
  */
 public record GenerationRequest(
         ProductOffering offering,
@@ -58,7 +58,7 @@
         ForwardedRequest forwardedRequest) {
 
     /**
-     * For a request that is forwarded as it came.
+     * Creates a request that is forwarded to engines unchanged.
      *
      * @param sharedPrefixId the client's own name for the shared prefix, or null
      * @param sessionId the client's own name for the session, or null
@@ -98,12 +98,12 @@
                 forwardedRequest);
     }
 
-    /** A builder of a generation that the upstream client encodes for the engines. */
+    /** Returns a builder of a generation that the upstream client encodes for the engines. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Collects what a server reads of a generation; what may be absent has a default. */
+    /** Builds a generation request; optional values have defaults. */
     public static final class Builder {
         private ProductOffering offering;
         private Site.Tenant tenant;
@@ -127,47 +127,49 @@
 
         private Builder() {}
 
-        /** The product that the client asks for, and the tenant that pays for it. */
+        /** Sets the product that the client requests and the tenant that pays for it. */
         public Builder product(ProductOffering newOffering, Site.Tenant newTenant) {
             offering = newOffering;
             tenant = newTenant;
             return this;
         }
 
-        /** The model's name for the engines. */
+        /** Sets the model's name for the engines. */
         public Builder model(String newModel) {
             model = newModel;
             return this;
         }
 
-        /** The prompt as engines take it, and how many tokens it has. */
+        /** Sets the prompt in the form that engines accept, and its length in tokens. */
         public Builder prompt(String newPrompt, int newPromptTokens) {
             prompt = newPrompt;
             promptTokens = newPromptTokens;
             return this;
         }
 
-        /** The prefix that other sessions share, null for none, and how many tokens it has. */
+        /**
+         * Sets the prefix that is shared with other sessions, or null, and its length in tokens.
+         */
         public Builder sharedPrefix(String newSharedPrefixId, int newSharedPrefixTokens) {
             sharedPrefixId = newSharedPrefixId;
             sharedPrefixTokens = newSharedPrefixTokens;
             return this;
         }
 
-        /** How long the answer may be, and which texts end it. */
+        /** Sets the maximum length of the response and the texts that end it. */
         public Builder limits(int newMaxTokens, List<String> newStopSequences) {
             maxTokens = newMaxTokens;
             stopSequences = newStopSequences;
             return this;
         }
 
-        /** How tokens are drawn. */
+        /** Sets the sampling parameters. */
         public Builder sampling(AttemptRequest.Sampling newSampling) {
             sampling = newSampling;
             return this;
         }
 
-        /** The session, its previous turn, null for none, and this turn. */
+        /** Sets the session, its previous turn, or null for a first turn, and this turn. */
         public Builder session(
                 String newSessionId, String newPreviousTurnDigest, String newTurnDigest) {
             sessionId = newSessionId;
@@ -176,43 +178,43 @@
             return this;
         }
 
-        /** Whether the client takes the answer in one piece. */
+        /** Sets whether the client receives the response as a whole. */
         public Builder nonStreaming(boolean newNonStreaming) {
             nonStreaming = newNonStreaming;
             return this;
         }
 
-        /** Whether the client has sent it before. */
+        /** Sets whether the client has sent the request before. */
         public Builder clientRetry(boolean newClientRetry) {
             clientRetry = newClientRetry;
             return this;
         }
 
-        /** How long the client waits; without a limit unless set. */
+        /** Sets how long the client waits; unlimited by default. */
         public Builder clientTimeoutMs(double newClientTimeoutMs) {
             clientTimeoutMs = newClientTimeoutMs;
             return this;
         }
 
-        /** The client's key for its retries, or null. */
+        /** Sets the client's key for its retries, or null. */
         public Builder idempotencyKey(String newIdempotencyKey) {
             idempotencyKey = newIdempotencyKey;
             return this;
         }
 
-        /** How long its body has waited to be read and counted. */
+        /** Sets how long the request body has waited to be read and its tokens counted. */
         public Builder queuedMs(double newQueuedMs) {
             queuedMs = newQueuedMs;
             return this;
         }
 
-        /** Receives the prompt's length as an engine reports it. */
+        /** Sets the listener for the prompt length that an engine reports. */
         public Builder onPromptTokensReported(IntConsumer listener) {
             onPromptTokensReported = listener;
             return this;
         }
 
-        /** The generation with all that was set. */
+        /** Builds the request. */
         public GenerationRequest build() {
             return new GenerationRequest(
                     offering,
--- a/src/main/java/larchridge/router/GracefulShutdown.java
+++ b/src/main/java/larchridge/router/GracefulShutdown.java
@@ -1,21 +1,23 @@
 package larchridge.router;
 
 /**
- * Counts the clients' exchanges and, once the router shuts down, waits until none is left and the
- * last releases of states have been sent; then closes the connections to the engines.
+ * Counts the clients' exchanges. Once the router is shutting down, waits until none is left and the
+ * last state releases have been sent, then closes the connections to the engines.
  */
 final class GracefulShutdown {
-    /** How long the last releases have to be sent before they are first checked. */
+    /** Time allowed for sending the last state releases before they are first checked. */
     private static final double RELEASE_GRACE_MS = 200;
 
-    /** How often the last releases are checked after that. */
+    /** Interval between checks of the last state releases after that. */
     private static final double RELEASE_CHECK_INTERVAL_MS = 20;
 
     private final RouterContext context;
     private int exchanges;
     private boolean stopping;
 
-    /** Run once all is over; null before the shutdown begins and after it has ended. */
+    /**
+     * Called at the end of the shutdown; null before the shutdown begins and after it has ended.
+     */
     private Runnable onStopped;
 
     GracefulShutdown(RouterContext context) {
@@ -44,7 +46,7 @@
         onStopped = whenStopped;
     }
 
-    /** Goes on to the last releases if the router is shutting down and has nothing left to do. */
+    /** Proceeds to the last state releases if the router is shutting down and is idle. */
     void checkIdle() {
         if (onStopped != null && exchanges == 0 && context.requests.isEmpty()) {
             Runnable whenStopped = onStopped;
@@ -57,8 +59,8 @@
     }
 
     /**
-     * Closes the connections once the last releases have been sent; after the time for which
-     * engines hold states they have no effect.
+     * Closes the connections once the last state releases have been sent, or once engines no longer
+     * hold the states, when releases have no effect.
      */
     private void closeUpstream(double deadlineMs, Runnable whenStopped) {
         context.updateClock();
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -6,9 +6,9 @@
 import larchridge.upstream.UpstreamClient;
 
 /**
- * The router's side of one attempt: its endpoint, the state it holds there, and the handle to stop
- * it. An attempt is sent, completes its read if it is one, and ends; the state of a read is held at
- * its reader from the send until it is fetched or released.
+ * The router's view of one attempt: its endpoint, the state that it holds there, and the handle to
+ * cancel it. An attempt is sent, completes its read if it is one, and ends. The reader holds the
+ * state of a read from the send until the state is fetched or released.
  */
 final class InFlightAttempt {
     private final Attempt policyAttempt;
@@ -23,12 +23,12 @@
     private int cachedTokens;
 
     /**
-     * An attempt that is about to be sent.
+     * Creates an attempt that is about to be sent.
      *
-     * @param policyAttempt the policy's view of it
-     * @param endpoint where its engine listens
-     * @param attemptId names it at the engine, also for the release of its state
-     * @param stateSource the read whose state it is to fetch, or null
+     * @param policyAttempt the policy's view of the attempt
+     * @param endpoint the address of its engine
+     * @param attemptId identifies the attempt at the engine, also when its state is released
+     * @param stateSource the read whose state the attempt is to fetch, or null
      */
     InFlightAttempt(
             Attempt policyAttempt, Endpoint endpoint, String attemptId, InFlightAttempt stateSource) {
@@ -59,7 +59,7 @@
         return policyAttempt.read;
     }
 
-    /** The stage as metrics and logs name it. */
+    /** The stage as named in metrics and logs. */
     String stage() {
         return policyAttempt.read ? "read" : "write";
     }
@@ -68,12 +68,12 @@
         return handle;
     }
 
-    /** The state that its read has left, or null. */
+    /** The state that its read produced, or null. */
     StateHandle state() {
         return state;
     }
 
-    /** Whether a state is, or may be, held at the engine and has not been released. */
+    /** Whether the engine holds, or may hold, a state that has not been released. */
     boolean holdsState() {
         return holdsState;
     }
@@ -82,12 +82,12 @@
         return ended;
     }
 
-    /** What its read counts as, or 0 before it has read. */
+    /** The metered tokens of its read, or 0 before the read completes. */
     long meteredReadTokens() {
         return meteredReadTokens;
     }
 
-    /** Prompt tokens that its engine had cached. */
+    /** Number of prompt tokens that its engine had cached. */
     int cachedTokens() {
         return cachedTokens;
     }
@@ -96,7 +96,7 @@
         handle = attemptHandle;
     }
 
-    /** Its read has ended and has left a state at its engine. */
+    /** The read completed, and its engine holds the state. */
     void readCompleted(StateHandle leftState, long countedTokens, int tokensFromCache) {
         ended = true;
         state = leftState;
@@ -108,7 +108,7 @@
         ended = true;
     }
 
-    /** Its state has been fetched or released, or never was there. */
+    /** The state was fetched or released, or never existed. */
     void markStateRemoved() {
         holdsState = false;
     }
--- a/src/main/java/larchridge/router/InFlightRequest.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -9,8 +9,8 @@
 import larchridge.state.Generation;
 
 /**
- * A generation that a router has admitted, with its client and its attempts. The client's side of
- * the connection reports through it what happens to the client. Used on the router's loop only.
+ * A generation that a router has admitted, with its client and its attempts. The server reports
+ * client events through it. Used on the router's loop only.
  */
 public final class InFlightRequest {
     private static final long NO_TIMER = -1;
@@ -24,7 +24,7 @@
     private final ResponseGuard responseGuard = new ResponseGuard();
     private final List<InFlightAttempt> attempts = new ArrayList<>(2);
 
-    /** By when an answer in one piece must be complete; infinite for a streamed answer. */
+    /** Deadline for a complete non-streaming response; infinite for a streaming one. */
     private final double completionDeadlineMs;
 
     private String billId;
@@ -56,22 +56,22 @@
                 new UsageMeter(generationRequest.promptTokens(), generationRequest.maxTokens());
     }
 
-    /** The client has disconnected. */
+    /** The client disconnected. */
     public void clientDisconnected() {
         router.clientDisconnected(this);
     }
 
-    /** The client can't take more of the answer for now. */
+    /** The client cannot receive more of the response for now. */
     public void pause() {
         router.pause(this);
     }
 
-    /** The client can take more of the answer again. */
+    /** The client can receive more of the response again. */
     public void resume() {
         router.resume(this);
     }
 
-    /** Names the generation in logs and answers. */
+    /** The generation's id in logs and responses. */
     public String id() {
         return generation.id;
     }
@@ -108,7 +108,7 @@
         return generationRequest.offering().isBatch;
     }
 
-    /** By when the answer must begin. */
+    /** Deadline for the first token of the response. */
     double firstTokenDeadlineMs() {
         return generation.deadlineMs;
     }
@@ -121,14 +121,14 @@
         return nowMs - generation.arrivedMs;
     }
 
-    /** The time since the arrival as a share of the time that its latency objective allows. */
+    /** The time since the arrival as a fraction of the latency objective. */
     double latencyObjectiveFraction(double nowMs) {
         return (nowMs - generation.arrivedMs) / (generation.sloDeadlineMs() - generation.arrivedMs);
     }
 
     // ------------------------------------------------------------------ attempts
 
-    /** All attempts in the order of their numbers; to be read only. */
+    /** All attempts in the order of their numbers; must not be modified. */
     List<InFlightAttempt> attempts() {
         return attempts;
     }
@@ -141,9 +141,7 @@
         attempts.add(attempt);
     }
 
-    /**
-     * Whether an attempt that has not ended fetches, or is yet to fetch, the state of this read.
-     */
+    /** Whether an attempt that has not ended fetches, or will fetch, the state of this read. */
     boolean isStateClaimed(InFlightAttempt read) {
         for (InFlightAttempt attempt : attempts) {
             if (attempt.stateSource() == read && !attempt.isEnded()) {
@@ -153,14 +151,16 @@
         return false;
     }
 
-    // ------------------------------------------------------------------ the stream to the client
+    // ------------------------------------------------------------------ response stream
 
-    /** The attempt whose answer goes to the client, or null before an answer has begun. */
+    /**
+     * The attempt whose response is streamed to the client, or null before a response has started.
+     */
     InFlightAttempt streamingAttempt() {
         return streamingAttempt;
     }
 
-    /** Whether what this attempt sends goes to the client. */
+    /** Whether the output of this attempt goes to the client. */
     boolean streamsFrom(InFlightAttempt attempt) {
         return streamingAttempt == attempt && !responseGuard.isFinished();
     }
@@ -182,7 +182,7 @@
         return paused;
     }
 
-    /** Whether it has been paused without a break since that time. */
+    /** Whether the stream has been paused without interruption since that time. */
     boolean isPausedSince(double sinceMs) {
         return paused && pausedSinceMs == sinceMs;
     }
@@ -214,7 +214,7 @@
         billId = id;
     }
 
-    /** What identical requests without an idempotency key are found by, or null with a key. */
+    /** Identifies identical requests without an idempotency key; null for requests with a key. */
     String duplicateKey() {
         return duplicateKey;
     }
@@ -227,7 +227,7 @@
         return recorded;
     }
 
-    /** Whether waste or attempts were added after the use was recorded. */
+    /** Whether waste or attempts were added after the usage was recorded. */
     boolean hasUnrecordedUsage() {
         return unrecordedWastedTokens() > 0 || unrecordedAttempts() > 0;
     }
@@ -240,7 +240,7 @@
         return attempts.size() - recordedAttempts;
     }
 
-    /** Notes whether the use up to now is in the ledger's queue. */
+    /** Sets whether the usage so far was queued for the ledger. */
     void markRecorded(boolean queued) {
         recorded = queued;
         recordedWastedTokens = usageMeter.wastedTokens();
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -2,25 +2,28 @@
 
 import larchridge.planner.LatencySample;
 
-/** Samples the latency of interactive (non-batch) generations, for the limit on batch work. */
+/**
+ * Samples the latency of interactive (non-batch) generations; the limit on batch work depends on
+ * it.
+ */
 final class LatencyTracker {
     private LatencySample sample = new LatencySample();
 
-    /** An answer has begun. */
+    /** A response has started. */
     void responseStarted(InFlightRequest request, double nowMs) {
         if (!request.isBatch()) {
             sample.begun(request.latencyObjectiveFraction(nowMs));
         }
     }
 
-    /** A request was rejected, or failed because its time was up. */
+    /** A request was rejected, or failed because its deadline had passed. */
     void rejected(InFlightRequest request) {
         if (!request.isBatch()) {
             sample.turnedAway();
         }
     }
 
-    /** The sample since the last call, completed by the requests in flight now. */
+    /** Returns the sample since the last call, including the requests that are in flight now. */
     LatencySample takeSample(Iterable<InFlightRequest> requests, double nowMs) {
         int unanswered = 0;
         double longestWait = 0;
--- a/src/main/java/larchridge/router/LoopMonitor.java
+++ b/src/main/java/larchridge/router/LoopMonitor.java
@@ -1,6 +1,8 @@
 package larchridge.router;
 
-/** Measures the delay of the router's loop, and keeps figures for readers on other threads. */
+/**
+ * Measures the scheduling delay of the router's loop, and publishes gauge values to other threads.
+ */
 final class LoopMonitor {
     private static final int INTERVAL_MS = 100;
 
--- a/src/main/java/larchridge/router/PolicyNotifier.java
+++ b/src/main/java/larchridge/router/PolicyNotifier.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Passes events on to the routing policy. Guards against: a fault of the policy would lose the
- * request it was deciding on; that request fails instead.
+ * Passes events on to the routing policy. Guards against: an exception in the policy would lose the
+ * request that it was handling; that request fails instead.
  */
 final class PolicyNotifier {
     private static final Logger LOG = LoggerFactory.getLogger(PolicyNotifier.class);
@@ -25,7 +25,10 @@
         this.finalResponses = finalResponses;
     }
 
-    /** Sets the policy, before the first event; it is made last, since it acts as it is made. */
+    /**
+     * Sets the policy before the first event. The policy is created last, since its constructor
+     * already calls the router.
+     */
     void attach(PolicyEvents routingPolicy) {
         policy = routingPolicy;
     }
@@ -80,13 +83,16 @@
         runGuarded(null, policy::wakeUp);
     }
 
-    /** Runs one event; request is null for an event that is no single request's. */
+    /**
+     * Delivers one event; {@code request} is null for an event that does not concern a single
+     * request.
+     */
     private void runGuarded(InFlightRequest request, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
             context.metrics.policyFailed(context.routerNumber);
-            LOG.error("the routing policy failed", e);
+            LOG.error("routing policy threw an exception", e);
             if (request != null) {
                 finalResponses.fail(request, ResponseSink.FailureCause.INTERNAL);
                 request.generation().finish();
--- a/src/main/java/larchridge/router/QuotaClient.java
+++ b/src/main/java/larchridge/router/QuotaClient.java
@@ -2,24 +2,24 @@
 
 import larchridge.budget.QuotaRequest;
 
-/** Borrows quota from the lender that the routers share, where a budget is short of it here. */
+/** Borrows quota from the lender that the routers share when a budget on this router runs short. */
 public interface QuotaClient {
-    /** Receives the lender's answer; never called from inside {@link QuotaClient#request}. */
+    /** Receives the lender's response; never called from within {@link QuotaClient#request}. */
     interface Listener {
         /**
-         * The lender has answered, or did not in time.
+         * The lender responded, or the request timed out.
          *
-         * @param tokens what was granted, or 0
-         * @param retryAfterMs after how many milliseconds a grant is possible
+         * @param tokens the granted tokens, or 0
+         * @param retryAfterMs the time in milliseconds after which a grant is possible
          */
         void granted(double tokens, double retryAfterMs);
     }
 
     /**
-     * Sends a request; false if the lender can't be asked now, and then the listener isn't called.
+     * Sends a request; returns false, and does not call the listener, if the lender is unavailable.
      */
     boolean request(QuotaRequest quotaRequest, Listener listener);
 
-    /** Whether the lender answered the last request. */
+    /** Whether the lender responded to the last request. */
     boolean isResponsive();
 }
--- a/src/main/java/larchridge/router/ReadStateReleases.java
+++ b/src/main/java/larchridge/router/ReadStateReleases.java
@@ -2,7 +2,9 @@
 
 import larchridge.state.Generation;
 
-/** Releases the states that reads have left at their engines and that no attempt is to fetch. */
+/**
+ * Releases the states that completed reads left at their engines and that no attempt will fetch.
+ */
 final class ReadStateReleases {
     private final RouterContext context;
 
@@ -10,7 +12,9 @@
         this.context = context;
     }
 
-    /** Releases every state of a generation whose read has ended and that no attempt waits for. */
+    /**
+     * Releases every state of a generation whose read has ended and that no attempt is waiting for.
+     */
     void releaseUnclaimed(Generation generation) {
         InFlightRequest request = context.requests.get(generation);
         if (request == null) {
@@ -23,13 +27,13 @@
         }
     }
 
-    /** Releases the state that this read holds, or may hold. */
+    /** Releases the state that the engine holds, or may hold, for this read. */
     void release(InFlightAttempt attempt) {
         attempt.markStateRemoved();
         context.upstream.release(attempt.endpoint(), attempt.attemptId());
     }
 
-    /** How many states are held, or may be, for all requests in flight. */
+    /** Number of states that are, or may be, held for all requests in flight. */
     int heldStates() {
         int held = 0;
         for (InFlightRequest request : context.requests.values()) {
--- a/src/main/java/larchridge/router/RequestCloser.java
+++ b/src/main/java/larchridge/router/RequestCloser.java
@@ -5,7 +5,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ends the work for requests that are answered or whose clients have disconnected. */
+/**
+ * Ends processing of requests that have their final response or whose clients have disconnected.
+ */
 final class RequestCloser {
     private static final Logger LOG = LoggerFactory.getLogger(RequestCloser.class);
 
@@ -34,7 +36,7 @@
         this.shutdown = shutdown;
     }
 
-    /** The client has disconnected. */
+    /** Ends a request whose client disconnected. */
     void clientDisconnected(InFlightRequest request) {
         if (!request.responseGuard().finish(ResponseGuard.FinalResponse.DISCONNECTED)) {
             return;
@@ -45,7 +47,7 @@
         abandon(request);
     }
 
-    /** Cuts off a client that takes nothing of its answer. */
+    /** Aborts the response to a client that does not read it. */
     void abortSlowClient(InFlightRequest request) {
         if (!request.responseGuard().finish(ResponseGuard.FinalResponse.FAILED)) {
             return;
@@ -56,13 +58,13 @@
         abandon(request);
     }
 
-    /** Fails a request and ends its attempts. */
+    /** Fails a request and cancels its attempts. */
     void failAndAbandon(InFlightRequest request, ResponseSink.FailureCause cause) {
         finalResponses.fail(request, cause);
         abandon(request);
     }
 
-    /** Fails all requests in flight that have no final answer yet. */
+    /** Fails all requests in flight that have no final response yet. */
     void failAll(ResponseSink.FailureCause cause) {
         for (InFlightRequest request : List.copyOf(context.requests.values())) {
             if (!request.responseGuard().isFinished()) {
@@ -71,14 +73,14 @@
         }
     }
 
-    /** Notifies the policy that nobody waits for the request, and cancels its attempts. */
+    /** Notifies the policy that no client waits for the request, and cancels its attempts. */
     private void abandon(InFlightRequest request) {
         policy.clientDisconnected(request);
         attemptCanceller.cancelAll(request, CancellationReason.REQUEST_OVER);
         closeIfFinished(request);
     }
 
-    /** Removes the request if it is answered and has no attempt in flight. */
+    /** Removes the request if it has its final response and no attempt in flight. */
     void closeIfFinished(InFlightRequest request) {
         if (!isFinished(request) || context.requests.get(request.generation()) == null) {
             return;
@@ -90,7 +92,7 @@
         shutdown.checkIdle();
     }
 
-    /** Removes all requests that are over, after an event that is no single request's. */
+    /** Removes all finished requests, after an event that does not concern a single request. */
     void closeAllFinished() {
         if (context.requests.isEmpty()) {
             return;
--- a/src/main/java/larchridge/router/RequestServices.java
+++ b/src/main/java/larchridge/router/RequestServices.java
@@ -1,14 +1,15 @@
 package larchridge.router;
 
 /**
- * The parts of a router that handle the events of requests and attempts; made once for a router.
+ * The components of a router that handle the events of requests and attempts; created once per
+ * router.
  *
- * @param context what all parts share
+ * @param context state shared by all components
  * @param policy passes events on to the routing policy
- * @param finalResponses gives clients their final answers
- * @param readStates releases states that reads have left
- * @param closer removes requests that are over
- * @param timeouts ends requests whose time is up
+ * @param finalResponses sends clients their final responses
+ * @param readStates releases the states that reads left at engines
+ * @param closer removes finished requests
+ * @param timeouts ends requests that exceed a time limit
  */
 record RequestServices(
         RouterContext context,
--- a/src/main/java/larchridge/router/RequestTimeouts.java
+++ b/src/main/java/larchridge/router/RequestTimeouts.java
@@ -1,14 +1,17 @@
 package larchridge.router;
 
-/** Ends requests whose time is up, whose clients take nothing or whose streams fall silent. */
+/**
+ * Ends requests that exceed a deadline, whose clients do not read their response, or whose streams
+ * are idle for too long.
+ */
 final class RequestTimeouts {
     /**
-     * The router answers this long before the client's deadline if the policy, which gives up
-     * earlier, has not.
+     * The router fails a request this long before the client's deadline if the policy, which gives
+     * up earlier, has not.
      */
     static final double DEADLINE_MARGIN_MS = 8;
 
-    /** A stream that has this much or less of its quiet time left counts as silent. */
+    /** A stream with this much or less of its idle timeout left counts as idle. */
     private static final double IDLE_TOLERANCE_MS = 1;
 
     private final RouterContext context;
@@ -24,7 +27,7 @@
 
     // ------------------------------------------------------------------ deadlines
 
-    /** Ends the request if it has no answer shortly before its deadline. */
+    /** Ends the request if its response has not started shortly before the deadline. */
     void watchDeadline(InFlightRequest request) {
         double delayMs = request.firstTokenDeadlineMs() - context.nowMs() - DEADLINE_MARGIN_MS;
         request.setDeadlineTimer(
@@ -60,7 +63,10 @@
 
     // ------------------------------------------------------------------ slow clients
 
-    /** The client takes no more for now; if it stays so for too long it is cut off. */
+    /**
+     * Pauses the stream of a client that cannot receive more for now, and aborts the response if it
+     * stays paused for too long.
+     */
     void pause(InFlightRequest request) {
         if (request.isPaused()) {
             return;
@@ -71,15 +77,15 @@
         context.scheduler.schedule(
                 context.site.limit.slowClientMs,
                 () -> {
-                    // Guards against: a client that takes nothing would hold its writer's memory
-                    // for ever.
+                    // Guards against: a client that never reads its response would occupy its
+                    // writer's memory indefinitely.
                     if (request.isPausedSince(sinceMs)) {
                         closer.abortSlowClient(request);
                     }
                 });
     }
 
-    /** The client takes more of its answer again. */
+    /** Resumes the stream of a client that can receive more again. */
     void resume(InFlightRequest request) {
         if (request.isPaused()) {
             context.updateClock();
@@ -87,9 +93,9 @@
         }
     }
 
-    // ------------------------------------------------------------------ silent streams
+    // ------------------------------------------------------------------ idle streams
 
-    /** Ends the stream that has just begun if it falls silent for too long. */
+    /** Ends the stream, which has just started, if it is idle for too long. */
     void watchStreamIdle(InFlightRequest request) {
         scheduleStreamIdleCheck(request, context.site.limit.quietStreamMs);
     }
--- a/src/main/java/larchridge/router/ResponseDeadlines.java
+++ b/src/main/java/larchridge/router/ResponseDeadlines.java
@@ -3,16 +3,17 @@
 import larchridge.site.ProductOffering;
 
 /**
- * By when a client must be answered: with the first token of a streamed answer, with the last of an
- * answer in one piece. Times are milliseconds after the arrival. Without I/O, clock or threads.
+ * The deadlines for the response to a client: for the first token of a streaming response, and for
+ * the last token of a non-streaming one. Times are in milliseconds after the arrival. Free of I/O,
+ * clocks and threads.
  */
 final class ResponseDeadlines {
-    /** Kept free before the client's own timeout, for the final answer to reach it. */
+    /** Time reserved before the client's own timeout for the final response to reach the client. */
     private static final double DELIVERY_MARGIN_MS = 15;
 
     final double firstTokenMs;
 
-    /** By when the answer must be complete; infinite for a streamed answer. */
+    /** Deadline for the complete response; infinite for a streaming response. */
     final double completionMs;
 
     private ResponseDeadlines(double firstTokenMs, double completionMs) {
@@ -21,10 +22,10 @@
     }
 
     /**
-     * The deadlines of a request for this many tokens at most.
+     * Computes the deadlines of a request with a limit on its output tokens.
      *
-     * @param nonStreaming whether the client takes the answer in one piece
-     * @param clientTimeoutMs how long the client waits, or infinity if it does not say
+     * @param nonStreaming whether the client receives the response as a whole
+     * @param clientTimeoutMs how long the client waits, or infinity if unknown
      */
     static ResponseDeadlines of(
             ProductOffering offering,
@@ -38,8 +39,8 @@
                     Math.max(0, Math.min(productDeadlineMs, clientTimeoutMs - DELIVERY_MARGIN_MS)),
                     Double.POSITIVE_INFINITY);
         }
-        // An answer in one piece is late when its last token is: the first is due before the
-        // remaining time is too short to generate the rest.
+        // A non-streaming response is late when its last token is late, so its first token is due
+        // while enough time remains to generate the rest.
         double completionMs =
                 Math.min(productDeadlineMs + maxTokens * offering.product.tokenMs, clientTimeoutMs)
                         - DELIVERY_MARGIN_MS;
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -1,18 +1,21 @@
 package larchridge.router;
 
 /**
- * The state of the answer to one client: not begun, begun, and final. It is the one place at which
- * a final answer can be given, so that each client gets exactly one. Without I/O, clock or threads.
+ * The state of the response to one client: not started, started, or finished. Every final response
+ * is permitted here, so that each client gets exactly one. Free of I/O, clocks and threads.
  */
 final class ResponseGuard {
-    /** The three final answers, and the end of a request whose client has disconnected. */
+    /** The three final responses, and the end of a request whose client has disconnected. */
     enum FinalResponse {
         COMPLETED("streamed"),
         REJECTED("throttled"),
         FAILED("terminated"),
         DISCONNECTED("gone");
 
-        /** The answer's name in usage records of the ledger; stored, so never changed. */
+        /**
+         * The name of the response in usage records of the ledger. It is stored, so it must not
+         * change.
+         */
         final String recordedName;
 
         FinalResponse(String recordedName) {
@@ -23,7 +26,7 @@
     private FinalResponse finalResponse;
     private boolean started;
 
-    /** Notes that the answer begins; false if it has begun, or a final answer was given, before. */
+    /** Marks the response as started; returns false if it had started or finished before. */
     boolean start() {
         if (finalResponse != null || started) {
             return false;
@@ -40,14 +43,14 @@
         return finalResponse != null;
     }
 
-    /** The final answer that was given, or null. */
+    /** The final response, or null if there is none yet. */
     FinalResponse finalResponse() {
         return finalResponse;
     }
 
     /**
-     * Gives this final answer, or returns false if one was given before. An answer that the client
-     * has seen part of can't be rejected, and one that has not begun can't be complete.
+     * Sets the final response, or returns false if there is one already. A response that the client
+     * has seen part of cannot be rejected, and one that has not started cannot be complete.
      */
     boolean finish(FinalResponse answer) {
         if (finalResponse != null) {
@@ -55,7 +58,7 @@
         }
         if ((answer == FinalResponse.REJECTED && started)
                 || (answer == FinalResponse.COMPLETED && !started)) {
-            throw new IllegalStateException(answer + " is not possible here");
+            throw new IllegalStateException(answer + " is not a valid final response in this state");
         }
         finalResponse = answer;
         return true;
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -4,68 +4,70 @@
 import larchridge.upstream.Completion;
 
 /**
- * One client's exchange, as a server's protocol carries it; called on the router's loop. Exactly
- * one final answer comes.
+ * The client side of one exchange, implemented by a server's protocol and called on the router's
+ * loop. Receives exactly one final response.
  */
 public interface ResponseSink {
-    /** The answer begins; this many prompt tokens were cached. */
+    /** The response starts; this many prompt tokens were cached. */
     void responseStarted(int cachedTokens);
 
     /**
-     * A piece of the answer, to be buffered until {@link #flush} or a final answer; false if it
-     * can't be sent to the client.
+     * Buffers a chunk of the response until {@link #flush} or the final response; returns false if
+     * the chunk cannot be sent to the client.
      */
     boolean textReceived(String text);
 
     /**
-     * Complete events to be sent on as they came, and buffered like pieces; only for clients whose
-     * requests were forwarded.
+     * Buffers complete events, like chunks, to be forwarded unchanged; only called for clients
+     * whose requests are forwarded.
      */
     default void eventsReceived(byte[] events) {
-        throw new UnsupportedOperationException("this protocol does not forward events");
+        throw new UnsupportedOperationException("this protocol does not support forwarded events");
     }
 
-    /** How many pieces are buffered and have not been sent. */
+    /** Number of buffered chunks that have not been sent. */
     default int pendingChunks() {
         return 0;
     }
 
-    /** Sends what is buffered. */
+    /** Sends the buffered chunks. */
     default void flush() {}
 
     /** Whether the client has disconnected. */
     boolean isDisconnected();
 
-    /** What the tenant's budget says of the request; comes before anything else. */
+    /** The tenant's budget was checked; called before any other method. */
     default void budgetChecked(BudgetDecision decision) {}
 
     /**
-     * Final: the tenant is over its budget; retrying after the time in the decision is harmless
-     * and, if it is the only request, admitted.
+     * Final response: the tenant is over its budget. A retry after the time in the decision is
+     * harmless and, if it is the only request, admitted.
      */
     void rejectedOverBudget(BudgetDecision decision);
 
-    /** Final: the answer is complete. */
+    /** Final response: the response is complete. */
     void completed(Completion completion);
 
-    /** Final: not now, and retrying is harmless; after this time, if it is more than 0. */
+    /**
+     * Final response: rejected for now. A retry is harmless, after this time if it is more than 0.
+     */
     void rejected(double retryAfterMs);
 
-    /** Final: failed; {@code mayRetry} says whether retrying is harmless. */
+    /** Final response: failed; {@code mayRetry} says whether a retry is harmless. */
     void failed(FailureCause cause, boolean mayRetry);
 
-    /** Final, without an answer: the client does not take what it is sent. */
+    /** Ends the exchange without a final response: the client does not read what it is sent. */
     void aborted();
 
     /** Why a generation failed. */
     enum FailureCause {
-        /** The client's deadline has come. */
+        /** The client's deadline has passed. */
         DEADLINE_EXCEEDED,
-        /** No attempt at any engine brought an answer, or the stream broke. */
+        /** No attempt at any engine produced a response, or the stream broke. */
         UPSTREAM_FAILED,
-        /** The router shuts down. */
+        /** The router is shutting down. */
         SHUTTING_DOWN,
-        /** A fault of the router itself. */
+        /** An internal error of the router. */
         INTERNAL,
         /** Engines reject the request itself. */
         UNUSABLE_ANSWER
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -25,14 +25,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One router: an event loop, a routing policy and the generations it has admitted. It notifies the
- * policy of events and carries out what the policy decides; every choice of engine, wait, retry and
- * rejection is the policy's. All methods run on the loop on which it was made.
+ * One router: an event loop, a routing policy and the generations that it has admitted. It notifies
+ * the policy of events and carries out the policy's decisions; the policy makes every choice of
+ * engine, wait, retry and rejection. All methods run on the loop on which the router was created.
  */
 public final class Router implements PolicyActions {
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
 
-    /** Null with a scheduler that is no Vert.x loop. */
+    /** Null if the scheduler is not a Vert.x loop. */
     private final Vertx vertx;
 
     private final Context loop;
@@ -49,7 +49,10 @@
     private final AttemptSender attemptSender;
     private final AdmissionController admission;
 
-    /** To be made on the loop that is to own it; ledger is null where usage is not recorded. */
+    /**
+     * Creates a router on the current Vert.x loop, which owns it. {@code ledger} is null if usage
+     * is not recorded.
+     */
     public Router(
             Vertx vertx,
             Site site,
@@ -65,8 +68,8 @@
     }
 
     /**
-     * A router on another scheduler, with the policy that is given; servers that need a Vert.x loop
-     * can't use it.
+     * Creates a router with another scheduler and the given policy. Servers that need a Vert.x loop
+     * cannot use it.
      */
     public Router(
             Scheduler scheduler,
@@ -120,29 +123,29 @@
 
     // ------------------------------------------------------------------ admission
 
-    /** From now on a budget that is short of quota may borrow from the lender. */
+    /** Sets the client through which budgets that run short of quota borrow from the lender. */
     public void setQuotaClient(QuotaClient quotaClient) {
         admission.setQuotaClient(quotaClient);
     }
 
     /**
-     * Whether one more exchange may start; each that may must be followed by one {@link
-     * #exchangeEnded}.
+     * Admits one more exchange, or returns false. Each admitted exchange must be followed by one
+     * {@link #exchangeEnded}.
      */
     public boolean tryAdmit() {
         return admission.tryAdmitExchange();
     }
 
-    /** An exchange that was admitted is over. */
+    /** An admitted exchange has ended. */
     public void exchangeEnded() {
         shutdown.exchangeEnded();
     }
 
     /**
-     * Takes a generation; its client may get the final answer before this returns. The admitted
-     * request is passed to {@code onAdmitted}, at once or as soon as the quota lender has answered.
-     * It is not called where the tenant's budget does not allow the generation, since the client
-     * has been answered then, nor where the client has disconnected.
+     * Submits a generation; its client may get the final response before this method returns. The
+     * admitted request is passed to {@code onAdmitted}, either immediately or once the quota lender
+     * has responded. {@code onAdmitted} is not called if the tenant's budget does not allow the
+     * generation, since its client has been sent the rejection, nor if the client has disconnected.
      */
     public void submit(
             GenerationRequest generationRequest,
@@ -152,51 +155,57 @@
         admission.submit(generationRequest, responseSink, onAdmitted);
     }
 
-    /** Replaces the budgets from now on; requests in flight stay charged. */
+    /** Replaces the budgets; requests in flight stay charged. */
     public void updateBudgets(Site changed) {
         context.updateClock();
         changed.budgetsTo(budgets, context.nowMs());
     }
 
-    /** Sets what a tenant has used this month by the ledger; before anything is admitted. */
+    /**
+     * Restores a tenant's usage of the current month from the ledger; must be called before any
+     * admission.
+     */
     public void restoreUsage(String tenant, String product, double usedTokens) {
         budgets.restoreMonthlyUsage(tenant, product, usedTokens, context.nowMs());
     }
 
-    // ------------------------------------------------------------------ state for its neighbours
+    // ------------------------------------------------------------------ state
 
-    /** Whether it has begun to shut down. */
+    /** Whether the router is shutting down. */
     public boolean isStopping() {
         return shutdown.isStopping();
     }
 
-    /** The site whose settings it was made with. */
+    /** The site whose settings the router was created with. */
     public Site site() {
         return context.site;
     }
 
-    /** The Vert.x loop that owns it, or null on another scheduler. */
+    /** The Vert.x loop that owns the router, or null with another scheduler. */
     public Context loop() {
         return loop;
     }
 
-    /** The Vert.x instance of its loop, or null on another scheduler. */
+    /** The Vert.x instance of its loop, or null with another scheduler. */
     public Vertx vertx() {
         return vertx;
     }
 
-    /** How many generations are in flight. */
+    /** Number of generations in flight. */
     public int generationsInFlight() {
         return context.requests.size();
     }
 
-    /** What interactive generations experienced since the last call; on the loop. */
+    /** The latency of interactive generations since the last call; must be called on the loop. */
     public LatencySample latencySample() {
         context.updateClock();
         return context.latencyTracker.takeSample(context.requests.values(), context.nowMs());
     }
 
-    /** Visits the engines that the policy knows, with where they listen; to be read only. */
+    /**
+     * Visits the engines that the policy knows, with their addresses; the engines must not be
+     * modified.
+     */
     public void forEachEngine(BiConsumer<Endpoint, Engine> visitor) {
         endpoints.forEach(visitor);
     }
@@ -216,8 +225,8 @@
     }
 
     /**
-     * A new complete list. An id at another address is another engine; the old one counts as
-     * removed.
+     * Replaces the endpoint list. An id at a new address is a new engine; the previous one counts
+     * as removed.
      */
     public void endpointsChanged(List<EngineEntry> list) {
         context.updateClock();
@@ -228,8 +237,8 @@
     }
 
     /**
-     * Admits nothing new; requests in flight may end until the stop time, the rest fail. Then runs
-     * {@code onStopped}.
+     * Stops admission. Requests in flight may complete until the stop timeout, when the remaining
+     * ones fail; then {@code onStopped} is called.
      */
     public void shutDown(Runnable onStopped) {
         shutdown.begin(onStopped);
@@ -242,7 +251,7 @@
         shutdown.checkIdle();
     }
 
-    // ------------------------------------------------------------------ the policy's actions
+    // ------------------------------------------------------------------ policy actions
 
     @Override
     public double nowMs() {
@@ -301,7 +310,7 @@
 
     @Override
     public void watchEndpoints() {
-        // The endpoint list is pushed to this router without a watch.
+        // No-op: the endpoint list is pushed to the router through endpointsChanged.
 
     }
 
--- a/src/main/java/larchridge/router/RouterContext.java
+++ b/src/main/java/larchridge/router/RouterContext.java
@@ -8,8 +8,8 @@
 import larchridge.upstream.UpstreamClient;
 
 /**
- * What the parts of one router share: its scheduler, settings, metrics, engines' client and
- * requests in flight. Used on the router's loop only.
+ * State shared by the components of one router: its scheduler, settings, metrics, upstream client
+ * and requests in flight. Used on the router's loop only.
  */
 final class RouterContext {
     final Scheduler scheduler;
@@ -20,8 +20,8 @@
     final LatencyTracker latencyTracker = new LatencyTracker();
 
     /**
-     * The requests in flight in the order of their admission; a request leaves once it has its
-     * final answer and all its attempts have ended.
+     * The requests in flight in the order of their admission. A request is removed once it has its
+     * final response and all its attempts have ended.
      */
     final Map<Generation, InFlightRequest> requests = new LinkedHashMap<>();
 
@@ -40,12 +40,14 @@
         this.metrics = metrics;
     }
 
-    /** The time of the event that is being handled. */
+    /** The time of the event being handled. */
     double nowMs() {
         return nowMs;
     }
 
-    /** Reads the clock, once per event: time stands still while the policy handles the event. */
+    /**
+     * Reads the clock, once per event: the time does not change while the policy handles an event.
+     */
     void updateClock() {
         nowMs = scheduler.nowMs();
     }
--- a/src/main/java/larchridge/router/Scheduler.java
+++ b/src/main/java/larchridge/router/Scheduler.java
@@ -1,27 +1,27 @@
 package larchridge.router;
 
 /**
- * A router's clock, timers and single-threaded loop: an event loop in service, virtual time in
+ * A router's clock, timers and single-threaded loop: an event loop in production, virtual time in
  * simulations.
  */
 public interface Scheduler {
-    /** Milliseconds of Unix time at the start plus what has passed since; never goes back. */
+    /** The Unix time at the start plus the elapsed time, in milliseconds; never goes back. */
     double nowMs();
 
     /**
-     * Runs a step on the loop after a delay, 1 ms at least; returns a timer for {@link #cancel}.
+     * Runs a task on the loop after a delay of at least 1 ms; returns a timer for {@link #cancel}.
      */
     long schedule(double delayMs, Runnable task);
 
-    /** Cancels a timer; without effect once its step has run. */
+    /** Cancels a timer; does nothing if its task has run. */
     void cancel(long timer);
 
-    /** Runs a step on the loop, never from inside the call; on any thread. */
+    /** Runs a task on the loop, never from within this call; may be called on any thread. */
     void execute(Runnable task);
 
-    /** Runs a step on the loop again and again. */
+    /** Runs a task on the loop periodically. */
     void scheduleAtFixedDelay(double delayMs, Runnable task);
 
-    /** A prefix for names that no other router uses, also one that starts at the same moment. */
+    /** A prefix for ids that no other router uses, not even one that starts at the same moment. */
     String uniqueIdPrefix();
 }
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -7,9 +7,9 @@
 import larchridge.upstream.SendRejection;
 
 /**
- * The last check of every attempt, made as it is written. Between the policy's decision and that
- * moment a connection may have had to be opened: the engine may have begun to drain, the client may
- * have disconnected, the window for retries may have passed.
+ * The last check before an attempt is sent. Since the policy's decision a connection may have had
+ * to be opened; in that time the engine may have started to drain, the client may have
+ * disconnected, or the retry window may have passed.
  */
 final class SendGuard implements SendCheck {
     private final Attempt policyAttempt;
--- a/src/main/java/larchridge/router/SessionRegistry.java
+++ b/src/main/java/larchridge/router/SessionRegistry.java
@@ -3,12 +3,12 @@
 import larchridge.state.CachedPrefix;
 import larchridge.state.PrefixRegistry;
 
-/** Finds the session and the shared prefix of a request, as engines may have them cached. */
+/** Finds the session and the shared prefix of a request, which engines may have cached. */
 final class SessionRegistry {
     private final PrefixRegistry sessions = new PrefixRegistry();
     private final PrefixRegistry sharedPrefixes = new PrefixRegistry();
 
-    /** The session of the turn before this one; a first turn begins a session. */
+    /** Returns the session of the previous turn; a first turn starts a new session. */
     CachedPrefix sessionOf(GenerationRequest generationRequest) {
         CachedPrefix session =
                 generationRequest.previousTurnDigest() == null
@@ -24,7 +24,7 @@
         return session;
     }
 
-    /** The prefix that the request shares with other sessions, or null. */
+    /** Returns the prefix that the request shares with other sessions, or null. */
     CachedPrefix sharedPrefixOf(GenerationRequest generationRequest) {
         return generationRequest.sharedPrefixId() == null
                 ? null
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -9,22 +9,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Settles what a request used with its tenant's budget, and writes it to the ledger once. All
- * retries of one generation by its client share one bill.
+ * Settles the usage of a request against its tenant's budget, and records it in the ledger once.
+ * All retries of one generation by its client share one bill.
  */
 final class UsageRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(UsageRecorder.class);
 
-    /** The answer of a record that adds waste to a bill after its answer was recorded. */
+    /** Response name of a record that adds waste to a bill after the response was recorded. */
     private static final String WASTE_RECORD = "waste";
 
     private final RouterContext context;
     private final Budgets budgets;
 
-    /** Null where usage is not recorded. */
+    /** Null if usage is not recorded. */
     private final Ledger ledger;
 
-    /** The first request in flight of all identical ones without an idempotency key. */
+    /** The first in-flight request of each set of identical requests without an idempotency key. */
     private final Map<String, InFlightRequest> firstOfDuplicates = new HashMap<>();
 
     UsageRecorder(RouterContext context, Budgets budgets, Ledger ledger) {
@@ -33,14 +33,14 @@
         this.ledger = ledger;
     }
 
-    /** Whether the ledger is too far behind for more requests to be admitted. */
+    /** Whether the ledger is too far behind to admit more requests. */
     boolean isBehind() {
         return ledger != null && ledger.isBehind();
     }
 
     /**
-     * Assigns the bill: by the client's idempotency key, or, without one, that of an identical
-     * request that is in flight here.
+     * Assigns the bill: by the client's idempotency key or, without one, that of an identical
+     * request in flight on this router.
      */
     void assignBillId(InFlightRequest request) {
         GenerationRequest generationRequest = request.generationRequest();
@@ -61,13 +61,13 @@
         request.setBillId(first == null ? "gen " + request.id() : first.billId());
     }
 
-    /** Settles and records a request that is over. */
+    /** Settles and records a finished request. */
     void settle(InFlightRequest request) {
         if (request.duplicateKey() != null) {
             firstOfDuplicates.remove(request.duplicateKey(), request);
         }
-        // Guards against: billing text that was buffered for a client that disconnected and never
-        // went to its socket.
+        // Guards against: billing text that was buffered for a client that disconnected and was
+        // never written to its socket.
         request.usageMeter().piecesNotSent(request.responseSink().pendingChunks());
         if (request.generationRequest().nonStreaming()
                 && request.responseGuard().finalResponse() != ResponseGuard.FinalResponse.COMPLETED) {
@@ -81,15 +81,16 @@
         if (!request.isRecorded()) {
             record(request, usage(request), null);
         } else if (request.hasUnrecordedUsage()) {
-            // A second attempt ended after the answer; its record is joined to the first.
+            // A second attempt ended after the response; its record is joined to the first one's
+            // bill.
             record(request, lateWasteUsage(request), null);
         }
     }
 
     /**
-     * Runs the end of a complete answer. Where the site wants it, the end waits until the use is on
-     * disk, so that no crash in between leaves an answer that nobody is billed for. A slow disk
-     * delays it no longer than the site allows, nor than the client waits.
+     * Finishes a complete response. If the site requires it, the finish waits until the usage is on
+     * disk, so that a crash in between cannot leave a response that is not billed. A slow disk
+     * delays it no longer than the site allows, nor past the client's deadline.
      */
     void recordThen(InFlightRequest request, Runnable finish) {
         double maxWaitMs = context.site.answerWaitsMs;
@@ -144,7 +145,7 @@
                 request.unrecordedAttempts());
     }
 
-    /** Queues a record; false, and logged with its figures, if the ledger's queue is full. */
+    /** Queues a record for the ledger; if the queue is full, logs the usage and returns false. */
     private boolean record(InFlightRequest request, Usage usage, Runnable onPersisted) {
         if (ledger.offer(usage, onPersisted)) {
             return true;
@@ -155,11 +156,11 @@
                 .addKeyValue("tenant", usage.tenant())
                 .addKeyValue("prompt", usage.promptTokens())
                 .addKeyValue("out", usage.outTokens())
-                .log("usage not recorded: the ledger's queue is full");
+                .log("usage record lost: the ledger's queue is full");
         return false;
     }
 
-    /** Runs a step the first time it is called. */
+    /** Runs a task only the first time it is called. */
     private static final class RunOnce implements Runnable {
         private final Runnable task;
         private boolean hasRun;
--- a/src/main/java/larchridge/router/VertxScheduler.java
+++ b/src/main/java/larchridge/router/VertxScheduler.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import java.security.SecureRandom;
 
-/** Schedules on the Vert.x event loop on which it was made. */
+/** Schedules tasks on the Vert.x event loop on which it was created. */
 final class VertxScheduler implements Scheduler {
     private static final double NANOS_PER_MS = 1e6;
     private static final int ID_RADIX = 36;
@@ -51,8 +51,8 @@
 
     @Override
     public String uniqueIdPrefix() {
-        // Guards against: two routers that start at the same moment would give their attempts the
-        // same names and release each other's states.
+        // Guards against: two routers that start at the same moment would assign the same attempt
+        // ids and release each other's states.
         return Long.toString(System.currentTimeMillis(), ID_RADIX)
                 + Long.toString(new SecureRandom().nextLong() & RANDOM_ID_MASK, ID_RADIX)
                 + "-";
--- a/src/main/java/larchridge/router/VirtualTimeScheduler.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * Virtual time for simulations and tests: steps run in the order of their times and, at the same
+ * Virtual time for simulations and tests. Tasks run in the order of their times and, at the same
  * time, in the order in which they were scheduled.
  */
 public final class VirtualTimeScheduler {
     /**
-     * The Unix time at which it starts; not 0, since an engine whose start is 0 is one whose start
-     * is unknown.
+     * The Unix time at which the clock starts. Not 0, since a start time of 0 means that an
+     * engine's start is unknown.
      */
     public static final double START_MS = 1_000_000_000;
 
@@ -31,7 +31,7 @@
     private long lastTimer;
     private long tasksRun;
 
-    /** The virtual Unix time. */
+    /** The current virtual Unix time. */
     public double nowMs() {
         return nowMs;
     }
@@ -41,23 +41,23 @@
         return nowMs - START_MS;
     }
 
-    /** How many steps have run. */
+    /** Number of tasks that have run. */
     public long tasksRun() {
         return tasksRun;
     }
 
-    /** Runs a step after a delay; returns a timer for {@link #cancel}. */
+    /** Runs a task after a delay; returns a timer for {@link #cancel}. */
     public long schedule(double delayMs, Runnable task) {
         tasks.add(new ScheduledTask(nowMs + Math.max(0, delayMs), ++lastTimer, task));
         return lastTimer;
     }
 
-    /** Cancels a step that has not run. */
+    /** Cancels a task that has not run. */
     public void cancel(long timer) {
         cancelled.add(timer);
     }
 
-    /** Runs all steps up to so many milliseconds since the start. */
+    /** Runs all tasks that are due up to this many milliseconds after the start. */
     public void run(double untilMs) {
         while (!tasks.isEmpty() && tasks.peek().atMs <= START_MS + untilMs) {
             ScheduledTask task = tasks.poll();
@@ -70,12 +70,12 @@
         nowMs = START_MS + untilMs;
     }
 
-    /** The scheduler of one router; the seed draws its names. */
+    /** Creates the scheduler of one router; the seed determines the ids that it generates. */
     public Scheduler routerScheduler(int router, long seed) {
         return new RouterScheduler(router, new Random(seed * SEED_FACTOR + router));
     }
 
-    /** One router's view of the virtual time, with timers in whole milliseconds. */
+    /** A router's view of the virtual time, with timers in whole milliseconds. */
     private final class RouterScheduler implements Scheduler {
         private final int router;
         private final Random random;
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Each invariant is violated once by events as the sockets would report them, and counted; an
- * orderly day violates none.
+ * Each invariant, violated once by events as the sockets report them, is counted once; a compliant
+ * request violates none.
  */
 class RequestAuditTest {
     private static final String ID = "9b1f03aa5c7e2d41";
@@ -97,7 +97,7 @@
         assertEquals(0, violations.total());
     }
 
-    /** Does what the invariant forbids. */
+    /** Violates the invariant. */
     private void violate(Invariant invariant) {
         switch (invariant) {
             case ONE_FINAL_ANSWER -> {
--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -43,7 +43,10 @@
                 () -> responseGuard.finish(ResponseGuard.FinalResponse.COMPLETED));
     }
 
-    /** The ledgers of all builds since f8721a5 hold these words. */
+    /**
+     * Guards against renaming stored values: the ledgers of all builds since f8721a5 contain these
+     * words.
+     */
     @Test
     void recordedNamesAreThoseOfEarlierBuilds() {
         assertEquals(
