--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -23,7 +23,7 @@
     boolean responseStarted;
     boolean finalResponseSent;
     double finalResponseMs;
-    boolean clientClosed;
+    boolean clientDisconnected;
 
     /**
      * Whether the read state was released while an attempt was in flight. The state may still
@@ -80,7 +80,7 @@
 
     /** Whether nothing is left of the request: neither at the client nor at any engine. */
     boolean isComplete() {
-        return (finalResponseSent || clientClosed)
+        return (finalResponseSent || clientDisconnected)
                 && !isHeld()
                 && attempts.stream().allMatch(AuditedAttempt::hasEnded);
     }
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -81,10 +81,10 @@
     }
 
     @Override
-    public void clientClosed(String id) {
+    public void clientDisconnected(String id) {
         AuditedRequest request = find(id);
         if (request != null) {
-            request.clientClosed = true;
+            request.clientDisconnected = true;
             record(request, Transition.Kind.CLIENT_CLOSED, NO_ATTEMPT, null);
             moveIfComplete(request);
         }
@@ -97,7 +97,7 @@
             return;
         }
         record(request, Transition.Kind.ANSWERED, NO_ATTEMPT, kind);
-        if (request.finalResponseSent || request.clientClosed) {
+        if (request.finalResponseSent || request.clientDisconnected) {
             report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request had ended");
         }
         if (!request.responseStarted) {
@@ -129,7 +129,7 @@
     }
 
     private void checkSend(AuditedRequest request, long attemptTimeoutMs, double nowMs) {
-        if (request.clientClosed) {
+        if (request.clientDisconnected) {
             report(
                     Invariant.NO_ATTEMPT_AFTER_CLOSE,
                     request,
@@ -167,7 +167,7 @@
             return;
         }
         record(request, Transition.Kind.RESPONSE_STARTED, attempt, null);
-        if (!request.finalResponseSent && !request.clientClosed) {
+        if (!request.finalResponseSent && !request.clientDisconnected) {
             checkDeadline(request);
         }
         request.responseStarted = true;
@@ -250,7 +250,7 @@
     public void check() {
         double nowMs = clockMs.getAsDouble();
         for (AuditedRequest request : List.copyOf(openRequests.values())) {
-            if (!request.responseStarted && !request.finalResponseSent && !request.clientClosed) {
+            if (!request.responseStarted && !request.finalResponseSent && !request.clientDisconnected) {
                 checkDeadline(request);
             }
             checkStateHold(request, nowMs);
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -19,7 +19,7 @@
     default void accepted(String id, TrafficClass trafficClass, double deadlineMs) {}
 
     /** The client disconnected before its final response. */
-    default void clientClosed(String id) {}
+    default void clientDisconnected(String id) {}
 
     /**
      * A final response was written to the client, or its stream was cut; {@code kind} says which.
--- a/src/main/java/larchridge/node/server/ClientExchange.java
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -77,7 +77,7 @@
         if (finished) {
             return;
         }
-        server.events.clientClosed(id);
+        server.events.clientDisconnected(id);
         if (inFlight != null) {
             inFlight.clientDisconnected();
         }
--- a/src/main/java/larchridge/router/PolicyNotifier.java
+++ b/src/main/java/larchridge/router/PolicyNotifier.java
@@ -65,10 +65,10 @@
             InFlightAttempt attempt,
             AttemptOutcome outcome,
             LoadReport report) {
-        boolean answered = request.responseGuard().isFinished();
+        boolean finished = request.responseGuard().isFinished();
         runGuarded(
                 request,
-                () -> policy.attemptEnded(attempt.policyAttempt(), outcome, report, answered));
+                () -> policy.attemptEnded(attempt.policyAttempt(), outcome, report, finished));
     }
 
     void loadProbed(Engine engine, boolean answered, LoadReport report) {
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -52,15 +52,15 @@
      * Sets the final response, or returns false if there is one already. A response that the client
      * has seen part of cannot be rejected, and one that has not started cannot be complete.
      */
-    boolean finish(FinalResponse answer) {
+    boolean finish(FinalResponse response) {
         if (finalResponse != null) {
             return false;
         }
-        if ((answer == FinalResponse.REJECTED && started)
-                || (answer == FinalResponse.COMPLETED && !started)) {
-            throw new IllegalStateException(answer + " is not a valid final response in this state");
+        if ((response == FinalResponse.REJECTED && started)
+                || (response == FinalResponse.COMPLETED && !started)) {
+            throw new IllegalStateException(response + " is not a valid final response in this state");
         }
-        finalResponse = answer;
+        finalResponse = response;
         return true;
     }
 }
--- a/src/test/java/larchridge/audit/RequestAuditTest.java
+++ b/src/test/java/larchridge/audit/RequestAuditTest.java
@@ -112,7 +112,7 @@
             }
             case NO_ATTEMPT_AFTER_CLOSE -> {
                 accept(ID, Effect.IDEMPOTENT, DeduplicationScope.ALL);
-                audit.clientClosed(ID);
+                audit.clientDisconnected(ID);
                 send(ID, READER, true);
             }
             case NO_ATTEMPT_AFTER_ANSWER -> {
--- a/src/test/java/larchridge/router/EndpointTableTest.java
+++ b/src/test/java/larchridge/router/EndpointTableTest.java
@@ -31,28 +31,28 @@
     }
 
     @Test
-    void engineAtTheSameAddressStaysTheSame() {
+    void unchangedAddressKeepsTheEngine() {
         Engine engine = engineOf(entry(7, PORT));
         assertSame(engine, engineOf(entry(7, PORT)));
         assertEquals(new Endpoint("127.0.0.1", PORT), table.endpointOf(engine));
     }
 
     @Test
-    void idAtAnotherAddressIsAnotherEngine() {
-        Engine before = engineOf(entry(7, PORT));
-        Engine after = engineOf(entry(7, PORT + 1));
-        assertNotSame(before, after);
-        assertEquals(new Endpoint("127.0.0.1", PORT), table.endpointOf(before));
-        assertEquals(new Endpoint("127.0.0.1", PORT + 1), table.endpointOf(after));
+    void changedAddressCreatesANewEngine() {
+        Engine previous = engineOf(entry(7, PORT));
+        Engine replacement = engineOf(entry(7, PORT + 1));
+        assertNotSame(previous, replacement);
+        assertEquals(new Endpoint("127.0.0.1", PORT), table.endpointOf(previous));
+        assertEquals(new Endpoint("127.0.0.1", PORT + 1), table.endpointOf(replacement));
     }
 
     @Test
-    void engineWhoseIdHasMovedIsDropped() {
+    void replacedEngineIsDropped() {
         engineOf(entry(7, PORT));
-        Engine after = engineOf(entry(7, PORT + 1));
+        Engine replacement = engineOf(entry(7, PORT + 1));
         table.dropRemoved();
         List<Engine> visited = new ArrayList<>();
         table.forEach((endpoint, engine) -> visited.add(engine));
-        assertEquals(List.of(after), visited);
+        assertEquals(List.of(replacement), visited);
     }
 }
--- a/src/test/java/larchridge/router/ResponseDeadlinesTest.java
+++ b/src/test/java/larchridge/router/ResponseDeadlinesTest.java
@@ -17,7 +17,7 @@
                     product, product, "", 5000, 1, 100, larchridge.tokens.Measure.GUESSED);
 
     @Test
-    void streamedAnswerHasTheProductsDeadlineForItsFirstTokenOnly() {
+    void streamingResponseHasOnlyTheProductsFirstTokenDeadline() {
         ResponseDeadlines deadlines =
                 ResponseDeadlines.of(offering, 200, 100, false, Double.POSITIVE_INFINITY);
         assertEquals(5200, deadlines.firstTokenMs);
@@ -25,12 +25,12 @@
     }
 
     @Test
-    void clientWithAShorterTimeoutIsAnsweredBeforeIt() {
+    void firstTokenIsDueBeforeAShorterClientTimeout() {
         assertTrue(ResponseDeadlines.of(offering, 200, 100, false, 900).firstTokenMs < 900);
     }
 
     @Test
-    void unstreamedAnswerIsDueBeforeTheClientsTimeout() {
+    void nonStreamingResponseIsDueBeforeTheClientTimeout() {
         ResponseDeadlines deadlines = ResponseDeadlines.of(offering, 0, 100, true, 3000);
         assertTrue(deadlines.completionMs < 3000);
         assertTrue(deadlines.firstTokenMs <= deadlines.completionMs);
--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -13,22 +13,22 @@
     private final ResponseGuard responseGuard = new ResponseGuard();
 
     @Test
-    void oneFinalAnswerAndNoSecond() {
+    void onlyOneFinalResponseIsAccepted() {
         assertTrue(responseGuard.finish(ResponseGuard.FinalResponse.FAILED));
-        for (ResponseGuard.FinalResponse more : ResponseGuard.FinalResponse.values()) {
-            assertFalse(responseGuard.finish(more));
+        for (ResponseGuard.FinalResponse second : ResponseGuard.FinalResponse.values()) {
+            assertFalse(responseGuard.finish(second));
         }
         assertEquals(ResponseGuard.FinalResponse.FAILED, responseGuard.finalResponse());
     }
 
     @Test
-    void responseCannotBeginAfterTheFinalAnswer() {
+    void responseCannotStartAfterTheFinalResponse() {
         responseGuard.finish(ResponseGuard.FinalResponse.DISCONNECTED);
         assertFalse(responseGuard.start());
     }
 
     @Test
-    void responseThatHasBegunCannotBeRejected() {
+    void startedResponseCannotBeRejected() {
         responseGuard.start();
         assertThrows(
                 IllegalStateException.class,
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void responseThatHasNotBegunCannotBeCompleted() {
+    void unstartedResponseCannotBeCompleted() {
         assertThrows(
                 IllegalStateException.class,
                 () -> responseGuard.finish(ResponseGuard.FinalResponse.COMPLETED));
@@ -52,7 +52,7 @@
         assertEquals(
                 List.of("streamed", "throttled", "terminated", "gone"),
                 Arrays.stream(ResponseGuard.FinalResponse.values())
-                        .map(answer -> answer.recordedName)
+                        .map(response -> response.recordedName)
                         .toList());
     }
 }
--- a/src/test/java/larchridge/router/SessionRegistryTest.java
+++ b/src/test/java/larchridge/router/SessionRegistryTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void nextTurnFindsItsSession() {
+    void nextTurnContinuesItsSession() {
         CachedPrefix session = sessions.sessionOf(turn(null, "turn 1"));
         assertEquals("s1", session.id);
         assertSame(session, sessions.sessionOf(turn("turn 1", "turn 2")));
@@ -28,13 +28,13 @@
     }
 
     @Test
-    void retriedTurnFindsItsSession() {
+    void retriedTurnContinuesItsSession() {
         CachedPrefix session = sessions.sessionOf(turn(null, "turn 1"));
         assertSame(session, sessions.sessionOf(turn(null, "turn 1")));
     }
 
     @Test
-    void unknownPreviousTurnBeginsASession() {
+    void unknownPreviousTurnStartsANewSession() {
         CachedPrefix session = sessions.sessionOf(turn(null, "turn 1"));
         assertNotSame(session, sessions.sessionOf(turn("elsewhere", "turn 2")));
     }
