--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -32,8 +32,8 @@
     boolean releasedDuringAttempt;
 
     /**
-     * Whether a violation has been reported; these are reported once per request rather than at
-     * each check.
+     * Whether the missed response deadline was reported; like the violations below it is reported
+     * once per request rather than at each check.
      */
     boolean lateResponseReported;
 
--- a/src/main/java/larchridge/audit/EndpointAudit.java
+++ b/src/main/java/larchridge/audit/EndpointAudit.java
@@ -79,7 +79,8 @@
                             + Math.round(nowMs - stoppedMs)
                             + " ms after it started draining or was removed");
         }
-        if (engine != null && !slowStartBudget.recordSendWithinBudget(endpoint, engine, engines, nowMs)) {
+        if (engine != null
+                && !slowStartBudget.recordSendWithinBudget(endpoint, engine, engines, nowMs)) {
             report(
                     Invariant.SLOW_START_BUDGET,
                     requestId,
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -122,7 +122,8 @@
         request.record(nowMs, Transition.Kind.WRITTEN, number, endpoint);
         checkSend(request, attemptTimeoutMs, nowMs);
         AuditedAttempt attempt =
-                new AuditedAttempt(number, endpoint, endpointAudit.engineAt(endpoint), isRead, nowMs);
+                new AuditedAttempt(
+                        number, endpoint, endpointAudit.engineAt(endpoint), isRead, nowMs);
         retryAudit.checkAttempt(request, attempt);
         request.attempts.add(attempt);
         return number;
@@ -136,7 +137,10 @@
                     "attempt sent after the client had disconnected");
         }
         if (request.finalResponseSent || request.responseStarted) {
-            report(Invariant.NO_ATTEMPT_AFTER_ANSWER, request, "attempt sent after the response had started or ended");
+            report(
+                    Invariant.NO_ATTEMPT_AFTER_ANSWER,
+                    request,
+                    "attempt sent after the response had started or ended");
         }
         double remainingMs = request.deadlineMs - nowMs;
         if (attemptTimeoutMs > Math.max(0, remainingMs) + ATTEMPT_TIMEOUT_TOLERANCE_MS) {
@@ -250,7 +254,9 @@
     public void check() {
         double nowMs = clockMs.getAsDouble();
         for (AuditedRequest request : List.copyOf(openRequests.values())) {
-            if (!request.responseStarted && !request.finalResponseSent && !request.clientDisconnected) {
+            if (!request.responseStarted
+                    && !request.finalResponseSent
+                    && !request.clientDisconnected) {
                 checkDeadline(request);
             }
             checkStateHold(request, nowMs);
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -50,7 +50,11 @@
      * @param engineResponded whether the engine has sent any response
      */
     default void attemptEnded(
-            String id, int attempt, String outcome, boolean provenNotRun, boolean engineResponded) {}
+            String id,
+            int attempt,
+            String outcome,
+            boolean provenNotRun,
+            boolean engineResponded) {}
 
     /** An engine confirmed the release of every read state that it held for the request. */
     default void stateReleased(String id) {}
--- a/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
+++ b/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
@@ -72,7 +72,8 @@
         double spanMs = Math.max(SECOND_MS, Math.min(warm.spanMs(), nowMs - startMs));
         double ratePerUnit = warm.sum(nowMs) / spanMs / Math.max(warmUnits, engine.capacityUnits());
         double warmupFraction = Math.min(1, (nowMs - engine.startMs()) / settings.slowStartMs());
-        double capacityFraction = settings.slowStartShare() + (1 - settings.slowStartShare()) * warmupFraction;
+        double capacityFraction =
+                settings.slowStartShare() + (1 - settings.slowStartShare()) * warmupFraction;
         double budget =
                 settings.overloadMultiple()
                         * capacityFraction
--- a/src/main/java/larchridge/messages/MessageBodies.java
+++ b/src/main/java/larchridge/messages/MessageBodies.java
@@ -77,7 +77,8 @@
             String text,
             Completion ending) {
         int kept = Math.min(keptTokens, ask.promptTokens());
-        int created = ask.sharedPrefixId() == null ? 0 : Math.max(0, ask.sharedPrefixTokens() - kept);
+        int created =
+                ask.sharedPrefixId() == null ? 0 : Math.max(0, ask.sharedPrefixTokens() - kept);
         return MessageEvents.whole(
                 MessageEvents.message(id, model, ask.promptTokens(), kept, created), text, ending);
     }
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -61,7 +61,8 @@
         services.timeouts().watchStreamIdle(request);
         if (!request.responseGuard().isFinished()) {
             InFlightAttempt stateSource = attempt.stateSource();
-            request.responseSink().responseStarted(stateSource == null ? 0 : stateSource.cachedTokens());
+            request.responseSink()
+                    .responseStarted(stateSource == null ? 0 : stateSource.cachedTokens());
         }
     }
 
@@ -73,7 +74,8 @@
             // The state was fetched, so the reader no longer holds it.
             stateSource.markStateRemoved();
             request.usageMeter()
-                    .responseStartedFromRead(stateSource.meteredReadTokens(), stateSource.cachedTokens());
+                    .responseStartedFromRead(
+                            stateSource.meteredReadTokens(), stateSource.cachedTokens());
         }
     }
 
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -31,7 +31,10 @@
      * @param stateSource the read whose state the attempt is to fetch, or null
      */
     InFlightAttempt(
-            Attempt policyAttempt, Endpoint endpoint, String attemptId, InFlightAttempt stateSource) {
+            Attempt policyAttempt,
+            Endpoint endpoint,
+            String attemptId,
+            InFlightAttempt stateSource) {
         this.policyAttempt = policyAttempt;
         this.endpoint = endpoint;
         this.attemptId = attemptId;
--- a/src/main/java/larchridge/router/RequestTimeouts.java
+++ b/src/main/java/larchridge/router/RequestTimeouts.java
@@ -101,7 +101,8 @@
     }
 
     private void scheduleStreamIdleCheck(InFlightRequest request, double delayMs) {
-        request.setStreamIdleTimer(context.scheduler.schedule(delayMs, () -> checkStreamIdle(request)));
+        request.setStreamIdleTimer(
+                context.scheduler.schedule(delayMs, () -> checkStreamIdle(request)));
     }
 
     private void checkStreamIdle(InFlightRequest request) {
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -2,7 +2,8 @@
 
 /**
  * The state of the response to one client: not started, started, or finished. Every final response
- * is permitted here, so that each client gets exactly one. Free of I/O, clocks and threads.
+ * must be accepted here before it is sent, so that each client gets exactly one. Free of I/O,
+ * clocks and threads.
  */
 final class ResponseGuard {
     /** The three final responses, and the end of a request whose client has disconnected. */
@@ -58,7 +59,8 @@
         }
         if ((response == FinalResponse.REJECTED && started)
                 || (response == FinalResponse.COMPLETED && !started)) {
-            throw new IllegalStateException(response + " is not a valid final response in this state");
+            throw new IllegalStateException(
+                    response + " is not a valid final response in this state");
         }
         finalResponse = response;
         return true;
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -5,15 +5,15 @@
 
 /**
  * The client side of one exchange, implemented by a server's protocol and called on the router's
- * loop. Receives exactly one final response.
+ * loop. Receives exactly one final call.
  */
 public interface ResponseSink {
     /** The response starts; this many prompt tokens were cached. */
     void responseStarted(int cachedTokens);
 
     /**
-     * Buffers a chunk of the response until {@link #flush} or the final response; returns false if
-     * the chunk cannot be sent to the client.
+     * Buffers a chunk of the response until {@link #flush} or the final call; returns false if the
+     * chunk cannot be sent to the client.
      */
     boolean textReceived(String text);
 
@@ -40,23 +40,21 @@
     default void budgetChecked(BudgetDecision decision) {}
 
     /**
-     * Final response: the tenant is over its budget. A retry after the time in the decision is
-     * harmless and, if it is the only request, admitted.
+     * Final call: the tenant is over its budget. A retry after the time in the decision is harmless
+     * and, if it is the only request, admitted.
      */
     void rejectedOverBudget(BudgetDecision decision);
 
-    /** Final response: the response is complete. */
+    /** Final call: the response is complete. */
     void completed(Completion completion);
 
-    /**
-     * Final response: rejected for now. A retry is harmless, after this time if it is more than 0.
-     */
+    /** Final call: rejected for now. A retry is harmless, after this time if it is more than 0. */
     void rejected(double retryAfterMs);
 
-    /** Final response: failed; {@code mayRetry} says whether a retry is harmless. */
+    /** Final call: failed; {@code mayRetry} says whether a retry is harmless. */
     void failed(FailureCause cause, boolean mayRetry);
 
-    /** Ends the exchange without a final response: the client does not read what it is sent. */
+    /** Final call, without a response: the client does not read what it is sent. */
     void aborted();
 
     /** Why a generation failed. */
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -70,7 +70,8 @@
         // never written to its socket.
         request.usageMeter().piecesNotSent(request.responseSink().pendingChunks());
         if (request.generationRequest().nonStreaming()
-                && request.responseGuard().finalResponse() != ResponseGuard.FinalResponse.COMPLETED) {
+                && request.responseGuard().finalResponse()
+                        != ResponseGuard.FinalResponse.COMPLETED) {
             request.usageMeter().responseDiscarded();
         }
         budgets.settle(request.charge(), request.usageMeter().billedTokens(), context.nowMs());
--- a/src/main/java/larchridge/router/VirtualTimeScheduler.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -25,7 +25,8 @@
 
     private final PriorityQueue<ScheduledTask> tasks =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(ScheduledTask::atMs).thenComparingLong(ScheduledTask::timer));
+                    Comparator.comparingDouble(ScheduledTask::atMs)
+                            .thenComparingLong(ScheduledTask::timer));
     private final Set<Long> cancelled = new HashSet<>();
     private double nowMs = START_MS;
     private long lastTimer;
--- a/src/main/java/larchridge/simulation/SimulationLog.java
+++ b/src/main/java/larchridge/simulation/SimulationLog.java
@@ -37,7 +37,8 @@
             String tag,
             double amount,
             String word) {
-        TrafficEvent seen = new TrafficEvent(world.elapsedMs(), kind, where, rid, tag, amount, word);
+        TrafficEvent seen =
+                new TrafficEvent(world.elapsedMs(), kind, where, rid, tag, amount, word);
         digest.update(seen.toString().getBytes(StandardCharsets.UTF_8));
         full |= sights.size() >= MOST;
         if (!full) {
