--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -9,44 +9,47 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * Follows every request from its acceptance to its end by what goes over the sockets, and reports
- * what violates an invariant. It keeps data of its own and relies on neither the policy nor the
- * upstream client. All methods run on the event loop.
+ * Tracks every request from its acceptance to its end by what the sockets carry, and reports
+ * violations of the invariants. It keeps its own data and relies on neither the routing policy nor
+ * the upstream client. All methods run on the event loop.
  */
 public final class RequestAudit implements RequestEvents {
-    /** Tolerances beside the platform's time limits. */
-    private static final double ANSWER_TOLERANCE_MS = 500;
+    /** Tolerances added to the platform's time limits. */
+    private static final double RESPONSE_TOLERANCE_MS = 500;
 
     private static final double RELEASE_TOLERANCE_MS = 300;
-    private static final double ANNOUNCED_TOLERANCE_MS = 150;
+    private static final double ATTEMPT_TIMEOUT_TOLERANCE_MS = 150;
 
-    /** Attempts of a request that is answered are cancelled, and end, long before that. */
-    private static final double LEFTOVER_TIMEOUT_MS = 30_000;
+    /**
+     * Attempts in flight this long after the final response count as orphaned; normally they are
+     * cancelled, and end, much earlier.
+     */
+    private static final double ORPHANED_ATTEMPT_TIMEOUT_MS = 30_000;
 
-    /** Complete requests are kept until so many others, so that later events are noticed. */
-    private static final int MAX_COMPLETE = 512;
+    /** Number of completed requests that are kept, so that late events for them are detected. */
+    private static final int MAX_COMPLETED_REQUESTS = 512;
 
-    private static final int MAX_OPEN = 20_000;
+    private static final int MAX_OPEN_REQUESTS = 20_000;
     private static final int NO_ATTEMPT = -1;
 
     private final AuditSettings settings;
     private final DoubleSupplier clockMs;
     private final Violations violations;
     private final CloseCounters closeCounters;
-    private final EndpointAudit endpoints;
-    private final RetryAudit retries;
-    private final Map<String, AuditedRequest> open = new HashMap<>();
-    private final Map<String, AuditedRequest> complete =
+    private final EndpointAudit endpointAudit;
+    private final RetryAudit retryAudit;
+    private final Map<String, AuditedRequest> openRequests = new HashMap<>();
+    private final Map<String, AuditedRequest> completedRequests =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, AuditedRequest> eldest) {
-                    return size() > MAX_COMPLETE;
+                    return size() > MAX_COMPLETED_REQUESTS;
                 }
             };
 
-    /** An audit in which no request is open and no list is known. */
+    /** Creates an audit without requests and with an empty endpoint list. */
     public RequestAudit(
             AuditSettings settings,
             DoubleSupplier clockMs,
@@ -56,91 +59,99 @@
         this.clockMs = clockMs;
         this.violations = violations;
         this.closeCounters = closeCounters;
-        endpoints = new EndpointAudit(settings, violations, clockMs.getAsDouble());
-        retries = new RetryAudit(settings.hedgingAllowed(), violations);
+        endpointAudit = new EndpointAudit(settings, violations, clockMs.getAsDouble());
+        retryAudit = new RetryAudit(settings.hedgingAllowed(), violations);
     }
 
-    /** Requests that are not complete. */
+    /** Number of requests that are not complete. */
     public int openRequests() {
-        return open.size();
+        return openRequests.size();
     }
 
     // ------------------------------------------------------------------ clients
 
     @Override
     public void accepted(String id, TrafficClass trafficClass, double deadlineMs) {
-        if (open.size() >= MAX_OPEN) {
+        if (openRequests.size() >= MAX_OPEN_REQUESTS) {
             return;
         }
         AuditedRequest request = new AuditedRequest(id, trafficClass, deadlineMs);
-        open.put(id, request);
+        openRequests.put(id, request);
         record(request, Transition.Kind.ACCEPTED, NO_ATTEMPT, trafficClass.name);
     }
 
     @Override
-    public void clientClosed(String id) {
+    public void clientDisconnected(String id) {
         AuditedRequest request = find(id);
         if (request != null) {
-            request.clientClosed = true;
+            request.clientDisconnected = true;
             record(request, Transition.Kind.CLIENT_CLOSED, NO_ATTEMPT, null);
             moveIfComplete(request);
         }
     }
 
     @Override
-    public void answered(String id, String kind) {
+    public void finalResponseSent(String id, String kind) {
         AuditedRequest request = find(id);
         if (request == null) {
             return;
         }
         record(request, Transition.Kind.ANSWERED, NO_ATTEMPT, kind);
-        if (request.answered || request.clientClosed) {
-            report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request's end");
+        if (request.finalResponseSent || request.clientDisconnected) {
+            report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request had ended");
         }
         if (!request.responseStarted) {
             checkDeadline(request);
         }
-        request.answered = true;
-        request.answeredMs = clockMs.getAsDouble();
+        request.finalResponseSent = true;
+        request.finalResponseMs = clockMs.getAsDouble();
         moveIfComplete(request);
     }
 
     // ------------------------------------------------------------------ attempts
 
     @Override
-    public int attemptWritten(String id, Endpoint endpoint, boolean reads, long announcedMs) {
+    public int attemptSent(String id, Endpoint endpoint, boolean isRead, long attemptTimeoutMs) {
         double nowMs = clockMs.getAsDouble();
         AuditedRequest request = find(id);
-        endpoints.checkWrite(id, request, endpoint, nowMs);
+        endpointAudit.checkSend(id, request, endpoint, nowMs);
         if (request == null) {
             return NO_ATTEMPT;
         }
         int number = request.attempts.size();
         request.record(nowMs, Transition.Kind.WRITTEN, number, endpoint);
-        checkWrite(request, announcedMs, nowMs);
+        checkSend(request, attemptTimeoutMs, nowMs);
         AuditedAttempt attempt =
-                new AuditedAttempt(number, endpoint, endpoints.engineAt(endpoint), reads, nowMs);
-        retries.checkAttempt(request, attempt);
+                new AuditedAttempt(
+                        number, endpoint, endpointAudit.engineAt(endpoint), isRead, nowMs);
+        retryAudit.checkAttempt(request, attempt);
         request.attempts.add(attempt);
         return number;
     }
 
-    private void checkWrite(AuditedRequest request, long announcedMs, double nowMs) {
-        if (request.clientClosed) {
+    private void checkSend(AuditedRequest request, long attemptTimeoutMs, double nowMs) {
+        if (request.clientDisconnected) {
             report(
                     Invariant.NO_ATTEMPT_AFTER_CLOSE,
                     request,
-                    "written for a client that has closed");
+                    "attempt sent after the client had disconnected");
         }
-        if (request.answered || request.responseStarted) {
-            report(Invariant.NO_ATTEMPT_AFTER_ANSWER, request, "written after the answer");
+        if (request.finalResponseSent || request.responseStarted) {
+            report(
+                    Invariant.NO_ATTEMPT_AFTER_ANSWER,
+                    request,
+                    "attempt sent after the response had started or ended");
         }
         double remainingMs = request.deadlineMs - nowMs;
-        if (announcedMs > Math.max(0, remainingMs) + ANNOUNCED_TOLERANCE_MS) {
+        if (attemptTimeoutMs > Math.max(0, remainingMs) + ATTEMPT_TIMEOUT_TOLERANCE_MS) {
             report(
                     Invariant.DEADLINE_PROPAGATED,
                     request,
-                    "announced " + announcedMs + " ms of " + Math.round(remainingMs));
+                    "attempt timeout of "
+                            + attemptTimeoutMs
+                            + " ms exceeds the remaining "
+                            + Math.round(remainingMs)
+                            + " ms");
         }
     }
 
@@ -148,7 +159,7 @@
     public void readCompleted(String id, int attempt) {
         AuditedRequest request = endAttempt(id, attempt, Transition.Kind.READ_COMPLETED, null);
         if (request != null) {
-            hold(request);
+            startHold(request);
             moveIfComplete(request);
         }
     }
@@ -160,7 +171,7 @@
             return;
         }
         record(request, Transition.Kind.RESPONSE_STARTED, attempt, null);
-        if (!request.answered && !request.clientClosed) {
+        if (!request.finalResponseSent && !request.clientDisconnected) {
             checkDeadline(request);
         }
         request.responseStarted = true;
@@ -169,23 +180,23 @@
 
     @Override
     public void attemptEnded(
-            String id, int attempt, String outcome, boolean neverRan, boolean engineAnswered) {
+            String id, int attempt, String outcome, boolean provenNotRun, boolean engineResponded) {
         AuditedRequest request = endAttempt(id, attempt, Transition.Kind.ENDED, outcome);
         if (request == null || attempt < 0) {
             return;
         }
         AuditedAttempt ended = request.attempts.get(attempt);
-        ended.setNeverRan(neverRan);
-        boolean mayHaveBegunHolding = ended.mayHaveRead() && !request.isHeld();
+        ended.setProvenNotRun(provenNotRun);
+        boolean mayHaveStartedHold = ended.mayHoldReadState() && !request.isHeld();
         boolean mayStillBeHeld =
-                request.releasedBesideAttempt || (engineAnswered && request.isHeld());
-        if (!request.responseStarted && (mayHaveBegunHolding || mayStillBeHeld)) {
-            hold(request);
+                request.releasedDuringAttempt || (engineResponded && request.isHeld());
+        if (!request.responseStarted && (mayHaveStartedHold || mayStillBeHeld)) {
+            startHold(request);
         }
         moveIfComplete(request);
     }
 
-    /** Ends an attempt; gives its request, or null if that is not followed. */
+    /** Marks an attempt as ended; returns its request, or null if the request is not tracked. */
     private AuditedRequest endAttempt(String id, int attempt, Transition.Kind kind, Object detail) {
         AuditedRequest request = find(id);
         if (request != null) {
@@ -199,14 +210,14 @@
 
     // ------------------------------------------------------------------ held states
 
-    private void hold(AuditedRequest request) {
+    private void startHold(AuditedRequest request) {
         double nowMs = clockMs.getAsDouble();
         request.holdSince(nowMs);
-        request.releasedBesideAttempt = false;
+        request.releasedDuringAttempt = false;
         request.lateReleaseReported = false;
         request.record(nowMs, Transition.Kind.HELD, NO_ATTEMPT, null);
-        if (complete.remove(request.id) != null) {
-            open.put(request.id, request);
+        if (completedRequests.remove(request.id) != null) {
+            openRequests.put(request.id, request);
         }
     }
 
@@ -215,9 +226,9 @@
         AuditedRequest request = find(id);
         if (request != null) {
             record(request, Transition.Kind.RELEASED, NO_ATTEMPT, null);
-            checkHeld(request, clockMs.getAsDouble());
+            checkStateHold(request, clockMs.getAsDouble());
             request.clearHeld();
-            request.releasedBesideAttempt =
+            request.releasedDuringAttempt =
                     request.attempts.stream().anyMatch(attempt -> !attempt.hasEnded());
             moveIfComplete(request);
         }
@@ -232,68 +243,72 @@
 
     @Override
     public void endpointsChanged(Map<Endpoint, AuditedEngine> engines) {
-        endpoints.endpointsChanged(engines, clockMs.getAsDouble());
+        endpointAudit.endpointsChanged(engines, clockMs.getAsDouble());
     }
 
-    // ------------------------------------------------------------------ the periodic check
+    // ------------------------------------------------------------------ periodic check
 
-    /** Checks for what should have happened by now and has not. */
+    /**
+     * Checks the open requests for missed deadlines, states held too long and orphaned attempts.
+     */
     public void check() {
         double nowMs = clockMs.getAsDouble();
-        for (AuditedRequest request : List.copyOf(open.values())) {
-            if (!request.responseStarted && !request.answered && !request.clientClosed) {
+        for (AuditedRequest request : List.copyOf(openRequests.values())) {
+            if (!request.responseStarted
+                    && !request.finalResponseSent
+                    && !request.clientDisconnected) {
                 checkDeadline(request);
             }
-            checkHeld(request, nowMs);
-            checkLeftover(request, nowMs);
+            checkStateHold(request, nowMs);
+            checkOrphanedAttempts(request, nowMs);
         }
     }
 
     private void checkDeadline(AuditedRequest request) {
         double lateMs = clockMs.getAsDouble() - request.deadlineMs;
-        if (lateMs > ANSWER_TOLERANCE_MS && !request.lateAnswerReported) {
-            request.lateAnswerReported = true;
+        if (lateMs > RESPONSE_TOLERANCE_MS && !request.lateResponseReported) {
+            request.lateResponseReported = true;
             report(
                     Invariant.ANSWERED_BY_DEADLINE,
                     request,
-                    "no answer " + Math.round(lateMs) + " ms after its deadline");
+                    "no response " + Math.round(lateMs) + " ms after the deadline");
         }
     }
 
-    private void checkHeld(AuditedRequest request, double nowMs) {
+    private void checkStateHold(AuditedRequest request, double nowMs) {
         double heldForMs = request.heldForMs(nowMs);
-        if (heldForMs > settings.releaseMs() + RELEASE_TOLERANCE_MS
+        if (heldForMs > settings.maxStateHoldMs() + RELEASE_TOLERANCE_MS
                 && !request.lateReleaseReported) {
             request.lateReleaseReported = true;
             report(
                     Invariant.STATE_RELEASED,
                     request,
-                    "a state is held for " + Math.round(heldForMs) + " ms");
+                    "read state held for " + Math.round(heldForMs) + " ms");
         }
     }
 
-    private void checkLeftover(AuditedRequest request, double nowMs) {
-        if (request.answered
-                && nowMs - request.answeredMs > LEFTOVER_TIMEOUT_MS
-                && !request.leftoverReported) {
-            request.leftoverReported = true;
+    private void checkOrphanedAttempts(AuditedRequest request, double nowMs) {
+        if (request.finalResponseSent
+                && nowMs - request.finalResponseMs > ORPHANED_ATTEMPT_TIMEOUT_MS
+                && !request.orphanedAttemptReported) {
+            request.orphanedAttemptReported = true;
             report(
                     Invariant.RESOURCES_RELEASED,
                     request,
-                    "attempts are in flight long after its answer");
+                    "attempts still in flight long after the final response");
         }
     }
 
     // ------------------------------------------------------------------ helpers
 
     private AuditedRequest find(String id) {
-        AuditedRequest request = open.get(id);
-        return request != null ? request : complete.get(id);
+        AuditedRequest request = openRequests.get(id);
+        return request != null ? request : completedRequests.get(id);
     }
 
     private void moveIfComplete(AuditedRequest request) {
-        if (request.isComplete() && open.remove(request.id) != null) {
-            complete.put(request.id, request);
+        if (request.isComplete() && openRequests.remove(request.id) != null) {
+            completedRequests.put(request.id, request);
         }
     }
 
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -37,7 +37,7 @@
     /** Creates a client with another way of opening connections. */
     public ForwardingUpstreamClient(
             Scheduler scheduler, UpstreamLimits limits, ConnectionOpener opener) {
-        this(scheduler, limits, opener, RequestEvents.IGNORED);
+        this(scheduler, limits, opener, RequestEvents.NO_OP);
     }
 
     /** Creates a client with another way of opening connections, which reports its events. */
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -14,13 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Admits exchanges and generations, or rejects them: by the router's own limits, then by the
+ * Admits or rejects exchanges and generations: first by the router's own limits, then by the
  * tenant's budget, which may borrow quota from the other routers.
  */
 final class AdmissionController {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionController.class);
 
-    private static final int LABEL_RADIX = 36;
+    private static final int ID_RADIX = 36;
 
     private final Router router;
     private final RequestServices services;
@@ -31,9 +31,9 @@
     private final String idPrefix;
     private final SessionRegistry sessions = new SessionRegistry();
     private final Map<String, TenantQuota> tenantQuotas = new HashMap<>();
-    private long admitted;
+    private long admittedCount;
 
-    /** Null where no quota is lent. */
+    /** Null if quota borrowing is disabled. */
     private QuotaClient quotaClient;
 
     AdmissionController(
@@ -56,10 +56,10 @@
         quotaClient = client;
     }
 
-    /** Whether one more exchange may start; if so it is counted. */
+    /** Admits one more exchange and counts it, or returns false. */
     boolean tryAdmitExchange() {
-        // What is used and can't be recorded would be given away; the ledger reports in time that
-        // it is behind.
+        // Usage that cannot be recorded could not be billed. The ledger reports early that it is
+        // behind.
         boolean ledgerBehind = usageRecorder.isBehind();
         if (shutdown.isStopping()
                 || ledgerBehind
@@ -73,13 +73,16 @@
         return true;
     }
 
-    /** Admits a generation, or rejects it over budget; see {@link Router#submit}. */
+    /**
+     * Admits a generation, or rejects it because its tenant is over budget; see {@link
+     * Router#submit}.
+     */
     void submit(
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             Consumer<InFlightRequest> onAdmitted) {
-        // Guards against: a client whose body waited to be counted would wait that much longer than
-        // its deadline.
+        // Guards against: a client whose request body waited for its tokens to be counted would
+        // wait that much longer than its deadline.
         double arrivedMs = context.nowMs() - generationRequest.queuedMs();
         BudgetDecision decision = checkBudget(generationRequest);
         if (!decision.isAdmitted() && decision.isRateLimited() && quotaClient != null) {
@@ -88,7 +91,7 @@
             }
             budgets.setLenderAvailable(quotaClient.isResponsive());
         }
-        decide(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
+        admitOrReject(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
     }
 
     private BudgetDecision checkBudget(GenerationRequest generationRequest) {
@@ -104,8 +107,8 @@
     }
 
     /**
-     * Requests the quota that the generation lacks, to decide later; false if it can't be
-     * requested.
+     * Requests the missing quota and decides on admission once the lender responds; returns false
+     * if the quota cannot be requested.
      */
     private boolean borrowQuota(
             GenerationRequest generationRequest,
@@ -130,13 +133,13 @@
                             grantedTokens,
                             context.nowMs() + context.site.lapseMs);
                     if (!responseSink.isDisconnected()) {
-                        BudgetDecision second = checkBudget(generationRequest);
-                        decide(
+                        BudgetDecision newDecision = checkBudget(generationRequest);
+                        admitOrReject(
                                 generationRequest,
                                 responseSink,
-                                second.isAdmitted()
-                                        ? second
-                                        : second.withRetryAfterAtLeast(retryAfterMs),
+                                newDecision.isAdmitted()
+                                        ? newDecision
+                                        : newDecision.withRetryAfterAtLeast(retryAfterMs),
                                 arrivedMs,
                                 onAdmitted);
                     }
@@ -144,7 +147,7 @@
         return quotaClient.request(quotaRequest, listener);
     }
 
-    private void decide(
+    private void admitOrReject(
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             BudgetDecision decision,
@@ -156,11 +159,11 @@
             return;
         }
         InFlightRequest request = newRequest(generationRequest, responseSink, decision, arrivedMs);
-        usageRecorder.assignBill(request);
+        usageRecorder.assignBillId(request);
         context.requests.put(request.generation(), request);
         services.timeouts().watchDeadline(request);
         services.policy().requestArrived(request);
-        services.closer().closeIfOver(request);
+        services.closer().closeIfFinished(request);
         onAdmitted.accept(request);
     }
 
@@ -168,7 +171,7 @@
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             BudgetDecision decision) {
-        context.metrics.answered(
+        context.metrics.requestFinished(
                 context.routerNumber,
                 generationRequest.offering().product.name,
                 "over_budget",
@@ -176,7 +179,7 @@
         LOG.atDebug()
                 .addKeyValue("tenant", generationRequest.tenant().name())
                 .addKeyValue("reason", decision.reason())
-                .log("over budget");
+                .log("request rejected: tenant is over budget");
         responseSink.rejectedOverBudget(decision);
     }
 
@@ -185,23 +188,23 @@
             ResponseSink responseSink,
             BudgetDecision decision,
             double arrivedMs) {
-        DeadlinePolicy deadlines =
-                DeadlinePolicy.of(
+        ResponseDeadlines deadlines =
+                ResponseDeadlines.of(
                         generationRequest.offering(),
                         generationRequest.promptTokens(),
                         generationRequest.maxTokens(),
-                        generationRequest.unstreamed(),
+                        generationRequest.nonStreaming(),
                         generationRequest.clientTimeoutMs());
         ProductOffering offering = generationRequest.offering();
         Generation generation =
                 new Generation(
-                        labelOf(generationRequest),
+                        generationIdOf(generationRequest),
                         decision.charge().isBorrowed() ? offering.borrowed : offering.product,
                         tenantQuotaOf(generationRequest.tenant()),
                         sessions.sessionOf(generationRequest),
                         sessions.sharedPrefixOf(generationRequest),
                         generationRequest.promptTokens(),
-                        generationRequest.sharedTokens(),
+                        generationRequest.sharedPrefixTokens(),
                         generationRequest.maxTokens(),
                         Double.NaN,
                         generationRequest.clientRetry(),
@@ -216,11 +219,11 @@
                 arrivedMs + deadlines.completionMs);
     }
 
-    /** The client's id of a forwarded request, or a name that no other router gives. */
-    private String labelOf(GenerationRequest generationRequest) {
+    /** The client's id for a forwarded request, or else an id that no other router assigns. */
+    private String generationIdOf(GenerationRequest generationRequest) {
         return generationRequest.forwardedRequest() != null
                 ? generationRequest.forwardedRequest().id()
-                : idPrefix + Long.toString(admitted++, LABEL_RADIX);
+                : idPrefix + Long.toString(admittedCount++, ID_RADIX);
     }
 
     private TenantQuota tenantQuotaOf(Site.Tenant tenant) {
--- a/src/main/java/larchridge/router/FinalAnswers.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -8,42 +8,42 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Gives each client its one final answer, and counts and logs it. */
-final class FinalAnswers {
-    private static final Logger LOG = LoggerFactory.getLogger(FinalAnswers.class);
+/** Sends each client its one final response, and counts and logs it. */
+final class FinalResponseSender {
+    private static final Logger LOG = LoggerFactory.getLogger(FinalResponseSender.class);
 
-    /** A failure this close to the deadline for the first token is blamed on the deadline. */
+    /** A failure this close to the first-token deadline is reported as an exceeded deadline. */
     private static final double NEAR_DEADLINE_MS = 100;
 
     private final RouterContext context;
     private final UsageRecorder usageRecorder;
 
-    FinalAnswers(RouterContext context, UsageRecorder usageRecorder) {
+    FinalResponseSender(RouterContext context, UsageRecorder usageRecorder) {
         this.context = context;
         this.usageRecorder = usageRecorder;
     }
 
-    /** The answer is complete; false if a final answer was given before. */
+    /** Completes the response; returns false if a final response was sent before. */
     boolean complete(InFlightRequest request, Completion completion) {
-        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.COMPLETED)) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalResponse.COMPLETED)) {
             return false;
         }
         request.usageMeter().responseCompleted(completion.outputTokens());
-        answered(request, "streamed");
+        recordFinalResponse(request, "streamed");
         usageRecorder.recordThen(request, () -> request.responseSink().completed(completion));
         return true;
     }
 
-    /** Not now; retrying is harmless. Without effect after a final answer. */
+    /** Rejects the request; a retry is harmless. Does nothing after a final response. */
     void reject(InFlightRequest request, double retryAfterMs) {
-        if (request.responseGuard().finish(ResponseGuard.FinalAnswer.REJECTED)) {
-            answered(request, "throttled");
-            context.latency.rejected(request);
+        if (request.responseGuard().finish(ResponseGuard.FinalResponse.REJECTED)) {
+            recordFinalResponse(request, "throttled");
+            context.latencyTracker.rejected(request);
             request.responseSink().rejected(retryAfterMs);
         }
     }
 
-    /** Failed, with a cause by whether its time is all but up. */
+    /** Fails the request; the cause depends on whether its first-token deadline is near. */
     void fail(InFlightRequest request) {
         boolean nearDeadline = context.nowMs() >= request.firstTokenDeadlineMs() - NEAR_DEADLINE_MS;
         fail(
@@ -53,12 +53,12 @@
                         : ResponseSink.FailureCause.UPSTREAM_FAILED);
     }
 
-    /** Failed, for this cause. Without effect after a final answer. */
+    /** Fails the request with this cause. Does nothing after a final response. */
     void fail(InFlightRequest request, ResponseSink.FailureCause cause) {
-        if (request.responseGuard().finish(ResponseGuard.FinalAnswer.FAILED)) {
-            answered(request, "terminated");
+        if (request.responseGuard().finish(ResponseGuard.FinalResponse.FAILED)) {
+            recordFinalResponse(request, "terminated");
             if (cause == ResponseSink.FailureCause.DEADLINE_EXCEEDED) {
-                context.latency.rejected(request);
+                context.latencyTracker.rejected(request);
             }
             request.responseSink().failed(cause, mayRetry(request.generation().trafficClass));
         }
@@ -70,22 +70,22 @@
                         && trafficClass.deduplicationScope == DeduplicationScope.ALL);
     }
 
-    /** Counts the end of a request whose client has disconnected or takes no answer. */
-    void unanswered(InFlightRequest request, String kind) {
-        context.metrics.answered(
+    /** Counts the end of a request whose client disconnected or does not read its response. */
+    void recordAborted(InFlightRequest request, String kind) {
+        context.metrics.requestFinished(
                 context.routerNumber, request.offering().product.name, kind, Double.NaN);
     }
 
-    private void answered(InFlightRequest request, String kind) {
+    private void recordFinalResponse(InFlightRequest request, String kind) {
         String product = request.generation().trafficClass.name;
         double elapsedMs = request.elapsedMs(context.nowMs());
         if (request.generation().giveUpReason() != null) {
-            context.metrics.givenUp(
+            context.metrics.requestAbandoned(
                     context.routerNumber,
                     product,
                     request.generation().giveUpReason().name().toLowerCase(Locale.ROOT));
         }
-        context.metrics.answered(context.routerNumber, product, kind, elapsedMs);
+        context.metrics.requestFinished(context.routerNumber, product, kind, elapsedMs);
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("router", context.routerNumber)
--- a/src/main/java/larchridge/router/InFlightRequest.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -9,8 +9,8 @@
 import larchridge.state.Generation;
 
 /**
- * A generation that a router has admitted, with its client and its attempts. The client's side of
- * the connection reports through it what happens to the client. Used on the router's loop only.
+ * A generation that a router has admitted, with its client and its attempts. The server reports
+ * client events through it. Used on the router's loop only.
  */
 public final class InFlightRequest {
     private static final long NO_TIMER = -1;
@@ -24,20 +24,20 @@
     private final ResponseGuard responseGuard = new ResponseGuard();
     private final List<InFlightAttempt> attempts = new ArrayList<>(2);
 
-    /** By when an answer in one piece must be complete; infinite for a streamed answer. */
+    /** Deadline for a complete non-streaming response; infinite for a streaming one. */
     private final double completionDeadlineMs;
 
     private String billId;
     private String duplicateKey;
     private InFlightAttempt streamingAttempt;
-    private double lastPieceMs;
+    private double lastChunkMs;
     private boolean paused;
-    private double pausedMs;
+    private double pausedSinceMs;
     private boolean recorded;
-    private long recordedWaste;
+    private long recordedWastedTokens;
     private int recordedAttempts;
     private long deadlineTimer = NO_TIMER;
-    private long quietTimer = NO_TIMER;
+    private long streamIdleTimer = NO_TIMER;
 
     InFlightRequest(
             Router router,
@@ -56,22 +56,22 @@
                 new UsageMeter(generationRequest.promptTokens(), generationRequest.maxTokens());
     }
 
-    /** The client has disconnected. */
+    /** The client disconnected. */
     public void clientDisconnected() {
         router.clientDisconnected(this);
     }
 
-    /** The client can't take more of the answer for now. */
+    /** The client cannot receive more of the response for now. */
     public void pause() {
         router.pause(this);
     }
 
-    /** The client can take more of the answer again. */
+    /** The client can receive more of the response again. */
     public void resume() {
         router.resume(this);
     }
 
-    /** Names the generation in logs and answers. */
+    /** The generation's id in logs and responses. */
     public String id() {
         return generation.id;
     }
@@ -108,7 +108,7 @@
         return generationRequest.offering().isBatch;
     }
 
-    /** By when the answer must begin. */
+    /** Deadline for the first token of the response. */
     double firstTokenDeadlineMs() {
         return generation.deadlineMs;
     }
@@ -121,14 +121,14 @@
         return nowMs - generation.arrivedMs;
     }
 
-    /** The time since the arrival as a share of the time that its latency objective allows. */
-    double shareOfLatencyObjective(double nowMs) {
+    /** The time since the arrival as a fraction of the latency objective. */
+    double latencyObjectiveFraction(double nowMs) {
         return (nowMs - generation.arrivedMs) / (generation.sloDeadlineMs() - generation.arrivedMs);
     }
 
     // ------------------------------------------------------------------ attempts
 
-    /** All attempts in the order of their numbers; to be read only. */
+    /** All attempts in the order of their numbers; must not be modified. */
     List<InFlightAttempt> attempts() {
         return attempts;
     }
@@ -141,55 +141,55 @@
         attempts.add(attempt);
     }
 
-    /**
-     * Whether an attempt that has not ended fetches, or is yet to fetch, the state of this read.
-     */
+    /** Whether an attempt that has not ended fetches, or will fetch, the state of this read. */
     boolean isStateClaimed(InFlightAttempt read) {
         for (InFlightAttempt attempt : attempts) {
-            if (attempt.source() == read && !attempt.isEnded()) {
+            if (attempt.stateSource() == read && !attempt.isEnded()) {
                 return true;
             }
         }
         return false;
     }
 
-    // ------------------------------------------------------------------ the stream to the client
+    // ------------------------------------------------------------------ response stream
 
-    /** The attempt whose answer goes to the client, or null before an answer has begun. */
+    /**
+     * The attempt whose response is streamed to the client, or null before a response has started.
+     */
     InFlightAttempt streamingAttempt() {
         return streamingAttempt;
     }
 
-    /** Whether what this attempt sends goes to the client. */
+    /** Whether the output of this attempt goes to the client. */
     boolean streamsFrom(InFlightAttempt attempt) {
-        return streamingAttempt == attempt && !responseGuard.isDone();
+        return streamingAttempt == attempt && !responseGuard.isFinished();
     }
 
     void startStreaming(InFlightAttempt attempt, double nowMs) {
         streamingAttempt = attempt;
-        lastPieceMs = nowMs;
+        lastChunkMs = nowMs;
     }
 
-    void pieceReceived(double nowMs) {
-        lastPieceMs = nowMs;
+    void chunkReceived(double nowMs) {
+        lastChunkMs = nowMs;
     }
 
-    double lastPieceMs() {
-        return lastPieceMs;
+    double lastChunkMs() {
+        return lastChunkMs;
     }
 
     boolean isPaused() {
         return paused;
     }
 
-    /** Whether it has been paused without a break since that time. */
+    /** Whether the stream has been paused without interruption since that time. */
     boolean isPausedSince(double sinceMs) {
-        return paused && pausedMs == sinceMs;
+        return paused && pausedSinceMs == sinceMs;
     }
 
     void pauseStream(double nowMs) {
         paused = true;
-        pausedMs = nowMs;
+        pausedSinceMs = nowMs;
         if (streamingAttempt != null) {
             streamingAttempt.handle().pause();
         }
@@ -197,7 +197,7 @@
 
     void resumeStream(double nowMs) {
         paused = false;
-        lastPieceMs = nowMs;
+        lastChunkMs = nowMs;
         if (streamingAttempt != null) {
             streamingAttempt.handle().resume();
         }
@@ -210,16 +210,16 @@
         return billId;
     }
 
-    void assignBill(String id) {
+    void setBillId(String id) {
         billId = id;
     }
 
-    /** What identical requests without an idempotency key are found by, or null with a key. */
+    /** Identifies identical requests without an idempotency key; null for requests with a key. */
     String duplicateKey() {
         return duplicateKey;
     }
 
-    void assignDuplicateKey(String key) {
+    void setDuplicateKey(String key) {
         duplicateKey = key;
     }
 
@@ -227,23 +227,23 @@
         return recorded;
     }
 
-    /** Whether waste or attempts were added after the use was recorded. */
-    boolean hasUnrecordedUse() {
-        return unrecordedWaste() > 0 || unrecordedAttempts() > 0;
+    /** Whether waste or attempts were added after the usage was recorded. */
+    boolean hasUnrecordedUsage() {
+        return unrecordedWastedTokens() > 0 || unrecordedAttempts() > 0;
     }
 
-    long unrecordedWaste() {
-        return usageMeter.wastedTokens() - recordedWaste;
+    long unrecordedWastedTokens() {
+        return usageMeter.wastedTokens() - recordedWastedTokens;
     }
 
     int unrecordedAttempts() {
         return attempts.size() - recordedAttempts;
     }
 
-    /** Notes whether the use up to now is in the ledger's queue. */
-    void noteRecorded(boolean queued) {
+    /** Sets whether the usage so far was queued for the ledger. */
+    void markRecorded(boolean queued) {
         recorded = queued;
-        recordedWaste = usageMeter.wastedTokens();
+        recordedWastedTokens = usageMeter.wastedTokens();
         recordedAttempts = attempts.size();
     }
 
@@ -257,20 +257,20 @@
         deadlineTimer = NO_TIMER;
     }
 
-    void setQuietTimer(long timer) {
-        quietTimer = timer;
+    void setStreamIdleTimer(long timer) {
+        streamIdleTimer = timer;
     }
 
-    void clearQuietTimer() {
-        quietTimer = NO_TIMER;
+    void clearStreamIdleTimer() {
+        streamIdleTimer = NO_TIMER;
     }
 
     void cancelTimers(Scheduler scheduler) {
         if (deadlineTimer != NO_TIMER) {
             scheduler.cancel(deadlineTimer);
         }
-        if (quietTimer != NO_TIMER) {
-            scheduler.cancel(quietTimer);
+        if (streamIdleTimer != NO_TIMER) {
+            scheduler.cancel(streamIdleTimer);
         }
     }
 }
--- a/src/main/java/larchridge/router/RequestCloser.java
+++ b/src/main/java/larchridge/router/RequestCloser.java
@@ -5,13 +5,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ends the work for requests that are answered or whose clients have disconnected. */
+/**
+ * Ends processing of requests that have their final response or whose clients have disconnected.
+ */
 final class RequestCloser {
     private static final Logger LOG = LoggerFactory.getLogger(RequestCloser.class);
 
     private final RouterContext context;
     private final PolicyNotifier policy;
-    private final FinalAnswers finalAnswers;
+    private final FinalResponseSender finalResponses;
     private final AttemptCanceller attemptCanceller;
     private final ReadStateReleases readStates;
     private final UsageRecorder usageRecorder;
@@ -20,67 +22,67 @@
     RequestCloser(
             RouterContext context,
             PolicyNotifier policy,
-            FinalAnswers finalAnswers,
+            FinalResponseSender finalResponses,
             AttemptCanceller attemptCanceller,
             ReadStateReleases readStates,
             UsageRecorder usageRecorder,
             GracefulShutdown shutdown) {
         this.context = context;
         this.policy = policy;
-        this.finalAnswers = finalAnswers;
+        this.finalResponses = finalResponses;
         this.attemptCanceller = attemptCanceller;
         this.readStates = readStates;
         this.usageRecorder = usageRecorder;
         this.shutdown = shutdown;
     }
 
-    /** The client has disconnected. */
+    /** Ends a request whose client disconnected. */
     void clientDisconnected(InFlightRequest request) {
-        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.DISCONNECTED)) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalResponse.DISCONNECTED)) {
             return;
         }
         context.updateClock();
-        finalAnswers.unanswered(request, "gone");
+        finalResponses.recordAborted(request, "gone");
         LOG.atDebug().addKeyValue("generation", request.id()).log("client disconnected");
         abandon(request);
     }
 
-    /** Cuts off a client that takes nothing of its answer. */
+    /** Aborts the response to a client that does not read it. */
     void abortSlowClient(InFlightRequest request) {
-        if (!request.responseGuard().finish(ResponseGuard.FinalAnswer.FAILED)) {
+        if (!request.responseGuard().finish(ResponseGuard.FinalResponse.FAILED)) {
             return;
         }
         context.updateClock();
-        finalAnswers.unanswered(request, "slow_client");
+        finalResponses.recordAborted(request, "slow_client");
         request.responseSink().aborted();
         abandon(request);
     }
 
-    /** Fails a request and ends its attempts. */
+    /** Fails a request and cancels its attempts. */
     void failAndAbandon(InFlightRequest request, ResponseSink.FailureCause cause) {
-        finalAnswers.fail(request, cause);
+        finalResponses.fail(request, cause);
         abandon(request);
     }
 
-    /** Fails all requests in flight that have no final answer yet. */
+    /** Fails all requests in flight that have no final response yet. */
     void failAll(ResponseSink.FailureCause cause) {
         for (InFlightRequest request : List.copyOf(context.requests.values())) {
-            if (!request.responseGuard().isDone()) {
+            if (!request.responseGuard().isFinished()) {
                 failAndAbandon(request, cause);
             }
         }
     }
 
-    /** Notifies the policy that nobody waits for the request, and cancels its attempts. */
+    /** Notifies the policy that no client waits for the request, and cancels its attempts. */
     private void abandon(InFlightRequest request) {
         policy.clientDisconnected(request);
         attemptCanceller.cancelAll(request, CancellationReason.REQUEST_OVER);
-        closeIfOver(request);
+        closeIfFinished(request);
     }
 
-    /** Removes the request if it is answered and has no attempt in flight. */
-    void closeIfOver(InFlightRequest request) {
-        if (!isOver(request) || context.requests.get(request.generation()) == null) {
+    /** Removes the request if it has its final response and no attempt in flight. */
+    void closeIfFinished(InFlightRequest request) {
+        if (!isFinished(request) || context.requests.get(request.generation()) == null) {
             return;
         }
         readStates.releaseUnclaimed(request.generation());
@@ -90,24 +92,24 @@
         shutdown.checkIdle();
     }
 
-    /** Removes all requests that are over, after an event that is no single request's. */
-    void closeAllOver() {
+    /** Removes all finished requests, after an event that does not concern a single request. */
+    void closeAllFinished() {
         if (context.requests.isEmpty()) {
             return;
         }
-        List<InFlightRequest> over = null;
+        List<InFlightRequest> finished = null;
         for (InFlightRequest request : context.requests.values()) {
-            if (isOver(request)) {
-                over = over == null ? new ArrayList<>() : over;
-                over.add(request);
+            if (isFinished(request)) {
+                finished = finished == null ? new ArrayList<>() : finished;
+                finished.add(request);
             }
         }
-        if (over != null) {
-            over.forEach(this::closeIfOver);
+        if (finished != null) {
+            finished.forEach(this::closeIfFinished);
         }
     }
 
-    private static boolean isOver(InFlightRequest request) {
-        return request.responseGuard().isDone() && request.generation().attemptsInFlight() <= 0;
+    private static boolean isFinished(InFlightRequest request) {
+        return request.responseGuard().isFinished() && request.generation().attemptsInFlight() <= 0;
     }
 }
--- a/src/main/java/larchridge/router/RequestTimeouts.java
+++ b/src/main/java/larchridge/router/RequestTimeouts.java
@@ -1,15 +1,18 @@
 package larchridge.router;
 
-/** Ends requests whose time is up, whose clients take nothing or whose streams fall silent. */
+/**
+ * Ends requests that exceed a deadline, whose clients do not read their response, or whose streams
+ * are idle for too long.
+ */
 final class RequestTimeouts {
     /**
-     * The router answers this long before the client's deadline if the policy, which gives up
-     * earlier, has not.
+     * The router fails a request this long before the client's deadline if the policy, which gives
+     * up earlier, has not.
      */
-    static final double LAST_RESORT_MS = 8;
+    static final double DEADLINE_MARGIN_MS = 8;
 
-    /** A stream that has this much or less of its quiet time left counts as silent. */
-    private static final double QUIET_TOLERANCE_MS = 1;
+    /** A stream with this much or less of its idle timeout left counts as idle. */
+    private static final double IDLE_TOLERANCE_MS = 1;
 
     private final RouterContext context;
     private final RequestCloser closer;
@@ -24,9 +27,9 @@
 
     // ------------------------------------------------------------------ deadlines
 
-    /** Ends the request if it has no answer shortly before its deadline. */
+    /** Ends the request if its response has not started shortly before the deadline. */
     void watchDeadline(InFlightRequest request) {
-        double delayMs = request.firstTokenDeadlineMs() - context.nowMs() - LAST_RESORT_MS;
+        double delayMs = request.firstTokenDeadlineMs() - context.nowMs() - DEADLINE_MARGIN_MS;
         request.setDeadlineTimer(
                 context.scheduler.schedule(delayMs, () -> firstTokenDeadlineReached(request)));
     }
@@ -35,15 +38,15 @@
         context.updateClock();
         request.clearDeadlineTimer();
         ResponseGuard responseGuard = request.responseGuard();
-        if (!responseGuard.isDone() && !responseGuard.isBegun()) {
+        if (!responseGuard.isFinished() && !responseGuard.isStarted()) {
             closer.failAndAbandon(request, ResponseSink.FailureCause.DEADLINE_EXCEEDED);
         }
-        if (!responseGuard.isBegun()) {
+        if (!responseGuard.isStarted()) {
             attemptCanceller.cancelAll(request, CancellationReason.TIME_UP);
         }
-        if (responseGuard.isBegun()
-                && !responseGuard.isDone()
-                && request.generationRequest().unstreamed()) {
+        if (responseGuard.isStarted()
+                && !responseGuard.isFinished()
+                && request.generationRequest().nonStreaming()) {
             double delayMs = request.completionDeadlineMs() - context.nowMs();
             request.setDeadlineTimer(
                     context.scheduler.schedule(delayMs, () -> completionDeadlineReached(request)));
@@ -52,7 +55,7 @@
 
     private void completionDeadlineReached(InFlightRequest request) {
         request.clearDeadlineTimer();
-        if (!request.responseGuard().isDone()) {
+        if (!request.responseGuard().isFinished()) {
             context.updateClock();
             closer.failAndAbandon(request, ResponseSink.FailureCause.DEADLINE_EXCEEDED);
         }
@@ -60,7 +63,10 @@
 
     // ------------------------------------------------------------------ slow clients
 
-    /** The client takes no more for now; if it stays so for too long it is cut off. */
+    /**
+     * Pauses the stream of a client that cannot receive more for now, and aborts the response if it
+     * stays paused for too long.
+     */
     void pause(InFlightRequest request) {
         if (request.isPaused()) {
             return;
@@ -71,15 +77,15 @@
         context.scheduler.schedule(
                 context.site.limit.slowClientMs,
                 () -> {
-                    // Guards against: a client that takes nothing would hold its writer's memory
-                    // for ever.
+                    // Guards against: a client that never reads its response would occupy its
+                    // writer's memory indefinitely.
                     if (request.isPausedSince(sinceMs)) {
                         closer.abortSlowClient(request);
                     }
                 });
     }
 
-    /** The client takes more of its answer again. */
+    /** Resumes the stream of a client that can receive more again. */
     void resume(InFlightRequest request) {
         if (request.isPaused()) {
             context.updateClock();
@@ -87,31 +93,32 @@
         }
     }
 
-    // ------------------------------------------------------------------ silent streams
+    // ------------------------------------------------------------------ idle streams
 
-    /** Ends the stream that has just begun if it falls silent for too long. */
-    void watchStream(InFlightRequest request) {
-        scheduleQuietCheck(request, context.site.limit.quietStreamMs);
+    /** Ends the stream, which has just started, if it is idle for too long. */
+    void watchStreamIdle(InFlightRequest request) {
+        scheduleStreamIdleCheck(request, context.site.limit.quietStreamMs);
     }
 
-    private void scheduleQuietCheck(InFlightRequest request, double delayMs) {
-        request.setQuietTimer(context.scheduler.schedule(delayMs, () -> checkQuietStream(request)));
+    private void scheduleStreamIdleCheck(InFlightRequest request, double delayMs) {
+        request.setStreamIdleTimer(
+                context.scheduler.schedule(delayMs, () -> checkStreamIdle(request)));
     }
 
-    private void checkQuietStream(InFlightRequest request) {
-        request.clearQuietTimer();
-        if (request.responseGuard().isDone()) {
+    private void checkStreamIdle(InFlightRequest request) {
+        request.clearStreamIdleTimer();
+        if (request.responseGuard().isFinished()) {
             return;
         }
         context.updateClock();
-        double quietStreamMs = context.site.limit.quietStreamMs;
-        double leftMs = request.lastPieceMs() + quietStreamMs - context.nowMs();
+        double idleTimeoutMs = context.site.limit.quietStreamMs;
+        double remainingMs = request.lastChunkMs() + idleTimeoutMs - context.nowMs();
         if (request.isPaused()) {
-            scheduleQuietCheck(request, quietStreamMs);
-        } else if (leftMs > QUIET_TOLERANCE_MS) {
-            scheduleQuietCheck(request, leftMs);
+            scheduleStreamIdleCheck(request, idleTimeoutMs);
+        } else if (remainingMs > IDLE_TOLERANCE_MS) {
+            scheduleStreamIdleCheck(request, remainingMs);
         } else {
-            attemptCanceller.expireSilentStream(request.streamingAttempt());
+            attemptCanceller.expireIdleStream(request.streamingAttempt());
         }
     }
 }
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -1,63 +1,68 @@
 package larchridge.router;
 
 /**
- * The state of the answer to one client: not begun, begun, and final. It is the one place at which
- * a final answer can be given, so that each client gets exactly one. Without I/O, clock or threads.
+ * The state of the response to one client: not started, started, or finished. Every final response
+ * must be accepted here before it is sent, so that each client gets exactly one. Free of I/O,
+ * clocks and threads.
  */
 final class ResponseGuard {
-    /** The three final answers, and the end of a request whose client has disconnected. */
-    enum FinalAnswer {
+    /** The three final responses, and the end of a request whose client has disconnected. */
+    enum FinalResponse {
         COMPLETED("streamed"),
         REJECTED("throttled"),
         FAILED("terminated"),
         DISCONNECTED("gone");
 
-        /** The answer's name in usage records of the ledger; stored, so never changed. */
+        /**
+         * The name of the response in usage records of the ledger. It is stored, so it must not
+         * change.
+         */
         final String recordedName;
 
-        FinalAnswer(String recordedName) {
+        FinalResponse(String recordedName) {
             this.recordedName = recordedName;
         }
     }
 
-    private FinalAnswer given;
-    private boolean begun;
+    private FinalResponse finalResponse;
+    private boolean started;
 
-    /** Notes that the answer begins; false if it has begun, or a final answer was given, before. */
-    boolean begin() {
-        if (given != null || begun) {
+    /** Marks the response as started; returns false if it had started or finished before. */
+    boolean start() {
+        if (finalResponse != null || started) {
             return false;
         }
-        begun = true;
+        started = true;
         return true;
     }
 
-    boolean isBegun() {
-        return begun;
+    boolean isStarted() {
+        return started;
     }
 
-    boolean isDone() {
-        return given != null;
+    boolean isFinished() {
+        return finalResponse != null;
     }
 
-    /** The final answer that was given, or null. */
-    FinalAnswer given() {
-        return given;
+    /** The final response, or null if there is none yet. */
+    FinalResponse finalResponse() {
+        return finalResponse;
     }
 
     /**
-     * Gives this final answer, or returns false if one was given before. An answer that the client
-     * has seen part of can't be rejected, and one that has not begun can't be complete.
+     * Sets the final response, or returns false if there is one already. A response that the client
+     * has seen part of cannot be rejected, and one that has not started cannot be complete.
      */
-    boolean finish(FinalAnswer answer) {
-        if (given != null) {
+    boolean finish(FinalResponse response) {
+        if (finalResponse != null) {
             return false;
         }
-        if ((answer == FinalAnswer.REJECTED && begun)
-                || (answer == FinalAnswer.COMPLETED && !begun)) {
-            throw new IllegalStateException(answer + " is not possible here");
+        if ((response == FinalResponse.REJECTED && started)
+                || (response == FinalResponse.COMPLETED && !started)) {
+            throw new IllegalStateException(
+                    response + " is not a valid final response in this state");
         }
-        given = answer;
+        finalResponse = response;
         return true;
     }
 }
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -9,22 +9,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Settles what a request used with its tenant's budget, and writes it to the ledger once. All
- * retries of one generation by its client share one bill.
+ * Settles the usage of a request against its tenant's budget, and records it in the ledger once.
+ * All retries of one generation by its client share one bill.
  */
 final class UsageRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(UsageRecorder.class);
 
-    /** The answer of a record that adds waste to a bill after its answer was recorded. */
+    /** Response name of a record that adds waste to a bill after the response was recorded. */
     private static final String WASTE_RECORD = "waste";
 
     private final RouterContext context;
     private final Budgets budgets;
 
-    /** Null where usage is not recorded. */
+    /** Null if usage is not recorded. */
     private final Ledger ledger;
 
-    /** The first request in flight of all identical ones without an idempotency key. */
+    /** The first in-flight request of each set of identical requests without an idempotency key. */
     private final Map<String, InFlightRequest> firstOfDuplicates = new HashMap<>();
 
     UsageRecorder(RouterContext context, Budgets budgets, Ledger ledger) {
@@ -33,19 +33,19 @@
         this.ledger = ledger;
     }
 
-    /** Whether the ledger is too far behind for more requests to be admitted. */
+    /** Whether the ledger is too far behind to admit more requests. */
     boolean isBehind() {
         return ledger != null && ledger.isBehind();
     }
 
     /**
-     * Assigns the bill: by the client's idempotency key, or, without one, that of an identical
-     * request that is in flight here.
+     * Assigns the bill: by the client's idempotency key or, without one, that of an identical
+     * request in flight on this router.
      */
-    void assignBill(InFlightRequest request) {
+    void assignBillId(InFlightRequest request) {
         GenerationRequest generationRequest = request.generationRequest();
         if (generationRequest.idempotencyKey() != null) {
-            request.assignBill("key " + generationRequest.idempotencyKey());
+            request.setBillId("key " + generationRequest.idempotencyKey());
             return;
         }
         String duplicateKey =
@@ -56,21 +56,22 @@
                         + generationRequest.turnDigest()
                         + '\n'
                         + generationRequest.maxTokens();
-        request.assignDuplicateKey(duplicateKey);
+        request.setDuplicateKey(duplicateKey);
         InFlightRequest first = firstOfDuplicates.putIfAbsent(duplicateKey, request);
-        request.assignBill(first == null ? "gen " + request.id() : first.billId());
+        request.setBillId(first == null ? "gen " + request.id() : first.billId());
     }
 
-    /** Settles and records a request that is over. */
+    /** Settles and records a finished request. */
     void settle(InFlightRequest request) {
         if (request.duplicateKey() != null) {
             firstOfDuplicates.remove(request.duplicateKey(), request);
         }
-        // Guards against: billing text that was buffered for a client that disconnected and never
-        // went to its socket.
-        request.usageMeter().piecesNotSent(request.responseSink().pendingPieces());
-        if (request.generationRequest().unstreamed()
-                && request.responseGuard().given() != ResponseGuard.FinalAnswer.COMPLETED) {
+        // Guards against: billing text that was buffered for a client that disconnected and was
+        // never written to its socket.
+        request.usageMeter().piecesNotSent(request.responseSink().pendingChunks());
+        if (request.generationRequest().nonStreaming()
+                && request.responseGuard().finalResponse()
+                        != ResponseGuard.FinalResponse.COMPLETED) {
             request.usageMeter().responseDiscarded();
         }
         budgets.settle(request.charge(), request.usageMeter().billedTokens(), context.nowMs());
@@ -80,39 +81,40 @@
         }
         if (!request.isRecorded()) {
             record(request, usage(request), null);
-        } else if (request.hasUnrecordedUse()) {
-            // A second attempt ended after the answer; its record is joined to the first.
-            record(request, lateWaste(request), null);
+        } else if (request.hasUnrecordedUsage()) {
+            // A second attempt ended after the response; its record is joined to the first one's
+            // bill.
+            record(request, lateWasteUsage(request), null);
         }
     }
 
     /**
-     * Runs the end of a complete answer. Where the site wants it, the end waits until the use is on
-     * disk, so that no crash in between leaves an answer that nobody is billed for. A slow disk
-     * delays it no longer than the site allows, nor than the client waits.
+     * Finishes a complete response. If the site requires it, the finish waits until the usage is on
+     * disk, so that a crash in between cannot leave a response that is not billed. A slow disk
+     * delays it no longer than the site allows, nor past the client's deadline.
      */
-    void recordThen(InFlightRequest request, Runnable end) {
-        double answerWaitsMs = context.site.answerWaitsMs;
-        if (ledger == null || answerWaitsMs <= 0) {
-            end.run();
+    void recordThen(InFlightRequest request, Runnable finish) {
+        double maxWaitMs = context.site.answerWaitsMs;
+        if (ledger == null || maxWaitMs <= 0) {
+            finish.run();
             return;
         }
         request.responseSink().flush();
-        Runnable endOnce = new RunOnce(end);
-        request.noteRecorded(
-                record(request, usage(request), () -> context.scheduler.execute(endOnce)));
-        double waitMs = request.isRecorded() ? answerWaitsMs : 0;
-        if (request.generationRequest().unstreamed()) {
-            double leftMs =
+        Runnable finishOnce = new RunOnce(finish);
+        request.markRecorded(
+                record(request, usage(request), () -> context.scheduler.execute(finishOnce)));
+        double waitMs = request.isRecorded() ? maxWaitMs : 0;
+        if (request.generationRequest().nonStreaming()) {
+            double remainingMs =
                     request.completionDeadlineMs()
-                            - RequestTimeouts.LAST_RESORT_MS
+                            - RequestTimeouts.DEADLINE_MARGIN_MS
                             - context.nowMs();
-            waitMs = Math.min(waitMs, leftMs);
+            waitMs = Math.min(waitMs, remainingMs);
         }
         if (waitMs <= 0) {
-            endOnce.run();
+            finishOnce.run();
         } else {
-            context.scheduler.schedule(waitMs, endOnce);
+            context.scheduler.schedule(waitMs, finishOnce);
         }
     }
 
@@ -122,7 +124,7 @@
                 request.generationRequest().tenant().name(),
                 request.generation().trafficClass.name,
                 (long) context.nowMs(),
-                request.responseGuard().given().recordedName,
+                request.responseGuard().finalResponse().recordedName,
                 request.usageMeter().promptTokens(),
                 request.usageMeter().cachedTokens(),
                 request.usageMeter().outputTokens(),
@@ -130,7 +132,7 @@
                 request.attempts().size());
     }
 
-    private Usage lateWaste(InFlightRequest request) {
+    private Usage lateWasteUsage(InFlightRequest request) {
         return new Usage(
                 request.billId(),
                 request.generationRequest().tenant().name(),
@@ -140,39 +142,39 @@
                 0,
                 0,
                 0,
-                request.unrecordedWaste(),
+                request.unrecordedWastedTokens(),
                 request.unrecordedAttempts());
     }
 
-    /** Queues a record; false, and logged with its figures, if the ledger's queue is full. */
-    private boolean record(InFlightRequest request, Usage usage, Runnable onDisk) {
-        if (ledger.offer(usage, onDisk)) {
+    /** Queues a record for the ledger; if the queue is full, logs the usage and returns false. */
+    private boolean record(InFlightRequest request, Usage usage, Runnable onPersisted) {
+        if (ledger.offer(usage, onPersisted)) {
             return true;
         }
-        context.metrics.unbilled(context.routerNumber);
+        context.metrics.usageRecordLost(context.routerNumber);
         LOG.atError()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("tenant", usage.tenant())
                 .addKeyValue("prompt", usage.promptTokens())
                 .addKeyValue("out", usage.outTokens())
-                .log("usage not recorded: the ledger's queue is full");
+                .log("usage record lost: the ledger's queue is full");
         return false;
     }
 
-    /** Runs a step the first time it is called. */
+    /** Runs a task only the first time it is called. */
     private static final class RunOnce implements Runnable {
-        private final Runnable step;
+        private final Runnable task;
         private boolean hasRun;
 
-        RunOnce(Runnable step) {
-            this.step = step;
+        RunOnce(Runnable task) {
+            this.task = task;
         }
 
         @Override
         public void run() {
             if (!hasRun) {
                 hasRun = true;
-                step.run();
+                task.run();
             }
         }
     }
--- a/src/main/java/larchridge/router/VertxScheduler.java
+++ b/src/main/java/larchridge/router/VertxScheduler.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import java.security.SecureRandom;
 
-/** Schedules on the Vert.x event loop on which it was made. */
+/** Schedules tasks on the Vert.x event loop on which it was created. */
 final class VertxScheduler implements Scheduler {
     private static final double NANOS_PER_MS = 1e6;
     private static final int ID_RADIX = 36;
@@ -30,8 +30,8 @@
     }
 
     @Override
-    public long schedule(double delayMs, Runnable step) {
-        return vertx.setTimer(Math.max(1, (long) Math.ceil(delayMs)), timer -> step.run());
+    public long schedule(double delayMs, Runnable task) {
+        return vertx.setTimer(Math.max(1, (long) Math.ceil(delayMs)), timer -> task.run());
     }
 
     @Override
@@ -40,19 +40,19 @@
     }
 
     @Override
-    public void execute(Runnable step) {
-        loop.runOnContext(v -> step.run());
+    public void execute(Runnable task) {
+        loop.runOnContext(v -> task.run());
     }
 
     @Override
-    public void scheduleAtFixedDelay(double delayMs, Runnable step) {
-        vertx.setPeriodic(Math.max(1, (long) delayMs), timer -> step.run());
+    public void scheduleAtFixedDelay(double delayMs, Runnable task) {
+        vertx.setPeriodic(Math.max(1, (long) delayMs), timer -> task.run());
     }
 
     @Override
     public String uniqueIdPrefix() {
-        // Guards against: two routers that start at the same moment would give their attempts the
-        // same names and release each other's states.
+        // Guards against: two routers that start at the same moment would assign the same attempt
+        // ids and release each other's states.
         return Long.toString(System.currentTimeMillis(), ID_RADIX)
                 + Long.toString(new SecureRandom().nextLong() & RANDOM_ID_MASK, ID_RADIX)
                 + "-";
--- a/src/main/java/larchridge/router/VirtualTimeScheduler.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * Virtual time for simulations and tests: steps run in the order of their times and, at the same
+ * Virtual time for simulations and tests. Tasks run in the order of their times and, at the same
  * time, in the order in which they were scheduled.
  */
 public final class VirtualTimeScheduler {
     /**
-     * The Unix time at which it starts; not 0, since an engine whose start is 0 is one whose start
-     * is unknown.
+     * The Unix time at which the clock starts. Not 0, since a start time of 0 means that an
+     * engine's start is unknown.
      */
     public static final double START_MS = 1_000_000_000;
 
@@ -21,61 +21,62 @@
     private static final long RANDOM_ID_MASK = 0xFFFFFF;
     private static final int SEED_FACTOR = 31;
 
-    private record Step(double atMs, long timer, Runnable run) {}
+    private record ScheduledTask(double atMs, long timer, Runnable action) {}
 
-    private final PriorityQueue<Step> steps =
+    private final PriorityQueue<ScheduledTask> tasks =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Step::atMs).thenComparingLong(Step::timer));
+                    Comparator.comparingDouble(ScheduledTask::atMs)
+                            .thenComparingLong(ScheduledTask::timer));
     private final Set<Long> cancelled = new HashSet<>();
     private double nowMs = START_MS;
     private long lastTimer;
-    private long stepsRun;
+    private long tasksRun;
 
-    /** The virtual Unix time. */
+    /** The current virtual Unix time. */
     public double nowMs() {
         return nowMs;
     }
 
     /** Milliseconds since the start. */
-    public double sinceMs() {
+    public double elapsedMs() {
         return nowMs - START_MS;
     }
 
-    /** How many steps have run. */
-    public long stepsRun() {
-        return stepsRun;
+    /** Number of tasks that have run. */
+    public long tasksRun() {
+        return tasksRun;
     }
 
-    /** Runs a step after a delay; returns a timer for {@link #cancel}. */
-    public long schedule(double delayMs, Runnable step) {
-        steps.add(new Step(nowMs + Math.max(0, delayMs), ++lastTimer, step));
+    /** Runs a task after a delay; returns a timer for {@link #cancel}. */
+    public long schedule(double delayMs, Runnable task) {
+        tasks.add(new ScheduledTask(nowMs + Math.max(0, delayMs), ++lastTimer, task));
         return lastTimer;
     }
 
-    /** Cancels a step that has not run. */
+    /** Cancels a task that has not run. */
     public void cancel(long timer) {
         cancelled.add(timer);
     }
 
-    /** Runs all steps up to so many milliseconds since the start. */
+    /** Runs all tasks that are due up to this many milliseconds after the start. */
     public void run(double untilMs) {
-        while (!steps.isEmpty() && steps.peek().atMs <= START_MS + untilMs) {
-            Step step = steps.poll();
-            nowMs = step.atMs;
-            if (cancelled.isEmpty() || !cancelled.remove(step.timer)) {
-                stepsRun++;
-                step.run.run();
+        while (!tasks.isEmpty() && tasks.peek().atMs <= START_MS + untilMs) {
+            ScheduledTask task = tasks.poll();
+            nowMs = task.atMs;
+            if (cancelled.isEmpty() || !cancelled.remove(task.timer)) {
+                tasksRun++;
+                task.action.run();
             }
         }
         nowMs = START_MS + untilMs;
     }
 
-    /** The scheduler of one router; the seed draws its names. */
-    public Scheduler schedulerOf(int router, long seed) {
+    /** Creates the scheduler of one router; the seed determines the ids that it generates. */
+    public Scheduler routerScheduler(int router, long seed) {
         return new RouterScheduler(router, new Random(seed * SEED_FACTOR + router));
     }
 
-    /** One router's view of the virtual time, with timers in whole milliseconds. */
+    /** A router's view of the virtual time, with timers in whole milliseconds. */
     private final class RouterScheduler implements Scheduler {
         private final int router;
         private final Random random;
@@ -91,8 +92,8 @@
         }
 
         @Override
-        public long schedule(double delayMs, Runnable step) {
-            return VirtualTimeScheduler.this.schedule(Math.max(1, Math.ceil(delayMs)), step);
+        public long schedule(double delayMs, Runnable task) {
+            return VirtualTimeScheduler.this.schedule(Math.max(1, Math.ceil(delayMs)), task);
         }
 
         @Override
@@ -101,17 +102,17 @@
         }
 
         @Override
-        public void execute(Runnable step) {
-            VirtualTimeScheduler.this.schedule(0, step);
+        public void execute(Runnable task) {
+            VirtualTimeScheduler.this.schedule(0, task);
         }
 
         @Override
-        public void scheduleAtFixedDelay(double delayMs, Runnable step) {
+        public void scheduleAtFixedDelay(double delayMs, Runnable task) {
             VirtualTimeScheduler.this.schedule(
                     delayMs,
                     () -> {
-                        step.run();
-                        scheduleAtFixedDelay(delayMs, step);
+                        task.run();
+                        scheduleAtFixedDelay(delayMs, task);
                     });
         }
 
--- a/src/test/java/larchridge/router/ResponseGuardTest.java
+++ b/src/test/java/larchridge/router/ResponseGuardTest.java
@@ -13,43 +13,46 @@
     private final ResponseGuard responseGuard = new ResponseGuard();
 
     @Test
-    void oneFinalAnswerAndNoSecond() {
-        assertTrue(responseGuard.finish(ResponseGuard.FinalAnswer.FAILED));
-        for (ResponseGuard.FinalAnswer more : ResponseGuard.FinalAnswer.values()) {
-            assertFalse(responseGuard.finish(more));
+    void onlyOneFinalResponseIsAccepted() {
+        assertTrue(responseGuard.finish(ResponseGuard.FinalResponse.FAILED));
+        for (ResponseGuard.FinalResponse second : ResponseGuard.FinalResponse.values()) {
+            assertFalse(responseGuard.finish(second));
         }
-        assertEquals(ResponseGuard.FinalAnswer.FAILED, responseGuard.given());
+        assertEquals(ResponseGuard.FinalResponse.FAILED, responseGuard.finalResponse());
     }
 
     @Test
-    void responseCannotBeginAfterTheFinalAnswer() {
-        responseGuard.finish(ResponseGuard.FinalAnswer.DISCONNECTED);
-        assertFalse(responseGuard.begin());
+    void responseCannotStartAfterTheFinalResponse() {
+        responseGuard.finish(ResponseGuard.FinalResponse.DISCONNECTED);
+        assertFalse(responseGuard.start());
     }
 
     @Test
-    void responseThatHasBegunCannotBeRejected() {
-        responseGuard.begin();
+    void startedResponseCannotBeRejected() {
+        responseGuard.start();
         assertThrows(
                 IllegalStateException.class,
-                () -> responseGuard.finish(ResponseGuard.FinalAnswer.REJECTED));
-        assertTrue(responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
+                () -> responseGuard.finish(ResponseGuard.FinalResponse.REJECTED));
+        assertTrue(responseGuard.finish(ResponseGuard.FinalResponse.COMPLETED));
     }
 
     @Test
-    void responseThatHasNotBegunCannotBeCompleted() {
+    void unstartedResponseCannotBeCompleted() {
         assertThrows(
                 IllegalStateException.class,
-                () -> responseGuard.finish(ResponseGuard.FinalAnswer.COMPLETED));
+                () -> responseGuard.finish(ResponseGuard.FinalResponse.COMPLETED));
     }
 
-    /** The ledgers of all builds since f8721a5 hold these words. */
+    /**
+     * Guards against renaming stored values: the ledgers of all builds since f8721a5 contain these
+     * words.
+     */
     @Test
     void recordedNamesAreThoseOfEarlierBuilds() {
         assertEquals(
                 List.of("streamed", "throttled", "terminated", "gone"),
-                Arrays.stream(ResponseGuard.FinalAnswer.values())
-                        .map(answer -> answer.recordedName)
+                Arrays.stream(ResponseGuard.FinalResponse.values())
+                        .map(response -> response.recordedName)
                         .toList());
     }
 }
