--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -18,7 +18,7 @@
 import larchridge.messages.MessageBodies;
 import larchridge.planner.BatchPlanner;
 import larchridge.planner.BatchRetryPolicy;
-import larchridge.planner.BatchWork;
+import larchridge.planner.PlannedBatch;
 import larchridge.planner.LatencySample;
 import larchridge.router.GenerationRequest;
 import larchridge.site.BatchSettings;
@@ -93,7 +93,7 @@
     /** One batch that is not over. */
     private static final class Job {
         BatchForm.Builder form;
-        BatchWork work;
+        PlannedBatch work;
         FileChannel input;
         LineReader lines;
         boolean atEnd;
@@ -177,7 +177,7 @@
 
     /** What a front's other work lived through. */
     void felt(LatencySample feeling) {
-        planner.felt(feeling, loop.nowMs());
+        planner.addLatencySample(feeling, loop.nowMs());
     }
 
     /** Nothing new goes out; lines that are out may still come back. */
@@ -208,7 +208,7 @@
             store.update(next.build());
             job.form = next;
             if (job.work != null) {
-                planner.left(job.work);
+                planner.removeBatch(job.work);
                 perhapsCancelled(job);
             }
         }
@@ -296,7 +296,7 @@
                 new LineReader(
                         job.input, terms.lineBytes, job.form.getLowLine(), job.form.getLowOffset());
         job.work =
-                planner.joined(
+                planner.addBatch(
                         job.id(),
                         job.form.getTenant(),
                         tenant == null ? 1 : tenant.batchShare(),
@@ -319,7 +319,7 @@
         }
         for (Trip trip : List.copyOf(job.out.values())) {
             trip.out.callOff();
-            planner.back(job.work, trip.tokens, false, loop.nowMs());
+            planner.lineEnded(job.work, trip.tokens, false, loop.nowMs());
         }
         job.out.clear();
         end(job, StateForm.EXPIRED);
@@ -342,7 +342,7 @@
     private void end(Job job, StateForm how) {
         job.ending = true;
         if (job.work != null) {
-            planner.left(job.work);
+            planner.removeBatch(job.work);
         }
         onDisk(
                 () -> {
@@ -465,7 +465,7 @@
     private void pump() {
         while (!stopping && !diskFails && gathered.size() < MOST_GATHERED) {
             double now = loop.nowMs();
-            BatchWork work = planner.next(now);
+            PlannedBatch work = planner.nextBatch(now);
             if (work == null) {
                 return;
             }
@@ -474,7 +474,7 @@
                     () -> {
                         Trip trip = nextTrip(job, now);
                         if (trip == null) {
-                            planner.ready(work, false);
+                            planner.setReady(work, false);
                             return;
                         }
                         try {
@@ -558,8 +558,8 @@
         }
         Effect effect = ask.offering().product.effect;
         if (trip.unsure
-                && attempts.againAfterMs(
-                                BatchRetryPolicy.End.PROCESS_ENDED, effect, trip.attempts, 0, 0)
+                && attempts.retryDelayMs(
+                                BatchRetryPolicy.Outcome.PROCESS_ENDED, effect, trip.attempts, 0, 0)
                         < 0) {
             record(
                     trip,
@@ -576,7 +576,7 @@
         trip.attempts++;
         trip.tokens = ask.promptTokens() + ask.maxTokens() / 2.0;
         job.out.put(trip.line.number(), trip);
-        planner.out(job.work, trip.tokens);
+        planner.lineStarted(job.work, trip.tokens);
         trip.out = desk.take(ask, new Ears(trip, ask, call));
     }
 
@@ -623,7 +623,7 @@
                 return false;
             }
             trip.job.out.remove(trip.line.number());
-            planner.back(trip.job.work, trip.tokens, answered, loop.nowMs());
+            planner.lineEnded(trip.job.work, trip.tokens, answered, loop.nowMs());
             return true;
         }
 
@@ -662,23 +662,23 @@
 
         @Override
         public void throttled(double comeBackMs) {
-            planner.crowded(loop.nowMs());
-            notRun(BatchRetryPolicy.End.THROTTLED, comeBackMs);
+            planner.recordThrottled(loop.nowMs());
+            notRun(BatchRetryPolicy.Outcome.THROTTLED, comeBackMs);
         }
 
         @Override
         public void overBudget(double comeBackMs) {
-            planner.rests(trip.job.work, loop.nowMs() + comeBackMs);
-            notRun(BatchRetryPolicy.End.OVER_BUDGET, comeBackMs);
+            planner.pauseTenant(trip.job.work, loop.nowMs() + comeBackMs);
+            notRun(BatchRetryPolicy.Outcome.OVER_BUDGET, comeBackMs);
         }
 
         @Override
         public void turnedAway() {
-            notRun(BatchRetryPolicy.End.TURNED_AWAY, 0);
+            notRun(BatchRetryPolicy.Outcome.REJECTED, 0);
         }
 
         /** It surely did not run, or running again is harmless: this time is not counted. */
-        private void notRun(BatchRetryPolicy.End end, double comeBackMs) {
+        private void notRun(BatchRetryPolicy.Outcome end, double comeBackMs) {
             if (isBack(false)) {
                 trip.refusals++;
                 trip.attempts--;
@@ -686,7 +686,7 @@
                         () -> store.landed(trip.job.id(), trip.line.number(), trip.attempts),
                         () -> {});
                 goesAgain(
-                        attempts.againAfterMs(
+                        attempts.retryDelayMs(
                                 end,
                                 ask.offering().product.effect,
                                 trip.attempts,
@@ -701,8 +701,8 @@
                 return;
             }
             double afterMs =
-                    attempts.againAfterMs(
-                            BatchRetryPolicy.End.TERMINATED,
+                    attempts.retryDelayMs(
+                            BatchRetryPolicy.Outcome.TERMINATED,
                             ask.offering().product.effect,
                             trip.attempts,
                             0,
@@ -740,7 +740,7 @@
                     afterMs,
                     () -> {
                         if (!job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
-                            planner.ready(job.work, true);
+                            planner.setReady(job.work, true);
                             pump();
                         }
                     });
@@ -759,7 +759,7 @@
                         AnswerForm.newBuilder().setGood(good).setText(text).build()));
         Job job = trip.job;
         job.unwritten++;
-        planner.recorded(job.work);
+        planner.lineRecorded(job.work);
         job.form
                 .setDone(job.form.getDone() + (good ? 1 : 0))
                 .setFailed(job.form.getFailed() + (good ? 0 : 1));
@@ -779,7 +779,7 @@
             job.form.setLowLine(low.number() + 1).setLowOffset(low.next());
         }
         if (wasFull && !job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
-            planner.ready(job.work, true);
+            planner.setReady(job.work, true);
         }
     }
 
@@ -856,7 +856,7 @@
         double now = loop.nowMs();
         if (now >= judgedMs + JUDGE_MS) {
             judgedMs = now;
-            for (BatchWork work : planner.judge(now)) {
+            for (PlannedBatch work : planner.updateAtRisk(now)) {
                 LOG.atWarn()
                         .addKeyValue("batch", work.name)
                         .addKeyValue("at_risk", work.isAtRisk())
@@ -871,7 +871,7 @@
                 new Figures(
                         planner.openLines(),
                         planner.limit(now),
-                        planner.fallsAMinute(now),
+                        planner.limitDecreasesPerMinute(now),
                         jobs.size(),
                         finished);
         if (!stopping) {
--- a/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
+++ b/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
@@ -16,170 +16,170 @@
  * threads.
  */
 public final class BatchConcurrencyLimiter {
-    private static final double FIRST = 2;
-    private static final double FALL = 0.6;
-    private static final double HARD_FALL = 0.25;
+    private static final double INITIAL_LIMIT = 2;
+    private static final double DECREASE_FACTOR = 0.6;
+    private static final double REJECTION_DECREASE_FACTOR = 0.25;
 
     /** What the ceiling is lowered to by a fall soon after another. */
-    private static final double ROW_FALL = 0.9;
+    private static final double REPEATED_DECREASE_FACTOR = 0.9;
 
     /**
      * Of the ceiling; it is back there after the third root of (1 - FALL) / this seconds, whatever
      * its size.
      */
-    private static final double GROWTH_PER_S3 = 0.004;
+    private static final double CUBIC_GROWTH_PER_S3 = 0.004;
 
-    private static final double BACK_S = Math.cbrt((1 - FALL) / GROWTH_PER_S3);
-    private static final double START_GROWTH = 1.25;
-    private static final double STEP_MS = 500;
-    private static final double USED = 0.8;
-    private static final double CLOSED_MS = 1000;
-    private static final double CLOSED_MOST_MS = 16_000;
-    private static final double SOON_MS = 10_000;
+    private static final double RECOVERY_S = Math.cbrt((1 - DECREASE_FACTOR) / CUBIC_GROWTH_PER_S3);
+    private static final double INITIAL_GROWTH_FACTOR = 1.25;
+    private static final double INCREASE_INTERVAL_MS = 500;
+    private static final double MIN_USED_SHARE = 0.8;
+    private static final double INITIAL_PAUSE_MS = 1000;
+    private static final double MAX_PAUSE_MS = 16_000;
+    private static final double REPEAT_WITHIN_MS = 10_000;
 
     /**
      * First tokens may come so much later, as a factor and as a share of the SLO time, before that
      * is trouble.
      */
-    private static final double LATER_FACTOR = 1.25;
+    private static final double LATENCY_TOLERANCE_FACTOR = 1.25;
 
-    private static final double LATER_SHARE = 0.1;
-    private static final double WAIT_SHARE = 0.25;
-    private static final double HIGH = 0.9;
-    private static final int LEAST_SEEN = 8;
+    private static final double LATENCY_TOLERANCE_SLO_SHARE = 0.1;
+    private static final double MAX_WAIT_SLO_SHARE = 0.25;
+    private static final double LATENCY_QUANTILE = 0.9;
+    private static final int MIN_SAMPLES = 8;
 
     /** With so many first tokens a window is judged before its time. */
-    private static final int ENOUGH_SEEN = 50;
+    private static final int EARLY_EVALUATION_SAMPLES = 50;
 
     private static final int WINDOW_MS = 2000;
-    private static final double APART_MS = 1000;
-    private static final int USUAL_SPANS = 150;
+    private static final double MIN_DECREASE_INTERVAL_MS = 1000;
+    private static final int BASELINE_WINDOWS = 150;
 
-    private final double most;
-    private double limit = FIRST;
+    private final double maxLimit;
+    private double limit = INITIAL_LIMIT;
 
     /** Where trouble came last; infinite until it has. */
     private double ceiling = Double.POSITIVE_INFINITY;
 
-    private double fellMs = Double.NEGATIVE_INFINITY;
-    private double lastFallMs = Double.NEGATIVE_INFINITY;
-    private double steppedMs;
-    private double closedUntilMs;
-    private double closedForMs;
-    private double peak;
-    private double windowMs = Double.NaN;
-    private final int[] seen = new int[LatencySample.PARTS];
+    private double growthStartMs = Double.NEGATIVE_INFINITY;
+    private double lastDecreaseMs = Double.NEGATIVE_INFINITY;
+    private double lastIncreaseCheckMs;
+    private double pausedUntilMs;
+    private double pauseMs;
+    private double peakOpenLines;
+    private double windowStartMs = Double.NaN;
+    private final int[] firstTokenCounts = new int[LatencySample.BUCKETS];
 
     /**
      * What first tokens were in each window of late: the lowest is what they are without batch
      * work.
      */
-    private final double[] usual = new double[USUAL_SPANS];
+    private final double[] windowLatencies = new double[BASELINE_WINDOWS];
 
-    private int windows;
+    private int windowCount;
 
     /** Times that it fell, by 10 s. */
-    private final SlidingWindow falls = new SlidingWindow(6, 10_000);
+    private final SlidingWindow decreases = new SlidingWindow(6, 10_000);
 
-    public BatchConcurrencyLimiter(double most) {
-        this.most = most;
-        java.util.Arrays.fill(usual, Double.NaN);
+    public BatchConcurrencyLimiter(double maxLimit) {
+        this.maxLimit = maxLimit;
+        java.util.Arrays.fill(windowLatencies, Double.NaN);
     }
 
     /** How much may be open now, in mean lines. */
     public double limit(double nowMs) {
-        return nowMs < closedUntilMs ? 0 : limit;
+        return nowMs < pausedUntilMs ? 0 : limit;
     }
 
     /** So much is open now. */
-    public void open(double lines) {
-        peak = Math.max(peak, lines);
+    public void recordOpenLines(double openLines) {
+        peakOpenLines = Math.max(peakOpenLines, openLines);
     }
 
     /** What one front's other work felt in the time since it was told last. */
-    public void felt(LatencySample feeling, double nowMs) {
-        if (Double.isNaN(windowMs)) {
-            windowMs = nowMs;
-            steppedMs = nowMs;
+    public void addSample(LatencySample sample, double nowMs) {
+        if (Double.isNaN(windowStartMs)) {
+            windowStartMs = nowMs;
+            lastIncreaseCheckMs = nowMs;
         }
-        for (int i = 0; i < seen.length; i++) {
-            seen[i] += feeling.firstTokens[i];
+        for (int i = 0; i < firstTokenCounts.length; i++) {
+            firstTokenCounts[i] += sample.firstTokenCounts[i];
         }
-        if (feeling.turnedAway > 0) {
-            turnedAway(nowMs);
-        } else if (feeling.longestWait > WAIT_SHARE) {
-            fall(FALL, nowMs);
+        if (sample.rejections > 0) {
+            pauseAfterRejection(nowMs);
+        } else if (sample.longestWaitShareOfSlo > MAX_WAIT_SLO_SHARE) {
+            decrease(DECREASE_FACTOR, nowMs);
         }
-        int count = java.util.Arrays.stream(seen).sum();
-        if (nowMs >= windowMs + WINDOW_MS || count >= ENOUGH_SEEN) {
-            judge(count, nowMs);
+        int sampleCount = java.util.Arrays.stream(firstTokenCounts).sum();
+        if (nowMs >= windowStartMs + WINDOW_MS || sampleCount >= EARLY_EVALUATION_SAMPLES) {
+            evaluateWindow(sampleCount, nowMs);
         }
-        step(nowMs);
+        increase(nowMs);
     }
 
     /** Batch work itself found no room. */
-    public void crowded(double nowMs) {
-        fall(FALL, nowMs);
+    public void recordBatchThrottled(double nowMs) {
+        decrease(DECREASE_FACTOR, nowMs);
     }
 
     /** How often it has fallen in the last minute. */
-    public double fallsAMinute(double nowMs) {
-        return falls.sum(nowMs);
+    public double decreasesPerMinute(double nowMs) {
+        return decreases.sum(nowMs);
     }
 
-    private void judge(int count, double nowMs) {
-        windowMs = nowMs;
-        if (count >= LEAST_SEEN) {
-            double high = high(count);
-            usual[windows++ % USUAL_SPANS] = high;
+    private void evaluateWindow(int sampleCount, double nowMs) {
+        windowStartMs = nowMs;
+        if (sampleCount >= MIN_SAMPLES) {
+            double windowLatency = latencyQuantile(sampleCount);
+            windowLatencies[windowCount++ % BASELINE_WINDOWS] = windowLatency;
             // The lower quarter: the lowest alone is what chance has left.
-            double[] known =
-                    java.util.Arrays.stream(usual)
-                            .filter(one -> !Double.isNaN(one))
+            double[] sortedLatencies =
+                    java.util.Arrays.stream(windowLatencies)
+                            .filter(latency -> !Double.isNaN(latency))
                             .sorted()
                             .toArray();
-            double base = known[known.length / 4];
-            if (high > LATER_FACTOR * base + LATER_SHARE) {
-                fall(FALL, nowMs);
+            double baseline = sortedLatencies[sortedLatencies.length / 4];
+            if (windowLatency > LATENCY_TOLERANCE_FACTOR * baseline + LATENCY_TOLERANCE_SLO_SHARE) {
+                decrease(DECREASE_FACTOR, nowMs);
             }
         }
-        java.util.Arrays.fill(seen, 0);
+        java.util.Arrays.fill(firstTokenCounts, 0);
     }
 
-    private double high(int count) {
-        int over = (int) Math.floor((1 - HIGH) * count);
-        int i = seen.length - 1;
-        for (int left = over - seen[i]; left >= 0 && i > 0; left -= seen[i]) {
-            i--;
+    private double latencyQuantile(int sampleCount) {
+        int samplesAbove = (int) Math.floor((1 - LATENCY_QUANTILE) * sampleCount);
+        int bucket = firstTokenCounts.length - 1;
+        for (int remaining = samplesAbove - firstTokenCounts[bucket]; remaining >= 0 && bucket > 0; remaining -= firstTokenCounts[bucket]) {
+            bucket--;
         }
-        return (i + 1) * LatencySample.PART;
+        return (bucket + 1) * LatencySample.BUCKET_SLO_SHARE;
     }
 
-    private void turnedAway(double nowMs) {
-        if (nowMs < closedUntilMs || peak == 0) {
+    private void pauseAfterRejection(double nowMs) {
+        if (nowMs < pausedUntilMs || peakOpenLines == 0) {
             // Guards against: while nothing of ours is open, trouble of others would keep the gap
             // closed
             // for ever.
             return;
         }
-        boolean soon = nowMs < closedUntilMs + SOON_MS && closedForMs > 0;
-        closedForMs = soon ? Math.min(CLOSED_MOST_MS, 2 * closedForMs) : CLOSED_MS;
-        fall(HARD_FALL, nowMs);
-        closedUntilMs = nowMs + closedForMs;
-        fellMs = closedUntilMs;
-        steppedMs = closedUntilMs;
-        peak = 0;
+        boolean isRepeated = nowMs < pausedUntilMs + REPEAT_WITHIN_MS && pauseMs > 0;
+        pauseMs = isRepeated ? Math.min(MAX_PAUSE_MS, 2 * pauseMs) : INITIAL_PAUSE_MS;
+        decrease(REJECTION_DECREASE_FACTOR, nowMs);
+        pausedUntilMs = nowMs + pauseMs;
+        growthStartMs = pausedUntilMs;
+        lastIncreaseCheckMs = pausedUntilMs;
+        peakOpenLines = 0;
     }
 
     /**
      * Guards against: one trouble is told by all fronts; only the first to tell makes the limit
      * fall.
      */
-    private void fall(double factor, double nowMs) {
-        if (nowMs < fellMs + APART_MS) {
+    private void decrease(double factor, double nowMs) {
+        if (nowMs < growthStartMs + MIN_DECREASE_INTERVAL_MS) {
             return;
         }
-        falls.add(nowMs, 1);
+        decreases.add(nowMs, 1);
         // A fall under the last ceiling says that there is less to be had than then. Guards
         // against: a
         // storm of others is a row of
@@ -188,32 +188,32 @@
         if (limit >= ceiling) {
             ceiling = limit;
         } else {
-            ceiling = nowMs < lastFallMs + SOON_MS ? ROW_FALL * ceiling : limit * (1 + factor) / 2;
+            ceiling = nowMs < lastDecreaseMs + REPEAT_WITHIN_MS ? REPEATED_DECREASE_FACTOR * ceiling : limit * (1 + factor) / 2;
         }
-        lastFallMs = nowMs;
+        lastDecreaseMs = nowMs;
         limit = Math.max(1, limit * factor);
-        fellMs = nowMs;
-        steppedMs = nowMs;
-        peak = 0;
+        growthStartMs = nowMs;
+        lastIncreaseCheckMs = nowMs;
+        peakOpenLines = 0;
     }
 
-    private void step(double nowMs) {
-        if (nowMs < steppedMs + STEP_MS || nowMs < closedUntilMs) {
+    private void increase(double nowMs) {
+        if (nowMs < lastIncreaseCheckMs + INCREASE_INTERVAL_MS || nowMs < pausedUntilMs) {
             return;
         }
-        steppedMs = nowMs;
-        if (peak >= USED * Math.floor(limit)) {
+        lastIncreaseCheckMs = nowMs;
+        if (peakOpenLines >= MIN_USED_SHARE * Math.floor(limit)) {
             if (ceiling == Double.POSITIVE_INFINITY) {
-                limit *= START_GROWTH;
+                limit *= INITIAL_GROWTH_FACTOR;
             } else {
-                double s = (nowMs - fellMs) / 1000 - BACK_S;
-                limit = Math.max(limit, ceiling * (1 + GROWTH_PER_S3 * s * s * s));
+                double sinceRecoveryS = (nowMs - growthStartMs) / 1000 - RECOVERY_S;
+                limit = Math.max(limit, ceiling * (1 + CUBIC_GROWTH_PER_S3 * sinceRecoveryS * sinceRecoveryS * sinceRecoveryS));
             }
-            limit = Math.min(most, limit);
+            limit = Math.min(maxLimit, limit);
         } else {
             // Guards against: time in which the limit was not tried would let it leap when it is.
-            fellMs = Math.max(fellMs, nowMs - 1000 * BACK_S);
+            growthStartMs = Math.max(growthStartMs, nowMs - 1000 * RECOVERY_S);
         }
-        peak = 0;
+        peakOpenLines = 0;
     }
 }
--- a/src/main/java/larchridge/planner/BatchPlanner.java
+++ b/src/main/java/larchridge/planner/BatchPlanner.java
@@ -10,125 +10,125 @@
  */
 public final class BatchPlanner {
     /** A window is judged only by a rate that was seen for so long. */
-    private static final double RATE_SEEN_MS = 5_000;
+    private static final double MIN_RATE_OBSERVATION_MS = 5_000;
 
-    private static final double FIRST_MEAN_TOKS = 1000;
-    private static final double MEAN_KEPT = 0.99;
+    private static final double INITIAL_MEAN_TOKENS = 1000;
+    private static final double MEAN_DECAY_PER_LINE = 0.99;
 
-    private final BatchConcurrencyLimiter gap;
-    private final BatchQuotas shares = new BatchQuotas();
+    private final BatchConcurrencyLimiter limiter;
+    private final WeightedFairQueue fairQueue = new WeightedFairQueue();
     private double openLines;
     private double openTokens;
-    private double meanTokens = FIRST_MEAN_TOKS;
-    private boolean meanKnown;
+    private double meanLineTokens = INITIAL_MEAN_TOKENS;
+    private boolean hasMeanSample;
 
-    public BatchPlanner(double mostLines) {
-        gap = new BatchConcurrencyLimiter(mostLines);
+    public BatchPlanner(double maxOpenLines) {
+        limiter = new BatchConcurrencyLimiter(maxOpenLines);
     }
 
     /** A batch whose lines may be planned; left of them are not answered. Its lines are ready. */
-    public BatchWork joined(
-            String name, String tenant, double share, double expiresMs, long number, double left) {
-        BatchWork work = new BatchWork(name, shares.tenant(tenant, share), expiresMs, number, left);
-        work.tenant.works.add(work);
-        shares.ready(work, true);
-        return work;
+    public PlannedBatch addBatch(
+            String name, String tenant, double share, double expiresMs, long number, double unansweredLines) {
+        PlannedBatch batch = new PlannedBatch(name, fairQueue.tenant(tenant, share), expiresMs, number, unansweredLines);
+        batch.tenant.batches.add(batch);
+        fairQueue.setReady(batch, true);
+        return batch;
     }
 
-    public void left(BatchWork work) {
-        shares.ready(work, false);
-        work.tenant.works.remove(work);
+    public void removeBatch(PlannedBatch batch) {
+        fairQueue.setReady(batch, false);
+        batch.tenant.batches.remove(batch);
     }
 
     /** Whether the batch has a line that could go now. */
-    public void ready(BatchWork work, boolean ready) {
-        if (work.ready != ready) {
-            shares.ready(work, ready);
+    public void setReady(PlannedBatch batch, boolean hasReadyLine) {
+        if (batch.hasReadyLine != hasReadyLine) {
+            fairQueue.setReady(batch, hasReadyLine);
         }
     }
 
     /** The tenant's budget lets nothing in until then. */
-    public void rests(BatchWork work, double untilMs) {
-        work.tenant.restUntilMs = Math.max(work.tenant.restUntilMs, untilMs);
+    public void pauseTenant(PlannedBatch batch, double untilMs) {
+        batch.tenant.pausedUntilMs = Math.max(batch.tenant.pausedUntilMs, untilMs);
     }
 
-    public void felt(LatencySample feeling, double nowMs) {
-        gap.felt(feeling, nowMs);
+    public void addLatencySample(LatencySample sample, double nowMs) {
+        limiter.addSample(sample, nowMs);
     }
 
     /** A line found no room at the engines. */
-    public void crowded(double nowMs) {
-        gap.crowded(nowMs);
+    public void recordThrottled(double nowMs) {
+        limiter.recordBatchThrottled(nowMs);
     }
 
     /** The batch of which a line may go now, or null. */
-    public BatchWork next(double nowMs) {
-        double open = Math.max(openLines == 0 ? 0 : 1, openTokens / meanTokens);
-        return open + 1 <= gap.limit(nowMs) ? shares.next(nowMs) : null;
+    public PlannedBatch nextBatch(double nowMs) {
+        double openMeanLines = Math.max(openLines == 0 ? 0 : 1, openTokens / meanLineTokens);
+        return openMeanLines + 1 <= limiter.limit(nowMs) ? fairQueue.next(nowMs) : null;
     }
 
     /** When a tenant's rest ends, or infinite. */
-    public double nextRestMs() {
-        return shares.nextRestMs();
+    public double nextPauseEndMs() {
+        return fairQueue.nextPauseEndMs();
     }
 
     /** A line went out; prompt and answer may be so many tokens. */
-    public void out(BatchWork work, double tokens) {
+    public void lineStarted(PlannedBatch batch, double tokens) {
         openLines++;
         openTokens += tokens;
-        meanTokens = meanKnown ? MEAN_KEPT * meanTokens + (1 - MEAN_KEPT) * tokens : tokens;
-        meanKnown = true;
-        work.handed++;
-        work.handedTokens += tokens;
-        work.tenant.passed += tokens / work.tenant.share;
-        gap.open(openTokens / meanTokens);
+        meanLineTokens = hasMeanSample ? MEAN_DECAY_PER_LINE * meanLineTokens + (1 - MEAN_DECAY_PER_LINE) * tokens : tokens;
+        hasMeanSample = true;
+        batch.startedLines++;
+        batch.startedTokens += tokens;
+        batch.tenant.virtualTime += tokens / batch.tenant.share;
+        limiter.recordOpenLines(openTokens / meanLineTokens);
     }
 
     /** It came back; answered tells whether it has its record now. */
-    public void back(BatchWork work, double tokens, boolean answered, double nowMs) {
+    public void lineEnded(PlannedBatch batch, double tokens, boolean answered, double nowMs) {
         openLines--;
         openTokens = openLines == 0 ? 0 : openTokens - tokens;
         if (answered) {
-            work.tenant.finished.add(nowMs, tokens);
-            if (Double.isNaN(work.tenant.firstFinishedMs)) {
-                work.tenant.firstFinishedMs = nowMs;
+            batch.tenant.answeredTokens.add(nowMs, tokens);
+            if (Double.isNaN(batch.tenant.firstAnswerMs)) {
+                batch.tenant.firstAnswerMs = nowMs;
             }
         }
     }
 
     /** A line has its record. */
-    public void recorded(BatchWork work) {
-        work.left = Math.max(0, work.left - 1);
+    public void lineRecorded(PlannedBatch batch) {
+        batch.unansweredLines = Math.max(0, batch.unansweredLines - 1);
     }
 
     public double limit(double nowMs) {
-        return gap.limit(nowMs);
+        return limiter.limit(nowMs);
     }
 
     public double openLines() {
         return openLines;
     }
 
-    public double fallsAMinute(double nowMs) {
-        return gap.fallsAMinute(nowMs);
+    public double limitDecreasesPerMinute(double nowMs) {
+        return limiter.decreasesPerMinute(nowMs);
     }
 
     /** Judges all windows anew; the batches of which that has changed. */
-    public List<BatchWork> judge(double nowMs) {
-        List<BatchWork> changed = new ArrayList<>();
-        for (BatchQuotas.Tenant tenant : shares.all()) {
-            double seenMs = Math.min(tenant.finished.spanMs(), nowMs - tenant.firstFinishedMs);
-            double perMs = tenant.finished.sum(nowMs) / Math.max(1, seenMs);
-            boolean known = seenMs >= RATE_SEEN_MS && perMs > 0;
-            double ahead = 0;
-            for (BatchWork work : tenant.works) {
-                ahead +=
-                        work.left
-                                * (work.handed > 0 ? work.handedTokens / work.handed : meanTokens);
-                boolean atRisk = known ? nowMs + ahead / perMs > work.expiresMs : work.atRisk;
-                if (atRisk != work.atRisk) {
-                    work.atRisk = atRisk;
-                    changed.add(work);
+    public List<PlannedBatch> updateAtRisk(double nowMs) {
+        List<PlannedBatch> changed = new ArrayList<>();
+        for (WeightedFairQueue.Tenant tenant : fairQueue.tenants()) {
+            double observedMs = Math.min(tenant.answeredTokens.spanMs(), nowMs - tenant.firstAnswerMs);
+            double tokensPerMs = tenant.answeredTokens.sum(nowMs) / Math.max(1, observedMs);
+            boolean isRateKnown = observedMs >= MIN_RATE_OBSERVATION_MS && tokensPerMs > 0;
+            double queuedTokens = 0;
+            for (PlannedBatch batch : tenant.batches) {
+                queuedTokens +=
+                        batch.unansweredLines
+                                * (batch.startedLines > 0 ? batch.startedTokens / batch.startedLines : meanLineTokens);
+                boolean atRisk = isRateKnown ? nowMs + queuedTokens / tokensPerMs > batch.expiresMs : batch.atRisk;
+                if (atRisk != batch.atRisk) {
+                    batch.atRisk = atRisk;
+                    changed.add(batch);
                 }
             }
         }
--- a/src/main/java/larchridge/planner/BatchRetryPolicy.java
+++ b/src/main/java/larchridge/planner/BatchRetryPolicy.java
@@ -10,24 +10,24 @@
  * Without I/O, clock or threads.
  */
 public final class BatchRetryPolicy {
-    private static final double FIRST_MS = 500;
-    private static final double MOST_MS = 30_000;
-    private static final double TURNED_AWAY_MS = 100;
+    private static final double INITIAL_BACKOFF_MS = 500;
+    private static final double MAX_BACKOFF_MS = 30_000;
+    private static final double REJECTION_BACKOFF_MS = 100;
 
     /** How a generation of a line ended. */
-    public enum End {
+    public enum Outcome {
         THROTTLED,
         OVER_BUDGET,
-        TURNED_AWAY,
+        REJECTED,
         TERMINATED,
         PROCESS_ENDED
     }
 
-    private final int most;
+    private final int maxAttempts;
     private final Random random;
 
-    public BatchRetryPolicy(int most, Random random) {
-        this.most = most;
+    public BatchRetryPolicy(int maxAttempts, Random random) {
+        this.maxAttempts = maxAttempts;
         this.random = random;
     }
 
@@ -35,23 +35,23 @@
      * After how many milliseconds the line goes again; under 0 if it does not.
      *
      * @param attempts how often it was handed out and may have run, this time included
-     * @param refusals how often it was throttled in a row
-     * @param comeBackMs what the front said, or 0
+     * @param rejections how often it was throttled in a row
+     * @param retryAfterMs what the front said, or 0
      */
-    public double againAfterMs(
-            End end, Effect effect, int attempts, int refusals, double comeBackMs) {
-        return switch (end) {
-            case TURNED_AWAY -> TURNED_AWAY_MS * (0.5 + random.nextDouble());
-            case OVER_BUDGET -> Math.max(comeBackMs, TURNED_AWAY_MS);
-            case THROTTLED -> Math.max(comeBackMs, spread(refusals));
+    public double retryDelayMs(
+            Outcome outcome, Effect effect, int attempts, int rejections, double retryAfterMs) {
+        return switch (outcome) {
+            case REJECTED -> REJECTION_BACKOFF_MS * (0.5 + random.nextDouble());
+            case OVER_BUDGET -> Math.max(retryAfterMs, REJECTION_BACKOFF_MS);
+            case THROTTLED -> Math.max(retryAfterMs, backoffMs(rejections));
             case TERMINATED ->
-                    effect == Effect.IDEMPOTENT && attempts < most ? spread(attempts) : -1;
-            case PROCESS_ENDED -> effect == Effect.IDEMPOTENT && attempts < most ? 0 : -1;
+                    effect == Effect.IDEMPOTENT && attempts < maxAttempts ? backoffMs(attempts) : -1;
+            case PROCESS_ENDED -> effect == Effect.IDEMPOTENT && attempts < maxAttempts ? 0 : -1;
         };
     }
 
-    private double spread(int times) {
-        double whole = Math.min(MOST_MS, FIRST_MS * Math.pow(2, Math.max(0, times - 1)));
-        return whole * (0.5 + 0.5 * random.nextDouble());
+    private double backoffMs(int failures) {
+        double maxDelayMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * Math.pow(2, Math.max(0, failures - 1)));
+        return maxDelayMs * (0.5 + 0.5 * random.nextDouble());
     }
 }
--- a/src/main/java/larchridge/planner/LatencySample.java
+++ b/src/main/java/larchridge/planner/LatencySample.java
@@ -3,31 +3,31 @@
 /** What the generations that are not batch work lived through at one front in a short time. */
 public final class LatencySample {
     /** Tenths of the SLO time, the last for all beyond. */
-    static final int PARTS = 40;
+    static final int BUCKETS = 40;
 
-    static final double PART = 0.05;
+    static final double BUCKET_SLO_SHARE = 0.05;
 
-    final int[] firstTokens = new int[PARTS];
-    int turnedAway;
-    double longestWait;
-    int open;
+    final int[] firstTokenCounts = new int[BUCKETS];
+    int rejections;
+    double longestWaitShareOfSlo;
+    int unansweredRequests;
 
     /** A first token came after this share of the SLO time. */
-    public void begun(double shareOfSlo) {
-        firstTokens[(int) Math.max(0, Math.min(PARTS - 1, shareOfSlo / PART))]++;
+    public void recordFirstToken(double shareOfSlo) {
+        firstTokenCounts[(int) Math.max(0, Math.min(BUCKETS - 1, shareOfSlo / BUCKET_SLO_SHARE))]++;
     }
 
     /** One was throttled, or terminated because its time was up. */
-    public void turnedAway() {
-        turnedAway++;
+    public void recordRejection() {
+        rejections++;
     }
 
     /**
      * So many are open, and the one that has waited longest for a reader has waited this share of
      * its SLO time.
      */
-    public void waiting(int openNow, double shareOfSlo) {
-        open = openNow;
-        longestWait = shareOfSlo;
+    public void recordUnanswered(int unanswered, double shareOfSlo) {
+        unansweredRequests = unanswered;
+        longestWaitShareOfSlo = shareOfSlo;
     }
 }
--- a/src/main/java/larchridge/planner/BatchWork.java
+++ b/src/main/java/larchridge/planner/PlannedBatch.java
@@ -1,28 +1,28 @@
 package larchridge.planner;
 
 /** One batch as the planner sees it. */
-public final class BatchWork {
+public final class PlannedBatch {
     public final String name;
-    final BatchQuotas.Tenant tenant;
+    final WeightedFairQueue.Tenant tenant;
     final double expiresMs;
     final long number;
 
     /** Lines that are not answered yet. */
-    double left;
+    double unansweredLines;
 
     /** Lines of it, and their cost in tokens, that were handed out. */
-    double handed;
+    double startedLines;
 
-    double handedTokens;
-    boolean ready;
+    double startedTokens;
+    boolean hasReadyLine;
     boolean atRisk;
 
-    BatchWork(String name, BatchQuotas.Tenant tenant, double expiresMs, long number, double left) {
+    PlannedBatch(String name, WeightedFairQueue.Tenant tenant, double expiresMs, long number, double unansweredLines) {
         this.name = name;
         this.tenant = tenant;
         this.expiresMs = expiresMs;
         this.number = number;
-        this.left = left;
+        this.unansweredLines = unansweredLines;
     }
 
     /** Whether by the rate of late it will not be done in its window. */
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -9,14 +9,14 @@
     /** An answer has begun. */
     void responseStarted(InFlightRequest request, double nowMs) {
         if (!request.isBatch()) {
-            sample.begun(request.shareOfLatencyObjective(nowMs));
+            sample.recordFirstToken(request.shareOfLatencyObjective(nowMs));
         }
     }
 
     /** A request was rejected, or failed because its time was up. */
     void rejected(InFlightRequest request) {
         if (!request.isBatch()) {
-            sample.turnedAway();
+            sample.recordRejection();
         }
     }
 
@@ -33,7 +33,7 @@
             }
         }
         LatencySample taken = sample;
-        taken.waiting(unanswered, longestWait);
+        taken.recordUnanswered(unanswered, longestWait);
         sample = new LatencySample();
         return taken;
     }
