--- a/src/main/java/larchridge/budget/QuotaConfigurer.java
+++ b/src/main/java/larchridge/budget/BudgetConfigurer.java
@@ -4,16 +4,16 @@
  * Receives the configured budgets from the top of the tree down. A budget that is configured again
  * changes from then on; what it has accumulated stays.
  */
-public interface QuotaConfigurer {
+public interface BudgetConfigurer {
     /** Configures the budget of the whole service. */
-    void configureService(QuotaGrant grant, double nowMs);
+    void configureService(BudgetLimits limits, double nowMs);
 
     /** Configures the budget of a group of tenants. */
-    void configureGroup(String name, QuotaGrant grant, double nowMs);
+    void configureGroup(String name, BudgetLimits limits, double nowMs);
 
     /** Configures the budget of a tenant; its group is null if it belongs to none. */
-    void configureTenant(String name, String group, QuotaGrant grant, double nowMs);
+    void configureTenant(String name, String group, BudgetLimits limits, double nowMs);
 
     /** Configures the budget of one product of a tenant. */
-    void configureProduct(String tenant, String product, QuotaGrant grant, double nowMs);
+    void configureProduct(String tenant, String product, BudgetLimits limits, double nowMs);
 }
--- a/src/main/java/larchridge/budget/QuotaGrant.java
+++ b/src/main/java/larchridge/budget/BudgetLimits.java
@@ -9,11 +9,11 @@
  * @param inFlightTokens the most tokens that may be in flight
  * @param monthlyTokens the most tokens that may be used in a calendar month, UTC
  */
-public record QuotaGrant(
+public record BudgetLimits(
         double tokensPerMs, double burstTokens, double inFlightTokens, double monthlyTokens) {
     /** No limit of any kind. */
-    public static final QuotaGrant UNLIMITED =
-            new QuotaGrant(
+    public static final BudgetLimits UNLIMITED =
+            new BudgetLimits(
                     Double.POSITIVE_INFINITY,
                     Double.POSITIVE_INFINITY,
                     Double.POSITIVE_INFINITY,
@@ -25,8 +25,8 @@
      * @param routers how many routers hold a part each
      * @param fixedShare the share of the rate that is divided into fixed parts; the rest is leased
      */
-    public QuotaGrant partOf(int routers, double fixedShare) {
-        return new QuotaGrant(
+    public BudgetLimits partOf(int routers, double fixedShare) {
+        return new BudgetLimits(
                 tokensPerMs * fixedShare / routers,
                 burstTokens * fixedShare / routers,
                 inFlightTokens / routers,
--- a/src/main/java/larchridge/budget/BudgetNode.java
+++ b/src/main/java/larchridge/budget/BudgetNode.java
@@ -21,7 +21,7 @@
     final BudgetNode parent;
 
     final List<BudgetNode> children = new ArrayList<>();
-    private QuotaGrant grant;
+    private BudgetLimits limits;
     private final TokenBucket bucket;
     private final TokenLeases leases = new TokenLeases();
     private final DemandEstimate demand = new DemandEstimate();
@@ -32,13 +32,13 @@
     BudgetNode(
             String name,
             BudgetNode parent,
-            QuotaGrant grant,
+            BudgetLimits limits,
             TokenBucket.OversizeRule oversizeRule,
             Random random) {
         this.name = name;
         this.parent = parent;
-        this.grant = grant;
-        bucket = new TokenBucket(grant.tokensPerMs(), grant.burstTokens(), oversizeRule, random);
+        this.limits = limits;
+        bucket = new TokenBucket(limits.tokensPerMs(), limits.burstTokens(), oversizeRule, random);
         if (parent != null) {
             parent.children.add(this);
         }
@@ -56,13 +56,13 @@
         return "tenant " + tenant + ", " + product;
     }
 
-    QuotaGrant grant() {
-        return grant;
+    BudgetLimits limits() {
+        return limits;
     }
 
-    void reconfigure(QuotaGrant newGrant, double nowMs) {
-        grant = newGrant;
-        bucket.reconfigure(newGrant.tokensPerMs(), newGrant.burstTokens(), nowMs);
+    void reconfigure(BudgetLimits newLimits, double nowMs) {
+        limits = newLimits;
+        bucket.reconfigure(newLimits.tokensPerMs(), newLimits.burstTokens(), nowMs);
     }
 
     TokenBucket bucket() {
@@ -74,23 +74,23 @@
     }
 
     double monthUsedTokens(double nowMs) {
-        enterMonth(nowMs);
+        rollOverMonth(nowMs);
         return monthUsedTokens;
     }
 
     boolean hasInFlightCapacity(double tokens) {
         // One generation may always run alone, or one prompt over the limit would never be
         // admitted.
-        return inFlightTokens <= 0 || inFlightTokens + tokens <= grant.inFlightTokens();
+        return inFlightTokens <= 0 || inFlightTokens + tokens <= limits.inFlightTokens();
     }
 
     boolean hasMonthlyCapacity(double tokens, double nowMs) {
-        enterMonth(nowMs);
-        return monthUsedTokens + tokens <= grant.monthlyTokens();
+        rollOverMonth(nowMs);
+        return monthUsedTokens + tokens <= limits.monthlyTokens();
     }
 
     double msUntilNextMonth(double nowMs) {
-        enterMonth(nowMs);
+        rollOverMonth(nowMs);
         return month.plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
                 - nowMs;
     }
@@ -138,14 +138,14 @@
     }
 
     void addMonthlyUsage(double usedTokens, double nowMs) {
-        enterMonth(nowMs);
+        rollOverMonth(nowMs);
         monthUsedTokens += usedTokens;
     }
 
-    private void enterMonth(double nowMs) {
-        YearMonth now = YearMonth.from(Instant.ofEpochMilli((long) nowMs).atOffset(ZoneOffset.UTC));
-        if (month == null || now.isAfter(month)) {
-            month = now;
+    private void rollOverMonth(double nowMs) {
+        YearMonth currentMonth = YearMonth.from(Instant.ofEpochMilli((long) nowMs).atOffset(ZoneOffset.UTC));
+        if (month == null || currentMonth.isAfter(month)) {
+            month = currentMonth;
             monthUsedTokens = 0;
         }
     }
--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -12,7 +12,7 @@
  * what the other tenants there are owed within the give-back time. Free of I/O, clocks and threads;
  * time is passed in as milliseconds of Unix time.
  */
-public final class Budgets implements QuotaConfigurer {
+public final class Budgets implements BudgetConfigurer {
     /** The part of the maximum output that a generation is expected to write. */
     private static final double EXPECTED_OUTPUT_SHARE = 0.5;
 
@@ -31,7 +31,7 @@
     private final Map<String, BudgetNode> products = new LinkedHashMap<>();
 
     /** All budgets, by the names that the lender knows. */
-    private final Map<String, BudgetNode> byName = new HashMap<>();
+    private final Map<String, BudgetNode> nodesByName = new HashMap<>();
 
     private boolean lenderAvailable;
 
@@ -46,69 +46,69 @@
      * @param random decides draws, see {@link TokenBucket}
      */
     public Budgets(
-            QuotaGrant service, int routers, double fixedShare, double giveBackMs, Random random) {
+            BudgetLimits service, int routers, double fixedShare, double giveBackMs, Random random) {
         this.random = random;
         this.fixedShare = fixedShare;
         this.routers = routers;
         this.giveBackMs = giveBackMs;
         this.service = newNode(BudgetNode.SERVICE, null, service);
-        byName.put(BudgetNode.SERVICE, this.service);
+        nodesByName.put(BudgetNode.SERVICE, this.service);
     }
 
-    private BudgetNode newNode(String name, BudgetNode parent, QuotaGrant grant) {
+    private BudgetNode newNode(String name, BudgetNode parent, BudgetLimits limits) {
         boolean holdsWholeBudget = routers == 1 && fixedShare >= 1;
         return new BudgetNode(
                 name,
                 parent,
-                grant.partOf(routers, fixedShare),
+                limits.partOf(routers, fixedShare),
                 holdsWholeBudget ? TokenBucket.OversizeRule.DEBT : TokenBucket.OversizeRule.DRAW,
                 random);
     }
 
     @Override
-    public void configureService(QuotaGrant grant, double nowMs) {
-        service.reconfigure(grant.partOf(routers, fixedShare), nowMs);
+    public void configureService(BudgetLimits limits, double nowMs) {
+        service.reconfigure(limits.partOf(routers, fixedShare), nowMs);
     }
 
     @Override
-    public void configureGroup(String name, QuotaGrant grant, double nowMs) {
+    public void configureGroup(String name, BudgetLimits limits, double nowMs) {
         BudgetNode group = groups.get(name);
         if (group == null) {
-            groups.put(name, addNode(BudgetNode.groupName(name), service, grant));
+            groups.put(name, addNode(BudgetNode.groupName(name), service, limits));
         } else {
-            group.reconfigure(grant.partOf(routers, fixedShare), nowMs);
+            group.reconfigure(limits.partOf(routers, fixedShare), nowMs);
         }
     }
 
     @Override
-    public void configureTenant(String name, String group, QuotaGrant grant, double nowMs) {
+    public void configureTenant(String name, String group, BudgetLimits limits, double nowMs) {
         BudgetNode parent = group == null ? service : groups.get(group);
         if (parent == null) {
             throw new IllegalArgumentException("tenant " + name + ": no group " + group);
         }
         BudgetNode tenant = tenants.get(name);
         if (tenant == null) {
-            tenants.put(name, addNode(BudgetNode.tenantName(name), parent, grant));
+            tenants.put(name, addNode(BudgetNode.tenantName(name), parent, limits));
         } else {
-            tenant.reconfigure(grant.partOf(routers, fixedShare), nowMs);
+            tenant.reconfigure(limits.partOf(routers, fixedShare), nowMs);
         }
     }
 
     @Override
-    public void configureProduct(String tenant, String product, QuotaGrant grant, double nowMs) {
+    public void configureProduct(String tenant, String product, BudgetLimits limits, double nowMs) {
         String key = productKey(tenant, product);
         BudgetNode node = products.get(key);
         if (node == null) {
             String name = BudgetNode.productName(tenant, product);
-            products.put(key, addNode(name, tenants.get(tenant), grant));
+            products.put(key, addNode(name, tenants.get(tenant), limits));
         } else {
-            node.reconfigure(grant.partOf(routers, fixedShare), nowMs);
+            node.reconfigure(limits.partOf(routers, fixedShare), nowMs);
         }
     }
 
-    private BudgetNode addNode(String name, BudgetNode parent, QuotaGrant grant) {
-        BudgetNode node = newNode(name, parent, grant);
-        byName.putIfAbsent(name, node);
+    private BudgetNode addNode(String name, BudgetNode parent, BudgetLimits limits) {
+        BudgetNode node = newNode(name, parent, limits);
+        nodesByName.putIfAbsent(name, node);
         return node;
     }
 
@@ -122,8 +122,8 @@
      */
     public void restoreMonthlyUsage(
             String tenant, String product, double usedTokens, double nowMs) {
-        for (BudgetNode each = find(tenant, product); each != null; each = each.parent) {
-            each.addMonthlyUsage(usedTokens / routers, nowMs);
+        for (BudgetNode node = find(tenant, product); node != null; node = node.parent) {
+            node.addMonthlyUsage(usedTokens / routers, nowMs);
         }
     }
 
@@ -141,38 +141,38 @@
     public BudgetDecision requestAdmission(
             String tenant, String product, double tokens, double nowMs) {
         BudgetNode budget = find(tenant, product);
-        for (BudgetNode each = budget; each != null; each = each.parent) {
-            if (!each.hasMonthlyCapacity(tokens, nowMs)) {
-                return monthlyRejection(each, nowMs);
+        for (BudgetNode node = budget; node != null; node = node.parent) {
+            if (!node.hasMonthlyCapacity(tokens, nowMs)) {
+                return monthlyRejection(node, nowMs);
             }
-            if (!each.hasInFlightCapacity(tokens)) {
-                return inFlightRejection(each);
+            if (!node.hasInFlightCapacity(tokens)) {
+                return inFlightRejection(node);
             }
         }
-        BudgetNode rated = lowestWithRate(budget);
-        BudgetNode payer = rated == null ? budget : pay(budget, rated, tokens, nowMs);
-        if (rated != null) {
-            rated.recordDemand(tokens, nowMs);
+        BudgetNode rateNode = lowestWithRate(budget);
+        BudgetNode chargedNode = rateNode == null ? budget : takeTokens(budget, rateNode, tokens, nowMs);
+        if (rateNode != null) {
+            rateNode.recordDemand(tokens, nowMs);
         }
-        if (payer == null) {
-            return rateRejection(rated, tokens, nowMs);
+        if (chargedNode == null) {
+            return rateRejection(rateNode, tokens, nowMs);
         }
         // Budgets above the payer are charged too, since what is used is theirs as well; those
         // below it keep what they have.
-        for (BudgetNode each = payer.parent; each != null; each = each.parent) {
-            if (each.grant().hasRate()) {
-                each.bucket().takeUnconditionally(tokens, nowMs);
+        for (BudgetNode node = chargedNode.parent; node != null; node = node.parent) {
+            if (node.limits().hasRate()) {
+                node.bucket().takeUnconditionally(tokens, nowMs);
             }
         }
-        for (BudgetNode each = budget; each != null; each = each.parent) {
-            each.startGeneration(tokens);
+        for (BudgetNode node = budget; node != null; node = node.parent) {
+            node.startGeneration(tokens);
         }
-        boolean borrowed = rated != null && payer != rated;
-        return admission(new Charge(budget, tokens, payer, borrowed), rated, nowMs);
+        boolean borrowed = rateNode != null && chargedNode != rateNode;
+        return admission(new Charge(budget, tokens, chargedNode, borrowed), rateNode, nowMs);
     }
 
     private static BudgetDecision monthlyRejection(BudgetNode budget, double nowMs) {
-        double limitTokens = budget.grant().monthlyTokens();
+        double limitTokens = budget.limits().monthlyTokens();
         double remainingTokens = Math.max(0, limitTokens - budget.monthUsedTokens(nowMs));
         double waitMs = budget.msUntilNextMonth(nowMs);
         String reason = budget.name + ": month";
@@ -181,7 +181,7 @@
     }
 
     private static BudgetDecision inFlightRejection(BudgetNode budget) {
-        double limitTokens = budget.grant().inFlightTokens();
+        double limitTokens = budget.limits().inFlightTokens();
         return new BudgetDecision(
                 null,
                 limitTokens,
@@ -192,8 +192,8 @@
                 false);
     }
 
-    private static BudgetDecision rateRejection(BudgetNode rated, double tokens, double nowMs) {
-        TokenBucket bucket = rated.bucket();
+    private static BudgetDecision rateRejection(BudgetNode rateNode, double tokens, double nowMs) {
+        TokenBucket bucket = rateNode.bucket();
         double waitMs = bucket.msUntil(tokens, nowMs);
         // Guards against: a router's part of a burst may never hold one generation; then waiting
         // only improves the odds of its draw.
@@ -203,16 +203,16 @@
                 Math.max(0, bucket.level(nowMs)),
                 bucket.msUntil(bucket.burstTokens(), nowMs),
                 Math.max(MIN_RATE_RETRY_MS, waitMs),
-                rated.name + ": rate",
+                rateNode.name + ": rate",
                 true);
     }
 
-    private static BudgetDecision admission(Charge charge, BudgetNode rated, double nowMs) {
-        if (rated == null) {
+    private static BudgetDecision admission(Charge charge, BudgetNode rateNode, double nowMs) {
+        if (rateNode == null) {
             return new BudgetDecision(
                     charge, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, 0, null, false);
         }
-        TokenBucket bucket = rated.bucket();
+        TokenBucket bucket = rateNode.bucket();
         return new BudgetDecision(
                 charge,
                 bucket.burstTokens(),
@@ -224,12 +224,12 @@
     }
 
     /** The lowest budget from this one upwards that limits a rate, or null. */
-    private static BudgetNode lowestWithRate(BudgetNode from) {
-        BudgetNode each = from;
-        while (each != null && !each.grant().hasRate()) {
-            each = each.parent;
+    private static BudgetNode lowestWithRate(BudgetNode start) {
+        BudgetNode node = start;
+        while (node != null && !node.limits().hasRate()) {
+            node = node.parent;
         }
-        return each;
+        return node;
     }
 
     /**
@@ -238,52 +238,52 @@
      *
      * @param rated the lowest budget with a rate, from {@code budget} upwards
      */
-    private BudgetNode pay(BudgetNode budget, BudgetNode rated, double tokens, double nowMs) {
+    private BudgetNode takeTokens(BudgetNode budget, BudgetNode rateNode, double tokens, double nowMs) {
         // Guards against: a tenant without a rate of its own would use up what its neighbours are
         // owed.
-        if ((rated == budget || tokensOwed(rated, budget, nowMs) <= 0)
-                && takeFromOwnRate(rated, tokens, nowMs)) {
-            return rated;
+        if ((rateNode == budget || tokensReservedForOthers(rateNode, budget, nowMs) <= 0)
+                && takeFromOwnRate(rateNode, tokens, nowMs)) {
+            return rateNode;
         }
-        if (rated.tryTakeLeased(tokens, nowMs)) {
-            return rated;
+        if (rateNode.tryTakeLeased(tokens, nowMs)) {
+            return rateNode;
         }
-        BudgetNode first = rated == budget ? rated.parent : rated;
-        for (BudgetNode each = first; each != null; each = each.parent) {
-            if (each.grant().hasRate()
-                    && each.bucket().level(nowMs) - tokensOwed(each, budget, nowMs) >= tokens) {
-                each.bucket().takeUnconditionally(tokens, nowMs);
-                return each;
+        BudgetNode first = rateNode == budget ? rateNode.parent : rateNode;
+        for (BudgetNode node = first; node != null; node = node.parent) {
+            if (node.limits().hasRate()
+                    && node.bucket().level(nowMs) - tokensReservedForOthers(node, budget, nowMs) >= tokens) {
+                node.bucket().takeUnconditionally(tokens, nowMs);
+                return node;
             }
         }
         return null;
     }
 
-    private boolean takeFromOwnRate(BudgetNode rated, double tokens, double nowMs) {
+    private boolean takeFromOwnRate(BudgetNode rateNode, double tokens, double nowMs) {
         return lenderAvailable
-                ? rated.bucket().tryTakeWithoutDraw(tokens, nowMs)
-                : rated.bucket().tryTake(tokens, nowMs);
+                ? rateNode.bucket().tryTakeWithoutDraw(tokens, nowMs)
+                : rateNode.bucket().tryTake(tokens, nowMs);
     }
 
     /** What the children of a budget, except the borrower's, may use within the give-back time. */
-    private double tokensOwed(BudgetNode lender, BudgetNode borrower, double nowMs) {
-        double owed = 0;
-        for (BudgetNode child : lender.children) {
-            if (child == borrower || isAbove(child, borrower) || !child.grant().hasRate()) {
+    private double tokensReservedForOthers(BudgetNode node, BudgetNode borrower, double nowMs) {
+        double reservedTokens = 0;
+        for (BudgetNode child : node.children) {
+            if (child == borrower || isAncestor(child, borrower) || !child.limits().hasRate()) {
                 continue;
             }
             // Guards against: what a tenant has accumulated may be requested at once, in the very
             // moment in which it becomes active.
-            owed +=
+            reservedTokens +=
                     Math.max(0, child.bucket().level(nowMs))
-                            + child.grant().tokensPerMs() * giveBackMs;
+                            + child.limits().tokensPerMs() * giveBackMs;
         }
-        return owed;
+        return reservedTokens;
     }
 
-    private static boolean isAbove(BudgetNode budget, BudgetNode descendant) {
-        for (BudgetNode each = descendant.parent; each != null; each = each.parent) {
-            if (each == budget) {
+    private static boolean isAncestor(BudgetNode budget, BudgetNode descendant) {
+        for (BudgetNode node = descendant.parent; node != null; node = node.parent) {
+            if (node == budget) {
                 return true;
             }
         }
@@ -296,8 +296,8 @@
      */
     public QuotaRequest quotaRequestFor(
             String tenant, String product, double tokens, double nowMs) {
-        BudgetNode rated = lowestWithRate(find(tenant, product));
-        return rated == null || fixedShare >= 1 ? null : rated.quotaRequestFor(tokens, nowMs);
+        BudgetNode rateNode = lowestWithRate(find(tenant, product));
+        return rateNode == null || fixedShare >= 1 ? null : rateNode.quotaRequestFor(tokens, nowMs);
     }
 
     /** Sets whether the lender answers; while it does not, fixed parts are admitted by draws. */
@@ -312,7 +312,7 @@
      * @param expiresMs when the lease expires
      */
     public void addLease(String budget, double tokens, double expiresMs) {
-        BudgetNode borrower = byName.get(budget);
+        BudgetNode borrower = nodesByName.get(budget);
         if (borrower != null && tokens > 0) {
             borrower.addLease(tokens, expiresMs);
         }
@@ -324,13 +324,13 @@
             return;
         }
         double unusedTokens = charge.estimatedTokens - usedTokens;
-        for (BudgetNode each = charge.payer; each != null; each = each.parent) {
-            if (each.grant().hasRate()) {
-                each.bucket().giveBack(unusedTokens, nowMs);
+        for (BudgetNode node = charge.chargedNode; node != null; node = node.parent) {
+            if (node.limits().hasRate()) {
+                node.bucket().refund(unusedTokens, nowMs);
             }
         }
-        for (BudgetNode each = charge.budget; each != null; each = each.parent) {
-            each.endGeneration(charge.estimatedTokens, usedTokens, nowMs);
+        for (BudgetNode node = charge.budget; node != null; node = node.parent) {
+            node.endGeneration(charge.estimatedTokens, usedTokens, nowMs);
         }
     }
 
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -6,16 +6,16 @@
     final BudgetNode budget;
 
     /** The budget whose rate paid: the own one, or one above it that had tokens to spare. */
-    final BudgetNode payer;
+    final BudgetNode chargedNode;
 
     final double estimatedTokens;
     private final boolean borrowed;
     private boolean settled;
 
-    Charge(BudgetNode budget, double estimatedTokens, BudgetNode payer, boolean borrowed) {
+    Charge(BudgetNode budget, double estimatedTokens, BudgetNode chargedNode, boolean borrowed) {
         this.budget = budget;
         this.estimatedTokens = estimatedTokens;
-        this.payer = payer;
+        this.chargedNode = chargedNode;
         this.borrowed = borrowed;
     }
 
--- a/src/main/java/larchridge/budget/QuotaLender.java
+++ b/src/main/java/larchridge/budget/QuotaLender.java
@@ -11,7 +11,7 @@
  * restarts begins empty, since earlier leases may still be in use. Free of I/O, clocks and threads;
  * time is passed in as milliseconds.
  */
-public final class QuotaLender implements QuotaConfigurer {
+public final class QuotaLender implements BudgetConfigurer {
     /**
      * No generation needs more; a request for more is a fault and would leave a debt that is never
      * paid off.
@@ -21,7 +21,7 @@
     private final double leasedShare;
 
     /** Buckets that hold a whole budget admit oversized requests on debt and never draw. */
-    private final Random neverDrawn = new Random(0);
+    private final Random unusedRandom = new Random(0);
 
     private final Map<String, TokenBucket> buckets = new LinkedHashMap<>();
 
@@ -31,36 +31,36 @@
     }
 
     @Override
-    public void configureService(QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.SERVICE, grant, nowMs);
+    public void configureService(BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.SERVICE, limits, nowMs);
     }
 
     @Override
-    public void configureGroup(String name, QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.groupName(name), grant, nowMs);
+    public void configureGroup(String name, BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.groupName(name), limits, nowMs);
     }
 
     @Override
-    public void configureTenant(String name, String group, QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.tenantName(name), grant, nowMs);
+    public void configureTenant(String name, String group, BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.tenantName(name), limits, nowMs);
     }
 
     @Override
-    public void configureProduct(String tenant, String product, QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.productName(tenant, product), grant, nowMs);
+    public void configureProduct(String tenant, String product, BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.productName(tenant, product), limits, nowMs);
     }
 
     /** Configures a budget by the name that routers request it by. */
-    void configure(String budget, QuotaGrant grant, double nowMs) {
-        double tokensPerMs = grant.tokensPerMs() * leasedShare;
-        double burstTokens = grant.burstTokens() * leasedShare;
+    void configure(String budget, BudgetLimits limits, double nowMs) {
+        double tokensPerMs = limits.tokensPerMs() * leasedShare;
+        double burstTokens = limits.burstTokens() * leasedShare;
         TokenBucket bucket = buckets.get(budget);
         if (bucket != null) {
             bucket.reconfigure(tokensPerMs, burstTokens, nowMs);
-        } else if (grant.hasRate()) {
+        } else if (limits.hasRate()) {
             bucket =
                     new TokenBucket(
-                            tokensPerMs, burstTokens, TokenBucket.OversizeRule.DEBT, neverDrawn);
+                            tokensPerMs, burstTokens, TokenBucket.OversizeRule.DEBT, unusedRandom);
             // Guards against: a lender that restarts again and again would grant a full burst each
             // time.
             bucket.takeUnconditionally(bucket.burstTokens(), nowMs);
--- a/src/main/java/larchridge/budget/TokenBucket.java
+++ b/src/main/java/larchridge/budget/TokenBucket.java
@@ -29,7 +29,7 @@
     private double level;
 
     /** The time up to which tokens have accumulated; NaN before the first use. */
-    private double accumulatedUntilMs = Double.NaN;
+    private double refilledUntilMs = Double.NaN;
 
     TokenBucket(double tokensPerMs, double burstTokens, OversizeRule oversizeRule, Random random) {
         this.oversizeRule = oversizeRule;
@@ -41,14 +41,14 @@
 
     /** Sets rate and burst from now on; what has accumulated stays, up to the new burst. */
     void reconfigure(double newTokensPerMs, double newBurstTokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         tokensPerMs = newTokensPerMs;
         burstTokens = newBurstTokens;
         level = Math.min(level, burstTokens);
     }
 
     double level(double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         return level;
     }
 
@@ -64,19 +64,19 @@
         if (oversizeRule == OversizeRule.DEBT || tokens <= burstTokens || level <= 0) {
             return false;
         }
-        boolean won = random.nextDouble() * tokens < level;
+        boolean admitted = random.nextDouble() * tokens < level;
         // What was won beyond the level was paid for by the draws that were lost.
         level = 0;
-        return won;
+        return admitted;
     }
 
     /** As {@link #tryTake}, but never by a draw: for where the missing tokens can be leased. */
     boolean tryTakeWithoutDraw(double tokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         // Guards against: a prompt over the burst could never be admitted.
-        boolean onDebt = oversizeRule == OversizeRule.DEBT && level >= burstTokens;
-        boolean available = level >= tokens || onDebt;
-        if (!available) {
+        boolean admitsOnDebt = oversizeRule == OversizeRule.DEBT && level >= burstTokens;
+        boolean admitted = level >= tokens || admitsOnDebt;
+        if (!admitted) {
             return false;
         }
         level -= tokens;
@@ -84,14 +84,14 @@
     }
 
     /** Returns tokens, or takes more with a negative number. */
-    void giveBack(double tokens, double nowMs) {
-        accumulate(nowMs);
+    void refund(double tokens, double nowMs) {
+        refill(nowMs);
         level = Math.min(burstTokens, level + tokens);
     }
 
     /** Takes tokens whatever the level is. */
     void takeUnconditionally(double tokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         level -= tokens;
     }
 
@@ -100,7 +100,7 @@
      * full.
      */
     double msUntil(double tokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         double missing = Math.min(tokens, burstTokens) - level;
         if (missing <= 0) {
             return 0;
@@ -108,17 +108,17 @@
         return tokensPerMs > 0 ? missing / tokensPerMs : Double.POSITIVE_INFINITY;
     }
 
-    private void accumulate(double nowMs) {
-        if (Double.isNaN(accumulatedUntilMs)) {
-            accumulatedUntilMs = nowMs;
+    private void refill(double nowMs) {
+        if (Double.isNaN(refilledUntilMs)) {
+            refilledUntilMs = nowMs;
             return;
         }
-        if (nowMs < accumulatedUntilMs) {
+        if (nowMs < refilledUntilMs) {
             // Guards against: a clock that steps back and forth would accumulate the same time
             // twice.
             return;
         }
-        level = Math.min(burstTokens, level + (nowMs - accumulatedUntilMs) * tokensPerMs);
-        accumulatedUntilMs = nowMs;
+        level = Math.min(burstTokens, level + (nowMs - refilledUntilMs) * tokensPerMs);
+        refilledUntilMs = nowMs;
     }
 }
--- a/src/main/java/larchridge/budget/TokenLeases.java
+++ b/src/main/java/larchridge/budget/TokenLeases.java
@@ -26,14 +26,14 @@
 
     /** Takes tokens from the oldest leases on; returns how many are missing. */
     double take(double tokens) {
-        double missing = tokens;
-        while (missing > 0 && !leases.isEmpty()) {
+        double missingTokens = tokens;
+        while (missingTokens > 0 && !leases.isEmpty()) {
             Lease oldest = leases.removeFirst();
-            if (oldest.tokens > missing) {
-                leases.addFirst(new Lease(oldest.tokens - missing, oldest.expiresMs));
+            if (oldest.tokens > missingTokens) {
+                leases.addFirst(new Lease(oldest.tokens - missingTokens, oldest.expiresMs));
             }
-            missing -= Math.min(missing, oldest.tokens);
+            missingTokens -= Math.min(missingTokens, oldest.tokens);
         }
-        return missing;
+        return missingTokens;
     }
 }
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.Random;
 import larchridge.budget.Budgets;
-import larchridge.budget.QuotaConfigurer;
-import larchridge.budget.QuotaGrant;
+import larchridge.budget.BudgetConfigurer;
+import larchridge.budget.BudgetLimits;
 import larchridge.ledger.Price;
 import larchridge.state.RoutingSettings;
 import larchridge.state.TenantQuota;
@@ -55,7 +55,7 @@
 
     public String currency;
     public final Map<String, Price> prices = new LinkedHashMap<>();
-    QuotaGrant budget = QuotaGrant.UNLIMITED;
+    BudgetLimits budget = BudgetLimits.UNLIMITED;
     double giveBackMs;
 
     /** Where what is not in fixed parts is lent; null if nothing is. */
@@ -73,7 +73,7 @@
     /** The batch API; null where it is not served. */
     public BatchSettings batch;
 
-    final Map<String, QuotaGrant> groups = new LinkedHashMap<>();
+    final Map<String, BudgetLimits> groups = new LinkedHashMap<>();
     final List<TenantGrant> tenantGrants = new ArrayList<>();
 
     /**
@@ -90,7 +90,7 @@
     }
 
     record TenantGrant(
-            String tenant, String group, QuotaGrant grant, Map<String, QuotaGrant> products) {}
+            String tenant, String group, BudgetLimits grant, Map<String, BudgetLimits> products) {}
 
     /** Whom a generation is done for; each front counts an account of its own. */
     public record Tenant(String name, double quotaPerSecond, double batchShare) {
@@ -135,7 +135,7 @@
     }
 
     /** Sets the budgets as this site file says, also in place of others. */
-    public void budgetsTo(QuotaConfigurer taker, double nowMs) {
+    public void budgetsTo(BudgetConfigurer taker, double nowMs) {
         taker.configureService(budget, nowMs);
         groups.forEach((name, grant) -> taker.configureGroup(name, grant, nowMs));
         for (TenantGrant tenant : tenantGrants) {
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import larchridge.budget.QuotaGrant;
+import larchridge.budget.BudgetLimits;
 import larchridge.ledger.Price;
 import larchridge.site.form.EffectText;
 import larchridge.site.form.ProductText;
@@ -305,7 +305,7 @@
         for (int i = 0; i < form.getGroupCount(); i++) {
             At at = root.item("group", i, form.getGroup(i));
             String name = at.text("name", null);
-            QuotaGrant grant = at.grant("budget");
+            BudgetLimits grant = at.grant("budget");
             if (site.groups.put(name, grant) != null) {
                 at.fault("name", "'" + name + "' is the name of two groups");
             }
@@ -318,7 +318,7 @@
             if (!names.add(text.getName())) {
                 at.fault("name", "'" + text.getName() + "' is the name of two tenants");
             }
-            QuotaGrant grant = at.grant("budget");
+            BudgetLimits grant = at.grant("budget");
             String group = text.getGroup().isEmpty() ? null : text.getGroup();
             if (group != null && !site.groups.containsKey(group)) {
                 at.fault("group", "'" + group + "' is no group of this file");
@@ -331,7 +331,7 @@
                     grant,
                     group == null ? site.budget : site.groups.get(group),
                     group == null ? "the service" : "group " + group);
-            Map<String, QuotaGrant> products = new LinkedHashMap<>();
+            Map<String, BudgetLimits> products = new LinkedHashMap<>();
             for (int j = 0; j < text.getProductCount(); j++) {
                 At inner = at.item("product", j, text.getProduct(j));
                 String product = inner.text("name", null);
@@ -339,7 +339,7 @@
                         .noneMatch(o -> o.product.name.equals(product))) {
                     inner.fault("name", "'" + product + "' is no product of this file");
                 }
-                QuotaGrant part = inner.grant("budget");
+                BudgetLimits part = inner.grant("budget");
                 products.put(product, part);
                 adds(inner, rates, "t" + i, part, grant, "tenant " + text.getName());
             }
@@ -372,8 +372,8 @@
             At at,
             Map<String, Double> rates,
             String under,
-            QuotaGrant part,
-            QuotaGrant whole,
+            BudgetLimits part,
+            BudgetLimits whole,
             String of) {
         if (part.hasRate() && whole.hasRate()) {
             double sum = rates.merge(under, part.tokensPerMs(), Double::sum);
@@ -549,9 +549,9 @@
         }
 
         /** A budget; what is not written is not limited. */
-        QuotaGrant grant(String field) {
+        BudgetLimits grant(String field) {
             if (!form.hasField(about(field))) {
-                return QuotaGrant.UNLIMITED;
+                return BudgetLimits.UNLIMITED;
             }
             At at = one(field, true);
             double perS =
@@ -560,7 +560,7 @@
                             Double.POSITIVE_INFINITY,
                             0,
                             Double.POSITIVE_INFINITY);
-            return new QuotaGrant(
+            return new BudgetLimits(
                     perS / 1000,
                     at.number("burst_tokens", perS * 10, 0, Double.POSITIVE_INFINITY),
                     at.number(
--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -1,4 +1,4 @@
-package larchridge.budget;
+package larchridge.budgetTokens;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,24 +18,24 @@
     void oneRouterNeverExceedsItsBound(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
             @ForAll @IntRange(min = 10, max = 3000) int burst,
-            @ForAll @IntRange(min = 1, max = 2000) int most) {
+            @ForAll @IntRange(min = 1, max = 2000) int maxTokens) {
         Random random = new Random(seed);
-        Budgets budgets = new Budgets(QuotaGrant.UNLIMITED, 1, 1, 500, new Random(seed));
+        Budgets budgets = new Budgets(BudgetLimits.UNLIMITED, 1, 1, 500, new Random(seed));
         double now = 1e12;
-        budgets.configureTenant("a", null, new QuotaGrant(0.5, burst, INF, INF), now);
-        List<double[]> taken = new ArrayList<>();
+        budgets.configureTenant("a", null, new BudgetLimits(0.5, burst, INF, INF), now);
+        List<double[]> admissions = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             now += random.nextDouble() * 40;
-            double tokens = 1 + random.nextInt(most);
+            double tokens = 1 + random.nextInt(maxTokens);
             if (budgets.requestAdmission("a", "p", tokens, now).isAdmitted()) {
-                taken.add(new double[] {now, tokens});
+                admissions.add(new double[] {now, tokens});
             }
         }
-        for (int i = 0; i < taken.size(); i++) {
+        for (int i = 0; i < admissions.size(); i++) {
             double sum = 0;
-            for (int j = i; j < taken.size(); j++) {
-                sum += taken.get(j)[1];
-                double bound = 0.5 * (taken.get(j)[0] - taken.get(i)[0]) + burst + most;
+            for (int j = i; j < admissions.size(); j++) {
+                sum += admissions.get(j)[1];
+                double bound = 0.5 * (admissions.get(j)[0] - admissions.get(i)[0]) + burst + maxTokens;
                 assertTrue(sum <= bound + 1e-6, sum + " over " + bound);
             }
         }
@@ -53,32 +53,32 @@
         Random random = new Random(seed);
         double rate = 2;
         double burst = 4000;
-        double generation = 1000;
-        List<Budgets> all = new ArrayList<>();
+        double generationTokens = 1000;
+        List<Budgets> routerBudgets = new ArrayList<>();
         double now = 1e12;
         for (int i = 0; i < routers; i++) {
-            Budgets one = new Budgets(QuotaGrant.UNLIMITED, routers, 1, 500, new Random(seed + i));
-            one.configureTenant("a", null, new QuotaGrant(rate, burst, INF, INF), now);
-            all.add(one);
+            Budgets budgets = new Budgets(BudgetLimits.UNLIMITED, routers, 1, 500, new Random(seed + i));
+            budgets.configureTenant("a", null, new BudgetLimits(rate, burst, INF, INF), now);
+            routerBudgets.add(budgets);
         }
         double start = now;
         double sum = 0;
         for (int i = 0; i < 4000; i++) {
             now += 10;
-            if (all.get(random.nextInt(routers))
-                    .requestAdmission("a", "p", generation, now)
+            if (routerBudgets.get(random.nextInt(routers))
+                    .requestAdmission("a", "p", generationTokens, now)
                     .isAdmitted()) {
-                sum += generation;
+                sum += generationTokens;
             }
         }
-        double budget = burst + rate * (now - start);
-        double deviation = Math.sqrt(budget / generation) * generation;
+        double budgetTokens = burst + rate * (now - start);
+        double deviationTokens = Math.sqrt(budgetTokens / generationTokens) * generationTokens;
         assertTrue(
-                sum <= budget + 5 * deviation + generation,
-                sum + " over " + budget + " with " + routers + " routers");
+                sum <= budgetTokens + 5 * deviationTokens + generationTokens,
+                sum + " over " + budgetTokens + " with " + routers + " routers");
         assertTrue(
-                sum >= 0.5 * Math.min(budget, 4000 * generation) - 5 * deviation,
-                sum + " of " + budget);
+                sum >= 0.5 * Math.min(budgetTokens, 4000 * generationTokens) - 5 * deviationTokens,
+                sum + " of " + budgetTokens);
     }
 
     /**
@@ -88,24 +88,24 @@
     @Property(tries = 20, seed = "20261201")
     void repeatedRequestsDoNotImproveTheOdds(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-        double[] sums = new double[2];
-        for (int way = 0; way < 2; way++) {
+        double[] admittedTokens = new double[2];
+        for (int run = 0; run < 2; run++) {
             for (int router = 0; router < 100; router++) {
-                Budgets one =
+                Budgets budgets =
                         new Budgets(
-                                QuotaGrant.UNLIMITED, 100, 1, 500, new Random(seed * 200 + router));
+                                BudgetLimits.UNLIMITED, 100, 1, 500, new Random(seed * 200 + router));
                 double now = 1e12;
-                one.configureTenant("a", null, new QuotaGrant(1, 2000, INF, INF), now);
+                budgets.configureTenant("a", null, new BudgetLimits(1, 2000, INF, INF), now);
                 for (int i = 0; i < 2000; i++) {
                     now += 10;
-                    if ((way == 0 || i % 20 == 0)
-                            && one.requestAdmission("a", "p", 1000, now).isAdmitted()) {
-                        sums[way] += 1000;
+                    if ((run == 0 || i % 20 == 0)
+                            && budgets.requestAdmission("a", "p", 1000, now).isAdmitted()) {
+                        admittedTokens[run] += 1000;
                     }
                 }
             }
         }
-        double deviation = Math.sqrt(22_000.0 / 1000) * 1000;
-        assertTrue(Math.abs(sums[0] - sums[1]) < 8 * deviation, sums[0] + " and " + sums[1]);
+        double deviationTokens = Math.sqrt(22_000.0 / 1000) * 1000;
+        assertTrue(Math.abs(admittedTokens[0] - admittedTokens[1]) < 8 * deviationTokens, admittedTokens[0] + " and " + admittedTokens[1]);
     }
 }
--- a/src/test/java/larchridge/budget/QuotaLenderTest.java
+++ b/src/test/java/larchridge/budget/QuotaLenderTest.java
@@ -13,11 +13,11 @@
     /** The lender has 0.8 tokens a millisecond, up to 800. */
     @BeforeEach
     void configureBudget() {
-        lender.configure("t", new QuotaGrant(1, 1000, INF, INF), now);
+        lender.configure("t", new BudgetLimits(1, 1000, INF, INF), now);
     }
 
     @Test
-    void beginsEmptyAndAdvisesWhenToRetry() {
+    void startsEmptyAndAdvisesWhenToRetry() {
         assertEquals(0, lender.grant("t", 100, 0, now));
         assertEquals(125, lender.retryAfterMs("t", 100, now), 1e-9);
         assertEquals(100, lender.grant("t", 100, 0, now + 125), 1e-9);
@@ -53,7 +53,7 @@
     @Test
     void loweredBudgetGrantsNoMoreThanItsNewBurst() {
         now += 1000;
-        lender.configure("t", new QuotaGrant(0.1, 100, INF, INF), now);
+        lender.configure("t", new BudgetLimits(0.1, 100, INF, INF), now);
         assertEquals(60, lender.grant("t", 60, 0, now), 1e-9);
         assertEquals(0, lender.grant("t", 60, 0, now), 1e-9);
         assertEquals(0, lender.grant("t", 60, 0, now - 500), 1e-9);
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -27,7 +27,7 @@
     private static final double WINDOW_MS = 5000;
     private static final double DURATION_MS = 60_000;
     private static final double FIXED_SHARE = 0.2;
-    private static final StringBuilder TABLE = new StringBuilder();
+    private static final StringBuilder RESULTS = new StringBuilder();
 
     private enum Sharing {
         DEBTS,
@@ -41,7 +41,7 @@
      * @param used tokens admitted, as a share of the budget's rate over the run
      * @param excess tokens admitted in the worst window, beyond rate x window
      */
-    private record Result(double used, double excess) {}
+    private record Result(double usedShare, double excessTokens) {}
 
     private final Random random = new Random(42);
 
@@ -54,19 +54,19 @@
      *     the lender is away for a fifth of the time and some of its answers are lost
      */
     private Result run(
-            Sharing sharing, int routers, int busy, double generationsPerMs, boolean withFaults) {
-        List<Budgets> all = new ArrayList<>();
+            Sharing sharing, int routers, int loadedRouters, double generationsPerMs, boolean withFaults) {
+        List<Budgets> routerBudgets = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
-            all.add(router(sharing, routers, i, 0));
+            routerBudgets.add(router(sharing, routers, i, 0));
         }
         QuotaLender lender = lender(0);
         Deque<double[]> window = new ArrayDeque<>();
-        double inWindow = 0;
-        double worst = 0;
-        double sum = 0;
+        double windowTokens = 0;
+        double worstExcess = 0;
+        double admittedTokens = 0;
         for (double now = 0; now < DURATION_MS; now += STEP_MS) {
             if (withFaults && random.nextDouble() < STEP_MS / 5000) {
-                all.set(random.nextInt(routers), router(sharing, routers, 1000 + (int) now, now));
+                routerBudgets.set(random.nextInt(routers), router(sharing, routers, 1000 + (int) now, now));
             }
             if (withFaults && random.nextDouble() < STEP_MS / 10_000) {
                 lender = lender(now);
@@ -76,82 +76,82 @@
                     (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
             for (int i = 0; i < arrivals; i++) {
                 if (isAdmitted(
-                        all.get(random.nextInt(busy)),
+                        routerBudgets.get(random.nextInt(loadedRouters)),
                         sharing == Sharing.LEASES ? lender : null,
                         withFaults,
                         now)) {
                     window.add(new double[] {now, GENERATION_TOKENS});
-                    inWindow += GENERATION_TOKENS;
-                    sum += GENERATION_TOKENS;
+                    windowTokens += GENERATION_TOKENS;
+                    admittedTokens += GENERATION_TOKENS;
                 }
             }
             while (!window.isEmpty() && window.peek()[0] <= now - WINDOW_MS) {
-                inWindow -= window.poll()[1];
+                windowTokens -= window.poll()[1];
             }
-            worst = Math.max(worst, inWindow - RATE * WINDOW_MS);
+            worstExcess = Math.max(worstExcess, windowTokens - RATE * WINDOW_MS);
         }
-        return new Result(sum / (RATE * DURATION_MS), worst);
+        return new Result(admittedTokens / (RATE * DURATION_MS), worstExcess);
     }
 
     /** As a router does it: requests from the lender what it lacks. */
-    private boolean isAdmitted(Budgets router, QuotaLender lender, boolean withFaults, double now) {
-        if (router.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted()) {
+    private boolean isAdmitted(Budgets budgets, QuotaLender lender, boolean withFaults, double now) {
+        if (budgets.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted()) {
             return true;
         }
         // Now and then the lender is away for a while: the first fifth of each quarter of a minute.
-        boolean away = withFaults && now % 15_000 < 3000;
-        router.setLenderAvailable(lender != null && !away);
-        if (lender == null || away) {
+        boolean isLenderDown = withFaults && now % 15_000 < 3000;
+        budgets.setLenderAvailable(lender != null && !isLenderDown);
+        if (lender == null || isLenderDown) {
             return false;
         }
-        QuotaRequest request = router.quotaRequestFor("a", "p", GENERATION_TOKENS, now);
+        QuotaRequest request = budgets.quotaRequestFor("a", "p", GENERATION_TOKENS, now);
         double granted =
                 lender.grant(
                         request.budget(), request.neededTokens(), request.desiredTokens(), now);
         // One answer in twenty is lost: what was granted then stays unused.
-        router.addLease(
+        budgets.addLease(
                 request.budget(),
                 withFaults && random.nextDouble() < 0.05 ? 0 : granted,
                 now + LEASE_MS);
-        return router.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted();
+        return budgets.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted();
     }
 
     private static Budgets router(Sharing sharing, int routers, int seed, double nowMs) {
         // A router that takes its part for a whole budget admits on debt.
-        boolean debts = sharing == Sharing.DEBTS;
-        Budgets one =
+        boolean admitsOnDebt = sharing == Sharing.DEBTS;
+        Budgets budgets =
                 new Budgets(
-                        QuotaGrant.UNLIMITED,
-                        debts ? 1 : routers,
+                        BudgetLimits.UNLIMITED,
+                        admitsOnDebt ? 1 : routers,
                         sharing == Sharing.LEASES ? FIXED_SHARE : 1,
                         500,
                         new Random(seed));
-        double part = debts ? 1.0 / routers : 1;
-        one.configureTenant("a", null, new QuotaGrant(RATE * part, BURST * part, INF, INF), nowMs);
-        return one;
+        double partOfBudget = admitsOnDebt ? 1.0 / routers : 1;
+        budgets.configureTenant("a", null, new BudgetLimits(RATE * partOfBudget, BURST * partOfBudget, INF, INF), nowMs);
+        return budgets;
     }
 
     private static QuotaLender lender(double nowMs) {
         QuotaLender lender = new QuotaLender(1 - FIXED_SHARE);
-        lender.configure("tenant a", new QuotaGrant(RATE, BURST, INF, INF), nowMs);
+        lender.configure("tenant a", new BudgetLimits(RATE, BURST, INF, INF), nowMs);
         return lender;
     }
 
     /** The bound on the excess; docs/budgets.md derives that of leases. */
     private static double bound(Sharing sharing, int routers) {
-        double inWindow = RATE * WINDOW_MS + BURST;
+        double windowTokens = RATE * WINDOW_MS + BURST;
         if (routers == 1 && sharing != Sharing.LEASES) {
             return BURST + GENERATION_TOKENS;
         }
-        double draws = 5 * Math.sqrt(inWindow * GENERATION_TOKENS);
+        double drawAllowance = 5 * Math.sqrt(windowTokens * GENERATION_TOKENS);
         return switch (sharing) {
             case DEBTS -> BURST + routers * GENERATION_TOKENS;
-            case DRAWS -> BURST + draws;
+            case DRAWS -> BURST + drawAllowance;
             case LEASES ->
                     BURST
                             + (1 - FIXED_SHARE) * RATE * LEASE_MS
                             + GENERATION_TOKENS
-                            + draws * Math.sqrt(FIXED_SHARE);
+                            + drawAllowance * Math.sqrt(FIXED_SHARE);
         };
     }
 
@@ -159,59 +159,59 @@
     @ValueSource(ints = {1, 10, 60, 170})
     void admittedTokensStayUnderTheirBound(int routers) {
         for (Sharing sharing : Sharing.values()) {
-            Result storm = run(sharing, routers, routers, 0.05, false);
-            Result one = run(sharing, routers, 1, 0.05, false);
-            Result modest = run(sharing, routers, routers, 0.8 * RATE / GENERATION_TOKENS, false);
-            TABLE.append(
+            Result overload = run(sharing, routers, routers, 0.05, false);
+            Result oneLoaded = run(sharing, routers, 1, 0.05, false);
+            Result moderateLoad = run(sharing, routers, routers, 0.8 * RATE / GENERATION_TOKENS, false);
+            RESULTS.append(
                     String.format(
                             Locale.ROOT,
                             "%d routers, %s: storm used %.2f worst excess %.0f bound %.0f; "
                                     + "one busy router used %.2f; asked for 0.8 used %.2f%n",
                             routers,
                             sharing,
-                            storm.used,
-                            storm.excess,
+                            overload.usedShare,
+                            overload.excessTokens,
                             bound(sharing, routers),
-                            one.used,
-                            modest.used));
+                            oneLoaded.usedShare,
+                            moderateLoad.usedShare));
             assertTrue(
-                    storm.excess <= bound(sharing, routers),
-                    routers + " " + sharing + ": " + storm.excess);
+                    overload.excessTokens <= bound(sharing, routers),
+                    routers + " " + sharing + ": " + overload.excessTokens);
             assertTrue(
-                    one.excess <= bound(sharing, routers),
-                    routers + " " + sharing + ": " + one.excess);
+                    oneLoaded.excessTokens <= bound(sharing, routers),
+                    routers + " " + sharing + ": " + oneLoaded.excessTokens);
             if (sharing == Sharing.LEASES) {
-                assertTrue(one.used > 0.75, "one busy router of " + routers + " uses " + one.used);
-                assertTrue(storm.used > 0.75, "a storm at " + routers + " uses " + storm.used);
+                assertTrue(oneLoaded.usedShare > 0.75, "one busy router of " + routers + " uses " + oneLoaded.usedShare);
+                assertTrue(overload.usedShare > 0.75, "a storm at " + routers + " uses " + overload.usedShare);
                 assertTrue(
-                        modest.used > 0.65,
-                        "of 0.8 asked at " + routers + " " + modest.used + " came in");
+                        moderateLoad.usedShare > 0.65,
+                        "of 0.8 asked at " + routers + " " + moderateLoad.usedShare + " came in");
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {10, 170})
-    void restartsLossesAndAnAbsentLenderAdmitNoMoreThanFixedParts(int routers) {
+    void restartsLostAnswersAndALenderOutageAdmitNoMoreThanFixedParts(int routers) {
         Result result = run(Sharing.LEASES, routers, routers, 0.05, true);
         // A router that restarts has its part of the burst again: at most so many do in a window.
-        double burstAgain = 6 * FIXED_SHARE * BURST / routers + GENERATION_TOKENS;
-        TABLE.append(
+        double restartedBursts = 6 * FIXED_SHARE * BURST / routers + GENERATION_TOKENS;
+        RESULTS.append(
                 String.format(
                         Locale.ROOT,
                         "%d routers, LEASES in trouble: used %.2f worst excess %.0f bound "
                                 + "%.0f%n",
                         routers,
-                        result.used,
-                        result.excess,
-                        bound(Sharing.LEASES, routers) + burstAgain));
+                        result.usedShare,
+                        result.excessTokens,
+                        bound(Sharing.LEASES, routers) + restartedBursts));
         assertTrue(
-                result.excess <= bound(Sharing.LEASES, routers) + burstAgain,
-                "excess " + result.excess);
+                result.excessTokens <= bound(Sharing.LEASES, routers) + restartedBursts,
+                "excess " + result.excessTokens);
     }
 
     @AfterAll
-    static void print() {
-        System.out.print(TABLE);
+    static void printResults() {
+        System.out.print(RESULTS);
     }
 }
