--- a/src/main/java/larchridge/lease/InvalidLeaseException.java
+++ b/src/main/java/larchridge/lease/InvalidLeaseException.java
@@ -4,11 +4,11 @@
 final class InvalidLeaseException extends Exception {
     private static final long serialVersionUID = 1;
 
-    InvalidLeaseException(String problem) {
-        super(problem);
+    InvalidLeaseException(String message) {
+        super(message);
     }
 
-    InvalidLeaseException(String problem, Throwable cause) {
-        super(problem, cause);
+    InvalidLeaseException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -37,7 +37,7 @@
 
     private final HttpClient client;
     private final RequestOptions callOptions;
-    private final int answerMs;
+    private final int answerTimeoutMs;
     private final Deque<PendingRequest> pending = new ArrayDeque<>();
     private boolean callInFlight;
     private boolean responsive;
@@ -48,14 +48,14 @@
     /**
      * A client of the lender at an address.
      *
-     * @param answerMs how long an answer is awaited
+     * @param answerTimeoutMs how long an answer is awaited
      */
-    public LeaseClient(Vertx vertx, String host, int port, double answerMs) {
-        this.answerMs = (int) Math.max(1, answerMs);
+    public LeaseClient(Vertx vertx, String host, int port, double answerTimeoutMs) {
+        this.answerTimeoutMs = (int) Math.max(1, answerTimeoutMs);
         client =
                 vertx.createHttpClient(
                         new HttpClientOptions()
-                                .setConnectTimeout(this.answerMs)
+                                .setConnectTimeout(this.answerTimeoutMs)
                                 .setTcpNoDelay(true),
                         new PoolOptions().setHttp1MaxSize(1).setMaxWaitQueueSize(1));
         callOptions =
@@ -64,7 +64,7 @@
                         .setHost(host)
                         .setPort(port)
                         .setURI(LeaseEndpoint.PATH)
-                        .setTimeout(this.answerMs);
+                        .setTimeout(this.answerTimeoutMs);
         lastCallNanos = System.nanoTime() - PROBE_INTERVAL_NANOS;
     }
 
@@ -108,14 +108,14 @@
                                                         response.statusCode() == STATUS_OK
                                                                 ? body
                                                                 : null))
-                .timeout(answerMs, TimeUnit.MILLISECONDS)
+                .timeout(answerTimeoutMs, TimeUnit.MILLISECONDS)
                 .onComplete(answer -> callEnded(answer, requests, listeners));
     }
 
     private void callEnded(
             AsyncResult<Buffer> answer, List<QuotaRequest> requests, List<Listener> listeners) {
         callInFlight = false;
-        boolean late = System.nanoTime() - lastCallNanos > answerMs * 1_000_000L;
+        boolean late = System.nanoTime() - lastCallNanos > answerTimeoutMs * 1_000_000L;
         boolean answered = answer.succeeded() && answer.result() != null && !late;
         List<LeaseCodec.Grant> grants = noGrants(requests.size());
         if (answered) {
@@ -131,7 +131,7 @@
             listeners.get(i).granted(grant.tokens(), grant.retryAfterMs());
         }
         if (!responsive) {
-            releasePending();
+            failPending();
         }
         callIfPending();
     }
@@ -153,11 +153,11 @@
     }
 
     /** Answers all pending requests with nothing. */
-    private void releasePending() {
+    private void failPending() {
         // Guards against: one after the other would wait for a lender that is down, each its full
         // time.
-        List<PendingRequest> released = new ArrayList<>(pending);
+        List<PendingRequest> failed = new ArrayList<>(pending);
         pending.clear();
-        released.forEach(each -> each.listener.granted(0, 0));
+        failed.forEach(request -> request.listener.granted(0, 0));
     }
 }
--- a/src/test/java/larchridge/lease/LeaseClientTest.java
+++ b/src/test/java/larchridge/lease/LeaseClientTest.java
@@ -20,7 +20,7 @@
 /** The client against a lender whose every answer the test decides. */
 class LeaseClientTest {
     private final Vertx vertx = Vertx.vertx();
-    private final Context loop = vertx.getOrCreateContext();
+    private final Context eventLoop = vertx.getOrCreateContext();
     private final BlockingQueue<String> grants = new LinkedBlockingQueue<>();
 
     private LeaseClient clientOfLenderAnswering(String answer) throws Exception {
@@ -39,7 +39,7 @@
                 .toCompletableFuture()
                 .get(5, TimeUnit.SECONDS);
         CompletableFuture<LeaseClient> created = new CompletableFuture<>();
-        loop.runOnContext(
+        eventLoop.runOnContext(
                 v ->
                         created.complete(
                                 new LeaseClient(vertx, "127.0.0.1", server.actualPort(), 150)));
@@ -48,18 +48,18 @@
 
     private boolean request(LeaseClient client, int times) throws Exception {
         CompletableFuture<Boolean> accepted = new CompletableFuture<>();
-        loop.runOnContext(
+        eventLoop.runOnContext(
                 v -> {
-                    boolean all = true;
+                    boolean allAccepted = true;
                     for (int i = 0; i < times; i++) {
-                        all &=
+                        allAccepted &=
                                 client.request(
                                         new QuotaRequest("t", 100, 0),
                                         (tokens, retryAfterMs) ->
                                                 grants.add(
                                                         (int) tokens + " " + (int) retryAfterMs));
                     }
-                    accepted.complete(all);
+                    accepted.complete(allAccepted);
                 });
         return accepted.get(5, TimeUnit.SECONDS);
     }
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void allPendingRequestsAreReleasedOnceTheLenderDoesNotAnswer() throws Exception {
+    void allPendingRequestsFailOnceTheLenderDoesNotAnswer() throws Exception {
         LeaseClient client = clientOfLenderAnswering(null);
         assertTrue(request(client, 1));
         assertFalse(request(client, 1), "waits for a lender that never answered yet");
