--- a/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
+++ b/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
@@ -3,100 +3,116 @@
 import larchridge.state.SlidingWindow;
 
 /**
- * How much batch work may be open at a time so that it lives in the gaps of the other work. Work is
- * counted in mean lines.
+ * Limits how much batch work may be open at a time, so that it uses only the capacity that
+ * interactive requests leave. Work is counted in lines of mean size.
  *
- * <p>The law is the cubic one of congestion control: after trouble the limit falls by a factor,
- * comes back quickly to just under where the trouble came, stays near that for a while and only
- * then tries for more. Beside plain additive increase it spends most of its time near what can be
- * carried, so that its swings stay small. Before there has been any trouble it grows by a quarter
- * twice a second. It does not grow while it is not used. Trouble is a first token later than first
- * tokens are where there is little batch work, a wait for readers, or a generation turned away; the
- * last closes the gap for a while, longer each time that it comes again soon. Without I/O, clock or
- * threads.
+ * <p>The limit follows the CUBIC congestion control algorithm: on congestion it is multiplied by a
+ * factor, then grows quickly to just under the level at which congestion occurred, stays near it
+ * for a while and only then probes higher. Unlike with plain additive increase it spends most of
+ * its time near the capacity, so that its oscillations stay small. Until the first congestion it
+ * grows by a quarter twice a second. It does not grow while it is not used.
+ *
+ * <p>Signs of congestion are first tokens later than they are with little batch work, a wait for
+ * readers, and a request that was rejected or ran out of time. The last also pauses all batch work,
+ * for a time that doubles when it happens again soon. Free of I/O, clocks and threads.
  */
 public final class BatchConcurrencyLimiter {
     private static final double INITIAL_LIMIT = 2;
     private static final double DECREASE_FACTOR = 0.6;
     private static final double REJECTION_DECREASE_FACTOR = 0.25;
 
-    /** What the ceiling is lowered to by a fall soon after another. */
+    /** The factor on the ceiling when the limit is decreased again soon. */
     private static final double REPEATED_DECREASE_FACTOR = 0.9;
 
     /**
-     * Of the ceiling; it is back there after the third root of (1 - FALL) / this seconds, whatever
-     * its size.
+     * Growth as a share of the ceiling. Whatever the ceiling is, the limit is back there after
+     * {@link #RECOVERY_S}.
      */
     private static final double CUBIC_GROWTH_PER_S3 = 0.004;
 
     private static final double RECOVERY_S = Math.cbrt((1 - DECREASE_FACTOR) / CUBIC_GROWTH_PER_S3);
     private static final double INITIAL_GROWTH_FACTOR = 1.25;
     private static final double INCREASE_INTERVAL_MS = 500;
+    /** The limit grows only if at least this share of it was in use. */
     private static final double MIN_USED_SHARE = 0.8;
     private static final double INITIAL_PAUSE_MS = 1000;
     private static final double MAX_PAUSE_MS = 16_000;
+    /**
+     * A decrease within this time of the last one, or a rejection within this time of the last
+     * pause, counts as repeated.
+     */
     private static final double REPEAT_WITHIN_MS = 10_000;
 
     /**
-     * First tokens may come so much later, as a factor and as a share of the SLO time, before that
-     * is trouble.
+     * How much the first-token latency may exceed its baseline, as a factor and additionally as a
+     * share of the SLO time, before it counts as congestion.
      */
     private static final double LATENCY_TOLERANCE_FACTOR = 1.25;
 
     private static final double LATENCY_TOLERANCE_SLO_SHARE = 0.1;
+    /** A longer wait for a reader counts as congestion. */
     private static final double MAX_WAIT_SLO_SHARE = 0.25;
     private static final double LATENCY_QUANTILE = 0.9;
+    /** A window with fewer first tokens is not evaluated. */
     private static final int MIN_SAMPLES = 8;
 
-    /** With so many first tokens a window is judged before its time. */
+    /** A window with this many first tokens is evaluated before its end. */
     private static final int EARLY_EVALUATION_SAMPLES = 50;
 
     private static final int WINDOW_MS = 2000;
     private static final double MIN_DECREASE_INTERVAL_MS = 1000;
+    /** The number of recent windows from which the baseline latency is taken. */
     private static final int BASELINE_WINDOWS = 150;
 
     private final double maxLimit;
     private double limit = INITIAL_LIMIT;
 
-    /** Where trouble came last; infinite until it has. */
+    /** The limit at which congestion is expected; infinite until the first congestion. */
     private double ceiling = Double.POSITIVE_INFINITY;
 
+    /**
+     * The origin of the growth curve: the last decrease or the end of the last pause, moved forward
+     * while the limit is not used.
+     */
     private double growthStartMs = Double.NEGATIVE_INFINITY;
     private double lastDecreaseMs = Double.NEGATIVE_INFINITY;
     private double lastIncreaseCheckMs;
     private double pausedUntilMs;
     private double pauseMs;
+
+    /** The most lines that were open since the last check or change of the limit. */
     private double peakOpenLines;
     private double windowStartMs = Double.NaN;
     private final int[] firstTokenCounts = new int[LatencySample.BUCKETS];
 
     /**
-     * What first tokens were in each window of late: the lowest is what they are without batch
-     * work.
+     * The latency quantiles of the recent windows; the low ones are those with little batch work.
+     * NaN where there has been no window yet.
      */
     private final double[] windowLatencies = new double[BASELINE_WINDOWS];
 
     private int windowCount;
 
-    /** Times that it fell, by 10 s. */
+    /** Decreases in the last minute, in buckets of 10 s. */
     private final SlidingWindow decreases = new SlidingWindow(6, 10_000);
 
+    /** A limiter whose limit never exceeds this many lines. */
     public BatchConcurrencyLimiter(double maxLimit) {
         this.maxLimit = maxLimit;
         java.util.Arrays.fill(windowLatencies, Double.NaN);
     }
 
-    /** How much may be open now, in mean lines. */
+    /** How many lines of mean size may be open now; 0 during a pause. */
     public double limit(double nowMs) {
         return nowMs < pausedUntilMs ? 0 : limit;
     }
 
-    /** So much is open now. */
+    /** Records how many lines of mean size are open now. */
     public void recordOpenLines(double openLines) {
         peakOpenLines = Math.max(peakOpenLines, openLines);
     }
 
-    /** What one front's other work felt in the time since it was told last. */
+    /** Adds what one router's interactive requests experienced since its last sample. */
     public void addSample(LatencySample sample, double nowMs) {
         if (Double.isNaN(windowStartMs)) {
             windowStartMs = nowMs;
@@ -117,12 +133,12 @@
         increase(nowMs);
     }
 
-    /** Batch work itself found no room. */
+    /** Records that the engines had no capacity for a batch line. */
     public void recordBatchThrottled(double nowMs) {
         decrease(DECREASE_FACTOR, nowMs);
     }
 
-    /** How often it has fallen in the last minute. */
+    /** How often the limit was decreased in the last minute. */
     public double decreasesPerMinute(double nowMs) {
         return decreases.sum(nowMs);
     }
@@ -132,7 +148,7 @@
         if (sampleCount >= MIN_SAMPLES) {
             double windowLatency = latencyQuantile(sampleCount);
             windowLatencies[windowCount++ % BASELINE_WINDOWS] = windowLatency;
-            // The lower quarter: the lowest alone is what chance has left.
+            // The lower quartile; the minimum alone would be an outlier.
             double[] sortedLatencies =
                     java.util.Arrays.stream(windowLatencies)
                             .filter(latency -> !Double.isNaN(latency))
@@ -146,6 +162,7 @@
         java.util.Arrays.fill(firstTokenCounts, 0);
     }
 
+    /** The upper bound of the bucket that contains the quantile. */
     private double latencyQuantile(int sampleCount) {
         int samplesAbove = (int) Math.floor((1 - LATENCY_QUANTILE) * sampleCount);
         int bucket = firstTokenCounts.length - 1;
@@ -157,9 +174,8 @@
 
     private void pauseAfterRejection(double nowMs) {
         if (nowMs < pausedUntilMs || peakOpenLines == 0) {
-            // Guards against: while nothing of ours is open, trouble of others would keep the gap
-            // closed
-            // for ever.
+            // Guards against: rejections while no batch work is open have other causes, and would
+            // keep batch work paused forever.
             return;
         }
         boolean isRepeated = nowMs < pausedUntilMs + REPEAT_WITHIN_MS && pauseMs > 0;
@@ -172,19 +188,18 @@
     }
 
     /**
-     * Guards against: one trouble is told by all fronts; only the first to tell makes the limit
-     * fall.
+     * Multiplies the limit by a factor. Guards against: all routers report the same congestion;
+     * only the first report decreases the limit.
      */
     private void decrease(double factor, double nowMs) {
         if (nowMs < growthStartMs + MIN_DECREASE_INTERVAL_MS) {
             return;
         }
         decreases.add(nowMs, 1);
-        // A fall under the last ceiling says that there is less to be had than then. Guards
-        // against: a
-        // storm of others is a row of
-        // falls that say little of that; if each lowered the ceiling so far, the gap would take
-        // minutes to open again.
+        // Congestion below the ceiling means that there is less capacity than when the ceiling was
+        // set. Guards against: a burst of other traffic causes several decreases in a row, which
+        // say little about capacity; if each lowered the ceiling that far, the limit would take
+        // minutes to recover.
         if (limit >= ceiling) {
             ceiling = limit;
         } else {
@@ -211,7 +226,8 @@
             }
             limit = Math.min(maxLimit, limit);
         } else {
-            // Guards against: time in which the limit was not tried would let it leap when it is.
+            // Guards against: the limit would jump as soon as it is used again, if time in which it
+            // was not used counted as growth time.
             growthStartMs = Math.max(growthStartMs, nowMs - 1000 * RECOVERY_S);
         }
         peakOpenLines = 0;
--- a/src/main/java/larchridge/planner/BatchPlanner.java
+++ b/src/main/java/larchridge/planner/BatchPlanner.java
@@ -4,15 +4,17 @@
 import java.util.List;
 
 /**
- * Plans batch work: whether one more line may be open now, and of which batch; and tells early
- * which batch will not be done in its window. Time is passed in, milliseconds. Without I/O, clock
- * or threads.
+ * Schedules batch work: decides whether one more line may start, and of which batch, and predicts
+ * which batches will miss their completion windows. Free of I/O, clocks and threads; time is passed
+ * in as milliseconds.
  */
 public final class BatchPlanner {
-    /** A window is judged only by a rate that was seen for so long. */
+    /** A tenant's rate predicts nothing until it has been observed for this long. */
     private static final double MIN_RATE_OBSERVATION_MS = 5_000;
 
+    /** The assumed mean tokens of a line until the first line has started. */
     private static final double INITIAL_MEAN_TOKENS = 1000;
+    /** The weight that the mean keeps when a line is added to it. */
     private static final double MEAN_DECAY_PER_LINE = 0.99;
 
     private final BatchConcurrencyLimiter limiter;
@@ -22,11 +24,20 @@
     private double meanLineTokens = INITIAL_MEAN_TOKENS;
     private boolean hasMeanSample;
 
+    /** A planner that never has more than this many lines of mean size open. */
     public BatchPlanner(double maxOpenLines) {
         limiter = new BatchConcurrencyLimiter(maxOpenLines);
     }
 
-    /** A batch whose lines may be planned; left of them are not answered. Its lines are ready. */
+    /**
+     * Adds a batch that has lines ready to start.
+     *
+     * @param name the batch's id
+     * @param share the tenant's weight; counts only for the first batch of a tenant
+     * @param expiresMs when the completion window ends
+     * @param number orders batches that expire at the same time
+     * @param unansweredLines the lines that have no record yet
+     */
     public PlannedBatch addBatch(
             String name, String tenant, double share, double expiresMs, long number, double unansweredLines) {
         PlannedBatch batch = new PlannedBatch(name, fairQueue.tenant(tenant, share), expiresMs, number, unansweredLines);
@@ -35,44 +46,50 @@
         return batch;
     }
 
+    /** Removes a batch, so that none of its lines starts any more. */
     public void removeBatch(PlannedBatch batch) {
         fairQueue.setReady(batch, false);
         batch.tenant.batches.remove(batch);
     }
 
-    /** Whether the batch has a line that could go now. */
+    /** Sets whether the batch has a line that could start now. */
     public void setReady(PlannedBatch batch, boolean hasReadyLine) {
         if (batch.hasReadyLine != hasReadyLine) {
             fairQueue.setReady(batch, hasReadyLine);
         }
     }
 
-    /** The tenant's budget lets nothing in until then. */
+    /** Starts no more lines of the batch's tenant until this time: its budget admits none. */
     public void pauseTenant(PlannedBatch batch, double untilMs) {
         batch.tenant.pausedUntilMs = Math.max(batch.tenant.pausedUntilMs, untilMs);
     }
 
+    /** Adds a router's latest sample of its interactive requests. */
     public void addLatencySample(LatencySample sample, double nowMs) {
         limiter.addSample(sample, nowMs);
     }
 
-    /** A line found no room at the engines. */
+    /** Records that the engines had no capacity for a batch line. */
     public void recordThrottled(double nowMs) {
         limiter.recordBatchThrottled(nowMs);
     }
 
-    /** The batch of which a line may go now, or null. */
+    /** The batch that may start a line now, or null. */
     public PlannedBatch nextBatch(double nowMs) {
         double openMeanLines = Math.max(openLines == 0 ? 0 : 1, openTokens / meanLineTokens);
         return openMeanLines + 1 <= limiter.limit(nowMs) ? fairQueue.next(nowMs) : null;
     }
 
-    /** When a tenant's rest ends, or infinite. */
+    /** When the first pause of a tenant with ready lines ends; infinite if there is none. */
     public double nextPauseEndMs() {
         return fairQueue.nextPauseEndMs();
     }
 
-    /** A line went out; prompt and answer may be so many tokens. */
+    /**
+     * Records that a line has started.
+     *
+     * @param tokens the expected tokens of prompt and answer
+     */
     public void lineStarted(PlannedBatch batch, double tokens) {
         openLines++;
         openTokens += tokens;
@@ -84,7 +101,12 @@
         limiter.recordOpenLines(openTokens / meanLineTokens);
     }
 
-    /** It came back; answered tells whether it has its record now. */
+    /**
+     * Records that a started line is no longer open.
+     *
+     * @param tokens as they were given to {@link #lineStarted}
+     * @param answered whether its answer can be recorded now
+     */
     public void lineEnded(PlannedBatch batch, double tokens, boolean answered, double nowMs) {
         openLines--;
         openTokens = openLines == 0 ? 0 : openTokens - tokens;
@@ -96,24 +118,30 @@
         }
     }
 
-    /** A line has its record. */
+    /** Records that a line has its record in the output or error file. */
     public void lineRecorded(PlannedBatch batch) {
         batch.unansweredLines = Math.max(0, batch.unansweredLines - 1);
     }
 
+    /** How many lines of mean size may be open now. */
     public double limit(double nowMs) {
         return limiter.limit(nowMs);
     }
 
+    /** How many lines are open. */
     public double openLines() {
         return openLines;
     }
 
+    /** How often the limit was decreased in the last minute. */
     public double limitDecreasesPerMinute(double nowMs) {
         return limiter.decreasesPerMinute(nowMs);
     }
 
-    /** Judges all windows anew; the batches of which that has changed. */
+    /**
+     * Predicts anew which batches will miss their completion windows; returns those for which that
+     * has changed. A batch waits for all batches of its tenant that expire earlier.
+     */
     public List<PlannedBatch> updateAtRisk(double nowMs) {
         List<PlannedBatch> changed = new ArrayList<>();
         for (WeightedFairQueue.Tenant tenant : fairQueue.tenants()) {
--- a/src/main/java/larchridge/planner/BatchRetryPolicy.java
+++ b/src/main/java/larchridge/planner/BatchRetryPolicy.java
@@ -4,10 +4,10 @@
 import larchridge.state.Effect;
 
 /**
- * Whether a line whose generation ended without an answer goes again, and when. A throttled one may
- * always go again: the front says so only where that is harmless. A terminated one, and one that
- * was out when the process ended, may have run: only idempotent ones go again, so often at most.
- * Without I/O, clock or threads.
+ * Decides whether and when a line whose generation ended without an answer is retried. A throttled
+ * line may always be retried: the router reports throttling only where a retry is harmless. A
+ * terminated line, and one that was open when the process ended, may have run: it is retried only
+ * if it is idempotent, up to a maximum number of attempts. Free of I/O, clocks and threads.
  */
 public final class BatchRetryPolicy {
     private static final double INITIAL_BACKOFF_MS = 500;
@@ -16,27 +16,39 @@
 
     /** How a generation of a line ended. */
     public enum Outcome {
+        /** The engines had no capacity for it. */
         THROTTLED,
+        /** The tenant's budget rejected it. */
         OVER_BUDGET,
+        /** No router accepted it. */
         REJECTED,
+        /** It failed and may have run. */
         TERMINATED,
+        /** It was open when the previous process ended, and may have run. */
         PROCESS_ENDED
     }
 
     private final int maxAttempts;
     private final Random random;
 
+    /**
+     * A retry policy.
+     *
+     * @param maxAttempts the most attempts of a line that may have run
+     * @param random spreads the delays
+     */
     public BatchRetryPolicy(int maxAttempts, Random random) {
         this.maxAttempts = maxAttempts;
         this.random = random;
     }
 
     /**
-     * After how many milliseconds the line goes again; under 0 if it does not.
+     * Milliseconds until the line is retried; negative if it is not retried.
      *
-     * @param attempts how often it was handed out and may have run, this time included
-     * @param rejections how often it was throttled in a row
-     * @param retryAfterMs what the front said, or 0
+     * @param attempts how often the line was started and may have run, this time included
+     * @param rejections how often the line was throttled, rejected or over budget, this time
+     *     included
+     * @param retryAfterMs the delay that the router advised, or 0
      */
     public double retryDelayMs(
             Outcome outcome, Effect effect, int attempts, int rejections, double retryAfterMs) {
@@ -50,6 +62,7 @@
         };
     }
 
+    /** An exponential backoff with random jitter of up to one half. */
     private double backoffMs(int failures) {
         double maxDelayMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * Math.pow(2, Math.max(0, failures - 1)));
         return maxDelayMs * (0.5 + 0.5 * random.nextDouble());
--- a/src/main/java/larchridge/planner/LatencySample.java
+++ b/src/main/java/larchridge/planner/LatencySample.java
@@ -1,10 +1,11 @@
 package larchridge.planner;
 
-/** What the generations that are not batch work lived through at one front in a short time. */
+/** Latencies and rejections of one router's interactive (non-batch) requests in a short time. */
 public final class LatencySample {
-    /** Tenths of the SLO time, the last for all beyond. */
+    /** The number of histogram buckets; the last one also counts all longer latencies. */
     static final int BUCKETS = 40;
 
+    /** The width of a bucket, as a share of the SLO time. */
     static final double BUCKET_SLO_SHARE = 0.05;
 
     final int[] firstTokenCounts = new int[BUCKETS];
@@ -12,19 +13,20 @@
     double longestWaitShareOfSlo;
     int unansweredRequests;
 
-    /** A first token came after this share of the SLO time. */
+    /** Counts a first token that arrived after this share of the SLO time. */
     public void recordFirstToken(double shareOfSlo) {
         firstTokenCounts[(int) Math.max(0, Math.min(BUCKETS - 1, shareOfSlo / BUCKET_SLO_SHARE))]++;
     }
 
-    /** One was throttled, or terminated because its time was up. */
+    /** Counts a request that was throttled, or terminated because its time limit was exceeded. */
     public void recordRejection() {
         rejections++;
     }
 
     /**
-     * So many are open, and the one that has waited longest for a reader has waited this share of
-     * its SLO time.
+     * Sets how many requests are unanswered now, and the longest wait for a reader among them.
+     *
+     * @param shareOfSlo the longest wait, as a share of the SLO time of the request that waits
      */
     public void recordUnanswered(int unanswered, double shareOfSlo) {
         unansweredRequests = unanswered;
--- a/src/main/java/larchridge/planner/PlannedBatch.java
+++ b/src/main/java/larchridge/planner/PlannedBatch.java
@@ -1,18 +1,22 @@
 package larchridge.planner;
 
-/** One batch as the planner sees it. */
+/** The scheduling state of one batch. */
 public final class PlannedBatch {
+    /** The batch's id. */
     public final String name;
     final WeightedFairQueue.Tenant tenant;
     final double expiresMs;
+
+    /** Orders batches that expire at the same time. */
     final long number;
 
-    /** Lines that are not answered yet. */
+    /** Lines that have no record yet. */
     double unansweredLines;
 
-    /** Lines of it, and their cost in tokens, that were handed out. */
+    /** Lines that were started, retries included. */
     double startedLines;
 
+    /** The estimated tokens of the lines that were started. */
     double startedTokens;
     boolean hasReadyLine;
     boolean atRisk;
@@ -25,7 +29,7 @@
         this.unansweredLines = unansweredLines;
     }
 
-    /** Whether by the rate of late it will not be done in its window. */
+    /** Whether the batch would miss its completion window at its tenant's recent rate. */
     public boolean isAtRisk() {
         return atRisk;
     }
--- a/src/main/java/larchridge/planner/WeightedFairQueue.java
+++ b/src/main/java/larchridge/planner/WeightedFairQueue.java
@@ -7,9 +7,10 @@
 import larchridge.state.SlidingWindow;
 
 /**
- * Whose batch is next: between tenants by their shares of tokens, within a tenant the one that is
- * due first, so that nobody gains by asking for a short window what another's share is. Without
- * I/O, clock or threads.
+ * Chooses the batch that starts the next line: weighted fair queueing by tokens between tenants,
+ * earliest deadline first within a tenant. So a batch with a short window gains nothing at the
+ * expense of other tenants' shares. Free of I/O, clocks and threads; time is passed in as
+ * milliseconds.
  */
 final class WeightedFairQueue {
     private static final Comparator<PlannedBatch> EARLIEST_DEADLINE_FIRST =
@@ -21,16 +22,18 @@
         final String name;
         final double share;
 
-        /** Tokens handed out over the share: the tenant with the least is next. */
+        /** Tokens of started lines divided by the share; the tenant with the least is next. */
         double virtualTime;
 
+        /** When the tenant's budget admits work again. */
         double pausedUntilMs;
         final TreeSet<PlannedBatch> batches = new TreeSet<>(EARLIEST_DEADLINE_FIRST);
         final TreeSet<PlannedBatch> readyBatches = new TreeSet<>(EARLIEST_DEADLINE_FIRST);
 
-        /** Tokens of lines that were answered. */
+        /** Tokens of the lines answered in the last minute. */
         final SlidingWindow answeredTokens = new SlidingWindow(60, 1000);
 
+        /** When the first line was answered; NaN before. */
         double firstAnswerMs = Double.NaN;
 
         Tenant(String name, double share) {
@@ -39,9 +42,10 @@
         }
     }
 
-    /** In the order in which they first came. */
+    /** In insertion order, which decides between tenants of equal virtual time. */
     private final Map<String, Tenant> tenants = new LinkedHashMap<>();
 
+    /** The tenant of this name, added with this share if it is new. */
     Tenant tenant(String name, double share) {
         return tenants.computeIfAbsent(name, key -> new Tenant(key, share));
     }
@@ -53,9 +57,8 @@
     void setReady(PlannedBatch batch, boolean hasReadyLine) {
         Tenant tenant = batch.tenant;
         if (hasReadyLine && tenant.readyBatches.isEmpty()) {
-            // Guards against: a tenant that had nothing to do would come back with a claim on all
-            // that it
-            // did not use.
+            // Guards against: a tenant that was idle would return with a claim on all the tokens
+            // that it did not use meanwhile.
             tenant.virtualTime = Math.max(tenant.virtualTime, minVirtualTimeOfOthers(tenant));
         }
         batch.hasReadyLine = hasReadyLine;
@@ -74,7 +77,7 @@
                 .orElse(excluded.virtualTime);
     }
 
-    /** The next batch of which a line may go, or null. */
+    /** The batch that may start the next line, or null. */
     PlannedBatch next(double nowMs) {
         Tenant next = null;
         for (Tenant tenant : tenants.values()) {
@@ -87,7 +90,7 @@
         return next == null ? null : next.readyBatches.first();
     }
 
-    /** When a tenant that rests may go on, or infinite. */
+    /** The earliest end of a pause among tenants with ready batches; infinite if there is none. */
     double nextPauseEndMs() {
         return tenants.values().stream()
                 .filter(tenant -> !tenant.readyBatches.isEmpty())
--- a/src/main/java/larchridge/planner/package-info.java
+++ b/src/main/java/larchridge/planner/package-info.java
@@ -1,7 +1,8 @@
 /**
- * How much batch work may be open at a time, whose line is next, and whether a line is tried again.
+ * Scheduling of batch work: how many lines may be open at a time, which batch starts the next line,
+ * and whether a line is retried.
  *
- * <p>{@link larchridge.planner.BatchPlanner} is the entry. Without clock, threads or I/O: the time
- * is passed in.
+ * <p>Entry point: {@link larchridge.planner.BatchPlanner}. Everything here is free of I/O, clocks
+ * and threads; time is passed in as milliseconds.
  */
 package larchridge.planner;
--- a/src/test/java/larchridge/planner/BatchPlannerTest.java
+++ b/src/test/java/larchridge/planner/BatchPlannerTest.java
@@ -14,7 +14,7 @@
 import larchridge.state.Effect;
 import org.junit.jupiter.api.Test;
 
-/** How much batch work goes, whose, whether again, and whether in time. */
+/** The limit on open lines, fairness between tenants, at-risk prediction and retries. */
 class BatchPlannerTest {
     private static LatencySample fastSample() {
         LatencySample sample = new LatencySample();
@@ -30,7 +30,7 @@
         return sample;
     }
 
-    /** A gap that is used as far as it goes, told so often of calm. */
+    /** Uses the limit fully, with samples of low latency only; returns the time at the end. */
     private static double growAtFullUse(BatchConcurrencyLimiter limiter, double startMs, double durationMs) {
         double now = startMs;
         for (; now < startMs + durationMs; now += 100) {
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Guards against: each blow of a storm would lower the place to which the limit comes back, and
-     * it would take minutes.
+     * Guards against: each of several rejections in a row would lower the ceiling to which the
+     * limit recovers, so that recovery would take minutes.
      */
     @Test
     void limitRecoversSoonAfterRepeatedRejections() {
@@ -88,7 +88,7 @@
         assertTrue(limiter.limit(now) > 0.5 * before, limiter.limit(now) + " of " + before);
     }
 
-    /** Guards against: trouble that is not of its making would keep batch work out for ever. */
+    /** Guards against: rejections that batch work did not cause would keep it paused forever. */
     @Test
     void rejectionWithoutOpenBatchWorkDoesNotPause() {
         BatchConcurrencyLimiter limiter = new BatchConcurrencyLimiter(100);
@@ -112,8 +112,9 @@
     }
 
     /**
-     * A pool that carries so many lines without harm; beyond that first tokens come later by as
-     * much. How well the gap is used, and how far the limit swings once it has settled.
+     * Simulates engines with a capacity in lines, beyond which first tokens are delayed in
+     * proportion to the excess. Once the limit has settled, it must use most of the capacity and
+     * exceed it only a little on average.
      */
     @Test
     void limitSettlesNearTheCapacityWithSmallSwings() {
@@ -136,8 +137,8 @@
                     excessShare += Math.max(0, open - capacityLines) / capacityLines;
                 }
             }
-            assertTrue(usedShare / samples > 0.8, capacityLines + ": used " + usedShare / samples);
-            assertTrue(excessShare / samples < 0.1, capacityLines + ": over by " + excessShare / samples);
+            assertTrue(usedShare / samples > 0.8, capacityLines + ": used share " + usedShare / samples);
+            assertTrue(excessShare / samples < 0.1, capacityLines + ": excess share " + excessShare / samples);
         }
     }
 
@@ -160,8 +161,8 @@
     }
 
     /**
-     * Guards against: who had nothing to do would come back with a claim on all that it did not
-     * use, and starve the others.
+     * Guards against: a tenant that was idle would return with a claim on all the tokens that it
+     * did not use, and starve the others.
      */
     @Test
     void tenantThatJoinsLaterHasNoClaimOnThePast() {
@@ -221,7 +222,7 @@
             atRisk.addAll(planner.updateAtRisk(now));
         }
         assertEquals(List.of(large), atRisk);
-        assertTrue(now < 10_000, "told after " + now);
+        assertTrue(now < 10_000, "reported after " + now + " ms");
         assertTrue(large.isAtRisk());
         assertFalse(small.isAtRisk());
     }
@@ -229,7 +230,7 @@
     @Test
     void retriesDependOnOutcomeEffectAndAttempts() {
         BatchRetryPolicy policy = new BatchRetryPolicy(3, new Random(1));
-        // end, effect, attempts -> again
+        // outcome, effect, attempts, whether it is retried
         Object[][] table = {
             {BatchRetryPolicy.Outcome.THROTTLED, Effect.SIDE_EFFECTING, 0, true},
             {BatchRetryPolicy.Outcome.REJECTED, Effect.SIDE_EFFECTING, 0, true},
