--- a/src/main/java/larchridge/lease/InvalidLeaseException.java
+++ b/src/main/java/larchridge/lease/InvalidLeaseException.java
@@ -1,6 +1,6 @@
 package larchridge.lease;
 
-/** Thrown for a lender's answer that can't be the answer to what was requested. */
+/** Thrown for a response of the lender that does not fit the requests of its call. */
 final class InvalidLeaseException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -20,16 +20,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests from the lender what generations lack: many requests in one call, one call in flight at
- * a time. When the lender is slow or down, all pending requests are answered with nothing at once,
- * and none is accepted until the lender answers a probing call. An answer after the time limit is
- * not used, so that no lease outlives its bound. Owned by a router's event loop, on which it must
+ * Requests from the lender the tokens that generations lack: many requests in one call, one call in
+ * flight at a time. When the lender is slow or down, all pending requests fail at once; until it
+ * responds again, only one request per probe interval is accepted. A response after the timeout is
+ * discarded, so that no lease outlives its bound. Owned by a router's event loop, on which it must
  * be created.
  */
 public final class LeaseClient implements QuotaClient {
     private static final int MAX_PENDING = 4096;
 
-    /** How often an unresponsive lender is called. */
+    /** The shortest time between calls to a lender that does not respond. */
     private static final long PROBE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final int STATUS_OK = 200;
@@ -48,7 +48,7 @@
     /**
      * A client of the lender at an address.
      *
-     * @param answerTimeoutMs how long an answer is awaited
+     * @param answerTimeoutMs the timeout of connecting and of a whole call
      */
     public LeaseClient(Vertx vertx, String host, int port, double answerTimeoutMs) {
         this.answerTimeoutMs = (int) Math.max(1, answerTimeoutMs);
@@ -147,15 +147,15 @@
                     .addKeyValue("lender", callOptions.getHost() + ":" + callOptions.getPort())
                     .log(
                             responsive
-                                    ? "the lender answers"
-                                    : "the lender does not answer; fixed parts only");
+                                    ? "quota lender responds"
+                                    : "quota lender does not respond; using fixed parts only");
         }
     }
 
-    /** Answers all pending requests with nothing. */
+    /** Completes all pending requests without a grant. */
     private void failPending() {
-        // Guards against: one after the other would wait for a lender that is down, each its full
-        // time.
+        // Guards against: pending requests would time out one call after the other while the lender
+        // is down.
         List<PendingRequest> failed = new ArrayList<>(pending);
         pending.clear();
         failed.forEach(request -> request.listener.granted(0, 0));
--- a/src/main/java/larchridge/lease/LeaseCodec.java
+++ b/src/main/java/larchridge/lease/LeaseCodec.java
@@ -14,7 +14,7 @@
     /** The most requests in one call. */
     static final int MAX_REQUESTS = 256;
 
-    /** The longest body of a call or an answer. */
+    /** The longest body of a call or a response. */
     static final int MAX_BODY_BYTES = 64 << 10;
 
     private static final String REQUESTS = "wants";
@@ -25,10 +25,10 @@
     private static final String GRANTED_TOKENS = "tokens";
     private static final String RETRY_AFTER_MS = "back_ms";
 
-    /** Keeps an infinite wait within what JSON numbers can express. */
+    /** Replaces an infinite wait, which JSON numbers cannot express. */
     private static final double MAX_RETRY_AFTER_MS = 1e12;
 
-    /** Allows for rounding where a grant is compared with its request. */
+    /** Tolerates rounding when a grant is compared with its request. */
     private static final double ROUNDING_FACTOR = 1.000001;
 
     private static final double MISSING = -1;
@@ -37,13 +37,13 @@
     private LeaseCodec() {}
 
     /**
-     * The lender's answer to one request.
+     * The lender's response to one request.
      *
      * @param tokens the granted tokens; 0 for none
-     * @param retryAfterMs milliseconds after which tokens could be granted; 0 if that is not known
+     * @param retryAfterMs milliseconds until tokens could be granted; 0 if that is not known
      */
     record Grant(double tokens, double retryAfterMs) {
-        /** No tokens, and no advice when to retry. */
+        /** No tokens, and no retry delay. */
         static final Grant NONE = new Grant(0, 0);
     }
 
@@ -59,7 +59,7 @@
         return body.toString();
     }
 
-    /** The first {@value #MAX_REQUESTS} requests of a call; further ones are not answered. */
+    /** The first {@value #MAX_REQUESTS} requests of a call; further ones are ignored. */
     static List<QuotaRequest> decodeRequests(byte[] body) throws IOException {
         JsonNode array = MAPPER.readTree(body).path(REQUESTS);
         List<QuotaRequest> requests = new ArrayList<>();
@@ -88,22 +88,22 @@
     /**
      * The grants for these requests, one for each.
      *
-     * @throws InvalidLeaseException if the body can't be the answer to these requests
+     * @throws InvalidLeaseException if the body does not fit these requests
      */
     static List<Grant> decodeGrants(byte[] body, List<QuotaRequest> requests)
             throws InvalidLeaseException {
         if (body.length > MAX_BODY_BYTES) {
-            throw new InvalidLeaseException("the answer has " + body.length + " bytes");
+            throw new InvalidLeaseException("response of " + body.length + " bytes exceeds the limit of " + MAX_BODY_BYTES);
         }
         JsonNode array;
         try {
             array = MAPPER.readTree(body).path(GRANTS);
         } catch (IOException e) {
-            throw new InvalidLeaseException("the answer is no JSON", e);
+            throw new InvalidLeaseException("response is not valid JSON", e);
         }
         if (array.size() != requests.size()) {
             throw new InvalidLeaseException(
-                    array.size() + " grants for " + requests.size() + " requests");
+                    "response has " + array.size() + " grants for " + requests.size() + " requests");
         }
         List<Grant> grants = new ArrayList<>(requests.size());
         for (int i = 0; i < requests.size(); i++) {
@@ -116,10 +116,10 @@
             throws InvalidLeaseException {
         double tokens = grant.path(GRANTED_TOKENS).asDouble(MISSING);
         double maxTokens = request.neededTokens() + request.desiredTokens();
-        // Guards against: a faulty lender would open the budgets; more than was requested is a
-        // fault, and so is NaN.
+        // Guards against: a faulty lender could lift the budgets by granting more than was
+        // requested, or NaN.
         if (!(tokens >= 0 && tokens <= maxTokens * ROUNDING_FACTOR)) {
-            throw new InvalidLeaseException(tokens + " tokens granted of " + maxTokens);
+            throw new InvalidLeaseException("granted " + tokens + " tokens, expected 0 to " + maxTokens);
         }
         return new Grant(tokens, grant.path(RETRY_AFTER_MS).asDouble(0));
     }
--- a/src/main/java/larchridge/lease/LeaseEndpoint.java
+++ b/src/main/java/larchridge/lease/LeaseEndpoint.java
@@ -11,7 +11,7 @@
 import larchridge.budget.QuotaLender;
 import larchridge.budget.QuotaRequest;
 
-/** Where routers request tokens: {@code POST /leases}, on the one event loop of the lender. */
+/** Serves {@code POST /leases}, where routers request tokens, on the lender's only event loop. */
 public final class LeaseEndpoint implements Handler<HttpServerRequest> {
     /** The path under which the endpoint is served. */
     public static final String PATH = "/leases";
--- a/src/test/java/larchridge/lease/LeaseClientTest.java
+++ b/src/test/java/larchridge/lease/LeaseClientTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The client against a lender whose every answer the test decides. */
+/** The client against a lender that sends a given response or none. */
 class LeaseClientTest {
     private final Vertx vertx = Vertx.vertx();
     private final Context eventLoop = vertx.getOrCreateContext();
@@ -28,8 +28,8 @@
                 vertx.createHttpServer()
                         .requestHandler(
                                 request -> {
-                                    // Without an answer the call hangs, as at a lender that has
-                                    // stopped.
+                                    // Without a response the call hangs, as with a lender that
+                                    // is stopped.
                                     if (answer != null) {
                                         request.response().end(answer);
                                     }
@@ -97,14 +97,14 @@
         LeaseClient client = clientOfLenderAnswering(answer);
         assertTrue(request(client, 1));
         assertEquals("0 0", nextGrant());
-        assertFalse(request(client, 1), "asked again at once");
+        assertFalse(request(client, 1), "accepted before the probe interval");
     }
 
     @Test
     void allPendingRequestsFailOnceTheLenderDoesNotAnswer() throws Exception {
         LeaseClient client = clientOfLenderAnswering(null);
         assertTrue(request(client, 1));
-        assertFalse(request(client, 1), "waits for a lender that never answered yet");
+        assertFalse(request(client, 1), "accepted before the lender has ever responded");
         assertEquals("0 0", nextGrant());
         assertFalse(request(client, 3));
         assertEquals(0, grants.size());
