--- a/src/main/java/larchridge/budget/BudgetConfigurer.java
+++ b/src/main/java/larchridge/budget/BudgetConfigurer.java
@@ -1,8 +1,8 @@
 package larchridge.budget;
 
 /**
- * Receives the configured budgets from the top of the tree down. A budget that is configured again
- * changes from then on; what it has accumulated stays.
+ * Receives the configured budgets, parents before children. A budget that is configured again has
+ * the new limits from then on; what it has accumulated stays.
  */
 public interface BudgetConfigurer {
     /** Configures the budget of the whole service. */
--- a/src/main/java/larchridge/budget/BudgetDecision.java
+++ b/src/main/java/larchridge/budget/BudgetDecision.java
@@ -20,7 +20,7 @@
         double retryAfterMs,
         String reason,
         boolean isRateLimited) {
-    /** The same decision, with a retry advised no earlier than after this time. */
+    /** This decision, with a retry advised after this time at the earliest. */
     public BudgetDecision withRetryAfterAtLeast(double minimumMs) {
         return minimumMs > retryAfterMs
                 ? new BudgetDecision(
--- a/src/main/java/larchridge/budget/BudgetLimits.java
+++ b/src/main/java/larchridge/budget/BudgetLimits.java
@@ -1,8 +1,8 @@
 package larchridge.budget;
 
 /**
- * The limits of a budget: a token rate with a burst, tokens in flight, and tokens a month. Infinity
- * stands for no limit.
+ * The limits of a budget: a token rate with a burst, tokens in flight, and tokens per month.
+ * Infinity means no limit.
  *
  * @param tokensPerMs the rate at which tokens accumulate
  * @param burstTokens the most tokens that accumulate
@@ -20,7 +20,7 @@
                     Double.POSITIVE_INFINITY);
 
     /**
-     * The part of one router.
+     * One router's part of these limits.
      *
      * @param routers how many routers hold a part each
      * @param fixedShare the share of the rate that is divided into fixed parts; the rest is leased
--- a/src/main/java/larchridge/budget/BudgetNode.java
+++ b/src/main/java/larchridge/budget/BudgetNode.java
@@ -17,7 +17,7 @@
 
     final String name;
 
-    /** The budget that this one is part of; null for the service's. */
+    /** The budget that this one is part of; null for that of the service. */
     final BudgetNode parent;
 
     final List<BudgetNode> children = new ArrayList<>();
@@ -79,8 +79,7 @@
     }
 
     boolean hasInFlightCapacity(double tokens) {
-        // One generation may always run alone, or one prompt over the limit would never be
-        // admitted.
+        // Guards against: a generation over the limit would never be admitted; it may run alone.
         return inFlightTokens <= 0 || inFlightTokens + tokens <= limits.inFlightTokens();
     }
 
@@ -103,8 +102,8 @@
     /** What would have to be leased to this budget so that a generation can be admitted. */
     QuotaRequest quotaRequestFor(double tokens, double nowMs) {
         double availableTokens = leases.tokens(nowMs) + Math.max(0, bucket.level(nowMs));
-        // Guards against: small leases to each of many routers would expire there, and none of
-        // them could use the budget.
+        // Guards against: many routers would each lease a small amount ahead and let it expire, and
+        // none of them could use the budget.
         double desiredTokens = demand.tokensPerSlot() >= tokens ? demand.tokensPerSlot() : 0;
         return new QuotaRequest(name, Math.max(1, tokens - availableTokens), desiredTokens);
     }
@@ -114,8 +113,8 @@
     }
 
     /**
-     * Takes tokens from leases, the oldest first, and what they lack from the bucket; nothing if
-     * both together lack them.
+     * Takes tokens from leases, the oldest first, and the rest from the bucket. Takes nothing if
+     * there are no leases, or if both together do not suffice.
      */
     boolean tryTakeLeased(double tokens, double nowMs) {
         double leasedTokens = leases.tokens(nowMs);
--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -9,14 +9,15 @@
  * One router's part of the tree of budgets: service, groups, tenants, products of a tenant. A
  * generation is charged its estimate when it is admitted and settled to what it used when it ends.
  * A tenant that has used up its own rate borrows what its group, or the service, can spare: all but
- * what the other tenants there are owed within the give-back time. Free of I/O, clocks and threads;
+ * what is reserved for the other tenants there, which may use it within the give-back time. Free of
+ * I/O, clocks and threads;
  * time is passed in as milliseconds of Unix time.
  */
 public final class Budgets implements BudgetConfigurer {
-    /** The part of the maximum output that a generation is expected to write. */
+    /** The share of the maximum output that a generation is expected to write. */
     private static final double EXPECTED_OUTPUT_SHARE = 0.5;
 
-    /** The retry advice while tokens in flight are exhausted: their end can't be foreseen. */
+    /** The retry delay at the in-flight limit; when a generation will end is not known. */
     private static final double IN_FLIGHT_RETRY_MS = 1000;
 
     private static final double MIN_RATE_RETRY_MS = 1;
@@ -30,7 +31,7 @@
     private final Map<String, BudgetNode> tenants = new LinkedHashMap<>();
     private final Map<String, BudgetNode> products = new LinkedHashMap<>();
 
-    /** All budgets, by the names that the lender knows. */
+    /** All budgets, by the names that the lender uses. */
     private final Map<String, BudgetNode> nodesByName = new HashMap<>();
 
     private boolean lenderAvailable;
@@ -43,7 +44,7 @@
      * @param fixedShare the share of all rates that is divided into fixed parts; the rest is
      *     leased, see {@link QuotaLender}
      * @param giveBackMs the time within which a tenant that becomes active has its share again
-     * @param random decides draws, see {@link TokenBucket}
+     * @param random the source of random draws, see {@link TokenBucket}
      */
     public Budgets(
             BudgetLimits service, int routers, double fixedShare, double giveBackMs, Random random) {
@@ -84,7 +85,7 @@
     public void configureTenant(String name, String group, BudgetLimits limits, double nowMs) {
         BudgetNode parent = group == null ? service : groups.get(group);
         if (parent == null) {
-            throw new IllegalArgumentException("tenant " + name + ": no group " + group);
+            throw new IllegalArgumentException("tenant " + name + ": group " + group + " is not configured");
         }
         BudgetNode tenant = tenants.get(name);
         if (tenant == null) {
@@ -117,8 +118,8 @@
     }
 
     /**
-     * Counts what a tenant used this month before this router started; called once at the start. A
-     * router counts its part of it.
+     * Counts this router's part of what a tenant used this month before the router started; called
+     * once, at the start.
      */
     public void restoreMonthlyUsage(
             String tenant, String product, double usedTokens, double nowMs) {
@@ -133,8 +134,8 @@
     }
 
     /**
-     * Requests admission of a generation, and charges it if it is admitted. A tenant that is not
-     * known has the service's budget.
+     * Requests admission of a generation, and charges it if it is admitted. An unknown tenant is
+     * subject to the service's budget only.
      *
      * @param tokens the expected tokens of prompt and answer
      */
@@ -157,8 +158,8 @@
         if (chargedNode == null) {
             return rateRejection(rateNode, tokens, nowMs);
         }
-        // Budgets above the payer are charged too, since what is used is theirs as well; those
-        // below it keep what they have.
+        // The ancestors of the charged budget are charged too, since its usage is part of theirs;
+        // budgets below it keep their tokens.
         for (BudgetNode node = chargedNode.parent; node != null; node = node.parent) {
             if (node.limits().hasRate()) {
                 node.bucket().takeUnconditionally(tokens, nowMs);
@@ -175,7 +176,7 @@
         double limitTokens = budget.limits().monthlyTokens();
         double remainingTokens = Math.max(0, limitTokens - budget.monthUsedTokens(nowMs));
         double waitMs = budget.msUntilNextMonth(nowMs);
-        String reason = budget.name + ": month";
+        String reason = budget.name + ": monthly limit";
         return new BudgetDecision(
                 null, limitTokens, remainingTokens, waitMs, waitMs, reason, false);
     }
@@ -188,22 +189,22 @@
                 Math.max(0, limitTokens - budget.inFlightTokens()),
                 IN_FLIGHT_RETRY_MS,
                 IN_FLIGHT_RETRY_MS,
-                budget.name + ": in flight",
+                budget.name + ": in-flight limit",
                 false);
     }
 
     private static BudgetDecision rateRejection(BudgetNode rateNode, double tokens, double nowMs) {
         TokenBucket bucket = rateNode.bucket();
         double waitMs = bucket.msUntil(tokens, nowMs);
-        // Guards against: a router's part of a burst may never hold one generation; then waiting
-        // only improves the odds of its draw.
+        // Guards against: a router's part of a burst may be too small for one generation; the wait
+        // is then 0 or only improves the odds of the next draw.
         return new BudgetDecision(
                 null,
                 bucket.burstTokens(),
                 Math.max(0, bucket.level(nowMs)),
                 bucket.msUntil(bucket.burstTokens(), nowMs),
                 Math.max(MIN_RATE_RETRY_MS, waitMs),
-                rateNode.name + ": rate",
+                rateNode.name + ": rate limit",
                 true);
     }
 
@@ -233,14 +234,15 @@
     }
 
     /**
-     * Takes the tokens from the lowest budget that can pay: the own rate first, then leases, then
-     * what the budgets above can spare. Returns the payer, or null if none can pay.
+     * Takes the tokens from the lowest budget that has enough: from the own rate first, then from
+     * leases, then from what the budgets above can spare. Returns the budget charged, or null if
+     * none has enough.
      *
      * @param rated the lowest budget with a rate, from {@code budget} upwards
      */
     private BudgetNode takeTokens(BudgetNode budget, BudgetNode rateNode, double tokens, double nowMs) {
-        // Guards against: a tenant without a rate of its own would use up what its neighbours are
-        // owed.
+        // Guards against: a tenant without a rate of its own would use up what is reserved for the
+        // other tenants.
         if ((rateNode == budget || tokensReservedForOthers(rateNode, budget, nowMs) <= 0)
                 && takeFromOwnRate(rateNode, tokens, nowMs)) {
             return rateNode;
@@ -265,15 +267,15 @@
                 : rateNode.bucket().tryTake(tokens, nowMs);
     }
 
-    /** What the children of a budget, except the borrower's, may use within the give-back time. */
+    /** What the other children of a budget than the borrower may use within the give-back time. */
     private double tokensReservedForOthers(BudgetNode node, BudgetNode borrower, double nowMs) {
         double reservedTokens = 0;
         for (BudgetNode child : node.children) {
             if (child == borrower || isAncestor(child, borrower) || !child.limits().hasRate()) {
                 continue;
             }
-            // Guards against: what a tenant has accumulated may be requested at once, in the very
-            // moment in which it becomes active.
+            // Guards against: a tenant that becomes active may at once request all that it has
+            // accumulated.
             reservedTokens +=
                     Math.max(0, child.bucket().level(nowMs))
                             + child.limits().tokensPerMs() * giveBackMs;
@@ -300,13 +302,13 @@
         return rateNode == null || fixedShare >= 1 ? null : rateNode.quotaRequestFor(tokens, nowMs);
     }
 
-    /** Sets whether the lender answers; while it does not, fixed parts are admitted by draws. */
+    /** Sets whether the lender responds; without it the fixed parts also admit by random draws. */
     public void setLenderAvailable(boolean available) {
         lenderAvailable = available;
     }
 
     /**
-     * Adds a lease to a budget. A budget that is not known here any more leaves it unused.
+     * Adds a lease to a budget. Does nothing if the budget is unknown.
      *
      * @param budget the budget's name
      * @param expiresMs when the lease expires
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -1,11 +1,11 @@
 package larchridge.budget;
 
-/** What one admitted generation was charged; settled once. */
+/** What one admitted generation was charged; it is settled once. */
 public final class Charge {
     /** The generation's own budget. */
     final BudgetNode budget;
 
-    /** The budget whose rate paid: the own one, or one above it that had tokens to spare. */
+    /** The budget whose rate was charged: the own one, or one above it that had tokens to spare. */
     final BudgetNode chargedNode;
 
     final double estimatedTokens;
@@ -19,7 +19,7 @@
         this.borrowed = borrowed;
     }
 
-    /** Whether it was admitted beyond its tenant's own rate. */
+    /** Whether the generation was admitted beyond its tenant's own rate. */
     public boolean isBorrowed() {
         return borrowed;
     }
--- a/src/main/java/larchridge/budget/DemandEstimate.java
+++ b/src/main/java/larchridge/budget/DemandEstimate.java
@@ -1,6 +1,6 @@
 package larchridge.budget;
 
-/** A decaying average of the tokens requested of one budget in a slot of time. */
+/** An exponentially decaying average of the tokens requested from one budget per time slot. */
 final class DemandEstimate {
     private static final double SLOT_MS = 100;
 
@@ -23,7 +23,7 @@
         tokensInSlot += tokens;
     }
 
-    /** The tokens requested in a slot of {@code 100 ms}, averaged over the last slots. */
+    /** The tokens requested per slot of 100 ms, averaged over the completed slots. */
     double tokensPerSlot() {
         return averageTokens;
     }
--- a/src/main/java/larchridge/budget/QuotaLender.java
+++ b/src/main/java/larchridge/budget/QuotaLender.java
@@ -5,16 +5,16 @@
 import java.util.Random;
 
 /**
- * The part of all budgets that follows demand: one lender for the whole service grants leases of
- * tokens to the routers that request them. Granted tokens have left the lender's bucket, so that a
- * lost answer, a router that dies or a repeated request can only leave tokens unused. A lender that
- * restarts begins empty, since earlier leases may still be in use. Free of I/O, clocks and threads;
- * time is passed in as milliseconds.
+ * Distributes the leased part of all budgets by demand: one lender for the whole service grants
+ * leases of tokens to the routers that request them. Granted tokens are taken from the lender's
+ * bucket, so that a lost response, a router crash or a repeated request can only leave tokens
+ * unused. A lender starts with empty buckets, since leases from before a restart may still be in
+ * use. Free of I/O, clocks and threads; time is passed in as milliseconds.
  */
 public final class QuotaLender implements BudgetConfigurer {
     /**
-     * No generation needs more; a request for more is a fault and would leave a debt that is never
-     * paid off.
+     * More than any generation needs; a larger request is faulty and would leave a debt that is
+     * never paid off.
      */
     private static final double MAX_NEEDED_TOKENS = 1e8;
 
@@ -25,7 +25,7 @@
 
     private final Map<String, TokenBucket> buckets = new LinkedHashMap<>();
 
-    /** Leases this share of each budget; the rest is in the routers' fixed parts. */
+    /** A lender of this share of each budget; the rest is in the routers' fixed parts. */
     public QuotaLender(double leasedShare) {
         this.leasedShare = leasedShare;
     }
@@ -50,7 +50,7 @@
         configure(BudgetNode.productName(tenant, product), limits, nowMs);
     }
 
-    /** Configures a budget by the name that routers request it by. */
+    /** Configures a budget under the name that routers use in requests. */
     void configure(String budget, BudgetLimits limits, double nowMs) {
         double tokensPerMs = limits.tokensPerMs() * leasedShare;
         double burstTokens = limits.burstTokens() * leasedShare;
@@ -61,22 +61,21 @@
             bucket =
                     new TokenBucket(
                             tokensPerMs, burstTokens, TokenBucket.OversizeRule.DEBT, unusedRandom);
-            // Guards against: a lender that restarts again and again would grant a full burst each
-            // time.
+            // Guards against: a lender that restarts repeatedly would grant a full burst each time.
             bucket.takeUnconditionally(bucket.burstTokens(), nowMs);
             buckets.put(budget, bucket);
         }
     }
 
     /**
-     * Grants the tokens that one generation lacks, completely or not at all, and of those desired
-     * beyond them at most half of what is left, so that the next request finds some.
+     * Grants the tokens that one generation lacks, completely or not at all. Of the tokens desired
+     * beyond them it grants at most half of what is left, which leaves some for the next request.
      *
-     * @return the granted tokens; 0 for a budget that is not known
+     * @return the granted tokens; 0 for an unknown budget
      */
     public double grant(String budget, double neededTokens, double desiredTokens, double nowMs) {
         TokenBucket bucket = buckets.get(budget);
-        // Guards against: requests arrive over a wire; NaN must not enter the sums.
+        // Guards against: NaN in a request from the network would corrupt the bucket's level.
         if (bucket == null
                 || !(neededTokens >= 0 && neededTokens <= MAX_NEEDED_TOKENS)
                 || !(desiredTokens >= 0)) {
@@ -91,8 +90,8 @@
     }
 
     /**
-     * Milliseconds until a budget could grant so many tokens, if there were no other request; 0 if
-     * the budget is not known.
+     * Milliseconds until a budget could grant these tokens if there were no other request; 0 for an
+     * unknown budget.
      */
     public double retryAfterMs(String budget, double neededTokens, double nowMs) {
         TokenBucket bucket = buckets.get(budget);
--- a/src/main/java/larchridge/budget/QuotaRequest.java
+++ b/src/main/java/larchridge/budget/QuotaRequest.java
@@ -1,11 +1,11 @@
 package larchridge.budget;
 
 /**
- * What a router requests from the lender for one of its budgets, so that a generation can be
- * admitted.
+ * A router's request to the lender, for the tokens that one of its budgets lacks to admit a
+ * generation.
  *
  * @param budget the budget's name
  * @param neededTokens tokens that the generation lacks; granted completely or not at all
- * @param desiredTokens tokens beyond them that would be used soon
+ * @param desiredTokens additional tokens that would be used soon
  */
 public record QuotaRequest(String budget, double neededTokens, double desiredTokens) {}
--- a/src/main/java/larchridge/budget/TokenBucket.java
+++ b/src/main/java/larchridge/budget/TokenBucket.java
@@ -3,20 +3,20 @@
 import java.util.Random;
 
 /**
- * A token bucket: tokens accumulate at a rate up to a burst. What is taken is an estimate; settling
- * returns or takes more, so that the level may fall below 0 and is then paid off first. Time is
- * passed in and may step back; nothing accumulates then.
+ * A token bucket: tokens accumulate at a rate up to a burst. The tokens taken are an estimate;
+ * settlement returns some or takes more, so that the level may fall below 0, a debt that is paid
+ * off first. Time is passed in and may step back; no tokens accumulate meanwhile.
  *
- * <p>A request over the burst is admitted on a full bucket and leaves a debt, so that the rate
- * holds. Where a router's part of a burst is less than one generation needs, that debt, taken at
- * all routers, would amount to many bursts: there the request is admitted by a random draw whose
- * mean is what has accumulated, and the draw uses that up, won or lost. So the mean over all
- * routers is the budget for any number of routers, and repeated requests do not improve the odds.
+ * <p>A request over the burst is admitted by a full bucket and leaves a debt, so that the rate
+ * holds. Where a router's part of a burst is smaller than a generation, such debts at all routers
+ * would add up to many bursts. There the request is admitted by a random draw whose expected value
+ * is the level; the draw empties the bucket, won or lost. So the expected sum over all routers is
+ * the budget for any number of routers, and repeated requests do not improve the odds.
  */
 final class TokenBucket {
     /** How a request over the burst is admitted. */
     enum OversizeRule {
-        /** On a full bucket, with a debt; for a bucket that holds the whole budget. */
+        /** By a full bucket, with a debt; for a bucket that holds the whole budget. */
         DEBT,
         /** By a random draw; for a bucket that holds one part of many. */
         DRAW
@@ -56,7 +56,7 @@
         return burstTokens;
     }
 
-    /** Takes tokens if they may be taken now, by the rule for oversized requests if need be. */
+    /** Takes tokens if they are available now or the rule for oversized requests admits them. */
     boolean tryTake(double tokens, double nowMs) {
         if (tryTakeWithoutDraw(tokens, nowMs)) {
             return true;
@@ -65,12 +65,12 @@
             return false;
         }
         boolean admitted = random.nextDouble() * tokens < level;
-        // What was won beyond the level was paid for by the draws that were lost.
+        // Lost draws offset the tokens that won draws take beyond the level.
         level = 0;
         return admitted;
     }
 
-    /** As {@link #tryTake}, but never by a draw: for where the missing tokens can be leased. */
+    /** As {@link #tryTake} but without draws, for when the missing tokens can be leased. */
     boolean tryTakeWithoutDraw(double tokens, double nowMs) {
         refill(nowMs);
         // Guards against: a prompt over the burst could never be admitted.
@@ -83,20 +83,20 @@
         return true;
     }
 
-    /** Returns tokens, or takes more with a negative number. */
+    /** Returns tokens; takes more if the number is negative. */
     void refund(double tokens, double nowMs) {
         refill(nowMs);
         level = Math.min(burstTokens, level + tokens);
     }
 
-    /** Takes tokens whatever the level is. */
+    /** Takes tokens regardless of the level. */
     void takeUnconditionally(double tokens, double nowMs) {
         refill(nowMs);
         level -= tokens;
     }
 
     /**
-     * Milliseconds until the bucket holds so many tokens; for more than the burst, until it is
+     * Milliseconds until the bucket holds this many tokens; for more than the burst, until it is
      * full.
      */
     double msUntil(double tokens, double nowMs) {
@@ -114,7 +114,7 @@
             return;
         }
         if (nowMs < refilledUntilMs) {
-            // Guards against: a clock that steps back and forth would accumulate the same time
+            // Guards against: if the clock steps back and forth, the same time would be counted
             // twice.
             return;
         }
--- a/src/main/java/larchridge/budget/TokenLeases.java
+++ b/src/main/java/larchridge/budget/TokenLeases.java
@@ -12,7 +12,7 @@
 
     void add(double tokens, double expiresMs) {
         if (leases.size() >= MAX_LEASES) {
-            // The oldest would expire first anyway.
+            // The oldest lease would expire first.
             leases.removeFirst();
         }
         leases.add(new Lease(tokens, expiresMs));
@@ -24,7 +24,7 @@
         return leases.stream().mapToDouble(Lease::tokens).sum();
     }
 
-    /** Takes tokens from the oldest leases on; returns how many are missing. */
+    /** Takes tokens from the leases, the oldest first; returns how many are missing. */
     double take(double tokens) {
         double missingTokens = tokens;
         while (missingTokens > 0 && !leases.isEmpty()) {
--- a/src/main/java/larchridge/budget/UsageMeter.java
+++ b/src/main/java/larchridge/budget/UsageMeter.java
@@ -1,15 +1,15 @@
 package larchridge.budget;
 
 /**
- * Counts what one generation is billed and what was wasted on it, from what engines reported and
- * what was sent to the client. Reports that arrive twice, late or not at all, or that are not
- * plausible, do no harm. Free of I/O, clocks and threads.
+ * Counts what one generation is billed and what was wasted on it, from the reports of engines and
+ * the pieces sent to the client. Tolerates reports that are repeated, late, missing or implausible.
+ * Free of I/O, clocks and threads.
  */
 public final class UsageMeter {
-    /** A reported prompt is plausible up to this multiple of what the router counted itself. */
+    /** A reported prompt is plausible up to this multiple of the router's own count. */
     private static final int MAX_PLAUSIBLE_MULTIPLE = 8;
 
-    /** Prompt tokens that are plausible beyond that multiple, for short prompts. */
+    /** Added to that multiple, to allow for short prompts. */
     private static final int PLAUSIBLE_EXTRA_TOKENS = 1000;
 
     private static final long UNKNOWN = -1;
@@ -26,7 +26,7 @@
      * The meter of one generation.
      *
      * @param countedPromptTokens prompt tokens as the router counted them
-     * @param maxTokens the most tokens that the answer may have
+     * @param maxTokens the maximum number of tokens of the answer
      */
     public UsageMeter(int countedPromptTokens, int maxTokens) {
         this.countedPromptTokens = countedPromptTokens;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * An engine read the prompt; until an answer starts from this read, it is waste. Returns the
-     * tokens that the read counts as.
+     * Records that an engine read the prompt, which counts as waste until an answer starts from
+     * this read. Returns the tokens that the read counts as.
      */
     public long promptRead(int reportedTokens) {
         long tokens = plausiblePromptTokens(reportedTokens);
@@ -43,7 +43,7 @@
         return tokens;
     }
 
-    /** The answer starts from a read that {@link #promptRead} counted: it is not waste. */
+    /** Records that the answer starts from a read counted by {@link #promptRead}: no waste. */
     public void responseStartedFromRead(long readTokens, int cachedTokens) {
         if (billedPromptTokens < 0) {
             bill(readTokens, cachedTokens);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The answer starts at an engine that read the prompt itself. */
+    /** Records that the answer starts at an engine that read the prompt itself. */
     public void responseStartedInPlace(long promptTokens) {
         if (billedPromptTokens < 0) {
             bill(promptTokens, 0);
@@ -63,25 +63,26 @@
         billedCachedTokens = Math.max(0, Math.min(cachedTokens, promptTokens));
     }
 
-    /** A piece of the answer was sent to the client. */
+    /** Records that a piece of the answer was sent to the client. */
     public void pieceSent() {
         piecesSent++;
     }
 
-    /** So many pieces that were counted as sent did not reach the client's socket after all. */
+    /** Records that pieces counted as sent did not reach the client's socket. */
     public void piecesNotSent(int pieces) {
         piecesSent -= pieces;
     }
 
     /**
-     * The answer is complete; the engine reports its tokens, of which each piece is at least one.
+     * Records that the answer is complete. A plausible report counts at least one token for each
+     * piece.
      */
     public void responseCompleted(int reportedTokens) {
         boolean plausible = reportedTokens >= piecesSent && reportedTokens <= maxTokens;
         reportedOutputTokens = plausible ? reportedTokens : piecesSent;
     }
 
-    /** The client received nothing: an answer in one piece that was not completed. */
+    /** Records that the client received nothing, since an unstreamed answer was not completed. */
     public void responseDiscarded() {
         if (billedPromptTokens >= 0) {
             wastedTokens += billedPromptTokens + piecesSent;
@@ -92,7 +93,7 @@
         reportedOutputTokens = 0;
     }
 
-    /** The prompt tokens that an engine reported if they are plausible, else those counted here. */
+    /** The prompt tokens that an engine reported if plausible, else the router's own count. */
     public long plausiblePromptTokens(int reportedTokens) {
         long maxPlausible =
                 (long) MAX_PLAUSIBLE_MULTIPLE * countedPromptTokens + PLAUSIBLE_EXTRA_TOKENS;
@@ -121,7 +122,7 @@
         return Math.max(0, wastedTokens);
     }
 
-    /** All billed tokens: what the generation used of its tenant's budget. */
+    /** All billed tokens, which the generation used of its tenant's budget. */
     public double billedTokens() {
         return promptTokens() + outputTokens();
     }
--- a/src/main/java/larchridge/budget/package-info.java
+++ b/src/main/java/larchridge/budget/package-info.java
@@ -5,6 +5,6 @@
  * <p>Entry points: {@link larchridge.budget.Budgets}, which each router owns, and {@link
  * larchridge.budget.QuotaLender}, of which one process of a service has one. Everything here is
  * free of I/O, clocks and threads: time is passed in as milliseconds of Unix time. This package
- * must not know routers, the wire of leases or the ledger.
+ * must not depend on routers, the wire format of leases or the ledger.
  */
 package larchridge.budget;
--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -13,7 +13,7 @@
 class BudgetsPropertiesTest {
     private static final double INF = Double.POSITIVE_INFINITY;
 
-    /** One router: in any window the sum is at most rate x window + burst + one generation. */
+    /** In any window a router admits at most rate x window + burst + one generation. */
     @Property(tries = 200, seed = "20261201")
     void oneRouterNeverExceedsItsBound(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
@@ -36,15 +36,15 @@
             for (int j = i; j < admissions.size(); j++) {
                 sum += admissions.get(j)[1];
                 double bound = 0.5 * (admissions.get(j)[0] - admissions.get(i)[0]) + burst + maxTokens;
-                assertTrue(sum <= bound + 1e-6, sum + " over " + bound);
+                assertTrue(sum <= bound + 1e-6, sum + " tokens exceed " + bound);
             }
         }
     }
 
     /**
-     * Many routers whose parts of the burst are less than a generation: the sum over a long time
-     * stays by its mean at the budget, within five deviations of the draws, whatever share of the
-     * routers receives requests.
+     * Where the routers' parts of the burst are smaller than a generation, the sum admitted over a
+     * long time is at most the budget and at least half of it, within five standard deviations of
+     * the draws.
      */
     @Property(tries = 40, seed = "20261201")
     void routersTogetherKeepTheBudget(
@@ -75,15 +75,15 @@
         double deviationTokens = Math.sqrt(budgetTokens / generationTokens) * generationTokens;
         assertTrue(
                 sum <= budgetTokens + 5 * deviationTokens + generationTokens,
-                sum + " over " + budgetTokens + " with " + routers + " routers");
+                sum + " tokens exceed " + budgetTokens + " with " + routers + " routers");
         assertTrue(
                 sum >= 0.5 * Math.min(budgetTokens, 4000 * generationTokens) - 5 * deviationTokens,
-                sum + " of " + budgetTokens);
+                sum + " tokens of " + budgetTokens);
     }
 
     /**
-     * More frequent requests are admitted no more on average: the draws use up what has
-     * accumulated.
+     * Requests that are repeated more often admit no more tokens on average, since each draw uses
+     * up what has accumulated.
      */
     @Property(tries = 20, seed = "20261201")
     void repeatedRequestsDoNotImproveTheOdds(
--- a/src/test/java/larchridge/budget/BudgetsTest.java
+++ b/src/test/java/larchridge/budget/BudgetsTest.java
@@ -94,8 +94,8 @@
         budgets.configureTenant("a", null, rateLimit(100, 1000), now);
         budgets.configureTenant("b", null, rateLimit(800, 8000), now);
         assertTrue(requestAdmission("a", 1000).isAdmitted());
-        // The service has 9000 left, of which b may ask for 8000 now and 400 within the give-back
-        // time.
+        // The service has 9000 left, of which 8000 are reserved for b now and 400 more within the
+        // give-back time.
         BudgetDecision borrowed = requestAdmission("a", 600);
         assertTrue(borrowed.isAdmitted() && borrowed.charge().isBorrowed());
         assertFalse(requestAdmission("a", 600).isAdmitted());
@@ -110,7 +110,7 @@
             now += 1;
             requestAdmission("a", 50);
             if (i % 1000 == 999) {
-                // Its whole share of a second, asked for at once, whatever the other takes.
+                // The idle tenant requests its whole share of a second at once.
                 assertTrue(requestAdmission("b", 500).isAdmitted(), "second " + i / 1000);
             }
         }
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * One tenant's budget shared by many routers in virtual time, in three ways: fixed parts that admit
- * on debt, fixed parts with random draws, and a fifth in fixed parts with the rest leased. What is
- * admitted in the worst window is compared with the bound of each.
+ * Simulates one tenant's budget shared by many routers, in virtual time and in three ways: fixed
+ * parts that admit on debt, fixed parts with random draws, and one fifth in fixed parts with the
+ * rest leased. The tokens admitted in the worst window must stay within the bound of each.
  */
 class SharingSimulationTest {
     private static final double INF = Double.POSITIVE_INFINITY;
@@ -38,20 +38,20 @@
     /**
      * The result of a run.
      *
-     * @param used tokens admitted, as a share of the budget's rate over the run
-     * @param excess tokens admitted in the worst window, beyond rate x window
+     * @param usedShare tokens admitted, as a share of the budget's rate over the run
+     * @param excessTokens tokens admitted in the worst window, beyond rate x window
      */
     private record Result(double usedShare, double excessTokens) {}
 
     private final Random random = new Random(42);
 
     /**
-     * Runs one minute.
+     * Simulates one minute.
      *
-     * @param busy how many of the routers receive requests, each time a random one, of one
-     *     generation each
-     * @param withFaults whether routers and the lender restart and forget everything now and then,
-     *     the lender is away for a fifth of the time and some of its answers are lost
+     * @param loadedRouters how many of the routers receive requests; each request is for one
+     *     generation, at a random one of them
+     * @param withFaults whether routers and the lender restart without their state from time to
+     *     time, the lender is down for a fifth of the time and some of its responses are lost
      */
     private Result run(
             Sharing sharing, int routers, int loadedRouters, double generationsPerMs, boolean withFaults) {
@@ -93,12 +93,12 @@
         return new Result(admittedTokens / (RATE * DURATION_MS), worstExcess);
     }
 
-    /** As a router does it: requests from the lender what it lacks. */
+    /** Requests admission as a router does, with a lease from the lender if tokens are missing. */
     private boolean isAdmitted(Budgets budgets, QuotaLender lender, boolean withFaults, double now) {
         if (budgets.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted()) {
             return true;
         }
-        // Now and then the lender is away for a while: the first fifth of each quarter of a minute.
+        // With faults the lender is down for the first fifth of each quarter of a minute.
         boolean isLenderDown = withFaults && now % 15_000 < 3000;
         budgets.setLenderAvailable(lender != null && !isLenderDown);
         if (lender == null || isLenderDown) {
@@ -108,7 +108,7 @@
         double granted =
                 lender.grant(
                         request.budget(), request.neededTokens(), request.desiredTokens(), now);
-        // One answer in twenty is lost: what was granted then stays unused.
+        // With faults one response in twenty is lost; its tokens stay unused.
         budgets.addLease(
                 request.budget(),
                 withFaults && random.nextDouble() < 0.05 ? 0 : granted,
@@ -117,7 +117,7 @@
     }
 
     private static Budgets router(Sharing sharing, int routers, int seed, double nowMs) {
-        // A router that takes its part for a whole budget admits on debt.
+        // A router whose part is configured as a whole budget admits on debt.
         boolean admitsOnDebt = sharing == Sharing.DEBTS;
         Budgets budgets =
                 new Budgets(
@@ -165,8 +165,8 @@
             RESULTS.append(
                     String.format(
                             Locale.ROOT,
-                            "%d routers, %s: storm used %.2f worst excess %.0f bound %.0f; "
-                                    + "one busy router used %.2f; asked for 0.8 used %.2f%n",
+                            "%d routers, %s: overload used %.2f worst excess %.0f bound %.0f; "
+                                    + "one loaded router used %.2f; demand of 0.8 used %.2f%n",
                             routers,
                             sharing,
                             overload.usedShare,
@@ -181,11 +181,11 @@
                     oneLoaded.excessTokens <= bound(sharing, routers),
                     routers + " " + sharing + ": " + oneLoaded.excessTokens);
             if (sharing == Sharing.LEASES) {
-                assertTrue(oneLoaded.usedShare > 0.75, "one busy router of " + routers + " uses " + oneLoaded.usedShare);
-                assertTrue(overload.usedShare > 0.75, "a storm at " + routers + " uses " + overload.usedShare);
+                assertTrue(oneLoaded.usedShare > 0.75, "one loaded router of " + routers + " used " + oneLoaded.usedShare);
+                assertTrue(overload.usedShare > 0.75, "an overload of " + routers + " routers used " + overload.usedShare);
                 assertTrue(
                         moderateLoad.usedShare > 0.65,
-                        "of 0.8 asked at " + routers + " " + moderateLoad.usedShare + " came in");
+                        "a demand of 0.8 at " + routers + " routers used " + moderateLoad.usedShare);
             }
         }
     }
@@ -194,12 +194,13 @@
     @ValueSource(ints = {10, 170})
     void restartsLostAnswersAndALenderOutageAdmitNoMoreThanFixedParts(int routers) {
         Result result = run(Sharing.LEASES, routers, routers, 0.05, true);
-        // A router that restarts has its part of the burst again: at most so many do in a window.
+        // A router that restarts has its part of the burst again; the bound allows for six restarts
+        // in a window.
         double restartedBursts = 6 * FIXED_SHARE * BURST / routers + GENERATION_TOKENS;
         RESULTS.append(
                 String.format(
                         Locale.ROOT,
-                        "%d routers, LEASES in trouble: used %.2f worst excess %.0f bound "
+                        "%d routers, LEASES with faults: used %.2f worst excess %.0f bound "
                                 + "%.0f%n",
                         routers,
                         result.usedShare,
