--- a/src/test/java/larchridge/planner/BatchPlannerTest.java
+++ b/src/test/java/larchridge/planner/BatchPlannerTest.java
@@ -245,10 +245,10 @@
             {BatchRetryPolicy.Outcome.PROCESS_ENDED, Effect.SIDE_EFFECTING, 1, false}
         };
         for (Object[] row : table) {
-            double after =
+            double delayMs =
                     policy.retryDelayMs(
                             (BatchRetryPolicy.Outcome) row[0], (Effect) row[1], (int) row[2], 1, 0);
-            assertEquals(row[3], after >= 0, row[0] + " " + row[1] + " " + row[2]);
+            assertEquals(row[3], delayMs >= 0, row[0] + " " + row[1] + " " + row[2]);
         }
         assertTrue(
                 policy.retryDelayMs(
