--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -10,8 +10,7 @@
  * generation is charged its estimate when it is admitted and settled to what it used when it ends.
  * A tenant that has used up its own rate borrows what its group, or the service, can spare: all but
  * what is reserved for the other tenants there, which may use it within the give-back time. Free of
- * I/O, clocks and threads;
- * time is passed in as milliseconds of Unix time.
+ * I/O, clocks and threads; time is passed in as milliseconds of Unix time.
  */
 public final class Budgets implements BudgetConfigurer {
     /** The share of the maximum output that a generation is expected to write. */
@@ -238,7 +237,7 @@
      * leases, then from what the budgets above can spare. Returns the budget charged, or null if
      * none has enough.
      *
-     * @param rated the lowest budget with a rate, from {@code budget} upwards
+     * @param rateNode the lowest budget with a rate, from {@code budget} upwards
      */
     private BudgetNode takeTokens(BudgetNode budget, BudgetNode rateNode, double tokens, double nowMs) {
         // Guards against: a tenant without a rate of its own would use up what is reserved for the
