--- a/src/main/java/larchridge/budget/BudgetNode.java
+++ b/src/main/java/larchridge/budget/BudgetNode.java
@@ -142,7 +142,8 @@
     }
 
     private void rollOverMonth(double nowMs) {
-        YearMonth currentMonth = YearMonth.from(Instant.ofEpochMilli((long) nowMs).atOffset(ZoneOffset.UTC));
+        YearMonth currentMonth =
+                YearMonth.from(Instant.ofEpochMilli((long) nowMs).atOffset(ZoneOffset.UTC));
         if (month == null || currentMonth.isAfter(month)) {
             month = currentMonth;
             monthUsedTokens = 0;
--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -46,7 +46,11 @@
      * @param random the source of random draws, see {@link TokenBucket}
      */
     public Budgets(
-            BudgetLimits service, int routers, double fixedShare, double giveBackMs, Random random) {
+            BudgetLimits service,
+            int routers,
+            double fixedShare,
+            double giveBackMs,
+            Random random) {
         this.random = random;
         this.fixedShare = fixedShare;
         this.routers = routers;
@@ -84,7 +88,8 @@
     public void configureTenant(String name, String group, BudgetLimits limits, double nowMs) {
         BudgetNode parent = group == null ? service : groups.get(group);
         if (parent == null) {
-            throw new IllegalArgumentException("tenant " + name + ": group " + group + " is not configured");
+            throw new IllegalArgumentException(
+                    "tenant " + name + ": group " + group + " is not configured");
         }
         BudgetNode tenant = tenants.get(name);
         if (tenant == null) {
@@ -150,7 +155,8 @@
             }
         }
         BudgetNode rateNode = lowestWithRate(budget);
-        BudgetNode chargedNode = rateNode == null ? budget : takeTokens(budget, rateNode, tokens, nowMs);
+        BudgetNode chargedNode =
+                rateNode == null ? budget : takeTokens(budget, rateNode, tokens, nowMs);
         if (rateNode != null) {
             rateNode.recordDemand(tokens, nowMs);
         }
@@ -239,7 +245,8 @@
      *
      * @param rateNode the lowest budget with a rate, from {@code budget} upwards
      */
-    private BudgetNode takeTokens(BudgetNode budget, BudgetNode rateNode, double tokens, double nowMs) {
+    private BudgetNode takeTokens(
+            BudgetNode budget, BudgetNode rateNode, double tokens, double nowMs) {
         // Guards against: a tenant without a rate of its own would use up what is reserved for the
         // other tenants.
         if ((rateNode == budget || tokensReservedForOthers(rateNode, budget, nowMs) <= 0)
@@ -252,7 +259,8 @@
         BudgetNode first = rateNode == budget ? rateNode.parent : rateNode;
         for (BudgetNode node = first; node != null; node = node.parent) {
             if (node.limits().hasRate()
-                    && node.bucket().level(nowMs) - tokensReservedForOthers(node, budget, nowMs) >= tokens) {
+                    && node.bucket().level(nowMs) - tokensReservedForOthers(node, budget, nowMs)
+                            >= tokens) {
                 node.bucket().takeUnconditionally(tokens, nowMs);
                 return node;
             }
--- a/src/main/java/larchridge/lease/LeaseCodec.java
+++ b/src/main/java/larchridge/lease/LeaseCodec.java
@@ -93,7 +93,8 @@
     static List<Grant> decodeGrants(byte[] body, List<QuotaRequest> requests)
             throws InvalidLeaseException {
         if (body.length > MAX_BODY_BYTES) {
-            throw new InvalidLeaseException("response of " + body.length + " bytes exceeds the limit of " + MAX_BODY_BYTES);
+            throw new InvalidLeaseException(
+                    "response of " + body.length + " bytes exceeds the limit of " + MAX_BODY_BYTES);
         }
         JsonNode array;
         try {
@@ -103,7 +104,11 @@
         }
         if (array.size() != requests.size()) {
             throw new InvalidLeaseException(
-                    "response has " + array.size() + " grants for " + requests.size() + " requests");
+                    "response has "
+                            + array.size()
+                            + " grants for "
+                            + requests.size()
+                            + " requests");
         }
         List<Grant> grants = new ArrayList<>(requests.size());
         for (int i = 0; i < requests.size(); i++) {
@@ -119,7 +124,8 @@
         // Guards against: a faulty lender could lift the budgets by granting more than was
         // requested, or NaN.
         if (!(tokens >= 0 && tokens <= maxTokens * ROUNDING_FACTOR)) {
-            throw new InvalidLeaseException("granted " + tokens + " tokens, expected 0 to " + maxTokens);
+            throw new InvalidLeaseException(
+                    "granted " + tokens + " tokens, expected 0 to " + maxTokens);
         }
         return new Grant(tokens, grant.path(RETRY_AFTER_MS).asDouble(0));
     }
--- a/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
+++ b/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
@@ -33,10 +33,13 @@
     private static final double RECOVERY_S = Math.cbrt((1 - DECREASE_FACTOR) / CUBIC_GROWTH_PER_S3);
     private static final double INITIAL_GROWTH_FACTOR = 1.25;
     private static final double INCREASE_INTERVAL_MS = 500;
+
     /** The limit grows only if at least this share of it was in use. */
     private static final double MIN_USED_SHARE = 0.8;
+
     private static final double INITIAL_PAUSE_MS = 1000;
     private static final double MAX_PAUSE_MS = 16_000;
+
     /**
      * A decrease within this time of the last one, or a rejection within this time of the last
      * pause, counts as repeated.
@@ -50,9 +53,12 @@
     private static final double LATENCY_TOLERANCE_FACTOR = 1.25;
 
     private static final double LATENCY_TOLERANCE_SLO_SHARE = 0.1;
+
     /** A longer wait for a reader counts as congestion. */
     private static final double MAX_WAIT_SLO_SHARE = 0.25;
+
     private static final double LATENCY_QUANTILE = 0.9;
+
     /** A window with fewer first tokens is not evaluated. */
     private static final int MIN_SAMPLES = 8;
 
@@ -61,6 +67,7 @@
 
     private static final int WINDOW_MS = 2000;
     private static final double MIN_DECREASE_INTERVAL_MS = 1000;
+
     /** The number of recent windows from which the baseline latency is taken. */
     private static final int BASELINE_WINDOWS = 150;
 
@@ -75,6 +82,7 @@
      * while the limit is not used.
      */
     private double growthStartMs = Double.NEGATIVE_INFINITY;
+
     private double lastDecreaseMs = Double.NEGATIVE_INFINITY;
     private double lastIncreaseCheckMs;
     private double pausedUntilMs;
@@ -82,6 +90,7 @@
 
     /** The most lines that were open since the last check or change of the limit. */
     private double peakOpenLines;
+
     private double windowStartMs = Double.NaN;
     private final int[] firstTokenCounts = new int[LatencySample.BUCKETS];
 
@@ -166,7 +175,9 @@
     private double latencyQuantile(int sampleCount) {
         int samplesAbove = (int) Math.floor((1 - LATENCY_QUANTILE) * sampleCount);
         int bucket = firstTokenCounts.length - 1;
-        for (int remaining = samplesAbove - firstTokenCounts[bucket]; remaining >= 0 && bucket > 0; remaining -= firstTokenCounts[bucket]) {
+        for (int remaining = samplesAbove - firstTokenCounts[bucket];
+                remaining >= 0 && bucket > 0;
+                remaining -= firstTokenCounts[bucket]) {
             bucket--;
         }
         return (bucket + 1) * LatencySample.BUCKET_SLO_SHARE;
@@ -203,7 +214,10 @@
         if (limit >= ceiling) {
             ceiling = limit;
         } else {
-            ceiling = nowMs < lastDecreaseMs + REPEAT_WITHIN_MS ? REPEATED_DECREASE_FACTOR * ceiling : limit * (1 + factor) / 2;
+            ceiling =
+                    nowMs < lastDecreaseMs + REPEAT_WITHIN_MS
+                            ? REPEATED_DECREASE_FACTOR * ceiling
+                            : limit * (1 + factor) / 2;
         }
         lastDecreaseMs = nowMs;
         limit = Math.max(1, limit * factor);
@@ -222,7 +236,15 @@
                 limit *= INITIAL_GROWTH_FACTOR;
             } else {
                 double sinceRecoveryS = (nowMs - growthStartMs) / 1000 - RECOVERY_S;
-                limit = Math.max(limit, ceiling * (1 + CUBIC_GROWTH_PER_S3 * sinceRecoveryS * sinceRecoveryS * sinceRecoveryS));
+                limit =
+                        Math.max(
+                                limit,
+                                ceiling
+                                        * (1
+                                                + CUBIC_GROWTH_PER_S3
+                                                        * sinceRecoveryS
+                                                        * sinceRecoveryS
+                                                        * sinceRecoveryS));
             }
             limit = Math.min(maxLimit, limit);
         } else {
--- a/src/main/java/larchridge/planner/BatchPlanner.java
+++ b/src/main/java/larchridge/planner/BatchPlanner.java
@@ -14,6 +14,7 @@
 
     /** The assumed mean tokens of a line until the first line has started. */
     private static final double INITIAL_MEAN_TOKENS = 1000;
+
     /** The weight that the mean keeps when a line is added to it. */
     private static final double MEAN_DECAY_PER_LINE = 0.99;
 
@@ -39,8 +40,15 @@
      * @param unansweredLines the lines that have no record yet
      */
     public PlannedBatch addBatch(
-            String name, String tenant, double share, double expiresMs, long number, double unansweredLines) {
-        PlannedBatch batch = new PlannedBatch(name, fairQueue.tenant(tenant, share), expiresMs, number, unansweredLines);
+            String name,
+            String tenant,
+            double share,
+            double expiresMs,
+            long number,
+            double unansweredLines) {
+        PlannedBatch batch =
+                new PlannedBatch(
+                        name, fairQueue.tenant(tenant, share), expiresMs, number, unansweredLines);
         batch.tenant.batches.add(batch);
         fairQueue.setReady(batch, true);
         return batch;
@@ -93,7 +101,10 @@
     public void lineStarted(PlannedBatch batch, double tokens) {
         openLines++;
         openTokens += tokens;
-        meanLineTokens = hasMeanSample ? MEAN_DECAY_PER_LINE * meanLineTokens + (1 - MEAN_DECAY_PER_LINE) * tokens : tokens;
+        meanLineTokens =
+                hasMeanSample
+                        ? MEAN_DECAY_PER_LINE * meanLineTokens + (1 - MEAN_DECAY_PER_LINE) * tokens
+                        : tokens;
         hasMeanSample = true;
         batch.startedLines++;
         batch.startedTokens += tokens;
@@ -145,15 +156,21 @@
     public List<PlannedBatch> updateAtRisk(double nowMs) {
         List<PlannedBatch> changed = new ArrayList<>();
         for (WeightedFairQueue.Tenant tenant : fairQueue.tenants()) {
-            double observedMs = Math.min(tenant.answeredTokens.spanMs(), nowMs - tenant.firstAnswerMs);
+            double observedMs =
+                    Math.min(tenant.answeredTokens.spanMs(), nowMs - tenant.firstAnswerMs);
             double tokensPerMs = tenant.answeredTokens.sum(nowMs) / Math.max(1, observedMs);
             boolean isRateKnown = observedMs >= MIN_RATE_OBSERVATION_MS && tokensPerMs > 0;
             double queuedTokens = 0;
             for (PlannedBatch batch : tenant.batches) {
                 queuedTokens +=
                         batch.unansweredLines
-                                * (batch.startedLines > 0 ? batch.startedTokens / batch.startedLines : meanLineTokens);
-                boolean atRisk = isRateKnown ? nowMs + queuedTokens / tokensPerMs > batch.expiresMs : batch.atRisk;
+                                * (batch.startedLines > 0
+                                        ? batch.startedTokens / batch.startedLines
+                                        : meanLineTokens);
+                boolean atRisk =
+                        isRateKnown
+                                ? nowMs + queuedTokens / tokensPerMs > batch.expiresMs
+                                : batch.atRisk;
                 if (atRisk != batch.atRisk) {
                     batch.atRisk = atRisk;
                     changed.add(batch);
--- a/src/main/java/larchridge/planner/BatchRetryPolicy.java
+++ b/src/main/java/larchridge/planner/BatchRetryPolicy.java
@@ -57,14 +57,19 @@
             case OVER_BUDGET -> Math.max(retryAfterMs, REJECTION_BACKOFF_MS);
             case THROTTLED -> Math.max(retryAfterMs, backoffMs(rejections));
             case TERMINATED ->
-                    effect == Effect.IDEMPOTENT && attempts < maxAttempts ? backoffMs(attempts) : -1;
+                    effect == Effect.IDEMPOTENT && attempts < maxAttempts
+                            ? backoffMs(attempts)
+                            : -1;
             case PROCESS_ENDED -> effect == Effect.IDEMPOTENT && attempts < maxAttempts ? 0 : -1;
         };
     }
 
     /** An exponential backoff with random jitter of up to one half. */
     private double backoffMs(int failures) {
-        double maxDelayMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * Math.pow(2, Math.max(0, failures - 1)));
+        double maxDelayMs =
+                Math.min(
+                        MAX_BACKOFF_MS,
+                        INITIAL_BACKOFF_MS * Math.pow(2, Math.max(0, failures - 1)));
         return maxDelayMs * (0.5 + 0.5 * random.nextDouble());
     }
 }
--- a/src/main/java/larchridge/planner/PlannedBatch.java
+++ b/src/main/java/larchridge/planner/PlannedBatch.java
@@ -4,6 +4,7 @@
 public final class PlannedBatch {
     /** The batch's id. */
     public final String name;
+
     final WeightedFairQueue.Tenant tenant;
     final double expiresMs;
 
@@ -18,10 +19,16 @@
 
     /** The estimated tokens of the lines that were started. */
     double startedTokens;
+
     boolean hasReadyLine;
     boolean atRisk;
 
-    PlannedBatch(String name, WeightedFairQueue.Tenant tenant, double expiresMs, long number, double unansweredLines) {
+    PlannedBatch(
+            String name,
+            WeightedFairQueue.Tenant tenant,
+            double expiresMs,
+            long number,
+            double unansweredLines) {
         this.name = name;
         this.tenant = tenant;
         this.expiresMs = expiresMs;
--- a/src/main/java/larchridge/planner/WeightedFairQueue.java
+++ b/src/main/java/larchridge/planner/WeightedFairQueue.java
@@ -27,6 +27,7 @@
 
         /** When the tenant's budget admits work again. */
         double pausedUntilMs;
+
         final TreeSet<PlannedBatch> batches = new TreeSet<>(EARLIEST_DEADLINE_FIRST);
         final TreeSet<PlannedBatch> readyBatches = new TreeSet<>(EARLIEST_DEADLINE_FIRST);
 
--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -35,7 +35,8 @@
             double sum = 0;
             for (int j = i; j < admissions.size(); j++) {
                 sum += admissions.get(j)[1];
-                double bound = 0.5 * (admissions.get(j)[0] - admissions.get(i)[0]) + burst + maxTokens;
+                double bound =
+                        0.5 * (admissions.get(j)[0] - admissions.get(i)[0]) + burst + maxTokens;
                 assertTrue(sum <= bound + 1e-6, sum + " tokens exceed " + bound);
             }
         }
@@ -57,7 +58,8 @@
         List<Budgets> routerBudgets = new ArrayList<>();
         double now = 1e12;
         for (int i = 0; i < routers; i++) {
-            Budgets budgets = new Budgets(BudgetLimits.UNLIMITED, routers, 1, 500, new Random(seed + i));
+            Budgets budgets =
+                    new Budgets(BudgetLimits.UNLIMITED, routers, 1, 500, new Random(seed + i));
             budgets.configureTenant("a", null, new BudgetLimits(rate, burst, INF, INF), now);
             routerBudgets.add(budgets);
         }
@@ -93,7 +95,11 @@
             for (int router = 0; router < 100; router++) {
                 Budgets budgets =
                         new Budgets(
-                                BudgetLimits.UNLIMITED, 100, 1, 500, new Random(seed * 200 + router));
+                                BudgetLimits.UNLIMITED,
+                                100,
+                                1,
+                                500,
+                                new Random(seed * 200 + router));
                 double now = 1e12;
                 budgets.configureTenant("a", null, new BudgetLimits(1, 2000, INF, INF), now);
                 for (int i = 0; i < 2000; i++) {
@@ -106,6 +112,8 @@
             }
         }
         double deviationTokens = Math.sqrt(22_000.0 / 1000) * 1000;
-        assertTrue(Math.abs(admittedTokens[0] - admittedTokens[1]) < 8 * deviationTokens, admittedTokens[0] + " and " + admittedTokens[1]);
+        assertTrue(
+                Math.abs(admittedTokens[0] - admittedTokens[1]) < 8 * deviationTokens,
+                admittedTokens[0] + " and " + admittedTokens[1]);
     }
 }
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -54,7 +54,11 @@
      *     time, the lender is down for a fifth of the time and some of its responses are lost
      */
     private Result run(
-            Sharing sharing, int routers, int loadedRouters, double generationsPerMs, boolean withFaults) {
+            Sharing sharing,
+            int routers,
+            int loadedRouters,
+            double generationsPerMs,
+            boolean withFaults) {
         List<Budgets> routerBudgets = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             routerBudgets.add(router(sharing, routers, i, 0));
@@ -66,7 +70,9 @@
         double admittedTokens = 0;
         for (double now = 0; now < DURATION_MS; now += STEP_MS) {
             if (withFaults && random.nextDouble() < STEP_MS / 5000) {
-                routerBudgets.set(random.nextInt(routers), router(sharing, routers, 1000 + (int) now, now));
+                routerBudgets.set(
+                        random.nextInt(routers),
+                        router(sharing, routers, 1000 + (int) now, now));
             }
             if (withFaults && random.nextDouble() < STEP_MS / 10_000) {
                 lender = lender(now);
@@ -94,7 +100,8 @@
     }
 
     /** Requests admission as a router does, with a lease from the lender if tokens are missing. */
-    private boolean isAdmitted(Budgets budgets, QuotaLender lender, boolean withFaults, double now) {
+    private boolean isAdmitted(
+            Budgets budgets, QuotaLender lender, boolean withFaults, double now) {
         if (budgets.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted()) {
             return true;
         }
@@ -127,7 +134,11 @@
                         500,
                         new Random(seed));
         double partOfBudget = admitsOnDebt ? 1.0 / routers : 1;
-        budgets.configureTenant("a", null, new BudgetLimits(RATE * partOfBudget, BURST * partOfBudget, INF, INF), nowMs);
+        budgets.configureTenant(
+                "a",
+                null,
+                new BudgetLimits(RATE * partOfBudget, BURST * partOfBudget, INF, INF),
+                nowMs);
         return budgets;
     }
 
@@ -161,7 +172,8 @@
         for (Sharing sharing : Sharing.values()) {
             Result overload = run(sharing, routers, routers, 0.05, false);
             Result oneLoaded = run(sharing, routers, 1, 0.05, false);
-            Result moderateLoad = run(sharing, routers, routers, 0.8 * RATE / GENERATION_TOKENS, false);
+            Result moderateLoad =
+                    run(sharing, routers, routers, 0.8 * RATE / GENERATION_TOKENS, false);
             RESULTS.append(
                     String.format(
                             Locale.ROOT,
@@ -181,11 +193,18 @@
                     oneLoaded.excessTokens <= bound(sharing, routers),
                     routers + " " + sharing + ": " + oneLoaded.excessTokens);
             if (sharing == Sharing.LEASES) {
-                assertTrue(oneLoaded.usedShare > 0.75, "one loaded router of " + routers + " used " + oneLoaded.usedShare);
-                assertTrue(overload.usedShare > 0.75, "an overload of " + routers + " routers used " + overload.usedShare);
+                assertTrue(
+                        oneLoaded.usedShare > 0.75,
+                        "one loaded router of " + routers + " used " + oneLoaded.usedShare);
+                assertTrue(
+                        overload.usedShare > 0.75,
+                        "an overload of " + routers + " routers used " + overload.usedShare);
                 assertTrue(
                         moderateLoad.usedShare > 0.65,
-                        "a demand of 0.8 at " + routers + " routers used " + moderateLoad.usedShare);
+                        "a demand of 0.8 at "
+                                + routers
+                                + " routers used "
+                                + moderateLoad.usedShare);
             }
         }
     }
--- a/src/test/java/larchridge/planner/BatchPlannerTest.java
+++ b/src/test/java/larchridge/planner/BatchPlannerTest.java
@@ -31,7 +31,8 @@
     }
 
     /** Uses the limit fully, with samples of low latency only; returns the time at the end. */
-    private static double growAtFullUse(BatchConcurrencyLimiter limiter, double startMs, double durationMs) {
+    private static double growAtFullUse(
+            BatchConcurrencyLimiter limiter, double startMs, double durationMs) {
         double now = startMs;
         for (; now < startMs + durationMs; now += 100) {
             limiter.recordOpenLines(limiter.limit(now));
@@ -67,7 +68,8 @@
             pausesMs[i] = now - pauseStartMs;
             now = growAtFullUse(limiter, now, 2000);
         }
-        assertEquals(List.of(1000.0, 2000.0, 4000.0), List.of(pausesMs[0], pausesMs[1], pausesMs[2]));
+        assertEquals(
+                List.of(1000.0, 2000.0, 4000.0), List.of(pausesMs[0], pausesMs[1], pausesMs[2]));
     }
 
     /**
@@ -128,7 +130,8 @@
                 limiter.recordOpenLines(open);
                 LatencySample sample = new LatencySample();
                 for (int i = 0; i < 4; i++) {
-                    sample.recordFirstToken(0.1 + Math.max(0, open - capacityLines) / capacityLines);
+                    sample.recordFirstToken(
+                            0.1 + Math.max(0, open - capacityLines) / capacityLines);
                 }
                 limiter.addSample(sample, now);
                 if (now > 60_000) {
@@ -137,8 +140,12 @@
                     excessShare += Math.max(0, open - capacityLines) / capacityLines;
                 }
             }
-            assertTrue(usedShare / samples > 0.8, capacityLines + ": used share " + usedShare / samples);
-            assertTrue(excessShare / samples < 0.1, capacityLines + ": excess share " + excessShare / samples);
+            assertTrue(
+                    usedShare / samples > 0.8,
+                    capacityLines + ": used share " + usedShare / samples);
+            assertTrue(
+                    excessShare / samples < 0.1,
+                    capacityLines + ": excess share " + excessShare / samples);
         }
     }
 
