--- a/src/main/java/larchridge/budget/BudgetNode.java
+++ b/src/main/java/larchridge/budget/BudgetNode.java
@@ -17,11 +17,11 @@
 
     final String name;
 
-    /** The budget that this one is part of; null for the service's. */
+    /** The budget that this one is part of; null for that of the service. */
     final BudgetNode parent;
 
     final List<BudgetNode> children = new ArrayList<>();
-    private QuotaGrant grant;
+    private BudgetLimits limits;
     private final TokenBucket bucket;
     private final TokenLeases leases = new TokenLeases();
     private final DemandEstimate demand = new DemandEstimate();
@@ -32,13 +32,13 @@
     BudgetNode(
             String name,
             BudgetNode parent,
-            QuotaGrant grant,
+            BudgetLimits limits,
             TokenBucket.OversizeRule oversizeRule,
             Random random) {
         this.name = name;
         this.parent = parent;
-        this.grant = grant;
-        bucket = new TokenBucket(grant.tokensPerMs(), grant.burstTokens(), oversizeRule, random);
+        this.limits = limits;
+        bucket = new TokenBucket(limits.tokensPerMs(), limits.burstTokens(), oversizeRule, random);
         if (parent != null) {
             parent.children.add(this);
         }
@@ -56,13 +56,13 @@
         return "tenant " + tenant + ", " + product;
     }
 
-    QuotaGrant grant() {
-        return grant;
+    BudgetLimits limits() {
+        return limits;
     }
 
-    void reconfigure(QuotaGrant newGrant, double nowMs) {
-        grant = newGrant;
-        bucket.reconfigure(newGrant.tokensPerMs(), newGrant.burstTokens(), nowMs);
+    void reconfigure(BudgetLimits newLimits, double nowMs) {
+        limits = newLimits;
+        bucket.reconfigure(newLimits.tokensPerMs(), newLimits.burstTokens(), nowMs);
     }
 
     TokenBucket bucket() {
@@ -74,23 +74,22 @@
     }
 
     double monthUsedTokens(double nowMs) {
-        enterMonth(nowMs);
+        rollOverMonth(nowMs);
         return monthUsedTokens;
     }
 
     boolean hasInFlightCapacity(double tokens) {
-        // One generation may always run alone, or one prompt over the limit would never be
-        // admitted.
-        return inFlightTokens <= 0 || inFlightTokens + tokens <= grant.inFlightTokens();
+        // Guards against: a generation over the limit would never be admitted; it may run alone.
+        return inFlightTokens <= 0 || inFlightTokens + tokens <= limits.inFlightTokens();
     }
 
     boolean hasMonthlyCapacity(double tokens, double nowMs) {
-        enterMonth(nowMs);
-        return monthUsedTokens + tokens <= grant.monthlyTokens();
+        rollOverMonth(nowMs);
+        return monthUsedTokens + tokens <= limits.monthlyTokens();
     }
 
     double msUntilNextMonth(double nowMs) {
-        enterMonth(nowMs);
+        rollOverMonth(nowMs);
         return month.plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
                 - nowMs;
     }
@@ -103,8 +102,8 @@
     /** What would have to be leased to this budget so that a generation can be admitted. */
     QuotaRequest quotaRequestFor(double tokens, double nowMs) {
         double availableTokens = leases.tokens(nowMs) + Math.max(0, bucket.level(nowMs));
-        // Guards against: small leases to each of many routers would expire there, and none of
-        // them could use the budget.
+        // Guards against: many routers would each lease a small amount ahead and let it expire, and
+        // none of them could use the budget.
         double desiredTokens = demand.tokensPerSlot() >= tokens ? demand.tokensPerSlot() : 0;
         return new QuotaRequest(name, Math.max(1, tokens - availableTokens), desiredTokens);
     }
@@ -114,8 +113,8 @@
     }
 
     /**
-     * Takes tokens from leases, the oldest first, and what they lack from the bucket; nothing if
-     * both together lack them.
+     * Takes tokens from leases, the oldest first, and the rest from the bucket. Takes nothing if
+     * there are no leases, or if both together do not suffice.
      */
     boolean tryTakeLeased(double tokens, double nowMs) {
         double leasedTokens = leases.tokens(nowMs);
@@ -138,14 +137,15 @@
     }
 
     void addMonthlyUsage(double usedTokens, double nowMs) {
-        enterMonth(nowMs);
+        rollOverMonth(nowMs);
         monthUsedTokens += usedTokens;
     }
 
-    private void enterMonth(double nowMs) {
-        YearMonth now = YearMonth.from(Instant.ofEpochMilli((long) nowMs).atOffset(ZoneOffset.UTC));
-        if (month == null || now.isAfter(month)) {
-            month = now;
+    private void rollOverMonth(double nowMs) {
+        YearMonth currentMonth =
+                YearMonth.from(Instant.ofEpochMilli((long) nowMs).atOffset(ZoneOffset.UTC));
+        if (month == null || currentMonth.isAfter(month)) {
+            month = currentMonth;
             monthUsedTokens = 0;
         }
     }
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -1,25 +1,25 @@
 package larchridge.budget;
 
-/** What one admitted generation was charged; settled once. */
+/** What one admitted generation was charged; it is settled once. */
 public final class Charge {
     /** The generation's own budget. */
     final BudgetNode budget;
 
-    /** The budget whose rate paid: the own one, or one above it that had tokens to spare. */
-    final BudgetNode payer;
+    /** The budget whose rate was charged: the own one, or one above it that had tokens to spare. */
+    final BudgetNode chargedNode;
 
     final double estimatedTokens;
     private final boolean borrowed;
     private boolean settled;
 
-    Charge(BudgetNode budget, double estimatedTokens, BudgetNode payer, boolean borrowed) {
+    Charge(BudgetNode budget, double estimatedTokens, BudgetNode chargedNode, boolean borrowed) {
         this.budget = budget;
         this.estimatedTokens = estimatedTokens;
-        this.payer = payer;
+        this.chargedNode = chargedNode;
         this.borrowed = borrowed;
     }
 
-    /** Whether it was admitted beyond its tenant's own rate. */
+    /** Whether the generation was admitted beyond its tenant's own rate. */
     public boolean isBorrowed() {
         return borrowed;
     }
--- a/src/main/java/larchridge/budget/QuotaLender.java
+++ b/src/main/java/larchridge/budget/QuotaLender.java
@@ -5,78 +5,77 @@
 import java.util.Random;
 
 /**
- * The part of all budgets that follows demand: one lender for the whole service grants leases of
- * tokens to the routers that request them. Granted tokens have left the lender's bucket, so that a
- * lost answer, a router that dies or a repeated request can only leave tokens unused. A lender that
- * restarts begins empty, since earlier leases may still be in use. Free of I/O, clocks and threads;
- * time is passed in as milliseconds.
+ * Distributes the leased part of all budgets by demand: one lender for the whole service grants
+ * leases of tokens to the routers that request them. Granted tokens are taken from the lender's
+ * bucket, so that a lost response, a router crash or a repeated request can only leave tokens
+ * unused. A lender starts with empty buckets, since leases from before a restart may still be in
+ * use. Free of I/O, clocks and threads; time is passed in as milliseconds.
  */
-public final class QuotaLender implements QuotaConfigurer {
+public final class QuotaLender implements BudgetConfigurer {
     /**
-     * No generation needs more; a request for more is a fault and would leave a debt that is never
-     * paid off.
+     * More than any generation needs; a larger request is faulty and would leave a debt that is
+     * never paid off.
      */
     private static final double MAX_NEEDED_TOKENS = 1e8;
 
     private final double leasedShare;
 
     /** Buckets that hold a whole budget admit oversized requests on debt and never draw. */
-    private final Random neverDrawn = new Random(0);
+    private final Random unusedRandom = new Random(0);
 
     private final Map<String, TokenBucket> buckets = new LinkedHashMap<>();
 
-    /** Leases this share of each budget; the rest is in the routers' fixed parts. */
+    /** A lender of this share of each budget; the rest is in the routers' fixed parts. */
     public QuotaLender(double leasedShare) {
         this.leasedShare = leasedShare;
     }
 
     @Override
-    public void configureService(QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.SERVICE, grant, nowMs);
+    public void configureService(BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.SERVICE, limits, nowMs);
     }
 
     @Override
-    public void configureGroup(String name, QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.groupName(name), grant, nowMs);
+    public void configureGroup(String name, BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.groupName(name), limits, nowMs);
     }
 
     @Override
-    public void configureTenant(String name, String group, QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.tenantName(name), grant, nowMs);
+    public void configureTenant(String name, String group, BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.tenantName(name), limits, nowMs);
     }
 
     @Override
-    public void configureProduct(String tenant, String product, QuotaGrant grant, double nowMs) {
-        configure(BudgetNode.productName(tenant, product), grant, nowMs);
+    public void configureProduct(String tenant, String product, BudgetLimits limits, double nowMs) {
+        configure(BudgetNode.productName(tenant, product), limits, nowMs);
     }
 
-    /** Configures a budget by the name that routers request it by. */
-    void configure(String budget, QuotaGrant grant, double nowMs) {
-        double tokensPerMs = grant.tokensPerMs() * leasedShare;
-        double burstTokens = grant.burstTokens() * leasedShare;
+    /** Configures a budget under the name that routers use in requests. */
+    void configure(String budget, BudgetLimits limits, double nowMs) {
+        double tokensPerMs = limits.tokensPerMs() * leasedShare;
+        double burstTokens = limits.burstTokens() * leasedShare;
         TokenBucket bucket = buckets.get(budget);
         if (bucket != null) {
             bucket.reconfigure(tokensPerMs, burstTokens, nowMs);
-        } else if (grant.hasRate()) {
+        } else if (limits.hasRate()) {
             bucket =
                     new TokenBucket(
-                            tokensPerMs, burstTokens, TokenBucket.OversizeRule.DEBT, neverDrawn);
-            // Guards against: a lender that restarts again and again would grant a full burst each
-            // time.
+                            tokensPerMs, burstTokens, TokenBucket.OversizeRule.DEBT, unusedRandom);
+            // Guards against: a lender that restarts repeatedly would grant a full burst each time.
             bucket.takeUnconditionally(bucket.burstTokens(), nowMs);
             buckets.put(budget, bucket);
         }
     }
 
     /**
-     * Grants the tokens that one generation lacks, completely or not at all, and of those desired
-     * beyond them at most half of what is left, so that the next request finds some.
+     * Grants the tokens that one generation lacks, completely or not at all. Of the tokens desired
+     * beyond them it grants at most half of what is left, which leaves some for the next request.
      *
-     * @return the granted tokens; 0 for a budget that is not known
+     * @return the granted tokens; 0 for an unknown budget
      */
     public double grant(String budget, double neededTokens, double desiredTokens, double nowMs) {
         TokenBucket bucket = buckets.get(budget);
-        // Guards against: requests arrive over a wire; NaN must not enter the sums.
+        // Guards against: NaN in a request from the network would corrupt the bucket's level.
         if (bucket == null
                 || !(neededTokens >= 0 && neededTokens <= MAX_NEEDED_TOKENS)
                 || !(desiredTokens >= 0)) {
@@ -91,8 +90,8 @@
     }
 
     /**
-     * Milliseconds until a budget could grant so many tokens, if there were no other request; 0 if
-     * the budget is not known.
+     * Milliseconds until a budget could grant these tokens if there were no other request; 0 for an
+     * unknown budget.
      */
     public double retryAfterMs(String budget, double neededTokens, double nowMs) {
         TokenBucket bucket = buckets.get(budget);
--- a/src/main/java/larchridge/budget/TokenBucket.java
+++ b/src/main/java/larchridge/budget/TokenBucket.java
@@ -3,20 +3,20 @@
 import java.util.Random;
 
 /**
- * A token bucket: tokens accumulate at a rate up to a burst. What is taken is an estimate; settling
- * returns or takes more, so that the level may fall below 0 and is then paid off first. Time is
- * passed in and may step back; nothing accumulates then.
+ * A token bucket: tokens accumulate at a rate up to a burst. The tokens taken are an estimate;
+ * settlement returns some or takes more, so that the level may fall below 0, a debt that is paid
+ * off first. Time is passed in and may step back; no tokens accumulate meanwhile.
  *
- * <p>A request over the burst is admitted on a full bucket and leaves a debt, so that the rate
- * holds. Where a router's part of a burst is less than one generation needs, that debt, taken at
- * all routers, would amount to many bursts: there the request is admitted by a random draw whose
- * mean is what has accumulated, and the draw uses that up, won or lost. So the mean over all
- * routers is the budget for any number of routers, and repeated requests do not improve the odds.
+ * <p>A request over the burst is admitted by a full bucket and leaves a debt, so that the rate
+ * holds. Where a router's part of a burst is smaller than a generation, such debts at all routers
+ * would add up to many bursts. There the request is admitted by a random draw whose expected value
+ * is the level; the draw empties the bucket, won or lost. So the expected sum over all routers is
+ * the budget for any number of routers, and repeated requests do not improve the odds.
  */
 final class TokenBucket {
     /** How a request over the burst is admitted. */
     enum OversizeRule {
-        /** On a full bucket, with a debt; for a bucket that holds the whole budget. */
+        /** By a full bucket, with a debt; for a bucket that holds the whole budget. */
         DEBT,
         /** By a random draw; for a bucket that holds one part of many. */
         DRAW
@@ -29,7 +29,7 @@
     private double level;
 
     /** The time up to which tokens have accumulated; NaN before the first use. */
-    private double accumulatedUntilMs = Double.NaN;
+    private double refilledUntilMs = Double.NaN;
 
     TokenBucket(double tokensPerMs, double burstTokens, OversizeRule oversizeRule, Random random) {
         this.oversizeRule = oversizeRule;
@@ -41,14 +41,14 @@
 
     /** Sets rate and burst from now on; what has accumulated stays, up to the new burst. */
     void reconfigure(double newTokensPerMs, double newBurstTokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         tokensPerMs = newTokensPerMs;
         burstTokens = newBurstTokens;
         level = Math.min(level, burstTokens);
     }
 
     double level(double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         return level;
     }
 
@@ -56,7 +56,7 @@
         return burstTokens;
     }
 
-    /** Takes tokens if they may be taken now, by the rule for oversized requests if need be. */
+    /** Takes tokens if they are available now or the rule for oversized requests admits them. */
     boolean tryTake(double tokens, double nowMs) {
         if (tryTakeWithoutDraw(tokens, nowMs)) {
             return true;
@@ -64,43 +64,43 @@
         if (oversizeRule == OversizeRule.DEBT || tokens <= burstTokens || level <= 0) {
             return false;
         }
-        boolean won = random.nextDouble() * tokens < level;
-        // What was won beyond the level was paid for by the draws that were lost.
+        boolean admitted = random.nextDouble() * tokens < level;
+        // Lost draws offset the tokens that won draws take beyond the level.
         level = 0;
-        return won;
+        return admitted;
     }
 
-    /** As {@link #tryTake}, but never by a draw: for where the missing tokens can be leased. */
+    /** As {@link #tryTake} but without draws, for when the missing tokens can be leased. */
     boolean tryTakeWithoutDraw(double tokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         // Guards against: a prompt over the burst could never be admitted.
-        boolean onDebt = oversizeRule == OversizeRule.DEBT && level >= burstTokens;
-        boolean available = level >= tokens || onDebt;
-        if (!available) {
+        boolean admitsOnDebt = oversizeRule == OversizeRule.DEBT && level >= burstTokens;
+        boolean admitted = level >= tokens || admitsOnDebt;
+        if (!admitted) {
             return false;
         }
         level -= tokens;
         return true;
     }
 
-    /** Returns tokens, or takes more with a negative number. */
-    void giveBack(double tokens, double nowMs) {
-        accumulate(nowMs);
+    /** Returns tokens; takes more if the number is negative. */
+    void refund(double tokens, double nowMs) {
+        refill(nowMs);
         level = Math.min(burstTokens, level + tokens);
     }
 
-    /** Takes tokens whatever the level is. */
+    /** Takes tokens regardless of the level. */
     void takeUnconditionally(double tokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         level -= tokens;
     }
 
     /**
-     * Milliseconds until the bucket holds so many tokens; for more than the burst, until it is
+     * Milliseconds until the bucket holds this many tokens; for more than the burst, until it is
      * full.
      */
     double msUntil(double tokens, double nowMs) {
-        accumulate(nowMs);
+        refill(nowMs);
         double missing = Math.min(tokens, burstTokens) - level;
         if (missing <= 0) {
             return 0;
@@ -108,17 +108,17 @@
         return tokensPerMs > 0 ? missing / tokensPerMs : Double.POSITIVE_INFINITY;
     }
 
-    private void accumulate(double nowMs) {
-        if (Double.isNaN(accumulatedUntilMs)) {
-            accumulatedUntilMs = nowMs;
+    private void refill(double nowMs) {
+        if (Double.isNaN(refilledUntilMs)) {
+            refilledUntilMs = nowMs;
             return;
         }
-        if (nowMs < accumulatedUntilMs) {
-            // Guards against: a clock that steps back and forth would accumulate the same time
+        if (nowMs < refilledUntilMs) {
+            // Guards against: if the clock steps back and forth, the same time would be counted
             // twice.
             return;
         }
-        level = Math.min(burstTokens, level + (nowMs - accumulatedUntilMs) * tokensPerMs);
-        accumulatedUntilMs = nowMs;
+        level = Math.min(burstTokens, level + (nowMs - refilledUntilMs) * tokensPerMs);
+        refilledUntilMs = nowMs;
     }
 }
--- a/src/main/java/larchridge/budget/TokenLeases.java
+++ b/src/main/java/larchridge/budget/TokenLeases.java
@@ -12,7 +12,7 @@
 
     void add(double tokens, double expiresMs) {
         if (leases.size() >= MAX_LEASES) {
-            // The oldest would expire first anyway.
+            // The oldest lease would expire first.
             leases.removeFirst();
         }
         leases.add(new Lease(tokens, expiresMs));
@@ -24,16 +24,16 @@
         return leases.stream().mapToDouble(Lease::tokens).sum();
     }
 
-    /** Takes tokens from the oldest leases on; returns how many are missing. */
+    /** Takes tokens from the leases, the oldest first; returns how many are missing. */
     double take(double tokens) {
-        double missing = tokens;
-        while (missing > 0 && !leases.isEmpty()) {
+        double missingTokens = tokens;
+        while (missingTokens > 0 && !leases.isEmpty()) {
             Lease oldest = leases.removeFirst();
-            if (oldest.tokens > missing) {
-                leases.addFirst(new Lease(oldest.tokens - missing, oldest.expiresMs));
+            if (oldest.tokens > missingTokens) {
+                leases.addFirst(new Lease(oldest.tokens - missingTokens, oldest.expiresMs));
             }
-            missing -= Math.min(missing, oldest.tokens);
+            missingTokens -= Math.min(missingTokens, oldest.tokens);
         }
-        return missing;
+        return missingTokens;
     }
 }
--- a/src/main/java/larchridge/lease/InvalidLeaseException.java
+++ b/src/main/java/larchridge/lease/InvalidLeaseException.java
@@ -1,14 +1,14 @@
 package larchridge.lease;
 
-/** Thrown for a lender's answer that can't be the answer to what was requested. */
+/** Thrown for a response of the lender that does not fit the requests of its call. */
 final class InvalidLeaseException extends Exception {
     private static final long serialVersionUID = 1;
 
-    InvalidLeaseException(String problem) {
-        super(problem);
+    InvalidLeaseException(String message) {
+        super(message);
     }
 
-    InvalidLeaseException(String problem, Throwable cause) {
-        super(problem, cause);
+    InvalidLeaseException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -20,16 +20,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests from the lender what generations lack: many requests in one call, one call in flight at
- * a time. When the lender is slow or down, all pending requests are answered with nothing at once,
- * and none is accepted until the lender answers a probing call. An answer after the time limit is
- * not used, so that no lease outlives its bound. Owned by a router's event loop, on which it must
+ * Requests from the lender the tokens that generations lack: many requests in one call, one call in
+ * flight at a time. When the lender is slow or down, all pending requests fail at once; until it
+ * responds again, only one request per probe interval is accepted. A response after the timeout is
+ * discarded, so that no lease outlives its bound. Owned by a router's event loop, on which it must
  * be created.
  */
 public final class LeaseClient implements QuotaClient {
     private static final int MAX_PENDING = 4096;
 
-    /** How often an unresponsive lender is called. */
+    /** The shortest time between calls to a lender that does not respond. */
     private static final long PROBE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final int STATUS_OK = 200;
@@ -37,7 +37,7 @@
 
     private final HttpClient client;
     private final RequestOptions callOptions;
-    private final int answerMs;
+    private final int answerTimeoutMs;
     private final Deque<PendingRequest> pending = new ArrayDeque<>();
     private boolean callInFlight;
     private boolean responsive;
@@ -48,14 +48,14 @@
     /**
      * A client of the lender at an address.
      *
-     * @param answerMs how long an answer is awaited
+     * @param answerTimeoutMs the timeout of connecting and of a whole call
      */
-    public LeaseClient(Vertx vertx, String host, int port, double answerMs) {
-        this.answerMs = (int) Math.max(1, answerMs);
+    public LeaseClient(Vertx vertx, String host, int port, double answerTimeoutMs) {
+        this.answerTimeoutMs = (int) Math.max(1, answerTimeoutMs);
         client =
                 vertx.createHttpClient(
                         new HttpClientOptions()
-                                .setConnectTimeout(this.answerMs)
+                                .setConnectTimeout(this.answerTimeoutMs)
                                 .setTcpNoDelay(true),
                         new PoolOptions().setHttp1MaxSize(1).setMaxWaitQueueSize(1));
         callOptions =
@@ -64,7 +64,7 @@
                         .setHost(host)
                         .setPort(port)
                         .setURI(LeaseEndpoint.PATH)
-                        .setTimeout(this.answerMs);
+                        .setTimeout(this.answerTimeoutMs);
         lastCallNanos = System.nanoTime() - PROBE_INTERVAL_NANOS;
     }
 
@@ -108,14 +108,14 @@
                                                         response.statusCode() == STATUS_OK
                                                                 ? body
                                                                 : null))
-                .timeout(answerMs, TimeUnit.MILLISECONDS)
+                .timeout(answerTimeoutMs, TimeUnit.MILLISECONDS)
                 .onComplete(answer -> callEnded(answer, requests, listeners));
     }
 
     private void callEnded(
             AsyncResult<Buffer> answer, List<QuotaRequest> requests, List<Listener> listeners) {
         callInFlight = false;
-        boolean late = System.nanoTime() - lastCallNanos > answerMs * 1_000_000L;
+        boolean late = System.nanoTime() - lastCallNanos > answerTimeoutMs * 1_000_000L;
         boolean answered = answer.succeeded() && answer.result() != null && !late;
         List<LeaseCodec.Grant> grants = noGrants(requests.size());
         if (answered) {
@@ -131,7 +131,7 @@
             listeners.get(i).granted(grant.tokens(), grant.retryAfterMs());
         }
         if (!responsive) {
-            releasePending();
+            failPending();
         }
         callIfPending();
     }
@@ -147,17 +147,17 @@
                     .addKeyValue("lender", callOptions.getHost() + ":" + callOptions.getPort())
                     .log(
                             responsive
-                                    ? "the lender answers"
-                                    : "the lender does not answer; fixed parts only");
+                                    ? "quota lender responds"
+                                    : "quota lender does not respond; using fixed parts only");
         }
     }
 
-    /** Answers all pending requests with nothing. */
-    private void releasePending() {
-        // Guards against: one after the other would wait for a lender that is down, each its full
-        // time.
-        List<PendingRequest> released = new ArrayList<>(pending);
+    /** Completes all pending requests without a grant. */
+    private void failPending() {
+        // Guards against: pending requests would time out one call after the other while the lender
+        // is down.
+        List<PendingRequest> failed = new ArrayList<>(pending);
         pending.clear();
-        released.forEach(each -> each.listener.granted(0, 0));
+        failed.forEach(request -> request.listener.granted(0, 0));
     }
 }
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -12,14 +12,14 @@
     /** A response has started. */
     void responseStarted(InFlightRequest request, double nowMs) {
         if (!request.isBatch()) {
-            sample.begun(request.latencyObjectiveFraction(nowMs));
+            sample.recordFirstToken(request.latencyObjectiveFraction(nowMs));
         }
     }
 
     /** A request was rejected, or failed because its deadline had passed. */
     void rejected(InFlightRequest request) {
         if (!request.isBatch()) {
-            sample.turnedAway();
+            sample.recordRejection();
         }
     }
 
@@ -36,7 +36,7 @@
             }
         }
         LatencySample taken = sample;
-        taken.waiting(unanswered, longestWait);
+        taken.recordUnanswered(unanswered, longestWait);
         sample = new LatencySample();
         return taken;
     }
--- a/src/test/java/larchridge/lease/LeaseClientTest.java
+++ b/src/test/java/larchridge/lease/LeaseClientTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The client against a lender whose every answer the test decides. */
+/** The client against a lender that sends a given response or none. */
 class LeaseClientTest {
     private final Vertx vertx = Vertx.vertx();
-    private final Context loop = vertx.getOrCreateContext();
+    private final Context eventLoop = vertx.getOrCreateContext();
     private final BlockingQueue<String> grants = new LinkedBlockingQueue<>();
 
     private LeaseClient clientOfLenderAnswering(String answer) throws Exception {
@@ -28,8 +28,8 @@
                 vertx.createHttpServer()
                         .requestHandler(
                                 request -> {
-                                    // Without an answer the call hangs, as at a lender that has
-                                    // stopped.
+                                    // Without a response the call hangs, as with a lender that
+                                    // is stopped.
                                     if (answer != null) {
                                         request.response().end(answer);
                                     }
@@ -39,7 +39,7 @@
                 .toCompletableFuture()
                 .get(5, TimeUnit.SECONDS);
         CompletableFuture<LeaseClient> created = new CompletableFuture<>();
-        loop.runOnContext(
+        eventLoop.runOnContext(
                 v ->
                         created.complete(
                                 new LeaseClient(vertx, "127.0.0.1", server.actualPort(), 150)));
@@ -48,18 +48,18 @@
 
     private boolean request(LeaseClient client, int times) throws Exception {
         CompletableFuture<Boolean> accepted = new CompletableFuture<>();
-        loop.runOnContext(
+        eventLoop.runOnContext(
                 v -> {
-                    boolean all = true;
+                    boolean allAccepted = true;
                     for (int i = 0; i < times; i++) {
-                        all &=
+                        allAccepted &=
                                 client.request(
                                         new QuotaRequest("t", 100, 0),
                                         (tokens, retryAfterMs) ->
                                                 grants.add(
                                                         (int) tokens + " " + (int) retryAfterMs));
                     }
-                    accepted.complete(all);
+                    accepted.complete(allAccepted);
                 });
         return accepted.get(5, TimeUnit.SECONDS);
     }
@@ -97,14 +97,14 @@
         LeaseClient client = clientOfLenderAnswering(answer);
         assertTrue(request(client, 1));
         assertEquals("0 0", nextGrant());
-        assertFalse(request(client, 1), "asked again at once");
+        assertFalse(request(client, 1), "accepted before the probe interval");
     }
 
     @Test
-    void allPendingRequestsAreReleasedOnceTheLenderDoesNotAnswer() throws Exception {
+    void allPendingRequestsFailOnceTheLenderDoesNotAnswer() throws Exception {
         LeaseClient client = clientOfLenderAnswering(null);
         assertTrue(request(client, 1));
-        assertFalse(request(client, 1), "waits for a lender that never answered yet");
+        assertFalse(request(client, 1), "accepted before the lender has ever responded");
         assertEquals("0 0", nextGrant());
         assertFalse(request(client, 3));
         assertEquals(0, grants.size());
