--- a/src/main/java/larchridge/node/ConfigurationReload.java
+++ b/src/main/java/larchridge/node/ConfigurationReload.java
@@ -15,54 +15,54 @@
  */
 final class ConfigurationReload {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationReload.class);
-    private static final double INITIAL_PAUSE_MS = 100;
-    private static final double MAX_PAUSE_MS = 2000;
-    private static final double TIMEOUT_MS = 60_000;
+    private static final double INITIAL_RETRY_DELAY_MS = 100;
+    private static final double MAX_RETRY_DELAY_MS = 2000;
+    private static final double RETRY_TIMEOUT_MS = 60_000;
 
-    private final Map<String, String> variables;
+    private final Map<String, String> environment;
     private final Scheduler scheduler;
 
     /** Reloads so far; the retries of an earlier one end when a newer one begins. */
-    private int generation;
+    private int reloadNumber;
 
-    ConfigurationReload(Map<String, String> variables, Scheduler scheduler) {
-        this.variables = variables;
+    ConfigurationReload(Map<String, String> environment, Scheduler scheduler) {
+        this.environment = environment;
         this.scheduler = scheduler;
     }
 
     /** One reload from its signal to the end of its retries. */
     private record Reload(
-            int generation,
+            int reloadNumber,
             double deadlineMs,
             DiscoveryClient discovery,
             BooleanSupplier cancelled) {}
 
     /** Begins a reload, which takes the place of one that is still being retried. */
-    void begin(DiscoveryClient discovery, BooleanSupplier cancelled) {
-        generation++;
-        double deadlineMs = scheduler.nowMs() + TIMEOUT_MS;
-        attempt(new Reload(generation, deadlineMs, discovery, cancelled), INITIAL_PAUSE_MS);
+    void start(DiscoveryClient discovery, BooleanSupplier cancelled) {
+        reloadNumber++;
+        double deadlineMs = scheduler.nowMs() + RETRY_TIMEOUT_MS;
+        tryReload(new Reload(reloadNumber, deadlineMs, discovery, cancelled), INITIAL_RETRY_DELAY_MS);
     }
 
-    private void attempt(Reload reload, double pauseMs) {
-        if (reload.generation != generation || reload.cancelled.getAsBoolean()) {
+    private void tryReload(Reload reload, double retryDelayMs) {
+        if (reload.reloadNumber != reloadNumber || reload.cancelled.getAsBoolean()) {
             return;
         }
         try {
-            NodeConfiguration changed = NodeConfigurationReader.read(variables);
+            NodeConfiguration newConfiguration = NodeConfigurationReader.read(environment);
             LOG.atInfo()
-                    .addKeyValue("discovery", changed.discovery())
+                    .addKeyValue("discovery", newConfiguration.discovery())
                     .log("configuration reloaded");
-            reload.discovery.follow(changed.discovery());
+            reload.discovery.startPolling(newConfiguration.discovery());
         } catch (InvalidNodeConfigurationException e) {
-            boolean retries = scheduler.nowMs() + pauseMs < reload.deadlineMs;
+            boolean willRetry = scheduler.nowMs() + retryDelayMs < reload.deadlineMs;
             LOG.atError()
                     .addKeyValue("fault", e.getMessage())
-                    .addKeyValue("again", retries)
+                    .addKeyValue("again", willRetry)
                     .log("the new configuration can't be used; all stays as it was");
-            if (retries) {
-                double nextPauseMs = Math.min(MAX_PAUSE_MS, 2 * pauseMs);
-                scheduler.schedule(pauseMs, () -> attempt(reload, nextPauseMs));
+            if (willRetry) {
+                double nextRetryDelayMs = Math.min(MAX_RETRY_DELAY_MS, 2 * retryDelayMs);
+                scheduler.schedule(retryDelayMs, () -> tryReload(reload, nextRetryDelayMs));
             }
         }
     }
--- a/src/main/java/larchridge/node/EmbeddedBytes.java
+++ b/src/main/java/larchridge/node/EmbeddedChannelBytes.java
@@ -6,10 +6,10 @@
 import java.nio.charset.StandardCharsets;
 
 /** Bytes of the connections in memory that a warm-up uses. */
-final class EmbeddedBytes {
+final class EmbeddedChannelBytes {
     private static final int INITIAL_CAPACITY = 256;
 
-    private EmbeddedBytes() {}
+    private EmbeddedChannelBytes() {}
 
     /** The bytes of a text in ISO 8859-1. */
     static ByteBuf of(String text) {
--- a/src/main/java/larchridge/node/InvalidNodeConfigurationException.java
+++ b/src/main/java/larchridge/node/InvalidNodeConfigurationException.java
@@ -19,20 +19,20 @@
     }
 
     /** A file that breaks the syntax of JSON at a line. */
-    static InvalidNodeConfigurationException brokenJson(Path file, int line, String problem) {
+    static InvalidNodeConfigurationException invalidJson(Path file, int line, String problem) {
         return new InvalidNodeConfigurationException(
                 file + ":" + line + ": broken JSON (" + problem + ")");
     }
 
     /** A member with a wrong value, or none. */
-    static InvalidNodeConfigurationException member(
+    static InvalidNodeConfigurationException invalidMember(
             Path file, String member, Object found, String expected) {
         return new InvalidNodeConfigurationException(
                 file + ": " + member + " is " + found + "; expected " + expected);
     }
 
     /** A fault within the settings object, which names its own members. */
-    static InvalidNodeConfigurationException settings(Path file, String problem) {
+    static InvalidNodeConfigurationException invalidSettings(Path file, String problem) {
         return new InvalidNodeConfigurationException(file + ": settings: " + problem);
     }
 
--- a/src/main/java/larchridge/node/ListenRetry.java
+++ b/src/main/java/larchridge/node/ListenRetry.java
@@ -13,7 +13,7 @@
  */
 final class ListenRetry {
     private static final Logger LOG = LoggerFactory.getLogger(ListenRetry.class);
-    private static final long PAUSE_MS = 50;
+    private static final long RETRY_DELAY_MS = 50;
     private static final long TIMEOUT_MS = 15_000;
 
     private ListenRetry() {}
@@ -39,7 +39,7 @@
                 LOG.atDebug()
                         .addKeyValue("fault", e.getMessage())
                         .log("the listen address is taken; it is retried");
-                TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+                TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
             }
         }
     }
--- a/src/main/java/larchridge/node/NettyScheduler.java
+++ b/src/main/java/larchridge/node/NettyScheduler.java
@@ -12,15 +12,15 @@
 /** Clock and timers of a node on its one Netty event loop. */
 final class NettyScheduler implements Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(NettyScheduler.class);
-    private static final double MILLISECOND_NANOS = 1e6;
+    private static final double NANOS_PER_MILLISECOND = 1e6;
     private static final double MIN_DELAY_MS = 1;
 
     private final EventLoop loop;
     private final String idPrefix;
     private final double clockBaseMs =
-            System.currentTimeMillis() - System.nanoTime() / MILLISECOND_NANOS;
+            System.currentTimeMillis() - System.nanoTime() / NANOS_PER_MILLISECOND;
     private final Map<Long, Future<?>> timers = new HashMap<>();
-    private long lastTimer;
+    private long lastTimerId;
 
     /**
      * @param idPrefix the part of ids that no other start of any node has
@@ -36,27 +36,27 @@
 
     @Override
     public double nowMs() {
-        return clockBaseMs + System.nanoTime() / MILLISECOND_NANOS;
+        return clockBaseMs + System.nanoTime() / NANOS_PER_MILLISECOND;
     }
 
     @Override
-    public long schedule(double ms, Runnable task) {
-        long timer = ++lastTimer;
+    public long schedule(double delayMs, Runnable task) {
+        long timerId = ++lastTimerId;
         timers.put(
-                timer,
+                timerId,
                 loop.schedule(
                         () -> {
-                            timers.remove(timer);
-                            runSafely(task);
+                            timers.remove(timerId);
+                            runAndLogFailure(task);
                         },
-                        (long) (Math.max(MIN_DELAY_MS, ms) * MILLISECOND_NANOS),
+                        (long) (Math.max(MIN_DELAY_MS, delayMs) * NANOS_PER_MILLISECOND),
                         TimeUnit.NANOSECONDS));
-        return timer;
+        return timerId;
     }
 
     @Override
-    public void cancel(long timer) {
-        Future<?> scheduled = timers.remove(timer);
+    public void cancel(long timerId) {
+        Future<?> scheduled = timers.remove(timerId);
         if (scheduled != null) {
             scheduled.cancel(false);
         }
@@ -64,14 +64,14 @@
 
     @Override
     public void execute(Runnable task) {
-        loop.execute(() -> runSafely(task));
+        loop.execute(() -> runAndLogFailure(task));
     }
 
     @Override
-    public void scheduleAtFixedDelay(double ms, Runnable task) {
-        long nanos = (long) (ms * MILLISECOND_NANOS);
+    public void scheduleAtFixedDelay(double delayMs, Runnable task) {
+        long nanos = (long) (delayMs * NANOS_PER_MILLISECOND);
         // A fixed delay: a process that was stopped for a while does not catch up on missed runs.
-        loop.scheduleWithFixedDelay(() -> runSafely(task), nanos, nanos, TimeUnit.NANOSECONDS);
+        loop.scheduleWithFixedDelay(() -> runAndLogFailure(task), nanos, nanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -83,7 +83,7 @@
      * Guards against: a task that throws would end its periodic timer for good, and an error the
      * process's work.
      */
-    private static void runSafely(Runnable task) {
+    private static void runAndLogFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -32,7 +32,7 @@
      */
     private static final int WARMUP_GENERATIONS = 10;
 
-    private static final double WARMUP_MAX_MS = 500;
+    private static final double WARMUP_TIMEOUT_MS = 500;
 
     /**
      * Without a list from discovery for this long, a node serves by the one it was started with.
@@ -45,15 +45,15 @@
     /**
      * The bits of the seed that are a part of the prefix of ids, and the radix they are shown in.
      */
-    private static final long PREFIX_SEED_MASK = 0xFFFFFFFFFFL;
+    private static final long ID_PREFIX_SEED_MASK = 0xFFFFFFFFFFL;
 
-    private static final int PREFIX_RADIX = 36;
+    private static final int ID_PREFIX_RADIX = 36;
 
     private final NodeConfiguration configuration;
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch terminated = new CountDownLatch(1);
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
-                    1, WholeMillisecondIoHandler.around(NioIoHandler.newFactory()));
+                    1, WholeMillisecondIoHandler.wrap(NioIoHandler.newFactory()));
     private final EventLoop loop = (EventLoop) group.next();
     private final ByteBufAllocator allocator =
             new PooledByteBufAllocator(
@@ -75,28 +75,28 @@
     /** Null until it is built on the event loop, and for good where that has failed. */
     private NodeComponents components;
 
-    private Node(Map<String, String> variables, NodeConfiguration configuration) {
+    private Node(Map<String, String> environment, NodeConfiguration configuration) {
         this.configuration = configuration;
         String idPrefix =
                 configuration.name()
-                        + Long.toString(configuration.seed() & PREFIX_SEED_MASK, PREFIX_RADIX)
+                        + Long.toString(configuration.seed() & ID_PREFIX_SEED_MASK, ID_PREFIX_RADIX)
                         + "-";
         scheduler = new NettyScheduler(loop, idPrefix);
-        shutdown = new ShutdownSequence(scheduler, ended::countDown);
-        reload = new ConfigurationReload(variables, scheduler);
+        shutdown = new ShutdownSequence(scheduler, terminated::countDown);
+        reload = new ConfigurationReload(environment, scheduler);
     }
 
     /** A node that has not been started. */
-    static Node create(Map<String, String> variables) throws InvalidNodeConfigurationException {
-        NodeConfiguration configuration = NodeConfigurationReader.read(variables);
-        configuration.checkAgainst(variables);
-        return new Node(variables, configuration);
+    static Node create(Map<String, String> environment) throws InvalidNodeConfigurationException {
+        NodeConfiguration configuration = NodeConfigurationReader.read(environment);
+        configuration.checkAgainst(environment);
+        return new Node(environment, configuration);
     }
 
     /** A started node in this process. */
-    static Node open(Map<String, String> variables)
+    static Node open(Map<String, String> environment)
             throws NodeStartException, InterruptedException {
-        Node node = create(variables);
+        Node node = create(environment);
         node.start();
         return node;
     }
@@ -104,7 +104,7 @@
     /** Returns once the node serves, or at once if it is shutting down. */
     void start() throws NodeStartException, InterruptedException {
         loop.submit(this::build).await();
-        if (shutdown.hasBegun()) {
+        if (shutdown.hasStarted()) {
             return;
         }
         if (components == null) {
@@ -113,12 +113,12 @@
         ListenRetry.listen(
                 configuration.listen(),
                 (host, port) -> components.server().listen(group, allocator, host, port),
-                shutdown::hasBegun);
-        if (shutdown.hasBegun()) {
+                shutdown::hasStarted);
+        if (shutdown.hasStarted()) {
             return;
         }
         long startNanos = System.nanoTime();
-        int served = NodeWarmup.run(WARMUP_GENERATIONS, WARMUP_MAX_MS);
+        int served = NodeWarmup.run(WARMUP_GENERATIONS, WARMUP_TIMEOUT_MS);
         awaitFirstList();
         loop.submit(components.server()::markReady).await();
         LOG.atInfo()
@@ -146,7 +146,7 @@
     }
 
     private void build() {
-        if (shutdown.hasBegun()) {
+        if (shutdown.hasStarted()) {
             return;
         }
         try {
@@ -164,7 +164,7 @@
             loop.execute(
                     () -> {
                         if (components != null) {
-                            reload.begin(components.discovery(), () -> ended.getCount() == 0);
+                            reload.start(components.discovery(), () -> terminated.getCount() == 0);
                         }
                     });
         }
@@ -176,13 +176,13 @@
      */
     void shutDown() {
         if (!loop.isShuttingDown()) {
-            loop.execute(() -> shutdown.begin(components));
+            loop.execute(() -> shutdown.start(components));
         }
     }
 
     /** Returns once the shutdown is complete. */
-    void awaitEnd() throws InterruptedException {
-        ended.await();
+    void awaitTermination() throws InterruptedException {
+        terminated.await();
         group.shutdownGracefully(0, LOOP_SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
                 .await(LOOP_SHUTDOWN_MAX_WAIT_MS);
     }
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -37,23 +37,23 @@
     private static final int ENGINE_SOCKETS_DIVISOR = 2;
 
     private static final int MAX_BODY_BYTES = 256 << 10;
-    private static final double MEGABYTE = 1048576.0;
+    private static final double BYTES_PER_MEBIBYTE = 1048576.0;
 
     /**
      * The fraction of the memory that bodies may take, and what is assumed for one open generation
      * beside.
      */
-    private static final double BODIES_FRACTION = 0.2;
+    private static final double BODY_MEMORY_FRACTION = 0.2;
 
-    private static final int GENERATION_BYTES = 16 << 10;
+    private static final int BYTES_PER_GENERATION = 16 << 10;
     private static final int MIN_OPEN_GENERATIONS = 16;
-    private static final double REQUEST_TIMEOUT_MS = 2000;
+    private static final double REQUEST_PART_TIMEOUT_MS = 2000;
 
     /**
      * A client that stops in the middle has to get its error 3 s after it connected; the rest is
      * for the check that notices it.
      */
-    private static final double COMPLETE_REQUEST_TIMEOUT_MS = 2600;
+    private static final double REQUEST_TIMEOUT_MS = 2600;
 
     /**
      * A client has this long to read an answer and end its side, before what it still sends ends
@@ -76,7 +76,7 @@
     private final EventLoop loop;
     private final ByteBufAllocator allocator;
     private final NettyScheduler scheduler;
-    private final long bodiesBytes;
+    private final long bodyMemoryBytes;
 
     NodeAssembler(
             NodeConfiguration configuration, ByteBufAllocator allocator, NettyScheduler scheduler) {
@@ -88,8 +88,8 @@
         double memoryBytes =
                 Math.min(
                         (double) Runtime.getRuntime().maxMemory(),
-                        configuration.memoryMb() * MEGABYTE);
-        bodiesBytes = (long) (memoryBytes * BODIES_FRACTION);
+                        configuration.memoryMb() * BYTES_PER_MEBIBYTE);
+        bodyMemoryBytes = (long) (memoryBytes * BODY_MEMORY_FRACTION);
     }
 
     /** Builds all parts and starts to follow discovery. */
@@ -100,7 +100,7 @@
                 new ForwardingUpstreamClient(
                         loop, scheduler, allocator, upstreamLimits(), audit.events());
         Router router =
-                new Router(scheduler, site, 0, upstream, audit.meters(), RoutingPolicy::new);
+                new Router(scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
         audit.compareCounts(scheduler, router, upstream);
         HttpServer server =
                 new HttpServer(
@@ -111,7 +111,7 @@
                                 settings.trafficClasses().values(),
                                 serverLimits(),
                                 audit.events(),
-                                audit.meters()));
+                                audit.newRouterMetrics()));
         DiscoveryClient discovery = discovery(audit, upstream, router);
         NodeComponents components = new NodeComponents(audit, upstream, router, server, discovery);
         if (LOG.isDebugEnabled()) {
@@ -126,7 +126,7 @@
         site.releaseMs = settings.releaseMs();
         site.drainGraceMs = settings.drainGraceMs();
         site.limit.openGenerations =
-                (int) Math.max(MIN_OPEN_GENERATIONS, bodiesBytes / GENERATION_BYTES);
+                (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
         site.limit.slowClientMs = SLOW_CLIENT_TIMEOUT_MS;
         site.limit.quietStreamMs = SILENT_STREAM_TIMEOUT_MS;
         site.limit.stopMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
@@ -138,7 +138,7 @@
     }
 
     private UpstreamLimits upstreamLimits() {
-        double engineSockets = configuration.sockets() * ENGINE_SOCKETS_FRACTION;
+        double engineSockets = configuration.maxDescriptors() * ENGINE_SOCKETS_FRACTION;
         return new UpstreamLimits(
                 settings.connectMs(),
                 settings.keepAliveMs(),
@@ -150,11 +150,11 @@
 
     private ServerLimits serverLimits() {
         return new ServerLimits(
-                (int) (configuration.sockets() * CLIENT_SOCKETS_FRACTION),
+                (int) (configuration.maxDescriptors() * CLIENT_SOCKETS_FRACTION),
                 MAX_BODY_BYTES,
-                bodiesBytes,
+                bodyMemoryBytes,
+                REQUEST_PART_TIMEOUT_MS,
                 REQUEST_TIMEOUT_MS,
-                COMPLETE_REQUEST_TIMEOUT_MS,
                 settings.keepAliveMs(),
                 LINGER_MS);
     }
@@ -180,7 +180,7 @@
                         .log("the known endpoint list is invalid; discovery is waited for");
             }
         }
-        discovery.follow(configuration.discovery());
+        discovery.startPolling(configuration.discovery());
         return discovery;
     }
 
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -43,10 +43,10 @@
 
     private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
     private final Violations violations;
-    private final RequestAudit requests;
+    private final RequestAudit requestAudit;
 
     NodeAudit(Scheduler scheduler, DeploymentSettings settings) {
-        registry.config().meterFilter(new WithoutPercentiles());
+        registry.config().meterFilter(new PercentileDisablingFilter());
         violations = new Violations(registry);
         AuditSettings auditSettings =
                 new AuditSettings(
@@ -57,14 +57,14 @@
                         settings.routing().overloadMultiple(),
                         settings.routing().overloadMs(),
                         settings.routing().hedgingAllowed());
-        requests =
+        requestAudit =
                 new RequestAudit(
                         auditSettings, scheduler::nowMs, violations, new CloseCounters(registry));
-        scheduler.scheduleAtFixedDelay(REQUESTS_CHECK_INTERVAL_MS, requests::check);
+        scheduler.scheduleAtFixedDelay(REQUESTS_CHECK_INTERVAL_MS, requestAudit::check);
     }
 
     /** Percentiles over time take memory that a node does not have. */
-    private static final class WithoutPercentiles implements MeterFilter {
+    private static final class PercentileDisablingFilter implements MeterFilter {
         @Override
         public DistributionStatisticConfig configure(
                 Meter.Id id, DistributionStatisticConfig config) {
@@ -76,13 +76,13 @@
     }
 
     /** New metrics of a router in this node's registry. */
-    RouterMetrics meters() {
+    RouterMetrics newRouterMetrics() {
         return new RouterMetrics(registry);
     }
 
     /** Where connections report what happens on their sockets. */
     RequestEvents events() {
-        return requests;
+        return requestAudit;
     }
 
     /** Violations of invariants so far; on any thread. */
@@ -104,7 +104,7 @@
                             entry.capacityUnits() > 0 ? entry.capacityUnits() : 1,
                             entry.startMs()));
         }
-        requests.endpointsChanged(engines);
+        requestAudit.endpointsChanged(engines);
     }
 
     /** Checks periodically whether the policy and the upstream client count the same attempts. */
@@ -134,16 +134,16 @@
     }
 
     /** Checks that nothing is left at the end of the process, and logs the final counts. */
-    void checkAtEnd(NodeComponents components) {
-        Map<String, Long> leftovers = new TreeMap<>();
-        leftovers.put("generations", (long) components.router().generationsInFlight());
-        leftovers.put("upstream requests", (long) components.upstream().openRequests());
-        leftovers.put("ids", (long) components.server().openRequestCount());
-        leftovers.put("bytes of bodies", components.server().bufferedBodyBytes());
-        leftovers.put("audited requests", (long) requests.openRequests());
-        leftovers.values().removeIf(count -> count == 0);
-        if (!leftovers.isEmpty()) {
-            violations.report(Invariant.RESOURCES_RELEASED, "left at the end: " + leftovers);
+    void checkAtShutdown(NodeComponents components) {
+        Map<String, Long> unreleased = new TreeMap<>();
+        unreleased.put("generations", (long) components.router().generationsInFlight());
+        unreleased.put("upstream requests", (long) components.upstream().openRequests());
+        unreleased.put("ids", (long) components.server().openRequestCount());
+        unreleased.put("bytes of bodies", components.server().bufferedBodyBytes());
+        unreleased.put("audited requests", (long) requestAudit.openRequests());
+        unreleased.values().removeIf(count -> count == 0);
+        if (!unreleased.isEmpty()) {
+            violations.report(Invariant.RESOURCES_RELEASED, "left at the end: " + unreleased);
         }
         logCounts();
     }
--- a/src/main/java/larchridge/node/NodeConfiguration.java
+++ b/src/main/java/larchridge/node/NodeConfiguration.java
@@ -10,7 +10,7 @@
  *
  * @param listen where clients connect to
  * @param discovery where the discovery agent listens
- * @param sockets the descriptors that the node may have open
+ * @param maxDescriptors the descriptors that the node may have open
  * @param knownEndpoints the endpoint list that the platform kept, in discovery's form; a missing
  *     node where there is none
  */
@@ -20,19 +20,19 @@
         Endpoint discovery,
         long seed,
         int memoryMb,
-        int sockets,
+        int maxDescriptors,
         JsonNode knownEndpoints,
         DeploymentSettings settings) {
     /** Some of it is also given by variables; where they differ, one of the two is wrong. */
-    void checkAgainst(Map<String, String> variables) throws InvalidNodeConfigurationException {
-        checkSame(variables, "PROXY_NAME", name);
-        checkSame(variables, "PROXY_LISTEN", listen.toString());
-        checkSame(variables, "PROXY_DISCOVERY", discovery.toString());
+    void checkAgainst(Map<String, String> environment) throws InvalidNodeConfigurationException {
+        checkSame(environment, "PROXY_NAME", name);
+        checkSame(environment, "PROXY_LISTEN", listen.toString());
+        checkSame(environment, "PROXY_DISCOVERY", discovery.toString());
     }
 
-    private static void checkSame(Map<String, String> variables, String variable, String configured)
+    private static void checkSame(Map<String, String> environment, String variable, String configured)
             throws InvalidNodeConfigurationException {
-        String found = variables.get(variable);
+        String found = environment.get(variable);
         if (found != null && !found.equals(configured)) {
             throw InvalidNodeConfigurationException.variableDiffers(variable, found, configured);
         }
--- a/src/main/java/larchridge/node/NodeConfigurationReader.java
+++ b/src/main/java/larchridge/node/NodeConfigurationReader.java
@@ -27,9 +27,9 @@
     }
 
     /** Reads the configuration of a node with these environment variables. */
-    static NodeConfiguration read(Map<String, String> variables)
+    static NodeConfiguration read(Map<String, String> environment)
             throws InvalidNodeConfigurationException {
-        String path = variables.get("PROXY_CONFIG");
+        String path = environment.get("PROXY_CONFIG");
         if (path == null || path.isEmpty()) {
             throw InvalidNodeConfigurationException.missingVariable(
                     "PROXY_CONFIG", "the path of the configuration");
@@ -43,7 +43,7 @@
         try {
             root = MAPPER.readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            throw InvalidNodeConfigurationException.brokenJson(
+            throw InvalidNodeConfigurationException.invalidJson(
                     file, e.getLocation().getLineNr(), e.getOriginalMessage());
         } catch (IOException e) {
             throw InvalidNodeConfigurationException.unreadable(
@@ -75,14 +75,14 @@
         try {
             return DeploymentSettingsReader.read(root.path("settings"), seed);
         } catch (InvalidSettingsException e) {
-            throw InvalidNodeConfigurationException.settings(file, e.getMessage());
+            throw InvalidNodeConfigurationException.invalidSettings(file, e.getMessage());
         }
     }
 
     private String text(String member) throws InvalidNodeConfigurationException {
         JsonNode value = root.path(member);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw InvalidNodeConfigurationException.member(file, member, found(value), "a text");
+            throw InvalidNodeConfigurationException.invalidMember(file, member, found(value), "a text");
         }
         return value.asText();
     }
@@ -90,7 +90,7 @@
     private int limit(String member) throws InvalidNodeConfigurationException {
         JsonNode value = root.path("limits").path(member);
         if (!value.isNumber() || value.doubleValue() < 1 || value.doubleValue() > MAX_LIMIT) {
-            throw InvalidNodeConfigurationException.member(
+            throw InvalidNodeConfigurationException.invalidMember(
                     file, "limits." + member, found(value), "a number over 0");
         }
         return value.intValue();
@@ -100,7 +100,7 @@
         String text = text(member);
         Endpoint endpoint = Endpoint.parse(text);
         if (endpoint == null) {
-            throw InvalidNodeConfigurationException.member(
+            throw InvalidNodeConfigurationException.invalidMember(
                     file, member, "'" + text + "'", "host:port");
         }
         return endpoint;
@@ -114,7 +114,7 @@
         try {
             return Long.parseUnsignedLong(text("seed"), SEED_RADIX);
         } catch (NumberFormatException e) {
-            throw InvalidNodeConfigurationException.member(
+            throw InvalidNodeConfigurationException.invalidMember(
                     file, "seed", "'" + value.asText() + "'", "up to 16 hex digits");
         }
     }
--- a/src/main/java/larchridge/node/NodeMain.java
+++ b/src/main/java/larchridge/node/NodeMain.java
@@ -15,15 +15,15 @@
     private NodeMain() {}
 
     /** Runs a node until it is signalled to end; gives the exit code. */
-    public static int run(Map<String, String> variables, PrintStream errors) {
+    public static int run(Map<String, String> environment, PrintStream errors) {
         try {
-            Node node = Node.create(variables);
+            Node node = Node.create(environment);
             // Installed before anything slow: without handlers these signals would kill the
             // process.
             Signal.handle(new Signal("TERM"), signal -> node.shutDown());
             Signal.handle(new Signal("HUP"), signal -> node.reload());
             node.start();
-            node.awaitEnd();
+            node.awaitTermination();
             return EXIT_OK;
         } catch (NodeStartException e) {
             errors.println("larchridge: " + e.getMessage());
--- a/src/main/java/larchridge/node/NodeTrainingRun.java
+++ b/src/main/java/larchridge/node/NodeTrainingRun.java
@@ -27,7 +27,7 @@
                 Files.writeString(file, CONFIGURATION);
                 Node node = Node.open(Map.of("PROXY_CONFIG", file.toString()));
                 node.shutDown();
-                node.awaitEnd();
+                node.awaitTermination();
             } finally {
                 Files.delete(file);
             }
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -31,7 +31,7 @@
     private static final int ENGINES = 12;
 
     /** One in this many requests is followed by a bad one. */
-    private static final int BAD_REQUEST_PERIOD = 8;
+    private static final int INVALID_REQUEST_PERIOD = 8;
 
     /** Virtual time between requests, and the time that engines take for an answer or an event. */
     private static final double STEP_MS = 7;
@@ -39,23 +39,23 @@
     /** Steps after the last request within which answers come to their end. */
     private static final int MAX_FINAL_STEPS = 200;
 
-    private static final double MILLISECOND_NANOS = 1e6;
+    private static final double NANOS_PER_MILLISECOND = 1e6;
     private static final double NO_TIMEOUT_MS = 1e6;
     private static final int MAX_OPEN_GENERATIONS = 1000;
     private static final int MAX_CONNECTIONS = 400;
     private static final int MAX_CONNECTIONS_PER_ENGINE = 200;
     private static final int MAX_BODY_BYTES = 1 << 18;
-    private static final long MAX_BODIES_BYTES = 1 << 22;
+    private static final long MAX_BUFFERED_BYTES = 1 << 22;
     private static final double MEMORY_TOKENS = 200_000;
 
-    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
-    private final WarmupEngines engines = new WarmupEngines(time, STEP_MS);
+    private final VirtualTimeScheduler virtualTime = new VirtualTimeScheduler();
+    private final WarmupEngines engines = new WarmupEngines(virtualTime, STEP_MS);
     private final WarmupClients clients;
 
     private NodeWarmup() throws InvalidSettingsException, IOException {
         DeploymentSettings settings =
                 DeploymentSettingsReader.read(new ObjectMapper().readTree(WarmupSettings.JSON), 1);
-        Scheduler scheduler = time.schedulerOf(0, settings.routing().seed());
+        Scheduler scheduler = virtualTime.schedulerOf(0, settings.routing().seed());
         Site site = site(settings);
         NodeAudit audit = new NodeAudit(scheduler, settings);
         ForwardingUpstreamClient upstream =
@@ -65,7 +65,7 @@
                         (endpoint, handlers) -> engines.open(handlers),
                         audit.events());
         Router router =
-                new Router(scheduler, site, 0, upstream, audit.meters(), RoutingPolicy::new);
+                new Router(scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
         HttpServer server =
                 new HttpServer(
                         new ServerDependencies(
@@ -75,7 +75,7 @@
                                 settings.trafficClasses().values(),
                                 serverLimits(),
                                 audit.events(),
-                                audit.meters()));
+                                audit.newRouterMetrics()));
         clients = new WarmupClients(server);
         List<EngineEntry> entries = entries();
         audit.endpointsChanged(entries);
@@ -108,7 +108,7 @@
         return new ServerLimits(
                 MAX_CONNECTIONS,
                 MAX_BODY_BYTES,
-                MAX_BODIES_BYTES,
+                MAX_BUFFERED_BYTES,
                 NO_TIMEOUT_MS,
                 NO_TIMEOUT_MS,
                 NO_TIMEOUT_MS,
@@ -130,7 +130,7 @@
                             i / 4,
                             1,
                             MEMORY_TOKENS,
-                            i == ENGINES - 1 ? time.nowMs() : 0,
+                            i == ENGINES - 1 ? virtualTime.nowMs() : 0,
                             EndpointState.READY));
         }
         return entries;
@@ -150,25 +150,25 @@
             throw new IllegalStateException(
                     "the warm-up's own settings are invalid: " + e.getMessage(), e);
         }
-        warmup.serve(generations, System.nanoTime() + (long) (maxMs * MILLISECOND_NANOS));
-        return warmup.clients.complete();
+        warmup.serve(generations, System.nanoTime() + (long) (maxMs * NANOS_PER_MILLISECOND));
+        return warmup.clients.completed();
     }
 
     private void serve(int generations, long deadlineNanos) {
         while (clients.sent() < generations && System.nanoTime() < deadlineNanos) {
             clients.send();
-            if (clients.sent() % BAD_REQUEST_PERIOD == 0) {
-                clients.sendBad(clients.sent() / BAD_REQUEST_PERIOD);
+            if (clients.sent() % INVALID_REQUEST_PERIOD == 0) {
+                clients.sendInvalid(clients.sent() / INVALID_REQUEST_PERIOD);
             }
             step();
         }
-        for (int i = 0; i < MAX_FINAL_STEPS && clients.complete() < clients.sent(); i++) {
+        for (int i = 0; i < MAX_FINAL_STEPS && clients.completed() < clients.sent(); i++) {
             step();
         }
     }
 
     private void step() {
-        time.run(time.sinceMs() + STEP_MS);
+        virtualTime.run(virtualTime.sinceMs() + STEP_MS);
         engines.step();
         clients.step();
     }
--- a/src/main/java/larchridge/node/ShutdownSequence.java
+++ b/src/main/java/larchridge/node/ShutdownSequence.java
@@ -20,31 +20,31 @@
     private static final double ACCEPT_GRACE_MS = 500;
 
     private final Scheduler scheduler;
-    private final Runnable onEnded;
+    private final Runnable onComplete;
 
     /** Set on the event loop; the thread that starts the node reads it. */
-    private volatile boolean begun;
+    private volatile boolean started;
 
-    ShutdownSequence(Scheduler scheduler, Runnable onEnded) {
+    ShutdownSequence(Scheduler scheduler, Runnable onComplete) {
         this.scheduler = scheduler;
-        this.onEnded = onEnded;
+        this.onComplete = onComplete;
     }
 
     /** Whether the node is shutting down; on any thread. */
-    boolean hasBegun() {
-        return begun;
+    boolean hasStarted() {
+        return started;
     }
 
     /** Begins the end of a node whose components may not be built yet, or never; only once. */
-    void begin(NodeComponents components) {
-        if (begun) {
+    void start(NodeComponents components) {
+        if (started) {
             return;
         }
-        begun = true;
+        started = true;
         LOG.info("shutting down");
         if (components == null) {
             // The signal came before anything was built, and nothing will be.
-            onEnded.run();
+            onComplete.run();
             return;
         }
         components.server().startDraining();
@@ -66,8 +66,8 @@
                 .server()
                 .whenNoConnections(
                         () -> {
-                            components.audit().checkAtEnd(components);
-                            onEnded.run();
+                            components.audit().checkAtShutdown(components);
+                            onComplete.run();
                         });
     }
 }
--- a/src/main/java/larchridge/node/WarmupClients.java
+++ b/src/main/java/larchridge/node/WarmupClients.java
@@ -18,7 +18,7 @@
                     + "\"}]}";
 
     /** What bad clients send; each then closes. */
-    private static final List<String> BAD_REQUESTS =
+    private static final List<String> INVALID_REQUESTS =
             List.of(
                     HEAD + "Content-Length: -4\r\n\r\n",
                     HEAD + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -30,13 +30,13 @@
                     HEAD + "Content-Length: 20\r\n\r\nhalf");
 
     private static final String LAST_CHUNK = "0\r\n\r\n";
-    private static final int KEYS = 40;
+    private static final int SESSION_KEYS = 40;
     private static final int PREFIXES = 9;
 
     private final HttpServer server;
     private final List<EmbeddedChannel> connections = new ArrayList<>();
     private int sent;
-    private int complete;
+    private int completed;
 
     WarmupClients(HttpServer server) {
         this.server = server;
@@ -48,8 +48,8 @@
     }
 
     /** Of these, the ones whose answer came to its end. */
-    int complete() {
-        return complete;
+    int completed() {
+        return completed;
     }
 
     /** Sends a good request, on a connection that has none in flight. */
@@ -66,12 +66,12 @@
         }
         client.attr(BUSY).set(true);
         client.writeInbound(
-                EmbeddedBytes.of(
+                EmbeddedChannelBytes.of(
                         HEAD
                                 + "Req-Id: "
                                 + String.format("%016x", sent)
                                 + "\r\nReq-Kind: p\r\nReq-Key: k"
-                                + sent % KEYS
+                                + sent % SESSION_KEYS
                                 + "\r\nReq-Deadline-Ms: 4800\r\nReq-Extra: prefix=x"
                                 + sent % PREFIXES
                                 + ",prompt_len=2000,prefix_len=1000,max_out=200\r\nContent-Length: "
@@ -82,14 +82,14 @@
     }
 
     /** A client sends what is rejected, or leaves in the middle. */
-    void sendBad(int number) {
+    void sendInvalid(int number) {
         EmbeddedChannel client = new EmbeddedChannel();
         server.addConnection(client);
-        client.writeInbound(EmbeddedBytes.of(BAD_REQUESTS.get(number % BAD_REQUESTS.size())));
+        client.writeInbound(EmbeddedChannelBytes.of(INVALID_REQUESTS.get(number % INVALID_REQUESTS.size())));
         client.runPendingTasks();
-        ByteBuf answer = EmbeddedBytes.readOutbound(client);
-        if (answer != null) {
-            answer.release();
+        ByteBuf response = EmbeddedChannelBytes.readOutbound(client);
+        if (response != null) {
+            response.release();
         }
         client.close();
     }
@@ -98,11 +98,11 @@
     void step() {
         for (EmbeddedChannel client : List.copyOf(connections)) {
             client.runPendingTasks();
-            ByteBuf answer = EmbeddedBytes.readOutbound(client);
-            if (answer != null) {
-                String text = answer.toString(StandardCharsets.ISO_8859_1);
-                answer.release();
-                takeAnswer(client, text);
+            ByteBuf response = EmbeddedChannelBytes.readOutbound(client);
+            if (response != null) {
+                String text = response.toString(StandardCharsets.ISO_8859_1);
+                response.release();
+                processResponse(client, text);
             }
             if (!client.isOpen()) {
                 connections.remove(client);
@@ -110,12 +110,12 @@
         }
     }
 
-    private void takeAnswer(EmbeddedChannel client, String text) {
-        boolean ended = text.endsWith(LAST_CHUNK);
-        if (ended) {
-            complete++;
+    private void processResponse(EmbeddedChannel client, String text) {
+        boolean streamComplete = text.endsWith(LAST_CHUNK);
+        if (streamComplete) {
+            completed++;
         }
-        if (ended || text.contains("HTTP/1.1 50")) {
+        if (streamComplete || text.contains("HTTP/1.1 50")) {
             client.attr(BUSY).set(null);
         }
     }
--- a/src/main/java/larchridge/node/WarmupEngines.java
+++ b/src/main/java/larchridge/node/WarmupEngines.java
@@ -26,7 +26,7 @@
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String LOAD_REPORT = "concurrent=3,depth=1,x0=0.2,x1=1.5";
     private static final String READ_RESULT = "{\"cached_tokens\":1000}";
-    private static final List<String> BAD_ANSWERS =
+    private static final List<String> INVALID_RESPONSES =
             List.of(
                     "\u0001noise\r\n\r\n",
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
@@ -34,29 +34,29 @@
     private static final int EVENTS_PER_STREAM = 12;
 
     /** One in this many answers is bad. */
-    private static final int BAD_ANSWER_PERIOD = 8;
+    private static final int INVALID_RESPONSE_PERIOD = 8;
 
     /** One in this many connections can't be opened for want of a descriptor. */
     private static final int FAILED_CONNECTION_PERIOD = 4;
 
-    private static final int REQUEST_ID_LENGTH = "Req-Id: 0123456789abcdef".length();
+    private static final int REQUEST_ID_HEADER_LENGTH = "Req-Id: 0123456789abcdef".length();
 
-    private final VirtualTimeScheduler time;
+    private final VirtualTimeScheduler virtualTime;
 
     /** How long an engine takes for an answer or an event, in virtual time. */
     private final double latencyMs;
 
     private final List<EmbeddedChannel> connections = new ArrayList<>();
-    private final Set<EmbeddedChannel> answering = new HashSet<>();
+    private final Set<EmbeddedChannel> responding = new HashSet<>();
 
     /** Requests whose prompt was read already. */
     private final Set<String> readRequests = new HashSet<>();
 
-    private int answers;
+    private int responses;
     private int opened;
 
-    WarmupEngines(VirtualTimeScheduler time, double latencyMs) {
-        this.time = time;
+    WarmupEngines(VirtualTimeScheduler virtualTime, double latencyMs) {
+        this.virtualTime = virtualTime;
         this.latencyMs = latencyMs;
     }
 
@@ -76,12 +76,12 @@
     void step() {
         for (EmbeddedChannel connection : List.copyOf(connections)) {
             connection.runPendingTasks();
-            ByteBuf request = EmbeddedBytes.readOutbound(connection);
+            ByteBuf request = EmbeddedChannelBytes.readOutbound(connection);
             if (request != null) {
                 String text = request.toString(StandardCharsets.ISO_8859_1);
                 request.release();
-                if (answering.add(connection)) {
-                    time.schedule(latencyMs, () -> answer(connection, text));
+                if (responding.add(connection)) {
+                    virtualTime.schedule(latencyMs, () -> respond(connection, text));
                 }
             }
             if (!connection.isOpen()) {
@@ -90,13 +90,13 @@
         }
     }
 
-    private void answer(EmbeddedChannel connection, String request) {
-        answering.remove(connection);
+    private void respond(EmbeddedChannel connection, String request) {
+        responding.remove(connection);
         if (!connection.isOpen()) {
             return;
         }
-        if (++answers % BAD_ANSWER_PERIOD == 0) {
-            send(connection, BAD_ANSWERS.get(answers % BAD_ANSWERS.size()));
+        if (++responses % INVALID_RESPONSE_PERIOD == 0) {
+            send(connection, INVALID_RESPONSES.get(responses % INVALID_RESPONSES.size()));
         } else if (request.startsWith("GET")) {
             send(connection, withLength("HTTP/1.1 200 OK", LOAD_REPORT));
         } else if (request.startsWith("DELETE")) {
@@ -110,7 +110,7 @@
 
     private static String requestId(String request) {
         int start = request.indexOf("Req-Id");
-        return request.substring(start, start + REQUEST_ID_LENGTH);
+        return request.substring(start, start + REQUEST_ID_HEADER_LENGTH);
     }
 
     private void streamEvent(EmbeddedChannel connection, int sent) {
@@ -122,7 +122,7 @@
         String chunk = Integer.toHexString(events.length()) + "\r\n" + events + "\r\n";
         send(connection, (sent == 0 ? STREAM_HEAD : "") + chunk + (last ? "0\r\n\r\n" : ""));
         if (!last) {
-            time.schedule(latencyMs, () -> streamEvent(connection, sent + 1));
+            virtualTime.schedule(latencyMs, () -> streamEvent(connection, sent + 1));
         }
     }
 
@@ -131,6 +131,6 @@
     }
 
     private static void send(EmbeddedChannel connection, String text) {
-        connection.writeInbound(EmbeddedBytes.of(text));
+        connection.writeInbound(EmbeddedChannelBytes.of(text));
     }
 }
--- a/src/main/java/larchridge/node/WholeMillisecondIoHandler.java
+++ b/src/main/java/larchridge/node/WholeMillisecondIoHandler.java
@@ -14,7 +14,7 @@
  * more than all requests, and answers wait behind them.
  */
 final class WholeMillisecondIoHandler implements IoHandler {
-    private static final long MILLISECOND_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandler handler;
 
@@ -24,7 +24,7 @@
     }
 
     /** A factory of such handlers around those of another factory. */
-    static IoHandlerFactory around(IoHandlerFactory factory) {
+    static IoHandlerFactory wrap(IoHandlerFactory factory) {
         return executor -> new WholeMillisecondIoHandler(factory.newHandler(executor));
     }
 
@@ -73,10 +73,10 @@
         @Override
         public long delayNanos(long currentTimeNanos) {
             long delay = context.delayNanos(currentTimeNanos);
-            if (delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND_NANOS) {
+            if (delay <= 0 || delay > Long.MAX_VALUE - NANOS_PER_MILLISECOND) {
                 return delay;
             }
-            return (delay + MILLISECOND_NANOS - 1) / MILLISECOND_NANOS * MILLISECOND_NANOS;
+            return (delay + NANOS_PER_MILLISECOND - 1) / NANOS_PER_MILLISECOND * NANOS_PER_MILLISECOND;
         }
 
         @Override
--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -33,10 +33,10 @@
     private static final double MIN_SNAPSHOT_INTERVAL_MS = 20;
 
     /** Snapshot calls that may be open at a time; beyond it the oldest is closed. */
-    private static final int MAX_OPEN_CALLS = 16;
+    private static final int MAX_OPEN_CONNECTIONS = 16;
 
     /** Of these, the ones that may receive: each may take the memory of a whole list. */
-    private static final int MAX_RECEIVING_CALLS = 2;
+    private static final int MAX_RECEIVING_CONNECTIONS = 2;
 
     private final EventLoop loop;
     private final ByteBufAllocator allocator;
@@ -48,7 +48,7 @@
     private final EndpointCatalog catalog = new EndpointCatalog(System::currentTimeMillis);
 
     /** The oldest first. More than one only while a snapshot is requested. */
-    private final List<DiscoveryCall> openCalls = new ArrayList<>();
+    private final List<DiscoveryConnection> openConnections = new ArrayList<>();
 
     private Endpoint agent;
     private boolean stopped;
@@ -57,10 +57,10 @@
     private boolean snapshotNeeded = true;
 
     /** Whether the agent has sent a list since the start. */
-    private boolean agentHeard;
+    private boolean listReceived;
 
     /** Waits for the agent's first list; null if nobody does. */
-    private Runnable firstUpdateWaiter;
+    private Runnable firstUpdateListener;
 
     /**
      * @param drainGraceMs how long an engine may still be sent to once it is set to drain
@@ -85,35 +85,35 @@
 
     /** Applies a list: one from the configuration, or an answer of the agent. */
     public void apply(EndpointListUpdate update) {
-        if (catalog.apply(update, scheduler.nowMs(), agentHeard)) {
+        if (catalog.apply(update, scheduler.nowMs(), listReceived)) {
             onChange.accept(catalog.entries());
         }
     }
 
     /** Runs an action once the agent has sent a list of its own, or the timeout has passed. */
     public void whenFirstUpdated(double timeoutMs, Runnable action) {
-        Runnable waiter =
+        Runnable listener =
                 () -> {
-                    if (firstUpdateWaiter != null) {
-                        firstUpdateWaiter = null;
+                    if (firstUpdateListener != null) {
+                        firstUpdateListener = null;
                         action.run();
                     }
                 };
-        firstUpdateWaiter = waiter;
-        if (agentHeard) {
-            waiter.run();
+        firstUpdateListener = listener;
+        if (listReceived) {
+            listener.run();
         } else {
-            scheduler.schedule(timeoutMs, waiter);
+            scheduler.schedule(timeoutMs, listener);
         }
     }
 
     /** Polls the agent at this address from now on, beginning at once with a snapshot. */
-    public void follow(Endpoint newAgent) {
+    public void startPolling(Endpoint newAgent) {
         agent = newAgent;
         snapshotNeeded = true;
         backoff.reset();
         closeAll();
-        openCall();
+        openConnection();
     }
 
     /** Ends all polling for good. */
@@ -123,25 +123,25 @@
     }
 
     private void closeAll() {
-        List.copyOf(openCalls).forEach(DiscoveryCall::close);
+        List.copyOf(openConnections).forEach(DiscoveryConnection::close);
     }
 
-    private void openCall() {
+    private void openConnection() {
         if (stopped) {
             return;
         }
-        if (openCalls.size() >= MAX_OPEN_CALLS) {
-            openCalls.get(0).close();
+        if (openConnections.size() >= MAX_OPEN_CONNECTIONS) {
+            openConnections.get(0).close();
         }
-        DiscoveryCall call = new DiscoveryCall(this, scheduler, agent);
-        openCalls.add(call);
-        call.open(
+        DiscoveryConnection connection = new DiscoveryConnection(this, scheduler, agent);
+        openConnections.add(connection);
+        connection.open(
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.ALLOCATOR, allocator)
                         .option(ChannelOption.TCP_NODELAY, true));
-        scheduler.schedule(snapshotIntervalMs, () -> openAnother(call));
+        scheduler.schedule(snapshotIntervalMs, () -> openNextConnection(connection));
     }
 
     /**
@@ -149,14 +149,14 @@
      * again its list counts as known at once. So another call begins while this one stays open,
      * since its answer may come in slow pieces.
      */
-    private void openAnother(DiscoveryCall call) {
-        if (call.isClosed() || !snapshotNeeded || openCalls.get(openCalls.size() - 1) != call) {
+    private void openNextConnection(DiscoveryConnection connection) {
+        if (connection.isClosed() || !snapshotNeeded || openConnections.get(openConnections.size() - 1) != connection) {
             return;
         }
-        if (call.isProgressing(snapshotIntervalMs)) {
-            scheduler.schedule(snapshotIntervalMs, () -> openAnother(call));
+        if (connection.isProgressing(snapshotIntervalMs)) {
+            scheduler.schedule(snapshotIntervalMs, () -> openNextConnection(connection));
         } else {
-            openCall();
+            openConnection();
         }
     }
 
@@ -177,17 +177,17 @@
      * the first ones are received, the others are closed. Those that have received a part stay,
      * since a list that always comes in slow pieces would otherwise never be complete.
      */
-    boolean admitReceiving(DiscoveryCall call) {
-        List<DiscoveryCall> others = openCalls.stream().filter(other -> other != call).toList();
-        if (others.stream().filter(DiscoveryCall::isReceiving).count() >= MAX_RECEIVING_CALLS) {
+    boolean tryStartReceiving(DiscoveryConnection connection) {
+        List<DiscoveryConnection> others = openConnections.stream().filter(other -> other != connection).toList();
+        if (others.stream().filter(DiscoveryConnection::isReceiving).count() >= MAX_RECEIVING_CONNECTIONS) {
             return false;
         }
-        others.stream().filter(other -> !other.isReceiving()).forEach(DiscoveryCall::close);
+        others.stream().filter(other -> !other.isReceiving()).forEach(DiscoveryConnection::close);
         return true;
     }
 
     /** Applies the body of an answer; false if it could not be used and the call has failed. */
-    boolean applyAnswer(DiscoveryCall call, byte[] body) {
+    boolean applyResponse(DiscoveryConnection connection, byte[] body) {
         EndpointListUpdate update;
         try {
             update = reader.read(body);
@@ -197,47 +197,47 @@
                     .log("the endpoint list from discovery is invalid; the last one stays");
             // What it would have changed is unknown; only a snapshot restores that.
             snapshotNeeded = true;
-            call.fail("invalid list");
+            connection.fail("invalid list");
             return false;
         }
         if (snapshotNeeded && !update.snapshot()) {
-            call.fail("changes where a snapshot was requested");
+            connection.fail("changes where a snapshot was requested");
             return false;
         }
         if (!snapshotNeeded && update.version() < catalog.version()) {
             // Applied, it would return engines to service that have begun to drain.
-            call.fail("an older list");
+            connection.fail("an older list");
             return false;
         }
-        List.copyOf(openCalls).stream()
-                .filter(other -> other != call)
-                .forEach(DiscoveryCall::close);
-        agentHeard = true;
+        List.copyOf(openConnections).stream()
+                .filter(other -> other != connection)
+                .forEach(DiscoveryConnection::close);
+        listReceived = true;
         apply(update);
         snapshotNeeded = false;
         backoff.reset();
-        if (firstUpdateWaiter != null) {
-            firstUpdateWaiter.run();
+        if (firstUpdateListener != null) {
+            firstUpdateListener.run();
         }
         return true;
     }
 
     /** A call was closed by either side, or has failed. */
-    void callClosed(DiscoveryCall call) {
-        openCalls.remove(call);
+    void connectionClosed(DiscoveryConnection connection) {
+        openConnections.remove(connection);
     }
 
     /** A call has failed and was closed; another one follows after a pause. */
-    void callFailed(String reason) {
+    void connectionFailed(String reason) {
         LOG.atDebug().addKeyValue("reason", reason).log("discovery call failed; it is retried");
-        double pauseMs = backoff.nextMs();
+        double retryDelayMs = backoff.nextDelayMs();
         // A gap between watches may hide changes; only a snapshot shows them.
         snapshotNeeded = true;
         scheduler.schedule(
-                pauseMs,
+                retryDelayMs,
                 () -> {
-                    if (openCalls.isEmpty()) {
-                        openCall();
+                    if (openConnections.isEmpty()) {
+                        openConnection();
                     }
                 });
     }
--- a/src/main/java/larchridge/node/discovery/DiscoveryCall.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
@@ -25,7 +25,7 @@
  * One connection to the discovery agent, and the polls on it: a snapshot, then one watch after the
  * other until it fails or is closed.
  */
-final class DiscoveryCall extends SimpleChannelInboundHandler<FullHttpResponse> {
+final class DiscoveryConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private static final String LIST_PATH = "/discovery/hosts";
     private static final int MAX_LIST_BYTES = 4 << 20;
 
@@ -44,7 +44,7 @@
     private static final double SNAPSHOT_TIMEOUT_MS = 10_000;
 
     /** The same for a watch, beside the agent's wait. */
-    private static final double WATCH_TIMEOUT_MS = 1500;
+    private static final double WATCH_RESPONSE_TIMEOUT_MS = 1500;
 
     /** The least time between polls, also where each is answered at once. */
     private static final double MIN_POLL_INTERVAL_MS = 20;
@@ -56,7 +56,7 @@
         /** The connection is being established. */
         CONNECTING,
         /** A poll was sent; nothing of its answer has arrived. */
-        AWAITING_ANSWER,
+        AWAITING_RESPONSE,
         /** A part of an answer has arrived. */
         RECEIVING,
         /** An answer was applied; the next poll waits for the least interval to pass. */
@@ -73,11 +73,11 @@
     /** Null before the connection is opened, and where no socket could be had. */
     private Channel channel;
 
-    private double polledMs;
-    private double progressMs;
+    private double pollSentMs;
+    private double lastProgressMs;
     private long silenceTimer = NO_TIMER;
 
-    DiscoveryCall(DiscoveryClient client, Scheduler scheduler, Endpoint agent) {
+    DiscoveryConnection(DiscoveryClient client, Scheduler scheduler, Endpoint agent) {
         this.client = client;
         this.scheduler = scheduler;
         this.agent = agent;
@@ -85,26 +85,26 @@
 
     /** Connects to the agent and sends the first poll. */
     void open(Bootstrap bootstrap) {
-        ChannelFuture opening =
+        ChannelFuture connectFuture =
                 bootstrap
                         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) SILENCE_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
-                                    protected void initChannel(Channel opened) {
-                                        opened.pipeline()
+                                    protected void initChannel(Channel openedChannel) {
+                                        openedChannel.pipeline()
                                                 .addLast(
                                                         new ReadProgressHandler(
-                                                                DiscoveryCall.this::bytesReceived),
+                                                                DiscoveryConnection.this::bytesReceived),
                                                         new HttpClientCodec(),
                                                         new HttpObjectAggregator(MAX_LIST_BYTES),
-                                                        DiscoveryCall.this);
+                                                        DiscoveryConnection.this);
                                     }
                                 })
                         .connect(agent.host(), agent.port());
-        channel = ConnectFutures.usableChannel(opening);
+        channel = ConnectFutures.usableChannel(connectFuture);
         ConnectFutures.whenComplete(
-                opening, scheduler, this::poll, failure -> fail("no connection: " + failure));
+                connectFuture, scheduler, this::poll, failure -> fail("no connection: " + failure));
     }
 
     boolean isClosed() {
@@ -120,8 +120,8 @@
     boolean isProgressing(double withinMs) {
         double nowMs = scheduler.nowMs();
         return isReceiving()
-                && nowMs - progressMs < withinMs
-                && nowMs - polledMs < SILENCE_TIMEOUT_MS;
+                && nowMs - lastProgressMs < withinMs
+                && nowMs - pollSentMs < SILENCE_TIMEOUT_MS;
     }
 
     private void poll() {
@@ -138,8 +138,8 @@
                         HttpVersion.HTTP_1_1, HttpMethod.GET, target, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, agent.toString());
         channel.writeAndFlush(request);
-        polledMs = scheduler.nowMs();
-        state = State.AWAITING_ANSWER;
+        pollSentMs = scheduler.nowMs();
+        state = State.AWAITING_RESPONSE;
         startSilenceTimer(SILENCE_TIMEOUT_MS + (snapshot ? 0 : WATCH_WAIT_MS));
     }
 
@@ -148,17 +148,17 @@
         if (isClosed()) {
             return;
         }
-        progressMs = scheduler.nowMs();
+        lastProgressMs = scheduler.nowMs();
         if (!isReceiving()) {
-            if (!client.admitReceiving(this)) {
+            if (!client.tryStartReceiving(this)) {
                 close();
                 return;
             }
             state = State.RECEIVING;
         }
         double timeoutMs =
-                client.isSnapshotNeeded() ? SNAPSHOT_TIMEOUT_MS : WATCH_WAIT_MS + WATCH_TIMEOUT_MS;
-        startSilenceTimer(Math.min(SILENCE_TIMEOUT_MS, polledMs + timeoutMs - progressMs));
+                client.isSnapshotNeeded() ? SNAPSHOT_TIMEOUT_MS : WATCH_WAIT_MS + WATCH_RESPONSE_TIMEOUT_MS;
+        startSilenceTimer(Math.min(SILENCE_TIMEOUT_MS, pollSentMs + timeoutMs - lastProgressMs));
     }
 
     @Override
@@ -171,17 +171,17 @@
             fail("answer " + response.status().code());
             return;
         }
-        if (!client.applyAnswer(this, ByteBufUtil.getBytes(response.content()))) {
+        if (!client.applyResponse(this, ByteBufUtil.getBytes(response.content()))) {
             return;
         }
         if (!HttpUtil.isKeepAlive(response)) {
             fail("the agent closes the connection");
             return;
         }
-        double pauseMs = polledMs + MIN_POLL_INTERVAL_MS - scheduler.nowMs();
-        if (pauseMs > 0) {
+        double delayMs = pollSentMs + MIN_POLL_INTERVAL_MS - scheduler.nowMs();
+        if (delayMs > 0) {
             state = State.BETWEEN_POLLS;
-            scheduler.schedule(pauseMs, this::poll);
+            scheduler.schedule(delayMs, this::poll);
         } else {
             poll();
         }
@@ -193,13 +193,13 @@
             return;
         }
         close();
-        client.callFailed(reason);
+        client.connectionFailed(reason);
     }
 
     /** Closes the call; nothing follows it. */
     void close() {
         state = State.CLOSED;
-        client.callClosed(this);
+        client.connectionClosed(this);
         stopSilenceTimer();
         if (channel != null) {
             channel.close();
--- a/src/main/java/larchridge/node/discovery/EndpointCatalog.java
+++ b/src/main/java/larchridge/node/discovery/EndpointCatalog.java
@@ -36,18 +36,18 @@
     /**
      * Applies an update; returns false if it has changed nothing.
      *
-     * @param agentHeard whether the agent has answered since the start, so that the list counts as
+     * @param listReceived whether the agent has answered since the start, so that the list counts as
      *     confirmed now
      */
-    boolean apply(EndpointListUpdate update, double nowMs, boolean agentHeard) {
+    boolean apply(EndpointListUpdate update, double nowMs, boolean listReceived) {
         Map<String, EngineEntry> before = new LinkedHashMap<>(entries);
         if (update.snapshot()) {
             entries.clear();
         }
         update.entries().forEach((name, entry) -> put(name, entry, update.version(), nowMs));
-        removedEndpoints.recordEnded(before, entries, update.version());
-        if (agentHeard) {
-            startTimes.confirmed(nowMs);
+        removedEndpoints.recordRemovals(before, entries, update.version());
+        if (listReceived) {
+            startTimes.listConfirmed(nowMs);
         }
         version = update.version();
         return update.snapshot() || !update.entries().isEmpty();
--- a/src/main/java/larchridge/node/discovery/PollBackoff.java
+++ b/src/main/java/larchridge/node/discovery/PollBackoff.java
@@ -2,24 +2,24 @@
 
 /** The pause before a failed call to the agent is repeated: doubles up to a limit. */
 final class PollBackoff {
-    private static final double INITIAL_MS = 50;
+    private static final double INITIAL_DELAY_MS = 50;
 
-    private final double maxMs;
-    private double nextMs = INITIAL_MS;
+    private final double maxDelayMs;
+    private double nextDelayMs = INITIAL_DELAY_MS;
 
-    PollBackoff(double maxMs) {
-        this.maxMs = maxMs;
+    PollBackoff(double maxDelayMs) {
+        this.maxDelayMs = maxDelayMs;
     }
 
     /** The pause before the next call; the one after it is twice as long. */
-    double nextMs() {
-        double currentMs = nextMs;
-        nextMs = Math.min(maxMs, 2 * currentMs);
-        return currentMs;
+    double nextDelayMs() {
+        double currentDelayMs = nextDelayMs;
+        nextDelayMs = Math.min(maxDelayMs, 2 * currentDelayMs);
+        return currentDelayMs;
     }
 
     /** Starts again at the shortest pause. */
     void reset() {
-        nextMs = INITIAL_MS;
+        nextDelayMs = INITIAL_DELAY_MS;
     }
 }
--- a/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
+++ b/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
@@ -38,7 +38,7 @@
     }
 
     /** Records the engines that served before a list and do not serve after it. */
-    void recordEnded(
+    void recordRemovals(
             Map<String, EngineEntry> before, Map<String, EngineEntry> after, long version) {
         before.forEach(
                 (name, entry) -> {
--- a/src/main/java/larchridge/node/discovery/StartTimeConverter.java
+++ b/src/main/java/larchridge/node/discovery/StartTimeConverter.java
@@ -34,7 +34,7 @@
     /**
      * When the agent last sent its list, or reported no change; negative infinity before it has.
      */
-    private double confirmedMs = Double.NEGATIVE_INFINITY;
+    private double listConfirmedMs = Double.NEGATIVE_INFINITY;
 
     StartTimeConverter(LongSupplier wallClockMs) {
         this.wallClockMs = wallClockMs;
@@ -50,14 +50,14 @@
         if (known == null || known.listedMs != listedMs) {
             double byWallClockMs = nowMs - (wallClockMs.getAsLong() - listedMs);
             startTimes.remove(name);
-            known = new StartTime(listedMs, Math.min(nowMs, Math.max(byWallClockMs, confirmedMs)));
+            known = new StartTime(listedMs, Math.min(nowMs, Math.max(byWallClockMs, listConfirmedMs)));
             startTimes.put(name, known);
         }
         return known.localMs;
     }
 
     /** The agent has sent its list, or reported that nothing has changed. */
-    void confirmed(double nowMs) {
-        confirmedMs = nowMs;
+    void listConfirmed(double nowMs) {
+        listConfirmedMs = nowMs;
     }
 }
--- a/src/main/java/larchridge/node/server/BodyMemory.java
+++ b/src/main/java/larchridge/node/server/BodyMemory.java
@@ -9,7 +9,7 @@
         this.maxBytes = maxBytes;
     }
 
-    boolean hasRoomFor(int bytes) {
+    boolean canReserve(int bytes) {
         return reservedBytes + bytes <= maxBytes;
     }
 
--- a/src/main/java/larchridge/node/server/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -28,7 +28,7 @@
     private final ServerContext server;
     private final RequestDispatcher dispatcher;
     private final Channel channel;
-    private final StrictDecoder decoder = new StrictDecoder(this::requestStarted);
+    private final StrictRequestDecoder decoder = new StrictRequestDecoder(this::requestStarted);
     private final RequestTiming timing;
     private final RequestBodyBuffer body;
     private final PipelineQueue pipeline;
@@ -52,7 +52,7 @@
         closer = new ConnectionCloser(channel, limits.lingerMs());
     }
 
-    StrictDecoder decoder() {
+    StrictRequestDecoder decoder() {
         return decoder;
     }
 
@@ -134,10 +134,10 @@
     }
 
     private void appendToBody(HttpContent content) {
-        int more = content.content().readableBytes();
-        if (!body.canGrowBy(more)) {
+        int additionalBytes = content.content().readableBytes();
+        if (!body.canGrowBy(additionalBytes)) {
             reject(RequestRejection.BODY_TOO_LONG);
-        } else if (!body.hasMemoryFor(more)) {
+        } else if (!body.hasMemoryFor(additionalBytes)) {
             reject(RequestRejection.NO_MEMORY);
         } else {
             body.append(content.content());
@@ -175,30 +175,30 @@
 
     void reject(RequestRejection rejection, String message) {
         server.requestRejected(rejection);
-        closer.noteReason(
+        closer.recordReason(
                 rejection == RequestRejection.TOO_SLOW
                         ? CloseReason.REQUEST_TIMEOUT
                         : CloseReason.BAD_INPUT);
         stopReadingRequests();
-        respond(Responses.error(rejection.status, message), AfterResponse.CLOSE);
+        respond(Responses.error(rejection.status, message), ConnectionPersistence.CLOSE);
     }
 
     /** Writes a complete response. */
-    void respond(FullHttpResponse response, AfterResponse requested) {
-        AfterResponse after = decideAfterResponse(requested);
-        if (after == AfterResponse.CLOSE) {
-            Responses.announceClose(response);
+    void respond(FullHttpResponse response, ConnectionPersistence requested) {
+        ConnectionPersistence persistence = decidePersistence(requested);
+        if (persistence == ConnectionPersistence.CLOSE) {
+            Responses.setConnectionClose(response);
         }
-        finishResponse(response, after);
+        finishResponse(response, persistence);
     }
 
     /**
      * A response that may be the last one closes the connection, also if that was not requested.
      */
-    AfterResponse decideAfterResponse(AfterResponse requested) {
-        return requested == AfterResponse.CLOSE || isLastResponse()
-                ? AfterResponse.CLOSE
-                : AfterResponse.KEEP_ALIVE;
+    ConnectionPersistence decidePersistence(ConnectionPersistence requested) {
+        return requested == ConnectionPersistence.CLOSE || isLastResponse()
+                ? ConnectionPersistence.CLOSE
+                : ConnectionPersistence.KEEP_ALIVE;
     }
 
     /**
@@ -219,9 +219,9 @@
     }
 
     /** Writes the last part of a response, and closes the connection or awaits the next request. */
-    void finishResponse(Object lastPart, AfterResponse after) {
+    void finishResponse(Object lastPart, ConnectionPersistence persistence) {
         channel.writeAndFlush(lastPart);
-        if (after == AfterResponse.CLOSE) {
+        if (persistence == ConnectionPersistence.CLOSE) {
             halfClose(CloseReason.LAST_ANSWER);
         } else {
             awaitRequest();
@@ -336,7 +336,7 @@
      * response before it may be lost with them.
      */
     void halfClose(CloseReason reason) {
-        closer.noteReason(reason);
+        closer.recordReason(reason);
         state = ConnectionState.CLOSING;
         if (!closer.isHalfClosed()) {
             server.connections.markClosing(this);
--- a/src/main/java/larchridge/node/server/ClientExchange.java
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -27,7 +27,7 @@
     private final String id;
     private final int bodyBytes;
     private final double receivedMs;
-    private final AfterResponse requestedAfter;
+    private final ConnectionPersistence requestedPersistence;
 
     /** The router's side of it; null as long as the router has not accepted it. */
     private InFlightRequest inFlight;
@@ -36,7 +36,7 @@
     private boolean finished;
 
     /** What the head of a streamed response has said. */
-    private AfterResponse announcedAfter = AfterResponse.KEEP_ALIVE;
+    private ConnectionPersistence announcedPersistence = ConnectionPersistence.KEEP_ALIVE;
 
     /**
      * Creates the exchange of an admitted request.
@@ -44,16 +44,16 @@
      * @param connection the client's connection
      * @param forwarded the request
      * @param receivedMs when its head was received
-     * @param requestedAfter what the client wants to become of the connection
+     * @param requestedPersistence what the client wants to become of the connection
      */
     ClientExchange(
             ClientConnection connection,
             ForwardedRequest forwarded,
             double receivedMs,
-            AfterResponse requestedAfter) {
+            ConnectionPersistence requestedPersistence) {
         this.connection = connection;
         this.receivedMs = receivedMs;
-        this.requestedAfter = requestedAfter;
+        this.requestedPersistence = requestedPersistence;
         server = connection.server();
         id = forwarded.id();
         bodyBytes = forwarded.body().length;
@@ -104,7 +104,7 @@
             return false;
         }
         finished = true;
-        server.requestIds.end(id);
+        server.requestIds.markEnded(id);
         server.bodyMemory.release(bodyBytes);
         server.router.exchangeEnded();
         return true;
@@ -114,9 +114,9 @@
     public void responseStarted(int cachedTokens) {
         responseStarted = true;
         HttpResponse response = Responses.streamHead();
-        announcedAfter = connection.decideAfterResponse(requestedAfter);
-        if (announcedAfter == AfterResponse.CLOSE) {
-            Responses.announceClose(response);
+        announcedPersistence = connection.decidePersistence(requestedPersistence);
+        if (announcedPersistence == ConnectionPersistence.CLOSE) {
+            Responses.setConnectionClose(response);
         }
         connection.write(response);
     }
@@ -152,7 +152,7 @@
             server.events.answered(id, STREAMED);
             connection.finishResponse(
                     LastHttpContent.EMPTY_LAST_CONTENT,
-                    connection.decideAfterResponse(announcedAfter));
+                    connection.decidePersistence(announcedPersistence));
         }
     }
 
@@ -163,7 +163,7 @@
             connection.respond(
                     Responses.error(
                             HttpResponseStatus.SERVICE_UNAVAILABLE, "not now", retryAfterMs),
-                    requestedAfter);
+                    requestedPersistence);
         }
     }
 
@@ -175,7 +175,7 @@
             server.events.answered(id, cause.name());
             connection.respond(
                     Responses.error(statusOf(cause), "failed"),
-                    cause == FailureCause.UNUSABLE_ANSWER ? AfterResponse.CLOSE : requestedAfter);
+                    cause == FailureCause.UNUSABLE_ANSWER ? ConnectionPersistence.CLOSE : requestedPersistence);
         }
     }
 
--- a/src/main/java/larchridge/node/server/ConnectionCloser.java
+++ b/src/main/java/larchridge/node/server/ConnectionCloser.java
@@ -26,7 +26,7 @@
     }
 
     /** The first reason counts; what follows from it is no reason of its own. */
-    void noteReason(CloseReason closeReason) {
+    void recordReason(CloseReason closeReason) {
         if (reason == CloseReason.PEER) {
             reason = closeReason;
         }
@@ -43,7 +43,7 @@
 
     /** Closes at once, whatever is unread. */
     void closeNow(CloseReason closeReason) {
-        noteReason(closeReason);
+        recordReason(closeReason);
         channel.close();
     }
 
--- a/src/main/java/larchridge/node/server/ConnectionRegistry.java
+++ b/src/main/java/larchridge/node/server/ConnectionRegistry.java
@@ -31,7 +31,7 @@
         all.add(connection);
         idle.add(connection);
         if (all.size() > maxConnections) {
-            evictFor(connection);
+            evictExcept(connection);
         }
     }
 
@@ -43,7 +43,7 @@
      * on, or a burst of connections would have the same one closed again and again and use up all
      * descriptors.
      */
-    private void evictFor(ClientConnection newest) {
+    private void evictExcept(ClientConnection newest) {
         ClientConnection evicted =
                 Stream.of(closing, idle, receiving)
                         .flatMap(Set::stream)
--- a/src/main/java/larchridge/node/server/HttpServer.java
+++ b/src/main/java/larchridge/node/server/HttpServer.java
@@ -18,8 +18,8 @@
  */
 public final class HttpServer {
     private static final int ACCEPT_BACKLOG = 1024;
-    private static final double TIMEOUT_CHECK_MS = 200;
-    private static final double EMPTY_CHECK_MS = 20;
+    private static final double TIMEOUT_CHECK_INTERVAL_MS = 200;
+    private static final double CONNECTIONS_CHECK_INTERVAL_MS = 20;
 
     private final ServerContext context;
     private final RequestDispatcher dispatcher;
@@ -30,7 +30,7 @@
     public HttpServer(ServerDependencies dependencies) {
         context = new ServerContext(dependencies);
         dispatcher = new RequestDispatcher(context, dependencies.trafficClasses());
-        context.scheduler.scheduleAtFixedDelay(TIMEOUT_CHECK_MS, this::checkTimeouts);
+        context.scheduler.scheduleAtFixedDelay(TIMEOUT_CHECK_INTERVAL_MS, this::checkTimeouts);
     }
 
     /**
@@ -122,7 +122,7 @@
         if (context.connections.isEmpty()) {
             action.run();
         } else {
-            context.scheduler.schedule(EMPTY_CHECK_MS, () -> whenNoConnections(action));
+            context.scheduler.schedule(CONNECTIONS_CHECK_INTERVAL_MS, () -> whenNoConnections(action));
         }
     }
 
--- a/src/main/java/larchridge/node/server/PipelineQueue.java
+++ b/src/main/java/larchridge/node/server/PipelineQueue.java
@@ -29,7 +29,7 @@
     /** Takes over a part: it is kept, or released if there is no room for it. */
     void add(HttpObject part) {
         int partBytes = bytesOf(part);
-        overflowed |= bytes + partBytes > maxBytes || !memory.hasRoomFor(partBytes);
+        overflowed |= bytes + partBytes > maxBytes || !memory.canReserve(partBytes);
         if (overflowed) {
             ReferenceCountUtil.release(part);
             return;
--- a/src/main/java/larchridge/node/server/RequestBodyBuffer.java
+++ b/src/main/java/larchridge/node/server/RequestBodyBuffer.java
@@ -22,26 +22,26 @@
     }
 
     /** Whether the body stays within its limit with so many bytes more. */
-    boolean canGrowBy(int more) {
-        return length + more <= maxBytes;
+    boolean canGrowBy(int additionalBytes) {
+        return length + additionalBytes <= maxBytes;
     }
 
     /** Whether the memory for so many bytes more is free. */
-    boolean hasMemoryFor(int more) {
-        return memory.hasRoomFor(more);
+    boolean hasMemoryFor(int additionalBytes) {
+        return memory.canReserve(additionalBytes);
     }
 
     /** Copies bytes of which there may be so many. */
     void append(ByteBuf content) {
-        int more = content.readableBytes();
-        if (length + more > bytes.length) {
+        int additionalBytes = content.readableBytes();
+        if (length + additionalBytes > bytes.length) {
             // It grows with what arrives: a length that is only declared costs nothing.
-            int doubled = Math.min(2 * bytes.length, maxBytes);
-            bytes = Arrays.copyOf(bytes, Math.max(length + more, doubled));
+            int doubledCapacity = Math.min(2 * bytes.length, maxBytes);
+            bytes = Arrays.copyOf(bytes, Math.max(length + additionalBytes, doubledCapacity));
         }
-        content.getBytes(content.readerIndex(), bytes, length, more);
-        length += more;
-        memory.reserve(more);
+        content.getBytes(content.readerIndex(), bytes, length, additionalBytes);
+        length += additionalBytes;
+        memory.reserve(additionalBytes);
     }
 
     /** Hands the body out; its memory stays reserved for the caller to release. */
--- a/src/main/java/larchridge/node/server/RequestDispatcher.java
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -70,7 +70,7 @@
         connection.body().discard();
         HttpResponseStatus status =
                 server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-        connection.respond(Responses.empty(status), AfterResponse.requestedBy(request));
+        connection.respond(Responses.empty(status), ConnectionPersistence.requestedBy(request));
     }
 
     private void dispatchGeneration(ClientConnection connection, HttpRequest request) {
@@ -88,7 +88,7 @@
             connection.reject(RequestRejection.NO_BODY);
         } else if (!server.router.tryAdmit()) {
             shedLoad(connection, request);
-        } else if (!server.requestIds.tryTake(head.id())) {
+        } else if (!server.requestIds.tryAcquire(head.id())) {
             server.router.exchangeEnded();
             connection.reject(RequestRejection.ID_USED);
         } else {
@@ -103,7 +103,7 @@
         server.requestRejected(rejection);
         connection.respond(
                 Responses.error(rejection.status, rejection.message),
-                AfterResponse.requestedBy(request));
+                ConnectionPersistence.requestedBy(request));
     }
 
     private void startExchange(
@@ -122,7 +122,7 @@
                         receivedMs + head.deadlineMs());
         ClientExchange exchange =
                 new ClientExchange(
-                        connection, forwarded, receivedMs, AfterResponse.requestedBy(request));
+                        connection, forwarded, receivedMs, ConnectionPersistence.requestedBy(request));
         connection.startExchange(exchange);
         // A client that closes right behind its request is not served: the close is read before
         // anything is forwarded.
--- a/src/main/java/larchridge/node/server/RequestHead.java
+++ b/src/main/java/larchridge/node/server/RequestHead.java
@@ -50,12 +50,12 @@
         int promptTokens = -1;
         int sharedTokens = 0;
         int maxTokens = -1;
-        String extra = single(headers, EXTRA);
+        String extra = singleValue(headers, EXTRA);
         if (extra != null) {
             for (String pair : extra.split(",")) {
                 String value = valueOf(pair);
                 switch (keyOf(pair)) {
-                    case "prefix" -> prefix = nullUnlessName(value);
+                    case "prefix" -> prefix = validNameOrNull(value);
                     case "prompt_len" -> promptTokens = tokenCount(value, EXTRA + ": prompt_len");
                     case "prefix_len" -> sharedTokens = tokenCount(value, EXTRA + ": prefix_len");
                     case "max_out" -> maxTokens = tokenCount(value, EXTRA + ": max_out");
@@ -66,7 +66,7 @@
         if (promptTokens < 0 || maxTokens < 0) {
             throw new InvalidRequestHeadException(EXTRA + ": expected prompt_len and max_out");
         }
-        boolean isRetry = single(headers, RETRY) != null;
+        boolean isRetry = singleValue(headers, RETRY) != null;
         return new RequestHead(
                 id,
                 trafficClass,
@@ -80,7 +80,7 @@
     }
 
     private static String readId(HttpHeaders headers) throws InvalidRequestHeadException {
-        String id = single(headers, ID);
+        String id = singleValue(headers, ID);
         if (id == null || !id.matches("[0-9a-fA-F]{16}")) {
             throw new InvalidRequestHeadException(ID + ": expected 16 hex digits");
         }
@@ -96,7 +96,7 @@
     }
 
     private static double readDeadlineMs(HttpHeaders headers) throws InvalidRequestHeadException {
-        long deadlineMs = wholeNumber(single(headers, DEADLINE_MS), DEADLINE_MS, MAX_DEADLINE_MS);
+        long deadlineMs = parseWholeNumber(singleValue(headers, DEADLINE_MS), DEADLINE_MS, MAX_DEADLINE_MS);
         if (deadlineMs <= 0) {
             throw new InvalidRequestHeadException(DEADLINE_MS + ": expected milliseconds over 0");
         }
@@ -113,16 +113,16 @@
         return equals < 0 ? "" : pair.substring(equals + 1).strip();
     }
 
-    private static String nullUnlessName(String value) {
+    private static String validNameOrNull(String value) {
         return value.isEmpty() || value.length() > MAX_NAME_LENGTH ? null : value;
     }
 
     private static int tokenCount(String value, String name) throws InvalidRequestHeadException {
-        return (int) wholeNumber(value, name, MAX_TOKENS);
+        return (int) parseWholeNumber(value, name, MAX_TOKENS);
     }
 
     /** The value of a header that may be given once, or null if it is not given. */
-    private static String single(HttpHeaders headers, String name)
+    private static String singleValue(HttpHeaders headers, String name)
             throws InvalidRequestHeadException {
         List<String> values = headers.getAll(name);
         if (values.size() > 1) {
@@ -133,7 +133,7 @@
 
     private static String optionalName(HttpHeaders headers, String name)
             throws InvalidRequestHeadException {
-        String value = single(headers, name);
+        String value = singleValue(headers, name);
         if (value != null && (value.isEmpty() || value.length() > MAX_NAME_LENGTH)) {
             throw new InvalidRequestHeadException(
                     name + ": expected a name of 1 to " + MAX_NAME_LENGTH + " characters");
@@ -141,7 +141,7 @@
         return value;
     }
 
-    private static long wholeNumber(String text, String name, long max)
+    private static long parseWholeNumber(String text, String name, long max)
             throws InvalidRequestHeadException {
         if (text == null
                 || text.isEmpty()
--- a/src/main/java/larchridge/node/server/RequestIds.java
+++ b/src/main/java/larchridge/node/server/RequestIds.java
@@ -14,12 +14,12 @@
     private final Set<String> ended = new LinkedHashSet<>();
 
     /** Takes an id; false if a request in flight or a recent one has it. */
-    boolean tryTake(String id) {
+    boolean tryAcquire(String id) {
         return !ended.contains(id) && inFlight.add(id);
     }
 
     /** Notes that the request of an id has ended. */
-    void end(String id) {
+    void markEnded(String id) {
         inFlight.remove(id);
         ended.add(id);
         if (ended.size() > MAX_ENDED_IDS) {
--- a/src/main/java/larchridge/node/server/Responses.java
+++ b/src/main/java/larchridge/node/server/Responses.java
@@ -61,7 +61,7 @@
     }
 
     /** Adds that the connection ends after the response. */
-    static void announceClose(HttpResponse response) {
+    static void setConnectionClose(HttpResponse response) {
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
 
--- a/src/main/java/larchridge/node/server/StrictDecoder.java
+++ b/src/main/java/larchridge/node/server/StrictRequestDecoder.java
@@ -13,7 +13,7 @@
  * rejected, not repaired. It also reports whether a part of a request has arrived, from its first
  * byte on, long before its head is complete.
  */
-final class StrictDecoder extends HttpRequestDecoder {
+final class StrictRequestDecoder extends HttpRequestDecoder {
     private static final int MAX_LINE_BYTES = 4096;
     private static final int MAX_HEAD_BYTES = 8192;
     private static final int MAX_CHUNK_BYTES = 1 << 16;
@@ -26,7 +26,7 @@
      *
      * @param requestStarted runs at the first byte of each request
      */
-    StrictDecoder(Runnable requestStarted) {
+    StrictRequestDecoder(Runnable requestStarted) {
         super(
                 new HttpDecoderConfig()
                         .setMaxInitialLineLength(MAX_LINE_BYTES)
--- a/src/main/java/larchridge/node/server/package-info.java
+++ b/src/main/java/larchridge/node/server/package-info.java
@@ -2,7 +2,7 @@
  * The clients' side of a node: accepts HTTP/1.1 connections, reads requests, hands generations to
  * the {@link larchridge.router.Router} and writes its responses. The entry class is {@link
  * larchridge.node.server.HttpServer}; one {@link larchridge.node.server.ClientConnection} serves
- * each connection, in the stages {@link larchridge.node.server.StrictDecoder} (decode), {@link
+ * each connection, in the stages {@link larchridge.node.server.StrictRequestDecoder} (decode), {@link
  * larchridge.node.server.RequestBodyBuffer} (aggregate), {@link
  * larchridge.node.server.PipelineQueue} (hold what is pipelined), {@link
  * larchridge.node.server.RequestDispatcher} (validate and admit), {@link
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -1,6 +1,6 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
 import static larchridge.node.WireMessages.EVENT;
@@ -140,7 +140,7 @@
                         })) {
             fixture.reader.script = second.script;
             fixture.endpointList.add(endpointJson("r2", second.port(), "lectura", "SERVING", 0));
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
             while (fixture.inspector.engines() < 3) {
                 fixture.awaitEventLoop();
             }
--- a/src/test/java/larchridge/node/ClientConnectionLimitTest.java
+++ b/src/test/java/larchridge/node/ClientConnectionLimitTest.java
@@ -14,7 +14,7 @@
 @Timeout(30)
 class ClientConnectionLimitTest extends AbstractNodeTest {
     @Test
-    void hundredsOfSilentConnectionsAreClosedAndUsualClientsServedBesideThem() throws Exception {
+    void silentConnectionsAreClosedAndOtherClientsStayServed() throws Exception {
         long start = System.nanoTime();
         RawClient half = fixture.newClient();
         half.send(
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void burstOfConnectionsTakesNoMoreThanItsPart() throws Exception {
+    void burstOfConnectionsStaysWithinTheConnectionLimit() throws Exception {
         int most = 0;
         for (int i = 0; i < 8; i++) {
             // Faster than they can be accepted one by one.
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void burstOfIncompleteRequestsTakesNoMoreConnectionsThanItsPart() throws Exception {
+    void burstOfIncompleteRequestsStaysWithinTheConnectionLimit() throws Exception {
         String request = generationRequest(newRequestId(), "");
         for (String part :
                 new String[] {
--- a/src/test/java/larchridge/node/DeadlineTest.java
+++ b/src/test/java/larchridge/node/DeadlineTest.java
@@ -14,7 +14,7 @@
     /**
      * Clients that stop in the middle are owed an error or a close so long after they connected.
      */
-    private static final double STOPPED_CLIENT_MS = 3000;
+    private static final double STOPPED_CLIENT_TIMEOUT_MS = 3000;
 
     @Test
     void finalAnswerComesBeforeTheDeadlineWhereEnginesAreSilent() throws Exception {
@@ -38,6 +38,6 @@
         client.send(head.substring(middle, head.length() - 5));
         assertTrue(client.readToEnd().startsWith("HTTP/1.1 408 "));
         double tookMs = (System.nanoTime() - connected) / 1e6;
-        assertTrue(tookMs < STOPPED_CLIENT_MS, "after " + tookMs + " ms");
+        assertTrue(tookMs < STOPPED_CLIENT_TIMEOUT_MS, "after " + tookMs + " ms");
     }
 }
--- a/src/test/java/larchridge/node/DescriptorExhaustionTest.java
+++ b/src/test/java/larchridge/node/DescriptorExhaustionTest.java
@@ -66,7 +66,7 @@
     void discoveryIsPolledAgainOnceThereAreDescriptors() throws Exception {
         List<Socket> clients = connectAll();
         node.discovery.script = request -> new ScriptedResponse(null, false);
-        node.endpointList.changed();
+        node.endpointList.publishChange();
         TimeUnit.MILLISECONDS.sleep(EXHAUSTED_MS);
         node.discovery.script = node.endpointList::respond;
         node.discovery.received.clear();
--- a/src/test/java/larchridge/node/DiscoveryPollingTest.java
+++ b/src/test/java/larchridge/node/DiscoveryPollingTest.java
@@ -1,6 +1,6 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
 import static larchridge.node.WireMessages.generationRequest;
@@ -28,7 +28,7 @@
             fixture.endpointList.set(
                     0, endpointJson("r1", fixture.reader.port(), "lectura", "DRAINING", 0));
             fixture.endpointList.add(endpointJson("r2", other.port(), "lectura", "SERVING", 0));
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
             int before = fixture.discovery.received.size();
             while (fixture.discovery.received.size() < before + 2) {
                 // The watch after the one that carried the change: the change was applied.
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void silentWatchIsReopenedInTimeForWhatItMissed() throws Exception {
+    void silentWatchIsReopenedBeforeMissedChangesTakeEffect() throws Exception {
         Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         fixture.discovery.awaitRequest("GET");
         fixture.discovery.script =
@@ -78,7 +78,7 @@
                                 : script.apply(request);
         // The watch behind this one is silent.
         while (!fixture.discovery.awaitRequest("GET").target().contains("after=")) {
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
         }
         long start = System.nanoTime();
         while (fixture.discovery.awaitRequest("GET").target().contains("after=")) {
@@ -117,7 +117,7 @@
                                     "n1"));
             assertEquals(0, open.getCount());
             node.shutDown();
-            node.awaitEnd();
+            node.awaitTermination();
         }
     }
 }
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -1,6 +1,6 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
 import static larchridge.node.WireMessages.generationRequest;
@@ -31,14 +31,14 @@
      * What was missed has to act 6 s after a watch fell silent; a connection that does not come up,
      * and a retry, fit in too.
      */
-    private static final double POLLED_AGAIN_MS = 4000;
+    private static final double MAX_REPOLL_DELAY_MS = 4000;
 
     private static boolean isWatch(ReceivedRequest request) {
         return request.target().contains("after=");
     }
 
     /** Waits for a call of the kind that comes after this moment. */
-    private void awaitCall(ScriptedServer discovery, boolean watch) throws Exception {
+    private void awaitPoll(ScriptedServer discovery, boolean watch) throws Exception {
         ReceivedRequest request = discovery.awaitRequest("GET");
         while (isWatch(request) != watch) {
             request = discovery.awaitRequest("GET");
@@ -84,7 +84,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"index\":60,\"snapshot\":true,\"endpoints\":["
             })
-    void watchThatFallsSilentWithinItsAnswerIsReopenedInTime(String part) throws Exception {
+    void watchThatFallsSilentWithinItsResponseIsReopenedInTime(String part) throws Exception {
         Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         AtomicInteger watches = new AtomicInteger();
         fixture.discovery.script =
@@ -93,14 +93,14 @@
                                 ? new ScriptedResponse(part, true)
                                 : script.apply(request);
         fixture.discovery.received.clear();
-        fixture.endpointList.changed();
+        fixture.endpointList.publishChange();
         while (watches.get() == 0) {
             Thread.onSpinWait();
         }
         long silent = System.nanoTime();
-        awaitCall(fixture.discovery, false);
-        assertTrue((System.nanoTime() - silent) / 1e6 < POLLED_AGAIN_MS);
-        awaitCall(fixture.discovery, true);
+        awaitPoll(fixture.discovery, false);
+        assertTrue((System.nanoTime() - silent) / 1e6 < MAX_REPOLL_DELAY_MS);
+        awaitPoll(fixture.discovery, true);
     }
 
     @Test
@@ -113,12 +113,12 @@
                                 ? new ScriptedResponse(null, false)
                                 : script.apply(request);
         fixture.discovery.received.clear();
-        fixture.endpointList.changed();
+        fixture.endpointList.publishChange();
         while (watches.get() == 0) {
             Thread.onSpinWait();
         }
         long reset = System.nanoTime();
-        awaitCall(fixture.discovery, false);
+        awaitPoll(fixture.discovery, false);
         assertTrue((System.nanoTime() - reset) / 1e6 < 500);
     }
 
@@ -139,9 +139,9 @@
                                                     + "\n  ]\n}\n"),
                                     true);
             fixture.discovery.received.clear();
-            fixture.endpointList.changed();
-            awaitCall(fixture.discovery, true);
-            awaitCall(fixture.discovery, true);
+            fixture.endpointList.publishChange();
+            awaitPoll(fixture.discovery, true);
+            awaitPoll(fixture.discovery, true);
             assertServedBy(other, fixture.reader);
         }
     }
@@ -162,13 +162,13 @@
                             readerJson("r2", other, "SERVING"),
                             writer);
             String old = listResponse(40, readerJson("r1", fixture.reader, "SERVING"), writer);
-            CountDownLatch wholeAgain = new CountDownLatch(2);
+            CountDownLatch snapshotsRequested = new CountDownLatch(2);
             CountDownLatch open = new CountDownLatch(1);
             fixture.discovery.script =
                     request -> {
                         if (!isWatch(request)) {
-                            wholeAgain.countDown();
-                            if (wholeAgain.getCount() == 0) {
+                            snapshotsRequested.countDown();
+                            if (snapshotsRequested.getCount() == 0) {
                                 awaitLatch(open);
                             }
                             return new ScriptedResponse(now, true);
@@ -177,7 +177,7 @@
                                 request.target().contains("after=60") ? old : now, true);
                     };
             fixture.node.reload();
-            awaitLatch(wholeAgain);
+            awaitLatch(snapshotsRequested);
             fixture.awaitEventLoop();
             assertServedBy(other, fixture.reader);
             open.countDown();
@@ -218,13 +218,13 @@
                                                     readerJson("r1", fixture.reader, "DRAINING"),
                                                     writer),
                                     true);
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
             while (!fixture.discovery.awaitRequest("GET").target().contains("after=60")) {
                 // A poll from before the list.
             }
             fixture.writeConfiguration(moved.port());
             fixture.node.reload();
-            awaitCall(moved, true);
+            awaitPoll(moved, true);
             fixture.awaitEventLoop();
             assertServedBy(other, fixture.reader);
         }
@@ -242,8 +242,8 @@
                                     60, readerJson("r1", fixture.reader, "SERVING"), writerJson()),
                             true);
                 };
-        fixture.endpointList.changed();
-        awaitCall(fixture.discovery, true);
+        fixture.endpointList.publishChange();
+        awaitPoll(fixture.discovery, true);
         watches.set(0);
         TimeUnit.MILLISECONDS.sleep(1000);
         assertTrue(watches.get() <= 60, watches + " watches in a second");
@@ -251,7 +251,7 @@
     }
 
     @Test
-    void answerFromTheOldAddressAfterAReloadChangesNothing() throws Exception {
+    void responseFromTheOldAddressAfterAReloadChangesNothing() throws Exception {
         CountDownLatch requested = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
         String writer = writerJson();
@@ -283,7 +283,7 @@
             awaitLatch(requested);
             fixture.writeConfiguration(moved.port());
             fixture.node.reload();
-            awaitCall(moved, true);
+            awaitPoll(moved, true);
             open.countDown();
             before.awaitResponsesWritten();
             fixture.awaitEventLoop();
@@ -293,7 +293,7 @@
 
     /** Two calls for a snapshot are open at a time; the older one is answered after the newer. */
     @Test
-    void answerOfAClosedCallChangesNothing() throws Exception {
+    void responseOnAClosedConnectionChangesNothing() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
         String writer = writerJson();
@@ -320,7 +320,7 @@
                                 })) {
             fixture.writeConfiguration(moved.port());
             fixture.node.reload();
-            awaitCall(moved, true);
+            awaitPoll(moved, true);
             open.countDown();
             moved.awaitResponsesWritten();
             fixture.awaitEventLoop();
@@ -339,9 +339,9 @@
         TimeUnit.MILLISECONDS.sleep(600);
         try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script, port)) {
             long up = System.nanoTime();
-            awaitCall(moved, false);
+            awaitPoll(moved, false);
             assertTrue((System.nanoTime() - up) / 1e6 < 500);
-            awaitCall(moved, true);
+            awaitPoll(moved, true);
         }
     }
 }
--- a/src/test/java/larchridge/node/NodeConfigurationTest.java
+++ b/src/test/java/larchridge/node/NodeConfigurationTest.java
@@ -53,7 +53,7 @@
     void brokenConfigurationIsReportedWithFileMemberAndWhatWasExpected() throws Exception {
         Path file = folder.resolve("other.json");
         String good = Files.readString(fixture.configurationFile);
-        Map<String, String> variables = Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
+        Map<String, String> environment = Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
         String[][] cases = {
             {"\"memory_mb\":256", "\"memory_mb\":\"much\"", "limits.memory_mb"},
             {"\"seed\":\"8c1f", "\"seed\":\"xyz", "seed"},
@@ -66,7 +66,7 @@
             Files.writeString(file, good.replace(one[0], one[1]));
             InvalidNodeConfigurationException fault =
                     assertThrows(
-                            InvalidNodeConfigurationException.class, () -> Node.open(variables));
+                            InvalidNodeConfigurationException.class, () -> Node.open(environment));
             assertTrue(fault.getMessage().contains(one[2]), fault.getMessage());
         }
     }
--- a/src/test/java/larchridge/node/NodeFixture.java
+++ b/src/test/java/larchridge/node/NodeFixture.java
@@ -1,6 +1,6 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.EVENT;
 import static larchridge.node.WireMessages.LAST_EVENTS;
 import static larchridge.node.WireMessages.STREAM_HEAD;
@@ -37,7 +37,7 @@
                                             + chunk(EVENT + LAST_EVENTS)
                                             + "0\r\n\r\n",
                                     true));
-    final EndpointListScript endpointList = new EndpointListScript();
+    final ScriptedEndpointList endpointList = new ScriptedEndpointList();
     final ScriptedServer discovery = new ScriptedServer(endpointList::respond);
     final Path configurationFile;
     final Node node;
@@ -100,7 +100,7 @@
     }
 
     /** A client whose request a reader has and does not answer before the gate is opened. */
-    RawClient clientWithHeldRead(ReadGate gate, String id) throws IOException {
+    RawClient clientWithPendingRead(ReadGate gate, String id) throws IOException {
         RawClient client = newClient();
         client.send(generationRequest(id, ""));
         awaitLatch(gate.requested);
@@ -112,15 +112,15 @@
      * What comes to the node's sockets meanwhile is there, in its order, when the loop resumes.
      */
     CountDownLatch pauseEventLoop() {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
         CountDownLatch resume = new CountDownLatch(1);
         node.loop()
                 .execute(
                         () -> {
-                            held.countDown();
+                            paused.countDown();
                             awaitLatch(resume);
                         });
-        awaitLatch(held);
+        awaitLatch(paused);
         return resume;
     }
 
@@ -138,7 +138,7 @@
         }
         node.shutDown();
         try {
-            node.awaitEnd();
+            node.awaitTermination();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/larchridge/node/NodeInspector.java
+++ b/src/test/java/larchridge/node/NodeInspector.java
@@ -12,18 +12,18 @@
         this.node = node;
     }
 
-    private <T> T onLoop(Callable<T> read) throws InterruptedException, ExecutionException {
+    private <T> T callOnEventLoop(Callable<T> read) throws InterruptedException, ExecutionException {
         return node.loop().submit(read).get();
     }
 
     /** Client connections. */
     int connections() throws InterruptedException, ExecutionException {
-        return onLoop(() -> node.components().server().connectionCount());
+        return callOnEventLoop(() -> node.components().server().connectionCount());
     }
 
     /** Engines on the list. */
     int engines() throws InterruptedException, ExecutionException {
-        return onLoop(
+        return callOnEventLoop(
                 () -> {
                     int[] count = new int[1];
                     node.components().router().forEachEngine((endpoint, engine) -> count[0]++);
@@ -33,7 +33,7 @@
 
     /** Requests that the upstream client still knows. */
     int openRequests() throws InterruptedException, ExecutionException {
-        return onLoop(() -> node.components().upstream().openRequests());
+        return callOnEventLoop(() -> node.components().upstream().openRequests());
     }
 
     /** Violations of invariants so far. */
@@ -44,7 +44,7 @@
     /** Attempts in flight by the policy's count, or -1 if the upstream client's count differs. */
     int attemptsInFlight() throws InterruptedException, ExecutionException {
         ForwardingUpstreamClient upstream = node.components().upstream();
-        return onLoop(
+        return callOnEventLoop(
                 () -> {
                     int[] attempts = new int[1];
                     node.components()
--- a/src/test/java/larchridge/node/NodeProcess.java
+++ b/src/test/java/larchridge/node/NodeProcess.java
@@ -1,6 +1,6 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.HEALTH_REQUEST;
 import static larchridge.node.WireMessages.SHORT_STREAM;
 import static larchridge.node.WireMessages.readResponse;
@@ -29,7 +29,7 @@
             new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
     final ScriptedServer writer =
             new ScriptedServer(request -> new ScriptedResponse(SHORT_STREAM, true));
-    final EndpointListScript endpointList = new EndpointListScript();
+    final ScriptedEndpointList endpointList = new ScriptedEndpointList();
     final ScriptedServer discovery = new ScriptedServer(endpointList::respond);
     final int port;
     final Process process;
--- a/src/test/java/larchridge/node/NodeWarmupTest.java
+++ b/src/test/java/larchridge/node/NodeWarmupTest.java
@@ -6,7 +6,7 @@
 
 class NodeWarmupTest {
     @Test
-    void nearlyEveryGenerationIsServedWholeThoughSomeAnswersAreBad() {
+    void nearlyAllGenerationsCompleteThoughSomeResponsesAreInvalid() {
         assertTrue(NodeWarmup.run(120, 60_000) >= 110);
     }
 }
--- a/src/test/java/larchridge/node/RequestRejectionTest.java
+++ b/src/test/java/larchridge/node/RequestRejectionTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void hiddenRequestBehindTwoLengthsIsNeverServed() throws Exception {
+    void requestSmuggledByConflictingLengthsIsNeverServed() throws Exception {
         RawClient client = fixture.newClient();
         client.send(
                 generationRequest(newRequestId(), "Transfer-Encoding: chunked\r\n")
@@ -63,7 +63,7 @@
     void idOfAGenerationInFlightIsRejectedAndTheFirstIsUnaffected() throws Exception {
         ReadGate gate = fixture.gateReads();
         String id = newRequestId();
-        RawClient first = fixture.clientWithHeldRead(gate, id);
+        RawClient first = fixture.clientWithPendingRead(gate, id);
         RawClient second = fixture.newClient();
         second.send(generationRequest(id, ""));
         assertTrue(second.readToEnd().startsWith("HTTP/1.1 409 "));
--- a/src/test/java/larchridge/node/EndpointListScript.java
+++ b/src/test/java/larchridge/node/ScriptedEndpointList.java
@@ -7,7 +7,7 @@
 /**
  * An endpoint list as a scripted discovery agent serves it: snapshots at once, watches on change.
  */
-final class EndpointListScript {
+final class ScriptedEndpointList {
     private static final long WATCH_WAIT_NANOS = 300_000_000L;
 
     private final List<String> endpoints = new CopyOnWriteArrayList<>();
@@ -29,7 +29,7 @@
     }
 
     /** The next watch, or one that waits, is answered with the list as it is now. */
-    void changed() {
+    void publishChange() {
         synchronized (version) {
             version.incrementAndGet();
             version.notifyAll();
--- a/src/test/java/larchridge/node/ScriptedServer.java
+++ b/src/test/java/larchridge/node/ScriptedServer.java
@@ -26,7 +26,7 @@
     private final ServerSocket server;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final AtomicInteger connections = new AtomicInteger();
-    private final AtomicInteger answering = new AtomicInteger();
+    private final AtomicInteger responsesInProgress = new AtomicInteger();
 
     ScriptedServer(Function<ReceivedRequest, ScriptedResponse> script) {
         this(script, 0);
@@ -39,14 +39,14 @@
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        daemon(this::accept);
+        startDaemonThread(this::accept);
     }
 
     int port() {
         return server.getLocalPort();
     }
 
-    private static void daemon(Runnable run) {
+    private static void startDaemonThread(Runnable run) {
         Thread thread = new Thread(run, "scripted-server");
         thread.setDaemon(true);
         thread.start();
@@ -58,7 +58,7 @@
                 Socket socket = server.accept();
                 sockets.add(socket);
                 int number = connections.incrementAndGet();
-                daemon(() -> serve(socket, number));
+                startDaemonThread(() -> serve(socket, number));
             }
         } catch (IOException e) {
             // Closed.
@@ -72,7 +72,7 @@
             InputStream in = socket.getInputStream();
             ReceivedRequest request = read(in, number);
             while (request != null) {
-                answering.incrementAndGet();
+                responsesInProgress.incrementAndGet();
                 // Taken before a test can see the request: one that then changes the script means
                 // the
                 // requests after it.
@@ -84,7 +84,7 @@
                     socket.getOutputStream().flush();
                     write(socket, response.continuation().get());
                 }
-                answering.decrementAndGet();
+                responsesInProgress.decrementAndGet();
                 if (!response.keepsConnection()) {
                     return;
                 }
@@ -146,7 +146,7 @@
 
     /** Returns once every response that was begun has been written. */
     void awaitResponsesWritten() {
-        while (answering.get() > 0) {
+        while (responsesInProgress.get() > 0) {
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -1,6 +1,6 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
 import static larchridge.node.WireMessages.EVENT;
@@ -27,7 +27,7 @@
 @Timeout(30)
 class ShutdownTest extends AbstractNodeTest {
     /** Requests that come later than this after SIGTERM must not be found under way by SIGKILL. */
-    private static final long TAKEN_AFTER_TERM_MS = 700;
+    private static final long ACCEPTED_AFTER_SIGTERM_MS = 700;
 
     private void beginShutdown() throws Exception {
         fixture.node.shutDown();
@@ -59,7 +59,7 @@
         fixture.awaitEventLoop();
         beginShutdown();
         assertTrue(client.readToEnd().startsWith("HTTP/1.1 408 "));
-        fixture.node.awaitEnd();
+        fixture.node.awaitTermination();
     }
 
     @Test
@@ -103,7 +103,7 @@
     @Test
     void pipelinedRequestsAreAnsweredAndTheLastResponseSaysConnectionClose() throws Exception {
         ReadGate gate = fixture.gateReads();
-        RawClient client = fixture.clientWithHeldRead(gate, newRequestId());
+        RawClient client = fixture.clientWithPendingRead(gate, newRequestId());
         String third = generationRequest(newRequestId(), "");
         client.send(generationRequest(newRequestId(), "") + third.substring(0, 20));
         fixture.awaitEventLoop();
@@ -126,7 +126,7 @@
         assertEquals("", client.readToEnd());
         String id = newRequestId();
         client.send(generationRequest(id, ""));
-        fixture.node.awaitEnd();
+        fixture.node.awaitTermination();
         assertTrue(
                 fixture.reader.received.stream()
                         .noneMatch(request -> id.equals(request.header("Req-Id"))));
@@ -153,7 +153,7 @@
         beginShutdown();
         resume.countDown();
         assertTrue(client.readToEnd().endsWith("0\r\n\r\n"));
-        fixture.node.awaitEnd();
+        fixture.node.awaitTermination();
     }
 
     /** Each silent engine takes a fifth of the time that a state may be held, 200 ms here. */
@@ -170,7 +170,7 @@
                     endpointJson("r2", second.port(), "lectura", "SERVING", 0));
             fixture.endpointList.addFirst(
                     endpointJson("r3", third.port(), "lectura", "SERVING", 0));
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
             while (fixture.inspector.engines() < 4) {
                 fixture.awaitEventLoop();
             }
@@ -180,7 +180,7 @@
             fixture.awaitEventLoop();
             fixture.node.shutDown();
             assertTrue(client.readResponse().matches("(?s)HTTP/1.1 50[34] .*"));
-            fixture.node.awaitEnd();
+            fixture.node.awaitTermination();
             assertEquals("/v1/holds/" + id, fixture.writer.awaitRequest("DELETE").target());
         }
     }
@@ -196,7 +196,7 @@
                                 "n1"));
         node.shutDown();
         node.start();
-        node.awaitEnd();
+        node.awaitTermination();
     }
 
     @Test
@@ -216,40 +216,40 @@
                                     fixture.configurationFile.toString(),
                                     "PROXY_NAME",
                                     "n1"));
-            Thread telling =
+            Thread shutdownThread =
                     new Thread(
                             () -> {
                                 awaitLatch(requested);
                                 node.shutDown();
                             });
-            telling.start();
+            shutdownThread.start();
             node.start();
-            node.awaitEnd();
+            node.awaitTermination();
         }
     }
 
     @Test
     void repeatedShutdownAndReloadDuringShutdownChangeNothing() throws Exception {
         ReadGate gate = fixture.gateReads();
-        RawClient client = fixture.clientWithHeldRead(gate, newRequestId());
+        RawClient client = fixture.clientWithPendingRead(gate, newRequestId());
         fixture.node.shutDown();
         fixture.node.reload();
         fixture.node.shutDown();
         fixture.awaitEventLoop();
         gate.opened().countDown();
         awaitCompleteStream(client);
-        fixture.node.awaitEnd();
+        fixture.node.awaitTermination();
         fixture.node.shutDown();
         fixture.node.reload();
     }
 
     @Test
-    void shutdownAnswersAllRequestsThatCame() throws Exception {
+    void allReceivedRequestsAreAnsweredDuringShutdown() throws Exception {
         ReadGate gate = fixture.gateReads();
         RawClient idle = fixture.newClient();
         idle.send(HEALTH_REQUEST);
         assertTrue(idle.readResponse().startsWith("HTTP/1.1 200 "));
-        RawClient busy = fixture.clientWithHeldRead(gate, newRequestId());
+        RawClient busy = fixture.clientWithPendingRead(gate, newRequestId());
         fixture.node.shutDown();
         assertEquals("", idle.readToEnd());
         RawClient late = fixture.newClient();
@@ -257,7 +257,7 @@
         assertTrue(late.readToEnd().startsWith("HTTP/1.1 503 "));
         gate.opened().countDown();
         assertTrue(busy.readToEnd().endsWith("0\r\n\r\n"));
-        fixture.node.awaitEnd();
+        fixture.node.awaitTermination();
         assertThrows(IOException.class, () -> fixture.newClient());
     }
 
@@ -267,7 +267,7 @@
         RawClient fresh = fixture.newClient();
         fixture.awaitEventLoop();
         fixture.node.shutDown();
-        sleep(TAKEN_AFTER_TERM_MS - 150);
+        sleep(ACCEPTED_AFTER_SIGTERM_MS - 150);
         fresh.send(generationRequest(newRequestId(), ""));
         assertTrue(fresh.readResponse().startsWith("HTTP/1.1 503 "));
         assertEquals(0, fixture.reader.attemptCount());
--- a/src/test/java/larchridge/node/StateReleaseTest.java
+++ b/src/test/java/larchridge/node/StateReleaseTest.java
@@ -64,7 +64,7 @@
     void requestOfAClientThatClosedBehindAFullConnectionIsNotForwarded() throws Exception {
         ReadGate gate = fixture.gateReads();
         String id = newRequestId();
-        RawClient client = fixture.clientWithHeldRead(gate, id);
+        RawClient client = fixture.clientWithPendingRead(gate, id);
         for (int i = 0; i < 4000; i++) {
             client.send(generationRequest(newRequestId(), ""));
         }
--- a/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
+++ b/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
@@ -57,9 +57,9 @@
     }
 
     @Test
-    void loopSleepsThroughTheLastPartOfAMillisecondBeforeATimer() throws Exception {
+    void loopDoesNotPollDuringTheLastPartialMillisecondBeforeATimer() throws Exception {
         int plain = turnsOf(counted());
-        int rounded = turnsOf(WholeMillisecondIoHandler.around(counted()));
+        int rounded = turnsOf(WholeMillisecondIoHandler.wrap(counted()));
         assertTrue(
                 plain > 10 * TIMERS,
                 "Netty's own handler is expected to poll, it took turns: " + plain);
--- a/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -16,7 +16,7 @@
     private final StartTimeConverter starts = new StartTimeConverter(() -> (long) wallMs);
 
     @Test
-    void rightClockTellsAnEnginesAge() {
+    void startTimeFollowsAnAccurateWallClock() {
         assertEquals(NOW_MS - 3000, starts.toLocalMs("a", WALL_MS - 3000, NOW_MS));
         assertEquals(0, starts.toLocalMs("b", 0, NOW_MS));
     }
@@ -27,23 +27,23 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR_MS, -5000, 5000, HOUR_MS})
-    void engineThatJoinedIsAsOldAsItsListAtMostAfterAStep(double stepMs) {
-        starts.confirmed(NOW_MS);
+    void startTimeOfANewEngineIsNotBeforeTheLastConfirmedListAfterAClockStep(double stepMs) {
+        starts.listConfirmed(NOW_MS);
         wallMs = WALL_MS + 2000 + stepMs;
         double local = starts.toLocalMs("a", WALL_MS + 1500, NOW_MS + 2000);
         assertEquals(Math.min(NOW_MS + 2000, Math.max(NOW_MS, NOW_MS + 1500 - stepMs)), local);
     }
 
     @Test
-    void engineKnownBeforeAStepStaysAsOldAsItWas() {
+    void startTimeOfAKnownEngineIsUnchangedByAClockStep() {
         double before = starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS);
-        starts.confirmed(NOW_MS);
+        starts.listConfirmed(NOW_MS);
         wallMs = WALL_MS + HOUR_MS;
         assertEquals(before, starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS + 5000));
     }
 
     @Test
-    void clockThatIsBehindAtTheStartTakesNoEngineForOneOfTheFuture() {
+    void startTimeIsNeverInTheFutureUnderAWallClockThatIsBehind() {
         wallMs = WALL_MS - HOUR_MS;
         assertEquals(NOW_MS, starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS));
     }
--- a/src/test/java/larchridge/node/server/RequestIdsTest.java
+++ b/src/test/java/larchridge/node/server/RequestIdsTest.java
@@ -8,32 +8,32 @@
 
 class RequestIdsTest {
     /** As many ended ids as docs/node.md says are remembered. */
-    private static final int REMEMBERED = 4096;
+    private static final int MAX_ENDED_IDS = 4096;
 
     private final RequestIds ids = new RequestIds();
 
     @Test
-    void idInFlightIsNotTakenAgain() {
-        assertTrue(ids.tryTake("a"));
-        assertFalse(ids.tryTake("a"));
+    void idInFlightIsNotAcquiredAgain() {
+        assertTrue(ids.tryAcquire("a"));
+        assertFalse(ids.tryAcquire("a"));
         assertEquals(1, ids.inFlightCount());
     }
 
     @Test
-    void idThatEndedLatelyIsNotTakenAgain() {
-        ids.tryTake("a");
-        ids.end("a");
-        assertFalse(ids.tryTake("a"));
+    void recentlyEndedIdIsNotAcquiredAgain() {
+        ids.tryAcquire("a");
+        ids.markEnded("a");
+        assertFalse(ids.tryAcquire("a"));
         assertEquals(0, ids.inFlightCount());
     }
 
     @Test
     void idThatEndedLongAgoIsForgotten() {
-        for (int i = 0; i <= REMEMBERED; i++) {
-            ids.tryTake("id" + i);
-            ids.end("id" + i);
+        for (int i = 0; i <= MAX_ENDED_IDS; i++) {
+            ids.tryAcquire("id" + i);
+            ids.markEnded("id" + i);
         }
-        assertTrue(ids.tryTake("id0"));
-        assertFalse(ids.tryTake("id1"));
+        assertTrue(ids.tryAcquire("id0"));
+        assertFalse(ids.tryAcquire("id1"));
     }
 }
