--- a/src/test/java/larchridge/node/ClientConnectionLimitTest.java
+++ b/src/test/java/larchridge/node/ClientConnectionLimitTest.java
@@ -20,14 +20,14 @@
         half.send(
                 "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\nContent-Length: 50\r\n\r\nhalf");
         for (int i = 0; i < 300; i++) {
-            RawClient silent = fixture.newClient();
+            RawClient silentClient = fixture.newClient();
             if (i % 50 == 0) {
-                RawClient usual = fixture.newClient();
-                usual.send(generationRequest(newRequestId(), ""));
-                awaitCompleteStream(usual);
+                RawClient otherClient = fixture.newClient();
+                otherClient.send(generationRequest(newRequestId(), ""));
+                awaitCompleteStream(otherClient);
             }
             if (i == 299) {
-                silent.readToEnd();
+                silentClient.readToEnd();
             }
         }
         assertTrue(half.readToEnd().matches("(?s)HTTP/1.1 408.*"));
@@ -36,20 +36,20 @@
 
     @Test
     void burstOfConnectionsStaysWithinTheConnectionLimit() throws Exception {
-        int most = 0;
+        int maxConnections = 0;
         for (int i = 0; i < 8; i++) {
             // Faster than they can be accepted one by one.
             for (int j = 0; j < 100; j++) {
                 fixture.newClient();
             }
-            most = Math.max(most, fixture.inspector.connections());
+            maxConnections = Math.max(maxConnections, fixture.inspector.connections());
         }
         assertTrue(
-                most > 100 && most <= 126,
-                "connections " + most + " where 0.42 of 300 are allowed");
-        RawClient usual = fixture.newClient();
-        usual.send(generationRequest(newRequestId(), ""));
-        awaitCompleteStream(usual);
+                maxConnections > 100 && maxConnections <= 126,
+                "connections " + maxConnections + " where 0.42 of 300 are allowed");
+        RawClient otherClient = fixture.newClient();
+        otherClient.send(generationRequest(newRequestId(), ""));
+        awaitCompleteStream(otherClient);
     }
 
     @Test
@@ -67,18 +67,18 @@
             assertTrue(
                     connections <= 126,
                     "connections " + connections + " where 0.42 of 300 are allowed");
-            RawClient usual = fixture.newClient();
-            usual.send(generationRequest(newRequestId(), ""));
-            awaitCompleteStream(usual);
+            RawClient otherClient = fixture.newClient();
+            otherClient.send(generationRequest(newRequestId(), ""));
+            awaitCompleteStream(otherClient);
         }
     }
 
     @Test
     void newConnectionIsServedWhereAllOthersAreIdle() throws Exception {
         for (int i = 0; i < 200; i++) {
-            RawClient stays = fixture.newClient();
-            stays.send(HEALTH_REQUEST);
-            assertTrue(stays.readResponse().startsWith("HTTP/1.1 200 "), "connection " + i);
+            RawClient idleClient = fixture.newClient();
+            idleClient.send(HEALTH_REQUEST);
+            assertTrue(idleClient.readResponse().startsWith("HTTP/1.1 200 "), "connection " + i);
         }
         assertEquals(126, fixture.inspector.connections());
     }
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -193,7 +193,7 @@
         String writer = writerJson();
         try (ScriptedServer other =
                         new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
-                ScriptedServer moved =
+                ScriptedServer newAgent =
                         new ScriptedServer(
                                 request ->
                                         new ScriptedResponse(
@@ -222,9 +222,9 @@
             while (!fixture.discovery.awaitRequest("GET").target().contains("after=60")) {
                 // A poll from before the list.
             }
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            awaitPoll(moved, true);
+            awaitPoll(newAgent, true);
             fixture.awaitEventLoop();
             assertServedBy(other, fixture.reader);
         }
@@ -268,7 +268,7 @@
                                                     writer),
                                             true);
                                 });
-                ScriptedServer moved =
+                ScriptedServer newAgent =
                         new ScriptedServer(
                                 request ->
                                         new ScriptedResponse(
@@ -281,9 +281,9 @@
             fixture.writeConfiguration(before.port());
             fixture.node.reload();
             awaitLatch(requested);
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            awaitPoll(moved, true);
+            awaitPoll(newAgent, true);
             open.countDown();
             before.awaitResponsesWritten();
             fixture.awaitEventLoop();
@@ -299,7 +299,7 @@
         String writer = writerJson();
         try (ScriptedServer other =
                         new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
-                ScriptedServer moved =
+                ScriptedServer newAgent =
                         new ScriptedServer(
                                 request -> {
                                     if (isWatch(request)) {
@@ -318,11 +318,11 @@
                                                     readerJson("r2", other, "SERVING"), writer),
                                             true);
                                 })) {
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            awaitPoll(moved, true);
+            awaitPoll(newAgent, true);
             open.countDown();
-            moved.awaitResponsesWritten();
+            newAgent.awaitResponsesWritten();
             fixture.awaitEventLoop();
             assertServedBy(other, fixture.reader);
         }
@@ -337,11 +337,11 @@
         fixture.node.reload();
         // Long enough for the backoff to have reached its maximum.
         TimeUnit.MILLISECONDS.sleep(600);
-        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script, port)) {
+        try (ScriptedServer newAgent = new ScriptedServer(fixture.discovery.script, port)) {
             long up = System.nanoTime();
-            awaitPoll(moved, false);
+            awaitPoll(newAgent, false);
             assertTrue((System.nanoTime() - up) / 1e6 < 500);
-            awaitPoll(moved, true);
+            awaitPoll(newAgent, true);
         }
     }
 }
--- a/src/test/java/larchridge/node/NodeConfigurationTest.java
+++ b/src/test/java/larchridge/node/NodeConfigurationTest.java
@@ -16,13 +16,13 @@
 class NodeConfigurationTest extends AbstractNodeTest {
     @Test
     void newConfigurationMovesDiscoveryAndABrokenOneChangesNothing() throws Exception {
-        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script)) {
+        try (ScriptedServer newAgent = new ScriptedServer(fixture.discovery.script)) {
             Files.writeString(fixture.configurationFile, "{broken");
             fixture.node.reload();
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            assertEquals("/discovery/hosts", moved.awaitRequest("GET").target());
-            assertTrue(moved.awaitRequest("GET").target().startsWith("/discovery/hosts?after="));
+            assertEquals("/discovery/hosts", newAgent.awaitRequest("GET").target());
+            assertTrue(newAgent.awaitRequest("GET").target().startsWith("/discovery/hosts?after="));
         }
     }
 
@@ -32,7 +32,7 @@
      */
     @Test
     void configurationThatCannotBeReadAtOnceIsRetried() throws Exception {
-        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script)) {
+        try (ScriptedServer newAgent = new ScriptedServer(fixture.discovery.script)) {
             for (boolean halfWritten : new boolean[] {false, true}) {
                 Files.delete(fixture.configurationFile);
                 if (halfWritten) {
@@ -40,10 +40,10 @@
                 }
                 fixture.node.reload();
                 fixture.awaitEventLoop();
-                moved.received.clear();
-                fixture.writeConfiguration(moved.port());
+                newAgent.received.clear();
+                fixture.writeConfiguration(newAgent.port());
                 assertTrue(
-                        moved.received.poll(2, TimeUnit.SECONDS) != null,
+                        newAgent.received.poll(2, TimeUnit.SECONDS) != null,
                         "the new configuration was never followed");
             }
         }
--- a/src/test/java/larchridge/node/NodeProcess.java
+++ b/src/test/java/larchridge/node/NodeProcess.java
@@ -23,7 +23,7 @@
      * Far more descriptors than the process gets, so that the node's own bounds are not what stops
      * it.
      */
-    private static final int PROMISED_DESCRIPTORS = 1000;
+    private static final int CONFIGURED_DESCRIPTORS = 1000;
 
     final ScriptedServer reader =
             new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
@@ -49,7 +49,7 @@
         Files.writeString(
                 config,
                 ConfigurationJson.of(
-                        port, discovery.port(), PROMISED_DESCRIPTORS, endpointList.snapshotJson()));
+                        port, discovery.port(), CONFIGURED_DESCRIPTORS, endpointList.snapshotJson()));
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder builder =
                 new ProcessBuilder(
--- a/src/test/java/larchridge/node/RequestAccountingTest.java
+++ b/src/test/java/larchridge/node/RequestAccountingTest.java
@@ -39,14 +39,14 @@
             new ScriptedResponse(good, true)
         };
         fixture.writer.script = request -> replies[calls.getAndIncrement() % replies.length];
-        int most = 0;
+        int maxAttempts = 0;
         List<RawClient> unanswered = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             RawClient client = fixture.newClient();
             client.send(generationRequest(newRequestId(), 600, ""));
             int attempts = fixture.inspector.attemptsInFlight();
             assertNotEquals(-1, attempts, "at request " + i);
-            most = Math.max(most, attempts);
+            maxAttempts = Math.max(maxAttempts, attempts);
             if (i % 5 == 0) {
                 client.close();
             } else if (i % 2 == 0) {
@@ -56,7 +56,7 @@
             }
             assertNotEquals(-1, fixture.inspector.attemptsInFlight(), "after request " + i);
         }
-        assertTrue(most > 0);
+        assertTrue(maxAttempts > 0);
         // A request that is unread yet, or waits before its read, is none of the link's: each has
         // to be answered first.
         for (RawClient client : unanswered) {
--- a/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
+++ b/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
@@ -19,7 +19,7 @@
     private static final int TIMERS = 200;
     private static final long DELAY_NANOS = 1_400_000;
 
-    private final AtomicInteger turns = new AtomicInteger();
+    private final AtomicInteger iterations = new AtomicInteger();
 
     /** Netty's handler, which counts the turns of its loop. */
     private IoHandlerFactory counted() {
@@ -27,19 +27,19 @@
                 SelectorProvider.provider(),
                 () ->
                         (selectNow, hasTasks) -> {
-                            turns.incrementAndGet();
+                            iterations.incrementAndGet();
                             return hasTasks ? selectNow.get() : SelectStrategy.SELECT;
                         });
     }
 
     /** Timers one after the other on a loop that has nothing else to do. */
-    private int turnsOf(IoHandlerFactory factory) throws InterruptedException {
+    private int iterationsOf(IoHandlerFactory factory) throws InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, factory);
         EventLoop loop = (EventLoop) group.next();
         CountDownLatch left = new CountDownLatch(TIMERS);
         loop.execute(() -> next(loop, left));
         left.await();
-        int counted = turns.getAndSet(0);
+        int counted = iterations.getAndSet(0);
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await();
         return counted;
     }
@@ -58,8 +58,8 @@
 
     @Test
     void loopDoesNotPollDuringTheLastPartialMillisecondBeforeATimer() throws Exception {
-        int plain = turnsOf(counted());
-        int rounded = turnsOf(WholeMillisecondIoHandler.wrap(counted()));
+        int plain = iterationsOf(counted());
+        int rounded = iterationsOf(WholeMillisecondIoHandler.wrap(counted()));
         assertTrue(
                 plain > 10 * TIMERS,
                 "Netty's own handler is expected to poll, it took turns: " + plain);
--- a/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -13,12 +13,12 @@
     private static final double WALL_MS = 1_700_000_000_000.0;
 
     private double wallMs = WALL_MS;
-    private final StartTimeConverter starts = new StartTimeConverter(() -> (long) wallMs);
+    private final StartTimeConverter converter = new StartTimeConverter(() -> (long) wallMs);
 
     @Test
     void startTimeFollowsAnAccurateWallClock() {
-        assertEquals(NOW_MS - 3000, starts.toLocalMs("a", WALL_MS - 3000, NOW_MS));
-        assertEquals(0, starts.toLocalMs("b", 0, NOW_MS));
+        assertEquals(NOW_MS - 3000, converter.toLocalMs("a", WALL_MS - 3000, NOW_MS));
+        assertEquals(0, converter.toLocalMs("b", 0, NOW_MS));
     }
 
     /**
@@ -28,23 +28,23 @@
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR_MS, -5000, 5000, HOUR_MS})
     void startTimeOfANewEngineIsNotBeforeTheLastConfirmedListAfterAClockStep(double stepMs) {
-        starts.listConfirmed(NOW_MS);
+        converter.listConfirmed(NOW_MS);
         wallMs = WALL_MS + 2000 + stepMs;
-        double local = starts.toLocalMs("a", WALL_MS + 1500, NOW_MS + 2000);
+        double local = converter.toLocalMs("a", WALL_MS + 1500, NOW_MS + 2000);
         assertEquals(Math.min(NOW_MS + 2000, Math.max(NOW_MS, NOW_MS + 1500 - stepMs)), local);
     }
 
     @Test
     void startTimeOfAKnownEngineIsUnchangedByAClockStep() {
-        double before = starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS);
-        starts.listConfirmed(NOW_MS);
+        double before = converter.toLocalMs("a", WALL_MS - 60_000, NOW_MS);
+        converter.listConfirmed(NOW_MS);
         wallMs = WALL_MS + HOUR_MS;
-        assertEquals(before, starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS + 5000));
+        assertEquals(before, converter.toLocalMs("a", WALL_MS - 60_000, NOW_MS + 5000));
     }
 
     @Test
     void startTimeIsNeverInTheFutureUnderAWallClockThatIsBehind() {
         wallMs = WALL_MS - HOUR_MS;
-        assertEquals(NOW_MS, starts.toLocalMs("a", WALL_MS - 60_000, NOW_MS));
+        assertEquals(NOW_MS, converter.toLocalMs("a", WALL_MS - 60_000, NOW_MS));
     }
 }
