--- a/src/test/java/larchridge/node/AbstractNodeTest.java
+++ b/src/test/java/larchridge/node/AbstractNodeTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests that each have a node of their own between scripted engines, discovery and clients. */
+/**
+ * Base class of tests that run a node of their own between scripted engines, a scripted discovery
+ * agent and clients.
+ */
 abstract class AbstractNodeTest {
     @TempDir Path folder;
     NodeFixture fixture;
@@ -21,6 +24,6 @@
     void close() throws Exception {
         fixture.close();
         assertEquals(
-                0, fixture.inspector.violations(), "invariants violated; the log has the requests");
+                0, fixture.inspector.violations(), "invariants violated; see the log for the requests");
     }
 }
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Clients that close at the worst moment: no attempt begins for them, and what was read for them is
- * released.
+ * Clients that close their connection while their request is about to be sent to an engine: no
+ * attempt starts for them, and states that were read for them are released.
  */
 @Timeout(30)
 class ClientCloseTest extends AbstractNodeTest {
-    /** Closes with a FIN, or with a reset that drops what the peer has not read. */
+    /** Closes with a FIN, or with a reset that discards data that the peer has not read. */
     private static void close(RawClient client, boolean resets) throws Exception {
         if (resets) {
             client.socket.setSoLinger(true, 0);
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Whether an engine got an attempt of this request, once a later request has been served from
-     * end to end.
+     * Whether an engine received an attempt of this request, checked after a later request has been
+     * served completely.
      */
     private boolean hasReceivedAttempt(ScriptedServer engine, String id) throws Exception {
         RawClient other = fixture.newClient();
@@ -126,8 +126,8 @@
     }
 
     /**
-     * The first attempt is silent; the second falls due while the loop is held, and so does the
-     * client's close.
+     * The first attempt gets no response; the second falls due while the event loop is paused, and
+     * the client closes meanwhile.
      */
     @Test
     void retryThatFallsDueInTheTurnInWhichTheClientClosesIsNotSent() throws Exception {
@@ -148,7 +148,7 @@
             client.send(generationRequest(newRequestId(), ""));
             awaitLatch(first);
             CountDownLatch resume = fixture.pauseEventLoop();
-            // Longer than the module waits for a silent reader, so that the second attempt is due
+            // Longer than the policy waits for a silent reader, so that the second attempt is due
             // when the loop resumes.
             TimeUnit.MILLISECONDS.sleep(1500);
             client.close();
--- a/src/test/java/larchridge/node/ClientConnectionLimitTest.java
+++ b/src/test/java/larchridge/node/ClientConnectionLimitTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** More client connections than the node may hold, or ones that stay silent. */
+/** More client connections than the node may hold, and connections that stay silent. */
 @Timeout(30)
 class ClientConnectionLimitTest extends AbstractNodeTest {
     @Test
@@ -38,7 +38,7 @@
     void burstOfConnectionsStaysWithinTheConnectionLimit() throws Exception {
         int maxConnections = 0;
         for (int i = 0; i < 8; i++) {
-            // Faster than they can be accepted one by one.
+            // Faster than the node can accept them one by one.
             for (int j = 0; j < 100; j++) {
                 fixture.newClient();
             }
--- a/src/test/java/larchridge/node/ConfigurationJson.java
+++ b/src/test/java/larchridge/node/ConfigurationJson.java
@@ -15,7 +15,10 @@
 
     private ConfigurationJson() {}
 
-    /** A configuration with these ports and descriptors, and this list of known endpoints. */
+    /**
+     * Returns a configuration with these ports, this descriptor limit and this list of known
+     * endpoints.
+     */
     static String of(int listenPort, int discoveryPort, int sockets, String knownSnapshot) {
         return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:"
                 + listenPort
--- a/src/test/java/larchridge/node/DeadlineTest.java
+++ b/src/test/java/larchridge/node/DeadlineTest.java
@@ -8,11 +8,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers that are due by a time, whatever engines or clients do. */
+/** Final answers and errors must be sent in time even if engines or clients are silent. */
 @Timeout(30)
 class DeadlineTest extends AbstractNodeTest {
     /**
-     * Clients that stop in the middle are owed an error or a close so long after they connected.
+     * Time after the connect within which a client that stops in the middle of a request must get
+     * an error or a close.
      */
     private static final double STOPPED_CLIENT_TIMEOUT_MS = 3000;
 
--- a/src/test/java/larchridge/node/DescriptorExhaustionTest.java
+++ b/src/test/java/larchridge/node/DescriptorExhaustionTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A node in a process of its own that may open fewer descriptors than it was promised, so that its
+ * A node in a separate process that may open fewer descriptors than are configured, so that its
  * system calls fail.
  */
 @Timeout(60)
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Each call to discovery fails at the socket call; once there are descriptors again the list
-     * has to be followed.
+     * Every connection to discovery fails at the socket call; once there are descriptors again, the
+     * list must be followed again.
      */
     @Test
     void discoveryIsPolledAgainOnceThereAreDescriptors() throws Exception {
@@ -79,7 +79,7 @@
         assertTrue(tookMs < RECOVERED_WITHIN_MS, "polled again after " + tookMs + " ms");
     }
 
-    /** A failed accept is this machine's affair of a moment. */
+    /** A failed accept is a brief local condition; the node must resume accepting soon after it. */
     @Test
     void clientsAreAcceptedAgainOnceThereAreDescriptors() throws Exception {
         List<Socket> clients = connectAll();
@@ -94,9 +94,7 @@
         assertTrue(tookMs < 500, "accepted after " + tookMs + " ms");
     }
 
-    /**
-     * A call for a socket that fails says nothing about the engine, and there is time to try again.
-     */
+    /** A failed socket call says nothing about the engine, and there is time for a retry. */
     @Test
     void requestIsServedWhoseAttemptsFindNoDescriptorForAMoment() throws Exception {
         RawClient client = new RawClient(node.port);
@@ -110,7 +108,7 @@
         try {
             head = client.readUntil("\r\n\r\n");
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("no answer; the node's log: " + node.log(), e);
+            throw new AssertionError("no response; the node's log: " + node.log(), e);
         }
         assertTrue(head != null && head.startsWith("HTTP/1.1 200 "), head);
         assertEquals(1, node.writer.attemptCount());
--- a/src/test/java/larchridge/node/DiscoveryPollingTest.java
+++ b/src/test/java/larchridge/node/DiscoveryPollingTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** When discovery is polled, and what the node serves by meanwhile. */
+/** When discovery is polled, and which list the node uses meanwhile. */
 @Timeout(30)
 class DiscoveryPollingTest extends AbstractNodeTest {
     @Test
@@ -31,7 +31,8 @@
             fixture.endpointList.publishChange();
             int before = fixture.discovery.received.size();
             while (fixture.discovery.received.size() < before + 2) {
-                // The watch after the one that carried the change: the change was applied.
+                // The watch after the one that carried the change is sent once the change was
+                // applied.
                 Thread.onSpinWait();
             }
             fixture.reader.received.clear();
@@ -43,8 +44,8 @@
     }
 
     /**
-     * The grace here is 250 ms: an agent that does not answer one call has to be polled again well
-     * within it.
+     * The drain grace is 250 ms here: an agent that does not respond to one poll must be polled
+     * again well within it.
      */
     @Test
     void agentThatAnswersAgainIsPolledWithinTheDrainGraceThoughItDroppedACall() throws Exception {
@@ -53,7 +54,7 @@
         fixture.discovery.received.clear();
         fixture.node.reload();
         while (fixture.discovery.awaitRequest("GET").target().contains("after=")) {
-            // A watch that was polled before.
+            // A watch that was sent before the reload.
         }
         long polled = System.nanoTime();
         fixture.discovery.script = script;
@@ -76,7 +77,7 @@
                         request.target().contains("after=")
                                 ? new ScriptedResponse(null, true)
                                 : script.apply(request);
-        // The watch behind this one is silent.
+        // The watch that follows this one gets no response.
         while (!fixture.discovery.awaitRequest("GET").target().contains("after=")) {
             fixture.endpointList.publishChange();
         }
@@ -84,8 +85,8 @@
         while (fixture.discovery.awaitRequest("GET").target().contains("after=")) {
             start = System.nanoTime();
         }
-        // A connection that does not come up and one more try must fit in before what was missed
-        // counts as known, after 6 s.
+        // Time for a connection that is not established and another attempt must remain before the
+        // missed change counts as known, after 6 s.
         assertTrue(System.nanoTime() - start < 4_000e6);
     }
 
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -22,14 +22,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Calls to discovery that break, fall silent, come late or carry old lists; judged by where
- * requests go.
+ * Discovery connections that break, fall silent, respond late or carry older lists; verified by
+ * which engines receive requests.
  */
 @Timeout(30)
 class DiscoveryTest extends AbstractNodeTest {
     /**
-     * What was missed has to act 6 s after a watch fell silent; a connection that does not come up,
-     * and a retry, fit in too.
+     * A missed change must take effect 6 s after a watch fell silent; a connection that is not
+     * established and a retry must fit into that time.
      */
     private static final double MAX_REPOLL_DELAY_MS = 4000;
 
@@ -37,7 +37,7 @@
         return request.target().contains("after=");
     }
 
-    /** Waits for a call of the kind that comes after this moment. */
+    /** Waits for the next watch or the next poll for a snapshot. */
     private void awaitPoll(ScriptedServer discovery, boolean watch) throws Exception {
         ReceivedRequest request = discovery.awaitRequest("GET");
         while (isWatch(request) != watch) {
@@ -147,8 +147,8 @@
     }
 
     /**
-     * A replica that lags answers the watch: its list is older than the one known, and a snapshot
-     * is requested.
+     * A lagging replica answers the watch: its list is older than the current one, so it is dropped
+     * and a snapshot is requested.
      */
     @Test
     void watchWithAnOlderVersionChangesNothingAndASnapshotIsRequested() throws Exception {
@@ -185,8 +185,8 @@
     }
 
     /**
-     * The agent behind a new configuration may lag behind the one before; what the node knew still
-     * counts.
+     * The agent of a new configuration may lag behind the previous one; what the node knows from
+     * that one stays in effect.
      */
     @Test
     void olderListOfAnotherAgentReturnsNoDrainingEngineToService() throws Exception {
@@ -220,7 +220,7 @@
                                     true);
             fixture.endpointList.publishChange();
             while (!fixture.discovery.awaitRequest("GET").target().contains("after=60")) {
-                // A poll from before the list.
+                // A poll that was sent before the list changed.
             }
             fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
@@ -230,7 +230,10 @@
         }
     }
 
-    /** An agent that answers every watch at once, with nothing new, must not keep the loop busy. */
+    /**
+     * An agent that answers every watch immediately, without changes, must not keep the event loop
+     * busy.
+     */
     @Test
     void watchThatIsAnsweredAtOnceIsPolledAtABoundedRate() throws Exception {
         AtomicInteger watches = new AtomicInteger();
@@ -291,7 +294,10 @@
         }
     }
 
-    /** Two calls for a snapshot are open at a time; the older one is answered after the newer. */
+    /**
+     * Two connections poll for a snapshot at the same time; the older one is answered after the
+     * newer.
+     */
     @Test
     void responseOnAClosedConnectionChangesNothing() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
--- a/src/test/java/larchridge/node/ListenTest.java
+++ b/src/test/java/larchridge/node/ListenTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node that starts while its address is still taken, as by the process before it. */
+/** A node that starts while its address is still in use, for example by the previous process. */
 @Timeout(60)
 class ListenTest {
     private static final int DESCRIPTORS = 400;
@@ -40,7 +40,7 @@
                 NodeProcess node = new NodeProcess(folder, DESCRIPTORS, other.getLocalPort())) {
             assertTrue(
                     node.process.waitFor(ENDED_SECONDS, TimeUnit.SECONDS),
-                    "the process neither serves nor ends");
+                    "the process neither serves nor exits");
             assertEquals(1, node.process.exitValue());
             assertTrue(node.log().contains("listen"), node.log());
         }
--- a/src/test/java/larchridge/node/NodeConfigurationTest.java
+++ b/src/test/java/larchridge/node/NodeConfigurationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Configurations that are broken, and ones that change while the node runs. */
+/** Invalid configurations, and configurations that change while the node runs. */
 @Timeout(30)
 class NodeConfigurationTest extends AbstractNodeTest {
     @Test
@@ -27,8 +27,8 @@
     }
 
     /**
-     * A read of the file fails for a moment, as where descriptors are short, or finds it half
-     * written.
+     * Reading the file fails at first, as it does when descriptors are exhausted, or the file is
+     * half written.
      */
     @Test
     void configurationThatCannotBeReadAtOnceIsRetried() throws Exception {
@@ -44,7 +44,7 @@
                 fixture.writeConfiguration(newAgent.port());
                 assertTrue(
                         newAgent.received.poll(2, TimeUnit.SECONDS) != null,
-                        "the new configuration was never followed");
+                        "the agent in the new configuration was never polled");
             }
         }
     }
--- a/src/test/java/larchridge/node/NodeFixture.java
+++ b/src/test/java/larchridge/node/NodeFixture.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A node over loopback between scripted engines, a scripted discovery agent and raw clients; bytes
- * as the platform's pages give them.
+ * A node over loopback between scripted engines, a scripted discovery agent and raw clients that
+ * exchange bytes in the platform's wire format.
  */
 final class NodeFixture implements AutoCloseable {
     private static final int SOCKETS = 300;
@@ -44,7 +44,10 @@
     final NodeInspector inspector;
     private final List<RawClient> clients = new ArrayList<>();
 
-    /** Holds back readers' answers: one was requested; they may be sent once it is opened. */
+    /**
+     * Holds back readers' responses: {@code requested} is counted down when a reader receives a
+     * request, and counting down {@code opened} lets the responses be sent.
+     */
     record ReadGate(CountDownLatch requested, CountDownLatch opened) {}
 
     NodeFixture(Path folder) throws Exception {
@@ -56,29 +59,29 @@
         inspector = new NodeInspector(node);
     }
 
-    /** Writes the node's configuration with the discovery agent at this port. */
+    /** Writes the node's configuration with the port of the discovery agent. */
     void writeConfiguration(int discoveryPort) throws IOException {
         Files.writeString(
                 configurationFile,
                 ConfigurationJson.of(0, discoveryPort, SOCKETS, endpointList.snapshotJson()));
     }
 
-    /** A new connection to the node; closed with the fixture. */
+    /** Opens a connection to the node; it is closed with the fixture. */
     RawClient newClient() throws IOException {
         RawClient client = new RawClient(node.port());
         clients.add(client);
         return client;
     }
 
-    /** Reads the next answer, which has to be a complete stream; gives its bytes. */
+    /** Reads the next response, which must be a complete stream, and returns it. */
     static String awaitCompleteStream(RawClient client) throws IOException {
         String answer = client.readUntil("0\r\n\r\n");
-        assertNotNull(answer, "the connection ended before its answer");
+        assertNotNull(answer, "the connection was closed before its response");
         assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
         return answer;
     }
 
-    /** Waits for a latch, which has to be counted down soon. */
+    /** Waits for a latch that must be counted down soon. */
     static void awaitLatch(CountDownLatch latch) {
         try {
             assertTrue(latch.await(8, TimeUnit.SECONDS));
@@ -87,7 +90,7 @@
         }
     }
 
-    /** Readers' answers wait until the gate is opened. */
+    /** Makes readers' responses wait until the gate is opened. */
     ReadGate gateReads() {
         ReadGate gate = new ReadGate(new CountDownLatch(1), new CountDownLatch(1));
         reader.script =
@@ -99,7 +102,10 @@
         return gate;
     }
 
-    /** A client whose request a reader has and does not answer before the gate is opened. */
+    /**
+     * Returns a client whose request a reader has received and does not answer before the gate is
+     * opened.
+     */
     RawClient clientWithPendingRead(ReadGate gate, String id) throws IOException {
         RawClient client = newClient();
         client.send(generationRequest(id, ""));
@@ -108,8 +114,9 @@
     }
 
     /**
-     * Blocks the node's event loop until the latch is counted down; returns once it is blocked.
-     * What comes to the node's sockets meanwhile is there, in its order, when the loop resumes.
+     * Blocks the node's event loop until the returned latch is counted down; returns once it is
+     * blocked. Data that arrives at the node's sockets meanwhile is available, in order, when the
+     * loop resumes.
      */
     CountDownLatch pauseEventLoop() {
         CountDownLatch paused = new CountDownLatch(1);
@@ -124,7 +131,10 @@
         return resume;
     }
 
-    /** Returns once the node has read what its sockets held, and has done what followed from it. */
+    /**
+     * Returns once the node has read the data in its sockets and completed the work that followed
+     * from it.
+     */
     void awaitEventLoop() throws Exception {
         for (int i = 0; i < 3; i++) {
             inspector.connections();
--- a/src/test/java/larchridge/node/NodeInspector.java
+++ b/src/test/java/larchridge/node/NodeInspector.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ExecutionException;
 import larchridge.node.upstream.ForwardingUpstreamClient;
 
-/** Reads counts of a started node on its event loop, from any thread. */
+/** Reads counters of a started node on its event loop; callable from any thread. */
 final class NodeInspector {
     private final Node node;
 
@@ -16,12 +16,12 @@
         return node.loop().submit(read).get();
     }
 
-    /** Client connections. */
+    /** Number of client connections. */
     int connections() throws InterruptedException, ExecutionException {
         return callOnEventLoop(() -> node.components().server().connectionCount());
     }
 
-    /** Engines on the list. */
+    /** Number of engines on the list. */
     int engines() throws InterruptedException, ExecutionException {
         return callOnEventLoop(
                 () -> {
@@ -31,17 +31,20 @@
                 });
     }
 
-    /** Requests that the upstream client still knows. */
+    /** Number of requests that the upstream client still tracks. */
     int openRequests() throws InterruptedException, ExecutionException {
         return callOnEventLoop(() -> node.components().upstream().openRequests());
     }
 
-    /** Violations of invariants so far. */
+    /** Number of invariant violations so far. */
     long violations() {
         return node.components() == null ? 0 : node.components().audit().violations();
     }
 
-    /** Attempts in flight by the policy's count, or -1 if the upstream client's count differs. */
+    /**
+     * Number of attempts in flight by the policy's count, or -1 if the upstream client's count
+     * differs.
+     */
     int attemptsInFlight() throws InterruptedException, ExecutionException {
         ForwardingUpstreamClient upstream = node.components().upstream();
         return callOnEventLoop(
--- a/src/test/java/larchridge/node/NodeProcess.java
+++ b/src/test/java/larchridge/node/NodeProcess.java
@@ -13,15 +13,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A node in a process of its own, between scripted engines and a scripted discovery agent in this
+ * A node in a separate process, between scripted engines and a scripted discovery agent in this
  * one.
  */
 final class NodeProcess implements AutoCloseable {
     private static final long START_NANOS = 30_000_000_000L;
 
     /**
-     * Far more descriptors than the process gets, so that the node's own bounds are not what stops
-     * it.
+     * Far more descriptors than the process gets, so that the node's own limits are not reached
+     * first.
      */
     private static final int CONFIGURED_DESCRIPTORS = 1000;
 
@@ -40,7 +40,7 @@
         awaitReady();
     }
 
-    /** Starts it at an address; whether it gets ready is the caller's affair. */
+    /** Starts the node at a port without waiting until it is ready. */
     NodeProcess(Path folder, int descriptors, int port) throws IOException {
         this.port = port;
         Path config = folder.resolve("config.json");
@@ -85,15 +85,15 @@
             } catch (IOException e) {
                 if (!process.isAlive()) {
                     throw new IOException(
-                            "the node ended at its start: " + Files.readString(log), e);
+                            "the node exited during its start: " + Files.readString(log), e);
                 }
             }
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        throw new IOException("the node is not ready");
+        throw new IOException("the node did not become ready");
     }
 
-    /** What the process has written so far. */
+    /** The output of the process so far. */
     String log() throws IOException {
         return Files.readString(log);
     }
--- a/src/test/java/larchridge/node/RawClient.java
+++ b/src/test/java/larchridge/node/RawClient.java
@@ -7,7 +7,7 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** A client on a plain socket that sends and reads bytes as they are. */
+/** A client on a plain socket that sends and reads raw bytes. */
 final class RawClient implements AutoCloseable {
     final Socket socket;
     private final InputStream in;
@@ -24,7 +24,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads up to and with a text; null if the connection ends before. */
+    /** Reads up to and including a text; returns null if the connection ends first. */
     String readUntil(String text) throws IOException {
         StringBuilder all = new StringBuilder();
         while (all.indexOf(text) < 0) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Reads all until the connection ends. */
+    /** Reads everything until the connection ends. */
     String readToEnd() throws IOException {
         StringBuilder all = new StringBuilder();
         for (int c = read(); c >= 0; c = read()) {
@@ -54,7 +54,7 @@
         return all.toString();
     }
 
-    /** One answer with a length: its head and body. */
+    /** Reads the head and body of one response with a content length. */
     String readResponse() throws IOException {
         String head = readUntil("\r\n\r\n");
         int size = Integer.parseInt(head.replaceAll("(?is).*content-length: (\\d+).*", "$1"));
--- a/src/test/java/larchridge/node/ReceivedRequest.java
+++ b/src/test/java/larchridge/node/ReceivedRequest.java
@@ -1,6 +1,6 @@
 package larchridge.node;
 
-/** A request as a scripted server has received it; connections are numbered from 1. */
+/** A request that a scripted server has received; connections are numbered from 1. */
 record ReceivedRequest(String method, String target, String head, String body, int connection) {
     /** The value of a header, or null. */
     String header(String name) {
--- a/src/test/java/larchridge/node/RequestAccountingTest.java
+++ b/src/test/java/larchridge/node/RequestAccountingTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Counts of attempts and requests through faults and over many requests. */
+/** Counts of attempts and requests in the presence of faults and over many requests. */
 @Timeout(30)
 class RequestAccountingTest extends AbstractNodeTest {
     @Test
@@ -57,8 +57,8 @@
             assertNotEquals(-1, fixture.inspector.attemptsInFlight(), "after request " + i);
         }
         assertTrue(maxAttempts > 0);
-        // A request that is unread yet, or waits before its read, is none of the link's: each has
-        // to be answered first.
+        // The upstream client does not count a request that the node has not read yet or that waits
+        // for its read attempt, so each one must be answered first.
         for (RawClient client : unanswered) {
             assertNotNull(client.readUntil("\r\n\r\n"));
         }
--- a/src/test/java/larchridge/node/RequestForwardingTest.java
+++ b/src/test/java/larchridge/node/RequestForwardingTest.java
@@ -24,7 +24,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How requests reach engines and responses come back, judged from the bytes that both sides saw.
+ * How requests reach engines and responses reach clients, verified by the bytes that both sides
+ * received.
  */
 @Timeout(30)
 class RequestForwardingTest extends AbstractNodeTest {
@@ -57,8 +58,8 @@
             assertTrue(Integer.parseInt(request.header("Req-Deadline-Ms")) <= 4000);
             assertNull(request.header("Transfer-Encoding"));
         }
-        // The same connection serves the next request, and no state of the first is left to
-        // release.
+        // The same connection serves the next request, and no state of the first one remains to be
+        // released.
         client.send(generationRequest(newRequestId(), ""));
         awaitCompleteStream(client);
         assertTrue(
@@ -203,7 +204,7 @@
         assertTrue(client.readToEnd().startsWith("HTTP/1.1 400 "));
         fixture.reader.awaitRequest("POST");
         assertTrue(fixture.reader.received.isEmpty());
-        // Nobody is blamed for it: the next one is served there.
+        // The engine is not penalized: it serves the next request.
         fixture.reader.script = request -> new ScriptedResponse(readResponse(0), true);
         RawClient other = fixture.newClient();
         other.send(generationRequest(newRequestId(), ""));
--- a/src/test/java/larchridge/node/RequestRejectionTest.java
+++ b/src/test/java/larchridge/node/RequestRejectionTest.java
@@ -84,7 +84,7 @@
             RawClient client = fixture.newClient();
             client.send("POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\n" + head);
             client.socket.getOutputStream().write(more);
-            // A reset, which a close over unread bytes is, would throw here.
+            // Throws if the connection is reset, which closing it with unread data would cause.
             assertTrue(
                     new String(client.socket.getInputStream().readAllBytes(), UTF_8)
                             .matches("(?s)HTTP/1.1 4\\d\\d .*"),
--- a/src/test/java/larchridge/node/ScriptedEndpointList.java
+++ b/src/test/java/larchridge/node/ScriptedEndpointList.java
@@ -5,7 +5,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An endpoint list as a scripted discovery agent serves it: snapshots at once, watches on change.
+ * An endpoint list as a scripted discovery agent serves it: snapshots immediately, watches after a
+ * change.
  */
 final class ScriptedEndpointList {
     private static final long WATCH_WAIT_NANOS = 300_000_000L;
@@ -18,17 +19,16 @@
         endpoints.add(endpointJson);
     }
 
-    /** Adds an endpoint at the front. */
+    /** Adds an endpoint at the beginning. */
     void addFirst(String endpointJson) {
         endpoints.add(0, endpointJson);
     }
 
-    /** Replaces an endpoint. */
     void set(int index, String endpointJson) {
         endpoints.set(index, endpointJson);
     }
 
-    /** The next watch, or one that waits, is answered with the list as it is now. */
+    /** Answers the next or the pending watch with the current list. */
     void publishChange() {
         synchronized (version) {
             version.incrementAndGet();
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The full list as it is now. */
+    /** The current full list. */
     String snapshotJson() {
         return "{\"index\":"
                 + version
@@ -45,7 +45,10 @@
                 + "]}";
     }
 
-    /** Answers a snapshot at once, and a watch once something has changed or its wait is over. */
+    /**
+     * Responds to a snapshot poll immediately, and to a watch once something has changed or its
+     * wait is over.
+     */
     ScriptedResponse respond(ReceivedRequest request) {
         int after =
                 request.target().contains("after=")
--- a/src/test/java/larchridge/node/ScriptedServer.java
+++ b/src/test/java/larchridge/node/ScriptedServer.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
-/** An HTTP server that answers by a script: an engine or the discovery agent. */
+/** An HTTP server that responds by a script: an engine or the discovery agent. */
 final class ScriptedServer implements AutoCloseable {
     final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
     volatile Function<ReceivedRequest, ScriptedResponse> script;
 
-    /** Whether it reads all requests and answers none, releases neither. */
+    /** Whether it reads all requests, including releases, and responds to none. */
     volatile boolean silent;
 
     private final ServerSocket server;
@@ -61,7 +61,7 @@
                 startDaemonThread(() -> serve(socket, number));
             }
         } catch (IOException e) {
-            // Closed.
+            // The server was closed.
             return;
         }
     }
@@ -73,9 +73,8 @@
             ReceivedRequest request = read(in, number);
             while (request != null) {
                 responsesInProgress.incrementAndGet();
-                // Taken before a test can see the request: one that then changes the script means
-                // the
-                // requests after it.
+                // Read before a test can see the request: a test that then changes the script
+                // affects only the requests after it.
                 Function<ReceivedRequest, ScriptedResponse> currentScript = scriptFor(request);
                 received.add(request);
                 ScriptedResponse response = currentScript.apply(request);
@@ -91,12 +90,12 @@
                 request = read(in, number);
             }
         } catch (IOException e) {
-            // The other side closed it.
+            // The peer closed the connection.
             return;
         }
     }
 
-    /** The next request on a connection; null if the other side has closed it. */
+    /** Reads the next request on a connection; returns null if the peer has closed it. */
     private static ReceivedRequest read(InputStream in, int connection) throws IOException {
         String head = readHead(in);
         if (head == null) {
@@ -139,24 +138,24 @@
         return all.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Attempts that were received. */
+    /** Number of attempts that were received. */
     long attemptCount() {
         return received.stream().filter(request -> request.method().equals("POST")).count();
     }
 
-    /** Returns once every response that was begun has been written. */
+    /** Returns once every response in progress has been written. */
     void awaitResponsesWritten() {
         while (responsesInProgress.get() > 0) {
             Thread.onSpinWait();
         }
     }
 
-    /** Waits for the next request of a method. */
+    /** Waits for the next request with this method. */
     ReceivedRequest awaitRequest(String method) throws InterruptedException {
         while (true) {
             ReceivedRequest request = received.poll(8, TimeUnit.SECONDS);
             if (request == null) {
-                throw new AssertionError("no " + method + " came");
+                throw new AssertionError("no " + method + " request was received");
             }
             if (request.method().equals(method)) {
                 return request;
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -23,10 +23,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests, streams and releases in progress, and late requests, when a node shuts down. */
+/**
+ * Shutdown of a node while requests, streams and releases are in progress and late requests arrive.
+ */
 @Timeout(30)
 class ShutdownTest extends AbstractNodeTest {
-    /** Requests that come later than this after SIGTERM must not be found under way by SIGKILL. */
+    /** Requests that arrive later than this after SIGTERM must not be in progress at SIGKILL. */
     private static final long ACCEPTED_AFTER_SIGTERM_MS = 700;
 
     private void beginShutdown() throws Exception {
@@ -34,7 +36,7 @@
         fixture.awaitEventLoop();
     }
 
-    /** A connection that was served and is idle. */
+    /** A connection that has served a request and is idle. */
     private RawClient idleClient() throws Exception {
         RawClient client = fixture.newClient();
         client.send(generationRequest(newRequestId(), ""));
@@ -156,7 +158,10 @@
         fixture.node.awaitTermination();
     }
 
-    /** Each silent engine takes a fifth of the time that a state may be held, 200 ms here. */
+    /**
+     * A release at a silent engine takes a fifth of the time that a state may be held, which is 200
+     * ms here.
+     */
     @Test
     void lastReleaseReachesAnEngineBeforeTheNodeEnds() throws Exception {
         fixture.reader.silent = true;
@@ -261,7 +266,7 @@
         assertThrows(IOException.class, () -> fixture.newClient());
     }
 
-    /** The signal itself may be handled 0.15 s late, and requests count from when it was sent. */
+    /** The signal itself may be handled 0.15 s late, and the limit counts from when it was sent. */
     @Test
     void requestThatComesLongAfterSigtermIsNotAccepted() throws Exception {
         RawClient fresh = fixture.newClient();
--- a/src/test/java/larchridge/node/StateReleaseTest.java
+++ b/src/test/java/larchridge/node/StateReleaseTest.java
@@ -16,7 +16,7 @@
 /** When and where held states are released. */
 @Timeout(30)
 class StateReleaseTest extends AbstractNodeTest {
-    /** The settings' time for a held state and the slack that the platform grants on top. */
+    /** The configured time for a held state plus the tolerance of the platform. */
     private static final double RELEASED_WITHIN_MS = 1000 + 300;
 
     private void assertReleasedInTime(String id, long readNanos) throws Exception {
@@ -26,8 +26,8 @@
     }
 
     /**
-     * The node can't tell an attempt that was lost on a silent connection from one that waits in
-     * the engine's queue.
+     * The node can't distinguish an attempt that was lost on a silent connection from one that
+     * waits in the engine's queue.
      */
     @Test
     void stateIsReleasedInTimeWhileItsWriteAttemptIsOutOnASilentConnection() throws Exception {
@@ -39,8 +39,8 @@
     }
 
     /**
-     * The release that is sent in time frees nothing that a queued attempt waits for, so the
-     * attempt stays out.
+     * The timely release frees nothing that a queued attempt waits for, so the attempt is not
+     * cancelled.
      */
     @Test
     void attemptThatWaitsInItsEnginesQueueIsServedAfterTheReleaseOfItsState() throws Exception {
--- a/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
+++ b/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
@@ -21,7 +21,7 @@
 
     private final AtomicInteger iterations = new AtomicInteger();
 
-    /** Netty's handler, which counts the turns of its loop. */
+    /** Netty's handler, with a strategy that counts the iterations of its event loop. */
     private IoHandlerFactory counted() {
         return NioIoHandler.newFactory(
                 SelectorProvider.provider(),
@@ -32,7 +32,10 @@
                         });
     }
 
-    /** Timers one after the other on a loop that has nothing else to do. */
+    /**
+     * Runs timers one after the other on an otherwise idle event loop; returns its number of
+     * iterations.
+     */
     private int iterationsOf(IoHandlerFactory factory) throws InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, factory);
         EventLoop loop = (EventLoop) group.next();
@@ -62,7 +65,7 @@
         int rounded = iterationsOf(WholeMillisecondIoHandler.wrap(counted()));
         assertTrue(
                 plain > 10 * TIMERS,
-                "Netty's own handler is expected to poll, it took turns: " + plain);
-        assertTrue(rounded < 3 * TIMERS, "turns for " + TIMERS + " timers: " + rounded);
+                "iterations of Netty's own handler, which is expected to poll: " + plain);
+        assertTrue(rounded < 3 * TIMERS, "iterations for " + TIMERS + " timers: " + rounded);
     }
 }
--- a/src/test/java/larchridge/node/WireMessages.java
+++ b/src/test/java/larchridge/node/WireMessages.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Bytes of requests and responses as the platform's pages give them. */
+/** Requests and responses in the platform's wire format. */
 final class WireMessages {
     /** The head of an engine's event stream. */
     static final String STREAM_HEAD =
@@ -13,10 +13,10 @@
     static final String LAST_EVENTS =
             "data: {\"choices\":[],\"usage\":{\"completion_tokens\":2}}\n\ndata: [DONE]\n\n";
 
-    /** An event stream of one event, from its head to its last chunk. */
+    /** A complete event stream of one event. */
     static final String SHORT_STREAM = STREAM_HEAD + chunk(EVENT + LAST_EVENTS) + "0\r\n\r\n";
 
-    /** Asks whether the node is ready. */
+    /** A health check of the node. */
     static final String HEALTH_REQUEST = "GET /up HTTP/1.1\r\nHost: n\r\n\r\n";
 
     private static final AtomicInteger IDS = new AtomicInteger(0x1000);
@@ -28,12 +28,12 @@
         return "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A response with which an engine proves that it has not run the request. */
+    /** A response by which an engine proves that it has not run the request. */
     static String declined(String status) {
         return "HTTP/1.1 " + status + "\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     }
 
-    /** The response to a read, with the prompt tokens that were found cached. */
+    /** The response to a read request, with the number of prompt tokens that were found cached. */
     static String readResponse(int cachedTokens) {
         return response("202 Accepted", "{\"cached_tokens\":" + cachedTokens + "}");
     }
@@ -43,17 +43,17 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** An id that no other request of this process has. */
+    /** Returns a request id that is unique in this process. */
     static String newRequestId() {
         return String.format("%016x", IDS.incrementAndGet());
     }
 
-    /** A valid request that its client waits 4 s for; the headers are put into its head. */
+    /** A valid request with a deadline of 4 s and these additional headers. */
     static String generationRequest(String id, String headers) {
         return generationRequest(id, 4000, headers);
     }
 
-    /** A valid request; the headers are put into its head. */
+    /** A valid request with these additional headers. */
     static String generationRequest(String id, int deadlineMs, String headers) {
         String body = "{\"model\":\"consulta\",\"stream\":true,\"messages\":[]}";
         return "POST /v1/chat/completions?v=1 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: "
--- a/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Start times of engines under wall clocks that step; the node's own clock begins at a million. */
+/** Start times of engines when wall clocks step; the node's own clock starts at 1,000,000 ms. */
 class StartTimeConverterTest {
     private static final double HOUR_MS = 3_600_000;
     private static final double NOW_MS = 1_000_000;
@@ -22,7 +22,7 @@
     }
 
     /**
-     * However the wall clock was stepped, an engine that was not on the last confirmed list has
+     * Whatever the step of the wall clock, an engine that was not on the last confirmed list has
      * started since.
      */
     @ParameterizedTest
--- a/src/test/java/larchridge/node/server/RequestIdsTest.java
+++ b/src/test/java/larchridge/node/server/RequestIdsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class RequestIdsTest {
-    /** As many ended ids as docs/node.md says are remembered. */
+    /** Number of ended ids that are remembered according to docs/node.md. */
     private static final int MAX_ENDED_IDS = 4096;
 
     private final RequestIds ids = new RequestIds();
--- a/src/test/java/larchridge/node/server/RequestTimingTest.java
+++ b/src/test/java/larchridge/node/server/RequestTimingTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A part of a request may take 1,000 ms, a request 1,500 ms, and the idle time is 3,000 ms. */
+/**
+ * The limits are 1,000 ms for a part of a request, 1,500 ms for a request and 3,000 ms of idle
+ * time.
+ */
 class RequestTimingTest {
     private static final ServerLimits LIMITS =
             new ServerLimits(10, 1000, 10_000, 1000, 1500, 3000, 500);
--- a/src/test/java/larchridge/node/transport/ConnectFailureTest.java
+++ b/src/test/java/larchridge/node/transport/ConnectFailureTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Failures of socket and connect as the JVM reports them. */
+/** Classification of socket and connect failures as the JVM reports them. */
 class ConnectFailureTest {
     @Test
     void refusalsTimeoutsAndUnreachableHostsAreFailuresOfThePeer() {
