--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void requestWhoseClientClosedRightBehindItIsNotForwarded() throws Exception {
+    void requestWhoseClientClosesRightAfterSendingItIsNotForwarded() throws Exception {
         RawClient idle = fixture.newClient();
         idle.send(generationRequest(newRequestId(), ""));
         awaitCompleteStream(idle);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void readThatEndsInTheTurnInWhichTheClientClosesIsReleasedAndNotWritten() throws Exception {
+    void readThatEndsInTheLoopIterationInWhichTheClientClosesIsReleasedAndNotWritten() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             CountDownLatch answered = new CountDownLatch(1);
             CountDownLatch requested = new CountDownLatch(1);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void pipelinedRequestIsNotForwardedForAClientThatClosedAsItsTurnCame() throws Exception {
+    void pipelinedRequestIsNotForwardedIfItsClientClosesWhenItIsDequeued() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
         fixture.writer.script =
@@ -130,7 +130,7 @@
      * the client closes meanwhile.
      */
     @Test
-    void retryThatFallsDueInTheTurnInWhichTheClientClosesIsNotSent() throws Exception {
+    void retryThatFallsDueInTheLoopIterationInWhichTheClientClosesIsNotSent() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         try (ScriptedServer second =
                 new ScriptedServer(
--- a/src/test/java/larchridge/node/ClientConnectionLimitTest.java
+++ b/src/test/java/larchridge/node/ClientConnectionLimitTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void newConnectionIsServedWhereAllOthersAreIdle() throws Exception {
+    void newConnectionIsServedIfAllOthersAreIdle() throws Exception {
         for (int i = 0; i < 200; i++) {
             RawClient idleClient = fixture.newClient();
             idleClient.send(HEALTH_REQUEST);
--- a/src/test/java/larchridge/node/DeadlineTest.java
+++ b/src/test/java/larchridge/node/DeadlineTest.java
@@ -18,7 +18,7 @@
     private static final double STOPPED_CLIENT_TIMEOUT_MS = 3000;
 
     @Test
-    void finalAnswerComesBeforeTheDeadlineWhereEnginesAreSilent() throws Exception {
+    void finalAnswerIsSentBeforeTheDeadlineIfEnginesAreSilent() throws Exception {
         fixture.reader.script = request -> new ScriptedResponse(null, true);
         RawClient client = fixture.newClient();
         long start = System.nanoTime();
--- a/src/test/java/larchridge/node/DescriptorExhaustionTest.java
+++ b/src/test/java/larchridge/node/DescriptorExhaustionTest.java
@@ -96,7 +96,7 @@
 
     /** A failed socket call says nothing about the engine, and there is time for a retry. */
     @Test
-    void requestIsServedWhoseAttemptsFindNoDescriptorForAMoment() throws Exception {
+    void requestIsServedAfterItsAttemptsBrieflyFailForLackOfADescriptor() throws Exception {
         RawClient client = new RawClient(node.port);
         List<Socket> clients = connectAll();
         TimeUnit.MILLISECONDS.sleep(200);
--- a/src/test/java/larchridge/node/DiscoveryPollingTest.java
+++ b/src/test/java/larchridge/node/DiscoveryPollingTest.java
@@ -19,7 +19,7 @@
 @Timeout(30)
 class DiscoveryPollingTest extends AbstractNodeTest {
     @Test
-    void drainingEngineGetsNothingNewAndItsSuccessorIsUsed() throws Exception {
+    void drainingEngineGetsNoNewRequestsAndItsReplacementIsUsed() throws Exception {
         RawClient client = fixture.newClient();
         client.send(generationRequest(newRequestId(), ""));
         client.readUntil("0\r\n\r\n");
@@ -48,7 +48,7 @@
      * again well within it.
      */
     @Test
-    void agentThatAnswersAgainIsPolledWithinTheDrainGraceThoughItDroppedACall() throws Exception {
+    void agentThatRecoversIsPolledWithinTheDrainGraceAfterADroppedPoll() throws Exception {
         Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         fixture.discovery.script = request -> new ScriptedResponse(null, true);
         fixture.discovery.received.clear();
--- a/src/test/java/larchridge/node/ListenTest.java
+++ b/src/test/java/larchridge/node/ListenTest.java
@@ -22,7 +22,7 @@
     @TempDir Path folder;
 
     @Test
-    void addressThatIsTakenForAMomentIsUsedOnceItIsFree() throws Exception {
+    void addressThatIsBrieflyInUseIsBoundOnceItIsFree() throws Exception {
         ServerSocket before = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         try (NodeProcess node = new NodeProcess(folder, DESCRIPTORS, before.getLocalPort())) {
             TimeUnit.MILLISECONDS.sleep(TAKEN_MS);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void addressThatStaysTakenEndsTheProcessWithAnError() throws Exception {
+    void addressThatStaysInUseEndsTheProcessWithAnError() throws Exception {
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 NodeProcess node = new NodeProcess(folder, DESCRIPTORS, other.getLocalPort())) {
             assertTrue(
--- a/src/test/java/larchridge/node/NodeConfigurationTest.java
+++ b/src/test/java/larchridge/node/NodeConfigurationTest.java
@@ -15,7 +15,7 @@
 @Timeout(30)
 class NodeConfigurationTest extends AbstractNodeTest {
     @Test
-    void newConfigurationMovesDiscoveryAndABrokenOneChangesNothing() throws Exception {
+    void newConfigurationMovesDiscoveryAndAnInvalidOneChangesNothing() throws Exception {
         try (ScriptedServer newAgent = new ScriptedServer(fixture.discovery.script)) {
             Files.writeString(fixture.configurationFile, "{broken");
             fixture.node.reload();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void brokenConfigurationIsReportedWithFileMemberAndWhatWasExpected() throws Exception {
+    void invalidConfigurationIsReportedWithFileMemberAndExpectedValue() throws Exception {
         Path file = folder.resolve("other.json");
         String good = Files.readString(fixture.configurationFile);
         Map<String, String> environment = Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
--- a/src/test/java/larchridge/node/RequestRejectionTest.java
+++ b/src/test/java/larchridge/node/RequestRejectionTest.java
@@ -15,7 +15,7 @@
 @Timeout(30)
 class RequestRejectionTest extends AbstractNodeTest {
     @Test
-    void badRequestsGetAnErrorAndACloseAndNoneReachesAnEngine() throws Exception {
+    void invalidRequestsGetAnErrorAndACloseAndReachNoEngine() throws Exception {
         String good = generationRequest(newRequestId(), "");
         String[] bad = {
             "\u0000\u0001\u0002\r\n\r\n",
--- a/src/test/java/larchridge/node/StateReleaseTest.java
+++ b/src/test/java/larchridge/node/StateReleaseTest.java
@@ -30,7 +30,7 @@
      * waits in the engine's queue.
      */
     @Test
-    void stateIsReleasedInTimeWhileItsWriteAttemptIsOutOnASilentConnection() throws Exception {
+    void stateIsReleasedInTimeWhileItsWriteAttemptIsInFlightOnASilentConnection() throws Exception {
         fixture.writer.script = request -> new ScriptedResponse(null, true);
         String id = newRequestId();
         fixture.newClient().send(generationRequest(id, ""));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void requestOfAClientThatClosedBehindAFullConnectionIsNotForwarded() throws Exception {
+    void requestOfAClientThatClosesAfterOverflowingItsPipelineQueueIsNotForwarded() throws Exception {
         ReadGate gate = fixture.gateReads();
         String id = newRequestId();
         RawClient client = fixture.clientWithPendingRead(gate, id);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void stateIsReleasedAtAnotherEngineWhereItsHolderIsSilent() throws Exception {
+    void stateIsReleasedAtAnotherEngineIfItsHolderIsSilent() throws Exception {
         fixture.reader.silent = true;
         String id = newRequestId();
         RawClient client = fixture.newClient();
