--- a/src/main/java/larchridge/node/ConfigurationReload.java
+++ b/src/main/java/larchridge/node/ConfigurationReload.java
@@ -42,7 +42,8 @@
     void start(DiscoveryClient discovery, BooleanSupplier cancelled) {
         reloadNumber++;
         double deadlineMs = scheduler.nowMs() + RETRY_TIMEOUT_MS;
-        tryReload(new Reload(reloadNumber, deadlineMs, discovery, cancelled), INITIAL_RETRY_DELAY_MS);
+        tryReload(
+                new Reload(reloadNumber, deadlineMs, discovery, cancelled), INITIAL_RETRY_DELAY_MS);
     }
 
     private void tryReload(Reload reload, double retryDelayMs) {
--- a/src/main/java/larchridge/node/InvalidNodeConfigurationException.java
+++ b/src/main/java/larchridge/node/InvalidNodeConfigurationException.java
@@ -46,6 +46,11 @@
     static InvalidNodeConfigurationException variableDiffers(
             String variable, String found, String configured) {
         return new InvalidNodeConfigurationException(
-                variable + " is '" + found + "', but the configuration file has '" + configured + "'");
+                variable
+                        + " is '"
+                        + found
+                        + "', but the configuration file has '"
+                        + configured
+                        + "'");
     }
 }
--- a/src/main/java/larchridge/node/NettyScheduler.java
+++ b/src/main/java/larchridge/node/NettyScheduler.java
@@ -22,7 +22,9 @@
     private final Map<Long, Future<?>> timers = new HashMap<>();
     private long lastTimerId;
 
-    /** @param idPrefix prefix of generated ids that no other start of any node has */
+    /**
+     * @param idPrefix prefix of generated ids that no other start of any node has
+     */
     NettyScheduler(EventLoop loop, String idPrefix) {
         this.loop = loop;
         this.idPrefix = idPrefix;
@@ -70,7 +72,8 @@
         long nanos = (long) (delayMs * NANOS_PER_MILLISECOND);
         // A fixed delay, not a fixed rate: a process that was suspended does not catch up on missed
         // runs.
-        loop.scheduleWithFixedDelay(() -> runAndLogFailure(task), nanos, nanos, TimeUnit.NANOSECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> runAndLogFailure(task), nanos, nanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -102,7 +102,8 @@
                 new ForwardingUpstreamClient(
                         loop, scheduler, allocator, upstreamLimits(), audit.events());
         Router router =
-                new Router(scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
+                new Router(
+                        scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
         audit.compareCounts(scheduler, router, upstream);
         HttpServer server =
                 new HttpServer(
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -145,7 +145,8 @@
         unreleased.put("audited requests", (long) requestAudit.openRequests());
         unreleased.values().removeIf(count -> count == 0);
         if (!unreleased.isEmpty()) {
-            violations.report(Invariant.RESOURCES_RELEASED, "not released at shutdown: " + unreleased);
+            violations.report(
+                    Invariant.RESOURCES_RELEASED, "not released at shutdown: " + unreleased);
         }
         logCounts();
     }
--- a/src/main/java/larchridge/node/NodeConfiguration.java
+++ b/src/main/java/larchridge/node/NodeConfiguration.java
@@ -33,7 +33,8 @@
         checkSame(environment, "PROXY_DISCOVERY", discovery.toString());
     }
 
-    private static void checkSame(Map<String, String> environment, String variable, String configured)
+    private static void checkSame(
+            Map<String, String> environment, String variable, String configured)
             throws InvalidNodeConfigurationException {
         String found = environment.get(variable);
         if (found != null && !found.equals(configured)) {
--- a/src/main/java/larchridge/node/NodeConfigurationReader.java
+++ b/src/main/java/larchridge/node/NodeConfigurationReader.java
@@ -82,7 +82,8 @@
     private String text(String member) throws InvalidNodeConfigurationException {
         JsonNode value = root.path(member);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw InvalidNodeConfigurationException.invalidMember(file, member, found(value), "a non-empty string");
+            throw InvalidNodeConfigurationException.invalidMember(
+                    file, member, found(value), "a non-empty string");
         }
         return value.asText();
     }
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -65,7 +65,8 @@
                         (endpoint, handlers) -> engines.open(handlers),
                         audit.events());
         Router router =
-                new Router(scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
+                new Router(
+                        scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
         HttpServer server =
                 new HttpServer(
                         new ServerDependencies(
--- a/src/main/java/larchridge/node/WarmupClients.java
+++ b/src/main/java/larchridge/node/WarmupClients.java
@@ -85,7 +85,8 @@
     void sendInvalid(int number) {
         EmbeddedChannel client = new EmbeddedChannel();
         server.addConnection(client);
-        client.writeInbound(EmbeddedChannelBytes.of(INVALID_REQUESTS.get(number % INVALID_REQUESTS.size())));
+        client.writeInbound(
+                EmbeddedChannelBytes.of(INVALID_REQUESTS.get(number % INVALID_REQUESTS.size())));
         client.runPendingTasks();
         ByteBuf response = EmbeddedChannelBytes.readOutbound(client);
         if (response != null) {
--- a/src/main/java/larchridge/node/WholeMillisecondIoHandler.java
+++ b/src/main/java/larchridge/node/WholeMillisecondIoHandler.java
@@ -78,7 +78,9 @@
             if (delay <= 0 || delay > Long.MAX_VALUE - NANOS_PER_MILLISECOND) {
                 return delay;
             }
-            return (delay + NANOS_PER_MILLISECOND - 1) / NANOS_PER_MILLISECOND * NANOS_PER_MILLISECOND;
+            return (delay + NANOS_PER_MILLISECOND - 1)
+                    / NANOS_PER_MILLISECOND
+                    * NANOS_PER_MILLISECOND;
         }
 
         @Override
--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -153,7 +153,9 @@
      * once. The earlier connection stays open, since its response may arrive in slow pieces.
      */
     private void openNextConnection(DiscoveryConnection connection) {
-        if (connection.isClosed() || !snapshotNeeded || openConnections.get(openConnections.size() - 1) != connection) {
+        if (connection.isClosed()
+                || !snapshotNeeded
+                || openConnections.get(openConnections.size() - 1) != connection) {
             return;
         }
         if (connection.isProgressing(snapshotIntervalMs)) {
@@ -182,8 +184,10 @@
      * otherwise never be complete.
      */
     boolean tryStartReceiving(DiscoveryConnection connection) {
-        List<DiscoveryConnection> others = openConnections.stream().filter(other -> other != connection).toList();
-        if (others.stream().filter(DiscoveryConnection::isReceiving).count() >= MAX_RECEIVING_CONNECTIONS) {
+        List<DiscoveryConnection> others =
+                openConnections.stream().filter(other -> other != connection).toList();
+        if (others.stream().filter(DiscoveryConnection::isReceiving).count()
+                >= MAX_RECEIVING_CONNECTIONS) {
             return false;
         }
         others.stream().filter(other -> !other.isReceiving()).forEach(DiscoveryConnection::close);
--- a/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
@@ -95,7 +95,8 @@
                                         openedChannel.pipeline()
                                                 .addLast(
                                                         new ReadProgressHandler(
-                                                                DiscoveryConnection.this::bytesReceived),
+                                                                DiscoveryConnection.this
+                                                                        ::bytesReceived),
                                                         new HttpClientCodec(),
                                                         new HttpObjectAggregator(MAX_LIST_BYTES),
                                                         DiscoveryConnection.this);
@@ -157,7 +158,9 @@
             state = State.RECEIVING;
         }
         double timeoutMs =
-                client.isSnapshotNeeded() ? SNAPSHOT_TIMEOUT_MS : WATCH_WAIT_MS + WATCH_RESPONSE_TIMEOUT_MS;
+                client.isSnapshotNeeded()
+                        ? SNAPSHOT_TIMEOUT_MS
+                        : WATCH_WAIT_MS + WATCH_RESPONSE_TIMEOUT_MS;
         startSilenceTimer(Math.min(SILENCE_TIMEOUT_MS, pollSentMs + timeoutMs - lastProgressMs));
     }
 
--- a/src/main/java/larchridge/node/discovery/EndpointListReader.java
+++ b/src/main/java/larchridge/node/discovery/EndpointListReader.java
@@ -47,10 +47,12 @@
     /** Reads a list from parsed JSON. */
     public EndpointListUpdate read(JsonNode list) throws InvalidEndpointListException {
         if (list == null || !list.path("index").isIntegralNumber()) {
-            throw new InvalidEndpointListException("index is missing or invalid; expected an integer");
+            throw new InvalidEndpointListException(
+                    "index is missing or invalid; expected an integer");
         }
         if (!list.path("endpoints").isArray()) {
-            throw new InvalidEndpointListException("endpoints is missing or invalid; expected an array");
+            throw new InvalidEndpointListException(
+                    "endpoints is missing or invalid; expected an array");
         }
         Map<String, EngineEntry> entries = new LinkedHashMap<>();
         int i = 0;
--- a/src/main/java/larchridge/node/discovery/StartTimeConverter.java
+++ b/src/main/java/larchridge/node/discovery/StartTimeConverter.java
@@ -50,7 +50,9 @@
         if (known == null || known.listedMs != listedMs) {
             double byWallClockMs = nowMs - (wallClockMs.getAsLong() - listedMs);
             startTimes.remove(name);
-            known = new StartTime(listedMs, Math.min(nowMs, Math.max(byWallClockMs, listConfirmedMs)));
+            known =
+                    new StartTime(
+                            listedMs, Math.min(nowMs, Math.max(byWallClockMs, listConfirmedMs)));
             startTimes.put(name, known);
         }
         return known.localMs;
--- a/src/main/java/larchridge/node/server/ClientExchange.java
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -123,7 +123,8 @@
 
     @Override
     public boolean textReceived(String text) {
-        throw new UnsupportedOperationException("a forwarding exchange receives complete events only");
+        throw new UnsupportedOperationException(
+                "a forwarding exchange receives complete events only");
     }
 
     @Override
@@ -175,7 +176,9 @@
             server.events.answered(id, cause.name());
             connection.respond(
                     Responses.error(statusOf(cause), "failed"),
-                    cause == FailureCause.UNUSABLE_ANSWER ? ConnectionPersistence.CLOSE : requestedPersistence);
+                    cause == FailureCause.UNUSABLE_ANSWER
+                            ? ConnectionPersistence.CLOSE
+                            : requestedPersistence);
         }
     }
 
--- a/src/main/java/larchridge/node/server/HttpServer.java
+++ b/src/main/java/larchridge/node/server/HttpServer.java
@@ -123,7 +123,8 @@
         if (context.connections.isEmpty()) {
             action.run();
         } else {
-            context.scheduler.schedule(CONNECTIONS_CHECK_INTERVAL_MS, () -> whenNoConnections(action));
+            context.scheduler.schedule(
+                    CONNECTIONS_CHECK_INTERVAL_MS, () -> whenNoConnections(action));
         }
     }
 
--- a/src/main/java/larchridge/node/server/RequestDispatcher.java
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -122,7 +122,10 @@
                         receivedMs + head.deadlineMs());
         ClientExchange exchange =
                 new ClientExchange(
-                        connection, forwarded, receivedMs, ConnectionPersistence.requestedBy(request));
+                        connection,
+                        forwarded,
+                        receivedMs,
+                        ConnectionPersistence.requestedBy(request));
         connection.startExchange(exchange);
         // Submitted in a later task of the event loop, so that the close of a client that closes
         // right after its request is read before anything is forwarded.
--- a/src/main/java/larchridge/node/server/RequestHead.java
+++ b/src/main/java/larchridge/node/server/RequestHead.java
@@ -96,7 +96,8 @@
     }
 
     private static double readDeadlineMs(HttpHeaders headers) throws InvalidRequestHeadException {
-        long deadlineMs = parseWholeNumber(singleValue(headers, DEADLINE_MS), DEADLINE_MS, MAX_DEADLINE_MS);
+        long deadlineMs =
+                parseWholeNumber(singleValue(headers, DEADLINE_MS), DEADLINE_MS, MAX_DEADLINE_MS);
         if (deadlineMs <= 0) {
             throw new InvalidRequestHeadException(DEADLINE_MS + ": expected milliseconds over 0");
         }
--- a/src/test/java/larchridge/node/AbstractNodeTest.java
+++ b/src/test/java/larchridge/node/AbstractNodeTest.java
@@ -24,6 +24,8 @@
     void close() throws Exception {
         fixture.close();
         assertEquals(
-                0, fixture.inspector.violations(), "invariants violated; see the log for the requests");
+                0,
+                fixture.inspector.violations(),
+                "invariants violated; see the log for the requests");
     }
 }
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -1,8 +1,8 @@
 package larchridge.node;
 
-import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.EVENT;
 import static larchridge.node.WireMessages.LAST_EVENTS;
 import static larchridge.node.WireMessages.SHORT_STREAM;
@@ -66,7 +66,8 @@
     }
 
     @Test
-    void readThatEndsInTheLoopIterationInWhichTheClientClosesIsReleasedAndNotWritten() throws Exception {
+    void readThatEndsInTheLoopIterationInWhichTheClientClosesIsReleasedAndNotWritten()
+            throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             CountDownLatch answered = new CountDownLatch(1);
             CountDownLatch requested = new CountDownLatch(1);
--- a/src/test/java/larchridge/node/DiscoveryPollingTest.java
+++ b/src/test/java/larchridge/node/DiscoveryPollingTest.java
@@ -1,8 +1,8 @@
 package larchridge.node;
 
-import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.generationRequest;
 import static larchridge.node.WireMessages.newRequestId;
 import static larchridge.node.WireMessages.readResponse;
--- a/src/test/java/larchridge/node/NodeConfigurationTest.java
+++ b/src/test/java/larchridge/node/NodeConfigurationTest.java
@@ -53,7 +53,8 @@
     void invalidConfigurationIsReportedWithFileMemberAndExpectedValue() throws Exception {
         Path file = folder.resolve("other.json");
         String good = Files.readString(fixture.configurationFile);
-        Map<String, String> environment = Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
+        Map<String, String> environment =
+                Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
         String[][] cases = {
             {"\"memory_mb\":256", "\"memory_mb\":\"much\"", "limits.memory_mb"},
             {"\"seed\":\"8c1f", "\"seed\":\"xyz", "seed"},
--- a/src/test/java/larchridge/node/NodeInspector.java
+++ b/src/test/java/larchridge/node/NodeInspector.java
@@ -12,7 +12,8 @@
         this.node = node;
     }
 
-    private <T> T callOnEventLoop(Callable<T> read) throws InterruptedException, ExecutionException {
+    private <T> T callOnEventLoop(Callable<T> read)
+            throws InterruptedException, ExecutionException {
         return node.loop().submit(read).get();
     }
 
--- a/src/test/java/larchridge/node/NodeProcess.java
+++ b/src/test/java/larchridge/node/NodeProcess.java
@@ -49,7 +49,10 @@
         Files.writeString(
                 config,
                 ConfigurationJson.of(
-                        port, discovery.port(), CONFIGURED_DESCRIPTORS, endpointList.snapshotJson()));
+                        port,
+                        discovery.port(),
+                        CONFIGURED_DESCRIPTORS,
+                        endpointList.snapshotJson()));
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder builder =
                 new ProcessBuilder(
--- a/src/test/java/larchridge/node/ShutdownTest.java
+++ b/src/test/java/larchridge/node/ShutdownTest.java
@@ -1,8 +1,8 @@
 package larchridge.node;
 
-import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.EVENT;
 import static larchridge.node.WireMessages.HEALTH_REQUEST;
 import static larchridge.node.WireMessages.LAST_EVENTS;
--- a/src/test/java/larchridge/node/StateReleaseTest.java
+++ b/src/test/java/larchridge/node/StateReleaseTest.java
@@ -61,7 +61,8 @@
     }
 
     @Test
-    void requestOfAClientThatClosesAfterOverflowingItsPipelineQueueIsNotForwarded() throws Exception {
+    void requestOfAClientThatClosesAfterOverflowingItsPipelineQueueIsNotForwarded()
+            throws Exception {
         ReadGate gate = fixture.gateReads();
         String id = newRequestId();
         RawClient client = fixture.clientWithPendingRead(gate, id);
