--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -21,52 +21,54 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Builds the parts of a node on its event loop, with limits from the configuration. */
+/**
+ * Builds the components of a node on its event loop, with limits derived from the configuration.
+ */
 final class NodeAssembler {
     private static final Logger LOG = LoggerFactory.getLogger(NodeAssembler.class);
 
     /**
-     * Fractions of the descriptors that connections of clients and to engines may take; the rest is
-     * kept in reserve.
+     * Fractions of the file descriptors that client connections and engine connections may use; the
+     * rest is kept in reserve.
      */
     private static final double CLIENT_SOCKETS_FRACTION = 0.42;
 
     private static final double ENGINE_SOCKETS_FRACTION = 0.45;
 
-    /** One engine may take this part of the connections to engines. */
+    /** The engine connections divided by this may be used for a single engine. */
     private static final int ENGINE_SOCKETS_DIVISOR = 2;
 
     private static final int MAX_BODY_BYTES = 256 << 10;
-    private static final double MEGABYTE = 1048576.0;
+    private static final double BYTES_PER_MEBIBYTE = 1048576.0;
 
     /**
-     * The fraction of the memory that bodies may take, and what is assumed for one open generation
-     * beside.
+     * Fraction of the memory that request bodies may use, and the memory assumed for each open
+     * generation.
      */
-    private static final double BODIES_FRACTION = 0.2;
+    private static final double BODY_MEMORY_FRACTION = 0.2;
 
-    private static final int GENERATION_BYTES = 16 << 10;
+    private static final int BYTES_PER_GENERATION = 16 << 10;
     private static final int MIN_OPEN_GENERATIONS = 16;
-    private static final double REQUEST_TIMEOUT_MS = 2000;
+    private static final double REQUEST_PART_TIMEOUT_MS = 2000;
 
     /**
-     * A client that stops in the middle has to get its error 3 s after it connected; the rest is
-     * for the check that notices it.
+     * A client that stops in the middle of a request must get its error within 3 s of connecting;
+     * the rest of the 3 s is for the interval of the timeout check.
      */
-    private static final double COMPLETE_REQUEST_TIMEOUT_MS = 2600;
+    private static final double REQUEST_TIMEOUT_MS = 2600;
 
     /**
-     * A client has this long to read an answer and end its side, before what it still sends ends
-     * the connection.
+     * How long a client may take to read a response and close its side; data that it sends
+     * afterwards ends the connection.
      */
     private static final double LINGER_MS = 1000;
 
-    /** No client waits on a silent stream for longer, though the platform allows a little more. */
+    /** Longest silence on a client's stream; slightly less than the platform allows. */
     private static final double SILENT_STREAM_TIMEOUT_MS = 4500;
 
     private static final double SLOW_CLIENT_TIMEOUT_MS = 4500;
 
-    /** Stopping may take this many times the longest time that a client waits. */
+    /** Shutdown may take this multiple of the longest time that a client waits. */
     private static final int STOP_TIMEOUT_MULTIPLE = 10;
 
     private static final double ENGINE_STATE_LOG_INTERVAL_MS = 1000;
@@ -76,7 +78,7 @@
     private final EventLoop loop;
     private final ByteBufAllocator allocator;
     private final NettyScheduler scheduler;
-    private final long bodiesBytes;
+    private final long bodyMemoryBytes;
 
     NodeAssembler(
             NodeConfiguration configuration, ByteBufAllocator allocator, NettyScheduler scheduler) {
@@ -88,11 +90,11 @@
         double memoryBytes =
                 Math.min(
                         (double) Runtime.getRuntime().maxMemory(),
-                        configuration.memoryMb() * MEGABYTE);
-        bodiesBytes = (long) (memoryBytes * BODIES_FRACTION);
+                        configuration.memoryMb() * BYTES_PER_MEBIBYTE);
+        bodyMemoryBytes = (long) (memoryBytes * BODY_MEMORY_FRACTION);
     }
 
-    /** Builds all parts and starts to follow discovery. */
+    /** Builds all components and starts polling discovery. */
     NodeComponents build() {
         Site site = site();
         NodeAudit audit = new NodeAudit(scheduler, settings);
@@ -100,7 +102,8 @@
                 new ForwardingUpstreamClient(
                         loop, scheduler, allocator, upstreamLimits(), audit.events());
         Router router =
-                new Router(scheduler, site, 0, upstream, audit.meters(), RoutingPolicy::new);
+                new Router(
+                        scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
         audit.compareCounts(scheduler, router, upstream);
         HttpServer server =
                 new HttpServer(
@@ -111,7 +114,7 @@
                                 settings.trafficClasses().values(),
                                 serverLimits(),
                                 audit.events(),
-                                audit.meters()));
+                                audit.newRouterMetrics()));
         DiscoveryClient discovery = discovery(audit, upstream, router);
         NodeComponents components = new NodeComponents(audit, upstream, router, server, discovery);
         if (LOG.isDebugEnabled()) {
@@ -126,7 +129,7 @@
         site.releaseMs = settings.releaseMs();
         site.drainGraceMs = settings.drainGraceMs();
         site.limit.openGenerations =
-                (int) Math.max(MIN_OPEN_GENERATIONS, bodiesBytes / GENERATION_BYTES);
+                (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
         site.limit.slowClientMs = SLOW_CLIENT_TIMEOUT_MS;
         site.limit.quietStreamMs = SILENT_STREAM_TIMEOUT_MS;
         site.limit.stopMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
@@ -138,7 +141,7 @@
     }
 
     private UpstreamLimits upstreamLimits() {
-        double engineSockets = configuration.sockets() * ENGINE_SOCKETS_FRACTION;
+        double engineSockets = configuration.maxDescriptors() * ENGINE_SOCKETS_FRACTION;
         return new UpstreamLimits(
                 settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
@@ -150,11 +153,11 @@
 
     private ServerLimits serverLimits() {
         return new ServerLimits(
-                (int) (configuration.sockets() * CLIENT_SOCKETS_FRACTION),
+                (int) (configuration.maxDescriptors() * CLIENT_SOCKETS_FRACTION),
                 MAX_BODY_BYTES,
-                bodiesBytes,
+                bodyMemoryBytes,
+                REQUEST_PART_TIMEOUT_MS,
                 REQUEST_TIMEOUT_MS,
-                COMPLETE_REQUEST_TIMEOUT_MS,
                 settings.keepAliveMs(),
                 LINGER_MS);
     }
@@ -177,14 +180,17 @@
             } catch (InvalidEndpointListException e) {
                 LOG.atWarn()
                         .addKeyValue("fault", e.getMessage())
-                        .log("the known endpoint list is invalid; discovery is waited for");
+                        .log("the known endpoint list is invalid; waiting for discovery");
             }
         }
-        discovery.follow(configuration.discovery());
+        discovery.startPolling(configuration.discovery());
         return discovery;
     }
 
-    /** Hands a new engine list to all parts that keep one; to the router last, since it sends. */
+    /**
+     * Passes a new engine list to all components that keep one; to the router last, since it sends
+     * requests.
+     */
     private static void publish(
             List<EngineEntry> entries,
             NodeAudit audit,
--- a/src/main/java/larchridge/node/WarmupClients.java
+++ b/src/main/java/larchridge/node/WarmupClients.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import larchridge.node.server.HttpServer;
 
-/** The clients of a warm-up: connections in memory that send requests, good and bad. */
+/** The clients of a warm-up: in-memory connections that send valid and invalid requests. */
 final class WarmupClients {
     private static final AttributeKey<Boolean> BUSY = AttributeKey.valueOf("warmup.busy");
     private static final String HEAD = "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\n";
@@ -17,8 +17,8 @@
                     + "abcd".repeat(500)
                     + "\"}]}";
 
-    /** What bad clients send; each then closes. */
-    private static final List<String> BAD_REQUESTS =
+    /** Requests of invalid clients, each of which closes its connection after one request. */
+    private static final List<String> INVALID_REQUESTS =
             List.of(
                     HEAD + "Content-Length: -4\r\n\r\n",
                     HEAD + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -30,29 +30,29 @@
                     HEAD + "Content-Length: 20\r\n\r\nhalf");
 
     private static final String LAST_CHUNK = "0\r\n\r\n";
-    private static final int KEYS = 40;
+    private static final int SESSION_KEYS = 40;
     private static final int PREFIXES = 9;
 
     private final HttpServer server;
     private final List<EmbeddedChannel> connections = new ArrayList<>();
     private int sent;
-    private int complete;
+    private int completed;
 
     WarmupClients(HttpServer server) {
         this.server = server;
     }
 
-    /** Good requests sent so far. */
+    /** Number of valid requests sent so far. */
     int sent() {
         return sent;
     }
 
-    /** Of these, the ones whose answer came to its end. */
-    int complete() {
-        return complete;
+    /** Number of valid requests whose response is complete. */
+    int completed() {
+        return completed;
     }
 
-    /** Sends a good request, on a connection that has none in flight. */
+    /** Sends a valid request on a connection without a request in flight. */
     void send() {
         EmbeddedChannel client =
                 connections.stream()
@@ -66,12 +66,12 @@
         }
         client.attr(BUSY).set(true);
         client.writeInbound(
-                EmbeddedBytes.of(
+                EmbeddedChannelBytes.of(
                         HEAD
                                 + "Req-Id: "
                                 + String.format("%016x", sent)
                                 + "\r\nReq-Kind: p\r\nReq-Key: k"
-                                + sent % KEYS
+                                + sent % SESSION_KEYS
                                 + "\r\nReq-Deadline-Ms: 4800\r\nReq-Extra: prefix=x"
                                 + sent % PREFIXES
                                 + ",prompt_len=2000,prefix_len=1000,max_out=200\r\nContent-Length: "
@@ -81,28 +81,29 @@
         sent++;
     }
 
-    /** A client sends what is rejected, or leaves in the middle. */
-    void sendBad(int number) {
+    /** Sends a request that is rejected or incomplete, and closes its connection. */
+    void sendInvalid(int number) {
         EmbeddedChannel client = new EmbeddedChannel();
         server.addConnection(client);
-        client.writeInbound(EmbeddedBytes.of(BAD_REQUESTS.get(number % BAD_REQUESTS.size())));
+        client.writeInbound(
+                EmbeddedChannelBytes.of(INVALID_REQUESTS.get(number % INVALID_REQUESTS.size())));
         client.runPendingTasks();
-        ByteBuf answer = EmbeddedBytes.readOutbound(client);
-        if (answer != null) {
-            answer.release();
+        ByteBuf response = EmbeddedChannelBytes.readOutbound(client);
+        if (response != null) {
+            response.release();
         }
         client.close();
     }
 
-    /** Takes what was answered on each connection. */
+    /** Processes the responses on all connections. */
     void step() {
         for (EmbeddedChannel client : List.copyOf(connections)) {
             client.runPendingTasks();
-            ByteBuf answer = EmbeddedBytes.readOutbound(client);
-            if (answer != null) {
-                String text = answer.toString(StandardCharsets.ISO_8859_1);
-                answer.release();
-                takeAnswer(client, text);
+            ByteBuf response = EmbeddedChannelBytes.readOutbound(client);
+            if (response != null) {
+                String text = response.toString(StandardCharsets.ISO_8859_1);
+                response.release();
+                processResponse(client, text);
             }
             if (!client.isOpen()) {
                 connections.remove(client);
@@ -110,12 +111,12 @@
         }
     }
 
-    private void takeAnswer(EmbeddedChannel client, String text) {
-        boolean ended = text.endsWith(LAST_CHUNK);
-        if (ended) {
-            complete++;
+    private void processResponse(EmbeddedChannel client, String text) {
+        boolean streamComplete = text.endsWith(LAST_CHUNK);
+        if (streamComplete) {
+            completed++;
         }
-        if (ended || text.contains("HTTP/1.1 50")) {
+        if (streamComplete || text.contains("HTTP/1.1 50")) {
             client.attr(BUSY).set(null);
         }
     }
--- a/src/main/java/larchridge/node/discovery/PollBackoff.java
+++ b/src/main/java/larchridge/node/discovery/PollBackoff.java
@@ -1,25 +1,25 @@
 package larchridge.node.discovery;
 
-/** The pause before a failed call to the agent is repeated: doubles up to a limit. */
+/** Computes the delay before polling is retried after a failure: doubles up to a maximum. */
 final class PollBackoff {
-    private static final double INITIAL_MS = 50;
+    private static final double INITIAL_DELAY_MS = 50;
 
-    private final double maxMs;
-    private double nextMs = INITIAL_MS;
+    private final double maxDelayMs;
+    private double nextDelayMs = INITIAL_DELAY_MS;
 
-    PollBackoff(double maxMs) {
-        this.maxMs = maxMs;
+    PollBackoff(double maxDelayMs) {
+        this.maxDelayMs = maxDelayMs;
     }
 
-    /** The pause before the next call; the one after it is twice as long. */
-    double nextMs() {
-        double currentMs = nextMs;
-        nextMs = Math.min(maxMs, 2 * currentMs);
-        return currentMs;
+    /** Returns the delay before the next retry and doubles it for the one after. */
+    double nextDelayMs() {
+        double currentDelayMs = nextDelayMs;
+        nextDelayMs = Math.min(maxDelayMs, 2 * currentDelayMs);
+        return currentDelayMs;
     }
 
-    /** Starts again at the shortest pause. */
+    /** Resets the delay to its initial value. */
     void reset() {
-        nextMs = INITIAL_MS;
+        nextDelayMs = INITIAL_DELAY_MS;
     }
 }
--- a/src/main/java/larchridge/node/server/BodyMemory.java
+++ b/src/main/java/larchridge/node/server/BodyMemory.java
@@ -1,6 +1,6 @@
 package larchridge.node.server;
 
-/** Counts the bytes of request bodies in memory, over all connections, against a limit. */
+/** Counts the bytes of buffered request bodies, over all connections, against a limit. */
 final class BodyMemory {
     private final long maxBytes;
     private long reservedBytes;
@@ -9,7 +9,7 @@
         this.maxBytes = maxBytes;
     }
 
-    boolean hasRoomFor(int bytes) {
+    boolean canReserve(int bytes) {
         return reservedBytes + bytes <= maxBytes;
     }
 
--- a/src/test/java/larchridge/node/ClientCloseTest.java
+++ b/src/test/java/larchridge/node/ClientCloseTest.java
@@ -1,8 +1,8 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.EVENT;
 import static larchridge.node.WireMessages.LAST_EVENTS;
 import static larchridge.node.WireMessages.SHORT_STREAM;
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Clients that close at the worst moment: no attempt begins for them, and what was read for them is
- * released.
+ * Clients that close their connection while their request is about to be sent to an engine: no
+ * attempt starts for them, and states that were read for them are released.
  */
 @Timeout(30)
 class ClientCloseTest extends AbstractNodeTest {
-    /** Closes with a FIN, or with a reset that drops what the peer has not read. */
+    /** Closes with a FIN, or with a reset that discards data that the peer has not read. */
     private static void close(RawClient client, boolean resets) throws Exception {
         if (resets) {
             client.socket.setSoLinger(true, 0);
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Whether an engine got an attempt of this request, once a later request has been served from
-     * end to end.
+     * Whether an engine received an attempt of this request, checked after a later request has been
+     * served completely.
      */
     private boolean hasReceivedAttempt(ScriptedServer engine, String id) throws Exception {
         RawClient other = fixture.newClient();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void requestWhoseClientClosedRightBehindItIsNotForwarded() throws Exception {
+    void requestWhoseClientClosesRightAfterSendingItIsNotForwarded() throws Exception {
         RawClient idle = fixture.newClient();
         idle.send(generationRequest(newRequestId(), ""));
         awaitCompleteStream(idle);
@@ -66,7 +66,8 @@
     }
 
     @Test
-    void readThatEndsInTheTurnInWhichTheClientClosesIsReleasedAndNotWritten() throws Exception {
+    void readThatEndsInTheLoopIterationInWhichTheClientClosesIsReleasedAndNotWritten()
+            throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             CountDownLatch answered = new CountDownLatch(1);
             CountDownLatch requested = new CountDownLatch(1);
@@ -98,7 +99,7 @@
     }
 
     @Test
-    void pipelinedRequestIsNotForwardedForAClientThatClosedAsItsTurnCame() throws Exception {
+    void pipelinedRequestIsNotForwardedIfItsClientClosesWhenItIsDequeued() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
         fixture.writer.script =
@@ -126,11 +127,11 @@
     }
 
     /**
-     * The first attempt is silent; the second falls due while the loop is held, and so does the
-     * client's close.
+     * The first attempt gets no response; the second falls due while the event loop is paused, and
+     * the client closes meanwhile.
      */
     @Test
-    void retryThatFallsDueInTheTurnInWhichTheClientClosesIsNotSent() throws Exception {
+    void retryThatFallsDueInTheLoopIterationInWhichTheClientClosesIsNotSent() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         try (ScriptedServer second =
                 new ScriptedServer(
@@ -140,7 +141,7 @@
                         })) {
             fixture.reader.script = second.script;
             fixture.endpointList.add(endpointJson("r2", second.port(), "lectura", "SERVING", 0));
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
             while (fixture.inspector.engines() < 3) {
                 fixture.awaitEventLoop();
             }
@@ -148,7 +149,7 @@
             client.send(generationRequest(newRequestId(), ""));
             awaitLatch(first);
             CountDownLatch resume = fixture.pauseEventLoop();
-            // Longer than the module waits for a silent reader, so that the second attempt is due
+            // Longer than the policy waits for a silent reader, so that the second attempt is due
             // when the loop resumes.
             TimeUnit.MILLISECONDS.sleep(1500);
             client.close();
--- a/src/test/java/larchridge/node/ClientConnectionLimitTest.java
+++ b/src/test/java/larchridge/node/ClientConnectionLimitTest.java
@@ -10,24 +10,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** More client connections than the node may hold, or ones that stay silent. */
+/** More client connections than the node may hold, and connections that stay silent. */
 @Timeout(30)
 class ClientConnectionLimitTest extends AbstractNodeTest {
     @Test
-    void hundredsOfSilentConnectionsAreClosedAndUsualClientsServedBesideThem() throws Exception {
+    void silentConnectionsAreClosedAndOtherClientsStayServed() throws Exception {
         long start = System.nanoTime();
         RawClient half = fixture.newClient();
         half.send(
                 "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\nContent-Length: 50\r\n\r\nhalf");
         for (int i = 0; i < 300; i++) {
-            RawClient silent = fixture.newClient();
+            RawClient silentClient = fixture.newClient();
             if (i % 50 == 0) {
-                RawClient usual = fixture.newClient();
-                usual.send(generationRequest(newRequestId(), ""));
-                awaitCompleteStream(usual);
+                RawClient otherClient = fixture.newClient();
+                otherClient.send(generationRequest(newRequestId(), ""));
+                awaitCompleteStream(otherClient);
             }
             if (i == 299) {
-                silent.readToEnd();
+                silentClient.readToEnd();
             }
         }
         assertTrue(half.readToEnd().matches("(?s)HTTP/1.1 408.*"));
@@ -35,25 +35,25 @@
     }
 
     @Test
-    void burstOfConnectionsTakesNoMoreThanItsPart() throws Exception {
-        int most = 0;
+    void burstOfConnectionsStaysWithinTheConnectionLimit() throws Exception {
+        int maxConnections = 0;
         for (int i = 0; i < 8; i++) {
-            // Faster than they can be accepted one by one.
+            // Faster than the node can accept them one by one.
             for (int j = 0; j < 100; j++) {
                 fixture.newClient();
             }
-            most = Math.max(most, fixture.inspector.connections());
+            maxConnections = Math.max(maxConnections, fixture.inspector.connections());
         }
         assertTrue(
-                most > 100 && most <= 126,
-                "connections " + most + " where 0.42 of 300 are allowed");
-        RawClient usual = fixture.newClient();
-        usual.send(generationRequest(newRequestId(), ""));
-        awaitCompleteStream(usual);
+                maxConnections > 100 && maxConnections <= 126,
+                "connections " + maxConnections + " where 0.42 of 300 are allowed");
+        RawClient otherClient = fixture.newClient();
+        otherClient.send(generationRequest(newRequestId(), ""));
+        awaitCompleteStream(otherClient);
     }
 
     @Test
-    void burstOfIncompleteRequestsTakesNoMoreConnectionsThanItsPart() throws Exception {
+    void burstOfIncompleteRequestsStaysWithinTheConnectionLimit() throws Exception {
         String request = generationRequest(newRequestId(), "");
         for (String part :
                 new String[] {
@@ -67,18 +67,18 @@
             assertTrue(
                     connections <= 126,
                     "connections " + connections + " where 0.42 of 300 are allowed");
-            RawClient usual = fixture.newClient();
-            usual.send(generationRequest(newRequestId(), ""));
-            awaitCompleteStream(usual);
+            RawClient otherClient = fixture.newClient();
+            otherClient.send(generationRequest(newRequestId(), ""));
+            awaitCompleteStream(otherClient);
         }
     }
 
     @Test
-    void newConnectionIsServedWhereAllOthersAreIdle() throws Exception {
+    void newConnectionIsServedIfAllOthersAreIdle() throws Exception {
         for (int i = 0; i < 200; i++) {
-            RawClient stays = fixture.newClient();
-            stays.send(HEALTH_REQUEST);
-            assertTrue(stays.readResponse().startsWith("HTTP/1.1 200 "), "connection " + i);
+            RawClient idleClient = fixture.newClient();
+            idleClient.send(HEALTH_REQUEST);
+            assertTrue(idleClient.readResponse().startsWith("HTTP/1.1 200 "), "connection " + i);
         }
         assertEquals(126, fixture.inspector.connections());
     }
--- a/src/test/java/larchridge/node/DeadlineTest.java
+++ b/src/test/java/larchridge/node/DeadlineTest.java
@@ -8,16 +8,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers that are due by a time, whatever engines or clients do. */
+/** Final answers and errors must be sent in time even if engines or clients are silent. */
 @Timeout(30)
 class DeadlineTest extends AbstractNodeTest {
     /**
-     * Clients that stop in the middle are owed an error or a close so long after they connected.
+     * Time after the connect within which a client that stops in the middle of a request must get
+     * an error or a close.
      */
-    private static final double STOPPED_CLIENT_MS = 3000;
+    private static final double STOPPED_CLIENT_TIMEOUT_MS = 3000;
 
     @Test
-    void finalAnswerComesBeforeTheDeadlineWhereEnginesAreSilent() throws Exception {
+    void finalAnswerIsSentBeforeTheDeadlineIfEnginesAreSilent() throws Exception {
         fixture.reader.script = request -> new ScriptedResponse(null, true);
         RawClient client = fixture.newClient();
         long start = System.nanoTime();
@@ -38,6 +39,6 @@
         client.send(head.substring(middle, head.length() - 5));
         assertTrue(client.readToEnd().startsWith("HTTP/1.1 408 "));
         double tookMs = (System.nanoTime() - connected) / 1e6;
-        assertTrue(tookMs < STOPPED_CLIENT_MS, "after " + tookMs + " ms");
+        assertTrue(tookMs < STOPPED_CLIENT_TIMEOUT_MS, "after " + tookMs + " ms");
     }
 }
--- a/src/test/java/larchridge/node/DiscoveryPollingTest.java
+++ b/src/test/java/larchridge/node/DiscoveryPollingTest.java
@@ -1,8 +1,8 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.generationRequest;
 import static larchridge.node.WireMessages.newRequestId;
 import static larchridge.node.WireMessages.readResponse;
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** When discovery is polled, and what the node serves by meanwhile. */
+/** When discovery is polled, and which list the node uses meanwhile. */
 @Timeout(30)
 class DiscoveryPollingTest extends AbstractNodeTest {
     @Test
-    void drainingEngineGetsNothingNewAndItsSuccessorIsUsed() throws Exception {
+    void drainingEngineGetsNoNewRequestsAndItsReplacementIsUsed() throws Exception {
         RawClient client = fixture.newClient();
         client.send(generationRequest(newRequestId(), ""));
         client.readUntil("0\r\n\r\n");
@@ -28,10 +28,11 @@
             fixture.endpointList.set(
                     0, endpointJson("r1", fixture.reader.port(), "lectura", "DRAINING", 0));
             fixture.endpointList.add(endpointJson("r2", other.port(), "lectura", "SERVING", 0));
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
             int before = fixture.discovery.received.size();
             while (fixture.discovery.received.size() < before + 2) {
-                // The watch after the one that carried the change: the change was applied.
+                // The watch after the one that carried the change is sent once the change was
+                // applied.
                 Thread.onSpinWait();
             }
             fixture.reader.received.clear();
@@ -43,17 +44,17 @@
     }
 
     /**
-     * The grace here is 250 ms: an agent that does not answer one call has to be polled again well
-     * within it.
+     * The drain grace is 250 ms here: an agent that does not respond to one poll must be polled
+     * again well within it.
      */
     @Test
-    void agentThatAnswersAgainIsPolledWithinTheDrainGraceThoughItDroppedACall() throws Exception {
+    void agentThatRecoversIsPolledWithinTheDrainGraceAfterADroppedPoll() throws Exception {
         Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         fixture.discovery.script = request -> new ScriptedResponse(null, true);
         fixture.discovery.received.clear();
         fixture.node.reload();
         while (fixture.discovery.awaitRequest("GET").target().contains("after=")) {
-            // A watch that was polled before.
+            // A watch that was sent before the reload.
         }
         long polled = System.nanoTime();
         fixture.discovery.script = script;
@@ -68,7 +69,7 @@
     }
 
     @Test
-    void silentWatchIsReopenedInTimeForWhatItMissed() throws Exception {
+    void silentWatchIsReopenedBeforeMissedChangesTakeEffect() throws Exception {
         Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         fixture.discovery.awaitRequest("GET");
         fixture.discovery.script =
@@ -76,16 +77,16 @@
                         request.target().contains("after=")
                                 ? new ScriptedResponse(null, true)
                                 : script.apply(request);
-        // The watch behind this one is silent.
+        // The watch that follows this one gets no response.
         while (!fixture.discovery.awaitRequest("GET").target().contains("after=")) {
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
         }
         long start = System.nanoTime();
         while (fixture.discovery.awaitRequest("GET").target().contains("after=")) {
             start = System.nanoTime();
         }
-        // A connection that does not come up and one more try must fit in before what was missed
-        // counts as known, after 6 s.
+        // Time for a connection that is not established and another attempt must remain before the
+        // missed change counts as known, after 6 s.
         assertTrue(System.nanoTime() - start < 4_000e6);
     }
 
@@ -117,7 +118,7 @@
                                     "n1"));
             assertEquals(0, open.getCount());
             node.shutDown();
-            node.awaitEnd();
+            node.awaitTermination();
         }
     }
 }
--- a/src/test/java/larchridge/node/DiscoveryTest.java
+++ b/src/test/java/larchridge/node/DiscoveryTest.java
@@ -1,8 +1,8 @@
 package larchridge.node;
 
-import static larchridge.node.EndpointListScript.endpointJson;
 import static larchridge.node.NodeFixture.awaitCompleteStream;
 import static larchridge.node.NodeFixture.awaitLatch;
+import static larchridge.node.ScriptedEndpointList.endpointJson;
 import static larchridge.node.WireMessages.generationRequest;
 import static larchridge.node.WireMessages.newRequestId;
 import static larchridge.node.WireMessages.readResponse;
@@ -22,23 +22,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Calls to discovery that break, fall silent, come late or carry old lists; judged by where
- * requests go.
+ * Discovery connections that break, fall silent, respond late or carry older lists; verified by
+ * which engines receive requests.
  */
 @Timeout(30)
 class DiscoveryTest extends AbstractNodeTest {
     /**
-     * What was missed has to act 6 s after a watch fell silent; a connection that does not come up,
-     * and a retry, fit in too.
+     * A missed change must take effect 6 s after a watch fell silent; a connection that is not
+     * established and a retry must fit into that time.
      */
-    private static final double POLLED_AGAIN_MS = 4000;
+    private static final double MAX_REPOLL_DELAY_MS = 4000;
 
     private static boolean isWatch(ReceivedRequest request) {
         return request.target().contains("after=");
     }
 
-    /** Waits for a call of the kind that comes after this moment. */
-    private void awaitCall(ScriptedServer discovery, boolean watch) throws Exception {
+    /** Waits for the next watch or the next poll for a snapshot. */
+    private void awaitPoll(ScriptedServer discovery, boolean watch) throws Exception {
         ReceivedRequest request = discovery.awaitRequest("GET");
         while (isWatch(request) != watch) {
             request = discovery.awaitRequest("GET");
@@ -84,7 +84,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"index\":60,\"snapshot\":true,\"endpoints\":["
             })
-    void watchThatFallsSilentWithinItsAnswerIsReopenedInTime(String part) throws Exception {
+    void watchThatFallsSilentWithinItsResponseIsReopenedInTime(String part) throws Exception {
         Function<ReceivedRequest, ScriptedResponse> script = fixture.discovery.script;
         AtomicInteger watches = new AtomicInteger();
         fixture.discovery.script =
@@ -93,14 +93,14 @@
                                 ? new ScriptedResponse(part, true)
                                 : script.apply(request);
         fixture.discovery.received.clear();
-        fixture.endpointList.changed();
+        fixture.endpointList.publishChange();
         while (watches.get() == 0) {
             Thread.onSpinWait();
         }
         long silent = System.nanoTime();
-        awaitCall(fixture.discovery, false);
-        assertTrue((System.nanoTime() - silent) / 1e6 < POLLED_AGAIN_MS);
-        awaitCall(fixture.discovery, true);
+        awaitPoll(fixture.discovery, false);
+        assertTrue((System.nanoTime() - silent) / 1e6 < MAX_REPOLL_DELAY_MS);
+        awaitPoll(fixture.discovery, true);
     }
 
     @Test
@@ -113,12 +113,12 @@
                                 ? new ScriptedResponse(null, false)
                                 : script.apply(request);
         fixture.discovery.received.clear();
-        fixture.endpointList.changed();
+        fixture.endpointList.publishChange();
         while (watches.get() == 0) {
             Thread.onSpinWait();
         }
         long reset = System.nanoTime();
-        awaitCall(fixture.discovery, false);
+        awaitPoll(fixture.discovery, false);
         assertTrue((System.nanoTime() - reset) / 1e6 < 500);
     }
 
@@ -139,16 +139,16 @@
                                                     + "\n  ]\n}\n"),
                                     true);
             fixture.discovery.received.clear();
-            fixture.endpointList.changed();
-            awaitCall(fixture.discovery, true);
-            awaitCall(fixture.discovery, true);
+            fixture.endpointList.publishChange();
+            awaitPoll(fixture.discovery, true);
+            awaitPoll(fixture.discovery, true);
             assertServedBy(other, fixture.reader);
         }
     }
 
     /**
-     * A replica that lags answers the watch: its list is older than the one known, and a snapshot
-     * is requested.
+     * A lagging replica answers the watch: its list is older than the current one, so it is dropped
+     * and a snapshot is requested.
      */
     @Test
     void watchWithAnOlderVersionChangesNothingAndASnapshotIsRequested() throws Exception {
@@ -162,13 +162,13 @@
                             readerJson("r2", other, "SERVING"),
                             writer);
             String old = listResponse(40, readerJson("r1", fixture.reader, "SERVING"), writer);
-            CountDownLatch wholeAgain = new CountDownLatch(2);
+            CountDownLatch snapshotsRequested = new CountDownLatch(2);
             CountDownLatch open = new CountDownLatch(1);
             fixture.discovery.script =
                     request -> {
                         if (!isWatch(request)) {
-                            wholeAgain.countDown();
-                            if (wholeAgain.getCount() == 0) {
+                            snapshotsRequested.countDown();
+                            if (snapshotsRequested.getCount() == 0) {
                                 awaitLatch(open);
                             }
                             return new ScriptedResponse(now, true);
@@ -177,7 +177,7 @@
                                 request.target().contains("after=60") ? old : now, true);
                     };
             fixture.node.reload();
-            awaitLatch(wholeAgain);
+            awaitLatch(snapshotsRequested);
             fixture.awaitEventLoop();
             assertServedBy(other, fixture.reader);
             open.countDown();
@@ -185,15 +185,15 @@
     }
 
     /**
-     * The agent behind a new configuration may lag behind the one before; what the node knew still
-     * counts.
+     * The agent of a new configuration may lag behind the previous one; what the node knows from
+     * that one stays in effect.
      */
     @Test
     void olderListOfAnotherAgentReturnsNoDrainingEngineToService() throws Exception {
         String writer = writerJson();
         try (ScriptedServer other =
                         new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
-                ScriptedServer moved =
+                ScriptedServer newAgent =
                         new ScriptedServer(
                                 request ->
                                         new ScriptedResponse(
@@ -218,19 +218,22 @@
                                                     readerJson("r1", fixture.reader, "DRAINING"),
                                                     writer),
                                     true);
-            fixture.endpointList.changed();
+            fixture.endpointList.publishChange();
             while (!fixture.discovery.awaitRequest("GET").target().contains("after=60")) {
-                // A poll from before the list.
+                // A poll that was sent before the list changed.
             }
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            awaitCall(moved, true);
+            awaitPoll(newAgent, true);
             fixture.awaitEventLoop();
             assertServedBy(other, fixture.reader);
         }
     }
 
-    /** An agent that answers every watch at once, with nothing new, must not keep the loop busy. */
+    /**
+     * An agent that answers every watch immediately, without changes, must not keep the event loop
+     * busy.
+     */
     @Test
     void watchThatIsAnsweredAtOnceIsPolledAtABoundedRate() throws Exception {
         AtomicInteger watches = new AtomicInteger();
@@ -242,8 +245,8 @@
                                     60, readerJson("r1", fixture.reader, "SERVING"), writerJson()),
                             true);
                 };
-        fixture.endpointList.changed();
-        awaitCall(fixture.discovery, true);
+        fixture.endpointList.publishChange();
+        awaitPoll(fixture.discovery, true);
         watches.set(0);
         TimeUnit.MILLISECONDS.sleep(1000);
         assertTrue(watches.get() <= 60, watches + " watches in a second");
@@ -251,7 +254,7 @@
     }
 
     @Test
-    void answerFromTheOldAddressAfterAReloadChangesNothing() throws Exception {
+    void responseFromTheOldAddressAfterAReloadChangesNothing() throws Exception {
         CountDownLatch requested = new CountDownLatch(1);
         CountDownLatch open = new CountDownLatch(1);
         String writer = writerJson();
@@ -268,7 +271,7 @@
                                                     writer),
                                             true);
                                 });
-                ScriptedServer moved =
+                ScriptedServer newAgent =
                         new ScriptedServer(
                                 request ->
                                         new ScriptedResponse(
@@ -281,9 +284,9 @@
             fixture.writeConfiguration(before.port());
             fixture.node.reload();
             awaitLatch(requested);
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            awaitCall(moved, true);
+            awaitPoll(newAgent, true);
             open.countDown();
             before.awaitResponsesWritten();
             fixture.awaitEventLoop();
@@ -291,15 +294,18 @@
         }
     }
 
-    /** Two calls for a snapshot are open at a time; the older one is answered after the newer. */
+    /**
+     * Two connections poll for a snapshot at the same time; the older one is answered after the
+     * newer.
+     */
     @Test
-    void answerOfAClosedCallChangesNothing() throws Exception {
+    void responseOnAClosedConnectionChangesNothing() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
         String writer = writerJson();
         try (ScriptedServer other =
                         new ScriptedServer(request -> new ScriptedResponse(readResponse(0), true));
-                ScriptedServer moved =
+                ScriptedServer newAgent =
                         new ScriptedServer(
                                 request -> {
                                     if (isWatch(request)) {
@@ -318,11 +324,11 @@
                                                     readerJson("r2", other, "SERVING"), writer),
                                             true);
                                 })) {
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            awaitCall(moved, true);
+            awaitPoll(newAgent, true);
             open.countDown();
-            moved.awaitResponsesWritten();
+            newAgent.awaitResponsesWritten();
             fixture.awaitEventLoop();
             assertServedBy(other, fixture.reader);
         }
@@ -337,11 +343,11 @@
         fixture.node.reload();
         // Long enough for the backoff to have reached its maximum.
         TimeUnit.MILLISECONDS.sleep(600);
-        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script, port)) {
+        try (ScriptedServer newAgent = new ScriptedServer(fixture.discovery.script, port)) {
             long up = System.nanoTime();
-            awaitCall(moved, false);
+            awaitPoll(newAgent, false);
             assertTrue((System.nanoTime() - up) / 1e6 < 500);
-            awaitCall(moved, true);
+            awaitPoll(newAgent, true);
         }
     }
 }
--- a/src/test/java/larchridge/node/ListenTest.java
+++ b/src/test/java/larchridge/node/ListenTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node that starts while its address is still taken, as by the process before it. */
+/** A node that starts while its address is still in use, for example by the previous process. */
 @Timeout(60)
 class ListenTest {
     private static final int DESCRIPTORS = 400;
@@ -22,7 +22,7 @@
     @TempDir Path folder;
 
     @Test
-    void addressThatIsTakenForAMomentIsUsedOnceItIsFree() throws Exception {
+    void addressThatIsBrieflyInUseIsBoundOnceItIsFree() throws Exception {
         ServerSocket before = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         try (NodeProcess node = new NodeProcess(folder, DESCRIPTORS, before.getLocalPort())) {
             TimeUnit.MILLISECONDS.sleep(TAKEN_MS);
@@ -35,12 +35,12 @@
     }
 
     @Test
-    void addressThatStaysTakenEndsTheProcessWithAnError() throws Exception {
+    void addressThatStaysInUseEndsTheProcessWithAnError() throws Exception {
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 NodeProcess node = new NodeProcess(folder, DESCRIPTORS, other.getLocalPort())) {
             assertTrue(
                     node.process.waitFor(ENDED_SECONDS, TimeUnit.SECONDS),
-                    "the process neither serves nor ends");
+                    "the process neither serves nor exits");
             assertEquals(1, node.process.exitValue());
             assertTrue(node.log().contains("listen"), node.log());
         }
--- a/src/test/java/larchridge/node/NodeConfigurationTest.java
+++ b/src/test/java/larchridge/node/NodeConfigurationTest.java
@@ -11,28 +11,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Configurations that are broken, and ones that change while the node runs. */
+/** Invalid configurations, and configurations that change while the node runs. */
 @Timeout(30)
 class NodeConfigurationTest extends AbstractNodeTest {
     @Test
-    void newConfigurationMovesDiscoveryAndABrokenOneChangesNothing() throws Exception {
-        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script)) {
+    void newConfigurationMovesDiscoveryAndAnInvalidOneChangesNothing() throws Exception {
+        try (ScriptedServer newAgent = new ScriptedServer(fixture.discovery.script)) {
             Files.writeString(fixture.configurationFile, "{broken");
             fixture.node.reload();
-            fixture.writeConfiguration(moved.port());
+            fixture.writeConfiguration(newAgent.port());
             fixture.node.reload();
-            assertEquals("/discovery/hosts", moved.awaitRequest("GET").target());
-            assertTrue(moved.awaitRequest("GET").target().startsWith("/discovery/hosts?after="));
+            assertEquals("/discovery/hosts", newAgent.awaitRequest("GET").target());
+            assertTrue(newAgent.awaitRequest("GET").target().startsWith("/discovery/hosts?after="));
         }
     }
 
     /**
-     * A read of the file fails for a moment, as where descriptors are short, or finds it half
-     * written.
+     * Reading the file fails at first, as it does when descriptors are exhausted, or the file is
+     * half written.
      */
     @Test
     void configurationThatCannotBeReadAtOnceIsRetried() throws Exception {
-        try (ScriptedServer moved = new ScriptedServer(fixture.discovery.script)) {
+        try (ScriptedServer newAgent = new ScriptedServer(fixture.discovery.script)) {
             for (boolean halfWritten : new boolean[] {false, true}) {
                 Files.delete(fixture.configurationFile);
                 if (halfWritten) {
@@ -40,20 +40,21 @@
                 }
                 fixture.node.reload();
                 fixture.awaitEventLoop();
-                moved.received.clear();
-                fixture.writeConfiguration(moved.port());
+                newAgent.received.clear();
+                fixture.writeConfiguration(newAgent.port());
                 assertTrue(
-                        moved.received.poll(2, TimeUnit.SECONDS) != null,
-                        "the new configuration was never followed");
+                        newAgent.received.poll(2, TimeUnit.SECONDS) != null,
+                        "the agent in the new configuration was never polled");
             }
         }
     }
 
     @Test
-    void brokenConfigurationIsReportedWithFileMemberAndWhatWasExpected() throws Exception {
+    void invalidConfigurationIsReportedWithFileMemberAndExpectedValue() throws Exception {
         Path file = folder.resolve("other.json");
         String good = Files.readString(fixture.configurationFile);
-        Map<String, String> variables = Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
+        Map<String, String> environment =
+                Map.of("PROXY_CONFIG", file.toString(), "PROXY_NAME", "n1");
         String[][] cases = {
             {"\"memory_mb\":256", "\"memory_mb\":\"much\"", "limits.memory_mb"},
             {"\"seed\":\"8c1f", "\"seed\":\"xyz", "seed"},
@@ -66,7 +67,7 @@
             Files.writeString(file, good.replace(one[0], one[1]));
             InvalidNodeConfigurationException fault =
                     assertThrows(
-                            InvalidNodeConfigurationException.class, () -> Node.open(variables));
+                            InvalidNodeConfigurationException.class, () -> Node.open(environment));
             assertTrue(fault.getMessage().contains(one[2]), fault.getMessage());
         }
     }
--- a/src/test/java/larchridge/node/RequestRejectionTest.java
+++ b/src/test/java/larchridge/node/RequestRejectionTest.java
@@ -15,7 +15,7 @@
 @Timeout(30)
 class RequestRejectionTest extends AbstractNodeTest {
     @Test
-    void badRequestsGetAnErrorAndACloseAndNoneReachesAnEngine() throws Exception {
+    void invalidRequestsGetAnErrorAndACloseAndReachNoEngine() throws Exception {
         String good = generationRequest(newRequestId(), "");
         String[] bad = {
             "\u0000\u0001\u0002\r\n\r\n",
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void hiddenRequestBehindTwoLengthsIsNeverServed() throws Exception {
+    void requestSmuggledByConflictingLengthsIsNeverServed() throws Exception {
         RawClient client = fixture.newClient();
         client.send(
                 generationRequest(newRequestId(), "Transfer-Encoding: chunked\r\n")
@@ -63,7 +63,7 @@
     void idOfAGenerationInFlightIsRejectedAndTheFirstIsUnaffected() throws Exception {
         ReadGate gate = fixture.gateReads();
         String id = newRequestId();
-        RawClient first = fixture.clientWithHeldRead(gate, id);
+        RawClient first = fixture.clientWithPendingRead(gate, id);
         RawClient second = fixture.newClient();
         second.send(generationRequest(id, ""));
         assertTrue(second.readToEnd().startsWith("HTTP/1.1 409 "));
@@ -84,7 +84,7 @@
             RawClient client = fixture.newClient();
             client.send("POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\n" + head);
             client.socket.getOutputStream().write(more);
-            // A reset, which a close over unread bytes is, would throw here.
+            // Throws if the connection is reset, which closing it with unread data would cause.
             assertTrue(
                     new String(client.socket.getInputStream().readAllBytes(), UTF_8)
                             .matches("(?s)HTTP/1.1 4\\d\\d .*"),
--- a/src/test/java/larchridge/node/StateReleaseTest.java
+++ b/src/test/java/larchridge/node/StateReleaseTest.java
@@ -16,7 +16,7 @@
 /** When and where held states are released. */
 @Timeout(30)
 class StateReleaseTest extends AbstractNodeTest {
-    /** The settings' time for a held state and the slack that the platform grants on top. */
+    /** The configured time for a held state plus the tolerance of the platform. */
     private static final double RELEASED_WITHIN_MS = 1000 + 300;
 
     private void assertReleasedInTime(String id, long readNanos) throws Exception {
@@ -26,11 +26,11 @@
     }
 
     /**
-     * The node can't tell an attempt that was lost on a silent connection from one that waits in
-     * the engine's queue.
+     * The node can't distinguish an attempt that was lost on a silent connection from one that
+     * waits in the engine's queue.
      */
     @Test
-    void stateIsReleasedInTimeWhileItsWriteAttemptIsOutOnASilentConnection() throws Exception {
+    void stateIsReleasedInTimeWhileItsWriteAttemptIsInFlightOnASilentConnection() throws Exception {
         fixture.writer.script = request -> new ScriptedResponse(null, true);
         String id = newRequestId();
         fixture.newClient().send(generationRequest(id, ""));
@@ -39,8 +39,8 @@
     }
 
     /**
-     * The release that is sent in time frees nothing that a queued attempt waits for, so the
-     * attempt stays out.
+     * The timely release frees nothing that a queued attempt waits for, so the attempt stays
+     * in flight.
      */
     @Test
     void attemptThatWaitsInItsEnginesQueueIsServedAfterTheReleaseOfItsState() throws Exception {
@@ -61,10 +61,11 @@
     }
 
     @Test
-    void requestOfAClientThatClosedBehindAFullConnectionIsNotForwarded() throws Exception {
+    void requestOfAClientThatClosesAfterOverflowingItsPipelineQueueIsNotForwarded()
+            throws Exception {
         ReadGate gate = fixture.gateReads();
         String id = newRequestId();
-        RawClient client = fixture.clientWithHeldRead(gate, id);
+        RawClient client = fixture.clientWithPendingRead(gate, id);
         for (int i = 0; i < 4000; i++) {
             client.send(generationRequest(newRequestId(), ""));
         }
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void stateIsReleasedAtAnotherEngineWhereItsHolderIsSilent() throws Exception {
+    void stateIsReleasedAtAnotherEngineIfItsHolderIsSilent() throws Exception {
         fixture.reader.silent = true;
         String id = newRequestId();
         RawClient client = fixture.newClient();
--- a/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
+++ b/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
@@ -19,27 +19,30 @@
     private static final int TIMERS = 200;
     private static final long DELAY_NANOS = 1_400_000;
 
-    private final AtomicInteger turns = new AtomicInteger();
+    private final AtomicInteger iterations = new AtomicInteger();
 
-    /** Netty's handler, which counts the turns of its loop. */
+    /** Netty's handler, with a strategy that counts the iterations of its event loop. */
     private IoHandlerFactory counted() {
         return NioIoHandler.newFactory(
                 SelectorProvider.provider(),
                 () ->
                         (selectNow, hasTasks) -> {
-                            turns.incrementAndGet();
+                            iterations.incrementAndGet();
                             return hasTasks ? selectNow.get() : SelectStrategy.SELECT;
                         });
     }
 
-    /** Timers one after the other on a loop that has nothing else to do. */
-    private int turnsOf(IoHandlerFactory factory) throws InterruptedException {
+    /**
+     * Runs timers one after the other on an otherwise idle event loop; returns its number of
+     * iterations.
+     */
+    private int iterationsOf(IoHandlerFactory factory) throws InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, factory);
         EventLoop loop = (EventLoop) group.next();
         CountDownLatch left = new CountDownLatch(TIMERS);
         loop.execute(() -> next(loop, left));
         left.await();
-        int counted = turns.getAndSet(0);
+        int counted = iterations.getAndSet(0);
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await();
         return counted;
     }
@@ -57,12 +60,12 @@
     }
 
     @Test
-    void loopSleepsThroughTheLastPartOfAMillisecondBeforeATimer() throws Exception {
-        int plain = turnsOf(counted());
-        int rounded = turnsOf(WholeMillisecondIoHandler.around(counted()));
+    void loopDoesNotPollDuringTheLastPartialMillisecondBeforeATimer() throws Exception {
+        int plain = iterationsOf(counted());
+        int rounded = iterationsOf(WholeMillisecondIoHandler.wrap(counted()));
         assertTrue(
                 plain > 10 * TIMERS,
-                "Netty's own handler is expected to poll, it took turns: " + plain);
-        assertTrue(rounded < 3 * TIMERS, "turns for " + TIMERS + " timers: " + rounded);
+                "iterations of Netty's own handler, which is expected to poll: " + plain);
+        assertTrue(rounded < 3 * TIMERS, "iterations for " + TIMERS + " timers: " + rounded);
     }
 }
