--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -1,4 +1,4 @@
-package larchridge.budgetTokens;
+package larchridge.budget;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
