--- a/src/main/java/larchridge/budget/BudgetLimits.java
+++ b/src/main/java/larchridge/budget/BudgetLimits.java
@@ -34,7 +34,7 @@
     }
 
     /** Whether the rate is limited. */
-    public boolean hasRate() {
+    public boolean hasRateLimit() {
         return tokensPerMs < Double.POSITIVE_INFINITY;
     }
 }
--- a/src/main/java/larchridge/budget/BudgetNode.java
+++ b/src/main/java/larchridge/budget/BudgetNode.java
@@ -121,7 +121,7 @@
         if (leasedTokens <= 0 || leasedTokens + Math.max(0, bucket.level(nowMs)) < tokens) {
             return false;
         }
-        bucket.takeUnconditionally(leases.take(tokens), nowMs);
+        bucket.takeUnconditionally(leases.takeAndReturnMissing(tokens), nowMs);
         return true;
     }
 
--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -38,7 +38,7 @@
     /**
      * The budgets of one router.
      *
-     * @param service the limits of the whole service
+     * @param serviceLimits the limits of the whole service
      * @param routers how many routers hold a part each
      * @param fixedShare the share of all rates that is divided into fixed parts; the rest is
      *     leased, see {@link QuotaLender}
@@ -46,7 +46,7 @@
      * @param random the source of random draws, see {@link TokenBucket}
      */
     public Budgets(
-            BudgetLimits service,
+            BudgetLimits serviceLimits,
             int routers,
             double fixedShare,
             double giveBackMs,
@@ -55,7 +55,7 @@
         this.fixedShare = fixedShare;
         this.routers = routers;
         this.giveBackMs = giveBackMs;
-        this.service = newNode(BudgetNode.SERVICE, null, service);
+        this.service = newNode(BudgetNode.SERVICE, null, serviceLimits);
         nodesByName.put(BudgetNode.SERVICE, this.service);
     }
 
@@ -145,8 +145,8 @@
      */
     public BudgetDecision requestAdmission(
             String tenant, String product, double tokens, double nowMs) {
-        BudgetNode budget = find(tenant, product);
-        for (BudgetNode node = budget; node != null; node = node.parent) {
+        BudgetNode requestedNode = find(tenant, product);
+        for (BudgetNode node = requestedNode; node != null; node = node.parent) {
             if (!node.hasMonthlyCapacity(tokens, nowMs)) {
                 return monthlyRejection(node, nowMs);
             }
@@ -154,9 +154,9 @@
                 return inFlightRejection(node);
             }
         }
-        BudgetNode rateNode = lowestWithRate(budget);
+        BudgetNode rateNode = firstWithRateLimit(requestedNode);
         BudgetNode chargedNode =
-                rateNode == null ? budget : takeTokens(budget, rateNode, tokens, nowMs);
+                rateNode == null ? requestedNode : takeTokens(requestedNode, rateNode, tokens, nowMs);
         if (rateNode != null) {
             rateNode.recordDemand(tokens, nowMs);
         }
@@ -166,35 +166,35 @@
         // The ancestors of the charged budget are charged too, since its usage is part of theirs;
         // budgets below it keep their tokens.
         for (BudgetNode node = chargedNode.parent; node != null; node = node.parent) {
-            if (node.limits().hasRate()) {
+            if (node.limits().hasRateLimit()) {
                 node.bucket().takeUnconditionally(tokens, nowMs);
             }
         }
-        for (BudgetNode node = budget; node != null; node = node.parent) {
+        for (BudgetNode node = requestedNode; node != null; node = node.parent) {
             node.startGeneration(tokens);
         }
         boolean borrowed = rateNode != null && chargedNode != rateNode;
-        return admission(new Charge(budget, tokens, chargedNode, borrowed), rateNode, nowMs);
+        return admission(new Charge(requestedNode, tokens, chargedNode, borrowed), rateNode, nowMs);
     }
 
-    private static BudgetDecision monthlyRejection(BudgetNode budget, double nowMs) {
-        double limitTokens = budget.limits().monthlyTokens();
-        double remainingTokens = Math.max(0, limitTokens - budget.monthUsedTokens(nowMs));
-        double waitMs = budget.msUntilNextMonth(nowMs);
-        String reason = budget.name + ": monthly limit";
+    private static BudgetDecision monthlyRejection(BudgetNode node, double nowMs) {
+        double limitTokens = node.limits().monthlyTokens();
+        double remainingTokens = Math.max(0, limitTokens - node.monthUsedTokens(nowMs));
+        double waitMs = node.msUntilNextMonth(nowMs);
+        String reason = node.name + ": monthly limit";
         return new BudgetDecision(
                 null, limitTokens, remainingTokens, waitMs, waitMs, reason, false);
     }
 
-    private static BudgetDecision inFlightRejection(BudgetNode budget) {
-        double limitTokens = budget.limits().inFlightTokens();
+    private static BudgetDecision inFlightRejection(BudgetNode node) {
+        double limitTokens = node.limits().inFlightTokens();
         return new BudgetDecision(
                 null,
                 limitTokens,
-                Math.max(0, limitTokens - budget.inFlightTokens()),
+                Math.max(0, limitTokens - node.inFlightTokens()),
                 IN_FLIGHT_RETRY_MS,
                 IN_FLIGHT_RETRY_MS,
-                budget.name + ": in-flight limit",
+                node.name + ": in-flight limit",
                 false);
     }
 
@@ -230,9 +230,9 @@
     }
 
     /** The lowest budget from this one upwards that limits a rate, or null. */
-    private static BudgetNode lowestWithRate(BudgetNode start) {
+    private static BudgetNode firstWithRateLimit(BudgetNode start) {
         BudgetNode node = start;
-        while (node != null && !node.limits().hasRate()) {
+        while (node != null && !node.limits().hasRateLimit()) {
             node = node.parent;
         }
         return node;
@@ -243,23 +243,23 @@
      * leases, then from what the budgets above can spare. Returns the budget charged, or null if
      * none has enough.
      *
-     * @param rateNode the lowest budget with a rate, from {@code budget} upwards
+     * @param rateNode the lowest budget with a rate, from {@code requestedNode} upwards
      */
     private BudgetNode takeTokens(
-            BudgetNode budget, BudgetNode rateNode, double tokens, double nowMs) {
+            BudgetNode requestedNode, BudgetNode rateNode, double tokens, double nowMs) {
         // Guards against: a tenant without a rate of its own would use up what is reserved for the
         // other tenants.
-        if ((rateNode == budget || tokensReservedForOthers(rateNode, budget, nowMs) <= 0)
-                && takeFromOwnRate(rateNode, tokens, nowMs)) {
+        if ((rateNode == requestedNode || tokensReservedForOthers(rateNode, requestedNode, nowMs) <= 0)
+                && tryTakeFromBucket(rateNode, tokens, nowMs)) {
             return rateNode;
         }
         if (rateNode.tryTakeLeased(tokens, nowMs)) {
             return rateNode;
         }
-        BudgetNode first = rateNode == budget ? rateNode.parent : rateNode;
+        BudgetNode first = rateNode == requestedNode ? rateNode.parent : rateNode;
         for (BudgetNode node = first; node != null; node = node.parent) {
-            if (node.limits().hasRate()
-                    && node.bucket().level(nowMs) - tokensReservedForOthers(node, budget, nowMs)
+            if (node.limits().hasRateLimit()
+                    && node.bucket().level(nowMs) - tokensReservedForOthers(node, requestedNode, nowMs)
                             >= tokens) {
                 node.bucket().takeUnconditionally(tokens, nowMs);
                 return node;
@@ -268,7 +268,7 @@
         return null;
     }
 
-    private boolean takeFromOwnRate(BudgetNode rateNode, double tokens, double nowMs) {
+    private boolean tryTakeFromBucket(BudgetNode rateNode, double tokens, double nowMs) {
         return lenderAvailable
                 ? rateNode.bucket().tryTakeWithoutDraw(tokens, nowMs)
                 : rateNode.bucket().tryTake(tokens, nowMs);
@@ -278,7 +278,7 @@
     private double tokensReservedForOthers(BudgetNode node, BudgetNode borrower, double nowMs) {
         double reservedTokens = 0;
         for (BudgetNode child : node.children) {
-            if (child == borrower || isAncestor(child, borrower) || !child.limits().hasRate()) {
+            if (child == borrower || isAncestor(child, borrower) || !child.limits().hasRateLimit()) {
                 continue;
             }
             // Guards against: a tenant that becomes active may at once request all that it has
@@ -290,9 +290,9 @@
         return reservedTokens;
     }
 
-    private static boolean isAncestor(BudgetNode budget, BudgetNode descendant) {
+    private static boolean isAncestor(BudgetNode candidate, BudgetNode descendant) {
         for (BudgetNode node = descendant.parent; node != null; node = node.parent) {
-            if (node == budget) {
+            if (node == candidate) {
                 return true;
             }
         }
@@ -305,7 +305,7 @@
      */
     public QuotaRequest quotaRequestFor(
             String tenant, String product, double tokens, double nowMs) {
-        BudgetNode rateNode = lowestWithRate(find(tenant, product));
+        BudgetNode rateNode = firstWithRateLimit(find(tenant, product));
         return rateNode == null || fixedShare >= 1 ? null : rateNode.quotaRequestFor(tokens, nowMs);
     }
 
@@ -317,28 +317,28 @@
     /**
      * Adds a lease to a budget. Does nothing if the budget is unknown.
      *
-     * @param budget the budget's name
+     * @param budgetName the budget's name
      * @param expiresMs when the lease expires
      */
-    public void addLease(String budget, double tokens, double expiresMs) {
-        BudgetNode borrower = nodesByName.get(budget);
-        if (borrower != null && tokens > 0) {
-            borrower.addLease(tokens, expiresMs);
+    public void addLease(String budgetName, double tokens, double expiresMs) {
+        BudgetNode node = nodesByName.get(budgetName);
+        if (node != null && tokens > 0) {
+            node.addLease(tokens, expiresMs);
         }
     }
 
     /** Settles a charge to the tokens used; a second time does nothing. */
     public void settle(Charge charge, double usedTokens, double nowMs) {
-        if (!charge.settleOnce()) {
+        if (!charge.markSettled()) {
             return;
         }
         double unusedTokens = charge.estimatedTokens - usedTokens;
         for (BudgetNode node = charge.chargedNode; node != null; node = node.parent) {
-            if (node.limits().hasRate()) {
+            if (node.limits().hasRateLimit()) {
                 node.bucket().refund(unusedTokens, nowMs);
             }
         }
-        for (BudgetNode node = charge.budget; node != null; node = node.parent) {
+        for (BudgetNode node = charge.requestedNode; node != null; node = node.parent) {
             node.endGeneration(charge.estimatedTokens, usedTokens, nowMs);
         }
     }
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -3,7 +3,7 @@
 /** What one admitted generation was charged; it is settled once. */
 public final class Charge {
     /** The generation's own budget. */
-    final BudgetNode budget;
+    final BudgetNode requestedNode;
 
     /** The budget whose rate was charged: the own one, or one above it that had tokens to spare. */
     final BudgetNode chargedNode;
@@ -12,8 +12,8 @@
     private final boolean borrowed;
     private boolean settled;
 
-    Charge(BudgetNode budget, double estimatedTokens, BudgetNode chargedNode, boolean borrowed) {
-        this.budget = budget;
+    Charge(BudgetNode requestedNode, double estimatedTokens, BudgetNode chargedNode, boolean borrowed) {
+        this.requestedNode = requestedNode;
         this.estimatedTokens = estimatedTokens;
         this.chargedNode = chargedNode;
         this.borrowed = borrowed;
@@ -25,7 +25,7 @@
     }
 
     /** Marks the charge settled; false if it was already. */
-    boolean settleOnce() {
+    boolean markSettled() {
         boolean first = !settled;
         settled = true;
         return first;
--- a/src/main/java/larchridge/budget/QuotaLender.java
+++ b/src/main/java/larchridge/budget/QuotaLender.java
@@ -51,19 +51,19 @@
     }
 
     /** Configures a budget under the name that routers use in requests. */
-    void configure(String budget, BudgetLimits limits, double nowMs) {
+    void configure(String budgetName, BudgetLimits limits, double nowMs) {
         double tokensPerMs = limits.tokensPerMs() * leasedShare;
         double burstTokens = limits.burstTokens() * leasedShare;
-        TokenBucket bucket = buckets.get(budget);
+        TokenBucket bucket = buckets.get(budgetName);
         if (bucket != null) {
             bucket.reconfigure(tokensPerMs, burstTokens, nowMs);
-        } else if (limits.hasRate()) {
+        } else if (limits.hasRateLimit()) {
             bucket =
                     new TokenBucket(
                             tokensPerMs, burstTokens, TokenBucket.OversizeRule.DEBT, unusedRandom);
             // Guards against: a lender that restarts repeatedly would grant a full burst each time.
             bucket.takeUnconditionally(bucket.burstTokens(), nowMs);
-            buckets.put(budget, bucket);
+            buckets.put(budgetName, bucket);
         }
     }
 
@@ -73,8 +73,8 @@
      *
      * @return the granted tokens; 0 for an unknown budget
      */
-    public double grant(String budget, double neededTokens, double desiredTokens, double nowMs) {
-        TokenBucket bucket = buckets.get(budget);
+    public double grant(String budgetName, double neededTokens, double desiredTokens, double nowMs) {
+        TokenBucket bucket = buckets.get(budgetName);
         // Guards against: NaN in a request from the network would corrupt the bucket's level.
         if (bucket == null
                 || !(neededTokens >= 0 && neededTokens <= MAX_NEEDED_TOKENS)
@@ -93,8 +93,8 @@
      * Milliseconds until a budget could grant these tokens if there were no other request; 0 for an
      * unknown budget.
      */
-    public double retryAfterMs(String budget, double neededTokens, double nowMs) {
-        TokenBucket bucket = buckets.get(budget);
+    public double retryAfterMs(String budgetName, double neededTokens, double nowMs) {
+        TokenBucket bucket = buckets.get(budgetName);
         return bucket == null || !(neededTokens >= 0) ? 0 : bucket.msUntil(neededTokens, nowMs);
     }
 }
--- a/src/main/java/larchridge/budget/TokenLeases.java
+++ b/src/main/java/larchridge/budget/TokenLeases.java
@@ -25,7 +25,7 @@
     }
 
     /** Takes tokens from the leases, the oldest first; returns how many are missing. */
-    double take(double tokens) {
+    double takeAndReturnMissing(double tokens) {
         double missingTokens = tokens;
         while (missingTokens > 0 && !leases.isEmpty()) {
             Lease oldest = leases.removeFirst();
--- a/src/main/java/larchridge/budget/UsageMeter.java
+++ b/src/main/java/larchridge/budget/UsageMeter.java
@@ -19,7 +19,7 @@
     private long billedPromptTokens = UNKNOWN;
     private long billedCachedTokens;
     private long wastedTokens;
-    private long piecesSent;
+    private long chunksSent;
     private long reportedOutputTokens = UNKNOWN;
 
     /**
@@ -52,7 +52,7 @@
     }
 
     /** Records that the answer starts at an engine that read the prompt itself. */
-    public void responseStartedInPlace(long promptTokens) {
+    public void responseStartedAtReadingEngine(long promptTokens) {
         if (billedPromptTokens < 0) {
             bill(promptTokens, 0);
         }
@@ -64,13 +64,13 @@
     }
 
     /** Records that a piece of the answer was sent to the client. */
-    public void pieceSent() {
-        piecesSent++;
+    public void chunkSent() {
+        chunksSent++;
     }
 
     /** Records that pieces counted as sent did not reach the client's socket. */
-    public void piecesNotSent(int pieces) {
-        piecesSent -= pieces;
+    public void chunksNotSent(int chunks) {
+        chunksSent -= chunks;
     }
 
     /**
@@ -78,18 +78,18 @@
      * piece.
      */
     public void responseCompleted(int reportedTokens) {
-        boolean plausible = reportedTokens >= piecesSent && reportedTokens <= maxTokens;
-        reportedOutputTokens = plausible ? reportedTokens : piecesSent;
+        boolean plausible = reportedTokens >= chunksSent && reportedTokens <= maxTokens;
+        reportedOutputTokens = plausible ? reportedTokens : chunksSent;
     }
 
     /** Records that the client received nothing, since an unstreamed answer was not completed. */
     public void responseDiscarded() {
         if (billedPromptTokens >= 0) {
-            wastedTokens += billedPromptTokens + piecesSent;
+            wastedTokens += billedPromptTokens + chunksSent;
         }
         billedPromptTokens = UNKNOWN;
         billedCachedTokens = 0;
-        piecesSent = 0;
+        chunksSent = 0;
         reportedOutputTokens = 0;
     }
 
@@ -114,7 +114,7 @@
 
     /** The billed tokens of the answer. */
     public long outputTokens() {
-        return reportedOutputTokens >= 0 ? reportedOutputTokens : piecesSent;
+        return reportedOutputTokens >= 0 ? reportedOutputTokens : chunksSent;
     }
 
     /** Tokens of reads and answers that are not billed. */
--- a/src/main/java/larchridge/lease/LeaseCodec.java
+++ b/src/main/java/larchridge/lease/LeaseCodec.java
@@ -52,7 +52,7 @@
         ArrayNode array = body.putArray(REQUESTS);
         for (QuotaRequest request : requests) {
             array.addObject()
-                    .put(BUDGET, request.budget())
+                    .put(BUDGET, request.budgetName())
                     .put(NEEDED_TOKENS, request.neededTokens())
                     .put(DESIRED_TOKENS, request.desiredTokens());
         }
--- a/src/main/java/larchridge/lease/LeaseEndpoint.java
+++ b/src/main/java/larchridge/lease/LeaseEndpoint.java
@@ -74,10 +74,10 @@
 
     private LeaseCodec.Grant grant(QuotaRequest request) {
         double nowMs = clockMs.getAsDouble();
-        String budget = request.budget();
+        String budgetName = request.budgetName();
         double neededTokens = request.neededTokens();
-        double tokens = lender.grant(budget, neededTokens, request.desiredTokens(), nowMs);
-        double retryAfterMs = tokens > 0 ? 0 : lender.retryAfterMs(budget, neededTokens, nowMs);
+        double tokens = lender.grant(budgetName, neededTokens, request.desiredTokens(), nowMs);
+        double retryAfterMs = tokens > 0 ? 0 : lender.retryAfterMs(budgetName, neededTokens, nowMs);
         return new LeaseCodec.Grant(tokens, retryAfterMs);
     }
 }
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -129,7 +129,7 @@
                     context.updateClock();
                     budgets.setLenderAvailable(quotaClient.isResponsive());
                     budgets.addLease(
-                            quotaRequest.budget(),
+                            quotaRequest.budgetName(),
                             grantedTokens,
                             context.nowMs() + context.site.lapseMs);
                     if (!responseSink.isDisconnected()) {
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -69,7 +69,7 @@
     private void meterPrompt() {
         InFlightAttempt stateSource = attempt.stateSource();
         if (stateSource == null) {
-            request.usageMeter().responseStartedInPlace(request.generationRequest().promptTokens());
+            request.usageMeter().responseStartedAtReadingEngine(request.generationRequest().promptTokens());
         } else {
             // The state was fetched, so the reader no longer holds it.
             stateSource.markStateRemoved();
@@ -87,7 +87,7 @@
             request.chunkReceived(context.nowMs());
             context.metrics.textChunkReceived();
             if (request.responseSink().textReceived(text)) {
-                request.usageMeter().pieceSent();
+                request.usageMeter().chunkSent();
             }
         }
     }
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -68,7 +68,7 @@
         }
         // Guards against: billing text that was buffered for a client that disconnected and was
         // never written to its socket.
-        request.usageMeter().piecesNotSent(request.responseSink().pendingChunks());
+        request.usageMeter().chunksNotSent(request.responseSink().pendingChunks());
         if (request.generationRequest().nonStreaming()
                 && request.responseGuard().finalResponse()
                         != ResponseGuard.FinalResponse.COMPLETED) {
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -375,7 +375,7 @@
             BudgetLimits part,
             BudgetLimits whole,
             String of) {
-        if (part.hasRate() && whole.hasRate()) {
+        if (part.hasRateLimit() && whole.hasRateLimit()) {
             double sum = rates.merge(under, part.tokensPerMs(), Double::sum);
             if (sum > whole.tokensPerMs() * (1 + 1e-9)) {
                 at.fault(
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -114,10 +114,10 @@
         QuotaRequest request = budgets.quotaRequestFor("a", "p", GENERATION_TOKENS, now);
         double granted =
                 lender.grant(
-                        request.budget(), request.neededTokens(), request.desiredTokens(), now);
+                        request.budgetName(), request.neededTokens(), request.desiredTokens(), now);
         // With faults one response in twenty is lost; its tokens stay unused.
         budgets.addLease(
-                request.budget(),
+                request.budgetName(),
                 withFaults && random.nextDouble() < 0.05 ? 0 : granted,
                 now + LEASE_MS);
         return budgets.requestAdmission("a", "p", GENERATION_TOKENS, now).isAdmitted();
--- a/src/test/java/larchridge/budget/UsageMeterTest.java
+++ b/src/test/java/larchridge/budget/UsageMeterTest.java
@@ -8,12 +8,12 @@
     private final UsageMeter meter = new UsageMeter(100, 50);
 
     @Test
-    void onePromptAndThePiecesSentAreBilledTheOtherReadIsWaste() {
+    void onePromptAndTheChunksSentAreBilledTheOtherReadIsWaste() {
         meter.promptRead(110);
         long readTokens = meter.promptRead(110);
         meter.responseStartedFromRead(readTokens, 30);
         for (int i = 0; i < 7; i++) {
-            meter.pieceSent();
+            meter.chunkSent();
         }
         assertEquals(110, meter.promptTokens());
         assertEquals(30, meter.cachedTokens());
@@ -23,9 +23,9 @@
 
     @Test
     void completeAnswerCountsAsReportedIfThatIsPlausible() {
-        meter.responseStartedInPlace(100);
-        meter.pieceSent();
-        meter.pieceSent();
+        meter.responseStartedAtReadingEngine(100);
+        meter.chunkSent();
+        meter.chunkSent();
         meter.responseCompleted(5);
         assertEquals(5, meter.outputTokens());
         meter.responseCompleted(-3);
@@ -54,7 +54,7 @@
     @Test
     void discardedAnswerBillsNothing() {
         meter.responseStartedFromRead(meter.promptRead(110), 0);
-        meter.pieceSent();
+        meter.chunkSent();
         meter.responseDiscarded();
         assertEquals(0, meter.billedTokens());
         assertEquals(111, meter.wastedTokens());
@@ -68,12 +68,12 @@
     }
 
     @Test
-    void piecesThatWereNotSentAreNotBilled() {
+    void chunksThatWereNotSentAreNotBilled() {
         UsageMeter meter = new UsageMeter(100, 50);
         meter.responseStartedFromRead(meter.promptRead(100), 0);
-        meter.pieceSent();
-        meter.pieceSent();
-        meter.piecesNotSent(1);
+        meter.chunkSent();
+        meter.chunkSent();
+        meter.chunksNotSent(1);
         assertEquals(1, meter.outputTokens());
     }
 }
