--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -37,7 +37,7 @@
 
     private final HttpClient client;
     private final RequestOptions callOptions;
-    private final int answerTimeoutMs;
+    private final int callTimeoutMs;
     private final Deque<PendingRequest> pending = new ArrayDeque<>();
     private boolean callInFlight;
     private boolean responsive;
@@ -48,14 +48,14 @@
     /**
      * A client of the lender at an address.
      *
-     * @param answerTimeoutMs the timeout of connecting and of a whole call
+     * @param callTimeoutMs the timeout of connecting and of a whole call
      */
-    public LeaseClient(Vertx vertx, String host, int port, double answerTimeoutMs) {
-        this.answerTimeoutMs = (int) Math.max(1, answerTimeoutMs);
+    public LeaseClient(Vertx vertx, String host, int port, double callTimeoutMs) {
+        this.callTimeoutMs = (int) Math.max(1, callTimeoutMs);
         client =
                 vertx.createHttpClient(
                         new HttpClientOptions()
-                                .setConnectTimeout(this.answerTimeoutMs)
+                                .setConnectTimeout(this.callTimeoutMs)
                                 .setTcpNoDelay(true),
                         new PoolOptions().setHttp1MaxSize(1).setMaxWaitQueueSize(1));
         callOptions =
@@ -64,7 +64,7 @@
                         .setHost(host)
                         .setPort(port)
                         .setURI(LeaseEndpoint.PATH)
-                        .setTimeout(this.answerTimeoutMs);
+                        .setTimeout(this.callTimeoutMs);
         lastCallNanos = System.nanoTime() - PROBE_INTERVAL_NANOS;
     }
 
@@ -108,24 +108,24 @@
                                                         response.statusCode() == STATUS_OK
                                                                 ? body
                                                                 : null))
-                .timeout(answerTimeoutMs, TimeUnit.MILLISECONDS)
-                .onComplete(answer -> callEnded(answer, requests, listeners));
+                .timeout(callTimeoutMs, TimeUnit.MILLISECONDS)
+                .onComplete(callResult -> callEnded(callResult, requests, listeners));
     }
 
     private void callEnded(
-            AsyncResult<Buffer> answer, List<QuotaRequest> requests, List<Listener> listeners) {
+            AsyncResult<Buffer> callResult, List<QuotaRequest> requests, List<Listener> listeners) {
         callInFlight = false;
-        boolean late = System.nanoTime() - lastCallNanos > answerTimeoutMs * 1_000_000L;
-        boolean answered = answer.succeeded() && answer.result() != null && !late;
+        boolean late = System.nanoTime() - lastCallNanos > callTimeoutMs * 1_000_000L;
+        boolean succeeded = callResult.succeeded() && callResult.result() != null && !late;
         List<LeaseCodec.Grant> grants = noGrants(requests.size());
-        if (answered) {
+        if (succeeded) {
             try {
-                grants = LeaseCodec.decodeGrants(answer.result().getBytes(), requests);
+                grants = LeaseCodec.decodeGrants(callResult.result().getBytes(), requests);
             } catch (InvalidLeaseException e) {
-                answered = false;
+                succeeded = false;
             }
         }
-        setResponsive(answered);
+        setResponsive(succeeded);
         for (int i = 0; i < listeners.size(); i++) {
             LeaseCodec.Grant grant = grants.get(i);
             listeners.get(i).granted(grant.tokens(), grant.retryAfterMs());
@@ -140,9 +140,9 @@
         return Collections.nCopies(count, LeaseCodec.Grant.NONE);
     }
 
-    private void setResponsive(boolean answered) {
-        if (responsive != answered) {
-            responsive = answered;
+    private void setResponsive(boolean succeeded) {
+        if (responsive != succeeded) {
+            responsive = succeeded;
             LOG.atWarn()
                     .addKeyValue("lender", callOptions.getHost() + ":" + callOptions.getPort())
                     .log(
--- a/src/test/java/larchridge/lease/LeaseClientTest.java
+++ b/src/test/java/larchridge/lease/LeaseClientTest.java
@@ -23,15 +23,15 @@
     private final Context eventLoop = vertx.getOrCreateContext();
     private final BlockingQueue<String> grants = new LinkedBlockingQueue<>();
 
-    private LeaseClient clientOfLenderAnswering(String answer) throws Exception {
+    private LeaseClient clientOfLenderResponding(String response) throws Exception {
         HttpServer server =
                 vertx.createHttpServer()
                         .requestHandler(
                                 request -> {
                                     // Without a response the call hangs, as with a lender that
                                     // is stopped.
-                                    if (answer != null) {
-                                        request.response().end(answer);
+                                    if (response != null) {
+                                        request.response().end(response);
                                     }
                                 });
         server.listen(0, "127.0.0.1")
@@ -75,7 +75,7 @@
 
     @Test
     void grantedTokensAreReported() throws Exception {
-        LeaseClient client = clientOfLenderAnswering("{\"lent\":[{\"tokens\":100,\"back_ms\":0}]}");
+        LeaseClient client = clientOfLenderResponding("{\"lent\":[{\"tokens\":100,\"back_ms\":0}]}");
         assertTrue(request(client, 1));
         assertEquals("100 0", nextGrant());
         assertTrue(request(client, 1));
@@ -92,17 +92,17 @@
                 "{\"lent\":[{\"tokens\":\"NaN\"}]}",
                 ""
             })
-    void invalidAnswerGrantsNothingAndTheLenderCountsAsUnresponsive(String answer)
+    void invalidResponseGrantsNothingAndTheLenderCountsAsUnresponsive(String response)
             throws Exception {
-        LeaseClient client = clientOfLenderAnswering(answer);
+        LeaseClient client = clientOfLenderResponding(response);
         assertTrue(request(client, 1));
         assertEquals("0 0", nextGrant());
         assertFalse(request(client, 1), "accepted before the probe interval");
     }
 
     @Test
-    void allPendingRequestsFailOnceTheLenderDoesNotAnswer() throws Exception {
-        LeaseClient client = clientOfLenderAnswering(null);
+    void allPendingRequestsFailOnceTheLenderDoesNotRespond() throws Exception {
+        LeaseClient client = clientOfLenderResponding(null);
         assertTrue(request(client, 1));
         assertFalse(request(client, 1), "accepted before the lender has ever responded");
         assertEquals("0 0", nextGrant());
