--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -469,7 +469,7 @@
             if (work == null) {
                 return;
             }
-            Job job = jobs.get(work.name);
+            Job job = jobs.get(work.id);
             onDisk(
                     () -> {
                         Trip trip = nextTrip(job, now);
@@ -674,7 +674,7 @@
 
         @Override
         public void turnedAway() {
-            notRun(BatchRetryPolicy.Outcome.REJECTED, 0);
+            notRun(BatchRetryPolicy.Outcome.NOT_ACCEPTED, 0);
         }
 
         /** It surely did not run, or running again is harmless: this time is not counted. */
@@ -858,7 +858,7 @@
             judgedMs = now;
             for (PlannedBatch work : planner.updateAtRisk(now)) {
                 LOG.atWarn()
-                        .addKeyValue("batch", work.name)
+                        .addKeyValue("batch", work.id)
                         .addKeyValue("at_risk", work.isAtRisk())
                         .log(
                                 work.isAtRisk()
--- a/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
+++ b/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
@@ -19,7 +19,7 @@
 public final class BatchConcurrencyLimiter {
     private static final double INITIAL_LIMIT = 2;
     private static final double DECREASE_FACTOR = 0.6;
-    private static final double REJECTION_DECREASE_FACTOR = 0.25;
+    private static final double OVERLOAD_FAILURE_DECREASE_FACTOR = 0.25;
 
     /** The factor on the ceiling when the limit is decreased again soon. */
     private static final double REPEATED_DECREASE_FACTOR = 0.9;
@@ -60,10 +60,10 @@
     private static final double LATENCY_QUANTILE = 0.9;
 
     /** A window with fewer first tokens is not evaluated. */
-    private static final int MIN_SAMPLES = 8;
+    private static final int MIN_FIRST_TOKENS = 8;
 
     /** A window with this many first tokens is evaluated before its end. */
-    private static final int EARLY_EVALUATION_SAMPLES = 50;
+    private static final int EARLY_EVALUATION_FIRST_TOKENS = 50;
 
     private static final int WINDOW_MS = 2000;
     private static final double MIN_DECREASE_INTERVAL_MS = 1000;
@@ -75,7 +75,7 @@
     private double limit = INITIAL_LIMIT;
 
     /** The limit at which congestion is expected; infinite until the first congestion. */
-    private double ceiling = Double.POSITIVE_INFINITY;
+    private double expectedCongestionLimit = Double.POSITIVE_INFINITY;
 
     /**
      * The origin of the growth curve: the last decrease or the end of the last pause, moved forward
@@ -89,7 +89,7 @@
     private double pauseMs;
 
     /** The most lines that were open since the last check or change of the limit. */
-    private double peakOpenLines;
+    private double peakOpenWork;
 
     private double windowStartMs = Double.NaN;
     private final int[] firstTokenCounts = new int[LatencySample.BUCKETS];
@@ -117,8 +117,8 @@
     }
 
     /** Records how many lines of mean size are open now. */
-    public void recordOpenLines(double openLines) {
-        peakOpenLines = Math.max(peakOpenLines, openLines);
+    public void recordOpenWork(double openWork) {
+        peakOpenWork = Math.max(peakOpenWork, openWork);
     }
 
     /** Adds what one router's interactive requests experienced since its last sample. */
@@ -130,14 +130,14 @@
         for (int i = 0; i < firstTokenCounts.length; i++) {
             firstTokenCounts[i] += sample.firstTokenCounts[i];
         }
-        if (sample.rejections > 0) {
-            pauseAfterRejection(nowMs);
+        if (sample.overloadFailures > 0) {
+            pauseAfterOverloadFailure(nowMs);
         } else if (sample.longestWaitShareOfSlo > MAX_WAIT_SLO_SHARE) {
             decrease(DECREASE_FACTOR, nowMs);
         }
-        int sampleCount = java.util.Arrays.stream(firstTokenCounts).sum();
-        if (nowMs >= windowStartMs + WINDOW_MS || sampleCount >= EARLY_EVALUATION_SAMPLES) {
-            evaluateWindow(sampleCount, nowMs);
+        int totalFirstTokens = java.util.Arrays.stream(firstTokenCounts).sum();
+        if (nowMs >= windowStartMs + WINDOW_MS || totalFirstTokens >= EARLY_EVALUATION_FIRST_TOKENS) {
+            evaluateWindow(totalFirstTokens, nowMs);
         }
         increase(nowMs);
     }
@@ -152,10 +152,10 @@
         return decreases.sum(nowMs);
     }
 
-    private void evaluateWindow(int sampleCount, double nowMs) {
+    private void evaluateWindow(int totalFirstTokens, double nowMs) {
         windowStartMs = nowMs;
-        if (sampleCount >= MIN_SAMPLES) {
-            double windowLatency = latencyQuantile(sampleCount);
+        if (totalFirstTokens >= MIN_FIRST_TOKENS) {
+            double windowLatency = latencyQuantile(totalFirstTokens);
             windowLatencies[windowCount++ % BASELINE_WINDOWS] = windowLatency;
             // The lower quartile; the minimum alone would be an outlier.
             double[] sortedLatencies =
@@ -172,10 +172,10 @@
     }
 
     /** The upper bound of the bucket that contains the quantile. */
-    private double latencyQuantile(int sampleCount) {
-        int samplesAbove = (int) Math.floor((1 - LATENCY_QUANTILE) * sampleCount);
+    private double latencyQuantile(int totalFirstTokens) {
+        int firstTokensAbove = (int) Math.floor((1 - LATENCY_QUANTILE) * totalFirstTokens);
         int bucket = firstTokenCounts.length - 1;
-        for (int remaining = samplesAbove - firstTokenCounts[bucket];
+        for (int remaining = firstTokensAbove - firstTokenCounts[bucket];
                 remaining >= 0 && bucket > 0;
                 remaining -= firstTokenCounts[bucket]) {
             bucket--;
@@ -183,19 +183,19 @@
         return (bucket + 1) * LatencySample.BUCKET_SLO_SHARE;
     }
 
-    private void pauseAfterRejection(double nowMs) {
-        if (nowMs < pausedUntilMs || peakOpenLines == 0) {
+    private void pauseAfterOverloadFailure(double nowMs) {
+        if (nowMs < pausedUntilMs || peakOpenWork == 0) {
             // Guards against: rejections while no batch work is open have other causes, and would
             // keep batch work paused forever.
             return;
         }
         boolean isRepeated = nowMs < pausedUntilMs + REPEAT_WITHIN_MS && pauseMs > 0;
         pauseMs = isRepeated ? Math.min(MAX_PAUSE_MS, 2 * pauseMs) : INITIAL_PAUSE_MS;
-        decrease(REJECTION_DECREASE_FACTOR, nowMs);
+        decrease(OVERLOAD_FAILURE_DECREASE_FACTOR, nowMs);
         pausedUntilMs = nowMs + pauseMs;
         growthStartMs = pausedUntilMs;
         lastIncreaseCheckMs = pausedUntilMs;
-        peakOpenLines = 0;
+        peakOpenWork = 0;
     }
 
     /**
@@ -211,19 +211,19 @@
         // set. Guards against: a burst of other traffic causes several decreases in a row, which
         // say little about capacity; if each lowered the ceiling that far, the limit would take
         // minutes to recover.
-        if (limit >= ceiling) {
-            ceiling = limit;
+        if (limit >= expectedCongestionLimit) {
+            expectedCongestionLimit = limit;
         } else {
-            ceiling =
+            expectedCongestionLimit =
                     nowMs < lastDecreaseMs + REPEAT_WITHIN_MS
-                            ? REPEATED_DECREASE_FACTOR * ceiling
+                            ? REPEATED_DECREASE_FACTOR * expectedCongestionLimit
                             : limit * (1 + factor) / 2;
         }
         lastDecreaseMs = nowMs;
         limit = Math.max(1, limit * factor);
         growthStartMs = nowMs;
         lastIncreaseCheckMs = nowMs;
-        peakOpenLines = 0;
+        peakOpenWork = 0;
     }
 
     private void increase(double nowMs) {
@@ -231,15 +231,15 @@
             return;
         }
         lastIncreaseCheckMs = nowMs;
-        if (peakOpenLines >= MIN_USED_SHARE * Math.floor(limit)) {
-            if (ceiling == Double.POSITIVE_INFINITY) {
+        if (peakOpenWork >= MIN_USED_SHARE * Math.floor(limit)) {
+            if (expectedCongestionLimit == Double.POSITIVE_INFINITY) {
                 limit *= INITIAL_GROWTH_FACTOR;
             } else {
                 double sinceRecoveryS = (nowMs - growthStartMs) / 1000 - RECOVERY_S;
                 limit =
                         Math.max(
                                 limit,
-                                ceiling
+                                expectedCongestionLimit
                                         * (1
                                                 + CUBIC_GROWTH_PER_S3
                                                         * sinceRecoveryS
@@ -252,6 +252,6 @@
             // was not used counted as growth time.
             growthStartMs = Math.max(growthStartMs, nowMs - 1000 * RECOVERY_S);
         }
-        peakOpenLines = 0;
+        peakOpenWork = 0;
     }
 }
--- a/src/main/java/larchridge/planner/BatchPlanner.java
+++ b/src/main/java/larchridge/planner/BatchPlanner.java
@@ -33,22 +33,22 @@
     /**
      * Adds a batch that has lines ready to start.
      *
-     * @param name the batch's id
-     * @param share the tenant's weight; counts only for the first batch of a tenant
+     * @param batchId the batch's id
+     * @param weight the tenant's weight; counts only for the first batch of a tenant
      * @param expiresMs when the completion window ends
-     * @param number orders batches that expire at the same time
-     * @param unansweredLines the lines that have no record yet
+     * @param sequenceNumber orders batches that expire at the same time
+     * @param unrecordedLines the lines that have no record yet
      */
     public PlannedBatch addBatch(
-            String name,
+            String batchId,
             String tenant,
-            double share,
+            double weight,
             double expiresMs,
-            long number,
-            double unansweredLines) {
+            long sequenceNumber,
+            double unrecordedLines) {
         PlannedBatch batch =
                 new PlannedBatch(
-                        name, fairQueue.tenant(tenant, share), expiresMs, number, unansweredLines);
+                        batchId, fairQueue.tenant(tenant, weight), expiresMs, sequenceNumber, unrecordedLines);
         batch.tenant.batches.add(batch);
         fairQueue.setReady(batch, true);
         return batch;
@@ -84,8 +84,8 @@
 
     /** The batch that may start a line now, or null. */
     public PlannedBatch nextBatch(double nowMs) {
-        double openMeanLines = Math.max(openLines == 0 ? 0 : 1, openTokens / meanLineTokens);
-        return openMeanLines + 1 <= limiter.limit(nowMs) ? fairQueue.next(nowMs) : null;
+        double openLinesOfMeanSize = Math.max(openLines == 0 ? 0 : 1, openTokens / meanLineTokens);
+        return openLinesOfMeanSize + 1 <= limiter.limit(nowMs) ? fairQueue.next(nowMs) : null;
     }
 
     /** When the first pause of a tenant with ready lines ends; infinite if there is none. */
@@ -108,8 +108,8 @@
         hasMeanSample = true;
         batch.startedLines++;
         batch.startedTokens += tokens;
-        batch.tenant.virtualTime += tokens / batch.tenant.share;
-        limiter.recordOpenLines(openTokens / meanLineTokens);
+        batch.tenant.virtualTime += tokens / batch.tenant.weight;
+        limiter.recordOpenWork(openTokens / meanLineTokens);
     }
 
     /**
@@ -131,7 +131,7 @@
 
     /** Records that a line has its record in the output or error file. */
     public void lineRecorded(PlannedBatch batch) {
-        batch.unansweredLines = Math.max(0, batch.unansweredLines - 1);
+        batch.unrecordedLines = Math.max(0, batch.unrecordedLines - 1);
     }
 
     /** How many lines of mean size may be open now. */
@@ -163,7 +163,7 @@
             double queuedTokens = 0;
             for (PlannedBatch batch : tenant.batches) {
                 queuedTokens +=
-                        batch.unansweredLines
+                        batch.unrecordedLines
                                 * (batch.startedLines > 0
                                         ? batch.startedTokens / batch.startedLines
                                         : meanLineTokens);
--- a/src/main/java/larchridge/planner/BatchRetryPolicy.java
+++ b/src/main/java/larchridge/planner/BatchRetryPolicy.java
@@ -12,7 +12,7 @@
 public final class BatchRetryPolicy {
     private static final double INITIAL_BACKOFF_MS = 500;
     private static final double MAX_BACKOFF_MS = 30_000;
-    private static final double REJECTION_BACKOFF_MS = 100;
+    private static final double NOT_RUN_BACKOFF_MS = 100;
 
     /** How a generation of a line ended. */
     public enum Outcome {
@@ -21,7 +21,7 @@
         /** The tenant's budget rejected it. */
         OVER_BUDGET,
         /** No router accepted it. */
-        REJECTED,
+        NOT_ACCEPTED,
         /** It failed and may have run. */
         TERMINATED,
         /** It was open when the previous process ended, and may have run. */
@@ -46,16 +46,16 @@
      * Milliseconds until the line is retried; negative if it is not retried.
      *
      * @param attempts how often the line was started and may have run, this time included
-     * @param rejections how often the line was throttled, rejected or over budget, this time
+     * @param timesNotRun how often the line was throttled, rejected or over budget, this time
      *     included
      * @param retryAfterMs the delay that the router advised, or 0
      */
     public double retryDelayMs(
-            Outcome outcome, Effect effect, int attempts, int rejections, double retryAfterMs) {
+            Outcome outcome, Effect effect, int attempts, int timesNotRun, double retryAfterMs) {
         return switch (outcome) {
-            case REJECTED -> REJECTION_BACKOFF_MS * (0.5 + random.nextDouble());
-            case OVER_BUDGET -> Math.max(retryAfterMs, REJECTION_BACKOFF_MS);
-            case THROTTLED -> Math.max(retryAfterMs, backoffMs(rejections));
+            case NOT_ACCEPTED -> NOT_RUN_BACKOFF_MS * (0.5 + random.nextDouble());
+            case OVER_BUDGET -> Math.max(retryAfterMs, NOT_RUN_BACKOFF_MS);
+            case THROTTLED -> Math.max(retryAfterMs, backoffMs(timesNotRun));
             case TERMINATED ->
                     effect == Effect.IDEMPOTENT && attempts < maxAttempts
                             ? backoffMs(attempts)
--- a/src/main/java/larchridge/planner/LatencySample.java
+++ b/src/main/java/larchridge/planner/LatencySample.java
@@ -9,7 +9,7 @@
     static final double BUCKET_SLO_SHARE = 0.05;
 
     final int[] firstTokenCounts = new int[BUCKETS];
-    int rejections;
+    int overloadFailures;
     double longestWaitShareOfSlo;
     int unansweredRequests;
 
@@ -19,17 +19,17 @@
     }
 
     /** Counts a request that was throttled, or terminated because its time limit was exceeded. */
-    public void recordRejection() {
-        rejections++;
+    public void recordOverloadFailure() {
+        overloadFailures++;
     }
 
     /**
      * Sets how many requests are unanswered now, and the longest wait for a reader among them.
      *
-     * @param shareOfSlo the longest wait, as a share of the SLO time of the request that waits
+     * @param maxWaitShareOfSlo the longest wait, as a share of the SLO time of the request that waits
      */
-    public void recordUnanswered(int unanswered, double shareOfSlo) {
+    public void setUnanswered(int unanswered, double maxWaitShareOfSlo) {
         unansweredRequests = unanswered;
-        longestWaitShareOfSlo = shareOfSlo;
+        longestWaitShareOfSlo = maxWaitShareOfSlo;
     }
 }
--- a/src/main/java/larchridge/planner/PlannedBatch.java
+++ b/src/main/java/larchridge/planner/PlannedBatch.java
@@ -3,16 +3,16 @@
 /** The scheduling state of one batch. */
 public final class PlannedBatch {
     /** The batch's id. */
-    public final String name;
+    public final String id;
 
     final WeightedFairQueue.Tenant tenant;
     final double expiresMs;
 
     /** Orders batches that expire at the same time. */
-    final long number;
+    final long sequenceNumber;
 
     /** Lines that have no record yet. */
-    double unansweredLines;
+    double unrecordedLines;
 
     /** Lines that were started, retries included. */
     double startedLines;
@@ -24,16 +24,16 @@
     boolean atRisk;
 
     PlannedBatch(
-            String name,
+            String id,
             WeightedFairQueue.Tenant tenant,
             double expiresMs,
-            long number,
-            double unansweredLines) {
-        this.name = name;
+            long sequenceNumber,
+            double unrecordedLines) {
+        this.id = id;
         this.tenant = tenant;
         this.expiresMs = expiresMs;
-        this.number = number;
-        this.unansweredLines = unansweredLines;
+        this.sequenceNumber = sequenceNumber;
+        this.unrecordedLines = unrecordedLines;
     }
 
     /** Whether the batch would miss its completion window at its tenant's recent rate. */
--- a/src/main/java/larchridge/planner/WeightedFairQueue.java
+++ b/src/main/java/larchridge/planner/WeightedFairQueue.java
@@ -15,12 +15,12 @@
 final class WeightedFairQueue {
     private static final Comparator<PlannedBatch> EARLIEST_DEADLINE_FIRST =
             Comparator.comparingDouble((PlannedBatch batch) -> batch.expiresMs)
-                    .thenComparingLong(batch -> batch.number);
+                    .thenComparingLong(batch -> batch.sequenceNumber);
 
     /** One tenant with its batches. */
     static final class Tenant {
         final String name;
-        final double share;
+        final double weight;
 
         /** Tokens of started lines divided by the share; the tenant with the least is next. */
         double virtualTime;
@@ -37,9 +37,9 @@
         /** When the first line was answered; NaN before. */
         double firstAnswerMs = Double.NaN;
 
-        Tenant(String name, double share) {
+        Tenant(String name, double weight) {
             this.name = name;
-            this.share = share;
+            this.weight = weight;
         }
     }
 
@@ -47,8 +47,8 @@
     private final Map<String, Tenant> tenants = new LinkedHashMap<>();
 
     /** The tenant of this name, added with this share if it is new. */
-    Tenant tenant(String name, double share) {
-        return tenants.computeIfAbsent(name, key -> new Tenant(key, share));
+    Tenant tenant(String name, double weight) {
+        return tenants.computeIfAbsent(name, key -> new Tenant(key, weight));
     }
 
     Iterable<Tenant> tenants() {
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -19,7 +19,7 @@
     /** A request was rejected, or failed because its deadline had passed. */
     void rejected(InFlightRequest request) {
         if (!request.isBatch()) {
-            sample.recordRejection();
+            sample.recordOverloadFailure();
         }
     }
 
@@ -36,7 +36,7 @@
             }
         }
         LatencySample taken = sample;
-        taken.recordUnanswered(unanswered, longestWait);
+        taken.setUnanswered(unanswered, longestWait);
         sample = new LatencySample();
         return taken;
     }
--- a/src/test/java/larchridge/planner/BatchPlannerTest.java
+++ b/src/test/java/larchridge/planner/BatchPlannerTest.java
@@ -24,9 +24,9 @@
         return sample;
     }
 
-    private static LatencySample rejectionSample() {
+    private static LatencySample overloadFailureSample() {
         LatencySample sample = new LatencySample();
-        sample.recordRejection();
+        sample.recordOverloadFailure();
         return sample;
     }
 
@@ -35,7 +35,7 @@
             BatchConcurrencyLimiter limiter, double startMs, double durationMs) {
         double now = startMs;
         for (; now < startMs + durationMs; now += 100) {
-            limiter.recordOpenLines(limiter.limit(now));
+            limiter.recordOpenWork(limiter.limit(now));
             limiter.addSample(fastSample(), now);
         }
         return now;
@@ -54,13 +54,13 @@
     }
 
     @Test
-    void rejectionsPauseBatchWorkLongerEachTime() {
+    void overloadFailuresPauseBatchWorkLongerEachTime() {
         BatchConcurrencyLimiter limiter = new BatchConcurrencyLimiter(100);
         double now = growAtFullUse(limiter, 0, 10_000);
         double[] pausesMs = new double[3];
         for (int i = 0; i < 3; i++) {
-            limiter.recordOpenLines(1);
-            limiter.addSample(rejectionSample(), now);
+            limiter.recordOpenWork(1);
+            limiter.addSample(overloadFailureSample(), now);
             double pauseStartMs = now;
             while (limiter.limit(now) == 0) {
                 now += 50;
@@ -77,13 +77,13 @@
      * limit recovers, so that recovery would take minutes.
      */
     @Test
-    void limitRecoversSoonAfterRepeatedRejections() {
+    void limitRecoversSoonAfterRepeatedOverloadFailures() {
         BatchConcurrencyLimiter limiter = new BatchConcurrencyLimiter(40);
         double now = growAtFullUse(limiter, 0, 20_000);
         double before = limiter.limit(now);
         for (double end = now + 6000; now < end; now += 100) {
-            limiter.recordOpenLines(limiter.limit(now));
-            limiter.addSample(rejectionSample(), now);
+            limiter.recordOpenWork(limiter.limit(now));
+            limiter.addSample(overloadFailureSample(), now);
         }
         assertTrue(limiter.limit(now) < 0.1 * before);
         now = growAtFullUse(limiter, now, 10_000);
@@ -92,9 +92,9 @@
 
     /** Guards against: rejections that batch work did not cause would keep it paused forever. */
     @Test
-    void rejectionWithoutOpenBatchWorkDoesNotPause() {
+    void overloadFailureWithoutOpenBatchWorkDoesNotPause() {
         BatchConcurrencyLimiter limiter = new BatchConcurrencyLimiter(100);
-        limiter.addSample(rejectionSample(), 0);
+        limiter.addSample(overloadFailureSample(), 0);
         assertEquals(2, limiter.limit(0));
     }
 
@@ -127,7 +127,7 @@
             int samples = 0;
             for (double now = 0; now < 300_000; now += 100) {
                 double open = limiter.limit(now);
-                limiter.recordOpenLines(open);
+                limiter.recordOpenWork(open);
                 LatencySample sample = new LatencySample();
                 for (int i = 0; i < 4; i++) {
                     sample.recordFirstToken(
@@ -240,7 +240,7 @@
         // outcome, effect, attempts, whether it is retried
         Object[][] table = {
             {BatchRetryPolicy.Outcome.THROTTLED, Effect.SIDE_EFFECTING, 0, true},
-            {BatchRetryPolicy.Outcome.REJECTED, Effect.SIDE_EFFECTING, 0, true},
+            {BatchRetryPolicy.Outcome.NOT_ACCEPTED, Effect.SIDE_EFFECTING, 0, true},
             {BatchRetryPolicy.Outcome.OVER_BUDGET, Effect.SIDE_EFFECTING, 0, true},
             {BatchRetryPolicy.Outcome.TERMINATED, Effect.IDEMPOTENT, 1, true},
             {BatchRetryPolicy.Outcome.TERMINATED, Effect.IDEMPOTENT, 3, false},
