--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -156,7 +156,9 @@
         }
         BudgetNode rateNode = firstWithRateLimit(requestedNode);
         BudgetNode chargedNode =
-                rateNode == null ? requestedNode : takeTokens(requestedNode, rateNode, tokens, nowMs);
+                rateNode == null
+                        ? requestedNode
+                        : takeTokens(requestedNode, rateNode, tokens, nowMs);
         if (rateNode != null) {
             rateNode.recordDemand(tokens, nowMs);
         }
@@ -249,7 +251,8 @@
             BudgetNode requestedNode, BudgetNode rateNode, double tokens, double nowMs) {
         // Guards against: a tenant without a rate of its own would use up what is reserved for the
         // other tenants.
-        if ((rateNode == requestedNode || tokensReservedForOthers(rateNode, requestedNode, nowMs) <= 0)
+        if ((rateNode == requestedNode
+                        || tokensReservedForOthers(rateNode, requestedNode, nowMs) <= 0)
                 && tryTakeFromBucket(rateNode, tokens, nowMs)) {
             return rateNode;
         }
@@ -259,7 +262,8 @@
         BudgetNode first = rateNode == requestedNode ? rateNode.parent : rateNode;
         for (BudgetNode node = first; node != null; node = node.parent) {
             if (node.limits().hasRateLimit()
-                    && node.bucket().level(nowMs) - tokensReservedForOthers(node, requestedNode, nowMs)
+                    && node.bucket().level(nowMs)
+                                    - tokensReservedForOthers(node, requestedNode, nowMs)
                             >= tokens) {
                 node.bucket().takeUnconditionally(tokens, nowMs);
                 return node;
@@ -278,7 +282,9 @@
     private double tokensReservedForOthers(BudgetNode node, BudgetNode borrower, double nowMs) {
         double reservedTokens = 0;
         for (BudgetNode child : node.children) {
-            if (child == borrower || isAncestor(child, borrower) || !child.limits().hasRateLimit()) {
+            if (child == borrower
+                    || isAncestor(child, borrower)
+                    || !child.limits().hasRateLimit()) {
                 continue;
             }
             // Guards against: a tenant that becomes active may at once request all that it has
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -12,7 +12,11 @@
     private final boolean borrowed;
     private boolean settled;
 
-    Charge(BudgetNode requestedNode, double estimatedTokens, BudgetNode chargedNode, boolean borrowed) {
+    Charge(
+            BudgetNode requestedNode,
+            double estimatedTokens,
+            BudgetNode chargedNode,
+            boolean borrowed) {
         this.requestedNode = requestedNode;
         this.estimatedTokens = estimatedTokens;
         this.chargedNode = chargedNode;
--- a/src/main/java/larchridge/budget/QuotaLender.java
+++ b/src/main/java/larchridge/budget/QuotaLender.java
@@ -73,7 +73,8 @@
      *
      * @return the granted tokens; 0 for an unknown budget
      */
-    public double grant(String budgetName, double neededTokens, double desiredTokens, double nowMs) {
+    public double grant(
+            String budgetName, double neededTokens, double desiredTokens, double nowMs) {
         TokenBucket bucket = buckets.get(budgetName);
         // Guards against: NaN in a request from the network would corrupt the bucket's level.
         if (bucket == null
--- a/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
+++ b/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
@@ -136,7 +136,8 @@
             decrease(DECREASE_FACTOR, nowMs);
         }
         int totalFirstTokens = java.util.Arrays.stream(firstTokenCounts).sum();
-        if (nowMs >= windowStartMs + WINDOW_MS || totalFirstTokens >= EARLY_EVALUATION_FIRST_TOKENS) {
+        if (nowMs >= windowStartMs + WINDOW_MS
+                || totalFirstTokens >= EARLY_EVALUATION_FIRST_TOKENS) {
             evaluateWindow(totalFirstTokens, nowMs);
         }
         increase(nowMs);
--- a/src/main/java/larchridge/planner/BatchPlanner.java
+++ b/src/main/java/larchridge/planner/BatchPlanner.java
@@ -48,7 +48,11 @@
             double unrecordedLines) {
         PlannedBatch batch =
                 new PlannedBatch(
-                        batchId, fairQueue.tenant(tenant, weight), expiresMs, sequenceNumber, unrecordedLines);
+                        batchId,
+                        fairQueue.tenant(tenant, weight),
+                        expiresMs,
+                        sequenceNumber,
+                        unrecordedLines);
         batch.tenant.batches.add(batch);
         fairQueue.setReady(batch, true);
         return batch;
--- a/src/main/java/larchridge/planner/LatencySample.java
+++ b/src/main/java/larchridge/planner/LatencySample.java
@@ -26,7 +26,8 @@
     /**
      * Sets how many requests are unanswered now, and the longest wait for a reader among them.
      *
-     * @param maxWaitShareOfSlo the longest wait, as a share of the SLO time of the request that waits
+     * @param maxWaitShareOfSlo the longest wait, as a share of the SLO time of the request that
+     *     waits
      */
     public void setUnanswered(int unanswered, double maxWaitShareOfSlo) {
         unansweredRequests = unanswered;
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -69,7 +69,8 @@
     private void meterPrompt() {
         InFlightAttempt stateSource = attempt.stateSource();
         if (stateSource == null) {
-            request.usageMeter().responseStartedAtReadingEngine(request.generationRequest().promptTokens());
+            request.usageMeter()
+                    .responseStartedAtReadingEngine(request.generationRequest().promptTokens());
         } else {
             // The state was fetched, so the reader no longer holds it.
             stateSource.markStateRemoved();
