--- a/src/main/java/larchridge/budget/BudgetNode.java
+++ b/src/main/java/larchridge/budget/BudgetNode.java
@@ -102,8 +102,9 @@
     /** What would have to be leased to this budget so that a generation can be admitted. */
     QuotaRequest quotaRequestFor(double tokens, double nowMs) {
         double availableTokens = leases.tokens(nowMs) + Math.max(0, bucket.level(nowMs));
-        // Guards against: many routers would each lease a small amount ahead and let it expire, and
-        // none of them could use the budget.
+        // Extra tokens are requested only if the average demand per slot is at least this
+        // generation's tokens. Guards against: many routers would each lease a small amount ahead
+        // and let it expire, and none of them could use the budget.
         double desiredTokens = demand.tokensPerSlot() >= tokens ? demand.tokensPerSlot() : 0;
         return new QuotaRequest(name, Math.max(1, tokens - availableTokens), desiredTokens);
     }
--- a/src/main/java/larchridge/budget/Budgets.java
+++ b/src/main/java/larchridge/budget/Budgets.java
@@ -9,8 +9,8 @@
  * One router's part of the tree of budgets: service, groups, tenants, products of a tenant. A
  * generation is charged its estimate when it is admitted and settled to what it used when it ends.
  * A tenant that has used up its own rate borrows what its group, or the service, can spare: all but
- * what is reserved for the other tenants there, which may use it within the give-back time. Free of
- * I/O, clocks and threads; time is passed in as milliseconds of Unix time.
+ * what the other tenants there have accumulated and will accumulate within {@code giveBackMs}. Free
+ * of I/O, clocks and threads; time is passed in as milliseconds of Unix time.
  */
 public final class Budgets implements BudgetConfigurer {
     /** The share of the maximum output that a generation is expected to write. */
@@ -42,7 +42,9 @@
      * @param routers how many routers hold a part each
      * @param fixedShare the share of all rates that is divided into fixed parts; the rest is
      *     leased, see {@link QuotaLender}
-     * @param giveBackMs the time within which a tenant that becomes active has its share again
+     * @param giveBackMs how many milliseconds of each other tenant's rate may not be borrowed, in
+     *     addition to what it has accumulated, so that a tenant that becomes active is not kept
+     *     waiting
      * @param random the source of random draws, see {@link TokenBucket}
      */
     public Budgets(
@@ -203,8 +205,9 @@
     private static BudgetDecision rateRejection(BudgetNode rateNode, double tokens, double nowMs) {
         TokenBucket bucket = rateNode.bucket();
         double waitMs = bucket.msUntil(tokens, nowMs);
-        // Guards against: a router's part of a burst may be too small for one generation; the wait
-        // is then 0 or only improves the odds of the next draw.
+        // Guards against: a retry delay of 0. A request over this router's part of the burst may be
+        // rejected although the bucket is full. Without the lender, waiting until the bucket is
+        // full only raises the chance that the next draw admits such a request.
         return new BudgetDecision(
                 null,
                 bucket.burstTokens(),
@@ -231,7 +234,7 @@
                 false);
     }
 
-    /** The lowest budget from this one upwards that limits a rate, or null. */
+    /** The first budget with a rate limit, from this one upwards, or null. */
     private static BudgetNode firstWithRateLimit(BudgetNode start) {
         BudgetNode node = start;
         while (node != null && !node.limits().hasRateLimit()) {
@@ -241,16 +244,17 @@
     }
 
     /**
-     * Takes the tokens from the lowest budget that has enough: from the own rate first, then from
-     * leases, then from what the budgets above can spare. Returns the budget charged, or null if
-     * none has enough.
+     * Takes the tokens from the first budget that has enough, from {@code requestedNode} upwards:
+     * first from the bucket of {@code rateNode}, then from its leases, then from what the budgets
+     * above {@code requestedNode} can spare. Returns the budget charged, or null if none has
+     * enough.
      *
-     * @param rateNode the lowest budget with a rate, from {@code requestedNode} upwards
+     * @param rateNode the first budget with a rate limit, from {@code requestedNode} upwards
      */
     private BudgetNode takeTokens(
             BudgetNode requestedNode, BudgetNode rateNode, double tokens, double nowMs) {
-        // Guards against: a tenant without a rate of its own would use up what is reserved for the
-        // other tenants.
+        // Guards against: a tenant without a rate limit of its own would use up what is reserved
+        // for the other tenants.
         if ((rateNode == requestedNode
                         || tokensReservedForOthers(rateNode, requestedNode, nowMs) <= 0)
                 && tryTakeFromBucket(rateNode, tokens, nowMs)) {
@@ -278,7 +282,10 @@
                 : rateNode.bucket().tryTake(tokens, nowMs);
     }
 
-    /** What the other children of a budget than the borrower may use within the give-back time. */
+    /**
+     * The tokens that a node's children with a rate limit have accumulated and will accumulate
+     * within {@code giveBackMs}, except the borrower and its ancestors.
+     */
     private double tokensReservedForOthers(BudgetNode node, BudgetNode borrower, double nowMs) {
         double reservedTokens = 0;
         for (BudgetNode child : node.children) {
@@ -306,8 +313,8 @@
     }
 
     /**
-     * What would have to be leased so that a generation that a rate rejected can be admitted; null
-     * if no lease would help.
+     * What would have to be leased so that a generation that a rate limit rejected can be admitted;
+     * null if no lease would help.
      */
     public QuotaRequest quotaRequestFor(
             String tenant, String product, double tokens, double nowMs) {
@@ -349,7 +356,7 @@
         }
     }
 
-    /** The lowest budget of a tenant's product: the product's, the tenant's or the service's. */
+    /** The budget of a tenant's product; if it has none, the tenant's, or else the service's. */
     private BudgetNode find(String tenant, String product) {
         BudgetNode node = products.get(productKey(tenant, product));
         return node != null ? node : tenants.getOrDefault(tenant, service);
--- a/src/main/java/larchridge/budget/Charge.java
+++ b/src/main/java/larchridge/budget/Charge.java
@@ -5,7 +5,11 @@
     /** The generation's own budget. */
     final BudgetNode requestedNode;
 
-    /** The budget whose rate was charged: the own one, or one above it that had tokens to spare. */
+    /**
+     * The budget from whose bucket or leases the tokens were taken: the generation's own, or one
+     * above it. If none of them has a rate limit, nothing is taken and this is the generation's
+     * own.
+     */
     final BudgetNode chargedNode;
 
     final double estimatedTokens;
--- a/src/main/java/larchridge/budget/QuotaLender.java
+++ b/src/main/java/larchridge/budget/QuotaLender.java
@@ -20,7 +20,7 @@
 
     private final double leasedShare;
 
-    /** Buckets that hold a whole budget admit oversized requests on debt and never draw. */
+    /** Required by {@link TokenBucket}, but not used with {@code OversizeRule.DEBT}. */
     private final Random unusedRandom = new Random(0);
 
     private final Map<String, TokenBucket> buckets = new LinkedHashMap<>();
--- a/src/main/java/larchridge/budget/TokenBucket.java
+++ b/src/main/java/larchridge/budget/TokenBucket.java
@@ -9,14 +9,15 @@
  *
  * <p>A request over the burst is admitted by a full bucket and leaves a debt, so that the rate
  * holds. Where a router's part of a burst is smaller than a generation, such debts at all routers
- * would add up to many bursts. There the request is admitted by a random draw whose expected value
- * is the level; the draw empties the bucket, won or lost. So the expected sum over all routers is
- * the budget for any number of routers, and repeated requests do not improve the odds.
+ * would add up to many bursts. There the request is admitted by a random draw, with the probability
+ * level / tokens, and the bucket is emptied whether it is admitted or not. So the tokens admitted
+ * by all routers add up to the budget on average, for any number of routers, and repeating a
+ * request does not improve its chance.
  */
 final class TokenBucket {
     /** How a request over the burst is admitted. */
     enum OversizeRule {
-        /** By a full bucket, with a debt; for a bucket that holds the whole budget. */
+        /** By a full bucket, with a debt; for a bucket that is not divided among routers. */
         DEBT,
         /** By a random draw; for a bucket that holds one part of many. */
         DRAW
@@ -65,7 +66,8 @@
             return false;
         }
         boolean admitted = random.nextDouble() * tokens < level;
-        // Lost draws offset the tokens that won draws take beyond the level.
+        // Also emptied on rejection, which makes up for the tokens that admitted requests use
+        // beyond the level.
         level = 0;
         return admitted;
     }
@@ -73,7 +75,7 @@
     /** As {@link #tryTake} but without draws, for when the missing tokens can be leased. */
     boolean tryTakeWithoutDraw(double tokens, double nowMs) {
         refill(nowMs);
-        // Guards against: a prompt over the burst could never be admitted.
+        // Guards against: a request over the burst could never be admitted.
         boolean admitsOnDebt = oversizeRule == OversizeRule.DEBT && level >= burstTokens;
         boolean admitted = level >= tokens || admitsOnDebt;
         if (!admitted) {
--- a/src/main/java/larchridge/budget/UsageMeter.java
+++ b/src/main/java/larchridge/budget/UsageMeter.java
@@ -2,8 +2,8 @@
 
 /**
  * Counts what one generation is billed and what was wasted on it, from the reports of engines and
- * the pieces sent to the client. Tolerates reports that are repeated, late, missing or implausible.
- * Free of I/O, clocks and threads.
+ * the chunks of text sent to the client. Tolerates reports that are repeated, late, missing or
+ * implausible. Free of I/O, clocks and threads.
  */
 public final class UsageMeter {
     /** A reported prompt is plausible up to this multiple of the router's own count. */
@@ -43,7 +43,10 @@
         return tokens;
     }
 
-    /** Records that the answer starts from a read counted by {@link #promptRead}: no waste. */
+    /**
+     * Records that the answer starts from a read counted by {@link #promptRead}: bills the read,
+     * which no longer counts as waste.
+     */
     public void responseStartedFromRead(long readTokens, int cachedTokens) {
         if (billedPromptTokens < 0) {
             bill(readTokens, cachedTokens);
@@ -63,19 +66,19 @@
         billedCachedTokens = Math.max(0, Math.min(cachedTokens, promptTokens));
     }
 
-    /** Records that a piece of the answer was sent to the client. */
+    /** Records that a chunk of the answer was sent to the client. */
     public void chunkSent() {
         chunksSent++;
     }
 
-    /** Records that pieces counted as sent did not reach the client's socket. */
+    /** Records that chunks counted as sent did not reach the client's socket. */
     public void chunksNotSent(int chunks) {
         chunksSent -= chunks;
     }
 
     /**
      * Records that the answer is complete. A plausible report counts at least one token for each
-     * piece.
+     * chunk.
      */
     public void responseCompleted(int reportedTokens) {
         boolean plausible = reportedTokens >= chunksSent && reportedTokens <= maxTokens;
--- a/src/main/java/larchridge/budget/package-info.java
+++ b/src/main/java/larchridge/budget/package-info.java
@@ -3,7 +3,7 @@
  * decides whether a generation is admitted, and a lender that shares rates between routers.
  *
  * <p>Entry points: {@link larchridge.budget.Budgets}, which each router owns, and {@link
- * larchridge.budget.QuotaLender}, of which one process of a service has one. Everything here is
+ * larchridge.budget.QuotaLender}; a service has one, in one of its processes. Everything here is
  * free of I/O, clocks and threads: time is passed in as milliseconds of Unix time. This package
  * must not depend on routers, the wire format of leases or the ledger.
  */
--- a/src/test/java/larchridge/budget/BudgetsTest.java
+++ b/src/test/java/larchridge/budget/BudgetsTest.java
@@ -94,8 +94,8 @@
         budgets.configureTenant("a", null, rateLimit(100, 1000), now);
         budgets.configureTenant("b", null, rateLimit(800, 8000), now);
         assertTrue(requestAdmission("a", 1000).isAdmitted());
-        // The service has 9000 left, of which 8000 are reserved for b now and 400 more within the
-        // give-back time.
+        // The service has 9000 left, of which 8000 are reserved for b, and 400 more for its rate
+        // over giveBackMs.
         BudgetDecision borrowed = requestAdmission("a", 600);
         assertTrue(borrowed.isAdmitted() && borrowed.charge().isBorrowed());
         assertFalse(requestAdmission("a", 600).isAdmitted());
