--- a/src/main/java/larchridge/lease/InvalidLeaseException.java
+++ b/src/main/java/larchridge/lease/InvalidLeaseException.java
@@ -1,6 +1,9 @@
 package larchridge.lease;
 
-/** Thrown for a response of the lender that does not fit the requests of its call. */
+/**
+ * Thrown for a response of the lender that is too long, is not valid JSON, or does not match the
+ * requests of its call in the number or the size of the grants.
+ */
 final class InvalidLeaseException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -23,8 +23,8 @@
  * Requests from the lender the tokens that generations lack: many requests in one call, one call in
  * flight at a time. When the lender is slow or down, all pending requests fail at once; until it
  * responds again, only one request per probe interval is accepted. A response after the timeout is
- * discarded, so that no lease outlives its bound. Owned by a router's event loop, on which it must
- * be created.
+ * discarded, so that a lease ends at most the timeout plus the lease time after it was granted.
+ * Owned by a router's event loop, on which it must be created.
  */
 public final class LeaseClient implements QuotaClient {
     private static final int MAX_PENDING = 4096;
@@ -147,8 +147,9 @@
                     .addKeyValue("lender", callOptions.getHost() + ":" + callOptions.getPort())
                     .log(
                             responsive
-                                    ? "quota lender responds"
-                                    : "quota lender does not respond; using fixed parts only");
+                                    ? "quota lender available"
+                                    : "quota lender call failed; admitting only from this"
+                                            + " router's fixed share of the budgets");
         }
     }
 
--- a/src/main/java/larchridge/lease/LeaseCodec.java
+++ b/src/main/java/larchridge/lease/LeaseCodec.java
@@ -88,7 +88,8 @@
     /**
      * The grants for these requests, one for each.
      *
-     * @throws InvalidLeaseException if the body does not fit these requests
+     * @throws InvalidLeaseException if the body is too long, is not valid JSON, or does not match
+     *     the requests in the number or the size of the grants
      */
     static List<Grant> decodeGrants(byte[] body, List<QuotaRequest> requests)
             throws InvalidLeaseException {
