--- a/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
+++ b/src/main/java/larchridge/planner/BatchConcurrencyLimiter.java
@@ -12,25 +12,31 @@
  * its time near the capacity, so that its oscillations stay small. Until the first congestion it
  * grows by a quarter twice a second. It does not grow while it is not used.
  *
- * <p>Signs of congestion are first tokens later than they are with little batch work, a wait for
- * readers, and a request that was rejected or ran out of time. The last also pauses all batch work,
- * for a time that doubles when it happens again soon. Free of I/O, clocks and threads.
+ * <p>Signs of congestion are a first-token latency above its baseline with little batch work, a
+ * long wait for a reader, a batch line that was throttled, and an overload failure: an interactive
+ * request that was throttled or exceeded its time limit. The last also pauses all batch work, for a
+ * time that doubles when it happens again soon. Free of I/O, clocks and threads.
  */
 public final class BatchConcurrencyLimiter {
     private static final double INITIAL_LIMIT = 2;
     private static final double DECREASE_FACTOR = 0.6;
     private static final double OVERLOAD_FAILURE_DECREASE_FACTOR = 0.25;
 
-    /** The factor on the ceiling when the limit is decreased again soon. */
+    /** The factor on the expected congestion limit when the limit is decreased again soon. */
     private static final double REPEATED_DECREASE_FACTOR = 0.9;
 
     /**
-     * Growth as a share of the ceiling. Whatever the ceiling is, the limit is back there after
-     * {@link #RECOVERY_S}.
+     * The coefficient C of CUBIC's growth curve, per unit of the expected congestion limit L: t
+     * seconds after the start of the curve the limit is L * (1 + C * (t - {@link #RECOVERY_S})^3).
      */
     private static final double CUBIC_GROWTH_PER_S3 = 0.004;
 
+    /**
+     * The time after which the growth curve reaches the expected congestion limit (CUBIC's K); does
+     * not depend on how high that is.
+     */
     private static final double RECOVERY_S = Math.cbrt((1 - DECREASE_FACTOR) / CUBIC_GROWTH_PER_S3);
+
     private static final double INITIAL_GROWTH_FACTOR = 1.25;
     private static final double INCREASE_INTERVAL_MS = 500;
 
@@ -41,8 +47,8 @@
     private static final double MAX_PAUSE_MS = 16_000;
 
     /**
-     * A decrease within this time of the last one, or a rejection within this time of the last
-     * pause, counts as repeated.
+     * A decrease within this time after the last one, or an overload failure within this time after
+     * the end of the last pause, counts as repeated.
      */
     private static final double REPEAT_WITHIN_MS = 10_000;
 
@@ -74,12 +80,13 @@
     private final double maxLimit;
     private double limit = INITIAL_LIMIT;
 
-    /** The limit at which congestion is expected; infinite until the first congestion. */
+    /** The limit at which congestion is expected (CUBIC's W_max); infinite until it occurs. */
     private double expectedCongestionLimit = Double.POSITIVE_INFINITY;
 
     /**
-     * The origin of the growth curve: the last decrease or the end of the last pause, moved forward
-     * while the limit is not used.
+     * The start of the growth curve: the last decrease or the end of the last pause. While the
+     * limit is not used it is moved forward, so that the curve does not pass the expected
+     * congestion limit.
      */
     private double growthStartMs = Double.NEGATIVE_INFINITY;
 
@@ -88,15 +95,19 @@
     private double pausedUntilMs;
     private double pauseMs;
 
-    /** The most lines that were open since the last check or change of the limit. */
+    /**
+     * The most work that was open since the last check or change of the limit, in lines of mean
+     * size.
+     */
     private double peakOpenWork;
 
     private double windowStartMs = Double.NaN;
     private final int[] firstTokenCounts = new int[LatencySample.BUCKETS];
 
     /**
-     * The latency quantiles of the recent windows; the low ones are those with little batch work.
-     * NaN where there has been no window yet.
+     * One {@link #LATENCY_QUANTILE} quantile of the first-token latency for each recent window, as
+     * a share of the SLO time. Low ones are taken to be from windows with little batch work and
+     * give the baseline. NaN where there has been no window yet.
      */
     private final double[] windowLatencies = new double[BASELINE_WINDOWS];
 
@@ -172,7 +183,7 @@
         java.util.Arrays.fill(firstTokenCounts, 0);
     }
 
-    /** The upper bound of the bucket that contains the quantile. */
+    /** The upper bound of the bucket that contains the quantile, as a share of the SLO time. */
     private double latencyQuantile(int totalFirstTokens) {
         int firstTokensAbove = (int) Math.floor((1 - LATENCY_QUANTILE) * totalFirstTokens);
         int bucket = firstTokenCounts.length - 1;
@@ -186,8 +197,8 @@
 
     private void pauseAfterOverloadFailure(double nowMs) {
         if (nowMs < pausedUntilMs || peakOpenWork == 0) {
-            // Guards against: rejections while no batch work is open have other causes, and would
-            // keep batch work paused forever.
+            // Guards against: overload failures while no batch work is open have other causes, and
+            // would keep batch work paused forever.
             return;
         }
         boolean isRepeated = nowMs < pausedUntilMs + REPEAT_WITHIN_MS && pauseMs > 0;
@@ -200,18 +211,21 @@
     }
 
     /**
-     * Multiplies the limit by a factor. Guards against: all routers report the same congestion;
-     * only the first report decreases the limit.
+     * Multiplies the limit by a factor and updates the expected congestion limit. Does nothing
+     * before {@link #MIN_DECREASE_INTERVAL_MS} after the start of the growth curve.
      */
     private void decrease(double factor, double nowMs) {
+        // Guards against: all routers report the same congestion; only the first report decreases
+        // the limit.
         if (nowMs < growthStartMs + MIN_DECREASE_INTERVAL_MS) {
             return;
         }
         decreases.add(nowMs, 1);
-        // Congestion below the ceiling means that there is less capacity than when the ceiling was
-        // set. Guards against: a burst of other traffic causes several decreases in a row, which
-        // say little about capacity; if each lowered the ceiling that far, the limit would take
-        // minutes to recover.
+        // Congestion below the expected congestion limit means that there is less capacity than
+        // when that was set, so it moves to halfway between the old and the new limit. A decrease
+        // soon after another lowers it only slightly. Guards against: a burst of other traffic
+        // causes several decreases in a row, which say little about capacity; if each lowered it
+        // halfway, the limit would take minutes to recover.
         if (limit >= expectedCongestionLimit) {
             expectedCongestionLimit = limit;
         } else {
@@ -249,8 +263,9 @@
             }
             limit = Math.min(maxLimit, limit);
         } else {
-            // Guards against: the limit would jump as soon as it is used again, if time in which it
-            // was not used counted as growth time.
+            // Time in which the limit is not used counts as growth time up to RECOVERY_S at most,
+            // so that the curve stays at the expected congestion limit. Guards against: the limit
+            // would jump past that as soon as it is used again.
             growthStartMs = Math.max(growthStartMs, nowMs - 1000 * RECOVERY_S);
         }
         peakOpenWork = 0;
--- a/src/main/java/larchridge/planner/BatchPlanner.java
+++ b/src/main/java/larchridge/planner/BatchPlanner.java
@@ -34,10 +34,12 @@
      * Adds a batch that has lines ready to start.
      *
      * @param batchId the batch's id
-     * @param weight the tenant's weight; counts only for the first batch of a tenant
+     * @param weight the tenant's weight in fair queueing; counts only for the first batch of a
+     *     tenant
      * @param expiresMs when the completion window ends
-     * @param sequenceNumber orders batches that expire at the same time
-     * @param unrecordedLines the lines that have no record yet
+     * @param sequenceNumber the batch's sequence number; orders batches that expire at the same
+     *     time
+     * @param unrecordedLines the lines that have no record in the output or error file yet
      */
     public PlannedBatch addBatch(
             String batchId,
@@ -88,11 +90,16 @@
 
     /** The batch that may start a line now, or null. */
     public PlannedBatch nextBatch(double nowMs) {
+        // Open lines count as at least one, so that under a limit below 2 only one line is open at
+        // a time.
         double openLinesOfMeanSize = Math.max(openLines == 0 ? 0 : 1, openTokens / meanLineTokens);
         return openLinesOfMeanSize + 1 <= limiter.limit(nowMs) ? fairQueue.next(nowMs) : null;
     }
 
-    /** When the first pause of a tenant with ready lines ends; infinite if there is none. */
+    /**
+     * The earliest time at which a tenant with ready lines is not paused, which may be in the past;
+     * infinite if no tenant has any.
+     */
     public double nextPauseEndMs() {
         return fairQueue.nextPauseEndMs();
     }
@@ -120,7 +127,8 @@
      * Records that a started line is no longer open.
      *
      * @param tokens as they were given to {@link #lineStarted}
-     * @param answered whether its answer can be recorded now
+     * @param answered whether the line was answered; only then do its tokens count toward the
+     *     tenant's rate
      */
     public void lineEnded(PlannedBatch batch, double tokens, boolean answered, double nowMs) {
         openLines--;
--- a/src/main/java/larchridge/planner/BatchRetryPolicy.java
+++ b/src/main/java/larchridge/planner/BatchRetryPolicy.java
@@ -20,7 +20,7 @@
         THROTTLED,
         /** The tenant's budget rejected it. */
         OVER_BUDGET,
-        /** No router accepted it. */
+        /** The router that was asked did not accept it. */
         NOT_ACCEPTED,
         /** It failed and may have run. */
         TERMINATED,
@@ -46,7 +46,7 @@
      * Milliseconds until the line is retried; negative if it is not retried.
      *
      * @param attempts how often the line was started and may have run, this time included
-     * @param timesNotRun how often the line was throttled, rejected or over budget, this time
+     * @param timesNotRun how often the line was throttled, not accepted or over budget, this time
      *     included
      * @param retryAfterMs the delay that the router advised, or 0
      */
--- a/src/main/java/larchridge/planner/LatencySample.java
+++ b/src/main/java/larchridge/planner/LatencySample.java
@@ -1,6 +1,9 @@
 package larchridge.planner;
 
-/** Latencies and rejections of one router's interactive (non-batch) requests in a short time. */
+/**
+ * Latencies and overload failures of one router's interactive (non-batch) requests since its
+ * previous sample.
+ */
 public final class LatencySample {
     /** The number of histogram buckets; the last one also counts all longer latencies. */
     static final int BUCKETS = 40;
@@ -24,7 +27,8 @@
     }
 
     /**
-     * Sets how many requests are unanswered now, and the longest wait for a reader among them.
+     * Sets how many requests are unanswered now, and the longest wait for a reader among them. The
+     * limit on batch work depends only on the wait.
      *
      * @param maxWaitShareOfSlo the longest wait, as a share of the SLO time of the request that
      *     waits
--- a/src/main/java/larchridge/planner/PlannedBatch.java
+++ b/src/main/java/larchridge/planner/PlannedBatch.java
@@ -11,7 +11,7 @@
     /** Orders batches that expire at the same time. */
     final long sequenceNumber;
 
-    /** Lines that have no record yet. */
+    /** Lines that have no record in the output or error file yet. */
     double unrecordedLines;
 
     /** Lines that were started, retries included. */
--- a/src/main/java/larchridge/planner/WeightedFairQueue.java
+++ b/src/main/java/larchridge/planner/WeightedFairQueue.java
@@ -22,7 +22,7 @@
         final String name;
         final double weight;
 
-        /** Tokens of started lines divided by the share; the tenant with the least is next. */
+        /** Tokens of started lines divided by the weight; the tenant with the least is next. */
         double virtualTime;
 
         /** When the tenant's budget admits work again. */
@@ -46,7 +46,7 @@
     /** In insertion order, which decides between tenants of equal virtual time. */
     private final Map<String, Tenant> tenants = new LinkedHashMap<>();
 
-    /** The tenant of this name, added with this share if it is new. */
+    /** The tenant of this name, added with this weight if it is new. */
     Tenant tenant(String name, double weight) {
         return tenants.computeIfAbsent(name, key -> new Tenant(key, weight));
     }
@@ -91,7 +91,10 @@
         return next == null ? null : next.readyBatches.first();
     }
 
-    /** The earliest end of a pause among tenants with ready batches; infinite if there is none. */
+    /**
+     * The earliest time at which a tenant with ready batches is not paused, which may be in the
+     * past; infinite if no tenant has any.
+     */
     double nextPauseEndMs() {
         return tenants.values().stream()
                 .filter(tenant -> !tenant.readyBatches.isEmpty())
--- a/src/test/java/larchridge/planner/BatchPlannerTest.java
+++ b/src/test/java/larchridge/planner/BatchPlannerTest.java
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Guards against: each of several rejections in a row would lower the ceiling to which the
+     * Guards against: each of several overload failures in a row would lower the level to which the
      * limit recovers, so that recovery would take minutes.
      */
     @Test
@@ -90,7 +90,9 @@
         assertTrue(limiter.limit(now) > 0.5 * before, limiter.limit(now) + " of " + before);
     }
 
-    /** Guards against: rejections that batch work did not cause would keep it paused forever. */
+    /**
+     * Guards against: overload failures that batch work did not cause would keep it paused forever.
+     */
     @Test
     void overloadFailureWithoutOpenBatchWorkDoesNotPause() {
         BatchConcurrencyLimiter limiter = new BatchConcurrencyLimiter(100);
