--- a/src/test/java/larchridge/budget/BudgetsTest.java
+++ b/src/test/java/larchridge/budget/BudgetsTest.java
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void tenantWithoutARateIsLimitedByTheServices() {
+    void tenantWithoutARateLimitIsLimitedByTheServices() {
         budgets.configureTenant("free", null, BudgetLimits.UNLIMITED, now);
         budgets.configureTenant("b", null, rateLimit(500, 5000), now);
         assertTrue(requestAdmission("free", 4500).isAdmitted());
