--- a/src/main/java/larchridge/budget/UsageMeter.java
+++ b/src/main/java/larchridge/budget/UsageMeter.java
@@ -2,8 +2,8 @@
 
 /**
  * Counts what one generation is billed and what was wasted on it, from the reports of engines and
- * the pieces sent to the client. Tolerates reports that are repeated, late, missing or implausible.
- * Free of I/O, clocks and threads.
+ * the chunks of text sent to the client. Tolerates reports that are repeated, late, missing or
+ * implausible. Free of I/O, clocks and threads.
  */
 public final class UsageMeter {
     /** A reported prompt is plausible up to this multiple of the router's own count. */
@@ -19,7 +19,7 @@
     private long billedPromptTokens = UNKNOWN;
     private long billedCachedTokens;
     private long wastedTokens;
-    private long piecesSent;
+    private long chunksSent;
     private long reportedOutputTokens = UNKNOWN;
 
     /**
@@ -43,7 +43,10 @@
         return tokens;
     }
 
-    /** Records that the answer starts from a read counted by {@link #promptRead}: no waste. */
+    /**
+     * Records that the answer starts from a read counted by {@link #promptRead}: bills the read,
+     * which no longer counts as waste.
+     */
     public void responseStartedFromRead(long readTokens, int cachedTokens) {
         if (billedPromptTokens < 0) {
             bill(readTokens, cachedTokens);
@@ -52,7 +55,7 @@
     }
 
     /** Records that the answer starts at an engine that read the prompt itself. */
-    public void responseStartedInPlace(long promptTokens) {
+    public void responseStartedAtReadingEngine(long promptTokens) {
         if (billedPromptTokens < 0) {
             bill(promptTokens, 0);
         }
@@ -63,33 +66,33 @@
         billedCachedTokens = Math.max(0, Math.min(cachedTokens, promptTokens));
     }
 
-    /** Records that a piece of the answer was sent to the client. */
-    public void pieceSent() {
-        piecesSent++;
+    /** Records that a chunk of the answer was sent to the client. */
+    public void chunkSent() {
+        chunksSent++;
     }
 
-    /** Records that pieces counted as sent did not reach the client's socket. */
-    public void piecesNotSent(int pieces) {
-        piecesSent -= pieces;
+    /** Records that chunks counted as sent did not reach the client's socket. */
+    public void chunksNotSent(int chunks) {
+        chunksSent -= chunks;
     }
 
     /**
      * Records that the answer is complete. A plausible report counts at least one token for each
-     * piece.
+     * chunk.
      */
     public void responseCompleted(int reportedTokens) {
-        boolean plausible = reportedTokens >= piecesSent && reportedTokens <= maxTokens;
-        reportedOutputTokens = plausible ? reportedTokens : piecesSent;
+        boolean plausible = reportedTokens >= chunksSent && reportedTokens <= maxTokens;
+        reportedOutputTokens = plausible ? reportedTokens : chunksSent;
     }
 
     /** Records that the client received nothing, since an unstreamed answer was not completed. */
     public void responseDiscarded() {
         if (billedPromptTokens >= 0) {
-            wastedTokens += billedPromptTokens + piecesSent;
+            wastedTokens += billedPromptTokens + chunksSent;
         }
         billedPromptTokens = UNKNOWN;
         billedCachedTokens = 0;
-        piecesSent = 0;
+        chunksSent = 0;
         reportedOutputTokens = 0;
     }
 
@@ -114,7 +117,7 @@
 
     /** The billed tokens of the answer. */
     public long outputTokens() {
-        return reportedOutputTokens >= 0 ? reportedOutputTokens : piecesSent;
+        return reportedOutputTokens >= 0 ? reportedOutputTokens : chunksSent;
     }
 
     /** Tokens of reads and answers that are not billed. */
--- a/src/main/java/larchridge/planner/BatchPlanner.java
+++ b/src/main/java/larchridge/planner/BatchPlanner.java
@@ -33,22 +33,28 @@
     /**
      * Adds a batch that has lines ready to start.
      *
-     * @param name the batch's id
-     * @param share the tenant's weight; counts only for the first batch of a tenant
+     * @param batchId the batch's id
+     * @param weight the tenant's weight in fair queueing; counts only for the first batch of a
+     *     tenant
      * @param expiresMs when the completion window ends
-     * @param number orders batches that expire at the same time
-     * @param unansweredLines the lines that have no record yet
+     * @param sequenceNumber the batch's sequence number; orders batches that expire at the same
+     *     time
+     * @param unrecordedLines the lines that have no record in the output or error file yet
      */
     public PlannedBatch addBatch(
-            String name,
+            String batchId,
             String tenant,
-            double share,
+            double weight,
             double expiresMs,
-            long number,
-            double unansweredLines) {
+            long sequenceNumber,
+            double unrecordedLines) {
         PlannedBatch batch =
                 new PlannedBatch(
-                        name, fairQueue.tenant(tenant, share), expiresMs, number, unansweredLines);
+                        batchId,
+                        fairQueue.tenant(tenant, weight),
+                        expiresMs,
+                        sequenceNumber,
+                        unrecordedLines);
         batch.tenant.batches.add(batch);
         fairQueue.setReady(batch, true);
         return batch;
@@ -84,11 +90,16 @@
 
     /** The batch that may start a line now, or null. */
     public PlannedBatch nextBatch(double nowMs) {
-        double openMeanLines = Math.max(openLines == 0 ? 0 : 1, openTokens / meanLineTokens);
-        return openMeanLines + 1 <= limiter.limit(nowMs) ? fairQueue.next(nowMs) : null;
+        // Open lines count as at least one, so that under a limit below 2 only one line is open at
+        // a time.
+        double openLinesOfMeanSize = Math.max(openLines == 0 ? 0 : 1, openTokens / meanLineTokens);
+        return openLinesOfMeanSize + 1 <= limiter.limit(nowMs) ? fairQueue.next(nowMs) : null;
     }
 
-    /** When the first pause of a tenant with ready lines ends; infinite if there is none. */
+    /**
+     * The earliest time at which a tenant with ready lines is not paused, which may be in the past;
+     * infinite if no tenant has any.
+     */
     public double nextPauseEndMs() {
         return fairQueue.nextPauseEndMs();
     }
@@ -108,15 +119,16 @@
         hasMeanSample = true;
         batch.startedLines++;
         batch.startedTokens += tokens;
-        batch.tenant.virtualTime += tokens / batch.tenant.share;
-        limiter.recordOpenLines(openTokens / meanLineTokens);
+        batch.tenant.virtualTime += tokens / batch.tenant.weight;
+        limiter.recordOpenWork(openTokens / meanLineTokens);
     }
 
     /**
      * Records that a started line is no longer open.
      *
      * @param tokens as they were given to {@link #lineStarted}
-     * @param answered whether its answer can be recorded now
+     * @param answered whether the line was answered; only then do its tokens count toward the
+     *     tenant's rate
      */
     public void lineEnded(PlannedBatch batch, double tokens, boolean answered, double nowMs) {
         openLines--;
@@ -131,7 +143,7 @@
 
     /** Records that a line has its record in the output or error file. */
     public void lineRecorded(PlannedBatch batch) {
-        batch.unansweredLines = Math.max(0, batch.unansweredLines - 1);
+        batch.unrecordedLines = Math.max(0, batch.unrecordedLines - 1);
     }
 
     /** How many lines of mean size may be open now. */
@@ -163,7 +175,7 @@
             double queuedTokens = 0;
             for (PlannedBatch batch : tenant.batches) {
                 queuedTokens +=
-                        batch.unansweredLines
+                        batch.unrecordedLines
                                 * (batch.startedLines > 0
                                         ? batch.startedTokens / batch.startedLines
                                         : meanLineTokens);
--- a/src/main/java/larchridge/planner/LatencySample.java
+++ b/src/main/java/larchridge/planner/LatencySample.java
@@ -1,6 +1,9 @@
 package larchridge.planner;
 
-/** Latencies and rejections of one router's interactive (non-batch) requests in a short time. */
+/**
+ * Latencies and overload failures of one router's interactive (non-batch) requests since its
+ * previous sample.
+ */
 public final class LatencySample {
     /** The number of histogram buckets; the last one also counts all longer latencies. */
     static final int BUCKETS = 40;
@@ -9,7 +12,7 @@
     static final double BUCKET_SLO_SHARE = 0.05;
 
     final int[] firstTokenCounts = new int[BUCKETS];
-    int rejections;
+    int overloadFailures;
     double longestWaitShareOfSlo;
     int unansweredRequests;
 
@@ -19,17 +22,19 @@
     }
 
     /** Counts a request that was throttled, or terminated because its time limit was exceeded. */
-    public void recordRejection() {
-        rejections++;
+    public void recordOverloadFailure() {
+        overloadFailures++;
     }
 
     /**
-     * Sets how many requests are unanswered now, and the longest wait for a reader among them.
+     * Sets how many requests are unanswered now, and the longest wait for a reader among them. The
+     * limit on batch work depends only on the wait.
      *
-     * @param shareOfSlo the longest wait, as a share of the SLO time of the request that waits
+     * @param maxWaitShareOfSlo the longest wait, as a share of the SLO time of the request that
+     *     waits
      */
-    public void recordUnanswered(int unanswered, double shareOfSlo) {
+    public void setUnanswered(int unanswered, double maxWaitShareOfSlo) {
         unansweredRequests = unanswered;
-        longestWaitShareOfSlo = shareOfSlo;
+        longestWaitShareOfSlo = maxWaitShareOfSlo;
     }
 }
--- a/src/main/java/larchridge/planner/WeightedFairQueue.java
+++ b/src/main/java/larchridge/planner/WeightedFairQueue.java
@@ -15,14 +15,14 @@
 final class WeightedFairQueue {
     private static final Comparator<PlannedBatch> EARLIEST_DEADLINE_FIRST =
             Comparator.comparingDouble((PlannedBatch batch) -> batch.expiresMs)
-                    .thenComparingLong(batch -> batch.number);
+                    .thenComparingLong(batch -> batch.sequenceNumber);
 
     /** One tenant with its batches. */
     static final class Tenant {
         final String name;
-        final double share;
+        final double weight;
 
-        /** Tokens of started lines divided by the share; the tenant with the least is next. */
+        /** Tokens of started lines divided by the weight; the tenant with the least is next. */
         double virtualTime;
 
         /** When the tenant's budget admits work again. */
@@ -37,18 +37,18 @@
         /** When the first line was answered; NaN before. */
         double firstAnswerMs = Double.NaN;
 
-        Tenant(String name, double share) {
+        Tenant(String name, double weight) {
             this.name = name;
-            this.share = share;
+            this.weight = weight;
         }
     }
 
     /** In insertion order, which decides between tenants of equal virtual time. */
     private final Map<String, Tenant> tenants = new LinkedHashMap<>();
 
-    /** The tenant of this name, added with this share if it is new. */
-    Tenant tenant(String name, double share) {
-        return tenants.computeIfAbsent(name, key -> new Tenant(key, share));
+    /** The tenant of this name, added with this weight if it is new. */
+    Tenant tenant(String name, double weight) {
+        return tenants.computeIfAbsent(name, key -> new Tenant(key, weight));
     }
 
     Iterable<Tenant> tenants() {
@@ -91,7 +91,10 @@
         return next == null ? null : next.readyBatches.first();
     }
 
-    /** The earliest end of a pause among tenants with ready batches; infinite if there is none. */
+    /**
+     * The earliest time at which a tenant with ready batches is not paused, which may be in the
+     * past; infinite if no tenant has any.
+     */
     double nextPauseEndMs() {
         return tenants.values().stream()
                 .filter(tenant -> !tenant.readyBatches.isEmpty())
