--- a/src/main/java/larchridge/batch/BatchLineCodec.java
+++ b/src/main/java/larchridge/batch/BatchLineCodec.java
@@ -7,7 +7,7 @@
 import larchridge.messages.ApiException;
 import larchridge.messages.MessageBodies;
 import larchridge.router.GenerationRequest;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /**
  * The words of lines: bodies of chat completions as messages, answers of either kind, and the
@@ -115,7 +115,7 @@
             GenerationRequest ask,
             int keptTokens,
             String text,
-            Completion ending,
+            AnswerSummary ending,
             long nowMs) {
         if (endpoint.equals(MESSAGES)) {
             return MessageBodies.message(id, model, ask, keptTokens, text, ending);
@@ -134,7 +134,7 @@
         choice.putNull("logprobs")
                 .put(
                         "finish_reason",
-                        ending.finishReason() == Completion.FinishReason.MAX_TOKENS
+                        ending.finishReason() == AnswerSummary.FinishReason.MAX_TOKENS
                                 ? "length"
                                 : "stop");
         ObjectNode usage =
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -30,7 +30,7 @@
 import larchridge.store.form.BatchForm;
 import larchridge.store.form.FaultForm;
 import larchridge.store.form.StateForm;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -628,7 +628,7 @@
         }
 
         @Override
-        public void streamed(String text, int keptTokens, Completion ending) {
+        public void streamed(String text, int keptTokens, AnswerSummary ending) {
             if (isBack(true)) {
                 ObjectNode body =
                         BatchLineCodec.answer(
--- a/src/main/java/larchridge/batch/GenerationSubmitter.java
+++ b/src/main/java/larchridge/batch/GenerationSubmitter.java
@@ -1,7 +1,7 @@
 package larchridge.batch;
 
 import larchridge.router.GenerationRequest;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /** Where lines are handed to become generations. */
 interface GenerationSubmitter {
@@ -19,7 +19,7 @@
 
     /** How it ended. */
     interface Told {
-        void streamed(String text, int keptTokens, Completion ending);
+        void streamed(String text, int keptTokens, AnswerSummary ending);
 
         /** The answer is larger than the site lets a whole answer be. */
         void tooLarge();
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -6,7 +6,7 @@
 import larchridge.router.InFlightRequest;
 import larchridge.router.ResponseSink;
 import larchridge.router.Router;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /** Hands lines to the fronts of this process in turn, each on its own loop. */
 final class RouterSubmitter implements GenerationSubmitter {
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void completed(Completion ending) {
+        public void completed(AnswerSummary ending) {
             String all = text.toString();
             end(tooLarge ? told::tooLarge : () -> told.streamed(all, kept, ending));
         }
--- a/src/main/java/larchridge/messages/MessageBodies.java
+++ b/src/main/java/larchridge/messages/MessageBodies.java
@@ -7,7 +7,7 @@
 import larchridge.site.ProductOffering;
 import larchridge.site.Site;
 import larchridge.tokens.TokenCounters;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /**
  * Bodies of the API that come otherwise than through its door, and their answers in one piece.
@@ -75,7 +75,7 @@
             GenerationRequest ask,
             int keptTokens,
             String text,
-            Completion ending) {
+            AnswerSummary ending) {
         int kept = Math.min(keptTokens, ask.promptTokens());
         int created =
                 ask.sharedPrefixId() == null ? 0 : Math.max(0, ask.sharedPrefixTokens() - kept);
--- a/src/main/java/larchridge/messages/MessageEvents.java
+++ b/src/main/java/larchridge/messages/MessageEvents.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /** The JSON that the API speaks: messages, the events of a stream, and errors. */
 final class MessageEvents {
@@ -29,7 +29,7 @@
     }
 
     /** Fills in what is known only when the answer is whole. */
-    static ObjectNode whole(ObjectNode message, String text, Completion ending) {
+    static ObjectNode whole(ObjectNode message, String text, AnswerSummary ending) {
         message.withArray("content").addObject().put("type", "text").put("text", text);
         message.put("stop_reason", stopReason(ending)).put("stop_sequence", ending.stopSequence());
         message.withObject("/usage").put("output_tokens", ending.outputTokens());
@@ -61,7 +61,7 @@
         return framed("content_block_stop", event("content_block_stop").put("index", 0));
     }
 
-    static String messageDelta(Completion ending) {
+    static String messageDelta(AnswerSummary ending) {
         ObjectNode event = event("message_delta");
         ObjectNode delta = event.putObject("delta").put("stop_reason", stopReason(ending));
         delta.put("stop_sequence", ending.stopSequence());
@@ -87,7 +87,7 @@
         return framed("error", error(fault, requestId));
     }
 
-    static String stopReason(Completion ending) {
+    static String stopReason(AnswerSummary ending) {
         return switch (ending.finishReason()) {
             case END_OF_TURN -> "end_turn";
             case MAX_TOKENS -> "max_tokens";
--- a/src/main/java/larchridge/messages/MessagesResponseSink.java
+++ b/src/main/java/larchridge/messages/MessagesResponseSink.java
@@ -8,7 +8,7 @@
 import larchridge.router.InFlightRequest;
 import larchridge.router.ResponseSink;
 import larchridge.router.Router;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /** Carries one generation's answer in the API's words: as an event stream, or in one piece. */
 final class MessagesResponseSink implements ResponseSink {
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void completed(Completion ending) {
+    public void completed(AnswerSummary ending) {
         stopPings();
         if (isDisconnected()) {
             return;
--- a/src/main/java/larchridge/node/EngineStateLog.java
+++ b/src/main/java/larchridge/node/EngineStateLog.java
@@ -41,7 +41,7 @@
                 .append(" clients ")
                 .append(components.server().connectionCount())
                 .append(" upstream requests ")
-                .append(upstream.openRequests());
+                .append(upstream.trackedRequestCount());
         double nowMs = scheduler.nowMs();
         router.forEachEngine((endpoint, engine) -> describe(endpoint, engine, nowMs, line));
         return line.toString();
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -12,7 +12,7 @@
 import larchridge.node.server.ServerDependencies;
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
-import larchridge.node.upstream.UpstreamLimits;
+import larchridge.node.upstream.UpstreamSettings;
 import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.settings.DeploymentSettings;
@@ -140,9 +140,9 @@
         return settings.clientTimeoutMs().values().stream().mapToDouble(ms -> ms).max().orElse(0);
     }
 
-    private UpstreamLimits upstreamLimits() {
+    private UpstreamSettings upstreamLimits() {
         double engineSockets = configuration.maxDescriptors() * ENGINE_SOCKETS_FRACTION;
-        return new UpstreamLimits(
+        return new UpstreamSettings(
                 settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
                 settings.releaseMs(),
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -139,7 +139,7 @@
     void checkAtShutdown(NodeComponents components) {
         Map<String, Long> unreleased = new TreeMap<>();
         unreleased.put("generations", (long) components.router().generationsInFlight());
-        unreleased.put("upstream requests", (long) components.upstream().openRequests());
+        unreleased.put("upstream requests", (long) components.upstream().trackedRequestCount());
         unreleased.put("ids", (long) components.server().openRequestCount());
         unreleased.put("body bytes", components.server().bufferedBodyBytes());
         unreleased.put("audited requests", (long) requestAudit.openRequests());
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -9,7 +9,7 @@
 import larchridge.node.server.ServerDependencies;
 import larchridge.node.server.ServerLimits;
 import larchridge.node.upstream.ForwardingUpstreamClient;
-import larchridge.node.upstream.UpstreamLimits;
+import larchridge.node.upstream.UpstreamSettings;
 import larchridge.policy.RoutingPolicy;
 import larchridge.router.Router;
 import larchridge.router.Scheduler;
@@ -95,8 +95,8 @@
         return site;
     }
 
-    private static UpstreamLimits upstreamLimits(DeploymentSettings settings) {
-        return new UpstreamLimits(
+    private static UpstreamSettings upstreamLimits(DeploymentSettings settings) {
+        return new UpstreamSettings(
                 settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
                 settings.releaseMs(),
--- a/src/main/java/larchridge/node/server/ClientExchange.java
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -9,7 +9,7 @@
 import larchridge.budget.BudgetDecision;
 import larchridge.router.InFlightRequest;
 import larchridge.router.ResponseSink;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 import larchridge.upstream.ForwardedRequest;
 
 /**
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void completed(Completion completion) {
+    public void completed(AnswerSummary completion) {
         if (finish()) {
             server.events.finalResponseSent(id, STREAMED);
             connection.finishResponse(
--- a/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
+++ b/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
@@ -23,18 +23,18 @@
     private static final int MAX_EVENT_BYTES = 1 << 16;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private final LoadReportReader loadReports;
+    private final ConfiguredLoadReportParser loadReportParser;
 
     /** Null unless the response is a streamed answer. */
     private EventStreamSplitter events;
 
     /** Null until body bytes of a completed read have been received. */
-    private BoundedBody readBody;
+    private BoundedBody completedReadBody;
 
     private LoadReport loadReport;
 
-    AttemptResponseDecoder(LoadReportReader loadReports) {
-        this.loadReports = loadReports;
+    AttemptResponseDecoder(ConfiguredLoadReportParser loadReportParser) {
+        this.loadReportParser = loadReportParser;
     }
 
     /** Whether the engine states that it did not run the request. */
@@ -47,15 +47,15 @@
         if (response.status().code() == HttpResponseStatus.OK.code()) {
             events = new EventStreamSplitter(MAX_EVENT_BYTES, LOAD_REPORT_NAME);
         }
-        loadReport = loadReports.read(response.headers().get(LOAD_REPORT_NAME));
+        loadReport = loadReportParser.parse(response.headers().get(LOAD_REPORT_NAME));
     }
 
     /** Appends body bytes of a completed read; returns false if the body is too long. */
-    boolean appendReadBody(ByteBuf content) {
-        if (readBody == null) {
-            readBody = new BoundedBody();
+    boolean appendCompletedReadBody(ByteBuf content) {
+        if (completedReadBody == null) {
+            completedReadBody = new BoundedBody();
         }
-        return readBody.append(content);
+        return completedReadBody.append(content);
     }
 
     /** Appends body bytes of an answer; returns the events that are now complete, or null. */
@@ -76,7 +76,7 @@
     /** Ends the stream; a load report in its events replaces the one from the headers. */
     void streamEnded() {
         if (events.loadReport() != null) {
-            loadReport = loadReports.read(events.loadReport());
+            loadReport = loadReportParser.parse(events.loadReport());
         }
     }
 
@@ -84,7 +84,10 @@
     int cachedTokens() {
         try {
             JsonNode count =
-                    MAPPER.readTree(readBody == null ? new byte[0] : readBody.toByteArray())
+                    MAPPER.readTree(
+                                    completedReadBody == null
+                                            ? new byte[0]
+                                            : completedReadBody.toByteArray())
                             .path(CACHED_TOKENS_FIELD);
             return count.isInt() && count.intValue() >= 0 ? count.intValue() : NO_COUNT;
         } catch (IOException e) {
--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/ConfiguredLoadReportParser.java
@@ -7,19 +7,19 @@
 import larchridge.state.LoadReport;
 
 /** Parses load reports, keeping the metrics that are named in the settings. */
-final class LoadReportReader {
+final class ConfiguredLoadReportParser {
     private static final int MAX_REPORT_CHARACTERS = 512;
     /** A report with a value from this one on is invalid. */
     private static final double IMPLAUSIBLE_VALUE = 1e12;
 
     private final List<String> fields;
 
-    LoadReportReader(List<String> fields) {
+    ConfiguredLoadReportParser(List<String> fields) {
         this.fields = fields;
     }
 
     /** Parses text such as {@code a=7,b=0.61}; returns null if it is not a valid report. */
-    LoadReport read(String text) {
+    LoadReport parse(String text) {
         if (text == null || text.isEmpty() || text.length() > MAX_REPORT_CHARACTERS) {
             return null;
         }
--- a/src/main/java/larchridge/node/upstream/ConnectionPool.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPool.java
@@ -79,7 +79,7 @@
             if (idleMs >= limitMs) {
                 break;
             }
-            if (idleMs >= MIN_IDLE_MS && connection.isUsable()) {
+            if (idleMs >= MIN_IDLE_MS && connection.isOpen()) {
                 idle.remove(connection);
                 return connection;
             }
@@ -88,10 +88,10 @@
     }
 
     /** Whether there is a usable idle connection. */
-    boolean hasUsableIdle() {
+    boolean isNewestIdleOpen() {
         UpstreamConnection newest = idle.peekFirst();
         return newest != null
-                && newest.isUsable()
+                && newest.isOpen()
                 && pools.nowMs() - newest.idleSinceMs() < idleLimitMs();
     }
 
@@ -104,15 +104,15 @@
     void returnAfterResponse(UpstreamConnection connection) {
         connection.setIdleSince(pools.nowMs());
         lastReceivedMs = connection.idleSinceMs();
-        returnUnused(connection);
+        returnToIdle(connection);
     }
 
     /**
      * Returns a connection on which nothing was sent, keeping its idle time. If that restarted, the
      * connection could be reused after the engine's keep-alive timeout has closed it.
      */
-    void returnUnused(UpstreamConnection connection) {
-        if (!connection.isUsable()) {
+    void returnToIdle(UpstreamConnection connection) {
+        if (!connection.isOpen()) {
             connection.close(CloseReason.PEER);
             return;
         }
@@ -159,7 +159,7 @@
 
     /** Returns the idle time from which a connection is no longer reused. */
     double idleLimitMs() {
-        double keepAliveMs = pools.limits().keepAliveMs();
+        double keepAliveMs = pools.settings().keepAliveMs();
         return Math.min(keepAliveMs * KEEP_ALIVE_FRACTION, keepAliveMs - MAX_STALL_MS);
     }
 }
--- a/src/main/java/larchridge/node/upstream/ConnectionPools.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPools.java
@@ -19,38 +19,40 @@
  */
 final class ConnectionPools {
     /** Checks for expired idle connections per keep-alive time of the engines. */
-    private static final int SWEEPS_PER_KEEP_ALIVE = 20;
+    private static final int IDLE_CHECKS_PER_KEEP_ALIVE = 20;
 
-    private static final double MIN_SWEEP_INTERVAL_MS = 100;
+    private static final double MIN_IDLE_CHECK_INTERVAL_MS = 100;
 
     private final Scheduler scheduler;
-    private final UpstreamLimits limits;
+    private final UpstreamSettings settings;
     private final ConnectionOpener opener;
-    private final RequestEvents events;
+    private final RequestEvents requestEvents;
     private final Map<Endpoint, ConnectionPool> pools = new LinkedHashMap<>();
     private List<Endpoint> endpoints = List.of();
     private int connectionCount;
 
     ConnectionPools(
             Scheduler scheduler,
-            UpstreamLimits limits,
+            UpstreamSettings settings,
             ConnectionOpener opener,
-            RequestEvents events) {
+            RequestEvents requestEvents) {
         this.scheduler = scheduler;
-        this.limits = limits;
+        this.settings = settings;
         this.opener = opener;
-        this.events = events;
+        this.requestEvents = requestEvents;
         scheduler.scheduleAtFixedDelay(
-                Math.max(MIN_SWEEP_INTERVAL_MS, limits.keepAliveMs() / SWEEPS_PER_KEEP_ALIVE),
-                this::closeIdle);
+                Math.max(
+                        MIN_IDLE_CHECK_INTERVAL_MS,
+                        settings.keepAliveMs() / IDLE_CHECKS_PER_KEEP_ALIVE),
+                this::closeExpired);
     }
 
     double nowMs() {
         return scheduler.nowMs();
     }
 
-    UpstreamLimits limits() {
-        return limits;
+    UpstreamSettings settings() {
+        return settings;
     }
 
     /** Sets the current engine endpoints. */
@@ -83,8 +85,8 @@
             idle.start(exchange);
             return idle;
         }
-        if (pool.size() >= limits.maxConnectionsPerEndpoint()
-                || (connectionCount >= limits.maxConnections() && !closeLongestIdle())) {
+        if (pool.size() >= settings.maxConnectionsPerEndpoint()
+                || (connectionCount >= settings.maxConnections() && !closeLongestIdle())) {
             return null;
         }
         return open(pool, exchange);
@@ -114,16 +116,16 @@
             return false;
         }
         oldest.closeIdleSince(oldest.oldestIdleSinceMs(), CloseReason.NO_ROOM);
-        return connectionCount < limits.maxConnections();
+        return connectionCount < settings.maxConnections();
     }
 
     /** Called when a connection was removed from its pool. */
     void connectionClosed(CloseReason reason) {
         connectionCount--;
-        events.connectionClosed(ConnectionSide.ENGINE, reason);
+        requestEvents.connectionClosed(ConnectionSide.ENGINE, reason);
     }
 
-    private void closeIdle() {
+    private void closeExpired() {
         double nowMs = scheduler.nowMs();
         pools.values()
                 .forEach(pool -> pool.closeIdleSince(nowMs - pool.idleLimitMs(), CloseReason.IDLE));
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -6,9 +6,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 import larchridge.node.transport.ConnectFailure;
 import larchridge.state.AttemptOutcome;
+import larchridge.upstream.AnswerSummary;
 import larchridge.upstream.AttemptListener;
 import larchridge.upstream.AttemptRequest;
-import larchridge.upstream.Completion;
 import larchridge.upstream.ForwardedRequest;
 import larchridge.upstream.SendRejection;
 import larchridge.upstream.StateHandle;
@@ -19,13 +19,16 @@
  * independent of its {@link AttemptState}.
  */
 final class ForwardedAttempt
-        implements UpstreamExchange, AttemptHandle, RequestReadState.ReleaseListener {
-    private static final int NO_EVENT_NUMBER = -1;
+        implements UpstreamExchange, AttemptHandle, TrackedRequest.ReleaseListener {
+    private static final int NO_ATTEMPT_NUMBER = -1;
 
     /** Completion of every answer, because the forwarded events are not parsed for details. */
-    private static final Completion UNPARSED_COMPLETION =
-            new Completion(
-                    Completion.FinishReason.END_OF_TURN, null, Completion.TOKENS_UNREPORTED, 0);
+    private static final AnswerSummary PLACEHOLDER_SUMMARY =
+            new AnswerSummary(
+                    AnswerSummary.FinishReason.END_OF_TURN,
+                    null,
+                    AnswerSummary.TOKENS_UNREPORTED,
+                    0);
 
     private static final EmptyStateHandle EMPTY_STATE_HANDLE = new EmptyStateHandle();
 
@@ -33,7 +36,7 @@
     private final AttemptRequest attemptRequest;
     private final AttemptListener listener;
     private final AttemptKind kind;
-    private final RequestReadState readState;
+    private final TrackedRequest trackedRequest;
     private final ConnectionPool pool;
     private final ForwardedAttemptClassifier classifier = new ForwardedAttemptClassifier();
     private final AttemptResponseDecoder decoder;
@@ -45,7 +48,7 @@
     private boolean paused;
 
     /** The attempt's number in {@link larchridge.audit.RequestEvents}. */
-    private int eventNumber = NO_EVENT_NUMBER;
+    private int attemptNumber = NO_ATTEMPT_NUMBER;
 
     /** Carries nothing, because engines identify a read state by the request id. */
     private static final class EmptyStateHandle implements StateHandle {}
@@ -59,18 +62,18 @@
         this.attemptRequest = attemptRequest;
         this.listener = listener;
         this.kind = kind;
-        readState = context.releaser().attemptStarted(attemptRequest.forwardedRequest().id());
+        trackedRequest = context.releaser().attemptStarted(attemptRequest.forwardedRequest().id());
         pool = context.pools().pool(attemptRequest.endpoint());
-        decoder = new AttemptResponseDecoder(context.loadReports());
+        decoder = new AttemptResponseDecoder(context.loadReportParser());
     }
 
     /** Starts the attempt on a connection, or rejects it if none is available. */
     void start() {
         pool.attemptStarted();
         if (kind == AttemptKind.WRITE) {
-            readState.setReleaseListener(this);
+            trackedRequest.setReleaseListener(this);
         } else {
-            readState.clearReleaseListener();
+            trackedRequest.clearReleaseListener();
         }
         connection = context.pools().startExchange(pool, this);
         if (connection == null) {
@@ -92,8 +95,8 @@
         FullHttpRequest request =
                 UpstreamRequestEncoder.encodeForwarded(
                         forwarded, attemptRequest.endpoint(), (long) remainingMs);
-        eventNumber =
-                context.events()
+        attemptNumber =
+                context.requestEvents()
                         .attemptSent(
                                 forwarded.id(),
                                 attemptRequest.endpoint(),
@@ -151,7 +154,7 @@
     @Override
     public boolean responseBodyReceived(ByteBuf content) {
         if (classifier.isCompletedRead()) {
-            return decoder.appendReadBody(content);
+            return decoder.appendCompletedReadBody(content);
         }
         if (!classifier.isAnswer()) {
             return true;
@@ -166,8 +169,8 @@
     private void eventsReceived(byte[] events) {
         if (state == AttemptState.AWAITING_RESPONSE) {
             state = AttemptState.STREAMING;
-            context.releaser().responseStarted(readState);
-            context.events().responseStarted(readState.requestId(), eventNumber);
+            context.releaser().responseStarted(trackedRequest);
+            context.requestEvents().responseStarted(trackedRequest.requestId(), attemptNumber);
             listener.responseStarted();
         }
         if (state != AttemptState.ENDED) {
@@ -176,9 +179,9 @@
     }
 
     @Override
-    public void readBatchCompleted() {
+    public void socketReadCompleted() {
         if (state == AttemptState.STREAMING) {
-            listener.batchCompleted();
+            listener.socketReadCompleted();
         }
     }
 
@@ -269,9 +272,9 @@
      * the state nevertheless if the attempt is already in an engine's queue.
      */
     @Override
-    public void releasedDuringAttempt() {
+    public void releaseStartedDuringAttempt() {
         if (state != AttemptState.ENDED) {
-            listener.stateReleased();
+            listener.stateReleaseStarted();
         }
     }
 
@@ -284,8 +287,8 @@
     private void endRead(int cachedTokens) {
         state = AttemptState.ENDED;
         recordEndInPool();
-        context.events().readCompleted(readState.requestId(), eventNumber);
-        context.releaser().readCompleted(readState);
+        context.requestEvents().readCompleted(trackedRequest.requestId(), attemptNumber);
+        context.releaser().readCompleted(trackedRequest);
         listener.readCompleted(EMPTY_STATE_HANDLE, cachedTokens, 0, decoder.loadReport());
     }
 
@@ -304,15 +307,15 @@
         recordEndInPool();
         AttemptOutcome outcome = classifier.outcome();
         boolean responseReceived = classifier.hasResponse();
-        context.events()
+        context.requestEvents()
                 .attemptEnded(
-                        readState.requestId(),
-                        eventNumber,
+                        trackedRequest.requestId(),
+                        attemptNumber,
                         outcome.name(),
                         outcome.provesNotRun,
                         responseReceived);
-        context.releaser().attemptEnded(readState, responseReceived);
-        listener.attemptEnded(outcome, decoder.loadReport(), UNPARSED_COMPLETION);
+        context.releaser().attemptEnded(trackedRequest, responseReceived);
+        listener.attemptEnded(outcome, decoder.loadReport(), PLACEHOLDER_SUMMARY);
     }
 
     private void recordEndInPool() {
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -29,36 +29,40 @@
             EventLoop loop,
             Scheduler scheduler,
             ByteBufAllocator allocator,
-            UpstreamLimits limits,
-            RequestEvents events) {
-        this(scheduler, limits, new SocketConnectionOpener(loop, allocator, limits), events);
+            UpstreamSettings settings,
+            RequestEvents requestEvents) {
+        this(
+                scheduler,
+                settings,
+                new SocketConnectionOpener(loop, allocator, settings),
+                requestEvents);
     }
 
     /** Creates a client with another way of opening connections. */
     public ForwardingUpstreamClient(
-            Scheduler scheduler, UpstreamLimits limits, ConnectionOpener opener) {
-        this(scheduler, limits, opener, RequestEvents.NO_OP);
+            Scheduler scheduler, UpstreamSettings settings, ConnectionOpener opener) {
+        this(scheduler, settings, opener, RequestEvents.NO_OP);
     }
 
     /** Creates a client with another way of opening connections, which reports its events. */
     public ForwardingUpstreamClient(
             Scheduler scheduler,
-            UpstreamLimits limits,
+            UpstreamSettings settings,
             ConnectionOpener opener,
-            RequestEvents events) {
-        pools = new ConnectionPools(scheduler, limits, opener, events);
+            RequestEvents requestEvents) {
+        pools = new ConnectionPools(scheduler, settings, opener, requestEvents);
         releaser =
                 new StateReleaser(
                         scheduler,
-                        limits.stateHoldMs(),
-                        new PooledReleaseTransport(scheduler, pools, events));
+                        settings.stateHoldMs(),
+                        new PooledReleaseTransport(scheduler, pools, requestEvents));
         context =
                 new UpstreamContext(
                         scheduler,
                         pools,
-                        new LoadReportReader(limits.loadReportFields()),
+                        new ConfiguredLoadReportParser(settings.loadReportFields()),
                         releaser,
-                        events);
+                        requestEvents);
     }
 
     /**
@@ -87,8 +91,8 @@
     }
 
     /** Returns the number of requests with an in-flight attempt or a state to release. */
-    public int openRequests() {
-        return releaser.openRequests();
+    public int trackedRequestCount() {
+        return releaser.trackedRequestCount();
     }
 
     @Override
@@ -111,12 +115,12 @@
     @Override
     public void release(Endpoint endpoint, String attemptId) {
         String requestId = attemptId.substring(0, attemptId.lastIndexOf(ATTEMPT_NUMBER_SEPARATOR));
-        releaser.release(requestId, endpoint);
+        releaser.requestRelease(requestId, endpoint);
     }
 
     @Override
     public void probe(Endpoint endpoint, ProbeListener listener) {
-        new LoadProbe(context, endpoint, listener).start(pools.limits().connectTimeoutMs());
+        new LoadProbe(context, endpoint, listener).start(pools.settings().connectTimeoutMs());
     }
 
     @Override
--- a/src/main/java/larchridge/node/upstream/LoadProbe.java
+++ b/src/main/java/larchridge/node/upstream/LoadProbe.java
@@ -9,12 +9,12 @@
 final class LoadProbe extends ControlCall {
     private static final String TARGET = "/metrics/load";
 
-    private final LoadReportReader loadReports;
+    private final ConfiguredLoadReportParser loadReportParser;
     private final ProbeListener listener;
 
     LoadProbe(UpstreamContext context, Endpoint endpoint, ProbeListener listener) {
         super(context.scheduler(), context.pools(), endpoint);
-        this.loadReports = context.loadReports();
+        this.loadReportParser = context.loadReportParser();
         this.listener = listener;
     }
 
@@ -33,9 +33,9 @@
         if (result == ControlCallResult.NOT_SENT) {
             return;
         }
-        boolean answered =
+        boolean succeeded =
                 result == ControlCallResult.ANSWERED && status() == HttpResponseStatus.OK.code();
         // An engine that has no report yet responds without one and must not count as failed.
-        listener.completed(answered, answered ? loadReports.read(bodyText()) : null);
+        listener.completed(succeeded, succeeded ? loadReportParser.parse(bodyText()) : null);
     }
 }
--- a/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
+++ b/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
@@ -13,12 +13,13 @@
 
     private final Scheduler scheduler;
     private final ConnectionPools pools;
-    private final RequestEvents events;
+    private final RequestEvents requestEvents;
 
-    PooledReleaseTransport(Scheduler scheduler, ConnectionPools pools, RequestEvents events) {
+    PooledReleaseTransport(
+            Scheduler scheduler, ConnectionPools pools, RequestEvents requestEvents) {
         this.scheduler = scheduler;
         this.pools = pools;
-        this.events = events;
+        this.requestEvents = requestEvents;
     }
 
     @Override
@@ -49,7 +50,7 @@
                 return endpoint;
             }
             ConnectionPool pool = pools.existingPool(endpoint);
-            boolean hasIdle = pool != null && pool.hasUsableIdle();
+            boolean hasIdle = pool != null && pool.isNewestIdleOpen();
             double receivedMs = pool == null ? Double.NEGATIVE_INFINITY : pool.lastReceivedMs();
             if (best == null
                     || (hasIdle && !bestHasIdle)
@@ -86,7 +87,7 @@
         @Override
         void completed(ControlCallResult result) {
             if (result == ControlCallResult.ANSWERED) {
-                events.stateReleased(requestId);
+                requestEvents.stateReleased(requestId);
             }
             listener.accept(result);
         }
--- a/src/main/java/larchridge/node/upstream/SocketConnectionOpener.java
+++ b/src/main/java/larchridge/node/upstream/SocketConnectionOpener.java
@@ -14,7 +14,7 @@
 final class SocketConnectionOpener implements ConnectionOpener {
     private final Bootstrap bootstrap;
 
-    SocketConnectionOpener(EventLoop loop, ByteBufAllocator allocator, UpstreamLimits limits) {
+    SocketConnectionOpener(EventLoop loop, ByteBufAllocator allocator, UpstreamSettings settings) {
         bootstrap =
                 new Bootstrap()
                         .group(loop)
@@ -23,7 +23,7 @@
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                Math.max(1, (int) limits.connectTimeoutMs()));
+                                Math.max(1, (int) settings.connectTimeoutMs()));
     }
 
     @Override
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import larchridge.node.upstream.RequestReadState.ReleaseMode;
+import larchridge.node.upstream.TrackedRequest.ReleaseMode;
 import larchridge.router.Scheduler;
 import larchridge.upstream.Endpoint;
 import org.slf4j.Logger;
@@ -27,7 +27,7 @@
     private static final int TRIES_PER_HOLD_TIME = 5;
 
     /** Number of tries of a release during an attempt, in the rest of the hold time plus grace. */
-    private static final int TRIES_DURING_ATTEMPT = 4;
+    private static final int TRIES_IN_REMAINING_HOLD_TIME = 4;
 
     /** Maximum number of tries of a release, each at a different engine. */
     private static final int MAX_TRIES = 10;
@@ -36,7 +36,7 @@
     private static final double HOLD_GRACE_MS = 300;
 
     /** Number of tracked requests from which a release for an untracked one is not sent. */
-    private static final int MAX_TRACKED_REQUESTS = 20_000;
+    private static final int RELEASE_DROP_THRESHOLD = 20_000;
 
     /**
      * Fraction of the hold time after which a release is sent; the rest allows for engines that do
@@ -61,7 +61,7 @@
     private final Transport transport;
 
     /** The tracked requests, by request id. */
-    private final Map<String, RequestReadState> readStates = new HashMap<>();
+    private final Map<String, TrackedRequest> trackedRequests = new HashMap<>();
 
     /** Sends releases to engines. */
     interface Transport {
@@ -88,29 +88,30 @@
                 Math.min(
                         tryTimeoutMs,
                         ((1 - RELEASE_AT_FRACTION) * stateHoldMs + HOLD_GRACE_MS)
-                                / TRIES_DURING_ATTEMPT);
+                                / TRIES_IN_REMAINING_HOLD_TIME);
     }
 
     // ------------------------------------------------------------------ attempts
 
     /** Tracks a new attempt of a request. */
-    RequestReadState attemptStarted(String requestId) {
-        RequestReadState readState = readStates.computeIfAbsent(requestId, RequestReadState::new);
-        readState.attemptStarted();
-        return readState;
+    TrackedRequest attemptStarted(String requestId) {
+        TrackedRequest trackedRequest =
+                trackedRequests.computeIfAbsent(requestId, TrackedRequest::new);
+        trackedRequest.attemptStarted();
+        return trackedRequest;
     }
 
     /** Called when a read has completed and its engine holds the state. */
-    void readCompleted(RequestReadState readState) {
-        readState.attemptEnded();
-        markHeld(readState);
-        scheduleReleaseOrRemove(readState);
+    void readCompleted(TrackedRequest trackedRequest) {
+        trackedRequest.attemptEnded();
+        markMayBeHeld(trackedRequest);
+        scheduleReleaseOrRemove(trackedRequest);
     }
 
     /** Called when a response has started, so its attempt has fetched the state. */
-    void responseStarted(RequestReadState readState) {
-        readState.responseStarted();
-        cancelHoldTimer(readState);
+    void responseStarted(TrackedRequest trackedRequest) {
+        trackedRequest.responseStarted();
+        cancelHoldTimer(trackedRequest);
     }
 
     /**
@@ -119,89 +120,91 @@
      * @param responseReceived whether the engine sent a response, which shows that the attempt
      *     reached it
      */
-    void attemptEnded(RequestReadState readState, boolean responseReceived) {
-        readState.attemptEnded();
+    void attemptEnded(TrackedRequest trackedRequest, boolean responseReceived) {
+        trackedRequest.attemptEnded();
         // If a release was sent during this attempt, the engine may have kept the state only for
         // the attempt, and a new hold time starts now.
-        boolean releasedBefore = !readState.hasHoldTimer();
-        if (readState.mayBeHeld() && (responseReceived || releasedBefore)) {
-            cancelHoldTimer(readState);
-            markHeld(readState);
+        boolean releaseSentDuringAttempt = !trackedRequest.hasHoldTimer();
+        if (trackedRequest.mayBeHeld() && (responseReceived || releaseSentDuringAttempt)) {
+            cancelHoldTimer(trackedRequest);
+            markMayBeHeld(trackedRequest);
         }
-        scheduleReleaseOrRemove(readState);
+        scheduleReleaseOrRemove(trackedRequest);
     }
 
     // ------------------------------------------------------------------ releases
 
     /** Releases the state of a request, which is no longer needed. */
-    void release(String requestId, Endpoint holder) {
-        RequestReadState readState = readStates.get(requestId);
-        if (readState == null) {
-            if (readStates.size() >= MAX_TRACKED_REQUESTS) {
+    void requestRelease(String requestId, Endpoint holder) {
+        TrackedRequest trackedRequest = trackedRequests.get(requestId);
+        if (trackedRequest == null) {
+            if (trackedRequests.size() >= RELEASE_DROP_THRESHOLD) {
                 LOG.atWarn()
                         .addKeyValue("id", requestId)
                         .log("too many tracked requests; release not sent");
                 return;
             }
-            readState = new RequestReadState(requestId);
-            readStates.put(requestId, readState);
+            trackedRequest = new TrackedRequest(requestId);
+            trackedRequests.put(requestId, trackedRequest);
         }
-        readState.requestRelease(holder);
-        if (readState.mayBeFetched() && !readState.hasHoldTimer()) {
-            markHeld(readState);
+        trackedRequest.requestRelease(holder);
+        if (trackedRequest.mayBeFetched() && !trackedRequest.hasHoldTimer()) {
+            markMayBeHeld(trackedRequest);
         }
-        scheduleReleaseOrRemove(readState);
+        scheduleReleaseOrRemove(trackedRequest);
     }
 
     /** Whether any release is requested or in progress. */
     boolean hasPendingReleases() {
-        return readStates.values().stream()
+        return trackedRequests.values().stream()
                 .anyMatch(
-                        readState ->
-                                readState.isReleaseRequested() || readState.isReleasing());
+                        trackedRequest ->
+                                trackedRequest.isReleaseRequested()
+                                        || trackedRequest.isReleasing());
     }
 
     /** Returns the number of requests with an in-flight attempt or a state to release. */
-    int openRequests() {
-        return readStates.size();
+    int trackedRequestCount() {
+        return trackedRequests.size();
     }
 
     /** Records that a state may be held; the hold time of an earlier one continues. */
-    private void markHeld(RequestReadState readState) {
-        readState.markMayBeHeld();
-        if (!readState.hasHoldTimer()) {
-            readState.holdTimerStarted(
+    private void markMayBeHeld(TrackedRequest trackedRequest) {
+        trackedRequest.markMayBeHeld();
+        if (!trackedRequest.hasHoldTimer()) {
+            trackedRequest.holdTimerStarted(
                     scheduler.schedule(
-                            RELEASE_AT_FRACTION * stateHoldMs, () -> holdTimeExpiring(readState)));
+                            RELEASE_AT_FRACTION * stateHoldMs,
+                            () -> holdTimeExpiring(trackedRequest)));
         }
     }
 
-    private void holdTimeExpiring(RequestReadState readState) {
-        readState.clearHoldTimer();
-        if (!readState.mayBeHeld() || readState.isReleasing()) {
+    private void holdTimeExpiring(TrackedRequest trackedRequest) {
+        trackedRequest.clearHoldTimer();
+        if (!trackedRequest.mayBeHeld() || trackedRequest.isReleasing()) {
             return;
         }
         LOG.atDebug()
-                .addKeyValue("id", readState.requestId())
-                .addKeyValue("attempts", readState.inFlightAttempts())
+                .addKeyValue("id", trackedRequest.requestId())
+                .addKeyValue("attempts", trackedRequest.inFlightAttempts())
                 .log("hold time is expiring without a response; releasing the state");
-        boolean duringAttempt = readState.mayBeFetched();
+        boolean duringAttempt = trackedRequest.mayBeFetched();
         startRelease(
-                readState,
+                trackedRequest,
                 duringAttempt ? ReleaseMode.DURING_ATTEMPT : ReleaseMode.AFTER_ATTEMPTS);
         if (duringAttempt) {
-            readState.notifyReleasedDuringAttempt();
+            trackedRequest.notifyReleaseStartedDuringAttempt();
         }
     }
 
-    private void cancelHoldTimer(RequestReadState readState) {
-        if (readState.hasHoldTimer()) {
-            scheduler.cancel(readState.clearHoldTimer());
+    private void cancelHoldTimer(TrackedRequest trackedRequest) {
+        if (trackedRequest.hasHoldTimer()) {
+            scheduler.cancel(trackedRequest.clearHoldTimer());
         }
     }
 
-    private void scheduleReleaseOrRemove(RequestReadState readState) {
-        scheduler.execute(() -> releaseOrRemove(readState));
+    private void scheduleReleaseOrRemove(TrackedRequest trackedRequest) {
+        scheduler.execute(() -> releaseOrRemove(trackedRequest));
     }
 
     /**
@@ -209,65 +212,67 @@
      * that needs no more tracking. A release applies to the whole request; if it were sent too
      * early, it could free the state that an attempt in transit is about to fetch.
      */
-    private void releaseOrRemove(RequestReadState readState) {
-        if (readState.isReleaseRequested()
-                && !readState.isReleasing()
-                && !readState.mayBeFetched()) {
-            startRelease(readState, ReleaseMode.AFTER_ATTEMPTS);
-        } else if (readState.isIdle()) {
-            remove(readState);
+    private void releaseOrRemove(TrackedRequest trackedRequest) {
+        if (trackedRequest.isReleaseRequested()
+                && !trackedRequest.isReleasing()
+                && !trackedRequest.mayBeFetched()) {
+            startRelease(trackedRequest, ReleaseMode.AFTER_ATTEMPTS);
+        } else if (trackedRequest.isIdle()) {
+            remove(trackedRequest);
         }
     }
 
-    private void remove(RequestReadState readState) {
-        cancelHoldTimer(readState);
-        readStates.remove(readState.requestId(), readState);
+    private void remove(TrackedRequest trackedRequest) {
+        cancelHoldTimer(trackedRequest);
+        trackedRequests.remove(trackedRequest.requestId(), trackedRequest);
     }
 
-    private void startRelease(RequestReadState readState, ReleaseMode mode) {
-        readState.releaseStarted(mode, scheduler.nowMs());
-        sendToNextEndpoint(readState);
+    private void startRelease(TrackedRequest trackedRequest, ReleaseMode mode) {
+        trackedRequest.releaseStarted(mode, scheduler.nowMs());
+        sendToNextEndpoint(trackedRequest);
     }
 
-    private void sendToNextEndpoint(RequestReadState readState) {
-        Set<Endpoint> tried = readState.triedEndpoints();
+    private void sendToNextEndpoint(TrackedRequest trackedRequest) {
+        Set<Endpoint> tried = trackedRequest.triedEndpoints();
         Endpoint endpoint =
                 tried.size() < MAX_TRIES
-                        ? transport.nextEndpoint(readState.holder(), tried)
+                        ? transport.nextEndpoint(trackedRequest.holder(), tried)
                         : null;
         if (endpoint == null) {
-            endpointsExhausted(readState);
+            endpointsExhausted(trackedRequest);
             return;
         }
-        readState.recordTry(endpoint);
+        trackedRequest.recordTry(endpoint);
         transport.release(
                 endpoint,
-                readState.requestId(),
-                readState.isReleasingDuringAttempt() ? duringAttemptTryTimeoutMs : tryTimeoutMs,
-                result -> tryCompleted(readState, result));
+                trackedRequest.requestId(),
+                trackedRequest.isReleasingDuringAttempt()
+                        ? duringAttemptTryTimeoutMs
+                        : tryTimeoutMs,
+                result -> tryCompleted(trackedRequest, result));
     }
 
-    private void tryCompleted(RequestReadState readState, ControlCallResult result) {
-        boolean stillNeeded =
-                readState.isReleasingDuringAttempt()
-                        ? !readState.hasResponseStarted()
-                        : !readState.mayBeFetched();
+    private void tryCompleted(TrackedRequest trackedRequest, ControlCallResult result) {
+        boolean mayContinue =
+                trackedRequest.isReleasingDuringAttempt()
+                        ? !trackedRequest.hasResponseStarted()
+                        : !trackedRequest.mayBeFetched();
         if (result == ControlCallResult.ANSWERED) {
-            if (!readState.mayBeFetched()) {
-                readState.markReleased();
-                cancelHoldTimer(readState);
+            if (!trackedRequest.mayBeFetched()) {
+                trackedRequest.markReleased();
+                cancelHoldTimer(trackedRequest);
             }
             // Otherwise the engine keeps a state that a queued request waits for; it is released
             // after that attempt has ended.
-            releaseEnded(readState);
-        } else if (stillNeeded) {
+            releaseEnded(trackedRequest);
+        } else if (mayContinue) {
             if (result == ControlCallResult.NOT_SENT) {
-                readState.recordUnsentTry();
+                trackedRequest.recordUnsentTry();
             }
-            sendToNextEndpoint(readState);
+            sendToNextEndpoint(trackedRequest);
         } else {
-            readState.requestReleaseAgain();
-            releaseEnded(readState);
+            trackedRequest.requestReleaseAgain();
+            releaseEnded(trackedRequest);
         }
     }
 
@@ -275,21 +280,22 @@
      * Called when no engine has accepted the release. If this machine could not send it, for lack
      * of a file descriptor or buffer, the cause is temporary and all engines are tried again later.
      */
-    private void endpointsExhausted(RequestReadState readState) {
-        double sinceStartMs = scheduler.nowMs() - readState.releaseStartMs();
-        if (readState.hasUnsentTry() && sinceStartMs < LOCAL_FAILURE_RETRY_FACTOR * stateHoldMs) {
-            readState.clearTries();
-            scheduler.schedule(tryTimeoutMs, () -> sendToNextEndpoint(readState));
+    private void endpointsExhausted(TrackedRequest trackedRequest) {
+        double sinceStartMs = scheduler.nowMs() - trackedRequest.releaseStartMs();
+        if (trackedRequest.hasUnsentTry()
+                && sinceStartMs < LOCAL_FAILURE_RETRY_FACTOR * stateHoldMs) {
+            trackedRequest.clearTries();
+            scheduler.schedule(tryTimeoutMs, () -> sendToNextEndpoint(trackedRequest));
             return;
         }
         LOG.atWarn()
-                .addKeyValue("id", readState.requestId())
+                .addKeyValue("id", trackedRequest.requestId())
                 .log("no engine accepted the release; state not released");
-        releaseEnded(readState);
+        releaseEnded(trackedRequest);
     }
 
-    private void releaseEnded(RequestReadState readState) {
-        readState.releaseEnded();
-        scheduleReleaseOrRemove(readState);
+    private void releaseEnded(TrackedRequest trackedRequest) {
+        trackedRequest.releaseEnded();
+        scheduleReleaseOrRemove(trackedRequest);
     }
 }
--- a/src/main/java/larchridge/node/upstream/RequestReadState.java
+++ b/src/main/java/larchridge/node/upstream/TrackedRequest.java
@@ -8,7 +8,7 @@
  * Tracks the in-flight attempts of one request and the read state that engines may hold for it. It
  * has one method per transition; {@link StateReleaser} makes the decisions.
  */
-final class RequestReadState {
+final class TrackedRequest {
     private static final long NO_TIMER = -1;
 
     private final String requestId;
@@ -32,7 +32,7 @@
     private double releaseStartMs;
 
     /** Whether this machine could not send one of the tries of the current release. */
-    private boolean releaseNotSent;
+    private boolean hasUnsentTry;
 
     /** The engines to which the current release was sent. */
     private final Set<Endpoint> triedEndpoints = new HashSet<>();
@@ -56,10 +56,10 @@
     /** Receives notice of releases that are sent during an attempt. */
     interface ReleaseListener {
         /** Called when the state that the attempt may fetch is being released. */
-        void releasedDuringAttempt();
+        void releaseStartedDuringAttempt();
     }
 
-    RequestReadState(String requestId) {
+    TrackedRequest(String requestId) {
         this.requestId = requestId;
     }
 
@@ -102,9 +102,9 @@
         releaseListener = null;
     }
 
-    void notifyReleasedDuringAttempt() {
+    void notifyReleaseStartedDuringAttempt() {
         if (releaseListener != null) {
-            releaseListener.releasedDuringAttempt();
+            releaseListener.releaseStartedDuringAttempt();
         }
     }
 
@@ -200,17 +200,17 @@
 
     /** Whether this machine could not send one of the tries of the current release. */
     boolean hasUnsentTry() {
-        return releaseNotSent;
+        return hasUnsentTry;
     }
 
     /** Records that this machine could not send one of the tries. */
     void recordUnsentTry() {
-        releaseNotSent = true;
+        hasUnsentTry = true;
     }
 
     /** Allows all engines to be tried again. */
     void clearTries() {
-        releaseNotSent = false;
+        hasUnsentTry = false;
         triedEndpoints.clear();
     }
 
--- a/src/main/java/larchridge/node/upstream/UpstreamConnection.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamConnection.java
@@ -62,7 +62,7 @@
         channel = created;
     }
 
-    boolean isUsable() {
+    boolean isOpen() {
         return !closed && channel.isActive();
     }
 
@@ -83,7 +83,7 @@
         FullHttpRequest request = next.encodeRequest();
         if (request == null) {
             exchange = null;
-            pool.returnUnused(this);
+            pool.returnToIdle(this);
             return;
         }
         channel.writeAndFlush(request)
@@ -214,7 +214,7 @@
             exchange = null;
             pool.returnAfterResponse(this);
         } else if (exchange != null) {
-            exchange.readBatchCompleted();
+            exchange.socketReadCompleted();
         }
     }
 
--- a/src/main/java/larchridge/node/upstream/UpstreamContext.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamContext.java
@@ -8,13 +8,13 @@
  *
  * @param scheduler clock, timers and event loop
  * @param pools provides connections
- * @param loadReports parses load reports in responses
+ * @param loadReportParser parses load reports in responses
  * @param releaser tracks the states that attempts leave or fetch
- * @param events receives the events of attempts
+ * @param requestEvents receives the events of attempts
  */
 record UpstreamContext(
         Scheduler scheduler,
         ConnectionPools pools,
-        LoadReportReader loadReports,
+        ConfiguredLoadReportParser loadReportParser,
         StateReleaser releaser,
-        RequestEvents events) {}
+        RequestEvents requestEvents) {}
--- a/src/main/java/larchridge/node/upstream/UpstreamExchange.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -27,7 +27,7 @@
     boolean responseCompleted();
 
     /** Called when everything from one socket read has been delivered. */
-    default void readBatchCompleted() {}
+    default void socketReadCompleted() {}
 
     /** Called when the response cannot be decoded; the caller closes the connection. */
     void responseMalformed();
--- a/src/main/java/larchridge/node/upstream/UpstreamLimits.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamSettings.java
@@ -12,7 +12,7 @@
  * @param maxConnectionsPerEndpoint maximum number of connections to one engine
  * @param loadReportFields names of the metrics in load reports
  */
-public record UpstreamLimits(
+public record UpstreamSettings(
         double connectTimeoutMs,
         double keepAliveMs,
         double stateHoldMs,
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -2,8 +2,8 @@
 
 import larchridge.state.AttemptOutcome;
 import larchridge.state.LoadReport;
+import larchridge.upstream.AnswerSummary;
 import larchridge.upstream.AttemptListener;
-import larchridge.upstream.Completion;
 import larchridge.upstream.SendRejection;
 import larchridge.upstream.StateHandle;
 import org.slf4j.Logger;
@@ -103,14 +103,14 @@
     }
 
     @Override
-    public void batchCompleted() {
+    public void socketReadCompleted() {
         if (request.streamsFrom(attempt)) {
             request.responseSink().flush();
         }
     }
 
     @Override
-    public void stateReleased() {
+    public void stateReleaseStarted() {
         services.context().updateClock();
         logEvent("STATE_RELEASED");
         services.policy().stateReleased(request, attempt);
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion completion) {
+    public void attemptEnded(AttemptOutcome outcome, LoadReport report, AnswerSummary completion) {
         RouterContext context = services.context();
         context.updateClock();
         attempt.markEnded();
@@ -167,7 +167,7 @@
         }
     }
 
-    private void streamEnded(AttemptOutcome outcome, Completion completion) {
+    private void streamEnded(AttemptOutcome outcome, AnswerSummary completion) {
         boolean completed =
                 outcome == AttemptOutcome.STREAMED
                         && services.finalResponses().complete(request, completion);
--- a/src/main/java/larchridge/router/FinalResponseSender.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -4,7 +4,7 @@
 import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.TrafficClass;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,7 +24,7 @@
     }
 
     /** Completes the response; returns false if a final response was sent before. */
-    boolean complete(InFlightRequest request, Completion completion) {
+    boolean complete(InFlightRequest request, AnswerSummary completion) {
         if (!request.responseGuard().finish(ResponseGuard.FinalResponse.COMPLETED)) {
             return false;
         }
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -1,7 +1,7 @@
 package larchridge.router;
 
 import larchridge.budget.BudgetDecision;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /**
  * The client side of one exchange, implemented by a server's protocol and called on the router's
@@ -46,7 +46,7 @@
     void rejectedOverBudget(BudgetDecision decision);
 
     /** Final call: the response is complete. */
-    void completed(Completion completion);
+    void completed(AnswerSummary completion);
 
     /** Final call: rejected for now. A retry is harmless, after this time if it is more than 0. */
     void rejected(double retryAfterMs);
--- a/src/main/java/larchridge/simulation/SimulatedCluster.java
+++ b/src/main/java/larchridge/simulation/SimulatedCluster.java
@@ -19,9 +19,9 @@
 import larchridge.state.LoadReport;
 import larchridge.state.Role;
 import larchridge.systemtest.TrafficEvent;
+import larchridge.upstream.AnswerSummary;
 import larchridge.upstream.AttemptListener;
 import larchridge.upstream.AttemptRequest;
-import larchridge.upstream.Completion;
 import larchridge.upstream.Endpoint;
 import larchridge.upstream.StateHandle;
 import larchridge.upstream.UpstreamClient;
@@ -642,7 +642,7 @@
             }
             if (!isOver) {
                 hearing.textReceived("w" + number + " ");
-                hearing.batchCompleted();
+                hearing.socketReadCompleted();
             }
         }
 
@@ -651,10 +651,10 @@
             hearing.attemptEnded(
                     AttemptOutcome.STREAMED,
                     report,
-                    new Completion(
+                    new AnswerSummary(
                             job.length < order.maxTokens()
-                                    ? Completion.FinishReason.END_OF_TURN
-                                    : Completion.FinishReason.MAX_TOKENS,
+                                    ? AnswerSummary.FinishReason.END_OF_TURN
+                                    : AnswerSummary.FinishReason.MAX_TOKENS,
                             null,
                             talk.prompt.tokens,
                             job.made()));
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -23,8 +23,8 @@
 import larchridge.systemtest.SystemTest;
 import larchridge.systemtest.TestScript;
 import larchridge.systemtest.TrafficEvent;
+import larchridge.upstream.AnswerSummary;
 import larchridge.upstream.AttemptRequest;
-import larchridge.upstream.Completion;
 
 /**
  * Plays a drill script in virtual time: real fronts with their module over emulated engines, one
@@ -396,7 +396,7 @@
         }
 
         @Override
-        public void completed(Completion ending) {
+        public void completed(AnswerSummary ending) {
             end("streamed", false);
         }
 
--- a/src/main/java/larchridge/upstream/Completion.java
+++ b/src/main/java/larchridge/upstream/AnswerSummary.java
@@ -8,7 +8,7 @@
  * @param promptTokens prompt tokens as the engine counted them, or {@link #TOKENS_UNREPORTED}
  * @param outputTokens output tokens as the engine counted them, else the number of text events
  */
-public record Completion(
+public record AnswerSummary(
         FinishReason finishReason, String stopSequence, int promptTokens, int outputTokens) {
     /** Value of a token count that the engine did not report. */
     public static final int TOKENS_UNREPORTED = -1;
--- a/src/main/java/larchridge/upstream/AttemptListener.java
+++ b/src/main/java/larchridge/upstream/AttemptListener.java
@@ -15,7 +15,7 @@
      * @param state the handle with which a writer fetches the state
      * @param cachedTokens prompt tokens that the reader found in its cache
      * @param promptTokens prompt tokens as the engine counted them, or {@link
-     *     Completion#TOKENS_UNREPORTED}
+     *     AnswerSummary#TOKENS_UNREPORTED}
      * @param report the load report in the response, or null
      */
     void readCompleted(StateHandle state, int cachedTokens, int promptTokens, LoadReport report);
@@ -38,7 +38,7 @@
      * Called when everything from one socket read has been delivered, so that the listener can
      * write it to the client in one write.
      */
-    void batchCompleted();
+    void socketReadCompleted();
 
     /**
      * Called when the engine reports an error in the request itself, which no other engine could
@@ -51,7 +51,7 @@
      * time was about to expire and the engine had not responded. An attempt that is queued at its
      * engine continues; no other attempt can fetch that state.
      */
-    default void stateReleased() {}
+    default void stateReleaseStarted() {}
 
     /** Called when the attempt was rejected before writing; {@link #attemptEnded} follows. */
     default void notSent(SendRejection reason) {}
@@ -62,8 +62,8 @@
      *
      * @param outcome the outcome of the attempt
      * @param report the engine's load report, or null
-     * @param completion how the answer ended; may be null unless the outcome is {@link
+     * @param answerSummary how the answer ended; may be null unless the outcome is {@link
      *     AttemptOutcome#STREAMED}
      */
-    void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion completion);
+    void attemptEnded(AttemptOutcome outcome, LoadReport report, AnswerSummary answerSummary);
 }
--- a/src/main/java/larchridge/upstream/CompletionsAttempt.java
+++ b/src/main/java/larchridge/upstream/CompletionsAttempt.java
@@ -40,7 +40,7 @@
     private final AttemptListener listener;
     private final Kind kind;
     private final Context loop;
-    private final AttemptClassifier classifier = new AttemptClassifier();
+    private final CompletionsAttemptClassifier classifier = new CompletionsAttemptClassifier();
     private HttpClientRequest request;
     private HttpClientResponse response;
     private LoadReport loadReport;
@@ -50,15 +50,15 @@
 
     private boolean paused;
     private boolean responseStarted;
-    private boolean batchNotificationScheduled;
-    private Completion.FinishReason finishReason = Completion.FinishReason.END_OF_TURN;
+    private boolean socketReadNotificationScheduled;
+    private AnswerSummary.FinishReason finishReason = AnswerSummary.FinishReason.END_OF_TURN;
     private String stopSequence;
-    private int promptTokens = Completion.TOKENS_UNREPORTED;
-    private int outputTokens = Completion.TOKENS_UNREPORTED;
+    private int promptTokens = AnswerSummary.TOKENS_UNREPORTED;
+    private int outputTokens = AnswerSummary.TOKENS_UNREPORTED;
     private int textEvents;
 
     /** The body of a response that is not streamed. */
-    private Buffer completeBody;
+    private Buffer aggregatedBody;
 
     CompletionsAttempt(
             AttemptRequest attemptRequest, AttemptListener listener, Kind kind, Context loop) {
@@ -78,10 +78,12 @@
         if (attemptRequest.idempotencyKey() != null) {
             options.putHeader("idempotency-key", attemptRequest.idempotencyKey());
         }
-        client.request(options).onComplete(requestResult -> connected(requestResult, body));
+        client.request(options)
+                .onComplete(requestResult -> connectionResultReceived(requestResult, body));
     }
 
-    private void connected(AsyncResult<HttpClientRequest> requestResult, ObjectNode body) {
+    private void connectionResultReceived(
+            AsyncResult<HttpClientRequest> requestResult, ObjectNode body) {
         if (ended) {
             // Cancelled while waiting for a connection; nothing was written.
             if (requestResult.succeeded()) {
@@ -90,7 +92,7 @@
             return;
         }
         if (requestResult.failed()) {
-            finishLater(AttemptClassifier.connectionFailed(requestResult.cause()));
+            finishLater(CompletionsAttemptClassifier.connectionFailed(requestResult.cause()));
             return;
         }
         request = requestResult.result();
@@ -112,7 +114,7 @@
                                 connectionLost();
                             }
                         });
-        classifier.requestWritten();
+        classifier.writeStarted();
         request.end(Buffer.buffer(body.toString()));
     }
 
@@ -122,7 +124,9 @@
         }
         response = received;
         classifier.responseReceived(response.statusCode());
-        loadReport = LoadReportParser.fromHeader(response.getHeader(LoadReportParser.HEADER));
+        loadReport =
+                CompletionsLoadReportParser.fromHeader(
+                        response.getHeader(CompletionsLoadReportParser.HEADER));
         response.exceptionHandler(e -> connectionLost());
         if (kind == Kind.READ || response.statusCode() != HTTP_OK) {
             aggregateBody();
@@ -132,11 +136,11 @@
     }
 
     private void aggregateBody() {
-        completeBody = Buffer.buffer();
+        aggregatedBody = Buffer.buffer();
         response.handler(
                 part -> {
-                    completeBody.appendBuffer(part);
-                    if (completeBody.length() > MAX_BODY_OR_LINE_BYTES) {
+                    aggregatedBody.appendBuffer(part);
+                    if (aggregatedBody.length() > MAX_BODY_OR_LINE_BYTES) {
                         malformed();
                     }
                 });
@@ -151,7 +155,7 @@
                 part -> {
                     if (!ended) {
                         lines.handle(part);
-                        scheduleBatchNotification();
+                        scheduleSocketReadNotification();
                     }
                 });
         response.endHandler(
@@ -170,14 +174,14 @@
      * Notifies the listener after the event loop has handled all chunks of one socket read: an
      * engine sends each token as a separate chunk, and many of them arrive together.
      */
-    private void scheduleBatchNotification() {
-        if (responseStarted && !ended && !batchNotificationScheduled) {
-            batchNotificationScheduled = true;
+    private void scheduleSocketReadNotification() {
+        if (responseStarted && !ended && !socketReadNotificationScheduled) {
+            socketReadNotificationScheduled = true;
             loop.runOnContext(
                     v -> {
-                        batchNotificationScheduled = false;
+                        socketReadNotificationScheduled = false;
                         if (!ended) {
-                            listener.batchCompleted();
+                            listener.socketReadCompleted();
                         }
                     });
         }
@@ -188,7 +192,7 @@
             return;
         }
         classifier.bodyEnded();
-        JsonNode body = parseObject(completeBody.toString());
+        JsonNode body = parseObject(aggregatedBody.toString());
         if (response.statusCode() != HTTP_OK) {
             classifier.errorCodeReceived(
                     body == null ? null : body.path("error").path("code").asText(null));
@@ -207,7 +211,7 @@
         listener.readCompleted(
                 new CompletionsRequestEncoder.TransferHandle(parameters),
                 usage.path("prompt_tokens_details").path("cached_tokens").asInt(0),
-                usage.path("prompt_tokens").asInt(Completion.TOKENS_UNREPORTED),
+                usage.path("prompt_tokens").asInt(AnswerSummary.TOKENS_UNREPORTED),
                 loadReport);
     }
 
@@ -229,8 +233,8 @@
         }
         JsonNode usage = event.path("usage");
         if (usage.isObject()) {
-            promptTokens = usage.path("prompt_tokens").asInt(Completion.TOKENS_UNREPORTED);
-            outputTokens = usage.path("completion_tokens").asInt(Completion.TOKENS_UNREPORTED);
+            promptTokens = usage.path("prompt_tokens").asInt(AnswerSummary.TOKENS_UNREPORTED);
+            outputTokens = usage.path("completion_tokens").asInt(AnswerSummary.TOKENS_UNREPORTED);
         }
         choiceReceived(event.path("choices").path(0));
     }
@@ -254,13 +258,13 @@
         }
     }
 
-    private Completion.FinishReason finishReason(String reason) {
+    private AnswerSummary.FinishReason finishReason(String reason) {
         if (reason.equals("length")) {
-            return Completion.FinishReason.MAX_TOKENS;
+            return AnswerSummary.FinishReason.MAX_TOKENS;
         }
         return stopSequence != null
-                ? Completion.FinishReason.STOP_SEQUENCE
-                : Completion.FinishReason.END_OF_TURN;
+                ? AnswerSummary.FinishReason.STOP_SEQUENCE
+                : AnswerSummary.FinishReason.END_OF_TURN;
     }
 
     /** Parses a JSON object; returns null if the text is not one. */
@@ -290,11 +294,11 @@
     private void finish(AttemptOutcome outcome) {
         ended = true;
         listener.attemptEnded(
-                outcome, loadReport, outcome == AttemptOutcome.STREAMED ? completion() : null);
+                outcome, loadReport, outcome == AttemptOutcome.STREAMED ? answerSummary() : null);
     }
 
-    private Completion completion() {
-        return new Completion(
+    private AnswerSummary answerSummary() {
+        return new AnswerSummary(
                 finishReason,
                 stopSequence,
                 promptTokens,
--- a/src/main/java/larchridge/upstream/AttemptClassifier.java
+++ b/src/main/java/larchridge/upstream/CompletionsAttemptClassifier.java
@@ -12,14 +12,14 @@
  * class: an outcome that proves the attempt did not run is returned only if the engine cannot have
  * received the request or states that it did not run it.
  */
-public final class AttemptClassifier {
+public final class CompletionsAttemptClassifier {
     /** Error code of an engine that does not hold the requested state. */
     static final String STATE_UNKNOWN = "kv_state_unknown";
 
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int NO_RESPONSE = 0;
 
-    private boolean requestWritten;
+    private boolean writeStarted;
     private int status = NO_RESPONSE;
     private boolean responseMalformed;
     private boolean answerComplete;
@@ -37,8 +37,8 @@
     }
 
     /** Records that the request was written to the socket; the engine may now receive it. */
-    void requestWritten() {
-        requestWritten = true;
+    void writeStarted() {
+        writeStarted = true;
     }
 
     /** Records the status of the response. */
@@ -89,7 +89,7 @@
             // would be reported as failed although its answer is complete.
             return AttemptOutcome.STREAMED;
         }
-        if (!requestWritten) {
+        if (!writeStarted) {
             return sendRejected || cancelled ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
         if (cancelled) {
--- a/src/main/java/larchridge/upstream/LoadReportParser.java
+++ b/src/main/java/larchridge/upstream/CompletionsLoadReportParser.java
@@ -12,7 +12,7 @@
  * and JSON forms, and the metrics page that a probe fetches (Prometheus text format). Metrics that
  * are not reported are NaN; a report that cannot be parsed is null.
  */
-final class LoadReportParser {
+final class CompletionsLoadReportParser {
     /** The response header that carries a load report. */
     static final String HEADER = "endpoint-load-metrics";
 
@@ -38,7 +38,7 @@
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private LoadReportParser() {}
+    private CompletionsLoadReportParser() {}
 
     /** Parses a response header; returns null if it is missing or cannot be parsed. */
     static LoadReport fromHeader(String header) {
--- a/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
+++ b/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
@@ -23,8 +23,8 @@
     record TransferHandle(JsonNode transferParameters) implements StateHandle {}
 
     /** Encodes an attempt that reads the prompt and leaves its state at the reader. */
-    static ObjectNode readBody(AttemptRequest attemptRequest) {
-        ObjectNode body = commonBody(attemptRequest);
+    static ObjectNode encodeRead(AttemptRequest attemptRequest) {
+        ObjectNode body = encodeCommon(attemptRequest);
         body.put("max_tokens", 1);
         body.put("stream", false);
         body.putObject(TRANSFER_PARAMETERS_FIELD)
@@ -34,8 +34,8 @@
     }
 
     /** Encodes an attempt that writes the answer as a stream of events. */
-    static ObjectNode writeBody(AttemptRequest attemptRequest) {
-        ObjectNode body = commonBody(attemptRequest);
+    static ObjectNode encodeWrite(AttemptRequest attemptRequest) {
+        ObjectNode body = encodeCommon(attemptRequest);
         body.put("max_tokens", attemptRequest.maxTokens());
         body.put("stream", true);
         body.putObject("stream_options").put("include_usage", true);
@@ -48,11 +48,11 @@
     }
 
     /** Encodes the release of the state that an attempt left at an engine. */
-    static String releaseBody(String attemptId) {
+    static String encodeRelease(String attemptId) {
         return MAPPER.createObjectNode().put("rid", attemptId).toString();
     }
 
-    private static ObjectNode commonBody(AttemptRequest attemptRequest) {
+    private static ObjectNode encodeCommon(AttemptRequest attemptRequest) {
         ObjectNode body = MAPPER.createObjectNode();
         body.put("model", attemptRequest.model());
         body.put("prompt", attemptRequest.prompt());
--- a/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
+++ b/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
@@ -50,7 +50,7 @@
     }
 
     private void send(Endpoint endpoint, String attemptId, int triesLeft) {
-        Buffer body = Buffer.buffer(CompletionsRequestEncoder.releaseBody(attemptId));
+        Buffer body = Buffer.buffer(CompletionsRequestEncoder.encodeRelease(attemptId));
         client.request(
                         requestOptions
                                 .create(endpoint, HttpMethod.POST, "/abort_request")
--- a/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
+++ b/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
@@ -54,7 +54,7 @@
         CompletionsAttempt attempt =
                 new CompletionsAttempt(
                         attemptRequest, listener, CompletionsAttempt.Kind.READ, loop);
-        attempt.start(client, requestOptions, CompletionsRequestEncoder.readBody(attemptRequest));
+        attempt.start(client, requestOptions, CompletionsRequestEncoder.encodeRead(attemptRequest));
         return attempt;
     }
 
@@ -63,7 +63,8 @@
         CompletionsAttempt attempt =
                 new CompletionsAttempt(
                         attemptRequest, listener, CompletionsAttempt.Kind.WRITE, loop);
-        attempt.start(client, requestOptions, CompletionsRequestEncoder.writeBody(attemptRequest));
+        attempt.start(
+                client, requestOptions, CompletionsRequestEncoder.encodeWrite(attemptRequest));
         return attempt;
     }
 
@@ -87,8 +88,9 @@
                                                 body ->
                                                         response.statusCode() != HTTP_OK
                                                                 ? null
-                                                                : LoadReportParser.fromMetricsPage(
-                                                                        body.toString())))
+                                                                : CompletionsLoadReportParser
+                                                                        .fromMetricsPage(
+                                                                                body.toString())))
                 .onComplete(
                         probe ->
                                 listener.completed(
--- a/src/main/java/larchridge/upstream/UpstreamClient.java
+++ b/src/main/java/larchridge/upstream/UpstreamClient.java
@@ -24,11 +24,11 @@
         /**
          * Called when the probe has ended.
          *
-         * @param answered whether the engine responded successfully in time
+         * @param succeeded whether the engine responded successfully in time
          * @param report the engine's load report; null if the probe failed or the engine has no
          *     report yet
          */
-        void completed(boolean answered, LoadReport report);
+        void completed(boolean succeeded, LoadReport report);
     }
 
     /** Whether any release has not been acknowledged by an engine yet. */
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -31,7 +31,7 @@
 import larchridge.store.form.BatchForm;
 import larchridge.store.form.FileForm;
 import larchridge.tokens.TokenCounters;
-import larchridge.upstream.Completion;
+import larchridge.upstream.AnswerSummary;
 
 /**
  * A store with its batches in virtual time, over engines that do what the prompt says; it can be
@@ -215,8 +215,11 @@
                                 told.streamed(
                                         "w1 w2 ",
                                         0,
-                                        new Completion(
-                                                Completion.FinishReason.END_OF_TURN, null, 10, 2));
+                                        new AnswerSummary(
+                                                AnswerSummary.FinishReason.END_OF_TURN,
+                                                null,
+                                                10,
+                                                2));
                             }
                         });
             }
--- a/src/test/java/larchridge/node/NodeInspector.java
+++ b/src/test/java/larchridge/node/NodeInspector.java
@@ -34,7 +34,7 @@
 
     /** Number of requests that the upstream client still tracks. */
     int openRequests() throws InterruptedException, ExecutionException {
-        return callOnEventLoop(() -> node.components().upstream().openRequests());
+        return callOnEventLoop(() -> node.components().upstream().trackedRequestCount());
     }
 
     /** Number of invariant violations so far. */
--- a/src/test/java/larchridge/node/upstream/LoadReportReaderTest.java
+++ b/src/test/java/larchridge/node/upstream/ConfiguredLoadReportParserTest.java
@@ -8,13 +8,13 @@
 import larchridge.state.LoadReport;
 import org.junit.jupiter.api.Test;
 
-class LoadReportReaderTest {
-    private final LoadReportReader reader =
-            new LoadReportReader(List.of("concurrent", "depth", "x0", "x1"));
+class ConfiguredLoadReportParserTest {
+    private final ConfiguredLoadReportParser parser =
+            new ConfiguredLoadReportParser(List.of("concurrent", "depth", "x0", "x1"));
 
     @Test
     void valuesAreReadByTheirNames() {
-        LoadReport report = reader.read("concurrent=7,x0=0.61,x1=1.5,other=4");
+        LoadReport report = parser.parse("concurrent=7,x0=0.61,x1=1.5,other=4");
         assertEquals(7, report.inflight());
         assertEquals(0.61, report.memoryShare());
         assertEquals(1500, report.pendingTokens());
@@ -37,7 +37,7 @@
                     "\u0001",
                     "concurrent=1,".repeat(200)
                 }) {
-            assertNull(reader.read(text), text);
+            assertNull(parser.parse(text), text);
         }
     }
 }
--- a/src/test/java/larchridge/node/upstream/ForwardingUpstreamClientFixture.java
+++ b/src/test/java/larchridge/node/upstream/ForwardingUpstreamClientFixture.java
@@ -11,14 +11,14 @@
 final class ForwardingUpstreamClientFixture {
     static final double KEEP_ALIVE_MS = 15_000;
 
-    private static final UpstreamLimits LIMITS =
-            new UpstreamLimits(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of());
+    private static final UpstreamSettings SETTINGS =
+            new UpstreamSettings(250, KEEP_ALIVE_MS, 1000, 100, 50, List.of());
 
     final VirtualTimeScheduler time = new VirtualTimeScheduler();
     final ForwardingUpstreamClient client;
 
     ForwardingUpstreamClientFixture(ConnectionOpener opener) {
-        client = new ForwardingUpstreamClient(time.routerScheduler(0, 1), LIMITS, opener);
+        client = new ForwardingUpstreamClient(time.routerScheduler(0, 1), SETTINGS, opener);
     }
 
     /** Advances virtual time. */
--- a/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
+++ b/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
@@ -78,6 +78,6 @@
         fixture.client.release(endpoint(1), "9b1f03aa5c7e2d41.0");
         fixture.advance(2000);
         assertEquals(List.of(endpoint(1), endpoint(0), endpoint(2)), tried);
-        assertEquals(0, fixture.client.openRequests());
+        assertEquals(0, fixture.client.trackedRequestCount());
     }
 }
--- a/src/test/java/larchridge/node/upstream/StateReleaserTest.java
+++ b/src/test/java/larchridge/node/upstream/StateReleaserTest.java
@@ -53,11 +53,11 @@
                     });
 
     /** Creates a held state with an in-flight attempt that fetches it. */
-    private RequestReadState heldStateWithFetchingAttempt() {
-        RequestReadState readState = releaser.attemptStarted(REQUEST_ID);
-        releaser.readCompleted(readState);
+    private TrackedRequest heldStateWithFetchingAttempt() {
+        TrackedRequest trackedRequest = releaser.attemptStarted(REQUEST_ID);
+        releaser.readCompleted(trackedRequest);
         releaser.attemptStarted(REQUEST_ID);
-        return readState;
+        return trackedRequest;
     }
 
     private void assertOneSentBy(double latestMs) {
@@ -72,11 +72,11 @@
      */
     @Test
     void stateThatStayedForAQueuedAttemptIsReleasedAgainAfterThatAttemptBreaks() {
-        RequestReadState readState = heldStateWithFetchingAttempt();
+        TrackedRequest trackedRequest = heldStateWithFetchingAttempt();
         time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
         time.run(3000);
-        releaser.attemptEnded(readState, false);
+        releaser.attemptEnded(trackedRequest, false);
         releaser.attemptStarted(REQUEST_ID);
         time.run(3000 + STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(3000 + STATE_HOLD_MS);
@@ -84,9 +84,9 @@
 
     @Test
     void holdTimeStartsAgainWithTheEndOfAnAttemptThatGotAResponse() {
-        RequestReadState readState = heldStateWithFetchingAttempt();
+        TrackedRequest trackedRequest = heldStateWithFetchingAttempt();
         time.run(500);
-        releaser.attemptEnded(readState, true);
+        releaser.attemptEnded(trackedRequest, true);
         releaser.attemptStarted(REQUEST_ID);
         time.run(500 + STATE_HOLD_MS / 2);
         assertEquals(List.of(), sentMs);
@@ -96,9 +96,9 @@
 
     @Test
     void holdTimeRunsOnOverAttemptsThatGotNoResponse() {
-        RequestReadState readState = heldStateWithFetchingAttempt();
+        TrackedRequest trackedRequest = heldStateWithFetchingAttempt();
         time.run(500);
-        releaser.attemptEnded(readState, false);
+        releaser.attemptEnded(trackedRequest, false);
         releaser.attemptStarted(REQUEST_ID);
         time.run(STATE_HOLD_MS + HOLD_GRACE_MS);
         assertOneSentBy(STATE_HOLD_MS);
@@ -106,26 +106,26 @@
 
     @Test
     void startedResponseNeedsNoRelease() {
-        RequestReadState readState = heldStateWithFetchingAttempt();
-        releaser.responseStarted(readState);
+        TrackedRequest trackedRequest = heldStateWithFetchingAttempt();
+        releaser.responseStarted(trackedRequest);
         time.run(5000);
-        releaser.attemptEnded(readState, true);
+        releaser.attemptEnded(trackedRequest, true);
         time.run(9000);
         assertEquals(List.of(), sentMs);
-        assertEquals(0, releaser.openRequests());
+        assertEquals(0, releaser.trackedRequestCount());
     }
 
     /** Guards against: a temporary local failure to send would leave a state held. */
     @Test
     void releaseThatCouldNotBeSentIsTriedAgain() {
         result = ControlCallResult.NOT_SENT;
-        releaser.release(REQUEST_ID, HOLDER);
+        releaser.requestRelease(REQUEST_ID, HOLDER);
         time.run(1500);
         sentMs.clear();
         result = ControlCallResult.ANSWERED;
         time.run(1800);
         assertEquals(1, sentMs.size());
         time.run(2000);
-        assertEquals(0, releaser.openRequests());
+        assertEquals(0, releaser.trackedRequestCount());
     }
 }
--- a/src/test/java/larchridge/node/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/larchridge/node/upstream/UpstreamConnectionTest.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import larchridge.state.AttemptOutcome;
 import larchridge.state.LoadReport;
+import larchridge.upstream.AnswerSummary;
 import larchridge.upstream.AttemptListener;
 import larchridge.upstream.AttemptRequest;
-import larchridge.upstream.Completion;
 import larchridge.upstream.Endpoint;
 import larchridge.upstream.ForwardedRequest;
 import larchridge.upstream.SendCheck;
@@ -77,10 +77,11 @@
         }
 
         @Override
-        public void batchCompleted() {}
+        public void socketReadCompleted() {}
 
         @Override
-        public void attemptEnded(AttemptOutcome outcome, LoadReport report, Completion completion) {
+        public void attemptEnded(
+                AttemptOutcome outcome, LoadReport report, AnswerSummary answerSummary) {
             outcomes.add(outcome);
         }
     }
--- a/src/test/java/larchridge/upstream/AttemptClassifierTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsAttemptClassifierTest.java
@@ -5,11 +5,11 @@
 import larchridge.state.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-class AttemptClassifierTest {
-    private final AttemptClassifier classifier = new AttemptClassifier();
+class CompletionsAttemptClassifierTest {
+    private final CompletionsAttemptClassifier classifier = new CompletionsAttemptClassifier();
 
     private void responseEnded(int status, String code) {
-        classifier.requestWritten();
+        classifier.writeStarted();
         classifier.responseReceived(status);
         classifier.errorCodeReceived(code);
         classifier.bodyEnded();
@@ -24,13 +24,13 @@
 
     @Test
     void connectionClosedBeforeAnyByteIsCut() {
-        classifier.requestWritten();
+        classifier.writeStarted();
         assertEquals(AttemptOutcome.CUT, classifier.outcome());
     }
 
     @Test
     void fullOnlyAfterACompleteRejection() {
-        classifier.requestWritten();
+        classifier.writeStarted();
         classifier.responseReceived(503);
         assertEquals(AttemptOutcome.CUT, classifier.outcome());
         classifier.bodyEnded();
@@ -41,7 +41,7 @@
     void noStateOnlyByTheEnginesErrorCode() {
         responseEnded(404, "not_found");
         assertEquals(AttemptOutcome.FAULT, classifier.outcome());
-        classifier.errorCodeReceived(AttemptClassifier.STATE_UNKNOWN);
+        classifier.errorCodeReceived(CompletionsAttemptClassifier.STATE_UNKNOWN);
         assertEquals(AttemptOutcome.NO_STATE, classifier.outcome());
     }
 
@@ -59,7 +59,7 @@
 
     @Test
     void connectionLostAfterTheLastTokenIsStreamed() {
-        classifier.requestWritten();
+        classifier.writeStarted();
         classifier.responseReceived(200);
         classifier.answerCompleted();
         assertEquals(AttemptOutcome.STREAMED, classifier.outcome());
@@ -67,7 +67,7 @@
 
     @Test
     void cancelledAfterTheLastTokenIsStreamed() {
-        classifier.requestWritten();
+        classifier.writeStarted();
         classifier.responseReceived(200);
         classifier.answerCompleted();
         classifier.cancelled();
@@ -76,7 +76,7 @@
 
     @Test
     void expiredDeadlineIsTimedOut() {
-        classifier.requestWritten();
+        classifier.writeStarted();
         classifier.deadlineExpired();
         assertEquals(AttemptOutcome.TIMED_OUT, classifier.outcome());
     }
--- a/src/test/java/larchridge/upstream/LoadReportParserTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsLoadReportParserTest.java
@@ -7,15 +7,15 @@
 import larchridge.state.LoadReport;
 import org.junit.jupiter.api.Test;
 
-class LoadReportParserTest {
+class CompletionsLoadReportParserTest {
     @Test
     void headerIsParsedInBothForms() {
         LoadReport text =
-                LoadReportParser.fromHeader(
+                CompletionsLoadReportParser.fromHeader(
                         "TEXT named_metrics.num_requests_running=3, "
                                 + "named_metrics.num_requests_waiting=2,named_metrics.kv_cache_usage_perc=0.5");
         LoadReport json =
-                LoadReportParser.fromHeader(
+                CompletionsLoadReportParser.fromHeader(
                         "JSON {\"named_metrics\":{\"num_requests_running\":3,"
                                 + "\"num_requests_waiting\":2,\"kv_cache_usage_perc\":0.5}}");
         assertEquals(new LoadReport(5, 2, 0.5, Double.NaN), text);
@@ -24,17 +24,19 @@
 
     @Test
     void unparsableReportIsNull() {
-        assertNull(LoadReportParser.fromHeader(null));
-        assertNull(LoadReportParser.fromHeader("JSON {"));
-        assertNull(LoadReportParser.fromHeader("BIN abc"));
-        assertNull(LoadReportParser.fromHeader("TEXT named_metrics.num_requests_running=-1"));
-        assertNull(LoadReportParser.fromMetricsPage("<html>"));
+        assertNull(CompletionsLoadReportParser.fromHeader(null));
+        assertNull(CompletionsLoadReportParser.fromHeader("JSON {"));
+        assertNull(CompletionsLoadReportParser.fromHeader("BIN abc"));
+        assertNull(
+                CompletionsLoadReportParser.fromHeader(
+                        "TEXT named_metrics.num_requests_running=-1"));
+        assertNull(CompletionsLoadReportParser.fromMetricsPage("<html>"));
     }
 
     @Test
     void metricsPageWithLabelsAndCommentsIsParsed() {
         LoadReport page =
-                LoadReportParser.fromMetricsPage(
+                CompletionsLoadReportParser.fromMetricsPage(
                         "# HELP x\nvllm:num_requests_running{model_name=\"a b\"} 4.0\n"
                                 + "vllm:num_requests_waiting 1\nvllm:gpu_cache_usage_perc 0.25\nvllm:other nan\n");
         assertEquals(5, page.inflight());
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -67,7 +67,7 @@
         assertEquals("text a\u00e1", fixture.nextNotification());
         assertEquals("text b", fixture.nextNotification());
         assertEquals("STREAMED", fixture.nextNotification());
-        assertEquals(Completion.FinishReason.END_OF_TURN, fixture.completion.finishReason());
+        assertEquals(AnswerSummary.FinishReason.END_OF_TURN, fixture.answerSummary.finishReason());
     }
 
     @Test
@@ -82,8 +82,10 @@
             assertEquals("text a", fixture.nextNotification());
         }
         fixture.onLoop(() -> null);
-        int batchesCompleted = fixture.onLoop(fixture.batchesCompleted::get);
-        assertTrue(batchesCompleted >= 1 && batchesCompleted < 25, batchesCompleted + " times");
+        int socketReadsCompleted = fixture.onLoop(fixture.socketReadsCompleted::get);
+        assertTrue(
+                socketReadsCompleted >= 1 && socketReadsCompleted < 25,
+                socketReadsCompleted + " times");
         fixture.onLoop(
                 () -> {
                     attempt.cancel();
@@ -220,8 +222,8 @@
         assertEquals("begun", fixture.nextNotification());
         assertEquals("text a", fixture.nextNotification());
         assertEquals("STREAMED", fixture.nextNotification());
-        assertEquals(Completion.FinishReason.MAX_TOKENS, fixture.completion.finishReason());
-        assertEquals(1, fixture.completion.outputTokens());
+        assertEquals(AnswerSummary.FinishReason.MAX_TOKENS, fixture.answerSummary.finishReason());
+        assertEquals(1, fixture.answerSummary.outputTokens());
     }
 
     @Test
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -30,11 +30,11 @@
     static final String JSON_HEAD = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n";
     final Vertx vertx = Vertx.vertx();
     final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
-    final AtomicInteger batchesCompleted = new AtomicInteger();
+    final AtomicInteger socketReadsCompleted = new AtomicInteger();
     final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
     final SiteLimits limits = new SiteLimits();
     volatile BiConsumer<NetSocket, String> engine = (socket, request) -> {};
-    volatile Completion completion;
+    volatile AnswerSummary answerSummary;
     volatile LoadReport report;
     Endpoint endpoint;
     private final Context loop = vertx.getOrCreateContext();
@@ -190,14 +190,14 @@
         }
 
         @Override
-        public void batchCompleted() {
-            batchesCompleted.incrementAndGet();
+        public void socketReadCompleted() {
+            socketReadsCompleted.incrementAndGet();
         }
 
         @Override
         public void attemptEnded(
-                AttemptOutcome outcome, LoadReport loadReport, Completion endedCompletion) {
-            completion = endedCompletion;
+                AttemptOutcome outcome, LoadReport loadReport, AnswerSummary endedSummary) {
+            answerSummary = endedSummary;
             report = loadReport;
             notifications.add(outcome.name());
         }
