--- a/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
+++ b/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
@@ -37,7 +37,7 @@
     /** Connects to an engine with a probe, which leaves the connection idle. */
     private EmbeddedChannel connectAndProbe(Endpoint endpoint) {
         reachable.put(endpoint, null);
-        fixture.client.probe(endpoint, (answered, report) -> {});
+        fixture.client.probe(endpoint, (succeeded, report) -> {});
         EmbeddedChannel engine = reachable.get(endpoint);
         respond(engine, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         engine.releaseOutbound();
