--- a/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
+++ b/src/main/java/larchridge/node/upstream/AttemptResponseDecoder.java
@@ -68,12 +68,15 @@
         return events.isMalformed();
     }
 
-    /** Whether the final event of the answer was received, with nothing after it. */
+    /** Whether the final event of the answer was received, and nothing after it but comments. */
     boolean isStreamComplete() {
         return events.isComplete();
     }
 
-    /** Ends the stream; a load report in its events replaces the one from the headers. */
+    /**
+     * Called when the stream has ended; a load report in its comments replaces the one from the
+     * headers.
+     */
     void streamEnded() {
         if (events.loadReport() != null) {
             loadReport = loadReportParser.parse(events.loadReport());
--- a/src/main/java/larchridge/node/upstream/ConfiguredLoadReportParser.java
+++ b/src/main/java/larchridge/node/upstream/ConfiguredLoadReportParser.java
@@ -9,7 +9,7 @@
 /** Parses load reports, keeping the metrics that are named in the settings. */
 final class ConfiguredLoadReportParser {
     private static final int MAX_REPORT_CHARACTERS = 512;
-    /** A report with a value from this one on is invalid. */
+    /** Values at or above this make the report invalid. */
     private static final double IMPLAUSIBLE_VALUE = 1e12;
 
     private final List<String> fields;
--- a/src/main/java/larchridge/node/upstream/ConnectionPool.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPool.java
@@ -12,8 +12,8 @@
  */
 final class ConnectionPool {
     /**
-     * Minimum idle time before reuse. A surplus response that follows immediately after another one
-     * must arrive while the connection is idle, to be recognised as unsolicited.
+     * Minimum idle time before reuse. It gives an unsolicited response that follows right after the
+     * requested one time to arrive while no exchange is active, so that it is recognised.
      */
     private static final double MIN_IDLE_MS = 3;
 
@@ -70,7 +70,7 @@
         lastReceivedMs = nowMs;
     }
 
-    /** Removes and returns a usable idle connection, or null if there is none. */
+    /** Removes and returns an idle connection that can be reused, or null if there is none. */
     UpstreamConnection takeIdle() {
         double nowMs = pools.nowMs();
         double limitMs = idleLimitMs();
@@ -87,7 +87,7 @@
         return null;
     }
 
-    /** Whether there is a usable idle connection. */
+    /** Whether the most recently used idle connection is open and below the idle limit. */
     boolean isNewestIdleOpen() {
         UpstreamConnection newest = idle.peekFirst();
         return newest != null
@@ -108,8 +108,9 @@
     }
 
     /**
-     * Returns a connection on which nothing was sent, keeping its idle time. If that restarted, the
-     * connection could be reused after the engine's keep-alive timeout has closed it.
+     * Adds a connection to the idle ones, at the place of its idle time. The idle time of a
+     * connection on which nothing was sent continues: if it restarted, the connection could be
+     * reused after the engine's keep-alive timeout has closed it.
      */
     void returnToIdle(UpstreamConnection connection) {
         if (!connection.isOpen()) {
--- a/src/main/java/larchridge/node/upstream/ConnectionPools.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPools.java
@@ -18,7 +18,7 @@
  * to open a new one. All methods run on the event loop.
  */
 final class ConnectionPools {
-    /** Checks for expired idle connections per keep-alive time of the engines. */
+    /** Number of checks for expired idle connections within the engines' keep-alive time. */
     private static final int IDLE_CHECKS_PER_KEEP_ALIVE = 20;
 
     private static final double MIN_IDLE_CHECK_INTERVAL_MS = 100;
@@ -104,7 +104,10 @@
         return connection;
     }
 
-    /** Closes the connection with the longest idle time; returns false if none is idle. */
+    /**
+     * Closes the connection with the longest idle time, and any others idle for just as long;
+     * returns whether a connection can be opened now.
+     */
     private boolean closeLongestIdle() {
         ConnectionPool oldest = null;
         for (ConnectionPool pool : pools.values()) {
@@ -125,6 +128,10 @@
         requestEvents.connectionClosed(ConnectionSide.ENGINE, reason);
     }
 
+    /**
+     * Closes connections past the idle limit and removes the empty pools of endpoints that are no
+     * longer listed.
+     */
     private void closeExpired() {
         double nowMs = scheduler.nowMs();
         pools.values()
--- a/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
+++ b/src/main/java/larchridge/node/upstream/EventStreamSplitter.java
@@ -6,9 +6,11 @@
 import java.util.Arrays;
 
 /**
- * Splits a stream of server-sent events into complete events. Events are forwarded byte for byte.
- * Comments are dropped, except that a load report in a comment is kept. Anything else makes the
- * stream malformed, and the rest of it is ignored. Performs no I/O and uses no clock or threads.
+ * Splits a stream of server-sent events into complete events, which are forwarded byte for byte.
+ * Comments are not forwarded; a load report in a comment is stored. Only {@code data: {...}}
+ * without control characters and the final {@code data: [DONE]} are accepted; anything else makes
+ * the stream malformed, and the rest of it is ignored. Performs no I/O and uses no clock or
+ * threads.
  */
 final class EventStreamSplitter {
     private static final byte[] DONE = "data: [DONE]".getBytes(StandardCharsets.US_ASCII);
@@ -146,7 +148,7 @@
         return malformed;
     }
 
-    /** Whether the final event of the answer was received, with nothing after it. */
+    /** Whether the final event of the answer was received, and nothing after it but comments. */
     boolean isComplete() {
         return done && !malformed && length == 0;
     }
--- a/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttempt.java
@@ -22,7 +22,10 @@
         implements UpstreamExchange, AttemptHandle, TrackedRequest.ReleaseListener {
     private static final int NO_ATTEMPT_NUMBER = -1;
 
-    /** Completion of every answer, because the forwarded events are not parsed for details. */
+    /**
+     * Passed for every attempt: the finish reason and token counts are placeholders, because
+     * forwarded events are not parsed for them.
+     */
     private static final AnswerSummary PLACEHOLDER_SUMMARY =
             new AnswerSummary(
                     AnswerSummary.FinishReason.END_OF_TURN,
@@ -115,7 +118,7 @@
                 : attemptRequest.sendCheck().rejection();
     }
 
-    /** Ends the attempt without writing it, for a reason that says nothing about the engine. */
+    /** Ends the attempt without writing it, for a reason that is not a failure of the engine. */
     private void reject(SendRejection reason) {
         classifier.sendRejected();
         if (state != AttemptState.ENDED) {
@@ -268,8 +271,8 @@
     // ------------------------------------------------------------------ end
 
     /**
-     * Notifies the listener that the state that this attempt fetches was released. The engines keep
-     * the state nevertheless if the attempt is already in an engine's queue.
+     * Notifies the listener that a release of the state that this attempt fetches has been started.
+     * The engines keep the state nevertheless if the attempt is already in an engine's queue.
      */
     @Override
     public void releaseStartedDuringAttempt() {
@@ -292,7 +295,7 @@
         listener.readCompleted(EMPTY_STATE_HANDLE, cachedTokens, 0, decoder.loadReport());
     }
 
-    /** Ends the attempt in any other way. */
+    /** Ends the attempt other than by a completed read. */
     private void end() {
         if (state == AttemptState.ENDED) {
             return;
--- a/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
+++ b/src/main/java/larchridge/node/upstream/ForwardedAttemptClassifier.java
@@ -91,7 +91,10 @@
         sendRejected = true;
     }
 
-    /** Whether the engine reports that no engine can process the request as it is. */
+    /**
+     * Whether the engine rejected the request itself (4xx except 408 and 429, and not declined), so
+     * that no other engine could process it either.
+     */
     boolean isRequestUnprocessable() {
         return !declined
                 && !responseMalformed
@@ -110,6 +113,8 @@
         if (!requestWritten && status == NO_STATUS) {
             return sendRejected || cancelled ? AttemptOutcome.NOT_SENT : AttemptOutcome.UNREACHABLE;
         }
+        // Guards against: a malformed response would be taken as proof that the attempt did not
+        // run.
         if (declined
                 && !responseMalformed
                 && (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)) {
@@ -121,8 +126,6 @@
         if (cancelled) {
             return deadlineExpired ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
         }
-        // Guards against: a malformed response would be taken as proof that the attempt did not
-        // run.
         if (responseMalformed) {
             return AttemptOutcome.FAULT;
         }
--- a/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
+++ b/src/main/java/larchridge/node/upstream/ForwardingUpstreamClient.java
@@ -38,13 +38,13 @@
                 requestEvents);
     }
 
-    /** Creates a client with another way of opening connections. */
+    /** Creates a client that uses the given opener and reports no events. */
     public ForwardingUpstreamClient(
             Scheduler scheduler, UpstreamSettings settings, ConnectionOpener opener) {
         this(scheduler, settings, opener, RequestEvents.NO_OP);
     }
 
-    /** Creates a client with another way of opening connections, which reports its events. */
+    /** Creates a client that uses the given opener. */
     public ForwardingUpstreamClient(
             Scheduler scheduler,
             UpstreamSettings settings,
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Sets the current engine endpoints. A release that the engine holding the state does not
-     * accept is sent to another of them.
+     * Sets the current engine endpoints. If the engine that holds a state does not answer a
+     * release, the release is sent to other engines of this list.
      */
     public void updateEndpoints(List<Endpoint> current) {
         pools.updateEndpoints(current);
--- a/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
+++ b/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Returns the holder first, then other engines that were not tried yet: those with an idle
-     * connection before those without, and within each group the one that responded last. Guards
-     * against: opening a connection could take the whole remaining time, and while engines are
-     * unreachable most tries would fail.
+     * Returns the holder if it is in the endpoint list and was not tried yet, else another engine
+     * that was not tried: those with an idle connection before those without, and within each group
+     * the one that responded most recently. Guards against: connecting could take the whole
+     * remaining time, and engines that have become unreachable would use up the tries.
      */
     @Override
     public Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried) {
@@ -63,7 +63,7 @@
         return best;
     }
 
-    /** Asks one engine to release all states that engines hold for a request. */
+    /** Sends a release of all states of a request to one engine. */
     private final class ReleaseCall extends ControlCall {
         private final String requestId;
         private final Consumer<ControlCallResult> listener;
--- a/src/main/java/larchridge/node/upstream/StateReleaser.java
+++ b/src/main/java/larchridge/node/upstream/StateReleaser.java
@@ -12,30 +12,41 @@
 
 /**
  * Releases the read states that engines hold for requests: once no attempt can fetch a state any
- * more, and in any case before its maximum hold time expires. All methods run on the event loop.
+ * more, and in any case before its maximum hold time expires. A release can be sent to any engine;
+ * it frees the states of the request at all engines. All methods run on the event loop.
  *
- * <p>The hold time of a state is suspended while an attempt is at an engine. But an attempt that
- * was written to a connection may never have reached the engine, which this node cannot detect. So
- * the hold time is assumed to continue until the engine responds to an attempt, and the release is
- * sent when most of the hold time has passed, even during an attempt. If the attempt did reach the
- * engine, this is harmless, because an engine does not free a state that a queued request waits
- * for. If it did not, the state is released in time; should the attempt arrive later, the engine
- * declines it because the state is missing, and the prompt is read again.
+ * <p>The hold time of a state does not run while an attempt of its request is at an engine, that
+ * is, has arrived there and not ended. But an attempt that was written to a connection may never
+ * have reached the engine, which this node cannot detect. So the hold time is assumed to continue
+ * until the engine responds to an attempt, and the release is sent when most of the hold time has
+ * passed, even during an attempt. If the attempt did reach the engine, this is harmless, because an
+ * engine does not free a state that a queued request waits for. If it did not, the state is
+ * released in time; should the attempt arrive later, the engine declines it because the state is
+ * missing, and the prompt is read again.
  */
 final class StateReleaser {
     /** Number of tries of a release that fit into the hold time. */
     private static final int TRIES_PER_HOLD_TIME = 5;
 
-    /** Number of tries of a release during an attempt, in the rest of the hold time plus grace. */
+    /**
+     * Number of tries of a release during an attempt that fit between {@link #RELEASE_AT_FRACTION}
+     * of the hold time and the end of {@link #HOLD_GRACE_MS}; determines the timeout of a try.
+     */
     private static final int TRIES_IN_REMAINING_HOLD_TIME = 4;
 
-    /** Maximum number of tries of a release, each at a different engine. */
+    /**
+     * Maximum number of engines tried before a release is given up or, if a try could not be sent
+     * for a local reason, starts again with all engines.
+     */
     private static final int MAX_TRIES = 10;
 
-    /** Grace period after the hold time before the platform counts a state as held too long. */
+    /**
+     * Tolerance of the platform that this node belongs to: a state counts as held too long only
+     * this long after its hold time.
+     */
     private static final double HOLD_GRACE_MS = 300;
 
-    /** Number of tracked requests from which a release for an untracked one is not sent. */
+    /** At this number of tracked requests, releases for untracked requests are dropped. */
     private static final int RELEASE_DROP_THRESHOLD = 20_000;
 
     /**
@@ -63,11 +74,11 @@
     /** The tracked requests, by request id. */
     private final Map<String, TrackedRequest> trackedRequests = new HashMap<>();
 
-    /** Sends releases to engines. */
+    /** Sends releases and chooses the engines to which they are sent. */
     interface Transport {
         /**
-         * Asks an engine to release all states that engines hold for a request. The listener
-         * receives the result, never from within this call.
+         * Sends a release of all states of a request to an engine. The listener receives the
+         * result, never from within this call.
          */
         void release(
                 Endpoint endpoint,
@@ -75,7 +86,12 @@
                 double timeoutMs,
                 Consumer<ControlCallResult> listener);
 
-        /** Returns the engine to try next, or null if all have been tried. */
+        /**
+         * Returns the engine to try next, or null if all have been tried.
+         *
+         * @param holder the engine that read the prompt, or null if no release was requested yet
+         * @param tried the engines tried so far
+         */
         Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried);
     }
 
@@ -115,15 +131,15 @@
     }
 
     /**
-     * Called when an attempt has ended in any other way.
+     * Called when an attempt has ended other than by a completed read.
      *
      * @param responseReceived whether the engine sent a response, which shows that the attempt
      *     reached it
      */
     void attemptEnded(TrackedRequest trackedRequest, boolean responseReceived) {
         trackedRequest.attemptEnded();
-        // If a release was sent during this attempt, the engine may have kept the state only for
-        // the attempt, and a new hold time starts now.
+        // A release sent during this attempt may have left the state in place, because the attempt
+        // was queued; its hold time then starts anew when the attempt ends.
         boolean releaseSentDuringAttempt = !trackedRequest.hasHoldTimer();
         if (trackedRequest.mayBeHeld() && (responseReceived || releaseSentDuringAttempt)) {
             cancelHoldTimer(trackedRequest);
@@ -134,7 +150,10 @@
 
     // ------------------------------------------------------------------ releases
 
-    /** Releases the state of a request, which is no longer needed. */
+    /**
+     * Requests the release of a request's state that is no longer needed; it is sent once no
+     * attempt can fetch the state.
+     */
     void requestRelease(String requestId, Endpoint holder) {
         TrackedRequest trackedRequest = trackedRequests.get(requestId);
         if (trackedRequest == null) {
@@ -168,7 +187,10 @@
         return trackedRequests.size();
     }
 
-    /** Records that a state may be held; the hold time of an earlier one continues. */
+    /**
+     * Records that a state may be held and starts the hold timer; a timer that is already running
+     * for an earlier state is kept.
+     */
     private void markMayBeHeld(TrackedRequest trackedRequest) {
         trackedRequest.markMayBeHeld();
         if (!trackedRequest.hasHoldTimer()) {
@@ -187,7 +209,7 @@
         LOG.atDebug()
                 .addKeyValue("id", trackedRequest.requestId())
                 .addKeyValue("attempts", trackedRequest.inFlightAttempts())
-                .log("hold time is expiring without a response; releasing the state");
+                .log("read state not fetched and its hold time is nearly over; releasing it");
         boolean duringAttempt = trackedRequest.mayBeFetched();
         startRelease(
                 trackedRequest,
@@ -277,8 +299,9 @@
     }
 
     /**
-     * Called when no engine has accepted the release. If this machine could not send it, for lack
-     * of a file descriptor or buffer, the cause is temporary and all engines are tried again later.
+     * Called when none of the engines tried has answered the release. If a try could not be sent
+     * for a local reason (connection limit, or lack of a file descriptor, buffer, port or route),
+     * the cause is taken to be temporary and all engines are tried again later.
      */
     private void endpointsExhausted(TrackedRequest trackedRequest) {
         double sinceStartMs = scheduler.nowMs() - trackedRequest.releaseStartMs();
@@ -290,7 +313,7 @@
         }
         LOG.atWarn()
                 .addKeyValue("id", trackedRequest.requestId())
-                .log("no engine accepted the release; state not released");
+                .log("no engine tried has answered the release; the state may still be held");
         releaseEnded(trackedRequest);
     }
 
--- a/src/main/java/larchridge/node/upstream/TrackedRequest.java
+++ b/src/main/java/larchridge/node/upstream/TrackedRequest.java
@@ -25,7 +25,10 @@
     /** Timer for the hold time of a state, or {@link #NO_TIMER}. */
     private long holdTimer = NO_TIMER;
 
-    /** Whether a release is requested but not sent; it may be requested again while one is sent. */
+    /**
+     * Whether a release is requested and not started yet; it can be requested again while an
+     * earlier one is in progress.
+     */
     private boolean releaseRequested;
 
     private ReleaseMode releaseMode = ReleaseMode.NONE;
@@ -53,9 +56,9 @@
         DURING_ATTEMPT
     }
 
-    /** Receives notice of releases that are sent during an attempt. */
+    /** Receives notice of releases that are started during an attempt. */
     interface ReleaseListener {
-        /** Called when the state that the attempt may fetch is being released. */
+        /** Called when a release of the state that the attempt may fetch has been started. */
         void releaseStartedDuringAttempt();
     }
 
--- a/src/main/java/larchridge/node/upstream/UpstreamConnection.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamConnection.java
@@ -198,7 +198,11 @@
     }
 
     private void closeMalformed(Object detail) {
-        LOG.debug("malformed response from {}: {}", pool.endpoint(), detail);
+        LOG.debug(
+                "closing connection to {} after invalid response or unexpected exception"
+                        + " (status, part or cause: {})",
+                pool.endpoint(),
+                detail);
         UpstreamExchange ended = exchange;
         exchange = null;
         close(CloseReason.BAD_INPUT);
--- a/src/main/java/larchridge/node/upstream/UpstreamContext.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamContext.java
@@ -4,7 +4,7 @@
 import larchridge.router.Scheduler;
 
 /**
- * Dependencies shared by the attempts and probes of one client.
+ * Dependencies shared by the attempts and probes of one {@link ForwardingUpstreamClient}.
  *
  * @param scheduler clock, timers and event loop
  * @param pools provides connections
--- a/src/main/java/larchridge/node/upstream/UpstreamExchange.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamExchange.java
@@ -6,9 +6,9 @@
 import larchridge.node.transport.ConnectFailure;
 
 /**
- * One request on a connection and its response. All methods are called on the event loop; the last
+ * One request on a connection and its response. All methods are called on the event loop. The last
  * call is one of {@link #responseCompleted}, {@link #responseMalformed}, {@link #disconnected} and
- * {@link #connectFailed}.
+ * {@link #connectFailed}, unless the exchange is abandoned or {@link #encodeRequest} returns null.
  */
 interface UpstreamExchange {
     /** Encodes the request just before it is sent; returns null if it must no longer be sent. */
@@ -35,6 +35,9 @@
     /** Called when the connection ended before the response did. */
     void disconnected();
 
-    /** Called when the connection could not be established, never from within the opening call. */
+    /**
+     * Called when the connection could not be established, never from within {@link
+     * ConnectionPools#startExchange}.
+     */
     void connectFailed(ConnectFailure failure);
 }
--- a/src/main/java/larchridge/node/upstream/UpstreamSettings.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamSettings.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Limits and timeouts of the connections to engines, derived from the configuration.
+ * Settings of the client for engines, derived from the configuration.
  *
- * @param connectTimeoutMs timeout for opening a connection, and for the response to a probe
+ * @param connectTimeoutMs timeout for opening a connection, and for a probe as a whole
  * @param keepAliveMs idle time after which an engine closes a connection
  * @param stateHoldMs maximum time for which an engine may hold a read state before its release
  * @param maxConnections maximum number of connections to all engines
--- a/src/main/java/larchridge/upstream/AnswerSummary.java
+++ b/src/main/java/larchridge/upstream/AnswerSummary.java
@@ -1,7 +1,7 @@
 package larchridge.upstream;
 
 /**
- * How an answer ended.
+ * How an answer ended, and its token counts.
  *
  * @param finishReason why it ended
  * @param stopSequence the stop sequence that was generated, or null
--- a/src/main/java/larchridge/upstream/AttemptListener.java
+++ b/src/main/java/larchridge/upstream/AttemptListener.java
@@ -27,8 +27,8 @@
     void textReceived(String text);
 
     /**
-     * Called with complete server-sent events of the answer, which are forwarded unchanged. Only
-     * clients that forward requests call this.
+     * Called with complete server-sent events of the answer, which are forwarded unchanged. Called
+     * only by an {@link UpstreamClient} that forwards requests.
      */
     default void eventsReceived(byte[] events) {
         throw new UnsupportedOperationException("this listener forwards no events");
@@ -42,18 +42,23 @@
 
     /**
      * Called when the engine reports an error in the request itself, which no other engine could
-     * process either; {@link #attemptEnded} follows.
+     * process either; {@link #attemptEnded} follows. Called only by an {@link UpstreamClient} that
+     * forwards requests.
      */
     default void requestUnprocessable() {}
 
     /**
-     * Called when the state that this attempt fetches has been released, because its maximum hold
-     * time was about to expire and the engine had not responded. An attempt that is queued at its
-     * engine continues; no other attempt can fetch that state.
+     * Called when a release of the state that this attempt fetches has been started, because its
+     * maximum hold time was about to expire and the engine had not responded. An attempt that is
+     * queued at its engine continues; no other attempt can fetch that state. Called only by an
+     * {@link UpstreamClient} that forwards requests.
      */
     default void stateReleaseStarted() {}
 
-    /** Called when the attempt was rejected before writing; {@link #attemptEnded} follows. */
+    /**
+     * Called when the attempt was rejected before writing; {@link #attemptEnded} follows. Called
+     * only by an {@link UpstreamClient} that forwards requests.
+     */
     default void notSent(SendRejection reason) {}
 
     /**
--- a/src/main/java/larchridge/upstream/CompletionsAttempt.java
+++ b/src/main/java/larchridge/upstream/CompletionsAttempt.java
@@ -57,7 +57,7 @@
     private int outputTokens = AnswerSummary.TOKENS_UNREPORTED;
     private int textEvents;
 
-    /** The body of a response that is not streamed. */
+    /** The part received so far of the body of a response that is not streamed. */
     private Buffer aggregatedBody;
 
     CompletionsAttempt(
--- a/src/main/java/larchridge/upstream/CompletionsAttemptClassifier.java
+++ b/src/main/java/larchridge/upstream/CompletionsAttemptClassifier.java
@@ -8,9 +8,9 @@
 import larchridge.state.AttemptOutcome;
 
 /**
- * Determines the outcome of one attempt from the observed events. Safe retries depend on this
- * class: an outcome that proves the attempt did not run is returned only if the engine cannot have
- * received the request or states that it did not run it.
+ * Determines the outcome of one attempt over the completions API from the observed events. Safe
+ * retries depend on this class: an outcome that proves the attempt did not run is returned only if
+ * the engine cannot have received the request or states that it did not run it.
  */
 public final class CompletionsAttemptClassifier {
     /** Error code of an engine that does not hold the requested state. */
@@ -36,7 +36,7 @@
                 : AttemptOutcome.UNREACHABLE;
     }
 
-    /** Records that the request was written to the socket; the engine may now receive it. */
+    /** Records that the request is about to be written; from now on the engine may receive it. */
     void writeStarted() {
         writeStarted = true;
     }
--- a/src/main/java/larchridge/upstream/CompletionsLoadReportParser.java
+++ b/src/main/java/larchridge/upstream/CompletionsLoadReportParser.java
@@ -10,7 +10,8 @@
 /**
  * Parses engines' load reports: the ORCA response header {@code endpoint-load-metrics} in its text
  * and JSON forms, and the metrics page that a probe fetches (Prometheus text format). Metrics that
- * are not reported are NaN; a report that cannot be parsed is null.
+ * are not reported are NaN; a report that cannot be parsed, or that contains neither running nor
+ * waiting requests nor the cache usage, is null.
  */
 final class CompletionsLoadReportParser {
     /** The response header that carries a load report. */
@@ -33,14 +34,17 @@
 
     private static final String PAGE_PENDING_TOKENS = "vllm:prompt_tokens_waiting";
 
-    /** Values from this one on are treated as not reported. */
+    /** Values at or above this are treated as not reported. */
     private static final double IMPLAUSIBLE_VALUE = 1e15;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private CompletionsLoadReportParser() {}
 
-    /** Parses a response header; returns null if it is missing or cannot be parsed. */
+    /**
+     * Parses a response header; returns null unless it reports running or waiting requests or the
+     * cache usage.
+     */
     static LoadReport fromHeader(String header) {
         if (header == null) {
             return null;
@@ -64,7 +68,10 @@
                 metrics.getOrDefault(HEADER_PENDING_TOKENS, Double.NaN));
     }
 
-    /** Parses a Prometheus metrics page; returns null if it contains no load metrics. */
+    /**
+     * Parses a Prometheus metrics page; returns null unless it reports running or waiting requests
+     * or the cache usage.
+     */
     static LoadReport fromMetricsPage(String page) {
         Map<String, Double> metrics = new HashMap<>();
         for (String line : page.split("\n")) {
--- a/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
+++ b/src/main/java/larchridge/upstream/CompletionsRequestEncoder.java
@@ -16,7 +16,7 @@
     private CompletionsRequestEncoder() {}
 
     /**
-     * A state held at a reader.
+     * Identifies a state held at a reader by the parameters for its transfer.
      *
      * @param transferParameters the reader's transfer parameters, passed on to the writer
      */
--- a/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
+++ b/src/main/java/larchridge/upstream/CompletionsStateReleaser.java
@@ -12,8 +12,8 @@
 /**
  * Releases read states at engines, with retries, because a state that is not released occupies the
  * engine's memory. If all tries fail, the engine's own timeout frees the state. At most {@value
- * #MAX_PENDING_RELEASES} releases are pending at a time; further ones are logged and not sent, so
- * that the engine's timeout frees those states too.
+ * #MAX_PENDING_RELEASES} releases are pending at a time; further ones are logged and not sent, and
+ * the engine's timeout frees those states too.
  */
 final class CompletionsStateReleaser {
     private static final Logger LOG = LoggerFactory.getLogger(CompletionsStateReleaser.class);
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Whether the release needs no retry. Only a server error or status 429 does: an engine that
-     * does not know the state has nothing to release.
+     * Whether the release needs no retry. Server errors and status 429 are retried; any other error
+     * status, such as that for an unknown state, means that there is nothing to release.
      */
     private static boolean isAcknowledged(int status) {
         return status < HTTP_INTERNAL_ERROR && status != STATUS_TOO_MANY_REQUESTS;
--- a/src/main/java/larchridge/upstream/StateHandle.java
+++ b/src/main/java/larchridge/upstream/StateHandle.java
@@ -1,4 +1,7 @@
 package larchridge.upstream;
 
-/** Identifies a read state held at a reader; opaque except to the client that returned it. */
+/**
+ * Identifies a read state held at a reader; opaque except to the {@link UpstreamClient} that
+ * created it.
+ */
 public interface StateHandle {}
--- a/src/main/java/larchridge/upstream/UpstreamClient.java
+++ b/src/main/java/larchridge/upstream/UpstreamClient.java
@@ -22,16 +22,20 @@
     /** Receives the result of a probe. */
     interface ProbeListener {
         /**
-         * Called when the probe has ended.
+         * Called when the probe has ended; may be omitted if the probe could not be sent for a
+         * local reason.
          *
-         * @param succeeded whether the engine responded successfully in time
+         * @param succeeded whether the engine sent a valid response in time
          * @param report the engine's load report; null if the probe failed or the engine has no
          *     report yet
          */
         void completed(boolean succeeded, LoadReport report);
     }
 
-    /** Whether any release has not been acknowledged by an engine yet. */
+    /**
+     * Whether any release is requested or in progress; always false for a client that does not
+     * report this.
+     */
     default boolean hasPendingReleases() {
         return false;
     }
