--- a/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamClientTest.java
@@ -310,7 +310,9 @@
         fixture.onLoop(
                 () -> {
                     fixture.client()
-                            .probe(fixture.endpoint, (answered, report) -> probed.complete(report));
+                            .probe(
+                                    fixture.endpoint,
+                                    (succeeded, report) -> probed.complete(report));
                     return null;
                 });
         assertEquals(4, probed.get(5, TimeUnit.SECONDS).inflight());
@@ -319,7 +321,9 @@
         fixture.onLoop(
                 () -> {
                     fixture.client()
-                            .probe(fixture.endpoint, (answered, report) -> silent.complete(report));
+                            .probe(
+                                    fixture.endpoint,
+                                    (succeeded, report) -> silent.complete(report));
                     return null;
                 });
         assertEquals(null, silent.get(5, TimeUnit.SECONDS));
