--- a/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
+++ b/src/main/java/larchridge/node/upstream/PooledReleaseTransport.java
@@ -13,12 +13,13 @@
 
     private final Scheduler scheduler;
     private final ConnectionPools pools;
-    private final RequestEvents events;
+    private final RequestEvents requestEvents;
 
-    PooledReleaseTransport(Scheduler scheduler, ConnectionPools pools, RequestEvents events) {
+    PooledReleaseTransport(
+            Scheduler scheduler, ConnectionPools pools, RequestEvents requestEvents) {
         this.scheduler = scheduler;
         this.pools = pools;
-        this.events = events;
+        this.requestEvents = requestEvents;
     }
 
     @Override
@@ -31,10 +32,10 @@
     }
 
     /**
-     * Returns the holder first, then other engines that were not tried yet: those with an idle
-     * connection before those without, and within each group the one that responded last. Guards
-     * against: opening a connection could take the whole remaining time, and while engines are
-     * unreachable most tries would fail.
+     * Returns the holder if it is in the endpoint list and was not tried yet, else another engine
+     * that was not tried: those with an idle connection before those without, and within each group
+     * the one that responded most recently. Guards against: connecting could take the whole
+     * remaining time, and engines that have become unreachable would use up the tries.
      */
     @Override
     public Endpoint nextEndpoint(Endpoint holder, Set<Endpoint> tried) {
@@ -49,7 +50,7 @@
                 return endpoint;
             }
             ConnectionPool pool = pools.existingPool(endpoint);
-            boolean hasIdle = pool != null && pool.hasUsableIdle();
+            boolean hasIdle = pool != null && pool.isNewestIdleOpen();
             double receivedMs = pool == null ? Double.NEGATIVE_INFINITY : pool.lastReceivedMs();
             if (best == null
                     || (hasIdle && !bestHasIdle)
@@ -62,7 +63,7 @@
         return best;
     }
 
-    /** Asks one engine to release all states that engines hold for a request. */
+    /** Sends a release of all states of a request to one engine. */
     private final class ReleaseCall extends ControlCall {
         private final String requestId;
         private final Consumer<ControlCallResult> listener;
@@ -86,7 +87,7 @@
         @Override
         void completed(ControlCallResult result) {
             if (result == ControlCallResult.ANSWERED) {
-                events.stateReleased(requestId);
+                requestEvents.stateReleased(requestId);
             }
             listener.accept(result);
         }
--- a/src/main/java/larchridge/node/upstream/UpstreamConnection.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamConnection.java
@@ -62,7 +62,7 @@
         channel = created;
     }
 
-    boolean isUsable() {
+    boolean isOpen() {
         return !closed && channel.isActive();
     }
 
@@ -83,7 +83,7 @@
         FullHttpRequest request = next.encodeRequest();
         if (request == null) {
             exchange = null;
-            pool.returnUnused(this);
+            pool.returnToIdle(this);
             return;
         }
         channel.writeAndFlush(request)
@@ -198,7 +198,11 @@
     }
 
     private void closeMalformed(Object detail) {
-        LOG.debug("malformed response from {}: {}", pool.endpoint(), detail);
+        LOG.debug(
+                "closing connection to {} after invalid response or unexpected exception"
+                        + " (status, part or cause: {})",
+                pool.endpoint(),
+                detail);
         UpstreamExchange ended = exchange;
         exchange = null;
         close(CloseReason.BAD_INPUT);
@@ -214,7 +218,7 @@
             exchange = null;
             pool.returnAfterResponse(this);
         } else if (exchange != null) {
-            exchange.readBatchCompleted();
+            exchange.socketReadCompleted();
         }
     }
 
--- a/src/main/java/larchridge/node/upstream/UpstreamContext.java
+++ b/src/main/java/larchridge/node/upstream/UpstreamContext.java
@@ -4,17 +4,17 @@
 import larchridge.router.Scheduler;
 
 /**
- * Dependencies shared by the attempts and probes of one client.
+ * Dependencies shared by the attempts and probes of one {@link ForwardingUpstreamClient}.
  *
  * @param scheduler clock, timers and event loop
  * @param pools provides connections
- * @param loadReports parses load reports in responses
+ * @param loadReportParser parses load reports in responses
  * @param releaser tracks the states that attempts leave or fetch
- * @param events receives the events of attempts
+ * @param requestEvents receives the events of attempts
  */
 record UpstreamContext(
         Scheduler scheduler,
         ConnectionPools pools,
-        LoadReportReader loadReports,
+        ConfiguredLoadReportParser loadReportParser,
         StateReleaser releaser,
-        RequestEvents events) {}
+        RequestEvents requestEvents) {}
--- a/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
+++ b/src/test/java/larchridge/node/upstream/PooledReleaseTransportTest.java
@@ -37,7 +37,7 @@
     /** Connects to an engine with a probe, which leaves the connection idle. */
     private EmbeddedChannel connectAndProbe(Endpoint endpoint) {
         reachable.put(endpoint, null);
-        fixture.client.probe(endpoint, (answered, report) -> {});
+        fixture.client.probe(endpoint, (succeeded, report) -> {});
         EmbeddedChannel engine = reachable.get(endpoint);
         respond(engine, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         engine.releaseOutbound();
@@ -78,6 +78,6 @@
         fixture.client.release(endpoint(1), "9b1f03aa5c7e2d41.0");
         fixture.advance(2000);
         assertEquals(List.of(endpoint(1), endpoint(0), endpoint(2)), tried);
-        assertEquals(0, fixture.client.openRequests());
+        assertEquals(0, fixture.client.trackedRequestCount());
     }
 }
