--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -36,7 +36,7 @@
     private static final double ENGINE_SOCKETS_FRACTION = 0.45;
 
     /** The engine connections divided by this may be used for a single engine. */
-    private static final int ENGINE_SOCKETS_DIVISOR = 2;
+    private static final int SINGLE_ENGINE_SOCKETS_DIVISOR = 2;
 
     private static final int MAX_BODY_BYTES = 256 << 10;
     private static final double BYTES_PER_MEBIBYTE = 1048576.0;
@@ -66,7 +66,7 @@
     /** Longest silence on a client's stream; slightly less than the platform allows. */
     private static final double SILENT_STREAM_TIMEOUT_MS = 4500;
 
-    private static final double SLOW_CLIENT_TIMEOUT_MS = 4500;
+    private static final double PAUSED_STREAM_TIMEOUT_MS = 4500;
 
     /** Shutdown may take this multiple of the longest time that a client waits. */
     private static final int STOP_TIMEOUT_MULTIPLE = 10;
@@ -104,7 +104,7 @@
         Router router =
                 new Router(
                         scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
-        audit.compareCounts(scheduler, router, upstream);
+        audit.scheduleAttemptCountCheck(scheduler, router, upstream);
         HttpServer server =
                 new HttpServer(
                         new ServerDependencies(
@@ -115,7 +115,7 @@
                                 serverLimits(),
                                 audit.events(),
                                 audit.newRouterMetrics()));
-        DiscoveryClient discovery = discovery(audit, upstream, router);
+        DiscoveryClient discovery = startDiscovery(audit, upstream, router);
         NodeComponents components = new NodeComponents(audit, upstream, router, server, discovery);
         if (LOG.isDebugEnabled()) {
             EngineStateLog engineStates = new EngineStateLog(components, scheduler);
@@ -130,7 +130,7 @@
         site.drainGraceMs = settings.drainGraceMs();
         site.limit.openGenerations =
                 (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
-        site.limit.slowClientMs = SLOW_CLIENT_TIMEOUT_MS;
+        site.limit.slowClientMs = PAUSED_STREAM_TIMEOUT_MS;
         site.limit.quietStreamMs = SILENT_STREAM_TIMEOUT_MS;
         site.limit.stopMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
         return site;
@@ -147,7 +147,7 @@
                 settings.keepAliveMs(),
                 settings.releaseMs(),
                 (int) engineSockets,
-                (int) (engineSockets / ENGINE_SOCKETS_DIVISOR),
+                (int) (engineSockets / SINGLE_ENGINE_SOCKETS_DIVISOR),
                 settings.reportFields());
     }
 
@@ -162,7 +162,7 @@
                 LINGER_MS);
     }
 
-    private DiscoveryClient discovery(
+    private DiscoveryClient startDiscovery(
             NodeAudit audit, ForwardingUpstreamClient upstream, Router router) {
         EndpointListReader reader =
                 new EndpointListReader(settings.roles(), settings.memoryTokens());
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -108,19 +108,20 @@
     }
 
     /** Periodically checks that the policy and the upstream client count the same attempts. */
-    void compareCounts(Scheduler scheduler, Router router, ForwardingUpstreamClient upstream) {
+    void scheduleAttemptCountCheck(
+            Scheduler scheduler, Router router, ForwardingUpstreamClient upstream) {
         scheduler.scheduleAtFixedDelay(
                 COUNTS_CHECK_INTERVAL_MS,
                 () ->
                         router.forEachEngine(
                                 (endpoint, engine) ->
-                                        compareCounts(
+                                        checkAttemptCounts(
                                                 endpoint,
                                                 engine.attempts().size(),
                                                 upstream.inFlightAttempts(endpoint))));
     }
 
-    private void compareCounts(Endpoint endpoint, int policyCount, int upstreamCount) {
+    private void checkAttemptCounts(Endpoint endpoint, int policyCount, int upstreamCount) {
         if (policyCount != upstreamCount) {
             violations.report(
                     Invariant.ATTEMPT_COUNTS_AGREE,
--- a/src/main/java/larchridge/node/WholeMillisecondIoHandler.java
+++ b/src/main/java/larchridge/node/TimerRoundingIoHandler.java
@@ -13,7 +13,7 @@
  * without blocking, iteration after iteration, until the timer is due. On a small CPU share, this
  * polling costs more than serving all requests, and responses wait behind it.
  */
-final class WholeMillisecondIoHandler implements IoHandler {
+final class TimerRoundingIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandler handler;
@@ -21,13 +21,13 @@
     /**
      * Creates a handler that rounds waits up and delegates everything else to the given handler.
      */
-    WholeMillisecondIoHandler(IoHandler handler) {
+    TimerRoundingIoHandler(IoHandler handler) {
         this.handler = handler;
     }
 
     /** Returns a factory that wraps the handlers of another factory. */
     static IoHandlerFactory wrap(IoHandlerFactory factory) {
-        return executor -> new WholeMillisecondIoHandler(factory.newHandler(executor));
+        return executor -> new TimerRoundingIoHandler(factory.newHandler(executor));
     }
 
     @Override
--- a/src/main/java/larchridge/node/WarmupClients.java
+++ b/src/main/java/larchridge/node/WarmupClients.java
@@ -11,7 +11,8 @@
 /** The clients of a warm-up: in-memory connections that send valid and invalid requests. */
 final class WarmupClients {
     private static final AttributeKey<Boolean> BUSY = AttributeKey.valueOf("warmup.busy");
-    private static final String HEAD = "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\n";
+    private static final String REQUEST_HEAD_START =
+            "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\n";
     private static final String BODY =
             "{\"model\":\"p\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\""
                     + "abcd".repeat(500)
@@ -20,14 +21,14 @@
     /** Requests of invalid clients, each of which closes its connection after one request. */
     private static final List<String> INVALID_REQUESTS =
             List.of(
-                    HEAD + "Content-Length: -4\r\n\r\n",
-                    HEAD + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
-                    HEAD + "Content-Length: 60000000\r\n\r\n",
-                    HEAD + "Req-Id: x\r\nContent-Length: 2\r\n\r\n{}",
+                    REQUEST_HEAD_START + "Content-Length: -4\r\n\r\n",
+                    REQUEST_HEAD_START + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
+                    REQUEST_HEAD_START + "Content-Length: 60000000\r\n\r\n",
+                    REQUEST_HEAD_START + "Req-Id: x\r\nContent-Length: 2\r\n\r\n{}",
                     "\u0001\u0002\u0003\r\n\r\n",
-                    HEAD + "A: " + "b".repeat(20_000),
-                    HEAD + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-                    HEAD + "Content-Length: 20\r\n\r\nhalf");
+                    REQUEST_HEAD_START + "A: " + "b".repeat(20_000),
+                    REQUEST_HEAD_START + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+                    REQUEST_HEAD_START + "Content-Length: 20\r\n\r\nhalf");
 
     private static final String LAST_CHUNK = "0\r\n\r\n";
     private static final int SESSION_KEYS = 40;
@@ -67,7 +68,7 @@
         client.attr(BUSY).set(true);
         client.writeInbound(
                 EmbeddedChannelBytes.of(
-                        HEAD
+                        REQUEST_HEAD_START
                                 + "Req-Id: "
                                 + String.format("%016x", sent)
                                 + "\r\nReq-Kind: p\r\nReq-Key: k"
--- a/src/test/java/larchridge/node/WholeMillisecondIoHandlerTest.java
+++ b/src/test/java/larchridge/node/TimerRoundingIoHandlerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class WholeMillisecondIoHandlerTest {
+class TimerRoundingIoHandlerTest {
     private static final int TIMERS = 200;
     private static final long DELAY_NANOS = 1_400_000;
 
@@ -62,7 +62,7 @@
     @Test
     void loopDoesNotPollDuringTheLastPartialMillisecondBeforeATimer() throws Exception {
         int plain = iterationsOf(counted());
-        int rounded = iterationsOf(WholeMillisecondIoHandler.wrap(counted()));
+        int rounded = iterationsOf(TimerRoundingIoHandler.wrap(counted()));
         assertTrue(
                 plain > 10 * TIMERS,
                 "iterations of Netty's own handler, which is expected to poll: " + plain);
