--- a/src/main/java/larchridge/node/server/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -31,7 +31,7 @@
     private final StrictRequestDecoder decoder = new StrictRequestDecoder(this::requestStarted);
     private final RequestTiming timing;
     private final RequestBodyBuffer body;
-    private final PipelineQueue pipeline;
+    private final PipelineQueue pipelinedParts;
     private final ConnectionCloser closer;
     private ConnectionState state = ConnectionState.AWAITING_REQUEST;
 
@@ -48,7 +48,7 @@
         ServerLimits limits = server.limits;
         timing = new RequestTiming(limits, server.scheduler.nowMs());
         body = new RequestBodyBuffer(server.bodyMemory, limits.maxBodyBytes());
-        pipeline = new PipelineQueue(server.bodyMemory, limits.maxBodyBytes());
+        pipelinedParts = new PipelineQueue(server.bodyMemory, limits.maxBodyBytes());
         closer = new ConnectionCloser(channel, limits.lingerMs());
     }
 
@@ -86,7 +86,7 @@
         if (state == ConnectionState.CLOSING) {
             ReferenceCountUtil.release(part);
         } else if (state == ConnectionState.SERVING) {
-            pipeline.add(part);
+            pipelinedParts.add(part);
         } else {
             processAndRelease(part);
         }
@@ -156,7 +156,7 @@
         state = ConnectionState.CLOSING;
         head = null;
         body.discard();
-        pipeline.releaseAll();
+        pipelinedParts.releaseAll();
     }
 
     // ------------------------------------------------------------------ responses
@@ -165,7 +165,7 @@
     void startExchange(ClientExchange started) {
         exchange = started;
         state = ConnectionState.SERVING;
-        server.connections.markServing(this);
+        server.connections.unmarkIdleAndReceiving(this);
     }
 
     /**
@@ -210,7 +210,7 @@
      * arrived on it.
      */
     private boolean isLastResponse() {
-        return server.isDraining() && pipeline.isEmpty() && !decoder.isReceiving();
+        return server.isDraining() && pipelinedParts.isEmpty() && !decoder.isReceiving();
     }
 
     /** Writes without flushing. */
@@ -247,12 +247,12 @@
         } else {
             server.connections.markIdle(this);
         }
-        while (state.readsRequests() && !pipeline.isEmpty()) {
-            processAndRelease(pipeline.remove());
+        while (state.readsRequests() && !pipelinedParts.isEmpty()) {
+            processAndRelease(pipelinedParts.remove());
         }
-        if (state.readsRequests() && (pipeline.hasOverflowed() || isLastResponse())) {
+        if (state.readsRequests() && (pipelinedParts.hasOverflowed() || isLastResponse())) {
             closeGracefully(
-                    pipeline.hasOverflowed() ? CloseReason.SENT_AHEAD : CloseReason.SHUTDOWN);
+                    pipelinedParts.hasOverflowed() ? CloseReason.SENT_AHEAD : CloseReason.SHUTDOWN);
         }
     }
 
@@ -307,7 +307,7 @@
      * events of other connections in the same iteration of the event loop. Must not be called while
      * this connection is being read.
      */
-    boolean hasPeerClosed() {
+    boolean readAndCheckPeerClosed() {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             socket.read();
         }
@@ -321,7 +321,7 @@
      */
     void closeIfIdleAfterRequest() {
         if (timing.hasReceivedRequest()
-                && !hasPeerClosed()
+                && !readAndCheckPeerClosed()
                 && state.readsRequests()
                 && !decoder.isReceiving()) {
             closeGracefully(CloseReason.SHUTDOWN);
--- a/src/main/java/larchridge/node/server/ClientExchange.java
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -139,7 +139,7 @@
 
     @Override
     public boolean isDisconnected() {
-        return connection.hasPeerClosed();
+        return connection.readAndCheckPeerClosed();
     }
 
     @Override
--- a/src/main/java/larchridge/node/server/ConnectionRegistry.java
+++ b/src/main/java/larchridge/node/server/ConnectionRegistry.java
@@ -53,7 +53,7 @@
     }
 
     /** Marks a connection as having a request in flight. */
-    void markServing(ClientConnection connection) {
+    void unmarkIdleAndReceiving(ClientConnection connection) {
         idle.remove(connection);
         receiving.remove(connection);
     }
@@ -76,7 +76,7 @@
 
     /** Marks a connection as half-closed by this side and still read. */
     void markClosing(ClientConnection connection) {
-        markServing(connection);
+        unmarkIdleAndReceiving(connection);
         if (all.contains(connection)) {
             closing.add(connection);
         }
@@ -87,7 +87,7 @@
     }
 
     void remove(ClientConnection connection) {
-        markServing(connection);
+        unmarkIdleAndReceiving(connection);
         closing.remove(connection);
         all.remove(connection);
     }
--- a/src/main/java/larchridge/node/server/RequestHead.java
+++ b/src/main/java/larchridge/node/server/GenerationParameters.java
@@ -10,18 +10,19 @@
  * @param id the request's own id
  * @param trafficClass name of the traffic class
  * @param session name of the session; the request's id if the client gave none
- * @param deadlineMs how long the client waits for the first token, from when it sent the request
+ * @param firstTokenTimeoutMs how long the client waits for the first token, from when it sent the
+ *     request
  * @param prefix name of the prefix that other sessions share, or null
  * @param promptTokens length of the prompt in tokens
  * @param sharedTokens length of the shared prefix in tokens, at most that of the prompt
  * @param maxTokens maximum length of the response in tokens
  * @param isRetry whether the client marked the request as a retry
  */
-record RequestHead(
+record GenerationParameters(
         String id,
         String trafficClass,
         String session,
-        double deadlineMs,
+        double firstTokenTimeoutMs,
         String prefix,
         int promptTokens,
         int sharedTokens,
@@ -35,17 +36,18 @@
     private static final String RETRY = "Req-Retry";
 
     private static final int MAX_TOKENS = 10_000_000;
-    private static final long MAX_DEADLINE_MS = 86_400_000;
+    private static final long MAX_FIRST_TOKEN_TIMEOUT_MS = 86_400_000;
     private static final int MAX_NAME_LENGTH = 128;
 
     /** Longer numbers may overflow a long. */
     private static final int MAX_DIGITS = 18;
 
-    static RequestHead read(HttpHeaders headers) throws InvalidRequestHeadException {
+    static GenerationParameters read(HttpHeaders headers)
+            throws InvalidGenerationParametersException {
         String id = readId(headers);
         String trafficClass = readTrafficClass(headers);
         String session = optionalName(headers, SESSION);
-        double deadlineMs = readDeadlineMs(headers);
+        double firstTokenTimeoutMs = readFirstTokenTimeoutMs(headers);
         String prefix = null;
         int promptTokens = -1;
         int sharedTokens = 0;
@@ -64,14 +66,15 @@
             }
         }
         if (promptTokens < 0 || maxTokens < 0) {
-            throw new InvalidRequestHeadException(EXTRA + ": expected prompt_len and max_out");
+            throw new InvalidGenerationParametersException(
+                    EXTRA + ": expected prompt_len and max_out");
         }
         boolean isRetry = singleValue(headers, RETRY) != null;
-        return new RequestHead(
+        return new GenerationParameters(
                 id,
                 trafficClass,
                 session == null ? id : session,
-                deadlineMs,
+                firstTokenTimeoutMs,
                 prefix,
                 promptTokens,
                 Math.min(sharedTokens, promptTokens),
@@ -79,29 +82,34 @@
                 isRetry);
     }
 
-    private static String readId(HttpHeaders headers) throws InvalidRequestHeadException {
+    private static String readId(HttpHeaders headers) throws InvalidGenerationParametersException {
         String id = singleValue(headers, ID);
         if (id == null || !id.matches("[0-9a-fA-F]{16}")) {
-            throw new InvalidRequestHeadException(ID + ": expected 16 hex digits");
+            throw new InvalidGenerationParametersException(ID + ": expected 16 hex digits");
         }
         return id;
     }
 
-    private static String readTrafficClass(HttpHeaders headers) throws InvalidRequestHeadException {
+    private static String readTrafficClass(HttpHeaders headers)
+            throws InvalidGenerationParametersException {
         String trafficClass = optionalName(headers, TRAFFIC_CLASS);
         if (trafficClass == null) {
-            throw new InvalidRequestHeadException(TRAFFIC_CLASS + ": missing; expected a class");
+            throw new InvalidGenerationParametersException(
+                    TRAFFIC_CLASS + ": missing; expected a class");
         }
         return trafficClass;
     }
 
-    private static double readDeadlineMs(HttpHeaders headers) throws InvalidRequestHeadException {
-        long deadlineMs =
-                parseWholeNumber(singleValue(headers, DEADLINE_MS), DEADLINE_MS, MAX_DEADLINE_MS);
-        if (deadlineMs <= 0) {
-            throw new InvalidRequestHeadException(DEADLINE_MS + ": expected milliseconds over 0");
+    private static double readFirstTokenTimeoutMs(HttpHeaders headers)
+            throws InvalidGenerationParametersException {
+        long firstTokenTimeoutMs =
+                parseWholeNumber(
+                        singleValue(headers, DEADLINE_MS), DEADLINE_MS, MAX_FIRST_TOKEN_TIMEOUT_MS);
+        if (firstTokenTimeoutMs <= 0) {
+            throw new InvalidGenerationParametersException(
+                    DEADLINE_MS + ": expected milliseconds over 0");
         }
-        return deadlineMs;
+        return firstTokenTimeoutMs;
     }
 
     private static String keyOf(String pair) {
@@ -118,41 +126,42 @@
         return value.isEmpty() || value.length() > MAX_NAME_LENGTH ? null : value;
     }
 
-    private static int tokenCount(String value, String name) throws InvalidRequestHeadException {
+    private static int tokenCount(String value, String name)
+            throws InvalidGenerationParametersException {
         return (int) parseWholeNumber(value, name, MAX_TOKENS);
     }
 
     /** Returns the value of a header that may be given once, or null if it is absent. */
     private static String singleValue(HttpHeaders headers, String name)
-            throws InvalidRequestHeadException {
+            throws InvalidGenerationParametersException {
         List<String> values = headers.getAll(name);
         if (values.size() > 1) {
-            throw new InvalidRequestHeadException(name + ": given twice");
+            throw new InvalidGenerationParametersException(name + ": given twice");
         }
         return values.isEmpty() ? null : values.get(0).strip();
     }
 
     private static String optionalName(HttpHeaders headers, String name)
-            throws InvalidRequestHeadException {
+            throws InvalidGenerationParametersException {
         String value = singleValue(headers, name);
         if (value != null && (value.isEmpty() || value.length() > MAX_NAME_LENGTH)) {
-            throw new InvalidRequestHeadException(
+            throw new InvalidGenerationParametersException(
                     name + ": expected a name of 1 to " + MAX_NAME_LENGTH + " characters");
         }
         return value;
     }
 
     private static long parseWholeNumber(String text, String name, long max)
-            throws InvalidRequestHeadException {
+            throws InvalidGenerationParametersException {
         if (text == null
                 || text.isEmpty()
                 || text.length() > MAX_DIGITS
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new InvalidRequestHeadException(name + ": expected a whole number");
+            throw new InvalidGenerationParametersException(name + ": expected a whole number");
         }
         long value = Long.parseLong(text);
         if (value > max) {
-            throw new InvalidRequestHeadException(name + ": expected at most " + max);
+            throw new InvalidGenerationParametersException(name + ": expected at most " + max);
         }
         return value;
     }
--- a/src/main/java/larchridge/node/server/RequestDispatcher.java
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -74,30 +74,30 @@
     }
 
     private void dispatchGeneration(ClientConnection connection, HttpRequest request) {
-        RequestHead head;
+        GenerationParameters parameters;
         try {
-            head = RequestHead.read(request.headers());
-        } catch (InvalidRequestHeadException e) {
+            parameters = GenerationParameters.read(request.headers());
+        } catch (InvalidGenerationParametersException e) {
             connection.reject(RequestRejection.BAD_HEADER, e.getMessage());
             return;
         }
-        ProductOffering offering = offerings.get(head.trafficClass());
+        ProductOffering offering = offerings.get(parameters.trafficClass());
         if (offering == null) {
             connection.reject(RequestRejection.NO_SUCH_CLASS);
         } else if (connection.body().isEmpty()) {
             connection.reject(RequestRejection.NO_BODY);
         } else if (!server.router.tryAdmit()) {
-            shedLoad(connection, request);
-        } else if (!server.requestIds.tryAcquire(head.id())) {
+            rejectUnadmitted(connection, request);
+        } else if (!server.requestIds.tryAcquire(parameters.id())) {
             server.router.exchangeEnded();
             connection.reject(RequestRejection.ID_USED);
         } else {
-            startExchange(connection, request, head, offering);
+            startExchange(connection, request, parameters, offering);
         }
     }
 
     /** Rejects a request but keeps its connection open: the data that follows is valid. */
-    private void shedLoad(ClientConnection connection, HttpRequest request) {
+    private void rejectUnadmitted(ClientConnection connection, HttpRequest request) {
         RequestRejection rejection = RequestRejection.NOT_ADMITTED;
         connection.body().discard();
         server.requestRejected(rejection);
@@ -109,17 +109,17 @@
     private void startExchange(
             ClientConnection connection,
             HttpRequest request,
-            RequestHead head,
+            GenerationParameters parameters,
             ProductOffering offering) {
         double receivedMs = connection.headReceivedMs();
         ForwardedRequest forwarded =
                 new ForwardedRequest(
                         POST,
                         request.uri(),
-                        head.id(),
+                        parameters.id(),
                         ForwardedHeaders.of(request.headers()),
                         connection.body().take(),
-                        receivedMs + head.deadlineMs());
+                        receivedMs + parameters.firstTokenTimeoutMs());
         ClientExchange exchange =
                 new ClientExchange(
                         connection,
@@ -129,38 +129,39 @@
         connection.startExchange(exchange);
         // Submitted in a later task of the event loop, so that the close of a client that closes
         // right after its request is read before anything is forwarded.
-        server.scheduler.execute(() -> submit(exchange, head, offering, forwarded));
+        server.scheduler.execute(() -> submit(exchange, parameters, offering, forwarded));
     }
 
     private void submit(
             ClientExchange exchange,
-            RequestHead head,
+            GenerationParameters parameters,
             ProductOffering offering,
             ForwardedRequest forwarded) {
         if (exchange.isFinished() || exchange.isDisconnected()) {
             return;
         }
         try {
-            server.events.accepted(head.id(), offering.product, forwarded.firstTokenDeadlineMs());
+            server.events.accepted(
+                    parameters.id(), offering.product, forwarded.firstTokenDeadlineMs());
             server.router.submit(
                     GenerationRequest.forwarding(
                             offering,
                             server.site.guest,
                             forwarded,
-                            head.promptTokens(),
-                            head.sharedTokens(),
-                            head.maxTokens(),
-                            head.prefix(),
-                            head.session(),
-                            head.isRetry(),
-                            head.deadlineMs(),
+                            parameters.promptTokens(),
+                            parameters.sharedTokens(),
+                            parameters.maxTokens(),
+                            parameters.prefix(),
+                            parameters.session(),
+                            parameters.isRetry(),
+                            parameters.firstTokenTimeoutMs(),
                             server.scheduler.nowMs() - exchange.receivedMs()),
                     exchange,
                     exchange::accepted);
         } catch (RuntimeException | Error e) {
             // Without this, the client would wait for a response that never comes.
             LOG.atError()
-                    .addKeyValue("id", head.id())
+                    .addKeyValue("id", parameters.id())
                     .setCause(e)
                     .log("a request could not be submitted to the router");
             exchange.failed(ResponseSink.FailureCause.INTERNAL, false);
--- a/src/test/java/larchridge/node/server/RequestHeadTest.java
+++ b/src/test/java/larchridge/node/server/GenerationParametersTest.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import org.junit.jupiter.api.Test;
 
-class RequestHeadTest {
+class GenerationParametersTest {
     private static HttpHeaders headers() {
         return new DefaultHttpHeaders()
                 .set("Req-Id", "9b1f03aa5c7e2d41")
@@ -19,15 +19,16 @@
 
     @Test
     void completeHeadersAreRead() throws Exception {
-        RequestHead head = RequestHead.read(headers().set("Req-Retry", "1"));
+        GenerationParameters parameters =
+                GenerationParameters.read(headers().set("Req-Retry", "1"));
         assertEquals(
-                new RequestHead(
+                new GenerationParameters(
                         "9b1f03aa5c7e2d41", "chat", "k", 4800, "5c0f", 5120, 2048, 800, true),
-                head);
+                parameters);
     }
 
     @Test
-    void malformedHeadersAreReportedAndNothingIsGuessed() {
+    void malformedHeadersAreRejected() {
         String[][] malformed = {
             {"Req-Id", ""},
             {"Req-Id", "9b1f03aa5c7e2d4"},
@@ -44,15 +45,15 @@
         };
         for (String[] header : malformed) {
             assertThrows(
-                    InvalidRequestHeadException.class,
-                    () -> RequestHead.read(headers().set(header[0], header[1])),
+                    InvalidGenerationParametersException.class,
+                    () -> GenerationParameters.read(headers().set(header[0], header[1])),
                     header[0] + ": " + header[1]);
         }
         assertThrows(
-                InvalidRequestHeadException.class,
-                () -> RequestHead.read(headers().add("Req-Id", "9b1f03aa5c7e2d42")));
+                InvalidGenerationParametersException.class,
+                () -> GenerationParameters.read(headers().add("Req-Id", "9b1f03aa5c7e2d42")));
         assertThrows(
-                InvalidRequestHeadException.class,
-                () -> RequestHead.read(headers().remove("Req-Id")));
+                InvalidGenerationParametersException.class,
+                () -> GenerationParameters.read(headers().remove("Req-Id")));
     }
 }
