--- a/src/main/java/larchridge/node/Node.java
+++ b/src/main/java/larchridge/node/Node.java
@@ -141,13 +141,14 @@
      * counts as knowing the agent's list from its start.
      */
     private void awaitFirstList() throws InterruptedException {
-        CountDownLatch updated = new CountDownLatch(1);
+        CountDownLatch firstList = new CountDownLatch(1);
         loop.execute(
                 () ->
                         components
                                 .discovery()
-                                .whenFirstUpdated(FIRST_LIST_TIMEOUT_MS, updated::countDown));
-        updated.await();
+                                .whenFirstListReceived(
+                                        FIRST_LIST_TIMEOUT_MS, firstList::countDown));
+        firstList.await();
     }
 
     private void build() {
--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -28,7 +28,7 @@
      * against: each poll for a snapshot opens a new connection and costs milliseconds of a small
      * CPU share, so that shorter intervals would delay streams.
      */
-    private static final double DRAIN_GRACE_FRACTION = 0.5;
+    private static final double SNAPSHOT_INTERVAL_FRACTION = 0.5;
 
     private static final double MIN_SNAPSHOT_INTERVAL_MS = 20;
 
@@ -63,7 +63,7 @@
     private boolean listReceived;
 
     /** Runs when the agent sends its first list; null if nothing waits for it. */
-    private Runnable firstUpdateListener;
+    private Runnable firstListListener;
 
     /**
      * @param drainGraceMs how long requests may still be sent to an engine after it is set to drain
@@ -82,7 +82,7 @@
         this.reader = reader;
         this.onChange = onChange;
         snapshotIntervalMs =
-                Math.max(MIN_SNAPSHOT_INTERVAL_MS, drainGraceMs * DRAIN_GRACE_FRACTION);
+                Math.max(MIN_SNAPSHOT_INTERVAL_MS, drainGraceMs * SNAPSHOT_INTERVAL_FRACTION);
         backoff = new PollBackoff(snapshotIntervalMs);
     }
 
@@ -94,15 +94,15 @@
     }
 
     /** Runs an action once the agent has sent its first list, or after the timeout. */
-    public void whenFirstUpdated(double timeoutMs, Runnable action) {
+    public void whenFirstListReceived(double timeoutMs, Runnable action) {
         Runnable listener =
                 () -> {
-                    if (firstUpdateListener != null) {
-                        firstUpdateListener = null;
+                    if (firstListListener != null) {
+                        firstListListener = null;
                         action.run();
                     }
                 };
-        firstUpdateListener = listener;
+        firstListListener = listener;
         if (listReceived) {
             listener.run();
         } else {
@@ -186,11 +186,13 @@
     boolean tryStartReceiving(DiscoveryConnection connection) {
         List<DiscoveryConnection> others =
                 openConnections.stream().filter(other -> other != connection).toList();
-        if (others.stream().filter(DiscoveryConnection::isReceiving).count()
+        if (others.stream().filter(DiscoveryConnection::hasResponseStarted).count()
                 >= MAX_RECEIVING_CONNECTIONS) {
             return false;
         }
-        others.stream().filter(other -> !other.isReceiving()).forEach(DiscoveryConnection::close);
+        others.stream()
+                .filter(other -> !other.hasResponseStarted())
+                .forEach(DiscoveryConnection::close);
         return true;
     }
 
@@ -227,8 +229,8 @@
         apply(update);
         snapshotNeeded = false;
         backoff.reset();
-        if (firstUpdateListener != null) {
-            firstUpdateListener.run();
+        if (firstListListener != null) {
+            firstListListener.run();
         }
         return true;
     }
--- a/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
@@ -75,7 +75,7 @@
 
     private double pollSentMs;
     private double lastProgressMs;
-    private long silenceTimer = NO_TIMER;
+    private long responseTimer = NO_TIMER;
 
     DiscoveryConnection(DiscoveryClient client, Scheduler scheduler, Endpoint agent) {
         this.client = client;
@@ -113,14 +113,14 @@
     }
 
     /** Whether a part of a response has arrived. */
-    boolean isReceiving() {
+    boolean hasResponseStarted() {
         return state == State.RECEIVING || state == State.BETWEEN_POLLS;
     }
 
     /** Whether the last poll is recent and bytes of its response arrived within the given time. */
     boolean isProgressing(double withinMs) {
         double nowMs = scheduler.nowMs();
-        return isReceiving()
+        return hasResponseStarted()
                 && nowMs - lastProgressMs < withinMs
                 && nowMs - pollSentMs < SILENCE_TIMEOUT_MS;
     }
@@ -141,7 +141,7 @@
         channel.writeAndFlush(request);
         pollSentMs = scheduler.nowMs();
         state = State.AWAITING_RESPONSE;
-        startSilenceTimer(SILENCE_TIMEOUT_MS + (snapshot ? 0 : WATCH_WAIT_MS));
+        startResponseTimer(SILENCE_TIMEOUT_MS + (snapshot ? 0 : WATCH_WAIT_MS));
     }
 
     /** Handles the arrival of bytes of a response. */
@@ -150,7 +150,7 @@
             return;
         }
         lastProgressMs = scheduler.nowMs();
-        if (!isReceiving()) {
+        if (!hasResponseStarted()) {
             if (!client.tryStartReceiving(this)) {
                 close();
                 return;
@@ -161,7 +161,7 @@
                 client.isSnapshotNeeded()
                         ? SNAPSHOT_TIMEOUT_MS
                         : WATCH_WAIT_MS + WATCH_RESPONSE_TIMEOUT_MS;
-        startSilenceTimer(Math.min(SILENCE_TIMEOUT_MS, pollSentMs + timeoutMs - lastProgressMs));
+        startResponseTimer(Math.min(SILENCE_TIMEOUT_MS, pollSentMs + timeoutMs - lastProgressMs));
     }
 
     @Override
@@ -169,7 +169,7 @@
         if (isClosed()) {
             return;
         }
-        stopSilenceTimer();
+        stopResponseTimer();
         if (response.decoderResult().isFailure() || response.status().code() != 200) {
             fail("response status " + response.status().code());
             return;
@@ -206,27 +206,27 @@
     void close() {
         state = State.CLOSED;
         client.connectionClosed(this);
-        stopSilenceTimer();
+        stopResponseTimer();
         if (channel != null) {
             channel.close();
         }
     }
 
-    private void startSilenceTimer(double ms) {
-        stopSilenceTimer();
-        silenceTimer =
+    private void startResponseTimer(double ms) {
+        stopResponseTimer();
+        responseTimer =
                 scheduler.schedule(
                         ms,
                         () -> {
-                            silenceTimer = NO_TIMER;
+                            responseTimer = NO_TIMER;
                             fail("silent");
                         });
     }
 
-    private void stopSilenceTimer() {
-        if (silenceTimer != NO_TIMER) {
-            scheduler.cancel(silenceTimer);
-            silenceTimer = NO_TIMER;
+    private void stopResponseTimer() {
+        if (responseTimer != NO_TIMER) {
+            scheduler.cancel(responseTimer);
+            responseTimer = NO_TIMER;
         }
     }
 
--- a/src/main/java/larchridge/node/discovery/EndpointCatalog.java
+++ b/src/main/java/larchridge/node/discovery/EndpointCatalog.java
@@ -16,7 +16,7 @@
 final class EndpointCatalog {
     private final Map<String, EngineEntry> entries = new LinkedHashMap<>();
     private final StartTimeConverter startTimes;
-    private final RemovedEndpoints removedEndpoints = new RemovedEndpoints();
+    private final WithdrawnEndpoints withdrawnEndpoints = new WithdrawnEndpoints();
     private long version;
 
     EndpointCatalog(LongSupplier wallClockMs) {
@@ -45,9 +45,9 @@
             entries.clear();
         }
         update.entries().forEach((name, entry) -> put(name, entry, update.version(), nowMs));
-        removedEndpoints.recordRemovals(before, entries, update.version());
+        withdrawnEndpoints.recordWithdrawals(before, entries, update.version());
         if (listReceived) {
-            startTimes.listConfirmed(nowMs);
+            startTimes.listResponseReceived(nowMs);
         }
         version = update.version();
         return update.snapshot() || !update.entries().isEmpty();
@@ -60,6 +60,8 @@
         }
         double startMs = startTimes.toLocalMs(name, entry.startMs(), nowMs);
         entries.put(
-                name, removedEndpoints.restrict(name, entry.withStartMs(startMs), updateVersion));
+                name,
+                withdrawnEndpoints.drainIfOutdated(
+                        name, entry.withStartMs(startMs), updateVersion));
     }
 }
--- a/src/main/java/larchridge/node/discovery/StartTimeConverter.java
+++ b/src/main/java/larchridge/node/discovery/StartTimeConverter.java
@@ -34,7 +34,7 @@
             };
 
     /** When the agent last sent its list or reported no change; negative infinity before that. */
-    private double listConfirmedMs = Double.NEGATIVE_INFINITY;
+    private double lastListResponseMs = Double.NEGATIVE_INFINITY;
 
     StartTimeConverter(LongSupplier wallClockMs) {
         this.wallClockMs = wallClockMs;
@@ -52,14 +52,14 @@
             startTimes.remove(name);
             known =
                     new StartTime(
-                            listedMs, Math.min(nowMs, Math.max(byWallClockMs, listConfirmedMs)));
+                            listedMs, Math.min(nowMs, Math.max(byWallClockMs, lastListResponseMs)));
             startTimes.put(name, known);
         }
         return known.localMs;
     }
 
     /** Called when the agent has sent its list or reported no change. */
-    void listConfirmed(double nowMs) {
-        listConfirmedMs = nowMs;
+    void listResponseReceived(double nowMs) {
+        lastListResponseMs = nowMs;
     }
 }
--- a/src/main/java/larchridge/node/discovery/RemovedEndpoints.java
+++ b/src/main/java/larchridge/node/discovery/WithdrawnEndpoints.java
@@ -12,36 +12,36 @@
  * not return one of them to service. A restarted engine process counts as another engine. Performs
  * no I/O.
  */
-final class RemovedEndpoints {
+final class WithdrawnEndpoints {
     private static final int CAPACITY = 4096;
 
     /**
      * The version of the list that drained or removed an engine, and the start time of that
      * engine's process.
      */
-    private record Removal(long version, double startMs) {}
+    private record Withdrawal(long version, double startMs) {}
 
     /** Keyed by engine name, oldest removal first. */
-    private final Map<String, Removal> removals = new LinkedHashMap<>();
+    private final Map<String, Withdrawal> withdrawals = new LinkedHashMap<>();
 
     /**
      * Returns the entry to use: an engine that is ready according to a list older than the one that
      * drained or removed it stays draining.
      */
-    EngineEntry restrict(String name, EngineEntry entry, long version) {
-        Removal removal = removals.get(name);
-        if (entry.state() != EndpointState.READY || removal == null) {
+    EngineEntry drainIfOutdated(String name, EngineEntry entry, long version) {
+        Withdrawal withdrawal = withdrawals.get(name);
+        if (entry.state() != EndpointState.READY || withdrawal == null) {
             return entry;
         }
-        if (version < removal.version && entry.startMs() == removal.startMs) {
+        if (version < withdrawal.version && entry.startMs() == withdrawal.startMs) {
             return entry.withState(EndpointState.DRAINING);
         }
-        removals.remove(name);
+        withdrawals.remove(name);
         return entry;
     }
 
     /** Records the engines that were ready before a list and no longer are after it. */
-    void recordRemovals(
+    void recordWithdrawals(
             Map<String, EngineEntry> before, Map<String, EngineEntry> after, long version) {
         before.forEach(
                 (name, entry) -> {
@@ -49,16 +49,16 @@
                     boolean serves = current != null && current.state() == EndpointState.READY;
                     if (entry.state() == EndpointState.READY && !serves) {
                         // Removed first, so that it becomes the newest in insertion order.
-                        removals.remove(name);
-                        removals.put(name, new Removal(version, entry.startMs()));
+                        withdrawals.remove(name);
+                        withdrawals.put(name, new Withdrawal(version, entry.startMs()));
                     }
                 });
         dropOldest();
     }
 
     private void dropOldest() {
-        Iterator<String> oldest = removals.keySet().iterator();
-        for (int excess = removals.size() - CAPACITY; excess > 0; excess--) {
+        Iterator<String> oldest = withdrawals.keySet().iterator();
+        for (int excess = withdrawals.size() - CAPACITY; excess > 0; excess--) {
             oldest.next();
             oldest.remove();
         }
--- a/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -27,8 +27,8 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR_MS, -5000, 5000, HOUR_MS})
-    void startTimeOfANewEngineIsNotBeforeTheLastConfirmedListAfterAClockStep(double stepMs) {
-        converter.listConfirmed(NOW_MS);
+    void startTimeOfANewEngineIsNotBeforeTheLastListResponseAfterAClockStep(double stepMs) {
+        converter.listResponseReceived(NOW_MS);
         wallMs = WALL_MS + 2000 + stepMs;
         double local = converter.toLocalMs("a", WALL_MS + 1500, NOW_MS + 2000);
         assertEquals(Math.min(NOW_MS + 2000, Math.max(NOW_MS, NOW_MS + 1500 - stepMs)), local);
@@ -37,7 +37,7 @@
     @Test
     void startTimeOfAKnownEngineIsUnchangedByAClockStep() {
         double before = converter.toLocalMs("a", WALL_MS - 60_000, NOW_MS);
-        converter.listConfirmed(NOW_MS);
+        converter.listResponseReceived(NOW_MS);
         wallMs = WALL_MS + HOUR_MS;
         assertEquals(before, converter.toLocalMs("a", WALL_MS - 60_000, NOW_MS + 5000));
     }
