--- a/src/main/java/larchridge/node/EngineStateLog.java
+++ b/src/main/java/larchridge/node/EngineStateLog.java
@@ -38,7 +38,7 @@
         StringBuilder line = new StringBuilder(LINE_CAPACITY);
         line.append("generations ")
                 .append(router.generationsInFlight())
-                .append(" clients ")
+                .append(" client connections ")
                 .append(components.server().connectionCount())
                 .append(" upstream requests ")
                 .append(upstream.openRequests());
@@ -56,15 +56,15 @@
                 .append(' ')
                 .append(engine.state())
                 .append(engine.isEjected(nowMs) ? " ejected" : "")
-                .append(" attempts ")
+                .append(" policy attempts ")
                 .append(engine.attempts().size())
                 .append(" unread tokens ")
                 .append(Math.round(engine.unreadTokens()))
-                .append(" write tokens ")
+                .append(" answer tokens held ")
                 .append(Math.round(engine.writeTokens()))
                 .append(" upstream attempts ")
                 .append(upstream.inFlightAttempts(endpoint))
-                .append(" connections ")
+                .append(" engine connections ")
                 .append(upstream.connectionCount(endpoint));
     }
 }
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -181,7 +181,9 @@
             } catch (InvalidEndpointListException e) {
                 LOG.atWarn()
                         .addKeyValue("fault", e.getMessage())
-                        .log("the known endpoint list is invalid; waiting for discovery");
+                        .log(
+                                "the known endpoint list is invalid; starting without engines"
+                                        + " until discovery responds");
             }
         }
         discovery.startPolling(configuration.discovery());
--- a/src/main/java/larchridge/node/NodeConfigurationReader.java
+++ b/src/main/java/larchridge/node/NodeConfigurationReader.java
@@ -92,7 +92,7 @@
         JsonNode value = root.path("limits").path(member);
         if (!value.isNumber() || value.doubleValue() < 1 || value.doubleValue() > MAX_LIMIT) {
             throw InvalidNodeConfigurationException.invalidMember(
-                    file, "limits." + member, found(value), "a number of at least 1");
+                    file, "limits." + member, found(value), "a number from 1 to 1000000000");
         }
         return value.intValue();
     }
@@ -116,7 +116,10 @@
             return Long.parseUnsignedLong(text("seed"), SEED_RADIX);
         } catch (NumberFormatException e) {
             throw InvalidNodeConfigurationException.invalidMember(
-                    file, "seed", "'" + value.asText() + "'", "up to 16 hex digits");
+                    file,
+                    "seed",
+                    "'" + value.asText() + "'",
+                    "an integer or a string of up to 16 hex digits");
         }
     }
 
--- a/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
@@ -105,7 +105,10 @@
                         .connect(agent.host(), agent.port());
         channel = ConnectFutures.usableChannel(connectFuture);
         ConnectFutures.whenComplete(
-                connectFuture, scheduler, this::poll, failure -> fail("no connection: " + failure));
+                connectFuture,
+                scheduler,
+                this::poll,
+                failure -> fail("could not connect; side of the failure: " + failure));
     }
 
     boolean isClosed() {
@@ -171,7 +174,7 @@
         }
         stopResponseTimer();
         if (response.decoderResult().isFailure() || response.status().code() != 200) {
-            fail("response status " + response.status().code());
+            fail("response can't be decoded or has status " + response.status().code());
             return;
         }
         if (!client.applyResponse(this, ByteBufUtil.getBytes(response.content()))) {
--- a/src/main/java/larchridge/node/discovery/EndpointListReader.java
+++ b/src/main/java/larchridge/node/discovery/EndpointListReader.java
@@ -82,7 +82,8 @@
         double weight = entry.path("weight").asDouble(1);
         double startMs = entry.path("since_ms").asDouble(0);
         if (!(weight >= 0 && weight < MAX_WEIGHT) || !(startMs >= 0 && startMs < MAX_START_MS)) {
-            throw new InvalidEndpointListException(member + ": weight or since_ms is out of range");
+            throw new InvalidEndpointListException(
+                    member + ": expected 0 <= weight < 1e9 and 0 <= since_ms < 1e15");
         }
         String type = entry.path("type").asText("");
         return new EngineEntry(
