--- a/src/main/java/larchridge/node/server/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -169,8 +169,8 @@
     }
 
     /**
-     * Responds with an error and closes the connection, since the data that follows on it can't be
-     * trusted.
+     * Responds with an error and closes the connection; after a framing error, the start of the
+     * next request is unknown.
      */
     void reject(RequestRejection rejection) {
         reject(rejection, rejection.message);
@@ -196,8 +196,8 @@
     }
 
     /**
-     * Returns whether the connection stays open after a response. One that may be the last response
-     * closes it, even if that was not requested.
+     * Returns whether the connection stays open after a response. During shutdown it is closed,
+     * even if that was not requested, unless a part of another request has arrived.
      */
     ConnectionPersistence decidePersistence(ConnectionPersistence requested) {
         return requested == ConnectionPersistence.CLOSE || isLastResponse()
@@ -205,10 +205,7 @@
                 : ConnectionPersistence.KEEP_ALIVE;
     }
 
-    /**
-     * During shutdown, a connection is kept open only for requests of which at least a part has
-     * arrived on it.
-     */
+    /** Whether the node is shutting down and no part of another request has arrived. */
     private boolean isLastResponse() {
         return server.isDraining() && pipelinedParts.isEmpty() && !decoder.isReceiving();
     }
@@ -302,9 +299,9 @@
     // ------------------------------------------------------------------ closing
 
     /**
-     * Whether the client has closed the connection, after reading everything that its socket holds.
-     * Without that read, an attempt could start for a client whose close is still unread behind the
-     * events of other connections in the same iteration of the event loop. Must not be called while
+     * Reads everything that the socket holds, then returns whether the client has closed the
+     * connection. Without that read, an attempt could start for a client whose close has arrived,
+     * but which this iteration of the event loop has not processed yet. Must not be called while
      * this connection is being read.
      */
     boolean readAndCheckPeerClosed() {
--- a/src/main/java/larchridge/node/server/ClientExchange.java
+++ b/src/main/java/larchridge/node/server/ClientExchange.java
@@ -14,7 +14,7 @@
 
 /**
  * An admitted request and its response on a client connection. It holds the request's id, the
- * memory of its body and its place at the router until it finishes: with the final response, or
+ * memory of its body and its admission by the router until it finishes: with the final response, or
  * when the client disconnects.
  */
 final class ClientExchange implements ResponseSink {
--- a/src/main/java/larchridge/node/server/ConnectionCloser.java
+++ b/src/main/java/larchridge/node/server/ConnectionCloser.java
@@ -39,7 +39,7 @@
         return !Double.isNaN(halfClosedMs);
     }
 
-    /** Whether the linger time is over and the peer has not closed its side. */
+    /** Whether this side half-closed the connection longer than the linger time ago. */
     boolean isLingerOver(double nowMs) {
         return nowMs - halfClosedMs > lingerMs;
     }
--- a/src/main/java/larchridge/node/server/ConnectionRegistry.java
+++ b/src/main/java/larchridge/node/server/ConnectionRegistry.java
@@ -37,9 +37,8 @@
      * Closes one connection immediately: one that is closing anyway, else the longest idle one,
      * else the one that has been receiving a request for longest. Guards against: closing the
      * newest connection, which is about to send a request that its client would lose. The evicted
-     * connection is no longer counted from now on, since its close is reported only after the next
-     * connection arrives: a burst of connections would otherwise close the same one again and again
-     * and use up all descriptors.
+     * connection is removed here, not when its close is reported: several connections may be
+     * accepted before that, and all would evict the same one and use up all descriptors.
      */
     private void evictExcept(ClientConnection newest) {
         ClientConnection evicted =
@@ -52,7 +51,7 @@
         evicted.closeNow(CloseReason.NO_ROOM);
     }
 
-    /** Marks a connection as having a request in flight. */
+    /** Marks a connection as neither idle nor receiving, as when a request is in flight. */
     void unmarkIdleAndReceiving(ClientConnection connection) {
         idle.remove(connection);
         receiving.remove(connection);
--- a/src/main/java/larchridge/node/server/ForwardedHeaders.java
+++ b/src/main/java/larchridge/node/server/ForwardedHeaders.java
@@ -11,7 +11,7 @@
 
 /**
  * Selects the client's headers that are forwarded to engines: all end-to-end headers, since an
- * engine may deduplicate by a key that the client sent in a header that no setting names.
+ * engine may read its deduplication key from any of them, and no setting names that header.
  */
 final class ForwardedHeaders {
     private static final String CONNECTION = "connection";
--- a/src/main/java/larchridge/node/server/GenerationParameters.java
+++ b/src/main/java/larchridge/node/server/GenerationParameters.java
@@ -4,14 +4,13 @@
 import java.util.List;
 
 /**
- * The parameters of a generation, read from the request's headers. A malformed header is rejected;
- * nothing is guessed.
+ * The parameters of a generation, read from the request's headers. A malformed header is rejected,
+ * except that a prefix of invalid length and unknown keys of {@code Req-Extra} are ignored.
  *
  * @param id the request's own id
  * @param trafficClass name of the traffic class
  * @param session name of the session; the request's id if the client gave none
- * @param firstTokenTimeoutMs how long the client waits for the first token, from when it sent the
- *     request
+ * @param firstTokenTimeoutMs time limit for the first token, counted from the receipt of the head
  * @param prefix name of the prefix that other sessions share, or null
  * @param promptTokens length of the prompt in tokens
  * @param sharedTokens length of the shared prefix in tokens, at most that of the prompt
--- a/src/main/java/larchridge/node/server/HttpServer.java
+++ b/src/main/java/larchridge/node/server/HttpServer.java
@@ -36,8 +36,8 @@
 
     /**
      * Starts listening; fails if the address is not available. Must not be called on the event
-     * loop. Every failure is thrown as this method's own exception: Netty throws the one of the
-     * system call unchanged, without declaring it.
+     * loop. Every failure is wrapped in an IOException: Netty would throw the exception of the
+     * system call undeclared.
      */
     public void listen(EventLoopGroup eventLoops, ByteBufAllocator allocator, String host, int port)
             throws IOException, InterruptedException {
--- a/src/main/java/larchridge/node/server/RequestDispatcher.java
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -34,7 +34,10 @@
         }
     }
 
-    /** The offering sets no time limit: each request carries its own. */
+    /**
+     * Returns the router's view of a traffic class: no time limit and no token limit, since each
+     * request carries its own.
+     */
     private static ProductOffering offeringOf(TrafficClass trafficClass) {
         return new ProductOffering(
                 trafficClass,
@@ -96,7 +99,10 @@
         }
     }
 
-    /** Rejects a request but keeps its connection open: the data that follows is valid. */
+    /**
+     * Rejects a request that the router does not admit. Does not close the connection by itself,
+     * since the data that follows is valid.
+     */
     private void rejectUnadmitted(ClientConnection connection, HttpRequest request) {
         RequestRejection rejection = RequestRejection.NOT_ADMITTED;
         connection.body().discard();
@@ -127,8 +133,8 @@
                         receivedMs,
                         ConnectionPersistence.requestedBy(request));
         connection.startExchange(exchange);
-        // Submitted in a later task of the event loop, so that the close of a client that closes
-        // right after its request is read before anything is forwarded.
+        // Submitted in a later task of the event loop, so that nothing is forwarded for a client
+        // that has closed the connection right after its request.
         server.scheduler.execute(() -> submit(exchange, parameters, offering, forwarded));
     }
 
--- a/src/main/java/larchridge/node/server/RequestRejection.java
+++ b/src/main/java/larchridge/node/server/RequestRejection.java
@@ -21,7 +21,7 @@
     NOT_FOUND(HttpResponseStatus.NOT_FOUND, "nothing here"),
     /** Its method is not served on its path. */
     OTHER_METHOD(HttpResponseStatus.METHOD_NOT_ALLOWED, "POST is expected"),
-    /** A header is missing or invalid. */
+    /** A header is missing or invalid; the client gets the message of the exception instead. */
     BAD_HEADER(HttpResponseStatus.BAD_REQUEST, "a header can't be used"),
     /** It names a traffic class that is not configured. */
     NO_SUCH_CLASS(HttpResponseStatus.BAD_REQUEST, "Req-Kind: no such class"),
@@ -30,8 +30,8 @@
     /** The process is shutting down or shedding load. */
     NOT_ADMITTED(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once"),
     /**
-     * A second request with the id of one in flight would count as its duplicate, and releasing the
-     * state of one would release that of the other.
+     * Its id is in use or was used recently. Engines would take a second request with the id for a
+     * duplicate of the first, and releasing the state of one would release that of the other.
      */
     ID_USED(HttpResponseStatus.CONFLICT, "Req-Id: was used before"),
     /** It was not received completely in time. */
--- a/src/main/java/larchridge/node/server/ServerDependencies.java
+++ b/src/main/java/larchridge/node/server/ServerDependencies.java
@@ -13,7 +13,7 @@
  *
  * @param scheduler the event loop's clock and timers
  * @param router serves the generations
- * @param site the tenants; the clients of a node are its guests
+ * @param site the limits and the tenants; all clients of a node belong to its default tenant
  * @param trafficClasses the classes that requests may name
  * @param limits limits on connections, bodies and times
  * @param events is notified of events of requests and connections
--- a/src/main/java/larchridge/node/server/ServerLimits.java
+++ b/src/main/java/larchridge/node/server/ServerLimits.java
@@ -7,8 +7,8 @@
  * @param maxConnections maximum number of client connections
  * @param maxBodyBytes maximum size of a body
  * @param maxBufferedBytes maximum size of all bodies in memory; beyond it, requests are rejected
- * @param requestPartTimeoutMs time limit for a connection's first request to begin, and for each
- *     head and each body to be complete
+ * @param requestPartTimeoutMs time limit for each head and each body to be complete; for the first
+ *     head on a connection, counted from the accept
  * @param requestTimeoutMs time limit for a request to be complete: from the accept for the first
  *     one on a connection, from the first byte for others
  * @param idleTimeoutMs time without a request after which a connection is closed
--- a/src/main/java/larchridge/node/server/StrictRequestDecoder.java
+++ b/src/main/java/larchridge/node/server/StrictRequestDecoder.java
@@ -10,8 +10,8 @@
 
 /**
  * Netty's request decoder, except that a content length next to a chunked coding stays visible:
- * such a request is rejected, not repaired. It also reports that a part of a request has arrived
- * from its first byte on, long before its head is complete.
+ * such a request is rejected, not repaired. It also reports the first byte of each request, long
+ * before its head is complete.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     private static final int MAX_LINE_BYTES = 4096;
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Whether a part of a request has arrived that is not completely decoded, even if it is queued
-     * behind a complete one.
+     * Whether a request has begun to arrive but is not completely decoded, including one of which
+     * nothing is decoded yet.
      */
     boolean isReceiving() {
         return receiving || !isBlank(internalBuffer());
