--- a/src/main/java/larchridge/node/discovery/DiscoveryClient.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryClient.java
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the engine list up to date by polling the discovery agent: first for a snapshot, then by
+ * Keeps the endpoint list up to date by polling the discovery agent: first for a snapshot, then by
  * watches, one directly after the other. The last list stays in use while the agent is silent or
  * sends an invalid one. All methods run on the event loop.
  */
@@ -23,10 +23,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
     /**
-     * An agent that has the list responds immediately; silence for this fraction of the drain grace
-     * counts as no response. The other half is for connecting, the response and reading it. Guards
-     * against: each poll for a snapshot opens a new connection and costs milliseconds of a small
-     * CPU share, so that shorter intervals would delay streams.
+     * If the agent does not respond to a poll for a snapshot within this fraction of the drain
+     * grace, another connection is opened: an agent that has the list responds immediately. The
+     * rest of the grace is for connecting, the response and reading it. Guards against: each such
+     * poll opens a new connection and takes CPU time, so that a smaller fraction would delay
+     * streams on a small CPU share.
      */
     private static final double SNAPSHOT_INTERVAL_FRACTION = 0.5;
 
@@ -148,9 +149,10 @@
     }
 
     /**
-     * Opens another connection if the agent stays silent: it may never answer what it was sent
-     * while it was silent, but once it responds again, its list counts as known to the node at
-     * once. The earlier connection stays open, since its response may arrive in slow pieces.
+     * Opens another connection if the agent stays silent: a request sent to a hung agent may never
+     * be answered, and once the agent has recovered, the platform holds the node at once to the
+     * list that the agent has. The earlier connection stays open, since its response may arrive in
+     * slow pieces.
      */
     private void openNextConnection(DiscoveryConnection connection) {
         if (connection.isClosed()
@@ -178,10 +180,10 @@
     }
 
     /**
-     * Whether a connection may receive its response. An agent that recovers may answer all
-     * connections at once: the first ones are received, the others are closed. Connections that
-     * have received a part stay open, since a list that always arrives in slow pieces would
-     * otherwise never be complete.
+     * Returns false if enough other connections are receiving a response; otherwise closes those
+     * that have received nothing and lets this one receive its response. An agent that recovers may
+     * answer all connections at once. Connections that have received a part stay open, since a list
+     * that always arrives in slow pieces would otherwise never be complete.
      */
     boolean tryStartReceiving(DiscoveryConnection connection) {
         List<DiscoveryConnection> others =
@@ -197,8 +199,7 @@
     }
 
     /**
-     * Applies the body of a response; returns false if it can't be used and the connection has
-     * failed.
+     * Applies the body of a response; if it can't be used, fails the connection and returns false.
      */
     boolean applyResponse(DiscoveryConnection connection, byte[] body) {
         EndpointListUpdate update;
--- a/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
@@ -31,10 +31,11 @@
 
     /**
      * How long the agent may hold a watch, and how long after that a watch without a response
-     * counts as silent. Guards against: a change that a silent watch misses counts as known to the
-     * node 6 s after the watch fell silent, and 4 s after a configuration reload. The wait, the
-     * silence timeout, a connection that is not established and a second one must fit into that
-     * time. The agent is on the same machine, and polling costs it nothing.
+     * counts as silent. Guards against: the platform counts a change that a silent watch misses as
+     * announced at the latest 6 s after the watch fell silent, and 4 s after SIGHUP with a new
+     * configuration. Until then the node must have polled again: in the worst case it needs the
+     * wait and the silence timeout of the watch, a connect that times out and one that succeeds.
+     * The agent is on the same machine, and polling costs it nothing.
      */
     private static final int WATCH_WAIT_MS = 2000;
 
@@ -115,7 +116,7 @@
         return state == State.CLOSED;
     }
 
-    /** Whether a part of a response has arrived. */
+    /** Whether the response to the last poll has arrived, in part or completely. */
     boolean hasResponseStarted() {
         return state == State.RECEIVING || state == State.BETWEEN_POLLS;
     }
@@ -215,6 +216,10 @@
         }
     }
 
+    /**
+     * Fails the connection after this time: no bytes have arrived in time, or the response is not
+     * complete in time.
+     */
     private void startResponseTimer(double ms) {
         stopResponseTimer();
         responseTimer =
--- a/src/main/java/larchridge/node/discovery/EndpointCatalog.java
+++ b/src/main/java/larchridge/node/discovery/EndpointCatalog.java
@@ -9,7 +9,7 @@
 import larchridge.state.EndpointState;
 
 /**
- * The current engine list and its version. Start times are converted to the node's own clock, and
+ * The current endpoint list and its version. Start times are converted to the node's own clock, and
  * engines that an update has drained or removed are not returned to service by an older one.
  * Performs no I/O.
  */
@@ -36,8 +36,8 @@
     /**
      * Applies an update; returns false if it changes nothing.
      *
-     * @param listReceived whether the agent has sent a list since the start, so that this one
-     *     counts as confirmed now
+     * @param listReceived whether the agent has sent this list or an earlier one, so that this one
+     *     is up to date now
      */
     boolean apply(EndpointListUpdate update, double nowMs, boolean listReceived) {
         Map<String, EngineEntry> before = new LinkedHashMap<>(entries);
--- a/src/main/java/larchridge/node/discovery/EndpointListUpdate.java
+++ b/src/main/java/larchridge/node/discovery/EndpointListUpdate.java
@@ -8,7 +8,7 @@
  *
  * @param version the agent's index of the list
  * @param snapshot whether this is the full list, which replaces the previous one
- * @param entries engines by name, in the agent's order; a removed engine has that state
+ * @param entries engines by name, in the agent's order; removed engines have the state REMOVED
  */
 public record EndpointListUpdate(
         long version, boolean snapshot, Map<String, EngineEntry> entries) {}
--- a/src/main/java/larchridge/node/discovery/StartTimeConverter.java
+++ b/src/main/java/larchridge/node/discovery/StartTimeConverter.java
@@ -6,11 +6,11 @@
 
 /**
  * Converts the start times of engines from the list's Unix time to this node's own clock, which
- * never steps. The wall clocks of the node and of the engines may be stepped by an hour in either
- * direction; an engine that has just started would then count as warm, or a warm one as cold for an
- * hour. What the node has observed itself bounds what the wall clock says: an engine that was not
- * on the last confirmed list has started since, and none has started in the future. Performs no
- * I/O.
+ * never steps. The wall clocks of the node and of the engines may be stepped, by as much as an hour
+ * in either direction; an engine that has just started would then count as warm, or a warm one as
+ * cold for that time. What the node has observed itself bounds what the wall clock says: an engine
+ * that was not on the list when the agent last responded has started since, and none has started in
+ * the future. Performs no I/O.
  */
 final class StartTimeConverter {
     private static final int CAPACITY = 8192;
--- a/src/main/java/larchridge/node/discovery/WithdrawnEndpoints.java
+++ b/src/main/java/larchridge/node/discovery/WithdrawnEndpoints.java
@@ -7,10 +7,10 @@
 import larchridge.state.EndpointState;
 
 /**
- * Records the engines that were set to drain or removed, with the version of the list that did so.
- * An older list, from a lagging replica or from another agent after a configuration reload, must
- * not return one of them to service. A restarted engine process counts as another engine. Performs
- * no I/O.
+ * Records the engines that were withdrawn, that is, set to drain or removed, with the version of
+ * the list that did so. An older list, from a lagging replica or from another agent after a
+ * configuration reload, must not return one of them to service. A restarted engine process counts
+ * as another engine. Performs no I/O.
  */
 final class WithdrawnEndpoints {
     private static final int CAPACITY = 4096;
@@ -21,12 +21,12 @@
      */
     private record Withdrawal(long version, double startMs) {}
 
-    /** Keyed by engine name, oldest removal first. */
+    /** Keyed by engine name, oldest withdrawal first. */
     private final Map<String, Withdrawal> withdrawals = new LinkedHashMap<>();
 
     /**
-     * Returns the entry to use: an engine that is ready according to a list older than the one that
-     * drained or removed it stays draining.
+     * Returns the entry to use. If its list is older than the one that drained or removed the
+     * engine, a ready engine is returned as draining.
      */
     EngineEntry drainIfOutdated(String name, EngineEntry entry, long version) {
         Withdrawal withdrawal = withdrawals.get(name);
--- a/src/main/java/larchridge/node/transport/ConnectFailure.java
+++ b/src/main/java/larchridge/node/transport/ConnectFailure.java
@@ -7,11 +7,13 @@
 
 /** Which side caused the failure of a connection attempt. */
 public enum ConnectFailure {
-    /** The peer refused the connection, did not answer in time, or is unreachable. */
+    /**
+     * The peer refused the connection, did not answer in time, or is unreachable (EHOSTUNREACH).
+     */
     PEER,
     /**
-     * This machine could not make the attempt, for lack of a descriptor, buffer, port or route.
-     * Says nothing about the peer.
+     * This machine could not make the attempt, for lack of a descriptor, buffer, port or network
+     * (ENETUNREACH). Says nothing about the peer.
      */
     LOCAL;
 
--- a/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
+++ b/src/test/java/larchridge/node/discovery/StartTimeConverterTest.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Whatever the step of the wall clock, an engine that was not on the last confirmed list has
-     * started since.
+     * Whatever the step of the wall clock, an engine that was not on the list when the agent last
+     * responded has started since.
      */
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR_MS, -5000, 5000, HOUR_MS})
