--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -35,8 +35,8 @@
 
     private static final double ENGINE_SOCKETS_FRACTION = 0.45;
 
-    /** The engine connections divided by this may be used for a single engine. */
-    private static final int ENGINE_SOCKETS_DIVISOR = 2;
+    /** A single engine may use at most half of the engine connections. */
+    private static final int SINGLE_ENGINE_SOCKETS_DIVISOR = 2;
 
     private static final int MAX_BODY_BYTES = 256 << 10;
     private static final double BYTES_PER_MEBIBYTE = 1048576.0;
@@ -58,15 +58,16 @@
     private static final double REQUEST_TIMEOUT_MS = 2600;
 
     /**
-     * How long a client may take to read a response and close its side; data that it sends
-     * afterwards ends the connection.
+     * How long a half-closed connection waits for the client to read the response and close its
+     * side; then it is closed, even if received data is unread.
      */
     private static final double LINGER_MS = 1000;
 
     /** Longest silence on a client's stream; slightly less than the platform allows. */
     private static final double SILENT_STREAM_TIMEOUT_MS = 4500;
 
-    private static final double SLOW_CLIENT_TIMEOUT_MS = 4500;
+    /** How long a stream may be paused because its client does not read; then it is aborted. */
+    private static final double PAUSED_STREAM_TIMEOUT_MS = 4500;
 
     /** Shutdown may take this multiple of the longest time that a client waits. */
     private static final int STOP_TIMEOUT_MULTIPLE = 10;
@@ -104,7 +105,7 @@
         Router router =
                 new Router(
                         scheduler, site, 0, upstream, audit.newRouterMetrics(), RoutingPolicy::new);
-        audit.compareCounts(scheduler, router, upstream);
+        audit.scheduleAttemptCountCheck(scheduler, router, upstream);
         HttpServer server =
                 new HttpServer(
                         new ServerDependencies(
@@ -115,7 +116,7 @@
                                 serverLimits(),
                                 audit.events(),
                                 audit.newRouterMetrics()));
-        DiscoveryClient discovery = discovery(audit, upstream, router);
+        DiscoveryClient discovery = startDiscovery(audit, upstream, router);
         NodeComponents components = new NodeComponents(audit, upstream, router, server, discovery);
         if (LOG.isDebugEnabled()) {
             EngineStateLog engineStates = new EngineStateLog(components, scheduler);
@@ -130,7 +131,7 @@
         site.drainGraceMs = settings.drainGraceMs();
         site.limit.openGenerations =
                 (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
-        site.limit.slowClientMs = SLOW_CLIENT_TIMEOUT_MS;
+        site.limit.slowClientMs = PAUSED_STREAM_TIMEOUT_MS;
         site.limit.quietStreamMs = SILENT_STREAM_TIMEOUT_MS;
         site.limit.stopMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
         return site;
@@ -147,7 +148,7 @@
                 settings.keepAliveMs(),
                 settings.releaseMs(),
                 (int) engineSockets,
-                (int) (engineSockets / ENGINE_SOCKETS_DIVISOR),
+                (int) (engineSockets / SINGLE_ENGINE_SOCKETS_DIVISOR),
                 settings.reportFields());
     }
 
@@ -162,7 +163,7 @@
                 LINGER_MS);
     }
 
-    private DiscoveryClient discovery(
+    private DiscoveryClient startDiscovery(
             NodeAudit audit, ForwardingUpstreamClient upstream, Router router) {
         EndpointListReader reader =
                 new EndpointListReader(settings.roles(), settings.memoryTokens());
@@ -180,7 +181,9 @@
             } catch (InvalidEndpointListException e) {
                 LOG.atWarn()
                         .addKeyValue("fault", e.getMessage())
-                        .log("the known endpoint list is invalid; waiting for discovery");
+                        .log(
+                                "the known endpoint list is invalid; starting without engines"
+                                        + " until discovery responds");
             }
         }
         discovery.startPolling(configuration.discovery());
@@ -188,8 +191,8 @@
     }
 
     /**
-     * Passes a new engine list to all components that keep one; to the router last, since it sends
-     * requests.
+     * Passes a new endpoint list to all components that keep one; to the router last, since it
+     * sends requests.
      */
     private static void publish(
             List<EngineEntry> entries,
--- a/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
@@ -31,10 +31,11 @@
 
     /**
      * How long the agent may hold a watch, and how long after that a watch without a response
-     * counts as silent. Guards against: a change that a silent watch misses counts as known to the
-     * node 6 s after the watch fell silent, and 4 s after a configuration reload. The wait, the
-     * silence timeout, a connection that is not established and a second one must fit into that
-     * time. The agent is on the same machine, and polling costs it nothing.
+     * counts as silent. Guards against: the platform counts a change that a silent watch misses as
+     * announced at the latest 6 s after the watch fell silent, and 4 s after SIGHUP with a new
+     * configuration. Until then the node must have polled again: in the worst case it needs the
+     * wait and the silence timeout of the watch, a connect that times out and one that succeeds.
+     * The agent is on the same machine, and polling costs it nothing.
      */
     private static final int WATCH_WAIT_MS = 2000;
 
@@ -75,7 +76,7 @@
 
     private double pollSentMs;
     private double lastProgressMs;
-    private long silenceTimer = NO_TIMER;
+    private long responseTimer = NO_TIMER;
 
     DiscoveryConnection(DiscoveryClient client, Scheduler scheduler, Endpoint agent) {
         this.client = client;
@@ -105,22 +106,25 @@
                         .connect(agent.host(), agent.port());
         channel = ConnectFutures.usableChannel(connectFuture);
         ConnectFutures.whenComplete(
-                connectFuture, scheduler, this::poll, failure -> fail("no connection: " + failure));
+                connectFuture,
+                scheduler,
+                this::poll,
+                failure -> fail("could not connect; side of the failure: " + failure));
     }
 
     boolean isClosed() {
         return state == State.CLOSED;
     }
 
-    /** Whether a part of a response has arrived. */
-    boolean isReceiving() {
+    /** Whether the response to the last poll has arrived, in part or completely. */
+    boolean hasResponseStarted() {
         return state == State.RECEIVING || state == State.BETWEEN_POLLS;
     }
 
     /** Whether the last poll is recent and bytes of its response arrived within the given time. */
     boolean isProgressing(double withinMs) {
         double nowMs = scheduler.nowMs();
-        return isReceiving()
+        return hasResponseStarted()
                 && nowMs - lastProgressMs < withinMs
                 && nowMs - pollSentMs < SILENCE_TIMEOUT_MS;
     }
@@ -141,7 +145,7 @@
         channel.writeAndFlush(request);
         pollSentMs = scheduler.nowMs();
         state = State.AWAITING_RESPONSE;
-        startSilenceTimer(SILENCE_TIMEOUT_MS + (snapshot ? 0 : WATCH_WAIT_MS));
+        startResponseTimer(SILENCE_TIMEOUT_MS + (snapshot ? 0 : WATCH_WAIT_MS));
     }
 
     /** Handles the arrival of bytes of a response. */
@@ -150,7 +154,7 @@
             return;
         }
         lastProgressMs = scheduler.nowMs();
-        if (!isReceiving()) {
+        if (!hasResponseStarted()) {
             if (!client.tryStartReceiving(this)) {
                 close();
                 return;
@@ -161,7 +165,7 @@
                 client.isSnapshotNeeded()
                         ? SNAPSHOT_TIMEOUT_MS
                         : WATCH_WAIT_MS + WATCH_RESPONSE_TIMEOUT_MS;
-        startSilenceTimer(Math.min(SILENCE_TIMEOUT_MS, pollSentMs + timeoutMs - lastProgressMs));
+        startResponseTimer(Math.min(SILENCE_TIMEOUT_MS, pollSentMs + timeoutMs - lastProgressMs));
     }
 
     @Override
@@ -169,9 +173,9 @@
         if (isClosed()) {
             return;
         }
-        stopSilenceTimer();
+        stopResponseTimer();
         if (response.decoderResult().isFailure() || response.status().code() != 200) {
-            fail("response status " + response.status().code());
+            fail("response can't be decoded or has status " + response.status().code());
             return;
         }
         if (!client.applyResponse(this, ByteBufUtil.getBytes(response.content()))) {
@@ -206,27 +210,31 @@
     void close() {
         state = State.CLOSED;
         client.connectionClosed(this);
-        stopSilenceTimer();
+        stopResponseTimer();
         if (channel != null) {
             channel.close();
         }
     }
 
-    private void startSilenceTimer(double ms) {
-        stopSilenceTimer();
-        silenceTimer =
+    /**
+     * Fails the connection after this time: no bytes have arrived in time, or the response is not
+     * complete in time.
+     */
+    private void startResponseTimer(double ms) {
+        stopResponseTimer();
+        responseTimer =
                 scheduler.schedule(
                         ms,
                         () -> {
-                            silenceTimer = NO_TIMER;
+                            responseTimer = NO_TIMER;
                             fail("silent");
                         });
     }
 
-    private void stopSilenceTimer() {
-        if (silenceTimer != NO_TIMER) {
-            scheduler.cancel(silenceTimer);
-            silenceTimer = NO_TIMER;
+    private void stopResponseTimer() {
+        if (responseTimer != NO_TIMER) {
+            scheduler.cancel(responseTimer);
+            responseTimer = NO_TIMER;
         }
     }
 
--- a/src/main/java/larchridge/node/discovery/EndpointCatalog.java
+++ b/src/main/java/larchridge/node/discovery/EndpointCatalog.java
@@ -9,14 +9,14 @@
 import larchridge.state.EndpointState;
 
 /**
- * The current engine list and its version. Start times are converted to the node's own clock, and
+ * The current endpoint list and its version. Start times are converted to the node's own clock, and
  * engines that an update has drained or removed are not returned to service by an older one.
  * Performs no I/O.
  */
 final class EndpointCatalog {
     private final Map<String, EngineEntry> entries = new LinkedHashMap<>();
     private final StartTimeConverter startTimes;
-    private final RemovedEndpoints removedEndpoints = new RemovedEndpoints();
+    private final WithdrawnEndpoints withdrawnEndpoints = new WithdrawnEndpoints();
     private long version;
 
     EndpointCatalog(LongSupplier wallClockMs) {
@@ -36,8 +36,8 @@
     /**
      * Applies an update; returns false if it changes nothing.
      *
-     * @param listReceived whether the agent has sent a list since the start, so that this one
-     *     counts as confirmed now
+     * @param listReceived whether the agent has sent this list or an earlier one, so that this one
+     *     is up to date now
      */
     boolean apply(EndpointListUpdate update, double nowMs, boolean listReceived) {
         Map<String, EngineEntry> before = new LinkedHashMap<>(entries);
@@ -45,9 +45,9 @@
             entries.clear();
         }
         update.entries().forEach((name, entry) -> put(name, entry, update.version(), nowMs));
-        removedEndpoints.recordRemovals(before, entries, update.version());
+        withdrawnEndpoints.recordWithdrawals(before, entries, update.version());
         if (listReceived) {
-            startTimes.listConfirmed(nowMs);
+            startTimes.listResponseReceived(nowMs);
         }
         version = update.version();
         return update.snapshot() || !update.entries().isEmpty();
@@ -60,6 +60,8 @@
         }
         double startMs = startTimes.toLocalMs(name, entry.startMs(), nowMs);
         entries.put(
-                name, removedEndpoints.restrict(name, entry.withStartMs(startMs), updateVersion));
+                name,
+                withdrawnEndpoints.drainIfOutdated(
+                        name, entry.withStartMs(startMs), updateVersion));
     }
 }
--- a/src/main/java/larchridge/node/discovery/StartTimeConverter.java
+++ b/src/main/java/larchridge/node/discovery/StartTimeConverter.java
@@ -6,11 +6,11 @@
 
 /**
  * Converts the start times of engines from the list's Unix time to this node's own clock, which
- * never steps. The wall clocks of the node and of the engines may be stepped by an hour in either
- * direction; an engine that has just started would then count as warm, or a warm one as cold for an
- * hour. What the node has observed itself bounds what the wall clock says: an engine that was not
- * on the last confirmed list has started since, and none has started in the future. Performs no
- * I/O.
+ * never steps. The wall clocks of the node and of the engines may be stepped, by as much as an hour
+ * in either direction; an engine that has just started would then count as warm, or a warm one as
+ * cold for that time. What the node has observed itself bounds what the wall clock says: an engine
+ * that was not on the list when the agent last responded has started since, and none has started in
+ * the future. Performs no I/O.
  */
 final class StartTimeConverter {
     private static final int CAPACITY = 8192;
@@ -34,7 +34,7 @@
             };
 
     /** When the agent last sent its list or reported no change; negative infinity before that. */
-    private double listConfirmedMs = Double.NEGATIVE_INFINITY;
+    private double lastListResponseMs = Double.NEGATIVE_INFINITY;
 
     StartTimeConverter(LongSupplier wallClockMs) {
         this.wallClockMs = wallClockMs;
@@ -52,14 +52,14 @@
             startTimes.remove(name);
             known =
                     new StartTime(
-                            listedMs, Math.min(nowMs, Math.max(byWallClockMs, listConfirmedMs)));
+                            listedMs, Math.min(nowMs, Math.max(byWallClockMs, lastListResponseMs)));
             startTimes.put(name, known);
         }
         return known.localMs;
     }
 
     /** Called when the agent has sent its list or reported no change. */
-    void listConfirmed(double nowMs) {
-        listConfirmedMs = nowMs;
+    void listResponseReceived(double nowMs) {
+        lastListResponseMs = nowMs;
     }
 }
--- a/src/main/java/larchridge/node/server/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -31,7 +31,7 @@
     private final StrictRequestDecoder decoder = new StrictRequestDecoder(this::requestStarted);
     private final RequestTiming timing;
     private final RequestBodyBuffer body;
-    private final PipelineQueue pipeline;
+    private final PipelineQueue pipelinedParts;
     private final ConnectionCloser closer;
     private ConnectionState state = ConnectionState.AWAITING_REQUEST;
 
@@ -48,7 +48,7 @@
         ServerLimits limits = server.limits;
         timing = new RequestTiming(limits, server.scheduler.nowMs());
         body = new RequestBodyBuffer(server.bodyMemory, limits.maxBodyBytes());
-        pipeline = new PipelineQueue(server.bodyMemory, limits.maxBodyBytes());
+        pipelinedParts = new PipelineQueue(server.bodyMemory, limits.maxBodyBytes());
         closer = new ConnectionCloser(channel, limits.lingerMs());
     }
 
@@ -86,7 +86,7 @@
         if (state == ConnectionState.CLOSING) {
             ReferenceCountUtil.release(part);
         } else if (state == ConnectionState.SERVING) {
-            pipeline.add(part);
+            pipelinedParts.add(part);
         } else {
             processAndRelease(part);
         }
@@ -156,7 +156,7 @@
         state = ConnectionState.CLOSING;
         head = null;
         body.discard();
-        pipeline.releaseAll();
+        pipelinedParts.releaseAll();
     }
 
     // ------------------------------------------------------------------ responses
@@ -165,12 +165,12 @@
     void startExchange(ClientExchange started) {
         exchange = started;
         state = ConnectionState.SERVING;
-        server.connections.markServing(this);
+        server.connections.unmarkIdleAndReceiving(this);
     }
 
     /**
-     * Responds with an error and closes the connection, since the data that follows on it can't be
-     * trusted.
+     * Responds with an error and closes the connection; after a framing error, the start of the
+     * next request is unknown.
      */
     void reject(RequestRejection rejection) {
         reject(rejection, rejection.message);
@@ -196,8 +196,8 @@
     }
 
     /**
-     * Returns whether the connection stays open after a response. One that may be the last response
-     * closes it, even if that was not requested.
+     * Returns whether the connection stays open after a response. During shutdown it is closed,
+     * even if that was not requested, unless a part of another request has arrived.
      */
     ConnectionPersistence decidePersistence(ConnectionPersistence requested) {
         return requested == ConnectionPersistence.CLOSE || isLastResponse()
@@ -205,12 +205,9 @@
                 : ConnectionPersistence.KEEP_ALIVE;
     }
 
-    /**
-     * During shutdown, a connection is kept open only for requests of which at least a part has
-     * arrived on it.
-     */
+    /** Whether the node is shutting down and no part of another request has arrived. */
     private boolean isLastResponse() {
-        return server.isDraining() && pipeline.isEmpty() && !decoder.isReceiving();
+        return server.isDraining() && pipelinedParts.isEmpty() && !decoder.isReceiving();
     }
 
     /** Writes without flushing. */
@@ -247,12 +244,12 @@
         } else {
             server.connections.markIdle(this);
         }
-        while (state.readsRequests() && !pipeline.isEmpty()) {
-            processAndRelease(pipeline.remove());
+        while (state.readsRequests() && !pipelinedParts.isEmpty()) {
+            processAndRelease(pipelinedParts.remove());
         }
-        if (state.readsRequests() && (pipeline.hasOverflowed() || isLastResponse())) {
+        if (state.readsRequests() && (pipelinedParts.hasOverflowed() || isLastResponse())) {
             closeGracefully(
-                    pipeline.hasOverflowed() ? CloseReason.SENT_AHEAD : CloseReason.SHUTDOWN);
+                    pipelinedParts.hasOverflowed() ? CloseReason.SENT_AHEAD : CloseReason.SHUTDOWN);
         }
     }
 
@@ -302,12 +299,12 @@
     // ------------------------------------------------------------------ closing
 
     /**
-     * Whether the client has closed the connection, after reading everything that its socket holds.
-     * Without that read, an attempt could start for a client whose close is still unread behind the
-     * events of other connections in the same iteration of the event loop. Must not be called while
+     * Reads everything that the socket holds, then returns whether the client has closed the
+     * connection. Without that read, an attempt could start for a client whose close has arrived,
+     * but which this iteration of the event loop has not processed yet. Must not be called while
      * this connection is being read.
      */
-    boolean hasPeerClosed() {
+    boolean readAndCheckPeerClosed() {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             socket.read();
         }
@@ -321,7 +318,7 @@
      */
     void closeIfIdleAfterRequest() {
         if (timing.hasReceivedRequest()
-                && !hasPeerClosed()
+                && !readAndCheckPeerClosed()
                 && state.readsRequests()
                 && !decoder.isReceiving()) {
             closeGracefully(CloseReason.SHUTDOWN);
