--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -175,7 +175,7 @@
         front.loop()
                 .runOnContext(
                         v -> {
-                            LatencySample felt = front.latencySample();
+                            LatencySample felt = front.takeLatencySample();
                             loop.execute(
                                     () -> {
                                         batches.felt(felt);
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -47,7 +47,7 @@
             if (over) {
                 return;
             }
-            if (!front.tryAdmit()) {
+            if (!front.tryAdmitExchange()) {
                 end(told::turnedAway);
                 return;
             }
--- a/src/main/java/larchridge/lease/LeaseClient.java
+++ b/src/main/java/larchridge/lease/LeaseClient.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import larchridge.budget.QuotaRequest;
-import larchridge.router.QuotaClient;
+import larchridge.router.TokenLeaseClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -26,7 +26,7 @@
  * discarded, so that no lease outlives its bound. Owned by a router's event loop, on which it must
  * be created.
  */
-public final class LeaseClient implements QuotaClient {
+public final class LeaseClient implements TokenLeaseClient {
     private static final int MAX_PENDING = 4096;
 
     /** The shortest time between calls to a lender that does not respond. */
@@ -128,7 +128,7 @@
         setResponsive(answered);
         for (int i = 0; i < listeners.size(); i++) {
             LeaseCodec.Grant grant = grants.get(i);
-            listeners.get(i).granted(grant.tokens(), grant.retryAfterMs());
+            listeners.get(i).requestEnded(grant.tokens(), grant.retryAfterMs());
         }
         if (!responsive) {
             failPending();
@@ -158,6 +158,6 @@
         // is down.
         List<PendingRequest> failed = new ArrayList<>(pending);
         pending.clear();
-        failed.forEach(request -> request.listener.granted(0, 0));
+        failed.forEach(request -> request.listener.requestEnded(0, 0));
     }
 }
--- a/src/main/java/larchridge/messages/MessageBodies.java
+++ b/src/main/java/larchridge/messages/MessageBodies.java
@@ -51,7 +51,7 @@
         int due = expected;
         String model = read.engineModel();
         return GenerationRequest.builder()
-                .product(terms.of(read.offer()), tenant)
+                .offering(terms.of(read.offer()), tenant)
                 .model(model)
                 .prompt(read.prompt(), read.promptTokens())
                 .sharedPrefix(read.prefix(), read.sharedTokens())
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -69,7 +69,7 @@
             refuse(request, id, fault, -1);
             return;
         }
-        if (!front.tryAdmit()) {
+        if (!front.tryAdmitExchange()) {
             refuse(
                     request,
                     id,
@@ -318,7 +318,7 @@
             String key = request.getHeader("idempotency-key");
             GenerationRequest ask =
                     GenerationRequest.builder()
-                            .product(body.offer(), tenant)
+                            .offering(body.offer(), tenant)
                             .model(body.engineModel())
                             .prompt(body.prompt(), body.promptTokens())
                             .sharedPrefix(body.prefix(), body.sharedTokens())
@@ -330,7 +330,7 @@
                             .clientTimeoutMs(patienceMs())
                             .idempotencyKey(
                                     key == null ? null : Site.sha256(tenant.name() + '\n' + key))
-                            .queuedMs((System.nanoTime() - completeNs) / 1e6)
+                            .sinceArrivalMs((System.nanoTime() - completeNs) / 1e6)
                             .onPromptTokensReported(
                                     tokens ->
                                             lengths.reported(body.engineModel(), expected, tokens))
--- a/src/main/java/larchridge/node/server/RequestDispatcher.java
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -86,7 +86,7 @@
             connection.reject(RequestRejection.NO_SUCH_CLASS);
         } else if (connection.body().isEmpty()) {
             connection.reject(RequestRejection.NO_BODY);
-        } else if (!server.router.tryAdmit()) {
+        } else if (!server.router.tryAdmitExchange()) {
             shedLoad(connection, request);
         } else if (!server.requestIds.tryAcquire(head.id())) {
             server.router.exchangeEnded();
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -31,10 +31,10 @@
     private final String idPrefix;
     private final SessionRegistry sessions = new SessionRegistry();
     private final Map<String, TenantQuota> tenantQuotas = new HashMap<>();
-    private long admittedCount;
+    private long nextIdNumber;
 
     /** Null if quota borrowing is disabled. */
-    private QuotaClient quotaClient;
+    private TokenLeaseClient tokenLeaseClient;
 
     AdmissionController(
             Router router,
@@ -52,8 +52,8 @@
         this.idPrefix = idPrefix;
     }
 
-    void setQuotaClient(QuotaClient client) {
-        quotaClient = client;
+    void setTokenLeaseClient(TokenLeaseClient client) {
+        tokenLeaseClient = client;
     }
 
     /** Admits one more exchange and counts it, or returns false. */
@@ -83,13 +83,13 @@
             Consumer<InFlightRequest> onAdmitted) {
         // Guards against: a client whose request body waited for its tokens to be counted would
         // wait that much longer than its deadline.
-        double arrivedMs = context.nowMs() - generationRequest.queuedMs();
+        double arrivedMs = context.nowMs() - generationRequest.sinceArrivalMs();
         BudgetDecision decision = checkBudget(generationRequest);
-        if (!decision.isAdmitted() && decision.isRateLimited() && quotaClient != null) {
-            if (borrowQuota(generationRequest, responseSink, arrivedMs, onAdmitted)) {
+        if (!decision.isAdmitted() && decision.isRateLimited() && tokenLeaseClient != null) {
+            if (requestLease(generationRequest, responseSink, arrivedMs, onAdmitted)) {
                 return;
             }
-            budgets.setLenderAvailable(quotaClient.isResponsive());
+            budgets.setLenderAvailable(tokenLeaseClient.isResponsive());
         }
         admitOrReject(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
     }
@@ -110,7 +110,7 @@
      * Requests the missing quota and decides on admission once the lender responds; returns false
      * if the quota cannot be requested.
      */
-    private boolean borrowQuota(
+    private boolean requestLease(
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             double arrivedMs,
@@ -124,10 +124,10 @@
         if (quotaRequest == null) {
             return false;
         }
-        QuotaClient.Listener listener =
+        TokenLeaseClient.Listener listener =
                 (grantedTokens, retryAfterMs) -> {
                     context.updateClock();
-                    budgets.setLenderAvailable(quotaClient.isResponsive());
+                    budgets.setLenderAvailable(tokenLeaseClient.isResponsive());
                     budgets.addLease(
                             quotaRequest.budget(),
                             grantedTokens,
@@ -144,7 +144,7 @@
                                 onAdmitted);
                     }
                 };
-        return quotaClient.request(quotaRequest, listener);
+        return tokenLeaseClient.request(quotaRequest, listener);
     }
 
     private void admitOrReject(
@@ -223,7 +223,7 @@
     private String generationIdOf(GenerationRequest generationRequest) {
         return generationRequest.forwardedRequest() != null
                 ? generationRequest.forwardedRequest().id()
-                : idPrefix + Long.toString(admittedCount++, ID_RADIX);
+                : idPrefix + Long.toString(nextIdNumber++, ID_RADIX);
     }
 
     private TenantQuota tenantQuotaOf(Site.Tenant tenant) {
--- a/src/main/java/larchridge/router/AttemptCanceller.java
+++ b/src/main/java/larchridge/router/AttemptCanceller.java
@@ -8,11 +8,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(AttemptCanceller.class);
 
     private final RouterContext context;
-    private final ReadStateReleases readStates;
+    private final ReadStateReleaser readStateReleaser;
 
-    AttemptCanceller(RouterContext context, ReadStateReleases readStates) {
+    AttemptCanceller(RouterContext context, ReadStateReleaser readStateReleaser) {
         this.context = context;
-        this.readStates = readStates;
+        this.readStateReleaser = readStateReleaser;
     }
 
     void cancel(InFlightAttempt attempt, CancellationReason reason) {
@@ -27,10 +27,10 @@
         } else {
             attempt.handle().cancel();
         }
-        if (attempt.isRead() && attempt.holdsState()) {
+        if (attempt.isRead() && attempt.mayHoldState()) {
             // Guards against: a read that completes just as it is cancelled leaves a state that no
             // outcome reports.
-            readStates.release(attempt);
+            readStateReleaser.release(attempt);
         }
     }
 
--- a/src/main/java/larchridge/router/AttemptEventHandler.java
+++ b/src/main/java/larchridge/router/AttemptEventHandler.java
@@ -57,7 +57,7 @@
         context.latencyTracker.responseStarted(request, nowMs);
         meterPrompt();
         services.policy().responseStarted(request, attempt);
-        services.readStates().releaseUnclaimed(request.generation());
+        services.readStateReleaser().releaseUnclaimed(request.generation());
         services.timeouts().watchStreamIdle(request);
         if (!request.responseGuard().isFinished()) {
             InFlightAttempt stateSource = attempt.stateSource();
@@ -142,7 +142,7 @@
         context.updateClock();
         attempt.markEnded();
         context.metrics.attemptEnded(context.routerNumber, attempt.stage(), outcome.name());
-        if (attempt.holdsState()) {
+        if (attempt.mayHoldState()) {
             dropOrReleaseState(outcome);
         }
         if (request.streamingAttempt() == attempt) {
@@ -163,7 +163,7 @@
         } else {
             // Guards against: the engine may hold the state even though its response did not
             // arrive.
-            services.readStates().release(attempt);
+            services.readStateReleaser().release(attempt);
         }
     }
 
--- a/src/main/java/larchridge/router/FinalResponseSender.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -38,7 +38,7 @@
     void reject(InFlightRequest request, double retryAfterMs) {
         if (request.responseGuard().finish(ResponseGuard.FinalResponse.REJECTED)) {
             recordFinalResponse(request, "throttled");
-            context.latencyTracker.rejected(request);
+            context.latencyTracker.rejectedOrTimedOut(request);
             request.responseSink().rejected(retryAfterMs);
         }
     }
@@ -58,7 +58,7 @@
         if (request.responseGuard().finish(ResponseGuard.FinalResponse.FAILED)) {
             recordFinalResponse(request, "terminated");
             if (cause == ResponseSink.FailureCause.DEADLINE_EXCEEDED) {
-                context.latencyTracker.rejected(request);
+                context.latencyTracker.rejectedOrTimedOut(request);
             }
             request.responseSink().failed(cause, mayRetry(request.generation().trafficClass));
         }
@@ -77,19 +77,19 @@
     }
 
     private void recordFinalResponse(InFlightRequest request, String kind) {
-        String product = request.generation().trafficClass.name;
+        String trafficClassName = request.generation().trafficClass.name;
         double elapsedMs = request.elapsedMs(context.nowMs());
         if (request.generation().giveUpReason() != null) {
             context.metrics.requestAbandoned(
                     context.routerNumber,
-                    product,
+                    trafficClassName,
                     request.generation().giveUpReason().name().toLowerCase(Locale.ROOT));
         }
-        context.metrics.requestFinished(context.routerNumber, product, kind, elapsedMs);
+        context.metrics.requestFinished(context.routerNumber, trafficClassName, kind, elapsedMs);
         LOG.atDebug()
                 .addKeyValue("generation", request.id())
                 .addKeyValue("router", context.routerNumber)
-                .addKeyValue("product", product)
+                .addKeyValue("product", trafficClassName)
                 .addKeyValue("attempts", request.attempts().size())
                 .addKeyValue("ms", Math.round(elapsedMs))
                 .addKeyValue("reason", request.generation().giveUpReason())
--- a/src/main/java/larchridge/router/GenerationRequest.java
+++ b/src/main/java/larchridge/router/GenerationRequest.java
@@ -29,7 +29,7 @@
  * @param clientRetry whether the client has sent the request before
  * @param clientTimeoutMs how long the client waits, or infinity if unknown
  * @param idempotencyKey the client's key for its retries, or null
- * @param queuedMs how long the request body has waited to be read and its tokens counted
+ * @param sinceArrivalMs how long the request body has waited to be read and its tokens counted
  * @param onPromptTokensReported called on the router's loop with the prompt length that an engine
  *     reports
  * @param forwardedRequest the request that is forwarded to engines unchanged, or null if the
@@ -53,7 +53,7 @@
         boolean clientRetry,
         double clientTimeoutMs,
         String idempotencyKey,
-        double queuedMs,
+        double sinceArrivalMs,
         IntConsumer onPromptTokensReported,
         ForwardedRequest forwardedRequest) {
 
@@ -74,7 +74,7 @@
             String sessionId,
             boolean clientRetry,
             double clientTimeoutMs,
-            double queuedMs) {
+            double sinceArrivalMs) {
         return new GenerationRequest(
                 offering,
                 tenant,
@@ -93,7 +93,7 @@
                 clientRetry,
                 clientTimeoutMs,
                 null,
-                queuedMs,
+                sinceArrivalMs,
                 tokens -> {},
                 forwardedRequest);
     }
@@ -122,13 +122,13 @@
         private boolean clientRetry;
         private double clientTimeoutMs = Double.POSITIVE_INFINITY;
         private String idempotencyKey;
-        private double queuedMs;
+        private double sinceArrivalMs;
         private IntConsumer onPromptTokensReported = tokens -> {};
 
         private Builder() {}
 
         /** Sets the product that the client requests and the tenant that pays for it. */
-        public Builder product(ProductOffering newOffering, Site.Tenant newTenant) {
+        public Builder offering(ProductOffering newOffering, Site.Tenant newTenant) {
             offering = newOffering;
             tenant = newTenant;
             return this;
@@ -203,8 +203,8 @@
         }
 
         /** Sets how long the request body has waited to be read and its tokens counted. */
-        public Builder queuedMs(double newQueuedMs) {
-            queuedMs = newQueuedMs;
+        public Builder sinceArrivalMs(double newSinceArrivalMs) {
+            sinceArrivalMs = newSinceArrivalMs;
             return this;
         }
 
@@ -234,7 +234,7 @@
                     clientRetry,
                     clientTimeoutMs,
                     idempotencyKey,
-                    queuedMs,
+                    sinceArrivalMs,
                     onPromptTokensReported,
                     null);
         }
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -17,7 +17,7 @@
     private final InFlightAttempt stateSource;
     private UpstreamClient.AttemptHandle handle;
     private StateHandle state;
-    private boolean holdsState;
+    private boolean mayHoldState;
     private boolean ended;
     private long meteredReadTokens;
     private int cachedTokens;
@@ -39,7 +39,7 @@
         this.endpoint = endpoint;
         this.attemptId = attemptId;
         this.stateSource = stateSource;
-        holdsState = policyAttempt.readOnly;
+        mayHoldState = policyAttempt.readOnly;
     }
 
     Attempt policyAttempt() {
@@ -77,8 +77,8 @@
     }
 
     /** Whether the engine holds, or may hold, a state that has not been released. */
-    boolean holdsState() {
-        return holdsState;
+    boolean mayHoldState() {
+        return mayHoldState;
     }
 
     boolean isEnded() {
@@ -100,9 +100,9 @@
     }
 
     /** The read completed, and its engine holds the state. */
-    void readCompleted(StateHandle leftState, long countedTokens, int tokensFromCache) {
+    void readCompleted(StateHandle stateHandle, long countedTokens, int tokensFromCache) {
         ended = true;
-        state = leftState;
+        state = stateHandle;
         meteredReadTokens = countedTokens;
         cachedTokens = tokensFromCache;
     }
@@ -113,6 +113,6 @@
 
     /** The state was fetched or released, or never existed. */
     void markStateRemoved() {
-        holdsState = false;
+        mayHoldState = false;
     }
 }
--- a/src/main/java/larchridge/router/InFlightRequest.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -30,12 +30,12 @@
     private String billId;
     private String duplicateKey;
     private InFlightAttempt streamingAttempt;
-    private double lastChunkMs;
+    private double streamIdleSinceMs;
     private boolean paused;
     private double pausedSinceMs;
-    private boolean recorded;
-    private long recordedWastedTokens;
-    private int recordedAttempts;
+    private boolean usageQueued;
+    private long queuedWastedTokens;
+    private int queuedAttempts;
     private long deadlineTimer = NO_TIMER;
     private long streamIdleTimer = NO_TIMER;
 
@@ -167,15 +167,15 @@
 
     void startStreaming(InFlightAttempt attempt, double nowMs) {
         streamingAttempt = attempt;
-        lastChunkMs = nowMs;
+        streamIdleSinceMs = nowMs;
     }
 
     void chunkReceived(double nowMs) {
-        lastChunkMs = nowMs;
+        streamIdleSinceMs = nowMs;
     }
 
-    double lastChunkMs() {
-        return lastChunkMs;
+    double streamIdleSinceMs() {
+        return streamIdleSinceMs;
     }
 
     boolean isPaused() {
@@ -197,7 +197,7 @@
 
     void resumeStream(double nowMs) {
         paused = false;
-        lastChunkMs = nowMs;
+        streamIdleSinceMs = nowMs;
         if (streamingAttempt != null) {
             streamingAttempt.handle().resume();
         }
@@ -223,28 +223,28 @@
         duplicateKey = key;
     }
 
-    boolean isRecorded() {
-        return recorded;
+    boolean isUsageQueued() {
+        return usageQueued;
     }
 
     /** Whether waste or attempts were added after the usage was recorded. */
-    boolean hasUnrecordedUsage() {
-        return unrecordedWastedTokens() > 0 || unrecordedAttempts() > 0;
+    boolean hasUnqueuedUsage() {
+        return unqueuedWastedTokens() > 0 || unqueuedAttempts() > 0;
     }
 
-    long unrecordedWastedTokens() {
-        return usageMeter.wastedTokens() - recordedWastedTokens;
+    long unqueuedWastedTokens() {
+        return usageMeter.wastedTokens() - queuedWastedTokens;
     }
 
-    int unrecordedAttempts() {
-        return attempts.size() - recordedAttempts;
+    int unqueuedAttempts() {
+        return attempts.size() - queuedAttempts;
     }
 
     /** Sets whether the usage so far was queued for the ledger. */
-    void markRecorded(boolean queued) {
-        recorded = queued;
-        recordedWastedTokens = usageMeter.wastedTokens();
-        recordedAttempts = attempts.size();
+    void setUsageQueued(boolean queued) {
+        usageQueued = queued;
+        queuedWastedTokens = usageMeter.wastedTokens();
+        queuedAttempts = attempts.size();
     }
 
     // ------------------------------------------------------------------ timers
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -17,7 +17,7 @@
     }
 
     /** A request was rejected, or failed because its deadline had passed. */
-    void rejected(InFlightRequest request) {
+    void rejectedOrTimedOut(InFlightRequest request) {
         if (!request.isBatch()) {
             sample.recordRejection();
         }
@@ -25,18 +25,18 @@
 
     /** Returns the sample since the last call, including the requests that are in flight now. */
     LatencySample takeSample(Iterable<InFlightRequest> requests, double nowMs) {
-        int unanswered = 0;
-        double longestWait = 0;
+        int unfinished = 0;
+        double longestWaitFraction = 0;
         for (InFlightRequest request : requests) {
             if (!request.isBatch() && !request.responseGuard().isFinished()) {
-                unanswered++;
+                unfinished++;
                 if (request.generation().isWaiting()) {
-                    longestWait = Math.max(longestWait, request.latencyObjectiveFraction(nowMs));
+                    longestWaitFraction = Math.max(longestWaitFraction, request.latencyObjectiveFraction(nowMs));
                 }
             }
         }
         LatencySample taken = sample;
-        taken.recordUnanswered(unanswered, longestWait);
+        taken.recordUnanswered(unfinished, longestWaitFraction);
         sample = new LatencySample();
         return taken;
     }
--- a/src/main/java/larchridge/router/LoopMonitor.java
+++ b/src/main/java/larchridge/router/LoopMonitor.java
@@ -7,14 +7,14 @@
     private static final int INTERVAL_MS = 100;
 
     private final RouterContext context;
-    private final ReadStateReleases readStates;
+    private final ReadStateReleaser readStateReleaser;
     private double lastRunMs;
     private volatile int requestsInFlight;
     private volatile int heldStates;
 
-    LoopMonitor(RouterContext context, ReadStateReleases readStates) {
+    LoopMonitor(RouterContext context, ReadStateReleaser readStateReleaser) {
         this.context = context;
-        this.readStates = readStates;
+        this.readStateReleaser = readStateReleaser;
     }
 
     void start() {
@@ -31,6 +31,6 @@
         }
         lastRunMs = context.nowMs();
         requestsInFlight = context.requests.size();
-        heldStates = readStates.heldStates();
+        heldStates = readStateReleaser.heldStates();
     }
 }
--- a/src/main/java/larchridge/router/ReadStateReleases.java
+++ b/src/main/java/larchridge/router/ReadStateReleaser.java
@@ -5,10 +5,10 @@
 /**
  * Releases the states that completed reads left at their engines and that no attempt will fetch.
  */
-final class ReadStateReleases {
+final class ReadStateReleaser {
     private final RouterContext context;
 
-    ReadStateReleases(RouterContext context) {
+    ReadStateReleaser(RouterContext context) {
         this.context = context;
     }
 
@@ -21,7 +21,7 @@
             return;
         }
         for (InFlightAttempt attempt : request.attempts()) {
-            if (attempt.holdsState() && attempt.isEnded() && !request.isStateClaimed(attempt)) {
+            if (attempt.mayHoldState() && attempt.isEnded() && !request.isStateClaimed(attempt)) {
                 release(attempt);
             }
         }
@@ -38,7 +38,7 @@
         int held = 0;
         for (InFlightRequest request : context.requests.values()) {
             for (InFlightAttempt attempt : request.attempts()) {
-                held += attempt.holdsState() ? 1 : 0;
+                held += attempt.mayHoldState() ? 1 : 0;
             }
         }
         return held;
--- a/src/main/java/larchridge/router/RequestCloser.java
+++ b/src/main/java/larchridge/router/RequestCloser.java
@@ -15,7 +15,7 @@
     private final PolicyNotifier policy;
     private final FinalResponseSender finalResponses;
     private final AttemptCanceller attemptCanceller;
-    private final ReadStateReleases readStates;
+    private final ReadStateReleaser readStateReleaser;
     private final UsageRecorder usageRecorder;
     private final GracefulShutdown shutdown;
 
@@ -24,14 +24,14 @@
             PolicyNotifier policy,
             FinalResponseSender finalResponses,
             AttemptCanceller attemptCanceller,
-            ReadStateReleases readStates,
+            ReadStateReleaser readStateReleaser,
             UsageRecorder usageRecorder,
             GracefulShutdown shutdown) {
         this.context = context;
         this.policy = policy;
         this.finalResponses = finalResponses;
         this.attemptCanceller = attemptCanceller;
-        this.readStates = readStates;
+        this.readStateReleaser = readStateReleaser;
         this.usageRecorder = usageRecorder;
         this.shutdown = shutdown;
     }
@@ -85,7 +85,7 @@
         if (!isFinished(request) || context.requests.get(request.generation()) == null) {
             return;
         }
-        readStates.releaseUnclaimed(request.generation());
+        readStateReleaser.releaseUnclaimed(request.generation());
         context.requests.remove(request.generation());
         usageRecorder.settle(request);
         request.cancelTimers(context.scheduler);
--- a/src/main/java/larchridge/router/RequestServices.java
+++ b/src/main/java/larchridge/router/RequestServices.java
@@ -7,7 +7,7 @@
  * @param context state shared by all components
  * @param policy passes events on to the routing policy
  * @param finalResponses sends clients their final responses
- * @param readStates releases the states that reads left at engines
+ * @param readStateReleaser releases the states that reads left at engines
  * @param closer removes finished requests
  * @param timeouts ends requests that exceed a time limit
  */
@@ -15,6 +15,6 @@
         RouterContext context,
         PolicyNotifier policy,
         FinalResponseSender finalResponses,
-        ReadStateReleases readStates,
+        ReadStateReleaser readStateReleaser,
         RequestCloser closer,
         RequestTimeouts timeouts) {}
--- a/src/main/java/larchridge/router/RequestTimeouts.java
+++ b/src/main/java/larchridge/router/RequestTimeouts.java
@@ -112,7 +112,7 @@
         }
         context.updateClock();
         double idleTimeoutMs = context.site.limit.quietStreamMs;
-        double remainingMs = request.lastChunkMs() + idleTimeoutMs - context.nowMs();
+        double remainingMs = request.streamIdleSinceMs() + idleTimeoutMs - context.nowMs();
         if (request.isPaused()) {
             scheduleStreamIdleCheck(request, idleTimeoutMs);
         } else if (remainingMs > IDLE_TOLERANCE_MS) {
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -40,7 +40,7 @@
     private final Budgets budgets;
     private final EndpointTable endpoints = new EndpointTable();
     private final GracefulShutdown shutdown;
-    private final ReadStateReleases readStates;
+    private final ReadStateReleaser readStateReleaser;
     private final FinalResponseSender finalResponses;
     private final PolicyNotifier policy;
     private final AttemptCanceller attemptCanceller;
@@ -89,15 +89,15 @@
             Vertx vertx, RouterContext context, Ledger ledger, PolicyEvents.Factory policyFactory) {
         this.vertx = vertx;
         this.context = context;
-        loop = context.scheduler instanceof VertxScheduler own ? own.loop() : null;
+        loop = context.scheduler instanceof VertxScheduler vertxScheduler ? vertxScheduler.loop() : null;
         final String idPrefix = context.scheduler.uniqueIdPrefix();
         context.updateClock();
         budgets = context.site.budgetsOf(context.routerNumber, context.nowMs());
         final RoutingSettings settings = context.site.termsOf(context.routerNumber);
 
         shutdown = new GracefulShutdown(context);
-        readStates = new ReadStateReleases(context);
-        attemptCanceller = new AttemptCanceller(context, readStates);
+        readStateReleaser = new ReadStateReleaser(context);
+        attemptCanceller = new AttemptCanceller(context, readStateReleaser);
         UsageRecorder usageRecorder = new UsageRecorder(context, budgets, ledger);
         finalResponses = new FinalResponseSender(context, usageRecorder);
         policy = new PolicyNotifier(context, finalResponses);
@@ -107,32 +107,32 @@
                         policy,
                         finalResponses,
                         attemptCanceller,
-                        readStates,
+                        readStateReleaser,
                         usageRecorder,
                         shutdown);
         timeouts = new RequestTimeouts(context, closer, attemptCanceller);
         RequestServices services =
-                new RequestServices(context, policy, finalResponses, readStates, closer, timeouts);
+                new RequestServices(context, policy, finalResponses, readStateReleaser, closer, timeouts);
         attemptSender = new AttemptSender(services, endpoints, settings.hedgingAllowed());
         admission =
                 new AdmissionController(this, services, budgets, usageRecorder, shutdown, idPrefix);
 
         policy.attach(policyFactory.create(settings, this));
-        new LoopMonitor(context, readStates).start();
+        new LoopMonitor(context, readStateReleaser).start();
     }
 
     // ------------------------------------------------------------------ admission
 
     /** Sets the client through which budgets that run short of quota borrow from the lender. */
-    public void setQuotaClient(QuotaClient quotaClient) {
-        admission.setQuotaClient(quotaClient);
+    public void setTokenLeaseClient(TokenLeaseClient tokenLeaseClient) {
+        admission.setTokenLeaseClient(tokenLeaseClient);
     }
 
     /**
      * Admits one more exchange, or returns false. Each admitted exchange must be followed by one
      * {@link #exchangeEnded}.
      */
-    public boolean tryAdmit() {
+    public boolean tryAdmitExchange() {
         return admission.tryAdmitExchange();
     }
 
@@ -156,9 +156,9 @@
     }
 
     /** Replaces the budgets; requests in flight stay charged. */
-    public void updateBudgets(Site changed) {
+    public void updateBudgets(Site newSite) {
         context.updateClock();
-        changed.budgetsTo(budgets, context.nowMs());
+        newSite.budgetsTo(budgets, context.nowMs());
     }
 
     /**
@@ -197,7 +197,7 @@
     }
 
     /** The latency of interactive generations since the last call; must be called on the loop. */
-    public LatencySample latencySample() {
+    public LatencySample takeLatencySample() {
         context.updateClock();
         return context.latencyTracker.takeSample(context.requests.values(), context.nowMs());
     }
@@ -271,7 +271,7 @@
 
     @Override
     public void releaseState(Generation generation) {
-        readStates.releaseUnclaimed(generation);
+        readStateReleaser.releaseUnclaimed(generation);
     }
 
     @Override
--- a/src/main/java/larchridge/router/QuotaClient.java
+++ b/src/main/java/larchridge/router/TokenLeaseClient.java
@@ -3,8 +3,8 @@
 import larchridge.budget.QuotaRequest;
 
 /** Borrows quota from the lender that the routers share when a budget on this router runs short. */
-public interface QuotaClient {
-    /** Receives the lender's response; never called from within {@link QuotaClient#request}. */
+public interface TokenLeaseClient {
+    /** Receives the lender's response; never called from within {@link TokenLeaseClient#request}. */
     interface Listener {
         /**
          * The lender responded, or the request timed out.
@@ -12,7 +12,7 @@
          * @param tokens the granted tokens, or 0
          * @param retryAfterMs the time in milliseconds after which a grant is possible
          */
-        void granted(double tokens, double retryAfterMs);
+        void requestEnded(double tokens, double retryAfterMs);
     }
 
     /**
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -79,9 +79,9 @@
                 || request.usageMeter().billedTokens() + request.usageMeter().wastedTokens() <= 0) {
             return;
         }
-        if (!request.isRecorded()) {
+        if (!request.isUsageQueued()) {
             record(request, usage(request), null);
-        } else if (request.hasUnrecordedUsage()) {
+        } else if (request.hasUnqueuedUsage()) {
             // A second attempt ended after the response; its record is joined to the first one's
             // bill.
             record(request, lateWasteUsage(request), null);
@@ -101,9 +101,9 @@
         }
         request.responseSink().flush();
         Runnable finishOnce = new RunOnce(finish);
-        request.markRecorded(
+        request.setUsageQueued(
                 record(request, usage(request), () -> context.scheduler.execute(finishOnce)));
-        double waitMs = request.isRecorded() ? maxWaitMs : 0;
+        double waitMs = request.isUsageQueued() ? maxWaitMs : 0;
         if (request.generationRequest().nonStreaming()) {
             double remainingMs =
                     request.completionDeadlineMs()
@@ -142,8 +142,8 @@
                 0,
                 0,
                 0,
-                request.unrecordedWastedTokens(),
-                request.unrecordedAttempts());
+                request.unqueuedWastedTokens(),
+                request.unqueuedAttempts());
     }
 
     /** Queues a record for the ledger; if the queue is full, logs the usage and returns false. */
--- a/src/main/java/larchridge/router/package-info.java
+++ b/src/main/java/larchridge/router/package-info.java
@@ -6,7 +6,7 @@
  * larchridge.router.GenerationRequest} to it and receives the response through a {@link
  * larchridge.router.ResponseSink}. Each component of a router has one concern: {@code
  * AdmissionController}, {@code AttemptSender} and {@code AttemptEventHandler}, {@code
- * ReadStateReleases}, {@code RequestTimeouts}, {@code FinalResponseSender}, {@code RequestCloser},
+ * ReadStateReleaser}, {@code RequestTimeouts}, {@code FinalResponseSender}, {@code RequestCloser},
  * {@code UsageRecorder}, {@code EndpointTable} and {@code GracefulShutdown}.
  *
  * <p>Everything in one router runs on one loop, without locks. The package decides nothing about
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -160,7 +160,7 @@
                             front.loop()
                                     .runOnContext(
                                             v ->
-                                                    front.setQuotaClient(
+                                                    front.setTokenLeaseClient(
                                                             new LeaseClient(
                                                                     vertx,
                                                                     site.lenderHost,
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -247,7 +247,7 @@
 
         private void arrive() {
             Router at = fronts.get(front);
-            if (!at.tryAdmit()) {
+            if (!at.tryAdmitExchange()) {
                 answer("throttled");
                 return;
             }
@@ -273,7 +273,7 @@
             world.schedule(KEEP_TALK_MS, () -> town.forget(body));
             GenerationRequest ask =
                     GenerationRequest.builder()
-                            .product(
+                            .offering(
                                     site.offersByModel.get(mix.name()),
                                     site.tenantNamed(session.tenant))
                             .model(mix.name())
