--- a/src/main/java/larchridge/audit/AuditedAttempt.java
+++ b/src/main/java/larchridge/audit/AuditedAttempt.java
@@ -45,7 +45,7 @@
     }
 
     /** Whether the attempt may have had an effect. Reads have none, whatever their outcome. */
-    boolean mayHaveRun() {
+    boolean mayHaveHadEffect() {
         return !isRead && !provenNotRun;
     }
 }
--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -8,7 +8,7 @@
 
 /** The events observed for one request, with its most recent transitions. */
 final class AuditedRequest {
-    private static final int MAX_TRANSITIONS = 32;
+    private static final int MAX_RECENT_EVENTS = 32;
     private static final double NOT_HELD = Double.NaN;
 
     final String id;
@@ -18,7 +18,7 @@
     final double deadlineMs;
 
     final List<AuditedAttempt> attempts = new ArrayList<>(2);
-    private final Deque<Transition> transitions = new ArrayDeque<>();
+    private final Deque<RecordedEvent> recentEvents = new ArrayDeque<>();
 
     boolean responseStarted;
     boolean finalResponseSent;
@@ -38,9 +38,9 @@
     boolean lateResponseReported;
 
     boolean lateReleaseReported;
-    boolean orphanedAttemptReported;
+    boolean incompleteReported;
 
-    private double heldSinceMs = NOT_HELD;
+    private double stateHeldSinceMs = NOT_HELD;
 
     AuditedRequest(String id, TrafficClass trafficClass, double deadlineMs) {
         this.id = id;
@@ -48,40 +48,40 @@
         this.deadlineMs = deadlineMs;
     }
 
-    void record(double ms, Transition.Kind kind, int attempt, Object detail) {
-        if (transitions.size() >= MAX_TRANSITIONS) {
-            transitions.removeFirst();
+    void record(double atMs, RecordedEvent.Kind kind, int attempt, Object detail) {
+        if (recentEvents.size() >= MAX_RECENT_EVENTS) {
+            recentEvents.removeFirst();
         }
-        transitions.addLast(new Transition(ms, kind, attempt, detail));
+        recentEvents.addLast(new RecordedEvent(atMs, kind, attempt, detail));
     }
 
     /** Formats the most recent transitions for the log. */
-    String transitions() {
-        return transitions.toString();
+    String recentEvents() {
+        return recentEvents.toString();
     }
 
     /** Records that a state is held; it must be fetched or released within the time limit. */
-    void holdSince(double ms) {
-        heldSinceMs = ms;
+    void setStateHeldSince(double atMs) {
+        stateHeldSinceMs = atMs;
     }
 
-    void clearHeld() {
-        heldSinceMs = NOT_HELD;
+    void clearStateHeld() {
+        stateHeldSinceMs = NOT_HELD;
     }
 
-    boolean isHeld() {
-        return !Double.isNaN(heldSinceMs);
+    boolean isStateHeld() {
+        return !Double.isNaN(stateHeldSinceMs);
     }
 
     /** How long the state has been held, or NaN if none is held. */
-    double heldForMs(double nowMs) {
-        return nowMs - heldSinceMs;
+    double stateHeldForMs(double nowMs) {
+        return nowMs - stateHeldSinceMs;
     }
 
     /** Whether nothing is left of the request: neither at the client nor at any engine. */
     boolean isComplete() {
         return (finalResponseSent || clientDisconnected)
-                && !isHeld()
+                && !isStateHeld()
                 && attempts.stream().allMatch(AuditedAttempt::hasEnded);
     }
 }
--- a/src/main/java/larchridge/audit/CloseCounters.java
+++ b/src/main/java/larchridge/audit/CloseCounters.java
@@ -8,26 +8,26 @@
 
 /** Counts closed connections by side and reason. */
 public final class CloseCounters {
-    private final Map<ConnectionSide, Map<CloseReason, Counter>> counters =
-            new EnumMap<>(ConnectionSide.class);
+    private final Map<ConnectionPeer, Map<CloseReason, Counter>> counters =
+            new EnumMap<>(ConnectionPeer.class);
 
     /** Registers a counter for each side and reason. */
     public CloseCounters(MeterRegistry registry) {
-        for (ConnectionSide side : ConnectionSide.values()) {
+        for (ConnectionPeer peer : ConnectionPeer.values()) {
             Map<CloseReason, Counter> byReason = new EnumMap<>(CloseReason.class);
             for (CloseReason reason : CloseReason.values()) {
                 byReason.put(
                         reason,
                         Counter.builder("larchridge_connections_closed")
-                                .tag("side", side.name().toLowerCase(Locale.ROOT))
+                                .tag("side", peer.name().toLowerCase(Locale.ROOT))
                                 .tag("reason", reason.tag())
                                 .register(registry));
             }
-            counters.put(side, byReason);
+            counters.put(peer, byReason);
         }
     }
 
-    void increment(ConnectionSide side, CloseReason reason) {
-        counters.get(side).get(reason).increment();
+    void increment(ConnectionPeer peer, CloseReason reason) {
+        counters.get(peer).get(reason).increment();
     }
 }
--- a/src/main/java/larchridge/audit/EndpointAudit.java
+++ b/src/main/java/larchridge/audit/EndpointAudit.java
@@ -80,7 +80,7 @@
                             + " ms after it started draining or was removed");
         }
         if (engine != null
-                && !slowStartBudget.recordSendWithinBudget(endpoint, engine, engines, nowMs)) {
+                && !slowStartBudget.recordAndCheckSend(endpoint, engine, engines, nowMs)) {
             report(
                     Invariant.SLOW_START_BUDGET,
                     requestId,
@@ -92,6 +92,6 @@
     private void report(
             Invariant invariant, String requestId, AuditedRequest request, String problem) {
         violations.report(
-                invariant, requestId, problem, request == null ? null : request.transitions());
+                invariant, requestId, problem, request == null ? null : request.recentEvents());
     }
 }
--- a/src/main/java/larchridge/audit/Transition.java
+++ b/src/main/java/larchridge/audit/RecordedEvent.java
@@ -1,7 +1,7 @@
 package larchridge.audit;
 
 /** One transition of a request, kept to be logged with a violation. */
-record Transition(double ms, Kind kind, int attempt, Object detail) {
+record RecordedEvent(double atMs, Kind kind, int attempt, Object detail) {
     /** Kinds of transitions; their names appear in the log. */
     enum Kind {
         ACCEPTED,
@@ -17,7 +17,7 @@
 
     @Override
     public String toString() {
-        return Math.round(ms)
+        return Math.round(atMs)
                 + " "
                 + kind
                 + (attempt < 0 ? "" : " " + attempt)
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -24,7 +24,7 @@
      * Attempts in flight this long after the final response count as orphaned; normally they are
      * cancelled, and end, much earlier.
      */
-    private static final double ORPHANED_ATTEMPT_TIMEOUT_MS = 30_000;
+    private static final double INCOMPLETE_REQUEST_TIMEOUT_MS = 30_000;
 
     /** Number of completed requests that are kept, so that late events for them are detected. */
     private static final int MAX_COMPLETED_REQUESTS = 512;
@@ -77,7 +77,7 @@
         }
         AuditedRequest request = new AuditedRequest(id, trafficClass, deadlineMs);
         openRequests.put(id, request);
-        record(request, Transition.Kind.ACCEPTED, NO_ATTEMPT, trafficClass.name);
+        record(request, RecordedEvent.Kind.ACCEPTED, NO_ATTEMPT, trafficClass.name);
     }
 
     @Override
@@ -85,8 +85,8 @@
         AuditedRequest request = find(id);
         if (request != null) {
             request.clientDisconnected = true;
-            record(request, Transition.Kind.CLIENT_CLOSED, NO_ATTEMPT, null);
-            moveIfComplete(request);
+            record(request, RecordedEvent.Kind.CLIENT_CLOSED, NO_ATTEMPT, null);
+            moveToCompletedIfComplete(request);
         }
     }
 
@@ -96,7 +96,7 @@
         if (request == null) {
             return;
         }
-        record(request, Transition.Kind.ANSWERED, NO_ATTEMPT, kind);
+        record(request, RecordedEvent.Kind.ANSWERED, NO_ATTEMPT, kind);
         if (request.finalResponseSent || request.clientDisconnected) {
             report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request had ended");
         }
@@ -105,7 +105,7 @@
         }
         request.finalResponseSent = true;
         request.finalResponseMs = clockMs.getAsDouble();
-        moveIfComplete(request);
+        moveToCompletedIfComplete(request);
     }
 
     // ------------------------------------------------------------------ attempts
@@ -119,7 +119,7 @@
             return NO_ATTEMPT;
         }
         int number = request.attempts.size();
-        request.record(nowMs, Transition.Kind.WRITTEN, number, endpoint);
+        request.record(nowMs, RecordedEvent.Kind.WRITTEN, number, endpoint);
         checkSend(request, attemptTimeoutMs, nowMs);
         AuditedAttempt attempt =
                 new AuditedAttempt(
@@ -157,10 +157,10 @@
 
     @Override
     public void readCompleted(String id, int attempt) {
-        AuditedRequest request = endAttempt(id, attempt, Transition.Kind.READ_COMPLETED, null);
+        AuditedRequest request = endAttempt(id, attempt, RecordedEvent.Kind.READ_COMPLETED, null);
         if (request != null) {
             startHold(request);
-            moveIfComplete(request);
+            moveToCompletedIfComplete(request);
         }
     }
 
@@ -170,34 +170,34 @@
         if (request == null) {
             return;
         }
-        record(request, Transition.Kind.RESPONSE_STARTED, attempt, null);
+        record(request, RecordedEvent.Kind.RESPONSE_STARTED, attempt, null);
         if (!request.finalResponseSent && !request.clientDisconnected) {
             checkDeadline(request);
         }
         request.responseStarted = true;
-        request.clearHeld();
+        request.clearStateHeld();
     }
 
     @Override
     public void attemptEnded(
             String id, int attempt, String outcome, boolean provenNotRun, boolean engineResponded) {
-        AuditedRequest request = endAttempt(id, attempt, Transition.Kind.ENDED, outcome);
+        AuditedRequest request = endAttempt(id, attempt, RecordedEvent.Kind.ENDED, outcome);
         if (request == null || attempt < 0) {
             return;
         }
         AuditedAttempt ended = request.attempts.get(attempt);
         ended.setProvenNotRun(provenNotRun);
-        boolean mayHaveStartedHold = ended.mayHoldReadState() && !request.isHeld();
-        boolean mayStillBeHeld =
-                request.releasedDuringAttempt || (engineResponded && request.isHeld());
-        if (!request.responseStarted && (mayHaveStartedHold || mayStillBeHeld)) {
+        boolean holdMayStart = ended.mayHoldReadState() && !request.isStateHeld();
+        boolean holdMayRestart =
+                request.releasedDuringAttempt || (engineResponded && request.isStateHeld());
+        if (!request.responseStarted && (holdMayStart || holdMayRestart)) {
             startHold(request);
         }
-        moveIfComplete(request);
+        moveToCompletedIfComplete(request);
     }
 
     /** Marks an attempt as ended; returns its request, or null if the request is not tracked. */
-    private AuditedRequest endAttempt(String id, int attempt, Transition.Kind kind, Object detail) {
+    private AuditedRequest endAttempt(String id, int attempt, RecordedEvent.Kind kind, Object detail) {
         AuditedRequest request = find(id);
         if (request != null) {
             record(request, kind, attempt, detail);
@@ -212,10 +212,10 @@
 
     private void startHold(AuditedRequest request) {
         double nowMs = clockMs.getAsDouble();
-        request.holdSince(nowMs);
+        request.setStateHeldSince(nowMs);
         request.releasedDuringAttempt = false;
         request.lateReleaseReported = false;
-        request.record(nowMs, Transition.Kind.HELD, NO_ATTEMPT, null);
+        request.record(nowMs, RecordedEvent.Kind.HELD, NO_ATTEMPT, null);
         if (completedRequests.remove(request.id) != null) {
             openRequests.put(request.id, request);
         }
@@ -225,20 +225,20 @@
     public void stateReleased(String id) {
         AuditedRequest request = find(id);
         if (request != null) {
-            record(request, Transition.Kind.RELEASED, NO_ATTEMPT, null);
+            record(request, RecordedEvent.Kind.RELEASED, NO_ATTEMPT, null);
             checkStateHold(request, clockMs.getAsDouble());
-            request.clearHeld();
+            request.clearStateHeld();
             request.releasedDuringAttempt =
                     request.attempts.stream().anyMatch(attempt -> !attempt.hasEnded());
-            moveIfComplete(request);
+            moveToCompletedIfComplete(request);
         }
     }
 
     // ------------------------------------------------------------------ connections and engines
 
     @Override
-    public void connectionClosed(ConnectionSide side, CloseReason reason) {
-        closeCounters.increment(side, reason);
+    public void connectionClosed(ConnectionPeer peer, CloseReason reason) {
+        closeCounters.increment(peer, reason);
     }
 
     @Override
@@ -260,7 +260,7 @@
                 checkDeadline(request);
             }
             checkStateHold(request, nowMs);
-            checkOrphanedAttempts(request, nowMs);
+            checkIncomplete(request, nowMs);
         }
     }
 
@@ -276,22 +276,22 @@
     }
 
     private void checkStateHold(AuditedRequest request, double nowMs) {
-        double heldForMs = request.heldForMs(nowMs);
-        if (heldForMs > settings.maxStateHoldMs() + RELEASE_TOLERANCE_MS
+        double stateHeldForMs = request.stateHeldForMs(nowMs);
+        if (stateHeldForMs > settings.maxStateHoldMs() + RELEASE_TOLERANCE_MS
                 && !request.lateReleaseReported) {
             request.lateReleaseReported = true;
             report(
                     Invariant.STATE_RELEASED,
                     request,
-                    "read state held for " + Math.round(heldForMs) + " ms");
+                    "read state held for " + Math.round(stateHeldForMs) + " ms");
         }
     }
 
-    private void checkOrphanedAttempts(AuditedRequest request, double nowMs) {
+    private void checkIncomplete(AuditedRequest request, double nowMs) {
         if (request.finalResponseSent
-                && nowMs - request.finalResponseMs > ORPHANED_ATTEMPT_TIMEOUT_MS
-                && !request.orphanedAttemptReported) {
-            request.orphanedAttemptReported = true;
+                && nowMs - request.finalResponseMs > INCOMPLETE_REQUEST_TIMEOUT_MS
+                && !request.incompleteReported) {
+            request.incompleteReported = true;
             report(
                     Invariant.RESOURCES_RELEASED,
                     request,
@@ -306,17 +306,17 @@
         return request != null ? request : completedRequests.get(id);
     }
 
-    private void moveIfComplete(AuditedRequest request) {
+    private void moveToCompletedIfComplete(AuditedRequest request) {
         if (request.isComplete() && openRequests.remove(request.id) != null) {
             completedRequests.put(request.id, request);
         }
     }
 
-    private void record(AuditedRequest request, Transition.Kind kind, int attempt, Object detail) {
+    private void record(AuditedRequest request, RecordedEvent.Kind kind, int attempt, Object detail) {
         request.record(clockMs.getAsDouble(), kind, attempt, detail);
     }
 
     private void report(Invariant invariant, AuditedRequest request, String problem) {
-        violations.report(invariant, request.id, problem, request.transitions());
+        violations.report(invariant, request.id, problem, request.recentEvents());
     }
 }
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -60,7 +60,7 @@
     default void stateReleased(String id) {}
 
     /** A connection was closed, by the peer or by this side. */
-    default void connectionClosed(ConnectionSide side, CloseReason reason) {}
+    default void connectionClosed(ConnectionPeer peer, CloseReason reason) {}
 
     /** The endpoint list changed; the map holds the complete list. */
     default void endpointsChanged(Map<Endpoint, AuditedEngine> engines) {}
--- a/src/main/java/larchridge/audit/RetryAudit.java
+++ b/src/main/java/larchridge/audit/RetryAudit.java
@@ -26,10 +26,10 @@
                         Invariant.NO_FORBIDDEN_HEDGE,
                         request.id,
                         "earlier attempt " + earlier.number + " is still in flight",
-                        request.transitions());
+                        request.recentEvents());
             }
             if (!idempotent
-                    && earlier.mayHaveRun()
+                    && earlier.mayHaveHadEffect()
                     && !attempt.isRead
                     && !isDeduplicated(trafficClass, earlier, attempt)) {
                 violations.report(
@@ -40,7 +40,7 @@
                                 + " may have run "
                                 + Math.round(attempt.sentMs - earlier.sentMs)
                                 + " ms earlier",
-                        request.transitions());
+                        request.recentEvents());
             }
         }
     }
--- a/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
+++ b/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
@@ -16,13 +16,13 @@
  */
 final class SlowStartBudgetAudit {
     private static final int RATE_WINDOW_SECONDS = 30;
-    private static final double SECOND_MS = 1000;
+    private static final double MIN_RATE_SPAN_MS = 1000;
 
     /** Budgets with fewer sends get the platform's larger allowance for small counts. */
     private static final double SMALL_BUDGET_SENDS = 30;
 
     private final AuditSettings settings;
-    private final double startMs;
+    private final double createdMs;
     private final SlidingWindow warmReaderSends = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
     private final SlidingWindow warmWriterSends = new SlidingWindow(RATE_WINDOW_SECONDS, 1000);
 
@@ -31,13 +31,13 @@
 
     SlowStartBudgetAudit(AuditSettings settings, double nowMs) {
         this.settings = settings;
-        startMs = nowMs;
+        createdMs = nowMs;
     }
 
     /**
      * Records a send; returns false if the engine is warming and has exceeded this node's share.
      */
-    boolean recordSendWithinBudget(
+    boolean recordAndCheckSend(
             Endpoint endpoint,
             AuditedEngine engine,
             Map<Endpoint, AuditedEngine> engines,
@@ -68,9 +68,9 @@
                                                 && !isWarming(other, nowMs))
                         .mapToDouble(AuditedEngine::capacityUnits)
                         .sum();
-        SlidingWindow warm = isReader ? warmReaderSends : warmWriterSends;
-        double spanMs = Math.max(SECOND_MS, Math.min(warm.spanMs(), nowMs - startMs));
-        double ratePerUnit = warm.sum(nowMs) / spanMs / Math.max(warmUnits, engine.capacityUnits());
+        SlidingWindow warmSends = isReader ? warmReaderSends : warmWriterSends;
+        double spanMs = Math.max(MIN_RATE_SPAN_MS, Math.min(warmSends.spanMs(), nowMs - createdMs));
+        double ratePerUnit = warmSends.sum(nowMs) / spanMs / Math.max(warmUnits, engine.capacityUnits());
         double warmupFraction = Math.min(1, (nowMs - engine.startMs()) / settings.slowStartMs());
         double capacityFraction =
                 settings.slowStartShare() + (1 - settings.slowStartShare()) * warmupFraction;
--- a/src/main/java/larchridge/audit/Violations.java
+++ b/src/main/java/larchridge/audit/Violations.java
@@ -43,16 +43,16 @@
      * Reports a violation.
      *
      * @param requestId the request, or null
-     * @param transitions the request's most recent transitions, or null
+     * @param recentEvents the request's most recent transitions, or null
      */
-    public void report(Invariant invariant, String requestId, String problem, String transitions) {
+    public void report(Invariant invariant, String requestId, String problem, String recentEvents) {
         counters.get(invariant).increment();
         if (logLines.merge(invariant, 1, Integer::sum) <= MAX_LOG_LINES_PER_INVARIANT) {
             LOG.atError()
                     .addKeyValue("invariant", invariant.tag())
                     .addKeyValue("id", requestId)
                     .addKeyValue("what", problem)
-                    .addKeyValue("steps", transitions)
+                    .addKeyValue("steps", recentEvents)
                     .log(MESSAGE);
         }
     }
--- a/src/main/java/larchridge/metrics/RouterMetrics.java
+++ b/src/main/java/larchridge/metrics/RouterMetrics.java
@@ -34,7 +34,7 @@
     }
 
     /** Creates the registry of a process, with the memory metrics of its JVM. */
-    public static PrometheusMeterRegistry registry() {
+    public static PrometheusMeterRegistry newRegistry() {
         PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         new JvmMemoryMetrics().bindTo(registry);
         return registry;
@@ -99,7 +99,7 @@
     }
 
     /** An exchange was rejected at its start; kind is too_many, stopping or ledger. */
-    public void exchangeRejected(int router, String kind) {
+    public void exchangeNotAdmitted(int router, String kind) {
         increment("larchridge_turned_away", router, "kind", kind, "stage", "door");
     }
 
@@ -117,7 +117,7 @@
     }
 
     /** The policy gave up on a generation. */
-    public void requestAbandoned(int router, String product, String reason) {
+    public void policyGaveUp(int router, String product, String reason) {
         increment("larchridge_given_up", router, "product", product, "reason", reason);
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** A request was rejected before it reached a router. */
-    public void requestRejected(String reason) {
+    public void requestRejectedByServer(String reason) {
         increment("larchridge_requests_refused", 0, "reason", reason, "stage", "door");
     }
 
--- a/src/main/java/larchridge/node/server/ServerContext.java
+++ b/src/main/java/larchridge/node/server/ServerContext.java
@@ -1,7 +1,7 @@
 package larchridge.node.server;
 
 import larchridge.audit.CloseReason;
-import larchridge.audit.ConnectionSide;
+import larchridge.audit.ConnectionPeer;
 import larchridge.audit.RequestEvents;
 import larchridge.metrics.RouterMetrics;
 import larchridge.router.Router;
@@ -57,12 +57,12 @@
 
     /** Reports that a connection was closed. */
     void connectionClosed(CloseReason reason) {
-        events.connectionClosed(ConnectionSide.CLIENT, reason);
+        events.connectionClosed(ConnectionPeer.CLIENT, reason);
     }
 
     /** Counts and logs a request that was rejected before it was admitted. */
     void requestRejected(RequestRejection rejection) {
-        metrics.requestRejected(rejection.tag());
+        metrics.requestRejectedByServer(rejection.tag());
         LOG.atDebug().addKeyValue("reason", rejection).log("request rejected");
     }
 }
--- a/src/main/java/larchridge/node/upstream/ConnectionPools.java
+++ b/src/main/java/larchridge/node/upstream/ConnectionPools.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import larchridge.audit.CloseReason;
-import larchridge.audit.ConnectionSide;
+import larchridge.audit.ConnectionPeer;
 import larchridge.audit.RequestEvents;
 import larchridge.node.transport.ConnectFutures;
 import larchridge.router.Scheduler;
@@ -120,7 +120,7 @@
     /** Called when a connection was removed from its pool. */
     void connectionClosed(CloseReason reason) {
         connectionCount--;
-        events.connectionClosed(ConnectionSide.ENGINE, reason);
+        events.connectionClosed(ConnectionPeer.ENGINE, reason);
     }
 
     private void closeIdle() {
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -66,7 +66,7 @@
                 || shutdown.exchanges() >= context.site.limit.openGenerations) {
             String reason =
                     shutdown.isStopping() ? "stopping" : ledgerBehind ? "ledger" : "too_many";
-            context.metrics.exchangeRejected(context.routerNumber, reason);
+            context.metrics.exchangeNotAdmitted(context.routerNumber, reason);
             return false;
         }
         shutdown.exchangeStarted();
--- a/src/main/java/larchridge/router/FinalResponseSender.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -80,7 +80,7 @@
         String trafficClassName = request.generation().trafficClass.name;
         double elapsedMs = request.elapsedMs(context.nowMs());
         if (request.generation().giveUpReason() != null) {
-            context.metrics.requestAbandoned(
+            context.metrics.policyGaveUp(
                     context.routerNumber,
                     trafficClassName,
                     request.generation().giveUpReason().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -52,7 +52,7 @@
     private final Vertx vertx;
     private final Site site;
     private final CrashPoints points;
-    private final PrometheusMeterRegistry registry = RouterMetrics.registry();
+    private final PrometheusMeterRegistry registry = RouterMetrics.newRegistry();
     private final List<Seat> seats = new ArrayList<>();
 
     /** What each front is told of lists; a list goes to all, each on its own loop. */
