--- a/src/main/java/larchridge/audit/AuditedEngine.java
+++ b/src/main/java/larchridge/audit/AuditedEngine.java
@@ -7,7 +7,8 @@
  *
  * @param serving whether the engine accepts new attempts
  * @param capacityUnits its capacity relative to other engines of its role
- * @param startMs start time of its process by the node's clock; 0 means that it started long ago
+ * @param startMs start time of its process by the node's clock, or 0 if unknown; the engine then
+ *     counts as warm
  */
 public record AuditedEngine(
         boolean serving, Role role, String zone, long rack, double capacityUnits, double startMs) {}
--- a/src/main/java/larchridge/audit/AuditedRequest.java
+++ b/src/main/java/larchridge/audit/AuditedRequest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import larchridge.state.TrafficClass;
 
-/** The events observed for one request, with its most recent transitions. */
+/** The audit's data on one request, with the most recent events observed for it. */
 final class AuditedRequest {
     private static final int MAX_RECENT_EVENTS = 32;
     private static final double NOT_HELD = Double.NaN;
@@ -32,8 +32,8 @@
     boolean releasedDuringAttempt;
 
     /**
-     * Whether the missed response deadline was reported; like the violations below it is reported
-     * once per request rather than at each check.
+     * Whether the missed response deadline was reported. It and an incomplete request are reported
+     * once per request, a late release once per hold, rather than at each check.
      */
     boolean lateResponseReported;
 
@@ -55,7 +55,7 @@
         recentEvents.addLast(new RecordedEvent(atMs, kind, attempt, detail));
     }
 
-    /** Formats the most recent transitions for the log. */
+    /** Formats the most recent events for the log. */
     String recentEvents() {
         return recentEvents.toString();
     }
--- a/src/main/java/larchridge/audit/CloseCounters.java
+++ b/src/main/java/larchridge/audit/CloseCounters.java
@@ -6,12 +6,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Counts closed connections by side and reason. */
+/** Counts closed connections by peer and reason. */
 public final class CloseCounters {
     private final Map<ConnectionPeer, Map<CloseReason, Counter>> counters =
             new EnumMap<>(ConnectionPeer.class);
 
-    /** Registers a counter for each side and reason. */
+    /** Registers a counter for each peer and reason. */
     public CloseCounters(MeterRegistry registry) {
         for (ConnectionPeer peer : ConnectionPeer.values()) {
             Map<CloseReason, Counter> byReason = new EnumMap<>(CloseReason.class);
--- a/src/main/java/larchridge/audit/CloseReason.java
+++ b/src/main/java/larchridge/audit/CloseReason.java
@@ -11,15 +11,15 @@
     /** The connection limit was reached, and other connections needed the slot. */
     NO_ROOM,
     /**
-     * The last response on the connection was sent: one side requested the close, or the process is
-     * shutting down.
+     * The connection was closed after a response, because one side requested it, the response
+     * preceded the end of its request or, on a client connection, the process is shutting down.
      */
     LAST_ANSWER,
     /** The received data cannot be parsed, was not requested or is not allowed. */
     BAD_INPUT,
     /** A request did not arrive in time. */
     REQUEST_TIMEOUT,
-    /** The peer sent more data ahead than is buffered. */
+    /** The client pipelined more data than the buffer holds. */
     SENT_AHEAD,
     /** A stream ended before it was complete. */
     STREAM_CUT,
@@ -29,7 +29,10 @@
     IO_FAILURE,
     /** The connection could not be established. */
     NOT_CONNECTED,
-    /** The process is shutting down. */
+    /**
+     * The process is shutting down and closed a connection to an engine, or one to a client without
+     * announcing the close in a response (else {@link #LAST_ANSWER}).
+     */
     SHUTDOWN,
     /** The peer did not close its side in the time allowed after this side had closed its own. */
     LINGER_OVER;
--- a/src/main/java/larchridge/audit/ConnectionPeer.java
+++ b/src/main/java/larchridge/audit/ConnectionPeer.java
@@ -1,6 +1,6 @@
 package larchridge.audit;
 
-/** The peer of a connection. */
+/** What the peer of a connection is. */
 public enum ConnectionPeer {
     /** A client of this node. */
     CLIENT,
--- a/src/main/java/larchridge/audit/Invariant.java
+++ b/src/main/java/larchridge/audit/Invariant.java
@@ -39,7 +39,10 @@
     STATE_RELEASED,
     /** The routing policy and the upstream client count the same number of attempts. */
     ATTEMPT_COUNTS_AGREE,
-    /** Every id, request body, timer and connection that was acquired is released. */
+    /**
+     * Nothing is left of a request long after its final response, nor of any request at shutdown:
+     * no attempt, read state, id or request body.
+     */
     RESOURCES_RELEASED;
 
     /** The name as a metric tag. */
--- a/src/main/java/larchridge/audit/RecordedEvent.java
+++ b/src/main/java/larchridge/audit/RecordedEvent.java
@@ -1,8 +1,8 @@
 package larchridge.audit;
 
-/** One transition of a request, kept to be logged with a violation. */
+/** One event of a request with its Unix time, kept to be logged with a violation. */
 record RecordedEvent(double atMs, Kind kind, int attempt, Object detail) {
-    /** Kinds of transitions; their names appear in the log. */
+    /** Kinds of events; their names appear in the log. */
     enum Kind {
         ACCEPTED,
         WRITTEN,
--- a/src/main/java/larchridge/audit/RequestAudit.java
+++ b/src/main/java/larchridge/audit/RequestAudit.java
@@ -9,20 +9,26 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * Tracks every request from its acceptance to its end by what the sockets carry, and reports
- * violations of the invariants. It keeps its own data and relies on neither the routing policy nor
- * the upstream client. All methods run on the event loop.
+ * Tracks every request by the events that its connections report, from its acceptance to its end,
+ * and reports violations of the invariants. It keeps its own data and relies on neither the routing
+ * policy nor the upstream client. All methods run on the event loop.
  */
 public final class RequestAudit implements RequestEvents {
-    /** Tolerances added to the platform's time limits. */
+    /**
+     * The platform that runs the node counts a final response up to this long after the deadline as
+     * late, but not as lost.
+     */
     private static final double RESPONSE_TOLERANCE_MS = 500;
 
+    /** The platform lets a read state be held this much longer than the settings say. */
     private static final double RELEASE_TOLERANCE_MS = 300;
+
+    /** The platform lets an attempt's timeout exceed the client's remaining time by this much. */
     private static final double ATTEMPT_TIMEOUT_TOLERANCE_MS = 150;
 
     /**
-     * Attempts in flight this long after the final response count as orphaned; normally they are
-     * cancelled, and end, much earlier.
+     * A request that is not complete this long after its final response is reported; normally its
+     * attempts are cancelled, and end, much earlier.
      */
     private static final double INCOMPLETE_REQUEST_TIMEOUT_MS = 30_000;
 
@@ -98,7 +104,10 @@
         }
         record(request, RecordedEvent.Kind.ANSWERED, NO_ATTEMPT, kind);
         if (request.finalResponseSent || request.clientDisconnected) {
-            report(Invariant.ONE_FINAL_ANSWER, request, kind + " after the request had ended");
+            report(
+                    Invariant.ONE_FINAL_ANSWER,
+                    request,
+                    "final response " + kind + " after the request had ended");
         }
         if (!request.responseStarted) {
             checkDeadline(request);
@@ -187,6 +196,9 @@
         }
         AuditedAttempt ended = request.attempts.get(attempt);
         ended.setProvenNotRun(provenNotRun);
+        // A read that did not complete may have left a state, whose hold time starts now. The hold
+        // time of a state is suspended while an attempt is at an engine, and starts again when the
+        // attempt ends.
         boolean holdMayStart = ended.mayHoldReadState() && !request.isStateHeld();
         boolean holdMayRestart =
                 request.releasedDuringAttempt || (engineResponded && request.isStateHeld());
@@ -197,7 +209,8 @@
     }
 
     /** Marks an attempt as ended; returns its request, or null if the request is not tracked. */
-    private AuditedRequest endAttempt(String id, int attempt, RecordedEvent.Kind kind, Object detail) {
+    private AuditedRequest endAttempt(
+            String id, int attempt, RecordedEvent.Kind kind, Object detail) {
         AuditedRequest request = find(id);
         if (request != null) {
             record(request, kind, attempt, detail);
@@ -249,7 +262,8 @@
     // ------------------------------------------------------------------ periodic check
 
     /**
-     * Checks the open requests for missed deadlines, states held too long and orphaned attempts.
+     * Checks the open requests for missed deadlines, states held too long and requests that are not
+     * complete long after their final response.
      */
     public void check() {
         double nowMs = clockMs.getAsDouble();
@@ -271,7 +285,7 @@
             report(
                     Invariant.ANSWERED_BY_DEADLINE,
                     request,
-                    "no response " + Math.round(lateMs) + " ms after the deadline");
+                    "no response until " + Math.round(lateMs) + " ms after the deadline");
         }
     }
 
@@ -295,7 +309,7 @@
             report(
                     Invariant.RESOURCES_RELEASED,
                     request,
-                    "attempts still in flight long after the final response");
+                    "attempt or read state left long after the final response");
         }
     }
 
@@ -312,7 +326,8 @@
         }
     }
 
-    private void record(AuditedRequest request, RecordedEvent.Kind kind, int attempt, Object detail) {
+    private void record(
+            AuditedRequest request, RecordedEvent.Kind kind, int attempt, Object detail) {
         request.record(clockMs.getAsDouble(), kind, attempt, detail);
     }
 
--- a/src/main/java/larchridge/audit/RequestEvents.java
+++ b/src/main/java/larchridge/audit/RequestEvents.java
@@ -22,7 +22,8 @@
     default void clientDisconnected(String id) {}
 
     /**
-     * A final response was written to the client, or its stream was cut; {@code kind} says which.
+     * A final response was written to the client, or its stream was cut; {@code kind} is streamed,
+     * throttled, cut or the cause of a failure.
      */
     default void finalResponseSent(String id, String kind) {}
 
@@ -59,7 +60,7 @@
     /** An engine confirmed the release of every read state that it held for the request. */
     default void stateReleased(String id) {}
 
-    /** A connection was closed, by the peer or by this side. */
+    /** A connection was closed, by its peer or by this node. */
     default void connectionClosed(ConnectionPeer peer, CloseReason reason) {}
 
     /** The endpoint list changed; the map holds the complete list. */
--- a/src/main/java/larchridge/audit/RetryAudit.java
+++ b/src/main/java/larchridge/audit/RetryAudit.java
@@ -35,11 +35,11 @@
                 violations.report(
                         Invariant.NO_FORBIDDEN_RETRY,
                         request.id,
-                        "earlier attempt "
+                        "attempt "
                                 + earlier.number
-                                + " may have run "
+                                + ", sent "
                                 + Math.round(attempt.sentMs - earlier.sentMs)
-                                + " ms earlier",
+                                + " ms earlier, may have run",
                         request.recentEvents());
             }
         }
--- a/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
+++ b/src/main/java/larchridge/audit/SlowStartBudgetAudit.java
@@ -9,16 +9,22 @@
 import larchridge.upstream.Endpoint;
 
 /**
- * Checks the sends of this node to warming engines against its share of their budget. A node only
- * sees its own sends, so its share is the rate at which it sends to a warm engine of the role,
- * times the overload multiple and the fraction of its warm capacity that the warming engine has.
- * The allowance for random variation is that of the platform's rule.
+ * Checks the sends of this node to warming engines against the node's share of their budgets. Since
+ * a node sees only its own sends, its share for an overload window is the product of: the node's
+ * send rate to warm engines of the role per unit of their capacity, the warming engine's capacity
+ * units, the fraction of them that it has now, the overload multiple, and the window.
+ *
+ * <p>The share gets the allowance for random variation of the platform's rule: a warming engine
+ * that is allowed N requests of mean work in its slow-start time fails with more than N + 2 *
+ * sqrt(N) + 2 requests from all nodes together, or N + 3 * sqrt(N) + 3 if N is below 30.
  */
 final class SlowStartBudgetAudit {
     private static final int RATE_WINDOW_SECONDS = 30;
+
+    /** Shortest time over which the send rate is measured. */
     private static final double MIN_RATE_SPAN_MS = 1000;
 
-    /** Budgets with fewer sends get the platform's larger allowance for small counts. */
+    /** Budgets with fewer sends get a larger allowance for random variation. */
     private static final double SMALL_BUDGET_SENDS = 30;
 
     private final AuditSettings settings;
@@ -35,7 +41,8 @@
     }
 
     /**
-     * Records a send; returns false if the engine is warming and has exceeded this node's share.
+     * Records a send; returns false if the engine is warming up and this node has sent it more than
+     * the node's share.
      */
     boolean recordAndCheckSend(
             Endpoint endpoint,
@@ -70,7 +77,8 @@
                         .sum();
         SlidingWindow warmSends = isReader ? warmReaderSends : warmWriterSends;
         double spanMs = Math.max(MIN_RATE_SPAN_MS, Math.min(warmSends.spanMs(), nowMs - createdMs));
-        double ratePerUnit = warmSends.sum(nowMs) / spanMs / Math.max(warmUnits, engine.capacityUnits());
+        double ratePerUnit =
+                warmSends.sum(nowMs) / spanMs / Math.max(warmUnits, engine.capacityUnits());
         double warmupFraction = Math.min(1, (nowMs - engine.startMs()) / settings.slowStartMs());
         double capacityFraction =
                 settings.slowStartShare() + (1 - settings.slowStartShare()) * warmupFraction;
--- a/src/main/java/larchridge/audit/Violations.java
+++ b/src/main/java/larchridge/audit/Violations.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts violations by invariant, and logs each with the transitions that led to it. The process
- * continues.
+ * Counts violations by invariant, and logs each with the request's events that led to it. The
+ * process continues.
  */
 public final class Violations {
     /** Message of each log line, by which tools find it. */
@@ -43,7 +43,7 @@
      * Reports a violation.
      *
      * @param requestId the request, or null
-     * @param recentEvents the request's most recent transitions, or null
+     * @param recentEvents the request's most recent events, or null
      */
     public void report(Invariant invariant, String requestId, String problem, String recentEvents) {
         counters.get(invariant).increment();
--- a/src/main/java/larchridge/metrics/RouterMetrics.java
+++ b/src/main/java/larchridge/metrics/RouterMetrics.java
@@ -98,7 +98,7 @@
         textChunks.increment();
     }
 
-    /** An exchange was rejected at its start; kind is too_many, stopping or ledger. */
+    /** The router did not admit an exchange; kind is too_many, stopping or ledger. */
     public void exchangeNotAdmitted(int router, String kind) {
         increment("larchridge_turned_away", router, "kind", kind, "stage", "door");
     }
@@ -109,8 +109,8 @@
     }
 
     /**
-     * An attempt was a retry or a hedged request; the reason is the outcome or state of the
-     * previous attempt.
+     * An attempt was a retry or a hedged request; the reason is beside (the previous attempt is in
+     * flight), state_lost, or the previous attempt's outcome.
      */
     public void retried(int router, String stage, String reason) {
         increment("larchridge_retries", router, "stage", stage, "reason", reason);
@@ -126,7 +126,7 @@
         increment("larchridge_called_off", router, "stage", stage, "reason", reason);
     }
 
-    /** A request was rejected before it reached a router. */
+    /** A server rejected a request instead of submitting it to a router. */
     public void requestRejectedByServer(String reason) {
         increment("larchridge_requests_refused", 0, "reason", reason, "stage", "door");
     }
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -15,7 +15,7 @@
 
 /**
  * Admits or rejects exchanges and generations: first by the router's own limits, then by the
- * tenant's budget, which may borrow quota from the other routers.
+ * tenant's budget and those above it, which may lease tokens from the lender.
  */
 final class AdmissionController {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionController.class);
@@ -33,7 +33,7 @@
     private final Map<String, TenantQuota> tenantQuotas = new HashMap<>();
     private long nextIdNumber;
 
-    /** Null if quota borrowing is disabled. */
+    /** Null if no tokens are leased. */
     private TokenLeaseClient tokenLeaseClient;
 
     AdmissionController(
@@ -58,8 +58,8 @@
 
     /** Admits one more exchange and counts it, or returns false. */
     boolean tryAdmitExchange() {
-        // Usage that cannot be recorded could not be billed. The ledger reports early that it is
-        // behind.
+        // Guards against: the usage of a request could not be billed if the ledger's queue were
+        // full when the request ends. The ledger is behind before its queue is full.
         boolean ledgerBehind = usageRecorder.isBehind();
         if (shutdown.isStopping()
                 || ledgerBehind
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Admits a generation, or rejects it because its tenant is over budget; see {@link
+     * Admits a generation, or rejects it because a budget does not allow it; see {@link
      * Router#submit}.
      */
     void submit(
@@ -107,8 +107,8 @@
     }
 
     /**
-     * Requests the missing quota and decides on admission once the lender responds; returns false
-     * if the quota cannot be requested.
+     * Requests a lease of the missing tokens, and decides on admission once the request has ended;
+     * returns false if no lease can be requested.
      */
     private boolean requestLease(
             GenerationRequest generationRequest,
@@ -179,7 +179,7 @@
         LOG.atDebug()
                 .addKeyValue("tenant", generationRequest.tenant().name())
                 .addKeyValue("reason", decision.reason())
-                .log("request rejected: tenant is over budget");
+                .log("request rejected by a budget");
         responseSink.rejectedOverBudget(decision);
     }
 
--- a/src/main/java/larchridge/router/AttemptSender.java
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -114,8 +114,8 @@
     }
 
     /**
-     * The reason for sending an attempt, from the state of the previous attempt in its stage;
-     * {@code previous} may be null.
+     * The reason for sending an attempt: how the previous attempt of its stage ended, or that it is
+     * in flight; {@code previous} may be null.
      */
     private static String sendReason(InFlightAttempt previous) {
         if (previous == null) {
--- a/src/main/java/larchridge/router/FinalResponseSender.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -77,6 +77,7 @@
     }
 
     private void recordFinalResponse(InFlightRequest request, String kind) {
+        // Equal to the product's name, also for a generation that is charged to a parent budget.
         String trafficClassName = request.generation().trafficClass.name;
         double elapsedMs = request.elapsedMs(context.nowMs());
         if (request.generation().giveUpReason() != null) {
--- a/src/main/java/larchridge/router/GenerationRequest.java
+++ b/src/main/java/larchridge/router/GenerationRequest.java
@@ -19,19 +19,22 @@
  * @param maxTokens maximum length of the response in tokens
  * @param stopSequences texts that end the response
  * @param sampling sampling parameters
- * @param sharedPrefixId digest of the prefix that is shared with other sessions, or null
- * @param sessionId digest of the session's first turn: the same at every router for all turns of a
- *     session
+ * @param sharedPrefixId id of the prefix that is shared with other sessions, or null: its digest,
+ *     or the client's own name if the request is forwarded
+ * @param sessionId id of the session, the same at every router for all its turns: the digest of its
+ *     first turn, or the client's own name if the request is forwarded
  * @param previousTurnDigest digest of the prompt of the session's previous turn, or null for a
  *     first turn
- * @param turnDigest digest of this prompt, by which the next turn finds its session
+ * @param turnDigest digest of this prompt, by which the next turn finds its session; the session's
+ *     id if the request is forwarded
  * @param nonStreaming whether the client receives the response as a whole
  * @param clientRetry whether the client has sent the request before
  * @param clientTimeoutMs how long the client waits, or infinity if unknown
  * @param idempotencyKey the client's key for its retries, or null
- * @param sinceArrivalMs how long the request body has waited to be read and its tokens counted
+ * @param sinceArrivalMs time since the request's arrival at the server, spent on receiving its body
+ *     or counting its tokens
  * @param onPromptTokensReported called on the router's loop with the prompt length that an engine
- *     reports
+ *     reports, or a value of at most 0 if it reports none
  * @param forwardedRequest the request that is forwarded to engines unchanged, or null if the
  *     upstream client encodes its own requests; a forwarded generation has the client's id
  */
@@ -61,7 +64,7 @@
      * Creates a request that is forwarded to engines unchanged.
      *
      * @param sharedPrefixId the client's own name for the shared prefix, or null
-     * @param sessionId the client's own name for the session, or null
+     * @param sessionId the client's own name for the session; the request's id if it has none
      */
     public static GenerationRequest forwarding(
             ProductOffering offering,
@@ -88,6 +91,7 @@
                 sharedPrefixId,
                 sessionId,
                 null,
+                // The turn digest: every turn finds its session by the session's id.
                 sessionId,
                 false,
                 clientRetry,
@@ -202,13 +206,16 @@
             return this;
         }
 
-        /** Sets how long the request body has waited to be read and its tokens counted. */
+        /** Sets the time since the request's arrival at the server; 0 by default. */
         public Builder sinceArrivalMs(double newSinceArrivalMs) {
             sinceArrivalMs = newSinceArrivalMs;
             return this;
         }
 
-        /** Sets the listener for the prompt length that an engine reports. */
+        /**
+         * Sets the listener for the prompt length that an engine reports; it gets a value of at
+         * most 0 if the engine reports none.
+         */
         public Builder onPromptTokensReported(IntConsumer listener) {
             onPromptTokensReported = listener;
             return this;
--- a/src/main/java/larchridge/router/GracefulShutdown.java
+++ b/src/main/java/larchridge/router/GracefulShutdown.java
@@ -1,11 +1,11 @@
 package larchridge.router;
 
 /**
- * Counts the clients' exchanges. Once the router is shutting down, waits until none is left and the
- * last state releases have been sent, then closes the connections to the engines.
+ * Counts the clients' exchanges. Once the router is shutting down, waits until none is left and
+ * engines have acknowledged the last state releases, then closes the connections to the engines.
  */
 final class GracefulShutdown {
-    /** Time allowed for sending the last state releases before they are first checked. */
+    /** Time for engines to acknowledge the last state releases before these are first checked. */
     private static final double RELEASE_GRACE_MS = 200;
 
     /** Interval between checks of the last state releases after that. */
@@ -16,7 +16,8 @@
     private boolean stopping;
 
     /**
-     * Called at the end of the shutdown; null before the shutdown begins and after it has ended.
+     * Called at the end of the shutdown; null before the shutdown begins and once the router is
+     * idle.
      */
     private Runnable onStopped;
 
@@ -59,8 +60,8 @@
     }
 
     /**
-     * Closes the connections once the last state releases have been sent, or once engines no longer
-     * hold the states, when releases have no effect.
+     * Closes the connections once engines have acknowledged the last state releases, or after the
+     * deadline, when engines have freed the states themselves.
      */
     private void closeUpstream(double deadlineMs, Runnable whenStopped) {
         context.updateClock();
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -6,9 +6,9 @@
 import larchridge.upstream.UpstreamClient;
 
 /**
- * The router's view of one attempt: its endpoint, the state that it holds there, and the handle to
- * cancel it. An attempt is sent, completes its read if it is one, and ends. The reader holds the
- * state of a read from the send until the state is fetched or released.
+ * The router's view of one attempt: its endpoint, the handle to cancel it, and the state that its
+ * reader may hold. A read ends when it completes; from its sending until the state is fetched or
+ * released, its reader counts as holding the state.
  */
 final class InFlightAttempt {
     private final Attempt policyAttempt;
--- a/src/main/java/larchridge/router/InFlightRequest.java
+++ b/src/main/java/larchridge/router/InFlightRequest.java
@@ -30,10 +30,16 @@
     private String billId;
     private String duplicateKey;
     private InFlightAttempt streamingAttempt;
+
+    /** Since when the stream counts as idle: its start, its last chunk or its last resumption. */
     private double streamIdleSinceMs;
+
     private boolean paused;
     private double pausedSinceMs;
+
+    /** Whether the usage was queued for the ledger with the final response. */
     private boolean usageQueued;
+
     private long queuedWastedTokens;
     private int queuedAttempts;
     private long deadlineTimer = NO_TIMER;
@@ -227,7 +233,7 @@
         return usageQueued;
     }
 
-    /** Whether waste or attempts were added after the usage was recorded. */
+    /** Whether waste or attempts were added after the usage was queued for the ledger. */
     boolean hasUnqueuedUsage() {
         return unqueuedWastedTokens() > 0 || unqueuedAttempts() > 0;
     }
@@ -240,7 +246,7 @@
         return attempts.size() - queuedAttempts;
     }
 
-    /** Sets whether the usage so far was queued for the ledger. */
+    /** Sets whether the usage so far was queued for the ledger, and saves that usage. */
     void setUsageQueued(boolean queued) {
         usageQueued = queued;
         queuedWastedTokens = usageMeter.wastedTokens();
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -31,7 +31,9 @@
             if (!request.isBatch() && !request.responseGuard().isFinished()) {
                 unfinished++;
                 if (request.generation().isWaiting()) {
-                    longestWaitFraction = Math.max(longestWaitFraction, request.latencyObjectiveFraction(nowMs));
+                    longestWaitFraction =
+                            Math.max(
+                                    longestWaitFraction, request.latencyObjectiveFraction(nowMs));
                 }
             }
         }
--- a/src/main/java/larchridge/router/ResponseGuard.java
+++ b/src/main/java/larchridge/router/ResponseGuard.java
@@ -60,7 +60,9 @@
         if ((response == FinalResponse.REJECTED && started)
                 || (response == FinalResponse.COMPLETED && !started)) {
             throw new IllegalStateException(
-                    response + " is not a valid final response in this state");
+                    response
+                            + " is not valid: a response can only be rejected before it has started"
+                            + " and completed afterwards");
         }
         finalResponse = response;
         return true;
--- a/src/main/java/larchridge/router/ResponseSink.java
+++ b/src/main/java/larchridge/router/ResponseSink.java
@@ -4,8 +4,8 @@
 import larchridge.upstream.Completion;
 
 /**
- * The client side of one exchange, implemented by a server's protocol and called on the router's
- * loop. Receives exactly one final call.
+ * The client side of one exchange, implemented by servers, the batch service and simulations, and
+ * called on the router's loop. Receives exactly one final call, or none if the client disconnects.
  */
 public interface ResponseSink {
     /** The response starts; this many prompt tokens were cached. */
@@ -36,12 +36,12 @@
     /** Whether the client has disconnected. */
     boolean isDisconnected();
 
-    /** The tenant's budget was checked; called before any other method. */
+    /** The budgets were checked; called before any other method. */
     default void budgetChecked(BudgetDecision decision) {}
 
     /**
-     * Final call: the tenant is over its budget. A retry after the time in the decision is harmless
-     * and, if it is the only request, admitted.
+     * Final call: rejected by a budget. A retry after the time in the decision is harmless, and is
+     * admitted if no other request uses the budget before it.
      */
     void rejectedOverBudget(BudgetDecision decision);
 
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -26,8 +26,9 @@
 
 /**
  * One router: an event loop, a routing policy and the generations that it has admitted. It notifies
- * the policy of events and carries out the policy's decisions; the policy makes every choice of
- * engine, wait, retry and rejection. All methods run on the loop on which the router was created.
+ * the policy of events and carries out the policy's decisions; for an admitted generation, the
+ * policy makes every choice of engine, wait, retry and rejection. All methods run on the loop on
+ * which the router was created.
  */
 public final class Router implements PolicyActions {
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
@@ -89,7 +90,10 @@
             Vertx vertx, RouterContext context, Ledger ledger, PolicyEvents.Factory policyFactory) {
         this.vertx = vertx;
         this.context = context;
-        loop = context.scheduler instanceof VertxScheduler vertxScheduler ? vertxScheduler.loop() : null;
+        loop =
+                context.scheduler instanceof VertxScheduler vertxScheduler
+                        ? vertxScheduler.loop()
+                        : null;
         final String idPrefix = context.scheduler.uniqueIdPrefix();
         context.updateClock();
         budgets = context.site.budgetsOf(context.routerNumber, context.nowMs());
@@ -112,7 +116,8 @@
                         shutdown);
         timeouts = new RequestTimeouts(context, closer, attemptCanceller);
         RequestServices services =
-                new RequestServices(context, policy, finalResponses, readStateReleaser, closer, timeouts);
+                new RequestServices(
+                        context, policy, finalResponses, readStateReleaser, closer, timeouts);
         attemptSender = new AttemptSender(services, endpoints, settings.hedgingAllowed());
         admission =
                 new AdmissionController(this, services, budgets, usageRecorder, shutdown, idPrefix);
@@ -123,14 +128,15 @@
 
     // ------------------------------------------------------------------ admission
 
-    /** Sets the client through which budgets that run short of quota borrow from the lender. */
+    /** Sets the client through which budgets that run short lease tokens from the lender. */
     public void setTokenLeaseClient(TokenLeaseClient tokenLeaseClient) {
         admission.setTokenLeaseClient(tokenLeaseClient);
     }
 
     /**
-     * Admits one more exchange, or returns false. Each admitted exchange must be followed by one
-     * {@link #exchangeEnded}.
+     * Admits one more exchange, or returns false. An exchange is one request of a client and its
+     * response; it is counted before its generation is submitted, until the one call of {@link
+     * #exchangeEnded} that must follow.
      */
     public boolean tryAdmitExchange() {
         return admission.tryAdmitExchange();
@@ -143,9 +149,10 @@
 
     /**
      * Submits a generation; its client may get the final response before this method returns. The
-     * admitted request is passed to {@code onAdmitted}, either immediately or once the quota lender
-     * has responded. {@code onAdmitted} is not called if the tenant's budget does not allow the
-     * generation, since its client has been sent the rejection, nor if the client has disconnected.
+     * admitted request is passed to {@code onAdmitted}, either immediately or once a request for a
+     * lease has ended. {@code onAdmitted} is not called if a budget does not allow the generation,
+     * since its client has been sent the rejection, nor if the client disconnects while the
+     * lender's response is awaited.
      */
     public void submit(
             GenerationRequest generationRequest,
@@ -196,7 +203,10 @@
         return context.requests.size();
     }
 
-    /** The latency of interactive generations since the last call; must be called on the loop. */
+    /**
+     * Returns the latency of interactive generations since the last call, and starts a new sample;
+     * must be called on the loop.
+     */
     public LatencySample takeLatencySample() {
         context.updateClock();
         return context.latencyTracker.takeSample(context.requests.values(), context.nowMs());
--- a/src/main/java/larchridge/router/Scheduler.java
+++ b/src/main/java/larchridge/router/Scheduler.java
@@ -2,7 +2,7 @@
 
 /**
  * A router's clock, timers and single-threaded loop: an event loop in production, virtual time in
- * simulations.
+ * simulations and in the warm-up of a node at its start.
  */
 public interface Scheduler {
     /** The Unix time at the start plus the elapsed time, in milliseconds; never goes back. */
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -9,7 +9,7 @@
 /**
  * The last check before an attempt is sent. Since the policy's decision a connection may have had
  * to be opened; in that time the engine may have started to drain, the client may have
- * disconnected, or the retry window may have passed.
+ * disconnected, or the deduplication window may have ended.
  */
 final class SendGuard implements SendCheck {
     private final Attempt policyAttempt;
--- a/src/main/java/larchridge/router/SessionRegistry.java
+++ b/src/main/java/larchridge/router/SessionRegistry.java
@@ -8,7 +8,10 @@
     private final PrefixRegistry sessions = new PrefixRegistry();
     private final PrefixRegistry sharedPrefixes = new PrefixRegistry();
 
-    /** Returns the session of the previous turn; a first turn starts a new session. */
+    /**
+     * Returns the session of the previous turn; a first turn starts a new session. A repeated turn
+     * gets the session that it had the first time.
+     */
     CachedPrefix sessionOf(GenerationRequest generationRequest) {
         CachedPrefix session =
                 generationRequest.previousTurnDigest() == null
--- a/src/main/java/larchridge/router/TokenLeaseClient.java
+++ b/src/main/java/larchridge/router/TokenLeaseClient.java
@@ -2,12 +2,12 @@
 
 import larchridge.budget.QuotaRequest;
 
-/** Borrows quota from the lender that the routers share when a budget on this router runs short. */
+/** Leases tokens from the lender that the routers share when a budget on this router runs short. */
 public interface TokenLeaseClient {
-    /** Receives the lender's response; never called from within {@link TokenLeaseClient#request}. */
+    /** Receives the end of a request; never called from within {@link TokenLeaseClient#request}. */
     interface Listener {
         /**
-         * The lender responded, or the request timed out.
+         * The lender granted or refused the tokens, or the request failed or timed out.
          *
          * @param tokens the granted tokens, or 0
          * @param retryAfterMs the time in milliseconds after which a grant is possible
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -9,13 +9,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Settles the usage of a request against its tenant's budget, and records it in the ledger once.
- * All retries of one generation by its client share one bill.
+ * Settles the usage of a request against its tenant's budget, and records it in the ledger. Waste
+ * that is added later gets a second record of the same bill. All retries of one generation by its
+ * client share one bill.
  */
 final class UsageRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(UsageRecorder.class);
 
-    /** Response name of a record that adds waste to a bill after the response was recorded. */
+    /**
+     * Stands in place of the response's name in a record that adds waste to a bill after the
+     * response was recorded.
+     */
     private static final String WASTE_RECORD = "waste";
 
     private final RouterContext context;
@@ -39,8 +43,8 @@
     }
 
     /**
-     * Assigns the bill: by the client's idempotency key or, without one, that of an identical
-     * request in flight on this router.
+     * Assigns the bill of the client's idempotency key; without a key, the bill of an identical
+     * request in flight on this router, or else a new one.
      */
     void assignBillId(InFlightRequest request) {
         GenerationRequest generationRequest = request.generationRequest();
@@ -82,16 +86,16 @@
         if (!request.isUsageQueued()) {
             record(request, usage(request), null);
         } else if (request.hasUnqueuedUsage()) {
-            // A second attempt ended after the response; its record is joined to the first one's
-            // bill.
+            // A second attempt ended after the response: a second record of the same bill adds its
+            // waste.
             record(request, lateWasteUsage(request), null);
         }
     }
 
     /**
-     * Finishes a complete response. If the site requires it, the finish waits until the usage is on
-     * disk, so that a crash in between cannot leave a response that is not billed. A slow disk
-     * delays it no longer than the site allows, nor past the client's deadline.
+     * Finishes a complete response. If the settings require it, the finish waits until the usage is
+     * on disk, so that a crash in between cannot leave a response that is not billed. A slow disk
+     * delays it no longer than the settings allow, nor past the client's deadline.
      */
     void recordThen(InFlightRequest request, Runnable finish) {
         double maxWaitMs = context.site.answerWaitsMs;
--- a/src/main/java/larchridge/router/VirtualTimeScheduler.java
+++ b/src/main/java/larchridge/router/VirtualTimeScheduler.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * Virtual time for simulations and tests. Tasks run in the order of their times and, at the same
- * time, in the order in which they were scheduled.
+ * Virtual time for simulations, tests and the warm-up of a node. Tasks run in the order of their
+ * times and, at the same time, in the order in which they were scheduled.
  */
 public final class VirtualTimeScheduler {
     /**
