--- a/src/main/java/larchridge/router/GracefulShutdown.java
+++ b/src/main/java/larchridge/router/GracefulShutdown.java
@@ -61,7 +61,7 @@
 
     /**
      * Closes the connections once engines have acknowledged the last state releases, or after the
-     * deadline, when engines have freed the states themselves.
+     * deadline, when engines have freed the states themselves and releases have no effect.
      */
     private void closeUpstream(double deadlineMs, Runnable whenStopped) {
         context.updateClock();
--- a/src/main/java/larchridge/router/LatencyTracker.java
+++ b/src/main/java/larchridge/router/LatencyTracker.java
@@ -32,8 +32,7 @@
                 unfinished++;
                 if (request.generation().isWaiting()) {
                     longestWaitFraction =
-                            Math.max(
-                                    longestWaitFraction, request.latencyObjectiveFraction(nowMs));
+                            Math.max(longestWaitFraction, request.latencyObjectiveFraction(nowMs));
                 }
             }
         }
