--- a/src/main/java/larchridge/audit/ConnectionSide.java
+++ b/src/main/java/larchridge/audit/ConnectionPeer.java
@@ -1,7 +1,7 @@
 package larchridge.audit;
 
-/** The peer of a connection. */
-public enum ConnectionSide {
+/** What the peer of a connection is. */
+public enum ConnectionPeer {
     /** A client of this node. */
     CLIENT,
     /** An engine that this node sends requests to. */
--- a/src/main/java/larchridge/audit/Transition.java
+++ b/src/main/java/larchridge/audit/RecordedEvent.java
@@ -1,8 +1,8 @@
 package larchridge.audit;
 
-/** One transition of a request, kept to be logged with a violation. */
-record Transition(double ms, Kind kind, int attempt, Object detail) {
-    /** Kinds of transitions; their names appear in the log. */
+/** One event of a request with its Unix time, kept to be logged with a violation. */
+record RecordedEvent(double atMs, Kind kind, int attempt, Object detail) {
+    /** Kinds of events; their names appear in the log. */
     enum Kind {
         ACCEPTED,
         WRITTEN,
@@ -17,7 +17,7 @@
 
     @Override
     public String toString() {
-        return Math.round(ms)
+        return Math.round(atMs)
                 + " "
                 + kind
                 + (attempt < 0 ? "" : " " + attempt)
--- a/src/main/java/larchridge/audit/RetryAudit.java
+++ b/src/main/java/larchridge/audit/RetryAudit.java
@@ -26,21 +26,21 @@
                         Invariant.NO_FORBIDDEN_HEDGE,
                         request.id,
                         "earlier attempt " + earlier.number + " is still in flight",
-                        request.transitions());
+                        request.recentEvents());
             }
             if (!idempotent
-                    && earlier.mayHaveRun()
+                    && earlier.mayHaveHadEffect()
                     && !attempt.isRead
                     && !isDeduplicated(trafficClass, earlier, attempt)) {
                 violations.report(
                         Invariant.NO_FORBIDDEN_RETRY,
                         request.id,
-                        "earlier attempt "
+                        "attempt "
                                 + earlier.number
-                                + " may have run "
+                                + ", sent "
                                 + Math.round(attempt.sentMs - earlier.sentMs)
-                                + " ms earlier",
-                        request.transitions());
+                                + " ms earlier, may have run",
+                        request.recentEvents());
             }
         }
     }
--- a/src/main/java/larchridge/metrics/RouterMetrics.java
+++ b/src/main/java/larchridge/metrics/RouterMetrics.java
@@ -34,7 +34,7 @@
     }
 
     /** Creates the registry of a process, with the memory metrics of its JVM. */
-    public static PrometheusMeterRegistry registry() {
+    public static PrometheusMeterRegistry newRegistry() {
         PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         new JvmMemoryMetrics().bindTo(registry);
         return registry;
@@ -98,8 +98,8 @@
         textChunks.increment();
     }
 
-    /** An exchange was rejected at its start; kind is too_many, stopping or ledger. */
-    public void exchangeRejected(int router, String kind) {
+    /** The router did not admit an exchange; kind is too_many, stopping or ledger. */
+    public void exchangeNotAdmitted(int router, String kind) {
         increment("larchridge_turned_away", router, "kind", kind, "stage", "door");
     }
 
@@ -109,15 +109,15 @@
     }
 
     /**
-     * An attempt was a retry or a hedged request; the reason is the outcome or state of the
-     * previous attempt.
+     * An attempt was a retry or a hedged request; the reason is beside (the previous attempt is in
+     * flight), state_lost, or the previous attempt's outcome.
      */
     public void retried(int router, String stage, String reason) {
         increment("larchridge_retries", router, "stage", stage, "reason", reason);
     }
 
     /** The policy gave up on a generation. */
-    public void requestAbandoned(int router, String product, String reason) {
+    public void policyGaveUp(int router, String product, String reason) {
         increment("larchridge_given_up", router, "product", product, "reason", reason);
     }
 
@@ -126,8 +126,8 @@
         increment("larchridge_called_off", router, "stage", stage, "reason", reason);
     }
 
-    /** A request was rejected before it reached a router. */
-    public void requestRejected(String reason) {
+    /** A server rejected a request instead of submitting it to a router. */
+    public void requestRejectedByServer(String reason) {
         increment("larchridge_requests_refused", 0, "reason", reason, "stage", "door");
     }
 
--- a/src/main/java/larchridge/node/server/RequestDispatcher.java
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -89,7 +89,7 @@
             connection.reject(RequestRejection.NO_SUCH_CLASS);
         } else if (connection.body().isEmpty()) {
             connection.reject(RequestRejection.NO_BODY);
-        } else if (!server.router.tryAdmit()) {
+        } else if (!server.router.tryAdmitExchange()) {
             rejectUnadmitted(connection, request);
         } else if (!server.requestIds.tryAcquire(parameters.id())) {
             server.router.exchangeEnded();
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -15,7 +15,7 @@
 
 /**
  * Admits or rejects exchanges and generations: first by the router's own limits, then by the
- * tenant's budget, which may borrow quota from the other routers.
+ * tenant's budget and those above it, which may lease tokens from the lender.
  */
 final class AdmissionController {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionController.class);
@@ -31,10 +31,10 @@
     private final String idPrefix;
     private final SessionRegistry sessions = new SessionRegistry();
     private final Map<String, TenantQuota> tenantQuotas = new HashMap<>();
-    private long admittedCount;
+    private long nextIdNumber;
 
-    /** Null if quota borrowing is disabled. */
-    private QuotaClient quotaClient;
+    /** Null if no tokens are leased. */
+    private TokenLeaseClient tokenLeaseClient;
 
     AdmissionController(
             Router router,
@@ -52,21 +52,21 @@
         this.idPrefix = idPrefix;
     }
 
-    void setQuotaClient(QuotaClient client) {
-        quotaClient = client;
+    void setTokenLeaseClient(TokenLeaseClient client) {
+        tokenLeaseClient = client;
     }
 
     /** Admits one more exchange and counts it, or returns false. */
     boolean tryAdmitExchange() {
-        // Usage that cannot be recorded could not be billed. The ledger reports early that it is
-        // behind.
+        // Guards against: the usage of a request could not be billed if the ledger's queue were
+        // full when the request ends. The ledger is behind before its queue is full.
         boolean ledgerBehind = usageRecorder.isBehind();
         if (shutdown.isStopping()
                 || ledgerBehind
                 || shutdown.exchanges() >= context.site.limit.openGenerations) {
             String reason =
                     shutdown.isStopping() ? "stopping" : ledgerBehind ? "ledger" : "too_many";
-            context.metrics.exchangeRejected(context.routerNumber, reason);
+            context.metrics.exchangeNotAdmitted(context.routerNumber, reason);
             return false;
         }
         shutdown.exchangeStarted();
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Admits a generation, or rejects it because its tenant is over budget; see {@link
+     * Admits a generation, or rejects it because a budget does not allow it; see {@link
      * Router#submit}.
      */
     void submit(
@@ -83,13 +83,13 @@
             Consumer<InFlightRequest> onAdmitted) {
         // Guards against: a client whose request body waited for its tokens to be counted would
         // wait that much longer than its deadline.
-        double arrivedMs = context.nowMs() - generationRequest.queuedMs();
+        double arrivedMs = context.nowMs() - generationRequest.sinceArrivalMs();
         BudgetDecision decision = checkBudget(generationRequest);
-        if (!decision.isAdmitted() && decision.isRateLimited() && quotaClient != null) {
-            if (borrowQuota(generationRequest, responseSink, arrivedMs, onAdmitted)) {
+        if (!decision.isAdmitted() && decision.isRateLimited() && tokenLeaseClient != null) {
+            if (requestLease(generationRequest, responseSink, arrivedMs, onAdmitted)) {
                 return;
             }
-            budgets.setLenderAvailable(quotaClient.isResponsive());
+            budgets.setLenderAvailable(tokenLeaseClient.isResponsive());
         }
         admitOrReject(generationRequest, responseSink, decision, arrivedMs, onAdmitted);
     }
@@ -107,10 +107,10 @@
     }
 
     /**
-     * Requests the missing quota and decides on admission once the lender responds; returns false
-     * if the quota cannot be requested.
+     * Requests a lease of the missing tokens, and decides on admission once the request has ended;
+     * returns false if no lease can be requested.
      */
-    private boolean borrowQuota(
+    private boolean requestLease(
             GenerationRequest generationRequest,
             ResponseSink responseSink,
             double arrivedMs,
@@ -124,10 +124,10 @@
         if (quotaRequest == null) {
             return false;
         }
-        QuotaClient.Listener listener =
+        TokenLeaseClient.Listener listener =
                 (grantedTokens, retryAfterMs) -> {
                     context.updateClock();
-                    budgets.setLenderAvailable(quotaClient.isResponsive());
+                    budgets.setLenderAvailable(tokenLeaseClient.isResponsive());
                     budgets.addLease(
                             quotaRequest.budgetName(),
                             grantedTokens,
@@ -144,7 +144,7 @@
                                 onAdmitted);
                     }
                 };
-        return quotaClient.request(quotaRequest, listener);
+        return tokenLeaseClient.request(quotaRequest, listener);
     }
 
     private void admitOrReject(
@@ -179,7 +179,7 @@
         LOG.atDebug()
                 .addKeyValue("tenant", generationRequest.tenant().name())
                 .addKeyValue("reason", decision.reason())
-                .log("request rejected: tenant is over budget");
+                .log("request rejected by a budget");
         responseSink.rejectedOverBudget(decision);
     }
 
@@ -223,7 +223,7 @@
     private String generationIdOf(GenerationRequest generationRequest) {
         return generationRequest.forwardedRequest() != null
                 ? generationRequest.forwardedRequest().id()
-                : idPrefix + Long.toString(admittedCount++, ID_RADIX);
+                : idPrefix + Long.toString(nextIdNumber++, ID_RADIX);
     }
 
     private TenantQuota tenantQuotaOf(Site.Tenant tenant) {
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -26,8 +26,9 @@
 
 /**
  * One router: an event loop, a routing policy and the generations that it has admitted. It notifies
- * the policy of events and carries out the policy's decisions; the policy makes every choice of
- * engine, wait, retry and rejection. All methods run on the loop on which the router was created.
+ * the policy of events and carries out the policy's decisions; for an admitted generation, the
+ * policy makes every choice of engine, wait, retry and rejection. All methods run on the loop on
+ * which the router was created.
  */
 public final class Router implements PolicyActions {
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
@@ -40,7 +41,7 @@
     private final Budgets budgets;
     private final EndpointTable endpoints = new EndpointTable();
     private final GracefulShutdown shutdown;
-    private final ReadStateReleases readStates;
+    private final ReadStateReleaser readStateReleaser;
     private final FinalResponseSender finalResponses;
     private final PolicyNotifier policy;
     private final AttemptCanceller attemptCanceller;
@@ -89,15 +90,18 @@
             Vertx vertx, RouterContext context, Ledger ledger, PolicyEvents.Factory policyFactory) {
         this.vertx = vertx;
         this.context = context;
-        loop = context.scheduler instanceof VertxScheduler own ? own.loop() : null;
+        loop =
+                context.scheduler instanceof VertxScheduler vertxScheduler
+                        ? vertxScheduler.loop()
+                        : null;
         final String idPrefix = context.scheduler.uniqueIdPrefix();
         context.updateClock();
         budgets = context.site.budgetsOf(context.routerNumber, context.nowMs());
         final RoutingSettings settings = context.site.termsOf(context.routerNumber);
 
         shutdown = new GracefulShutdown(context);
-        readStates = new ReadStateReleases(context);
-        attemptCanceller = new AttemptCanceller(context, readStates);
+        readStateReleaser = new ReadStateReleaser(context);
+        attemptCanceller = new AttemptCanceller(context, readStateReleaser);
         UsageRecorder usageRecorder = new UsageRecorder(context, budgets, ledger);
         finalResponses = new FinalResponseSender(context, usageRecorder);
         policy = new PolicyNotifier(context, finalResponses);
@@ -107,32 +111,34 @@
                         policy,
                         finalResponses,
                         attemptCanceller,
-                        readStates,
+                        readStateReleaser,
                         usageRecorder,
                         shutdown);
         timeouts = new RequestTimeouts(context, closer, attemptCanceller);
         RequestServices services =
-                new RequestServices(context, policy, finalResponses, readStates, closer, timeouts);
+                new RequestServices(
+                        context, policy, finalResponses, readStateReleaser, closer, timeouts);
         attemptSender = new AttemptSender(services, endpoints, settings.hedgingAllowed());
         admission =
                 new AdmissionController(this, services, budgets, usageRecorder, shutdown, idPrefix);
 
         policy.attach(policyFactory.create(settings, this));
-        new LoopMonitor(context, readStates).start();
+        new LoopMonitor(context, readStateReleaser).start();
     }
 
     // ------------------------------------------------------------------ admission
 
-    /** Sets the client through which budgets that run short of quota borrow from the lender. */
-    public void setQuotaClient(QuotaClient quotaClient) {
-        admission.setQuotaClient(quotaClient);
+    /** Sets the client through which budgets that run short lease tokens from the lender. */
+    public void setTokenLeaseClient(TokenLeaseClient tokenLeaseClient) {
+        admission.setTokenLeaseClient(tokenLeaseClient);
     }
 
     /**
-     * Admits one more exchange, or returns false. Each admitted exchange must be followed by one
-     * {@link #exchangeEnded}.
+     * Admits one more exchange, or returns false. An exchange is one request of a client and its
+     * response; it is counted before its generation is submitted, until the one call of {@link
+     * #exchangeEnded} that must follow.
      */
-    public boolean tryAdmit() {
+    public boolean tryAdmitExchange() {
         return admission.tryAdmitExchange();
     }
 
@@ -143,9 +149,10 @@
 
     /**
      * Submits a generation; its client may get the final response before this method returns. The
-     * admitted request is passed to {@code onAdmitted}, either immediately or once the quota lender
-     * has responded. {@code onAdmitted} is not called if the tenant's budget does not allow the
-     * generation, since its client has been sent the rejection, nor if the client has disconnected.
+     * admitted request is passed to {@code onAdmitted}, either immediately or once a request for a
+     * lease has ended. {@code onAdmitted} is not called if a budget does not allow the generation,
+     * since its client has been sent the rejection, nor if the client disconnects while the
+     * lender's response is awaited.
      */
     public void submit(
             GenerationRequest generationRequest,
@@ -156,9 +163,9 @@
     }
 
     /** Replaces the budgets; requests in flight stay charged. */
-    public void updateBudgets(Site changed) {
+    public void updateBudgets(Site newSite) {
         context.updateClock();
-        changed.budgetsTo(budgets, context.nowMs());
+        newSite.budgetsTo(budgets, context.nowMs());
     }
 
     /**
@@ -196,8 +203,11 @@
         return context.requests.size();
     }
 
-    /** The latency of interactive generations since the last call; must be called on the loop. */
-    public LatencySample latencySample() {
+    /**
+     * Returns the latency of interactive generations since the last call, and starts a new sample;
+     * must be called on the loop.
+     */
+    public LatencySample takeLatencySample() {
         context.updateClock();
         return context.latencyTracker.takeSample(context.requests.values(), context.nowMs());
     }
@@ -271,7 +281,7 @@
 
     @Override
     public void releaseState(Generation generation) {
-        readStates.releaseUnclaimed(generation);
+        readStateReleaser.releaseUnclaimed(generation);
     }
 
     @Override
