--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -168,7 +168,7 @@
                 host.cancel(attempt);
             }
         }
-        clientDisconnected(generation);
+        generationAbandoned(generation);
         if (generation.trafficClass.effect == Effect.IDEMPOTENT
                 || (generation.trafficClass.effect == Effect.DEDUPLICATED
                         && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL)
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void clientDisconnected(Generation generation) {
+    public void generationAbandoned(Generation generation) {
         generation.finish();
         host.releaseState(generation);
         generation.dropState();
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -207,7 +207,7 @@
         String id = message.text("job");
         Generation generation = generations.get(id);
         if (generation != null) {
-            guarded(() -> policy.clientDisconnected(generation));
+            guarded(() -> policy.generationAbandoned(generation));
             removeIfEnded(id, generation);
         }
     }
--- a/src/main/java/larchridge/policy/AdmissionQueue.java
+++ b/src/main/java/larchridge/policy/AdmissionQueue.java
@@ -15,7 +15,7 @@
  */
 final class AdmissionQueue {
     /** Minimum interval at which an idle router sends a generation that is estimated too late. */
-    private static final double LATE_RETRY_INTERVAL_MS = 2000;
+    private static final double LATE_SEND_INTERVAL_MS = 2000;
 
     /** Maximum number of waiting generations tried per pass, in admission order. */
     private static final int MAX_TRIED_PER_PASS = 100;
@@ -30,7 +30,7 @@
     private final List<Generation> openGenerations;
     private final Consumer<Generation> admit;
     private final Consumer<Generation> giveUpAsLate;
-    private double lastLateRetryMs;
+    private double lastLateSendMs;
 
     /**
      * Creates a queue over the generations of a router.
@@ -62,8 +62,8 @@
         int tried = 0;
         for (Generation generation : waiting) {
             boolean late = isLate(generation, msPerToken, nowMs);
-            if (late && mayRetryLate(nowMs)) {
-                lastLateRetryMs = nowMs;
+            if (late && maySendLate(nowMs)) {
+                lastLateSendMs = nowMs;
                 latency.resetSlowEstimates();
                 msPerToken = latency.bestMsPerToken(nowMs);
                 late = false;
@@ -90,8 +90,8 @@
      * so nothing is sent that could correct the estimates and all generations are rejected. With no
      * attempt in flight the estimates are outdated and are reset.
      */
-    private boolean mayRetryLate(double nowMs) {
-        return nowMs > lastLateRetryMs + LATE_RETRY_INTERVAL_MS
+    private boolean maySendLate(double nowMs) {
+        return nowMs > lastLateSendMs + LATE_SEND_INTERVAL_MS
                 && openGenerations.stream().allMatch(generation -> generation.attemptsInFlight() == 0);
     }
 
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -35,8 +35,8 @@
         double nowMs = actions.nowMs();
         double unreadTokens = affinity.tokensToRead(generation, engine);
         boolean readOnly = engine.role() == Role.READER;
-        double accountedTokens = readOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, accountedTokens, unreadTokens);
+        double heldTokens = readOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, heldTokens, unreadTokens);
         double readMs =
                 (load.unreadTokens(engine, nowMs) + unreadTokens) * latency.msPerToken(engine, nowMs);
         attempt.setSilenceTimeoutMs(
@@ -58,8 +58,8 @@
 
     /** Sends a generation with a held state to the writer that fetches the state. */
     void sendWrite(Generation generation, Engine writer) {
-        double accountedTokens = WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), accountedTokens, 0);
+        double heldTokens = WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), heldTokens, 0);
         attempt.setSilenceTimeoutMs(HedgingPolicy.writeTimeoutMs(latency.firstTokenMs()));
         generation.clearStateReleased();
         send(attempt);
--- a/src/main/java/larchridge/policy/EngineFeedback.java
+++ b/src/main/java/larchridge/policy/EngineFeedback.java
@@ -19,11 +19,11 @@
     void recordRead(Attempt read, int cachedTokens, LoadReport report) {
         double nowMs = actions.nowMs();
         int promptTokens = read.generation.promptTokens;
-        double unread = PrefixAffinity.tokensToRead(promptTokens, cachedTokens);
+        double uncachedTokens = PrefixAffinity.tokensToRead(promptTokens, cachedTokens);
         engineView.outliers().recordSuccess(read.engine);
-        recordContact(read.engine, report);
-        engineView.latency().recordRead(read.engine, unread, nowMs - read.sentMs, nowMs);
-        engineView.load().recordRead(unread, promptTokens, nowMs);
+        recordResponse(read.engine, report);
+        engineView.latency().recordRead(read.engine, uncachedTokens, nowMs - read.sentMs, nowMs);
+        engineView.load().recordRead(uncachedTokens, promptTokens, nowMs);
         engineView.affinity().recordRead(read, cachedTokens, nowMs);
         engineView.slowStart().recordRead(read.engine, nowMs);
     }
@@ -32,7 +32,7 @@
     void recordFirstToken(Attempt write) {
         double nowMs = actions.nowMs();
         engineView.outliers().recordSuccess(write.engine);
-        recordContact(write.engine, null);
+        recordResponse(write.engine, null);
         Attempt read = write.generation.heldRead();
         if (read != null) {
             StateTransfers.recordStarted(read.engine, write, nowMs);
@@ -49,19 +49,19 @@
     void recordOutcome(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
         Engine engine = attempt.engine;
         switch (outcome) {
-            case STREAMED, NO_STATE -> recordContact(engine, report);
+            case STREAMED, NO_STATE -> recordResponse(engine, report);
             case FAULT, CUT -> {
                 // Errors on finished generations are no evidence against the engine.
                 if (!attempt.generation.isFinished()) {
                     engineView.outliers().recordError(engine);
                 }
                 if (outcome == AttemptOutcome.FAULT) {
-                    recordContact(engine, report);
+                    recordResponse(engine, report);
                 }
                 engineView.outliers().ejectIfFailing(engine);
             }
             case FULL -> {
-                recordContact(engine, report);
+                recordResponse(engine, report);
                 engineView.outliers().recordFull(engine, actions.nowMs());
             }
             case UNREACHABLE -> engineView.outliers().eject(engine);
@@ -74,16 +74,16 @@
     /** Records whether a probe was answered. */
     void recordProbe(Engine engine, boolean answered, LoadReport report) {
         if (answered) {
-            recordContact(engine, report);
+            recordResponse(engine, report);
         } else {
             engineView.outliers().eject(engine);
         }
     }
 
     /** Records a response from an engine; the report is null if it contained no load report. */
-    private void recordContact(Engine engine, LoadReport report) {
+    private void recordResponse(Engine engine, LoadReport report) {
         double nowMs = actions.nowMs();
-        engineView.outliers().recordContact(engine, nowMs);
+        engineView.outliers().recordResponse(engine, nowMs);
         if (report != null) {
             engineView.load().recordReport(engine, report, nowMs);
         }
--- a/src/main/java/larchridge/policy/EngineSelection.java
+++ b/src/main/java/larchridge/policy/EngineSelection.java
@@ -1,4 +1,4 @@
 package larchridge.policy;
 
 /** Selects the engines of both stages, reading and writing. */
-record EngineSelection(ReaderSelection readers, WriterSelection writers) {}
+record EngineSelection(ReaderSelection readerSelection, WriterSelection writerSelection) {}
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -52,8 +52,8 @@
     }
 
     /** How long an engine may be silent before an answer with the given expected start delay. */
-    static double writeTimeoutMs(double startMs) {
-        return WRITE_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * startMs;
+    static double writeTimeoutMs(double startDelayMs) {
+        return WRITE_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * startDelayMs;
     }
 
     /** Hedges a generation in flight if the engine of its newest attempt is silent for too long. */
@@ -64,7 +64,7 @@
             return;
         }
         Attempt newest = generation.newestAttempt();
-        double silentMs = nowMs - Math.max(newest.engine.lastContactMs(), newest.sentMs);
+        double silentMs = nowMs - Math.max(newest.engine.lastResponseMs(), newest.sentMs);
         if (newest.isActive() && silentMs > newest.silenceTimeoutMs()) {
             hedge(generation, newest.engine);
         }
@@ -73,13 +73,13 @@
     private void hedge(Generation generation, Engine silentEngine) {
         outliers.eject(silentEngine);
         if (generation.heldRead() == null) {
-            Engine reader = selection.readers().select(generation);
+            Engine reader = selection.readerSelection().select(generation);
             if (reader != null && reader != silentEngine) {
                 dispatcher.sendRead(generation, reader);
             }
             return;
         }
-        Engine writer = selection.writers().select(generation);
+        Engine writer = selection.writerSelection().select(generation);
         if (writer != null && writer != silentEngine && capacity.hasCapacity(writer, generation)) {
             dispatcher.cancelAll(generation);
             dispatcher.sendWrite(generation, writer);
--- a/src/main/java/larchridge/policy/StateReservations.java
+++ b/src/main/java/larchridge/policy/HeldStates.java
@@ -4,10 +4,10 @@
 import larchridge.state.Generation;
 
 /** Tracks read states that readers hold until they are fetched or released. */
-final class StateReservations {
+final class HeldStates {
     private final PolicyActions actions;
 
-    StateReservations(PolicyActions actions) {
+    HeldStates(PolicyActions actions) {
         this.actions = actions;
     }
 
--- a/src/main/java/larchridge/policy/IdempotencyRule.java
+++ b/src/main/java/larchridge/policy/IdempotencyRule.java
@@ -14,7 +14,7 @@
  */
 public final class IdempotencyRule {
     /** Fraction of the deduplication window within which a repeat may still be decided. */
-    private static final double DECISION_WINDOW_FRACTION = 0.8;
+    private static final double SELECTION_WINDOW_FRACTION = 0.8;
 
     /** Allowance for a process pause between reading the clock and writing. */
     private static final double PROCESS_PAUSE_MARGIN_MS = 150;
@@ -24,14 +24,14 @@
     /** Whether an attempt of a generation on an engine may be decided now. */
     static boolean mayAttempt(
             Generation generation, Engine engine, double nowMs, boolean hedgingAllowed) {
-        double fractionMs = DECISION_WINDOW_FRACTION * generation.trafficClass.deduplicationWindowMs;
+        double maxAgeByFractionMs = SELECTION_WINDOW_FRACTION * generation.trafficClass.deduplicationWindowMs;
         double maxAgeMs =
-                Math.min(fractionMs, generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS);
+                Math.min(maxAgeByFractionMs, generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS);
         return mayRun(generation, engine, null, nowMs - maxAgeMs, hedgingAllowed);
     }
 
     /** Whether a decided attempt may be written now. */
-    public static boolean mayWrite(Attempt attempt, double nowMs, boolean hedgingAllowed) {
+    public static boolean maySend(Attempt attempt, double nowMs, boolean hedgingAllowed) {
         double maxAgeMs = attempt.generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS;
         return mayRun(attempt.generation, attempt.engine, attempt, nowMs - maxAgeMs, hedgingAllowed);
     }
--- a/src/main/java/larchridge/policy/LatencyEstimator.java
+++ b/src/main/java/larchridge/policy/LatencyEstimator.java
@@ -29,8 +29,8 @@
     }
 
     /** Records a completed read; the duration is measured from when it was sent. */
-    void recordRead(Engine engine, double unreadTokens, double durationMs, double nowMs) {
-        double speed = unreadTokens / Math.max(1, durationMs);
+    void recordRead(Engine engine, double readTokens, double durationMs, double nowMs) {
+        double speed = readTokens / Math.max(1, durationMs);
         engine.recordRead(speed, nowMs);
         readSpeeds.addMax(nowMs, speed);
     }
@@ -80,7 +80,7 @@
      */
     double backlogMs(Engine engine, double nowMs) {
         double unreadSinceMs = engine.unreadSinceMs();
-        double silentMs = Double.isNaN(unreadSinceMs) ? 0 : nowMs - Math.max(engine.lastContactMs(), unreadSinceMs);
+        double silentMs = Double.isNaN(unreadSinceMs) ? 0 : nowMs - Math.max(engine.lastResponseMs(), unreadSinceMs);
         return Math.max(load.unreadTokens(engine, nowMs) * msPerToken(engine, nowMs), silentMs);
     }
 }
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -27,16 +27,16 @@
     private static final double UNREAD_FRACTION_DURING_READ = 0.5;
 
     /** Expected own sends at which extrapolation to other routers' sends has half its weight. */
-    private static final double SIMILAR_TRAFFIC_SENDS = 0.25;
+    private static final double EXTRAPOLATION_HALF_WEIGHT_SENDS = 0.25;
 
     private final PolicyActions actions;
     private final int routers;
     private final List<Engine> writers;
 
     /** Fraction and number of prompt tokens that were not cached where they were read. */
-    private final SlidingWindowMean unreadFractions = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean uncachedFractions = new SlidingWindowMean(20, 1000);
 
-    private final SlidingWindowMean unreadTokensPerRead = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean uncachedTokensPerRead = new SlidingWindowMean(20, 1000);
 
     /** Mean reported load of other routers: unread tokens per engine, others per capacity unit. */
     private final SlidingWindowMean otherRoutersUnreadMean = new SlidingWindowMean(5, 1000);
@@ -54,9 +54,9 @@
     }
 
     /** Records how many tokens of a completed read were not cached. */
-    void recordRead(double unreadTokens, int promptTokens, double nowMs) {
-        unreadFractions.add(nowMs, unreadTokens, promptTokens);
-        unreadTokensPerRead.add(nowMs, unreadTokens, 1);
+    void recordRead(double uncachedTokens, int promptTokens, double nowMs) {
+        uncachedFractions.add(nowMs, uncachedTokens, promptTokens);
+        uncachedTokensPerRead.add(nowMs, uncachedTokens, 1);
     }
 
     /** Records an attempt that is about to be sent to a writer. */
@@ -81,10 +81,10 @@
      * prompts that are being read. Both are corrected with this router's own measurements.
      */
     private void recordReaderReport(Engine engine, LoadReport report, double nowMs) {
-        double partlyRead = orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
+        double unreadPromptsInProgress = orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
         double unread =
-                orZero(report.pendingTokens()) * unreadFractions.mean(nowMs)
-                        + partlyRead * unreadTokensPerRead.mean(nowMs);
+                orZero(report.pendingTokens()) * uncachedFractions.mean(nowMs)
+                        + unreadPromptsInProgress * uncachedTokensPerRead.mean(nowMs);
         engine.setOtherRoutersUnreadTokens(Math.max(0, unread - engine.unreadTokens()));
         otherRoutersUnreadMean.add(nowMs, engine.otherRoutersUnreadTokens(), 1);
     }
@@ -150,8 +150,8 @@
         double reportAgeMs = Math.min(nowMs - engine.lastReportMs(), WRITER_REPORT_DECAY_MS);
         double expectedSends = sentWrites.weight(nowMs) / sentWrites.spanMs() * reportAgeMs / writers.size();
         double ownSends = Math.max(0, engine.streams() - engine.reportedOwnStreams());
-        double otherRoutersSends = (routers - 1) * expectedSends * (ownSends - expectedSends) / (SIMILAR_TRAFFIC_SENDS + expectedSends);
-        return own + Math.max(0, weight * otherRouters + (1 - weight) * typical + otherRoutersSends * meanPerSend);
+        double otherRoutersExtraSends = (routers - 1) * expectedSends * (ownSends - expectedSends) / (EXTRAPOLATION_HALF_WEIGHT_SENDS + expectedSends);
+        return own + Math.max(0, weight * otherRouters + (1 - weight) * typical + otherRoutersExtraSends * meanPerSend);
     }
 
     private static double orZero(double value) {
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -47,7 +47,7 @@
      * Whether a generation still waits for load reports of its preferred readers; probes them if
      * due.
      */
-    boolean isAwaitingReaderReports(Generation generation) {
+    boolean awaitReaderReports(Generation generation) {
         double nowMs = actions.nowMs();
         if (nowMs - generation.readersProbedMs() > READER_REPROBE_MS) {
             generation.recordReadersProbed(nowMs);
--- a/src/main/java/larchridge/policy/OutlierDetector.java
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -45,7 +45,7 @@
 
     /** Counts a successful answer. */
     void recordSuccess(Engine engine) {
-        engine.recordAnswer(0, ERROR_RATE_EWMA_WEIGHT);
+        engine.updateErrorRate(0, ERROR_RATE_EWMA_WEIGHT);
     }
 
     /**
@@ -56,7 +56,7 @@
      * unejected just because it still responds, also to probes.
      */
     void recordError(Engine engine) {
-        engine.recordAnswer(1, ERROR_RATE_EWMA_WEIGHT);
+        engine.updateErrorRate(1, ERROR_RATE_EWMA_WEIGHT);
     }
 
     /**
@@ -72,8 +72,8 @@
     }
 
     /** Records a response and unejects the engine unless its error rate is too high. */
-    void recordContact(Engine engine, double nowMs) {
-        engine.recordContact(nowMs);
+    void recordResponse(Engine engine, double nowMs) {
+        engine.recordResponse(nowMs);
         if (engine.errorRate() < EJECTION_ERROR_RATE) {
             engine.uneject();
         }
--- a/src/main/java/larchridge/policy/PolicyEvents.java
+++ b/src/main/java/larchridge/policy/PolicyEvents.java
@@ -44,7 +44,7 @@
     default void stateReleased(Attempt attempt) {}
 
     /** The client of a generation disconnected, or the router ended the generation itself. */
-    void clientDisconnected(Generation generation);
+    void generationAbandoned(Generation generation);
 
     /** A load probe was answered, with a report or null, or it failed. */
     void loadProbed(Engine engine, boolean answered, LoadReport report);
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -49,18 +49,18 @@
      * caller must not modify the list, which belongs to the generation.
      */
     List<Engine> readersOf(Generation generation) {
-        CachedPrefix affinityPrefix = generation.prefix != null ? generation.prefix : generation.session;
-        if (generation.affinityRevision() != registry.revision() && affinityPrefix != null) {
+        CachedPrefix selectingPrefix = generation.prefix != null ? generation.prefix : generation.session;
+        if (generation.affinityRevision() != registry.revision() && selectingPrefix != null) {
             generation.setAffinityRevision(registry.revision());
             generation.affinityReaders().clear();
-            addReaders(affinityPrefix, generation.affinityReaders());
-            CachedPrefix prefix = generation.session != null ? generation.session : affinityPrefix;
+            addReaders(selectingPrefix, generation.affinityReaders());
+            CachedPrefix orderingPrefix = generation.session != null ? generation.session : selectingPrefix;
             generation
                     .affinityReaders()
                     .sort(
                             Comparator.comparing((Engine engine) -> !engine.zone().equals(zone))
                                     .thenComparing(
-                                            Comparator.comparingLong(prefix::rendezvousWeight).reversed()));
+                                            Comparator.comparingLong(orderingPrefix::rendezvousWeight).reversed()));
         }
         return generation.affinityReaders();
     }
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -21,10 +21,10 @@
     private static final double OVERLOADED_BACKLOG_MS = 1750;
 
     /** A writer reads prompts itself up to this many times the mean number of streams. */
-    private static final double LOCAL_READ_STREAMS_FACTOR = 0.6;
+    private static final double SELF_READ_STREAMS_FACTOR = 0.6;
 
     /** The same while transfers are late, as answers on other writers wait for their states. */
-    private static final double LOCAL_READ_STREAMS_FACTOR_LATE = 1.5;
+    private static final double SELF_READ_STREAMS_FACTOR_LATE = 1.5;
 
     private final PolicyActions actions;
     private final List<Engine> readers;
@@ -60,14 +60,14 @@
         List<Engine> eligibleReaders = eligible.of(readers, generation);
         List<Engine> candidates = new ArrayList<>(affinity.readersOf(generation));
         candidates.retainAll(eligibleReaders);
-        Engine lastReader = generation.session == null ? null : generation.session.lastReader();
-        if (lastReader == null || !eligibleReaders.contains(lastReader)) {
-            lastReader = candidates.isEmpty() ? null : candidates.get(0);
-        } else if (!candidates.contains(lastReader)) {
-            candidates.add(lastReader);
+        Engine preferredReader = generation.session == null ? null : generation.session.lastReader();
+        if (preferredReader == null || !eligibleReaders.contains(preferredReader)) {
+            preferredReader = candidates.isEmpty() ? null : candidates.get(0);
+        } else if (!candidates.contains(preferredReader)) {
+            candidates.add(preferredReader);
         }
-        if (lastReader != null && hasShortBacklog(lastReader, nowMs) && !StateTransfers.areLate(lastReader, nowMs)) {
-            return lastReader;
+        if (preferredReader != null && hasShortBacklog(preferredReader, nowMs) && !StateTransfers.areLate(preferredReader, nowMs)) {
+            return preferredReader;
         }
         // Deviation from the paper: while any affinity reader is eligible, no other reader is used.
         // Guards against: reading a cached prefix again on another reader doubles the work and
@@ -75,15 +75,15 @@
         // writer that can read takes both prompt and answer.
         candidates = candidates.isEmpty() ? eligibleReaders : candidates;
         boolean transfersLate = candidates.stream().anyMatch(e -> StateTransfers.areLate(e, nowMs));
-        addLocalReaders(candidates, generation, transfersLate, nowMs);
-        return selectBest(candidates, lastReader, generation, transfersLate);
+        addWritersThatRead(candidates, generation, transfersLate, nowMs);
+        return selectBest(candidates, preferredReader, generation, transfersLate);
     }
 
     private boolean hasShortBacklog(Engine engine, double nowMs) {
         return latency.backlogMs(engine, nowMs) <= SHORT_BACKLOG_MS;
     }
 
-    private void addLocalReaders(
+    private void addWritersThatRead(
             List<Engine> candidates, Generation generation, boolean transfersLate, double nowMs) {
         double meanStreams = writers.stream().mapToDouble(load::streamsPerUnit).average().orElse(0);
         for (Engine engine : eligible.of(writers, generation)) {
@@ -91,7 +91,7 @@
                     && capacity.hasCapacity(engine, generation)
                     && hasShortBacklog(engine, nowMs)
                     && load.streams(engine)
-                            <= (transfersLate ? LOCAL_READ_STREAMS_FACTOR_LATE : LOCAL_READ_STREAMS_FACTOR)
+                            <= (transfersLate ? SELF_READ_STREAMS_FACTOR_LATE : SELF_READ_STREAMS_FACTOR)
                                     * meanStreams
                                     * engine.units()) {
                 candidates.add(engine);
@@ -99,7 +99,7 @@
         }
     }
 
-    private Engine selectBest(List<Engine> candidates, Engine lastReader, Generation generation, boolean transfersLate) {
+    private Engine selectBest(List<Engine> candidates, Engine preferredReader, Generation generation, boolean transfersLate) {
         double nowMs = actions.nowMs();
         double limitMs = backlogLimitMs(generation);
         Engine best = null;
@@ -124,8 +124,8 @@
                 bestRank = rank;
             }
         }
-        return best != null && lastReader != null && isCheaper(lastReader, bestTokens, generation, limitMs)
-                ? lastReader
+        return best != null && preferredReader != null && isCheaper(preferredReader, bestTokens, generation, limitMs)
+                ? preferredReader
                 : best;
     }
 
@@ -159,10 +159,10 @@
      * the whole prompt elsewhere takes more tokens.
      */
     private boolean isCheaper(
-            Engine lastReader, double bestTokens, Generation generation, double limitMs) {
+            Engine preferredReader, double bestTokens, Generation generation, double limitMs) {
         double nowMs = actions.nowMs();
-        return latency.backlogMs(lastReader, nowMs) <= limitMs
-                && load.unreadTokens(lastReader, nowMs) + affinity.tokensToRead(generation, lastReader)
+        return latency.backlogMs(preferredReader, nowMs) <= limitMs
+                && load.unreadTokens(preferredReader, nowMs) + affinity.tokensToRead(generation, preferredReader)
                         < bestTokens;
     }
 }
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -13,9 +13,9 @@
  */
 final class RetryPolicy {
     /** A read is useful only if a write can follow it. */
-    private static final int MIN_ATTEMPTS_FROM_READ = 2;
+    private static final int ATTEMPTS_NEEDED_FOR_READ = 2;
 
-    private static final int MIN_ATTEMPTS_FROM_WRITE = 1;
+    private static final int ATTEMPTS_NEEDED_FOR_WRITE = 1;
 
     /** Time before the client's deadline at which the final answer is given, to arrive in time. */
     private static final double FINAL_ANSWER_MARGIN_MS = 30;
@@ -39,7 +39,7 @@
 
     /** Whether a generation has enough attempts left for its next stage and those after it. */
     boolean hasAttemptsLeft(Generation generation) {
-        int needed = generation.heldRead() == null ? MIN_ATTEMPTS_FROM_READ : MIN_ATTEMPTS_FROM_WRITE;
+        int needed = generation.heldRead() == null ? ATTEMPTS_NEEDED_FOR_READ : ATTEMPTS_NEEDED_FOR_WRITE;
         return generation.attemptsSent() + needed <= maxAttempts;
     }
 
@@ -65,8 +65,8 @@
     }
 
     /** Gives the client of a given-up generation its final answer. */
-    void answerGivenUp(Generation generation) {
-        if (isClientRetryHarmless(generation)) {
+    void rejectOrFail(Generation generation) {
+        if (isClientRetrySafe(generation)) {
             actions.reject(generation, retryAfterMs());
         } else {
             actions.fail(generation);
@@ -74,7 +74,7 @@
     }
 
     /** A rejection tells the client that a retry is safe (rule 2 of the system tests). */
-    private static boolean isClientRetryHarmless(Generation generation) {
+    private static boolean isClientRetrySafe(Generation generation) {
         Effect effect = generation.trafficClass.effect;
         return effect == Effect.IDEMPOTENT
                 || (effect == Effect.DEDUPLICATED
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -32,7 +32,7 @@
     private final EngineSelection selection;
     private final LoadProbes probes;
     private final AttemptDispatcher dispatcher;
-    private final StateReservations reservations;
+    private final HeldStates heldStates;
     private final RetryPolicy retryPolicy;
     private final HedgingPolicy hedging;
     private final AdmissionQueue queue;
@@ -55,7 +55,7 @@
                         new WriterSelection(actions, engineView, random));
         probes = new LoadProbes(settings, actions, engineView, random);
         dispatcher = new AttemptDispatcher(settings, actions, engineView, probes);
-        reservations = new StateReservations(actions);
+        heldStates = new HeldStates(actions);
         retryPolicy = new RetryPolicy(settings, actions, random);
         hedging = new HedgingPolicy(settings, engineView, selection, dispatcher, retryPolicy);
         queue =
@@ -90,11 +90,11 @@
         if (finished) {
             generation.finish();
         }
-        reservations.recordHeld(attempt);
+        heldStates.recordHeld(attempt);
         if (!generation.isUnanswered()) {
             // Guards against: a read that completes after its generation has been answered would
             // leave its state held.
-            reservations.release(generation);
+            heldStates.release(generation);
         } else if (!generation.isAtWriter() || generation.isStateReleased()) {
             generation.clearStateReleased();
             dispatcher.cancelOthers(generation, attempt);
@@ -109,7 +109,7 @@
         feedback.recordFirstToken(attempt);
         attempt.markRead();
         generation.startResponse();
-        reservations.recordFetched(generation);
+        heldStates.recordFetched(generation);
         dispatcher.cancelOthers(generation, attempt);
     }
 
@@ -127,7 +127,7 @@
             retryPolicy.backOff(generation);
         }
         if (!generation.isUnanswered() || outcome == AttemptOutcome.NO_STATE) {
-            reservations.release(generation);
+            heldStates.release(generation);
         }
         if (generation.isUnanswered()
                 && !generation.isWaiting()
@@ -145,14 +145,14 @@
      */
     @Override
     public void stateReleased(Attempt attempt) {
-        reservations.recordReleasedBeforeFetch(attempt);
+        heldStates.recordReleasedBeforeFetch(attempt);
     }
 
     @Override
-    public void clientDisconnected(Generation generation) {
+    public void generationAbandoned(Generation generation) {
         generation.finish();
         generation.stopWaiting();
-        reservations.release(generation);
+        heldStates.release(generation);
     }
 
     // ------------------------------------------------------------------ events of engines and time
@@ -229,7 +229,7 @@
             return;
         }
         if (generation.heldRead() != null && generation.heldRead().isStateLost()) {
-            reservations.release(generation);
+            heldStates.release(generation);
         }
         if (!retryPolicy.hasAttemptsLeft(generation)) {
             giveUp(generation, GiveUpReason.ATTEMPTS_USED);
@@ -242,9 +242,9 @@
 
     private void readOrWait(Generation generation) {
         Engine reader =
-                probes.isAwaitingReaderReports(generation)
+                probes.awaitReaderReports(generation)
                         ? null
-                        : selection.readers().select(generation);
+                        : selection.readerSelection().select(generation);
         if (reader != null) {
             dispatcher.sendRead(generation, reader);
             return;
@@ -253,7 +253,7 @@
     }
 
     private void writeOrGiveUp(Generation generation) {
-        Engine writer = selection.writers().select(generation);
+        Engine writer = selection.writerSelection().select(generation);
         if (writer != null) {
             dispatcher.sendWrite(generation, writer);
         } else {
@@ -264,7 +264,7 @@
     private void giveUp(Generation generation, GiveUpReason reason) {
         generation.recordGiveUp(reason);
         dispatcher.cancelAll(generation);
-        clientDisconnected(generation);
-        retryPolicy.answerGivenUp(generation);
+        generationAbandoned(generation);
+        retryPolicy.rejectOrFail(generation);
     }
 }
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -15,7 +15,7 @@
  */
 final class SlowStart {
     /** Fraction of a warming engine's budget to use, since routers keep to it only on average. */
-    private static final double BUDGET_FRACTION = 0.5;
+    private static final double ALLOWED_RATE_FRACTION = 0.5;
 
     private final EngineRegistry registry;
     private final Random random;
@@ -32,7 +32,7 @@
         this.registry = registry;
         this.random = random;
         slowStartMs = settings.slowStartMs();
-        effectiveShare = settings.slowStartShare() * settings.overloadMultiple() * BUDGET_FRACTION;
+        effectiveShare = settings.slowStartShare() * settings.overloadMultiple() * ALLOWED_RATE_FRACTION;
         createdMs = nowMs;
     }
 
@@ -67,14 +67,14 @@
     private boolean drawAdmission(Engine engine, double nowMs) {
         boolean isReader = engine.role() == Role.READER;
         List<Engine> peers = isReader ? registry.readers() : registry.writers();
-        double warmUnits =
+        double warmCapacityWeight =
                 peers.stream()
                         .filter(peer -> !isWarmingUp(peer, nowMs))
                         .mapToDouble(peer -> peer.units())
                         .sum();
-        SlidingWindow completed = isReader ? warmReads : warmWrites;
-        double spanMs = Math.min(completed.spanMs(), nowMs - createdMs + 1);
-        double warmRatePerMs = completed.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units());
+        SlidingWindow warmUses = isReader ? warmReads : warmWrites;
+        double spanMs = Math.min(warmUses.spanMs(), nowMs - createdMs + 1);
+        double warmRatePerMs = warmUses.sum(nowMs) / spanMs / Math.max(warmCapacityWeight, engine.units());
         double sinceLastDrawMs = nowMs - Math.max(engine.lastSlowStartDrawMs(), engine.startMs());
         engine.recordSlowStartDraw(nowMs);
         return random.nextDouble() < effectiveShare * warmRatePerMs * engine.units() * sinceLastDrawMs;
--- a/src/main/java/larchridge/policy/StateTransfers.java
+++ b/src/main/java/larchridge/policy/StateTransfers.java
@@ -14,10 +14,10 @@
  */
 final class StateTransfers {
     /** Start delay above which transfers are late: a tenth to a quarter of typical SLO times. */
-    private static final double LATE_START_MS = 400;
+    private static final double LATE_START_DELAY_MS = 400;
 
     /** Start delay recorded for an overdue transfer, which will take at least twice the limit. */
-    private static final double OVERDUE_START_MS = 2 * LATE_START_MS;
+    private static final double OVERDUE_START_DELAY_MS = 2 * LATE_START_DELAY_MS;
 
     private StateTransfers() {}
 
@@ -31,7 +31,7 @@
 
     /** Whether the recent mean start delay of transfers out of a reader's rack is too long. */
     static boolean areLate(Engine reader, double nowMs) {
-        return reader.meanTransferStartMs(nowMs) > LATE_START_MS;
+        return reader.meanTransferStartMs(nowMs) > LATE_START_DELAY_MS;
     }
 
     /** Records the transfer for an answer that has started. */
@@ -53,10 +53,10 @@
         Attempt newest = generation.newestAttempt();
         if (newest.isInFlight()
                 && !newest.isCountedAsLateTransfer()
-                && nowMs - newest.sentMs > LATE_START_MS
+                && nowMs - newest.sentMs > LATE_START_DELAY_MS
                 && transferDistance(generation.heldRead().engine, newest.engine) > 0) {
             newest.countAsLateTransfer();
-            generation.heldRead().engine.recordTransferStart(OVERDUE_START_MS, nowMs);
+            generation.heldRead().engine.recordTransferStart(OVERDUE_START_DELAY_MS, nowMs);
         }
     }
 }
--- a/src/main/java/larchridge/policy/WriterSelection.java
+++ b/src/main/java/larchridge/policy/WriterSelection.java
@@ -70,9 +70,9 @@
     private double tokenLimit(List<Engine> withCapacity, Generation generation) {
         double free = withCapacity.stream().mapToDouble(capacity::freeTokens).sum();
         double held = withCapacity.stream().mapToDouble(load::heldTokens).sum();
-        double units = withCapacity.stream().mapToDouble(writer -> writer.units()).sum();
+        double capacityWeight = withCapacity.stream().mapToDouble(writer -> writer.units()).sum();
         double reserved = capacity.reservedTokens() + WriterCapacity.neededTokens(generation);
-        return TOKEN_LIMIT_MARGIN * ((free < reserved ? free : reserved) + held) / units;
+        return TOKEN_LIMIT_MARGIN * ((free < reserved ? free : reserved) + held) / capacityWeight;
     }
 
     /**
--- a/src/main/java/larchridge/policy/package-info.java
+++ b/src/main/java/larchridge/policy/package-info.java
@@ -10,7 +10,7 @@
  * estimate load, latency, memory, cached prefixes and transfers; {@code AdmissionQueue}, {@code
  * RetryPolicy}, {@code IdempotencyRule} and {@code HedgingPolicy} decide what may be attempted;
  * {@code OutlierDetector} and {@code SlowStart} decide which engines to spare; {@code
- * AttemptDispatcher}, {@code StateReservations} and {@code LoadProbes} carry out the decisions.
+ * AttemptDispatcher}, {@code HeldStates} and {@code LoadProbes} carry out the decisions.
  *
  * <p>The package has no timers, threads, sockets or logger of its own and does not depend on the
  * router or on wire formats. Everything runs on the router's event loop. All random draws come from
--- a/src/main/java/larchridge/router/PolicyNotifier.java
+++ b/src/main/java/larchridge/router/PolicyNotifier.java
@@ -38,7 +38,7 @@
     }
 
     void clientDisconnected(InFlightRequest request) {
-        runGuarded(request, () -> policy.clientDisconnected(request.generation()));
+        runGuarded(request, () -> policy.generationAbandoned(request.generation()));
     }
 
     void readCompleted(InFlightRequest request, InFlightAttempt attempt, LoadReport report) {
--- a/src/main/java/larchridge/router/SendGuard.java
+++ b/src/main/java/larchridge/router/SendGuard.java
@@ -36,7 +36,7 @@
         if (request.responseGuard().isFinished() || request.responseGuard().isStarted()) {
             return SendRejection.ALREADY_ANSWERED;
         }
-        if (!IdempotencyRule.mayWrite(policyAttempt, scheduler.nowMs(), hedgingAllowed)) {
+        if (!IdempotencyRule.maySend(policyAttempt, scheduler.nowMs(), hedgingAllowed)) {
             return SendRejection.DUPLICATE_RISK;
         }
         return request.responseSink().isDisconnected() ? SendRejection.CLIENT_DISCONNECTED : null;
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -48,7 +48,7 @@
     private double ejectionMs;
     private boolean onProbation;
     private double errorRate;
-    double lastContactMs = Double.NEGATIVE_INFINITY;
+    double lastResponseMs = Double.NEGATIVE_INFINITY;
 
     private double processListedMs = Double.NEGATIVE_INFINITY;
     private double lastSlowStartDrawMs;
@@ -301,13 +301,13 @@
     // ------------------------------------------------------------------ health
 
     /** Time of the last response or other contact from the engine. */
-    public double lastContactMs() {
-        return lastContactMs;
+    public double lastResponseMs() {
+        return lastResponseMs;
     }
 
     /** Records a contact from the engine. */
-    public void recordContact(double nowMs) {
-        lastContactMs = nowMs;
+    public void recordResponse(double nowMs) {
+        lastResponseMs = nowMs;
     }
 
     /** Exponentially weighted error rate of the engine's answers. */
@@ -316,7 +316,7 @@
     }
 
     /** Updates the error rate with an answer: 1 for an error, 0 for a success. */
-    public void recordAnswer(int error, double weight) {
+    public void updateErrorRate(int error, double weight) {
         errorRate += weight * (error - errorRate);
     }
 
--- a/src/test/java/larchridge/policy/HedgingPolicyTest.java
+++ b/src/test/java/larchridge/policy/HedgingPolicyTest.java
@@ -38,7 +38,7 @@
         Engine[] engines = fixture.engines(2, 1);
         policy.requestArrived(fixture.generation("a"));
         Attempt silent = fixture.last();
-        EngineFixture.setLastContactMs(silent.engine, fixture.nowMs + 100);
+        EngineFixture.setLastResponseMs(silent.engine, fixture.nowMs + 100);
         fixture.nowMs += 400;
         policy.wakeUp();
         assertSame(silent, fixture.last());
--- a/src/test/java/larchridge/policy/StateReservationsTest.java
+++ b/src/test/java/larchridge/policy/HeldStatesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests that held states are always used or released. */
-class StateReservationsTest {
+class HeldStatesTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
     private final RoutingPolicy policy = fixture.start();
 
@@ -24,7 +24,7 @@
         fixture.engines(1, 1);
         Generation generation = fixture.generation("a");
         policy.requestArrived(generation);
-        policy.clientDisconnected(generation);
+        policy.generationAbandoned(generation);
         policy.readCompleted(fixture.last(), 0, null, true);
         assertTrue(fixture.hasAction("release a"));
         assertEquals(1, fixture.sent.size());
@@ -48,23 +48,23 @@
         fixture.engines(1, 1);
         Generation generation = fixture.generation("a");
         policy.requestArrived(generation);
-        policy.clientDisconnected(generation);
+        policy.generationAbandoned(generation);
         fixture.actions.clear();
         policy.attemptEnded(fixture.last(), AttemptOutcome.CANCELLED, null, true);
         assertTrue(fixture.hasAction("release a"));
     }
 
     @Test
-    void stateFromAReadIsUsedWhenAConcurrentLocalReadFails() {
+    void stateFromAReadIsUsedWhenAConcurrentReadAtAWriterFails() {
         Engine[] engines = fixture.engines(1, 2);
         policy.requestArrived(fixture.generation("a"));
         Attempt read = fixture.last();
-        Attempt localRead =
+        Attempt readAtWriter =
                 new Attempt(read.generation, engines[1], false, fixture.nowMs, 1100, 1000);
-        localRead.open();
+        readAtWriter.open();
         policy.readCompleted(read, 0, null, false);
         assertFalse(fixture.hasAction("release"));
-        policy.attemptEnded(localRead, AttemptOutcome.FAULT, null, false);
+        policy.attemptEnded(readAtWriter, AttemptOutcome.FAULT, null, false);
         assertEquals(2, fixture.sent.size());
         assertSame(Role.WRITER, fixture.last().engine.role());
     }
--- a/src/test/java/larchridge/policy/IdempotencyRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -50,12 +50,12 @@
 
     /** The connection is established so late that engines no longer know the first attempt. */
     @Test
-    void retryDecidedWithinTheWindowIsNotWrittenAfterIt() {
+    void retrySelectedWithinTheWindowIsNotSentAfterIt() {
         Generation generation = generationWithOneCutAttempt(Effect.DEDUPLICATED);
         assertTrue(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 790, false));
         Attempt again = attempt(generation, SENT_MS + 790);
-        assertTrue(IdempotencyRule.mayWrite(again, SENT_MS + 800, false));
-        assertFalse(IdempotencyRule.mayWrite(again, SENT_MS + 1040, false));
+        assertTrue(IdempotencyRule.maySend(again, SENT_MS + 800, false));
+        assertFalse(IdempotencyRule.maySend(again, SENT_MS + 1040, false));
     }
 
     /** A process may be paused for 150 ms between reading the clock and writing. */
@@ -63,7 +63,7 @@
     void shortWindowLeavesAMarginForAPausedProcess() {
         Generation generation = generationWithOneCutAttempt(Effect.DEDUPLICATED);
         assertFalse(
-                IdempotencyRule.mayWrite(attempt(generation, SENT_MS + 860), SENT_MS + 860, false));
+                IdempotencyRule.maySend(attempt(generation, SENT_MS + 860), SENT_MS + 860, false));
         TrafficClass shortWindow =
                 new TrafficClass(
                         "b", Effect.DEDUPLICATED, DeduplicationScope.ALL, 400, 1, 0, 1000, 0, 60);
@@ -92,7 +92,7 @@
     void generationThatMayHaveHadAnEffectIsNeverRepeated() {
         Generation generation = generationWithOneCutAttempt(Effect.SIDE_EFFECTING);
         assertFalse(IdempotencyRule.mayAttempt(generation, engine, SENT_MS + 1, true));
-        assertFalse(IdempotencyRule.mayWrite(attempt(generation, SENT_MS + 1), SENT_MS + 1, true));
+        assertFalse(IdempotencyRule.maySend(attempt(generation, SENT_MS + 1), SENT_MS + 1, true));
     }
 
     @Test
--- a/src/test/java/larchridge/policy/LoadEstimatorTest.java
+++ b/src/test/java/larchridge/policy/LoadEstimatorTest.java
@@ -35,7 +35,7 @@
         Engine[] engines = fixture.engines(2, 1);
         EngineFixture.setOtherRoutersUnreadTokens(engines[0], 5000);
         EngineFixture.setLastReportMs(engines[0], fixture.nowMs);
-        EngineFixture.setLastContactMs(engines[0], fixture.nowMs);
+        EngineFixture.setLastResponseMs(engines[0], fixture.nowMs);
         EngineFixture.setUnreadTokens(engines[1], 800);
         policy.requestArrived(fixture.generation("a"));
         assertSame(engines[1], fixture.last().engine);
--- a/src/test/java/larchridge/policy/ReaderSelectionTest.java
+++ b/src/test/java/larchridge/policy/ReaderSelectionTest.java
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void engineWithBothRolesReadsLocallyWhenNoReaderHasAShortBacklog() {
+    void engineWithBothRolesReadsThePromptWhenNoReaderHasAShortBacklog() {
         Engine[] engines = fixture.engines(1, 2);
         EngineFixture.setRole(engines[1], Role.BOTH);
         EngineFixture.setStreams(engines[2], 20);
--- a/src/test/java/larchridge/policy/SlowStartTest.java
+++ b/src/test/java/larchridge/policy/SlowStartTest.java
@@ -14,7 +14,7 @@
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
     @Test
-    void routersTogetherStayWithinTheSlowStartBudget() {
+    void routersTogetherStayWithinTheAllowedSlowStartRate() {
         fixture.settings.routers(150);
         int attempts = 0;
         for (int router = 0; router < 150; router++) {
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -272,9 +272,9 @@
         }
 
         @Override
-        public void clientDisconnected(Generation generation) {
+        public void generationAbandoned(Generation generation) {
             record("in:departed", generation.id);
-            policy.clientDisconnected(generation);
+            policy.generationAbandoned(generation);
         }
 
         @Override
--- a/src/test/java/larchridge/state/EngineFixture.java
+++ b/src/test/java/larchridge/state/EngineFixture.java
@@ -35,8 +35,8 @@
     }
 
     /** Sets the time of the last contact with the engine. */
-    public static void setLastContactMs(Engine engine, double ms) {
-        engine.lastContactMs = ms;
+    public static void setLastResponseMs(Engine engine, double ms) {
+        engine.lastResponseMs = ms;
     }
 
     /** Sets the end of the engine's ejection. */
