--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -61,14 +61,14 @@
     }
 
     private void advance(Generation generation) {
-        if (generation.heldRead() != null && generation.heldRead().isStateLost()) {
+        if (generation.readWithHeldState() != null && generation.readWithHeldState().isStateLost()) {
             host.releaseState(generation);
             generation.dropState();
         }
         Engine engine =
-                pick(generation, generation.heldRead() == null ? fleet.readers() : fleet.writers());
+                pick(generation, generation.readWithHeldState() == null ? fleet.readers() : fleet.writers());
         if (engine == null
-                || generation.attempts().size() + (generation.heldRead() == null ? 2 : 1)
+                || generation.attempts().size() + (generation.readWithHeldState() == null ? 2 : 1)
                         > maxAttempts) {
             giveUp(generation);
             return;
@@ -81,9 +81,9 @@
                         read,
                         host.nowMs(),
                         generation.promptTokens,
-                        generation.heldRead() == null ? generation.promptTokens : 0);
+                        generation.readWithHeldState() == null ? generation.promptTokens : 0);
         if (read) {
-            generation.setMayHoldState(true);
+            generation.setStatePossiblyHeld(true);
         }
         attempt.open();
         host.send(attempt);
@@ -105,8 +105,8 @@
             }
             case PREFIX_HASH -> {
                 CachedPrefix text =
-                        generation.prefix != null ? generation.prefix : generation.session;
-                yield generation.heldRead() != null || text == null
+                        generation.sharedPrefix != null ? generation.sharedPrefix : generation.sessionPrefix;
+                yield generation.readWithHeldState() != null || text == null
                         ? pool.get(random.nextInt(pool.size()))
                         : pool.stream().max(Comparator.comparingLong(text::rendezvousWeight)).get();
             }
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -296,7 +296,7 @@
         if (!message.has("pressure")) {
             return null;
         }
-        return DeploymentSettingsReader.report(name -> message.pair("pressure", name));
+        return DeploymentSettingsReader.toLoadReport(name -> message.pair("pressure", name));
     }
 
     /** Removes a generation once no message can refer to it any more. */
--- a/src/main/java/larchridge/node/EngineStateLog.java
+++ b/src/main/java/larchridge/node/EngineStateLog.java
@@ -61,7 +61,7 @@
                 .append(" unread tokens ")
                 .append(Math.round(engine.unreadTokens()))
                 .append(" write tokens ")
-                .append(Math.round(engine.writeTokens()))
+                .append(Math.round(engine.ownHeldTokens()))
                 .append(" upstream attempts ")
                 .append(upstream.inFlightAttempts(endpoint))
                 .append(" connections ")
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -126,7 +126,7 @@
 
     private Site site() {
         Site site = Site.plain(settings.routing());
-        site.releaseMs = settings.releaseMs();
+        site.releaseMs = settings.maxStateHoldMs();
         site.drainGraceMs = settings.drainGraceMs();
         site.limit.openGenerations =
                 (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
@@ -145,7 +145,7 @@
         return new UpstreamLimits(
                 settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
-                settings.releaseMs(),
+                settings.maxStateHoldMs(),
                 (int) engineSockets,
                 (int) (engineSockets / ENGINE_SOCKETS_DIVISOR),
                 settings.reportFields());
--- a/src/main/java/larchridge/node/NodeAudit.java
+++ b/src/main/java/larchridge/node/NodeAudit.java
@@ -51,7 +51,7 @@
         AuditSettings auditSettings =
                 new AuditSettings(
                         settings.drainGraceMs(),
-                        settings.releaseMs(),
+                        settings.maxStateHoldMs(),
                         settings.routing().slowStartMs(),
                         settings.routing().slowStartShare(),
                         settings.routing().overloadMultiple(),
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -91,7 +91,7 @@
         site.limit.slowClientMs = NO_TIMEOUT_MS;
         site.limit.quietStreamMs = NO_TIMEOUT_MS;
         site.limit.stopMs = NO_TIMEOUT_MS;
-        site.releaseMs = settings.releaseMs();
+        site.releaseMs = settings.maxStateHoldMs();
         return site;
     }
 
@@ -99,7 +99,7 @@
         return new UpstreamLimits(
                 settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
-                settings.releaseMs(),
+                settings.maxStateHoldMs(),
                 MAX_CONNECTIONS,
                 MAX_CONNECTIONS_PER_ENGINE,
                 settings.reportFields());
--- a/src/main/java/larchridge/node/upstream/LoadReportReader.java
+++ b/src/main/java/larchridge/node/upstream/LoadReportReader.java
@@ -44,6 +44,6 @@
         }
         return values.isEmpty()
                 ? null
-                : DeploymentSettingsReader.report(name -> values.getOrDefault(name, Double.NaN));
+                : DeploymentSettingsReader.toLoadReport(name -> values.getOrDefault(name, Double.NaN));
     }
 }
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -34,24 +34,24 @@
     void sendRead(Generation generation, Engine engine) {
         double nowMs = actions.nowMs();
         double unreadTokens = affinity.tokensToRead(generation, engine);
-        boolean readOnly = engine.role() == Role.READER;
-        double heldTokens = readOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, heldTokens, unreadTokens);
+        boolean readsOnly = engine.role() == Role.READER;
+        double heldTokens = readsOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, engine, readsOnly, nowMs, heldTokens, unreadTokens);
         double readMs =
                 (load.unreadTokens(engine, nowMs) + unreadTokens) * latency.msPerToken(engine, nowMs);
         attempt.setSilenceTimeoutMs(
-                readOnly
+                readsOnly
                         ? HedgingPolicy.readTimeoutMs(readMs)
                         : HedgingPolicy.writeTimeoutMs(readMs));
         // Guards against: a read whose response is lost leaves a state behind that no outcome
         // reports.
-        generation.setMayHoldState(true);
-        if (readOnly) {
+        generation.setStatePossiblyHeld(true);
+        if (readsOnly) {
             capacity.reserve(generation);
         }
         affinity.recordSent(generation, engine, nowMs);
         send(attempt);
-        if (readOnly) {
+        if (readsOnly) {
             probes.probeRandomWriters();
         }
     }
@@ -66,7 +66,7 @@
     }
 
     private void send(Attempt attempt) {
-        if (!attempt.readOnly) {
+        if (!attempt.readsOnly) {
             load.recordWrite(attempt, actions.nowMs());
         }
         attempt.open();
@@ -75,7 +75,7 @@
 
     /** Removes an attempt that has ended from the load accounting. */
     void close(Attempt attempt) {
-        if (attempt.close() && attempt.readOnly) {
+        if (attempt.close() && attempt.readsOnly) {
             capacity.release(attempt);
         }
     }
--- a/src/main/java/larchridge/policy/EngineFeedback.java
+++ b/src/main/java/larchridge/policy/EngineFeedback.java
@@ -33,7 +33,7 @@
         double nowMs = actions.nowMs();
         engineView.outliers().recordSuccess(write.engine);
         recordResponse(write.engine, null);
-        Attempt read = write.generation.heldRead();
+        Attempt read = write.generation.readWithHeldState();
         if (read != null) {
             StateTransfers.recordStarted(read.engine, write, nowMs);
         }
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -72,7 +72,7 @@
 
     private void hedge(Generation generation, Engine silentEngine) {
         outliers.eject(silentEngine);
-        if (generation.heldRead() == null) {
+        if (generation.readWithHeldState() == null) {
             Engine reader = selection.readerSelection().select(generation);
             if (reader != null && reader != silentEngine) {
                 dispatcher.sendRead(generation, reader);
--- a/src/main/java/larchridge/policy/HeldStates.java
+++ b/src/main/java/larchridge/policy/HeldStates.java
@@ -13,7 +13,7 @@
 
     /** Records a completed read: its state is to be fetched, unless another state already is. */
     void recordHeld(Attempt read) {
-        if (read.generation.heldRead() == null) {
+        if (read.generation.readWithHeldState() == null) {
             read.generation.holdState(read);
         }
     }
@@ -21,7 +21,7 @@
     /** Records that an answer started: its state was fetched; other attempts may leave another. */
     void recordFetched(Generation generation) {
         generation.dropState();
-        generation.setMayHoldState(generation.attemptsInFlight() > 1);
+        generation.setStatePossiblyHeld(generation.attemptsInFlight() > 1);
     }
 
     /** Records that a state was released while the attempt that is to fetch it is in flight. */
@@ -39,8 +39,8 @@
      * so the release is repeated after that attempt.
      */
     void release(Generation generation) {
-        if (generation.mayHoldState()) {
-            generation.setMayHoldState(generation.attemptsInFlight() > 0);
+        if (generation.isStatePossiblyHeld()) {
+            generation.setStatePossiblyHeld(generation.attemptsInFlight() > 0);
             actions.releaseState(generation);
         }
         generation.dropState();
--- a/src/main/java/larchridge/policy/LatencyEstimator.java
+++ b/src/main/java/larchridge/policy/LatencyEstimator.java
@@ -32,7 +32,7 @@
     void recordRead(Engine engine, double readTokens, double durationMs, double nowMs) {
         double speed = readTokens / Math.max(1, durationMs);
         engine.recordRead(speed, nowMs);
-        readSpeeds.addMax(nowMs, speed);
+        readSpeeds.recordMax(nowMs, speed);
     }
 
     /** Records the time from sending a write attempt to the first token of its answer. */
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -41,7 +41,7 @@
     /** Mean reported load of other routers: unread tokens per engine, others per capacity unit. */
     private final SlidingWindowMean otherRoutersUnreadMean = new SlidingWindowMean(5, 1000);
 
-    private final SlidingWindowMean otherRoutersTokensMean = new SlidingWindowMean(5, 1000);
+    private final SlidingWindowMean otherRoutersHeldTokensMean = new SlidingWindowMean(5, 1000);
     private final SlidingWindowMean otherRoutersStreamsMean = new SlidingWindowMean(5, 1000);
 
     /** Tokens and number of this router's own writes. */
@@ -61,8 +61,8 @@
 
     /** Records an attempt that is about to be sent to a writer. */
     void recordWrite(Attempt write, double nowMs) {
-        write.engine.recordWrite(write.countedTokens, nowMs);
-        sentWrites.add(nowMs, write.countedTokens, 1);
+        write.engine.recordWrite(write.heldTokens, nowMs);
+        sentWrites.add(nowMs, write.heldTokens, 1);
     }
 
     /** Updates the estimates from a load report of an engine. */
@@ -93,14 +93,14 @@
         double pending = orZero(report.pendingTokens());
         engine.setOtherRoutersUnreadTokens(Math.max(0, pending - engine.unreadTokens()));
         engine.countReportedStreams(nowMs);
-        double own = engine.reportedWriteTokens(nowMs);
+        double own = engine.reportedOwnHeldTokens(nowMs);
         // Guards against: the memory usage of a full writer does not include the states that queue
         // for it, so pending tokens are added.
         double tokens = orZero(report.memoryShare() * engine.memoryTokens() + pending - own);
         double streams = orZero(report.inflight() - engine.reportedOwnStreams());
         engine.adjustOtherRoutersLoad(Math.max(0, tokens), Math.max(0, streams), 1 - previousWeight);
-        otherRoutersTokensMean.add(nowMs, engine.otherRoutersTokens(), engine.units());
-        otherRoutersStreamsMean.add(nowMs, engine.otherRoutersStreams(), engine.units());
+        otherRoutersHeldTokensMean.add(nowMs, engine.otherRoutersHeldTokens(), engine.capacityWeight());
+        otherRoutersStreamsMean.add(nowMs, engine.otherRoutersStreams(), engine.capacityWeight());
     }
 
     /**
@@ -117,7 +117,7 @@
     double heldTokens(Engine engine) {
         double meanPerSend = sentWrites.mean(actions.nowMs());
         return estimate(
-                engine, engine.writeTokens(), engine.otherRoutersTokens(), otherRoutersTokensMean, meanPerSend);
+                engine, engine.ownHeldTokens(), engine.otherRoutersHeldTokens(), otherRoutersHeldTokensMean, meanPerSend);
     }
 
     /** Number of answers that an engine streams. */
@@ -127,12 +127,12 @@
 
     /** Number of answers that an engine streams, per capacity unit. */
     double streamsPerUnit(Engine engine) {
-        return streams(engine) / engine.units();
+        return streams(engine) / engine.capacityWeight();
     }
 
     /** Tokens held in an engine's memory for answers, per capacity unit. */
     double heldTokensPerUnit(Engine engine) {
-        return heldTokens(engine) / engine.units();
+        return heldTokens(engine) / engine.capacityWeight();
     }
 
     /**
@@ -146,7 +146,7 @@
             Engine engine, double own, double otherRouters, SlidingWindowMean reported, double meanPerSend) {
         double nowMs = actions.nowMs();
         double weight = Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
-        double typical = reported.mean(nowMs) * engine.units();
+        double typical = reported.mean(nowMs) * engine.capacityWeight();
         double reportAgeMs = Math.min(nowMs - engine.lastReportMs(), WRITER_REPORT_DECAY_MS);
         double expectedSends = sentWrites.weight(nowMs) / sentWrites.spanMs() * reportAgeMs / writers.size();
         double ownSends = Math.max(0, engine.streams() - engine.reportedOwnStreams());
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -49,12 +49,12 @@
      * caller must not modify the list, which belongs to the generation.
      */
     List<Engine> readersOf(Generation generation) {
-        CachedPrefix selectingPrefix = generation.prefix != null ? generation.prefix : generation.session;
+        CachedPrefix selectingPrefix = generation.sharedPrefix != null ? generation.sharedPrefix : generation.sessionPrefix;
         if (generation.affinityRevision() != registry.revision() && selectingPrefix != null) {
             generation.setAffinityRevision(registry.revision());
             generation.affinityReaders().clear();
             addReaders(selectingPrefix, generation.affinityReaders());
-            CachedPrefix orderingPrefix = generation.session != null ? generation.session : selectingPrefix;
+            CachedPrefix orderingPrefix = generation.sessionPrefix != null ? generation.sessionPrefix : selectingPrefix;
             generation
                     .affinityReaders()
                     .sort(
@@ -80,8 +80,8 @@
     double tokensToRead(Generation generation, Engine reader) {
         int cached =
                 Math.max(
-                        cachedTokens(generation.prefix, reader, generation.sharedTokens),
-                        cachedTokens(generation.session, reader, generation.promptTokens));
+                        cachedTokens(generation.sharedPrefix, reader, generation.sharedTokens),
+                        cachedTokens(generation.sessionPrefix, reader, generation.promptTokens));
         List<Engine> readers = readersOf(generation);
         if (readers.contains(reader)) {
             cached =
@@ -112,11 +112,11 @@
 
     /** Records that a reader will have the prefixes of a generation cached. */
     void recordSent(Generation generation, Engine reader, double nowMs) {
-        if (generation.session != null) {
-            generation.session.recordSent(reader, generation.promptTokens, nowMs);
+        if (generation.sessionPrefix != null) {
+            generation.sessionPrefix.recordSent(reader, generation.promptTokens, nowMs);
         }
-        if (generation.prefix != null) {
-            generation.prefix.recordSent(reader, generation.sharedTokens, nowMs);
+        if (generation.sharedPrefix != null) {
+            generation.sharedPrefix.recordSent(reader, generation.sharedTokens, nowMs);
         }
     }
 
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -60,7 +60,7 @@
         List<Engine> eligibleReaders = eligible.of(readers, generation);
         List<Engine> candidates = new ArrayList<>(affinity.readersOf(generation));
         candidates.retainAll(eligibleReaders);
-        Engine preferredReader = generation.session == null ? null : generation.session.lastReader();
+        Engine preferredReader = generation.sessionPrefix == null ? null : generation.sessionPrefix.lastReader();
         if (preferredReader == null || !eligibleReaders.contains(preferredReader)) {
             preferredReader = candidates.isEmpty() ? null : candidates.get(0);
         } else if (!candidates.contains(preferredReader)) {
@@ -93,7 +93,7 @@
                     && load.streams(engine)
                             <= (transfersLate ? SELF_READ_STREAMS_FACTOR_LATE : SELF_READ_STREAMS_FACTOR)
                                     * meanStreams
-                                    * engine.units()) {
+                                    * engine.capacityWeight()) {
                 candidates.add(engine);
             }
         }
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -66,7 +66,7 @@
                         this::advance,
                         generation -> giveUp(generation, GiveUpReason.TOO_LATE));
         endpointWatch = new EndpointWatch(actions, random);
-        if (settings.endpointListPolled()) {
+        if (settings.endpointSubscriptionRequired()) {
             endpointWatch.start();
         }
     }
@@ -228,12 +228,12 @@
             giveUp(generation, GiveUpReason.TIME_UP);
             return;
         }
-        if (generation.heldRead() != null && generation.heldRead().isStateLost()) {
+        if (generation.readWithHeldState() != null && generation.readWithHeldState().isStateLost()) {
             heldStates.release(generation);
         }
         if (!retryPolicy.hasAttemptsLeft(generation)) {
             giveUp(generation, GiveUpReason.ATTEMPTS_USED);
-        } else if (generation.heldRead() == null) {
+        } else if (generation.readWithHeldState() == null) {
             readOrWait(generation);
         } else {
             writeOrGiveUp(generation);
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -70,13 +70,13 @@
         double warmCapacityWeight =
                 peers.stream()
                         .filter(peer -> !isWarmingUp(peer, nowMs))
-                        .mapToDouble(peer -> peer.units())
+                        .mapToDouble(peer -> peer.capacityWeight())
                         .sum();
         SlidingWindow warmUses = isReader ? warmReads : warmWrites;
         double spanMs = Math.min(warmUses.spanMs(), nowMs - createdMs + 1);
-        double warmRatePerMs = warmUses.sum(nowMs) / spanMs / Math.max(warmCapacityWeight, engine.units());
+        double warmRatePerMs = warmUses.sum(nowMs) / spanMs / Math.max(warmCapacityWeight, engine.capacityWeight());
         double sinceLastDrawMs = nowMs - Math.max(engine.lastSlowStartDrawMs(), engine.startMs());
         engine.recordSlowStartDraw(nowMs);
-        return random.nextDouble() < effectiveShare * warmRatePerMs * engine.units() * sinceLastDrawMs;
+        return random.nextDouble() < effectiveShare * warmRatePerMs * engine.capacityWeight() * sinceLastDrawMs;
     }
 }
--- a/src/main/java/larchridge/policy/StateTransfers.java
+++ b/src/main/java/larchridge/policy/StateTransfers.java
@@ -31,13 +31,13 @@
 
     /** Whether the recent mean start delay of transfers out of a reader's rack is too long. */
     static boolean areLate(Engine reader, double nowMs) {
-        return reader.meanTransferStartMs(nowMs) > LATE_START_DELAY_MS;
+        return reader.meanTransferStartDelayMs(nowMs) > LATE_START_DELAY_MS;
     }
 
     /** Records the transfer for an answer that has started. */
     static void recordStarted(Engine reader, Attempt write, double nowMs) {
         if (transferDistance(reader, write.engine) > 0) {
-            reader.recordTransferStart(nowMs - write.sentMs, nowMs);
+            reader.recordTransferStartDelay(nowMs - write.sentMs, nowMs);
         }
     }
 
@@ -47,16 +47,16 @@
      * have been lost.
      */
     static void recordIfOverdue(Generation generation, double nowMs) {
-        if (generation.heldRead() == null) {
+        if (generation.readWithHeldState() == null) {
             return;
         }
         Attempt newest = generation.newestAttempt();
         if (newest.isInFlight()
                 && !newest.isCountedAsLateTransfer()
                 && nowMs - newest.sentMs > LATE_START_DELAY_MS
-                && transferDistance(generation.heldRead().engine, newest.engine) > 0) {
+                && transferDistance(generation.readWithHeldState().engine, newest.engine) > 0) {
             newest.countAsLateTransfer();
-            generation.heldRead().engine.recordTransferStart(OVERDUE_START_DELAY_MS, nowMs);
+            generation.readWithHeldState().engine.recordTransferStartDelay(OVERDUE_START_DELAY_MS, nowMs);
         }
     }
 }
--- a/src/main/java/larchridge/policy/WriterSelection.java
+++ b/src/main/java/larchridge/policy/WriterSelection.java
@@ -55,7 +55,7 @@
         if (withCapacity.isEmpty()) {
             return fewestHeldTokens(eligibleWriters);
         }
-        Engine reader = generation.heldRead().engine;
+        Engine reader = generation.readWithHeldState().engine;
         double tokenLimit = tokenLimit(withCapacity, generation);
         if (StateTransfers.areLate(reader, actions.nowMs())) {
             Engine sameRack = selectInRack(withCapacity, reader, tokenLimit);
@@ -70,7 +70,7 @@
     private double tokenLimit(List<Engine> withCapacity, Generation generation) {
         double free = withCapacity.stream().mapToDouble(capacity::freeTokens).sum();
         double held = withCapacity.stream().mapToDouble(load::heldTokens).sum();
-        double capacityWeight = withCapacity.stream().mapToDouble(writer -> writer.units()).sum();
+        double capacityWeight = withCapacity.stream().mapToDouble(writer -> writer.capacityWeight()).sum();
         double reserved = capacity.reservedTokens() + WriterCapacity.neededTokens(generation);
         return TOKEN_LIMIT_MARGIN * ((free < reserved ? free : reserved) + held) / capacityWeight;
     }
--- a/src/main/java/larchridge/router/AttemptSender.java
+++ b/src/main/java/larchridge/router/AttemptSender.java
@@ -60,8 +60,8 @@
 
     /** The read whose state the attempt is to fetch, or null. */
     private static InFlightAttempt stateSourceOf(InFlightRequest request, Attempt policyAttempt) {
-        Attempt read = policyAttempt.generation.heldRead();
-        return policyAttempt.readOnly || read == null ? null : request.attemptOf(read);
+        Attempt read = policyAttempt.generation.readWithHeldState();
+        return policyAttempt.readsOnly || read == null ? null : request.attemptOf(read);
     }
 
     private AttemptRequest attemptRequest(InFlightRequest request, InFlightAttempt attempt) {
--- a/src/main/java/larchridge/router/InFlightAttempt.java
+++ b/src/main/java/larchridge/router/InFlightAttempt.java
@@ -39,7 +39,7 @@
         this.endpoint = endpoint;
         this.attemptId = attemptId;
         this.stateSource = stateSource;
-        holdsState = policyAttempt.readOnly;
+        holdsState = policyAttempt.readsOnly;
     }
 
     Attempt policyAttempt() {
@@ -59,12 +59,12 @@
     }
 
     boolean isRead() {
-        return policyAttempt.readOnly;
+        return policyAttempt.readsOnly;
     }
 
     /** The stage as named in metrics and logs. */
     String stage() {
-        return policyAttempt.readOnly ? "read" : "write";
+        return policyAttempt.readsOnly ? "read" : "write";
     }
 
     UpstreamClient.AttemptHandle handle() {
--- a/src/main/java/larchridge/settings/DeploymentSettings.java
+++ b/src/main/java/larchridge/settings/DeploymentSettings.java
@@ -22,7 +22,7 @@
  * @param connectTimeoutMs timeout for connecting to an engine
  * @param keepAliveMs idle time after which an engine closes a connection
  * @param drainGraceMs time after the start of a drain within which sending to the engine must stop
- * @param releaseMs time within which a held state must be used or released
+ * @param maxStateHoldMs time within which a held state must be used or released
  */
 public record DeploymentSettings(
         RoutingSettings routing,
@@ -35,4 +35,4 @@
         double connectTimeoutMs,
         double keepAliveMs,
         double drainGraceMs,
-        double releaseMs) {}
+        double maxStateHoldMs) {}
--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -20,9 +20,9 @@
  */
 public final class DeploymentSettingsReader {
     private final JsonNode root;
-    private final JsonNode familyInfo;
+    private final JsonNode servingInfo;
     private final JsonNode limits;
-    private final JsonNode invariants;
+    private final JsonNode checkedLimits;
     private final JsonNode reporting;
     private final Map<String, TrafficClass> trafficClasses = new LinkedHashMap<>();
     private final Map<String, TenantQuota> tenants = new LinkedHashMap<>();
@@ -33,9 +33,9 @@
 
     private DeploymentSettingsReader(JsonNode root) {
         this.root = root;
-        familyInfo = root.path("family_info");
+        servingInfo = root.path("family_info");
         limits = root.path("limits");
-        invariants = root.path("invariants");
+        checkedLimits = root.path("invariants");
         reporting = root.path("reporting");
     }
 
@@ -64,8 +64,8 @@
                 Collections.unmodifiableList(reportFields),
                 ms(limits, "dial_timeout_s", 1),
                 ms(limits, "keepalive_s", 15),
-                ms(invariants, "stop_sending_within_s", 0),
-                ms(familyInfo, "release_within_s", 1));
+                ms(checkedLimits, "stop_sending_within_s", 0),
+                ms(servingInfo, "release_within_s", 1));
     }
 
     private RoutingSettings readRouting(long seed, int routers) throws InvalidSettingsException {
@@ -78,16 +78,16 @@
                 .cancellationAllowed(flag(limits, "may_cancel"))
                 .probesAllowed(flag(limits, "may_probe"))
                 .hedgingAllowed(flag(limits, "parallel_tries"))
-                .writersCanRead(flag(familyInfo, "local_read"))
-                .endpointListPolled(root.path("discovery").asText("push").equals("ask"))
+                .writersCanRead(flag(servingInfo, "local_read"))
+                .endpointSubscriptionRequired(root.path("discovery").asText("push").equals("ask"))
                 .reportsWithAnswers(source.equals("inline"))
                 .reportsWithProbes(!source.equals("off"))
                 .retryAfterMaxMs(
                         flag(limits, "retry_after") ? ms(limits, "max_retry_after_s", 0) : 0)
-                .slowStartShare(number(invariants, "cold_share", 1))
-                .slowStartMs(ms(invariants, "cold_s", 0))
-                .overloadMultiple(number(invariants, "overload_factor", 1))
-                .overloadMs(ms(invariants, "tip_after_s", 1))
+                .slowStartShare(number(checkedLimits, "cold_share", 1))
+                .slowStartMs(ms(checkedLimits, "cold_s", 0))
+                .overloadMultiple(number(checkedLimits, "overload_factor", 1))
+                .overloadMs(ms(checkedLimits, "tip_after_s", 1))
                 .overQuotaRevenue(number(root, "over_share_worth", 1))
                 .build();
     }
@@ -109,7 +109,7 @@
 
     private TrafficClass readTrafficClass(JsonNode node, String name, double sloMs, int i)
             throws InvalidSettingsException {
-        double usPerThousand = familyInfo.path("aim_us_per_1000_prompt_tokens").path(i).asDouble(0);
+        double usPerThousand = servingInfo.path("aim_us_per_1000_prompt_tokens").path(i).asDouble(0);
         return new TrafficClass(
                 name,
                 effect(node),
@@ -119,7 +119,7 @@
                 number(node, "late_worth", 0),
                 sloMs,
                 usPerThousand / 1e6,
-                familyInfo.path("token_aim_s").path(i).asDouble(0.06) * 1000);
+                servingInfo.path("token_aim_s").path(i).asDouble(0.06) * 1000);
     }
 
     private static Effect effect(JsonNode node) {
@@ -149,8 +149,8 @@
         int i = 0;
         for (JsonNode node : engineTypes) {
             String engineType = node.asText();
-            roles.put(engineType, role(familyInfo.path("stage_of_kind").path(i).asText("both")));
-            memoryTokens.put(engineType, familyInfo.path("kv_tokens").path(i).asDouble(Double.NaN));
+            roles.put(engineType, role(servingInfo.path("stage_of_kind").path(i).asText("both")));
+            memoryTokens.put(engineType, servingInfo.path("kv_tokens").path(i).asDouble(Double.NaN));
             i++;
         }
     }
@@ -164,7 +164,7 @@
     }
 
     /** Creates a load report from metrics looked up by name; missing metrics are NaN. */
-    public static <E extends Exception> LoadReport report(MetricLookup<E> metrics) throws E {
+    public static <E extends Exception> LoadReport toLoadReport(MetricLookup<E> metrics) throws E {
         return new LoadReport(
                 metrics.value("concurrent"),
                 metrics.value("depth"),
--- a/src/main/java/larchridge/state/Attempt.java
+++ b/src/main/java/larchridge/state/Attempt.java
@@ -23,13 +23,13 @@
      * Whether the attempt only reads the prompt. Otherwise it writes the answer, and may also read
      * the prompt itself.
      */
-    public final boolean readOnly;
+    public final boolean readsOnly;
 
     /** Time at which the attempt was sent. */
     public final double sentMs;
 
     /** Tokens accounted for on the engine: prompt tokens to read, or tokens held in memory. */
-    public final double countedTokens;
+    public final double heldTokens;
 
     /** Start time of the engine process the attempt was sent to. */
     private final double engineStartMs;
@@ -43,23 +43,23 @@
     /**
      * Creates an attempt that is about to be sent; {@link #open} adds it to the in-flight counts.
      *
-     * @param countedTokens tokens accounted for on the engine: prompt tokens to read, or tokens
+     * @param heldTokens tokens accounted for on the engine: prompt tokens to read, or tokens
      *     held in memory
      * @param unreadTokens prompt tokens the engine has to read for this attempt
      */
     public Attempt(
             Generation generation,
             Engine engine,
-            boolean readOnly,
+            boolean readsOnly,
             double sentMs,
-            double countedTokens,
+            double heldTokens,
             double unreadTokens) {
         this.generation = generation;
         this.engine = engine;
         this.number = generation.attempts().size();
-        this.readOnly = readOnly;
+        this.readsOnly = readsOnly;
         this.sentMs = sentMs;
-        this.countedTokens = countedTokens;
+        this.heldTokens = heldTokens;
         this.unreadTokens = unreadTokens;
         this.engineStartMs = engine.startMs();
     }
@@ -149,7 +149,7 @@
 
     /** Whether the attempt may have had an effect: it wrote, and no outcome rules an effect out. */
     public boolean mayHaveRun() {
-        return !readOnly && (outcome == null || !outcome.provesNotRun);
+        return !readsOnly && (outcome == null || !outcome.provesNotRun);
     }
 
     /** Whether the state it left on the engine is gone: engine removed or process restarted. */
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -16,30 +16,30 @@
     EndpointState state;
     String zone;
     long rack;
-    private double units = 1;
+    private double capacityWeight = 1;
     private double memoryTokens;
     private double startMs;
 
     // This router's attempts.
     private final List<Attempt> attempts = new ArrayList<>();
     double unreadTokens;
-    private double writeTokens;
+    private double ownHeldTokens;
     int streams;
 
     // Recent read speeds in tokens per millisecond, and recent transfer start delays.
     private final SlidingWindow completedReads = new SlidingWindow(10, 1000);
     private final SlidingWindow readSpeeds = new SlidingWindow(10, 1000);
-    private final SlidingWindowMean transferStarts = new SlidingWindowMean(3, 1000);
+    private final SlidingWindowMean transferStartDelays = new SlidingWindowMean(3, 1000);
 
     // Reported load. The recent windows hold writes too new to be included in a report.
     private boolean reported;
     double lastReportMs = Double.NEGATIVE_INFINITY;
     private double lastProbeMs = Double.NEGATIVE_INFINITY;
-    double otherRoutersTokens;
+    double otherRoutersHeldTokens;
     double otherRoutersStreams;
     double otherRoutersUnreadTokens;
     private double reportedOwnStreams;
-    private final SlidingWindow recentWriteTokens = new SlidingWindow(5, 100);
+    private final SlidingWindow recentHeldTokens = new SlidingWindow(5, 100);
     private final SlidingWindow recentStreams = new SlidingWindow(5, 100);
 
     // Health.
@@ -81,8 +81,8 @@
     }
 
     /** Capacity weight relative to other engines of the same type. */
-    public double units() {
-        return units;
+    public double capacityWeight() {
+        return capacityWeight;
     }
 
     /** Number of tokens that fit in the engine's memory; NaN if unknown. */
@@ -99,7 +99,7 @@
     void apply(EndpointUpdate entry) {
         state = entry.state();
         startMs = entry.startMs();
-        units = entry.units() > 0 ? entry.units() : 1;
+        capacityWeight = entry.capacityWeight() > 0 ? entry.capacityWeight() : 1;
         zone = entry.zone();
         rack = entry.rack();
         role = entry.role();
@@ -116,7 +116,7 @@
         processListedMs = nowMs;
         completedReads.clear();
         readSpeeds.clear();
-        otherRoutersTokens = 0;
+        otherRoutersHeldTokens = 0;
         otherRoutersStreams = 0;
         reportedOwnStreams = 0;
         reported = false;
@@ -147,8 +147,8 @@
     }
 
     /** Tokens held for this router's answers in flight. */
-    public double writeTokens() {
-        return writeTokens;
+    public double ownHeldTokens() {
+        return ownHeldTokens;
     }
 
     /** Number of this router's answers in flight. */
@@ -170,8 +170,8 @@
     void opened(Attempt attempt) {
         attempts.add(attempt);
         unreadTokens += attempt.unreadTokens();
-        if (!attempt.readOnly) {
-            writeTokens += attempt.countedTokens;
+        if (!attempt.readsOnly) {
+            ownHeldTokens += attempt.heldTokens;
             streams++;
         }
     }
@@ -184,8 +184,8 @@
     /** Removes an attempt that has ended. */
     void closed(Attempt attempt) {
         attempts.remove(attempt);
-        if (!attempt.readOnly) {
-            writeTokens = attempts.isEmpty() ? 0 : Math.max(0, writeTokens - attempt.countedTokens);
+        if (!attempt.readsOnly) {
+            ownHeldTokens = attempts.isEmpty() ? 0 : Math.max(0, ownHeldTokens - attempt.heldTokens);
             streams = Math.max(0, streams - 1);
         }
     }
@@ -194,7 +194,7 @@
 
     /** Records the speed of a completed read. */
     public void recordRead(double tokensPerMs, double nowMs) {
-        readSpeeds.addMax(nowMs, tokensPerMs);
+        readSpeeds.recordMax(nowMs, tokensPerMs);
         completedReads.add(nowMs, 1);
     }
 
@@ -209,20 +209,20 @@
     }
 
     /** Records the start delay of a transfer of a state that was read on this engine. */
-    public void recordTransferStart(double tookMs, double nowMs) {
-        transferStarts.add(nowMs, tookMs, 1);
+    public void recordTransferStartDelay(double delayMs, double nowMs) {
+        transferStartDelays.add(nowMs, delayMs, 1);
     }
 
     /** Mean start delay of recent transfers of states that were read on this engine. */
-    public double meanTransferStartMs(double nowMs) {
-        return transferStarts.mean(nowMs);
+    public double meanTransferStartDelayMs(double nowMs) {
+        return transferStartDelays.mean(nowMs);
     }
 
     // ------------------------------------------------------------------ reported load
 
     /** Records the tokens of an answer sent to the engine. */
     public void recordWrite(double tokens, double nowMs) {
-        recentWriteTokens.add(nowMs, tokens);
+        recentHeldTokens.add(nowMs, tokens);
         recentStreams.add(nowMs, 1);
     }
 
@@ -258,8 +258,8 @@
     }
 
     /** Tokens of this router's answers that are old enough to be included in a report. */
-    public double reportedWriteTokens(double nowMs) {
-        return Math.max(0, writeTokens - recentWriteTokens.sum(nowMs));
+    public double reportedOwnHeldTokens(double nowMs) {
+        return Math.max(0, ownHeldTokens - recentHeldTokens.sum(nowMs));
     }
 
     /** Records how many of this router's answers the report just received includes. */
@@ -283,8 +283,8 @@
     }
 
     /** Tokens held for other routers, estimated from reports. */
-    public double otherRoutersTokens() {
-        return otherRoutersTokens;
+    public double otherRoutersHeldTokens() {
+        return otherRoutersHeldTokens;
     }
 
     /** Number of answers streamed to other routers, estimated from reports. */
@@ -294,7 +294,7 @@
 
     /** Moves the estimate of other routers' load towards reported values by the given weight. */
     public void adjustOtherRoutersLoad(double tokens, double streamCount, double weight) {
-        otherRoutersTokens += weight * (tokens - otherRoutersTokens);
+        otherRoutersHeldTokens += weight * (tokens - otherRoutersHeldTokens);
         otherRoutersStreams += weight * (streamCount - otherRoutersStreams);
     }
 
@@ -351,8 +351,8 @@
     }
 
     /** Ejects the engine until the given time; it is on probation afterwards. */
-    public void eject(double lastsMs, double untilMs) {
-        ejectionMs = lastsMs;
+    public void eject(double baseDurationMs, double untilMs) {
+        ejectionMs = baseDurationMs;
         ejectedUntilMs = untilMs;
         onProbation = true;
     }
--- a/src/main/java/larchridge/state/Generation.java
+++ b/src/main/java/larchridge/state/Generation.java
@@ -29,10 +29,10 @@
     public final TenantQuota tenantQuota;
 
     /** The session's prompts so far, or null. */
-    public final CachedPrefix session;
+    public final CachedPrefix sessionPrefix;
 
     /** The prompt prefix shared with other sessions, or null. */
-    public final CachedPrefix prefix;
+    public final CachedPrefix sharedPrefix;
 
     /** Number of prompt tokens. */
     public final int promptTokens;
@@ -66,9 +66,9 @@
     private GiveUpReason giveUpReason;
     private double randomFraction;
 
-    private Attempt heldRead;
+    private Attempt readWithHeldState;
     private boolean stateReleased;
-    private boolean mayHoldState;
+    private boolean statePossiblyHeld;
 
     private final List<Engine> probedReaders = new ArrayList<>(2);
     private double readersProbedMs = Double.NEGATIVE_INFINITY;
@@ -80,8 +80,8 @@
             String id,
             TrafficClass trafficClass,
             TenantQuota tenantQuota,
-            CachedPrefix session,
-            CachedPrefix prefix,
+            CachedPrefix sessionPrefix,
+            CachedPrefix sharedPrefix,
             int promptTokens,
             int sharedTokens,
             int maxTokens,
@@ -92,8 +92,8 @@
         this.id = id;
         this.trafficClass = trafficClass;
         this.tenantQuota = tenantQuota;
-        this.session = session;
-        this.prefix = prefix;
+        this.sessionPrefix = sessionPrefix;
+        this.sharedPrefix = sharedPrefix;
         this.promptTokens = promptTokens;
         this.sharedTokens = sharedTokens;
         this.maxTokens = maxTokens;
@@ -215,7 +215,7 @@
 
     /** Whether an attempt at a writer is in flight and not cancelled. */
     public boolean isAtWriter() {
-        return attempts.stream().anyMatch(attempt -> !attempt.readOnly && attempt.isActive());
+        return attempts.stream().anyMatch(attempt -> !attempt.readsOnly && attempt.isActive());
     }
 
     void opened(Attempt attempt) {
@@ -230,23 +230,23 @@
     // ------------------------------------------------------------------ read state
 
     /** The attempt whose read state waits to be fetched, or null. */
-    public Attempt heldRead() {
-        return heldRead;
+    public Attempt readWithHeldState() {
+        return readWithHeldState;
     }
 
     /** Records that the state of a completed read waits to be fetched. */
     public void holdState(Attempt read) {
-        heldRead = read;
+        readWithHeldState = read;
     }
 
     /** Records that no state waits to be fetched any more. */
     public void dropState() {
-        heldRead = null;
+        readWithHeldState = null;
     }
 
     /** Records that the state was released while the attempt that is to fetch it is in flight. */
     public void recordStateReleased() {
-        heldRead = null;
+        readWithHeldState = null;
         stateReleased = true;
     }
 
@@ -261,13 +261,13 @@
     }
 
     /** Whether an engine may hold a state for this generation. */
-    public boolean mayHoldState() {
-        return mayHoldState;
+    public boolean isStatePossiblyHeld() {
+        return statePossiblyHeld;
     }
 
     /** Sets whether an engine may hold a state for this generation. */
-    public void setMayHoldState(boolean may) {
-        mayHoldState = may;
+    public void setStatePossiblyHeld(boolean possiblyHeld) {
+        statePossiblyHeld = possiblyHeld;
     }
 
     // ------------------------------------------------------------------ preferred readers
--- a/src/main/java/larchridge/state/RoutingSettings.java
+++ b/src/main/java/larchridge/state/RoutingSettings.java
@@ -14,7 +14,7 @@
  * @param probesAllowed whether engines may be probed for their load
  * @param hedgingAllowed whether two attempts of a generation may be in flight concurrently
  * @param writersCanRead whether every writer can read prompts itself
- * @param endpointListPolled whether the policy has to request the endpoint list
+ * @param endpointSubscriptionRequired whether the policy has to request the endpoint list
  * @param reportsWithAnswers whether engines report their load with answers
  * @param reportsWithProbes whether engines report their load in probe responses
  * @param retryAfterMaxMs longest Retry-After that clients honor; 0 if they honor none
@@ -34,7 +34,7 @@
         boolean probesAllowed,
         boolean hedgingAllowed,
         boolean writersCanRead,
-        boolean endpointListPolled,
+        boolean endpointSubscriptionRequired,
         boolean reportsWithAnswers,
         boolean reportsWithProbes,
         double retryAfterMaxMs,
@@ -68,7 +68,7 @@
                 .probesAllowed(probesAllowed)
                 .hedgingAllowed(hedgingAllowed)
                 .writersCanRead(writersCanRead)
-                .endpointListPolled(endpointListPolled)
+                .endpointSubscriptionRequired(endpointSubscriptionRequired)
                 .reportsWithAnswers(reportsWithAnswers)
                 .reportsWithProbes(reportsWithProbes)
                 .retryAfterMaxMs(retryAfterMaxMs)
@@ -94,7 +94,7 @@
         private boolean probesAllowed;
         private boolean hedgingAllowed;
         private boolean writersCanRead;
-        private boolean endpointListPolled;
+        private boolean endpointSubscriptionRequired;
         private boolean reportsWithAnswers;
         private boolean reportsWithProbes;
         private double retryAfterMaxMs;
@@ -154,9 +154,9 @@
             return this;
         }
 
-        /** Sets {@link RoutingSettings#endpointListPolled()}. */
-        public Builder endpointListPolled(boolean value) {
-            endpointListPolled = value;
+        /** Sets {@link RoutingSettings#endpointSubscriptionRequired()}. */
+        public Builder endpointSubscriptionRequired(boolean value) {
+            endpointSubscriptionRequired = value;
             return this;
         }
 
@@ -219,7 +219,7 @@
                     probesAllowed,
                     hedgingAllowed,
                     writersCanRead,
-                    endpointListPolled,
+                    endpointSubscriptionRequired,
                     reportsWithAnswers,
                     reportsWithProbes,
                     retryAfterMaxMs,
--- a/src/test/java/larchridge/policy/EndpointWatchTest.java
+++ b/src/test/java/larchridge/policy/EndpointWatchTest.java
@@ -10,14 +10,14 @@
 
     @Test
     void endpointListIsRequestedAgainAfterAFailureOnly() {
-        fixture.settings.endpointListPolled(true);
-        RoutingPolicy polling = fixture.start();
+        fixture.settings.endpointSubscriptionRequired(true);
+        RoutingPolicy policy = fixture.start();
         fixture.nowMs += 20_000;
-        polling.wakeUp();
+        policy.wakeUp();
         assertEquals(1, fixture.actions.stream().filter("follow"::equals).count());
-        polling.endpointWatchFailed();
+        policy.endpointWatchFailed();
         fixture.nowMs += 1001;
-        polling.wakeUp();
+        policy.wakeUp();
         assertEquals(2, fixture.actions.stream().filter("follow"::equals).count());
     }
 }
--- a/src/test/java/larchridge/policy/HedgingPolicyTest.java
+++ b/src/test/java/larchridge/policy/HedgingPolicyTest.java
@@ -54,14 +54,14 @@
         policy.requestArrived(fixture.generation("a"));
         policy.readCompleted(fixture.last(), 0, null, false);
         Attempt write = fixture.last();
-        EngineFixture.setOtherRoutersTokens(engines[1], 200_000);
-        EngineFixture.setOtherRoutersTokens(engines[2], 200_000);
+        EngineFixture.setOtherRoutersHeldTokens(engines[1], 200_000);
+        EngineFixture.setOtherRoutersHeldTokens(engines[2], 200_000);
         EngineFixture.setLastReportMs(engines[1], fixture.nowMs + 1500);
         EngineFixture.setLastReportMs(engines[2], fixture.nowMs + 1500);
         fixture.nowMs += 1500;
         policy.wakeUp();
         assertSame(write, fixture.last());
-        EngineFixture.setOtherRoutersTokens(write.engine == engines[1] ? engines[2] : engines[1], 0);
+        EngineFixture.setOtherRoutersHeldTokens(write.engine == engines[1] ? engines[2] : engines[1], 0);
         policy.wakeUp();
         assertEquals(3, fixture.sent.size());
     }
@@ -79,10 +79,10 @@
         fixture.nowMs += waiting.silenceTimeoutMs() + 1;
         policy.wakeUp();
         Attempt again = fixture.last();
-        assertTrue(again.readOnly, "the prompt is read again before the answer moves");
+        assertTrue(again.readsOnly, "the prompt is read again before the answer moves");
         assertFalse(fixture.hasAction("cancel a"));
         policy.readCompleted(again, 0, null, false);
-        assertFalse(fixture.last().readOnly);
+        assertFalse(fixture.last().readsOnly);
         assertTrue(waiting.isCancelled());
     }
 }
--- a/src/test/java/larchridge/policy/PrefixAffinityTest.java
+++ b/src/test/java/larchridge/policy/PrefixAffinityTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void routersThatNeverSawASessionAgreeOnItsReader() {
-        CachedPrefix prefix = new CachedPrefix("p");
+        CachedPrefix sharedPrefix = new CachedPrefix("p");
         for (int router = 0; router < 20; router++) {
             fixture.settings.seed(router);
             fixture.start();
@@ -34,7 +34,7 @@
                                     Effect.IDEMPOTENT, DeduplicationScope.ALL),
                             null,
                             new CachedPrefix("s"),
-                            prefix,
+                            sharedPrefix,
                             3000,
                             2000,
                             200,
--- a/src/test/java/larchridge/policy/ReaderSelectionTest.java
+++ b/src/test/java/larchridge/policy/ReaderSelectionTest.java
@@ -30,14 +30,14 @@
     @Test
     void prefersTheLastReaderOfTheSession() {
         Engine[] engines = fixture.engines(3, 1);
-        CachedPrefix session = new CachedPrefix("s");
-        session.recordSent(engines[2], 500, fixture.nowMs);
+        CachedPrefix sessionPrefix = new CachedPrefix("s");
+        sessionPrefix.recordSent(engines[2], 500, fixture.nowMs);
         policy.requestArrived(
                 fixture.generation(
                         "a",
                         RoutingPolicyFixture.trafficClass(
                                 Effect.IDEMPOTENT, DeduplicationScope.ALL),
-                        session,
+                        sessionPrefix,
                         1000));
         assertSame(engines[2], fixture.last().engine);
     }
@@ -71,15 +71,15 @@
     @Test
     void sessionStaysWithItsReaderWhenReadingElsewhereCostsMore() {
         Engine[] engines = fixture.engines(2, 1);
-        CachedPrefix session = new CachedPrefix("s");
-        session.recordSent(engines[0], 9_000, fixture.nowMs);
+        CachedPrefix sessionPrefix = new CachedPrefix("s");
+        sessionPrefix.recordSent(engines[0], 9_000, fixture.nowMs);
         new Attempt(fixture.generation("x"), engines[0], true, fixture.nowMs, 4_000, 4_000).open();
         policy.requestArrived(
                 fixture.generation(
                         "a",
                         RoutingPolicyFixture.trafficClass(
                                 Effect.IDEMPOTENT, DeduplicationScope.ALL),
-                        session,
+                        sessionPrefix,
                         9_500));
         assertSame(engines[0], fixture.last().engine);
     }
--- a/src/test/java/larchridge/policy/RoutingPolicyFixture.java
+++ b/src/test/java/larchridge/policy/RoutingPolicyFixture.java
@@ -76,12 +76,12 @@
     }
 
     Generation generation(
-            String id, TrafficClass trafficClass, CachedPrefix session, int promptTokens) {
+            String id, TrafficClass trafficClass, CachedPrefix sessionPrefix, int promptTokens) {
         return new Generation(
                 id,
                 trafficClass,
                 null,
-                session,
+                sessionPrefix,
                 null,
                 promptTokens,
                 0,
--- a/src/test/java/larchridge/policy/WriterSelectionTest.java
+++ b/src/test/java/larchridge/policy/WriterSelectionTest.java
@@ -49,7 +49,7 @@
     @Test
     void generationsWaitWhileWritersLackCapacityForReadsInProgress() {
         Engine[] engines = fixture.engines(2, 1);
-        EngineFixture.setOtherRoutersTokens(engines[2], 200_000 - 4000);
+        EngineFixture.setOtherRoutersHeldTokens(engines[2], 200_000 - 4000);
         EngineFixture.setLastReportMs(engines[2], fixture.nowMs);
         for (int i = 0; i < 5; i++) {
             policy.requestArrived(fixture.generation("g" + i));
--- a/src/test/java/larchridge/settings/DeploymentSettingsReaderTest.java
+++ b/src/test/java/larchridge/settings/DeploymentSettingsReaderTest.java
@@ -25,7 +25,7 @@
         assertEquals(250, settings.connectTimeoutMs());
         assertEquals(15_000, settings.keepAliveMs());
         assertEquals(250, settings.drainGraceMs());
-        assertEquals(500, settings.releaseMs());
+        assertEquals(500, settings.maxStateHoldMs());
         assertEquals(5000, settings.clientTimeoutMs().get("p"));
         assertEquals(Effect.DEDUPLICATED, settings.trafficClasses().get("p").effect);
         assertEquals(Role.READER, settings.roles().get("a"));
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -88,7 +88,7 @@
                 own.writersCanRead(true);
                 own.retryAfterMaxMs(0);
             }
-            case INJECTED_EVENTS -> own.endpointListPolled(true);
+            case INJECTED_EVENTS -> own.endpointSubscriptionRequired(true);
             default -> {}
         }
         return new Recorded(routers++, own.build(), host);
@@ -186,7 +186,7 @@
     }
 
     private static String kind(Attempt attempt) {
-        return attempt.readOnly ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
+        return attempt.readsOnly ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
     }
 
     /** The policy of one router, with its events and actions written down. */
@@ -293,7 +293,7 @@
                         named(entry.role()),
                         named(entry.state()),
                         entry.startMs(),
-                        entry.units(),
+                        entry.capacityWeight(),
                         entry.zone(),
                         entry.rack(),
                         entry.memoryTokens());
@@ -343,10 +343,10 @@
                     kind(attempt),
                     attempt.engine.id,
                     attempt.sentMs,
-                    attempt.countedTokens,
+                    attempt.heldTokens,
                     attempt.unreadTokens(),
                     attempt.silenceTimeoutMs());
-            if (!attempt.readOnly) {
+            if (!attempt.readsOnly) {
                 writes.add(attempt);
             }
             if (attempt.engine.startMs() > host.nowMs() - 2500) {
--- a/src/test/java/larchridge/state/EngineFixture.java
+++ b/src/test/java/larchridge/state/EngineFixture.java
@@ -15,8 +15,8 @@
     }
 
     /** Sets the tokens that the engine holds for other routers. */
-    public static void setOtherRoutersTokens(Engine engine, double tokens) {
-        engine.otherRoutersTokens = tokens;
+    public static void setOtherRoutersHeldTokens(Engine engine, double tokens) {
+        engine.otherRoutersHeldTokens = tokens;
     }
 
     /** Sets the number of answers that other routers stream from the engine. */
