--- a/src/main/java/larchridge/policy/AdmissionQueue.java
+++ b/src/main/java/larchridge/policy/AdmissionQueue.java
@@ -7,7 +7,7 @@
 import larchridge.state.Generation;
 
 /**
- * Admits waiting generations when reader capacity is short.
+ * Decides in which order generations that wait for a reader are sent, and which are given up.
  *
  * <p>Guards against: under overload, first-come-first-served order makes every generation miss its
  * SLO by a little. Generations with the highest revenue are admitted first, the newest first among
@@ -35,7 +35,8 @@
     /**
      * Creates a queue over the generations of a router.
      *
-     * @param openGenerations all generations of the router that are not finished
+     * @param openGenerations all generations of the router that are not finished or still have
+     *     attempts in flight
      * @param admit tries to send a waiting generation
      * @param giveUpAsLate gives up a generation that can no longer meet its SLO
      */
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -30,7 +30,7 @@
         cancellationAllowed = settings.cancellationAllowed();
     }
 
-    /** Sends a prompt to be read; an engine that is not only a reader also writes the answer. */
+    /** Sends a prompt to be read; an engine of role WRITER or BOTH also writes the answer. */
     void sendRead(Generation generation, Engine engine) {
         double nowMs = actions.nowMs();
         double unreadTokens = affinity.tokensToRead(generation, engine);
--- a/src/main/java/larchridge/policy/EndpointWatch.java
+++ b/src/main/java/larchridge/policy/EndpointWatch.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** Requests the endpoint list where it has to be polled, and retries after failures. */
+/** Subscribes to the endpoint list where it is not pushed, and again after failures. */
 final class EndpointWatch {
     /** Minimum delay after a failure; jitter up to twice as long spreads the routers' retries. */
     private static final double MIN_RETRY_DELAY_MS = 500;
@@ -16,22 +16,22 @@
         this.random = random;
     }
 
-    /** Requests the list for the first time. */
+    /** Subscribes for the first time. */
     void start() {
         actions.watchEndpoints();
     }
 
-    /** Schedules the next request after a failure. */
+    /** Schedules the next subscription after a failure. */
     void scheduleRetry() {
         nextRetryMs = actions.nowMs() + MIN_RETRY_DELAY_MS * (1 + random.nextDouble());
     }
 
-    /** Whether a request is scheduled. */
+    /** Whether a new subscription is scheduled. */
     boolean isRetryScheduled() {
         return nextRetryMs < Double.POSITIVE_INFINITY;
     }
 
-    /** Requests the list if a scheduled request is due. */
+    /** Subscribes again if a scheduled subscription is due. */
     void retryIfDue(double nowMs) {
         if (nowMs >= nextRetryMs) {
             nextRetryMs = Double.POSITIVE_INFINITY;
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -16,13 +16,19 @@
  * until the client disconnects.
  */
 final class HedgingPolicy {
-    /** Tolerated silence during a read, in addition to the expected duration of the read. */
+    /**
+     * Tolerated silence during a read, in addition to {@link #EXPECTED_TIME_FACTOR} times its
+     * expected duration.
+     */
     private static final double READ_SILENCE_MARGIN_MS = 400;
 
-    /** Tolerated silence before an answer, in addition to the expected time to its start. */
+    /**
+     * Tolerated silence before an answer, in addition to {@link #EXPECTED_TIME_FACTOR} times the
+     * expected time to its start.
+     */
     private static final double WRITE_SILENCE_MARGIN_MS = 700;
 
-    /** An attempt may take this many times its expected duration. */
+    /** Multiple of the expected duration that is tolerated as silence, plus a margin. */
     private static final double EXPECTED_TIME_FACTOR = 3;
 
     private final OutlierDetector outliers;
--- a/src/main/java/larchridge/policy/HeldStates.java
+++ b/src/main/java/larchridge/policy/HeldStates.java
@@ -18,7 +18,10 @@
         }
     }
 
-    /** Records that an answer started: its state was fetched; other attempts may leave another. */
+    /**
+     * Records that an answer started: its state was fetched. Other attempts still in flight may
+     * leave a state of their own.
+     */
     void recordFetched(Generation generation) {
         generation.dropState();
         generation.setStatePossiblyHeld(generation.attemptsInFlight() > 1);
--- a/src/main/java/larchridge/policy/IdempotencyRule.java
+++ b/src/main/java/larchridge/policy/IdempotencyRule.java
@@ -8,20 +8,20 @@
 
 /**
  * Decides whether one more attempt of a generation could repeat an effect, or run concurrently with
- * another where that is not allowed (rule 2 of the system tests). Checked twice: when an attempt is
- * decided, and again when it is written, since the connection may be established long after the
- * decision while the deduplication window of the engines keeps running.
+ * another where that is not allowed: a request takes effect at most once. Checked when the policy
+ * selects the engine, and again just before the request is sent, since the connection may be
+ * established long after the selection while the deduplication window of the engines keeps running.
  */
 public final class IdempotencyRule {
-    /** Fraction of the deduplication window within which a repeat may still be decided. */
+    /** Fraction of the deduplication window within which an engine is selected for a repeat. */
     private static final double SELECTION_WINDOW_FRACTION = 0.8;
 
-    /** Allowance for a process pause between reading the clock and writing. */
+    /** Allowance for a process pause between reading the clock and sending the request. */
     private static final double PROCESS_PAUSE_MARGIN_MS = 150;
 
     private IdempotencyRule() {}
 
-    /** Whether an attempt of a generation on an engine may be decided now. */
+    /** Whether an engine may be selected now for one more attempt of a generation. */
     static boolean mayAttempt(
             Generation generation, Engine engine, double nowMs, boolean hedgingAllowed) {
         double maxAgeByFractionMs = SELECTION_WINDOW_FRACTION * generation.trafficClass.deduplicationWindowMs;
@@ -30,13 +30,16 @@
         return mayRun(generation, engine, null, nowMs - maxAgeMs, hedgingAllowed);
     }
 
-    /** Whether a decided attempt may be written now. */
+    /** Whether an attempt whose engine was selected earlier may be sent now. */
     public static boolean maySend(Attempt attempt, double nowMs, boolean hedgingAllowed) {
         double maxAgeMs = attempt.generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS;
         return mayRun(attempt.generation, attempt.engine, attempt, nowMs - maxAgeMs, hedgingAllowed);
     }
 
-    /** Whether no other attempt of the generation forbids a run on an engine. */
+    /**
+     * Whether the generation may run on an engine, given its other attempts; the attempt is null if
+     * it does not exist yet.
+     */
     private static boolean mayRun(
             Generation generation,
             Engine engine,
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -26,7 +26,10 @@
     /** Mean fraction of a prompt that is still unread while it is being read. */
     private static final double UNREAD_FRACTION_DURING_READ = 0.5;
 
-    /** Expected own sends at which extrapolation to other routers' sends has half its weight. */
+    /**
+     * Damping of the extrapolation from own sends to other routers': at this many expected own
+     * sends, it counts half.
+     */
     private static final double EXTRAPOLATION_HALF_WEIGHT_SENDS = 0.25;
 
     private final PolicyActions actions;
@@ -38,7 +41,10 @@
 
     private final SlidingWindowMean uncachedTokensPerRead = new SlidingWindowMean(20, 1000);
 
-    /** Mean reported load of other routers: unread tokens per engine, others per capacity unit. */
+    /**
+     * Mean reported load of other routers: unread tokens per engine; held tokens and streams per
+     * unit of capacity weight.
+     */
     private final SlidingWindowMean otherRoutersUnreadMean = new SlidingWindowMean(5, 1000);
 
     private final SlidingWindowMean otherRoutersHeldTokensMean = new SlidingWindowMean(5, 1000);
@@ -125,22 +131,24 @@
         return estimate(engine, engine.streams(), engine.otherRoutersStreams(), otherRoutersStreamsMean, 1);
     }
 
-    /** Number of answers that an engine streams, per capacity unit. */
+    /** Number of answers that an engine streams, per unit of capacity weight. */
     double streamsPerUnit(Engine engine) {
         return streams(engine) / engine.capacityWeight();
     }
 
-    /** Tokens held in an engine's memory for answers, per capacity unit. */
+    /** Tokens held in an engine's memory for answers, per unit of capacity weight. */
     double heldTokensPerUnit(Engine engine) {
         return heldTokens(engine) / engine.capacityWeight();
     }
 
     /**
-     * Estimated current load: this router's part, the other routers' part from a report that decays
-     * towards the mean reported load, and the estimated sends of other routers since the report.
+     * Estimated current load: this router's part, and the other routers' part from a report that
+     * decays towards the mean reported load. The latter is corrected by how far other routers'
+     * sends since the report are likely above or below average, judged by this router's own.
      *
      * <p>Guards against: extrapolating each own send to one send of every router would outweigh all
-     * reports; with many routers, the few sends of one router say little about the others.
+     * reports; with many routers, the few sends of one router say little about the others. So the
+     * extrapolation is damped by {@link #EXTRAPOLATION_HALF_WEIGHT_SENDS}.
      */
     private double estimate(
             Engine engine, double own, double otherRouters, SlidingWindowMean reported, double meanPerSend) {
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Whether a generation still waits for load reports of its preferred readers; probes them if
-     * due.
+     * Probes the first affinity readers of a generation if due, and returns whether the generation
+     * has to wait for their load reports.
      */
     boolean awaitReaderReports(Generation generation) {
         double nowMs = actions.nowMs();
--- a/src/main/java/larchridge/policy/OutlierDetector.java
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -5,7 +5,7 @@
 import larchridge.state.Role;
 
 /**
- * Ejects engines that are unreachable, stop responding or answer with errors. An ejected engine
+ * Ejects engines that are unreachable, stop responding or return errors. An ejected engine
  * gets no attempts for a while, then one at a time on probation, and is unejected as soon as it
  * responds, unless its error rate is still too high.
  */
@@ -15,13 +15,13 @@
 
     private static final double MAX_EJECTION_MS = 4000;
 
-    /** Weight of the newest answer in the moving average of the error rate. */
+    /** Weight of the newest response in the moving average of the error rate. */
     private static final double ERROR_RATE_EWMA_WEIGHT = 0.25;
 
     /** Error rate at which an engine is ejected: reached by two errors in a row, not by one. */
     private static final double EJECTION_ERROR_RATE = 0.4;
 
-    /** How long a full engine is spared; shorter if load reports show its actual load. */
+    /** How long a full engine is avoided; shorter if load reports show its actual load. */
     private static final double FULL_BACKOFF_MS = 2000;
 
     private static final double FULL_BACKOFF_WITH_REPORTS_MS = 300;
@@ -43,7 +43,7 @@
                 && (engine.role() != Role.READER || !engine.isFull(nowMs));
     }
 
-    /** Counts a successful answer. */
+    /** Counts a successful response. */
     void recordSuccess(Engine engine) {
         engine.updateErrorRate(0, ERROR_RATE_EWMA_WEIGHT);
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Records that an engine had no capacity, so that it is spared for a while. */
+    /** Records that an engine had no capacity, so that it is avoided for a while. */
     void recordFull(Engine engine, double nowMs) {
         engine.recordFull(nowMs + (engine.hasReported() ? FULL_BACKOFF_WITH_REPORTS_MS : FULL_BACKOFF_MS));
     }
--- a/src/main/java/larchridge/policy/PolicyActions.java
+++ b/src/main/java/larchridge/policy/PolicyActions.java
@@ -34,7 +34,7 @@
     /** Schedules a call of {@link PolicyEvents#wakeUp}. */
     void wakeAt(double atMs);
 
-    /** Requests the endpoint list and subscribes to its changes. */
+    /** Subscribes to the endpoint list; the list and its changes are reported as events. */
     void watchEndpoints();
 
     /** Logs a line at warning level. */
--- a/src/main/java/larchridge/policy/PolicyEvents.java
+++ b/src/main/java/larchridge/policy/PolicyEvents.java
@@ -14,7 +14,7 @@
  * the policy is {@link RoutingPolicy}; experiments compare it with baseline policies.
  */
 public interface PolicyEvents {
-    /** A generation arrived and its tenant's budget admitted it. */
+    /** A generation arrived and the router admitted it. */
     void requestArrived(Generation generation);
 
     /**
@@ -22,7 +22,7 @@
      *
      * @param cachedTokens prompt tokens that were cached on the reader
      * @param report the engine's load, or null
-     * @param finished whether the generation has its final answer
+     * @param finished whether the generation already has its final answer
      */
     void readCompleted(Attempt attempt, int cachedTokens, LoadReport report, boolean finished);
 
@@ -33,17 +33,20 @@
      * An attempt has ended, other than by a completed read.
      *
      * @param report the engine's load, or null
-     * @param finished whether the generation has its final answer
+     * @param finished whether the generation already has its final answer
      */
     void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean finished);
 
     /**
-     * The state that an attempt is to fetch was released while the attempt is in flight; it keeps
-     * the state only if it has already reached the engine.
+     * The state that an attempt is to fetch was released while the attempt is in flight. An attempt
+     * already queued at its engine can still fetch the state; any other will find none.
      */
     default void stateReleased(Attempt attempt) {}
 
-    /** The client of a generation disconnected, or the router ended the generation itself. */
+    /**
+     * No client waits for a generation any more: it disconnected, or the router ended the
+     * generation.
+     */
     void generationAbandoned(Generation generation);
 
     /** A load probe was answered, with a report or null, or it failed. */
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -12,8 +12,8 @@
 import larchridge.state.SlidingWindowMean;
 
 /**
- * Sends prompts with the same prefix to the same few readers, to hit their prefix caches, and
- * estimates how much of a prompt is cached on a reader.
+ * Determines the few readers that prompts with the same prefix should go to, to hit their prefix
+ * caches, and estimates how much of a prompt is cached on a reader.
  *
  * <p>The readers are chosen by rendezvous hashing of prefix and session, with the same hash on all
  * routers: each router sees only a small part of the traffic, and only a common hash keeps a prefix
@@ -39,7 +39,7 @@
         zone = settings.zone();
     }
 
-    /** Prompt tokens that are left to read. */
+    /** Cost of a read in tokens: prompt tokens that are not cached, but at least the minimum. */
     static double tokensToRead(int promptTokens, int cachedTokens) {
         return Math.max(promptTokens - cachedTokens, MIN_TOKENS_TO_READ);
     }
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -8,10 +8,21 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Selects the reader of a prompt: the last reader of the session, or else the first affinity
- * reader, while its backlog is short; else the one with the fewest tokens among those with a short
- * backlog, or else among those with a backlog under the generation's own limit. Selects none while
- * all are overloaded.
+ * Selects the reader of a prompt, after the paper DualPath, "Breaking the Storage Bandwidth
+ * Bottleneck in Agentic LLM Inference", section 6 (adaptive request scheduling).
+ *
+ * <p>The first of these that applies is selected:
+ *
+ * <ol>
+ *   <li>The preferred reader, if its backlog is short and transfers from it are not late: the last
+ *       reader of the session, or the first affinity reader if that one is not eligible.
+ *   <li>Else the engine with the lowest rank, and with the fewest unread tokens within a rank,
+ *       among the eligible affinity readers, the last reader and the writers that may read prompts
+ *       themselves; all eligible readers take part if no affinity or last reader is eligible.
+ *       Engines whose backlog is over the generation's limit, or at which the first token would
+ *       come after the SLO deadline, are left out.
+ *   <li>None while all are overloaded or the writers lack capacity for the answer.
+ * </ol>
  */
 final class ReaderSelection {
     /** Longest backlog that counts as short (the paper's alpha): small against SLOs of seconds. */
@@ -20,10 +31,13 @@
     /** Backlog above which a reader is overloaded (the paper's beta): more misses the SLO. */
     private static final double OVERLOADED_BACKLOG_MS = 1750;
 
-    /** A writer reads prompts itself up to this many times the mean number of streams. */
+    /**
+     * A writer may read prompts itself while it has at most this many times the writers' mean
+     * streams per unit of capacity weight.
+     */
     private static final double SELF_READ_STREAMS_FACTOR = 0.6;
 
-    /** The same while transfers are late, as answers on other writers wait for their states. */
+    /** The same limit while transfers are late: answers on other writers wait for their states. */
     private static final double SELF_READ_STREAMS_FACTOR_LATE = 1.5;
 
     private final PolicyActions actions;
@@ -155,8 +169,9 @@
     }
 
     /**
-     * Deviation from the paper: a last reader without a short backlog is still preferred if reading
-     * the whole prompt elsewhere takes more tokens.
+     * Whether the preferred reader costs less than the best candidate. Deviation from the paper: a
+     * preferred reader without a short backlog is still selected if its unread tokens, with this
+     * prompt, are fewer than the best candidate's.
      */
     private boolean isCheaper(
             Engine preferredReader, double bestTokens, Generation generation, double limitMs) {
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -12,7 +12,7 @@
  * not: rejected, with advice when to retry, if a retry by the client is safe; failed otherwise.
  */
 final class RetryPolicy {
-    /** A read is useful only if a write can follow it. */
+    /** Attempts that must be left before a read: the read and the write after it. */
     private static final int ATTEMPTS_NEEDED_FOR_READ = 2;
 
     private static final int ATTEMPTS_NEEDED_FOR_WRITE = 1;
@@ -57,14 +57,15 @@
      * Starts a backoff after an attempt that was not sent, which is no evidence against its engine.
      *
      * <p>Guards against: while this machine cannot open connections for a moment, a generation
-     * retried immediately would use up its attempts within a millisecond and be given up.
+     * would use up its attempts within a millisecond and be given up. Attempts not sent therefore
+     * do not count against the limit and are not repeated immediately.
      */
     void backOff(Generation generation) {
         double backoffMs = BASE_NOT_SENT_BACKOFF_MS * Math.pow(2, generation.attemptsNotSent());
         generation.backOff(actions.nowMs() + Math.min(MAX_NOT_SENT_BACKOFF_MS, backoffMs));
     }
 
-    /** Gives the client of a given-up generation its final answer. */
+    /** Rejects a given-up generation if its client may safely retry; fails it otherwise. */
     void rejectOrFail(Generation generation) {
         if (isClientRetrySafe(generation)) {
             actions.reject(generation, retryAfterMs());
@@ -73,7 +74,10 @@
         }
     }
 
-    /** A rejection tells the client that a retry is safe (rule 2 of the system tests). */
+    /**
+     * Whether the client may safely retry, which a rejection tells it: a request takes effect at
+     * most once.
+     */
     private static boolean isClientRetrySafe(Generation generation) {
         Effect effect = generation.trafficClass.effect;
         return effect == Effect.IDEMPOTENT
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -38,7 +38,10 @@
     private final AdmissionQueue queue;
     private final EndpointWatch endpointWatch;
 
-    /** Generations that have arrived and are not finished, in order of arrival. */
+    /**
+     * Generations that are not finished or still have attempts in flight, in order of arrival;
+     * others are removed at the next sweep.
+     */
     private final List<Generation> openGenerations = new ArrayList<>();
 
     private boolean wakeUpScheduled;
@@ -139,9 +142,9 @@
     }
 
     /**
-     * The state that an attempt is to fetch was released because nothing was received from the
-     * attempt in time. If the attempt is in its engine's queue it still completes; moved to another
-     * writer or sent again, it would find no state.
+     * The router released the state that an attempt is to fetch, since its hold time was about to
+     * expire and the engine had not responded. An attempt already queued at its engine can still
+     * use the state; a new attempt could not fetch it.
      */
     @Override
     public void stateReleased(Attempt attempt) {
@@ -169,7 +172,7 @@
         queue.admitWaiting();
     }
 
-    /** The endpoint list could not be fetched; it is requested again after a delay. */
+    /** The endpoint list could not be fetched; the policy subscribes again after a delay. */
     public void endpointWatchFailed() {
         endpointWatch.scheduleRetry();
         scheduleWakeUp();
@@ -192,7 +195,10 @@
         }
     }
 
-    /** Checks deadline, backoff and silent engine of a generation whose answer has not started. */
+    /**
+     * Checks deadline, backoff, silent engine and overdue transfer of a generation whose answer has
+     * not started.
+     */
     private void sweep(Generation generation, double nowMs) {
         if (!generation.isUnanswered()) {
             return;
@@ -221,8 +227,9 @@
      * up.
      */
     private void advance(Generation generation) {
-        // Guards against: a generation that is still marked as waiting would be sent a second time,
-        // and the second send would drop its state.
+        // Guards against: a generation that is advanced while it waits, for example by the
+        // completion of a cancelled read, and stays marked as waiting would be sent to a writer
+        // twice; the second send would lose its state.
         generation.stopWaiting();
         if (retryPolicy.isDeadlineNear(generation, actions.nowMs())) {
             giveUp(generation, GiveUpReason.TIME_UP);
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -14,7 +14,10 @@
  * traffic of a warm engine.
  */
 final class SlowStart {
-    /** Fraction of a warming engine's budget to use, since routers keep to it only on average. */
+    /**
+     * Fraction of the allowed attempt rate of a warming engine that is used, since routers keep to
+     * the rate only on average: random draws exceed it at times.
+     */
     private static final double ALLOWED_RATE_FRACTION = 0.5;
 
     private final EngineRegistry registry;
@@ -58,11 +61,11 @@
 
     /**
      * Admits an attempt at random, such that all routers together use the intended fraction of the
-     * budget, which is derived from the rate of warm peers.
+     * allowed rate, which is derived from the rate of warm peers.
      *
      * <p>Guards against: with many routers, even one attempt per router is too much, and an idle
-     * new engine looks best to all of them at once. The probability of a draw is proportional to
-     * the time since the previous draw.
+     * new engine looks best to all of them at once. The probability that a draw admits the attempt
+     * is proportional to the time since the previous draw.
      */
     private boolean drawAdmission(Engine engine, double nowMs) {
         boolean isReader = engine.role() == Role.READER;
--- a/src/main/java/larchridge/policy/StateTransfers.java
+++ b/src/main/java/larchridge/policy/StateTransfers.java
@@ -6,17 +6,20 @@
 
 /**
  * Tracks transfers of read states from readers to the writers that fetch them: their distance, and
- * whether those that leave a reader's rack have recently started late.
+ * whether answers whose state left the reader's rack have recently started late.
  *
  * <p>Guards against: all transfers out of a rack share its uplink. When it is slow or saturated,
  * each answer waits for seconds, although writers in the rack and engines that can read prompts
  * themselves have capacity.
  */
 final class StateTransfers {
-    /** Start delay above which transfers are late: a tenth to a quarter of typical SLO times. */
+    /**
+     * Time to the first token above which a transfer is late: a tenth to a quarter of typical SLO
+     * times.
+     */
     private static final double LATE_START_DELAY_MS = 400;
 
-    /** Start delay recorded for an overdue transfer, which will take at least twice the limit. */
+    /** Start delay assumed for an overdue transfer, whose real one is not known yet. */
     private static final double OVERDUE_START_DELAY_MS = 2 * LATE_START_DELAY_MS;
 
     private StateTransfers() {}
@@ -29,12 +32,12 @@
         return reader.rack() != writer.rack() ? 1 : 0;
     }
 
-    /** Whether the recent mean start delay of transfers out of a reader's rack is too long. */
+    /** Whether answers whose state left a reader's rack have recently started late on average. */
     static boolean areLate(Engine reader, double nowMs) {
         return reader.meanTransferStartDelayMs(nowMs) > LATE_START_DELAY_MS;
     }
 
-    /** Records the transfer for an answer that has started. */
+    /** Records the start delay of an answer that has started, if its state left the rack. */
     static void recordStarted(Engine reader, Attempt write, double nowMs) {
         if (transferDistance(reader, write.engine) > 0) {
             reader.recordTransferStartDelay(nowMs - write.sentMs, nowMs);
@@ -42,9 +45,9 @@
     }
 
     /**
-     * Records the transfer of a generation that is overdue, which shows delays earlier than
-     * transfers that have started. Each transfer is recorded only once, since the answer may simply
-     * have been lost.
+     * Records the transfer of a generation as overdue, which shows delays earlier than answers that
+     * have started. Done once per attempt, not at each sweep, since a lost answer would otherwise
+     * look like many late transfers.
      */
     static void recordIfOverdue(Generation generation, double nowMs) {
         if (generation.readWithHeldState() == null) {
--- a/src/main/java/larchridge/policy/WriterCapacity.java
+++ b/src/main/java/larchridge/policy/WriterCapacity.java
@@ -50,7 +50,10 @@
         reservedTokens = Math.max(0, reservedTokens - neededTokens(read.generation));
     }
 
-    /** Whether the writers together have capacity for a generation and all that are being read. */
+    /**
+     * Whether the writers together have capacity for a generation and all that are being read; true
+     * if there are no writers or the memory of one that is not full is unknown.
+     */
     boolean hasTotalCapacityFor(Generation generation) {
         double free =
                 writers.stream()
--- a/src/main/java/larchridge/policy/WriterSelection.java
+++ b/src/main/java/larchridge/policy/WriterSelection.java
@@ -9,23 +9,28 @@
 import larchridge.state.Generation;
 
 /**
- * Selects the writer of an answer once its prompt is read: among writers with capacity that hold no
- * more tokens than a limit (Z in the paper), the nearest to the read state of those with about the
- * fewest streams; else the writer that holds the fewest tokens.
+ * Selects the writer of an answer once its prompt is read, after the paper DualPath, "Breaking the
+ * Storage Bandwidth Bottleneck in Agentic LLM Inference", section 6 (adaptive request scheduling).
+ * Among writers with capacity and within a limit of held tokens (the paper's Z), keeps those with
+ * about the fewest streams and selects the one nearest to the read state. If none is within the
+ * limit or none has capacity, selects the writer that holds the fewest tokens.
  */
 final class WriterSelection {
     /** The token limit (the paper's Z) is the writers' mean load with reservations, times this. */
     private static final double TOKEN_LIMIT_MARGIN = 1.05;
 
     /**
-     * Writers with up to this many times the fewest streams per unit, plus {@link
-     * #SIMILAR_STREAMS_MARGIN}, count as equally loaded.
+     * Writers with up to this many times the fewest streams per unit of capacity weight, plus
+     * {@link #SIMILAR_STREAMS_MARGIN}, count as equally loaded.
      */
     private static final double SIMILAR_STREAMS_FACTOR = 1.3;
 
     private static final double SIMILAR_STREAMS_MARGIN = 2;
 
-    /** While transfers are late, writers in the reader's rack may exceed the limit this much. */
+    /**
+     * While transfers are late, writers in the reader's rack may hold up to this many times the
+     * limit.
+     */
     private static final double SAME_RACK_TOKEN_LIMIT_FACTOR = 2.5;
 
     private final PolicyActions actions;
@@ -66,7 +71,10 @@
         return selectWithinLimit(withCapacity, reader, tokenLimit);
     }
 
-    /** Token limit per unit: what the writers hold and will get, spread evenly, with a margin. */
+    /**
+     * Token limit per unit of capacity weight: what the writers hold and will get, spread evenly,
+     * with a margin.
+     */
     private double tokenLimit(List<Engine> withCapacity, Generation generation) {
         double free = withCapacity.stream().mapToDouble(capacity::freeTokens).sum();
         double held = withCapacity.stream().mapToDouble(load::heldTokens).sum();
--- a/src/main/java/larchridge/policy/package-info.java
+++ b/src/main/java/larchridge/policy/package-info.java
@@ -9,8 +9,12 @@
  * LatencyEstimator}, {@code WriterCapacity}, {@code PrefixAffinity} and {@code StateTransfers}
  * estimate load, latency, memory, cached prefixes and transfers; {@code AdmissionQueue}, {@code
  * RetryPolicy}, {@code IdempotencyRule} and {@code HedgingPolicy} decide what may be attempted;
- * {@code OutlierDetector} and {@code SlowStart} decide which engines to spare; {@code
- * AttemptDispatcher}, {@code HeldStates} and {@code LoadProbes} carry out the decisions.
+ * {@code OutlierDetector} and {@code SlowStart} decide which engines to avoid or to use sparingly;
+ * {@code AttemptDispatcher}, {@code HeldStates} and {@code LoadProbes} carry out the decisions.
+ *
+ * <p>The selection of readers and writers follows the paper DualPath, "Breaking the Storage
+ * Bandwidth Bottleneck in Agentic LLM Inference", section 6 (adaptive request scheduling); alpha,
+ * beta and Z are its symbols. Deviations are marked where they are made.
  *
  * <p>The package has no timers, threads, sockets or logger of its own and does not depend on the
  * router or on wire formats. Everything runs on the router's event loop. All random draws come from
--- a/src/main/java/larchridge/settings/DeploymentSettings.java
+++ b/src/main/java/larchridge/settings/DeploymentSettings.java
@@ -11,7 +11,7 @@
  * Parsed settings of a deployment, used by the policy, the router and the node. Times are
  * milliseconds; maps and lists keep the order of the JSON object.
  *
- * @param routing limits and targets of the routing policy
+ * @param routing limits and permissions of the routing policy, and capabilities of the engines
  * @param trafficClasses traffic classes by name
  * @param tenants tenants by name
  * @param roles roles by engine type
--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -165,6 +165,7 @@
 
     /** Creates a load report from metrics looked up by name; missing metrics are NaN. */
     public static <E extends Exception> LoadReport toLoadReport(MetricLookup<E> metrics) throws E {
+        // x0 is the fraction of memory in use, x1 the pending tokens in thousands.
         return new LoadReport(
                 metrics.value("concurrent"),
                 metrics.value("depth"),
--- a/src/main/java/larchridge/settings/package-info.java
+++ b/src/main/java/larchridge/settings/package-info.java
@@ -3,7 +3,7 @@
  * and in a node's configuration.
  *
  * <p>{@link larchridge.settings.DeploymentSettingsReader} reads and checks the JSON and returns
- * immutable {@link larchridge.settings.DeploymentSettings}. The keys of the object appear in this
- * package only.
+ * immutable {@link larchridge.settings.DeploymentSettings}. Only this package reads the keys of the
+ * object.
  */
 package larchridge.settings;
--- a/src/main/java/larchridge/state/Attempt.java
+++ b/src/main/java/larchridge/state/Attempt.java
@@ -1,6 +1,6 @@
 package larchridge.state;
 
-/** One request for a generation, sent to one engine. Only its state and outcome change. */
+/** One request for a generation, sent to one engine. */
 public final class Attempt {
     private enum State {
         IN_FLIGHT,
@@ -28,7 +28,7 @@
     /** Time at which the attempt was sent. */
     public final double sentMs;
 
-    /** Tokens accounted for on the engine: prompt tokens to read, or tokens held in memory. */
+    /** Tokens that the answer holds in the engine's memory; not used for a read. */
     public final double heldTokens;
 
     /** Start time of the engine process the attempt was sent to. */
@@ -43,8 +43,7 @@
     /**
      * Creates an attempt that is about to be sent; {@link #open} adds it to the in-flight counts.
      *
-     * @param heldTokens tokens accounted for on the engine: prompt tokens to read, or tokens
-     *     held in memory
+     * @param heldTokens tokens that the answer holds in the engine's memory; not used for a read
      * @param unreadTokens prompt tokens the engine has to read for this attempt
      */
     public Attempt(
@@ -147,7 +146,10 @@
         return countedAsLateTransfer;
     }
 
-    /** Whether the attempt may have had an effect: it wrote, and no outcome rules an effect out. */
+    /**
+     * Whether the attempt may have had an effect: it is not only a read, and its outcome does not
+     * rule an effect out.
+     */
     public boolean mayHaveRun() {
         return !readsOnly && (outcome == null || !outcome.provesNotRun);
     }
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -26,7 +26,8 @@
     private double ownHeldTokens;
     int streams;
 
-    // Recent read speeds in tokens per millisecond, and recent transfer start delays.
+    // Recent read speeds in tokens per millisecond, and recent start delays of answers whose state
+    // was read on this engine and transferred.
     private final SlidingWindow completedReads = new SlidingWindow(10, 1000);
     private final SlidingWindow readSpeeds = new SlidingWindow(10, 1000);
     private final SlidingWindowMean transferStartDelays = new SlidingWindowMean(3, 1000);
@@ -208,19 +209,19 @@
         return readSpeeds.max(nowMs);
     }
 
-    /** Records the start delay of a transfer of a state that was read on this engine. */
+    /** Records the time to the first token of an answer whose state was read on this engine. */
     public void recordTransferStartDelay(double delayMs, double nowMs) {
         transferStartDelays.add(nowMs, delayMs, 1);
     }
 
-    /** Mean start delay of recent transfers of states that were read on this engine. */
+    /** Mean time to the first token of recent answers whose state was read on this engine. */
     public double meanTransferStartDelayMs(double nowMs) {
         return transferStartDelays.mean(nowMs);
     }
 
     // ------------------------------------------------------------------ reported load
 
-    /** Records the tokens of an answer sent to the engine. */
+    /** Records a write attempt that is being sent, with the tokens that it will hold. */
     public void recordWrite(double tokens, double nowMs) {
         recentHeldTokens.add(nowMs, tokens);
         recentStreams.add(nowMs, 1);
@@ -257,7 +258,7 @@
         return lastReportMs < lastProbeMs;
     }
 
-    /** Tokens of this router's answers that are old enough to be included in a report. */
+    /** Tokens held for this router's answers that are old enough to be included in a report. */
     public double reportedOwnHeldTokens(double nowMs) {
         return Math.max(0, ownHeldTokens - recentHeldTokens.sum(nowMs));
     }
@@ -282,7 +283,7 @@
         otherRoutersUnreadTokens = tokens;
     }
 
-    /** Tokens held for other routers, estimated from reports. */
+    /** Tokens held for other routers' answers, estimated from reports. */
     public double otherRoutersHeldTokens() {
         return otherRoutersHeldTokens;
     }
@@ -300,22 +301,22 @@
 
     // ------------------------------------------------------------------ health
 
-    /** Time of the last response or other contact from the engine. */
+    /** Time of the last response of the engine, also to probes. */
     public double lastResponseMs() {
         return lastResponseMs;
     }
 
-    /** Records a contact from the engine. */
+    /** Records a response of the engine. */
     public void recordResponse(double nowMs) {
         lastResponseMs = nowMs;
     }
 
-    /** Exponentially weighted error rate of the engine's answers. */
+    /** Exponentially weighted error rate of the engine's responses. */
     public double errorRate() {
         return errorRate;
     }
 
-    /** Updates the error rate with an answer: 1 for an error, 0 for a success. */
+    /** Updates the error rate with a response: 1 for an error, 0 for a success. */
     public void updateErrorRate(int error, double weight) {
         errorRate += weight * (error - errorRate);
     }
@@ -350,7 +351,11 @@
         return onProbation;
     }
 
-    /** Ejects the engine until the given time; it is on probation afterwards. */
+    /**
+     * Ejects the engine until the given time; it is on probation afterwards.
+     *
+     * @param baseDurationMs duration before jitter
+     */
     public void eject(double baseDurationMs, double untilMs) {
         ejectionMs = baseDurationMs;
         ejectedUntilMs = untilMs;
--- a/src/main/java/larchridge/state/EngineRegistry.java
+++ b/src/main/java/larchridge/state/EngineRegistry.java
@@ -6,7 +6,8 @@
 
 /**
  * The engines of the endpoint list, grouped by role. An engine that the list removes is kept until
- * its last attempt has ended, so that its state is still there if the list adds it again.
+ * its last attempt has ended, so that its load and health estimates are kept if the list adds it
+ * again.
  */
 public final class EngineRegistry {
     private final List<Engine> engines = new ArrayList<>();
--- a/src/main/java/larchridge/state/Generation.java
+++ b/src/main/java/larchridge/state/Generation.java
@@ -260,12 +260,12 @@
         return stateReleased;
     }
 
-    /** Whether an engine may hold a state for this generation. */
+    /** Whether an engine possibly holds a state for this generation. */
     public boolean isStatePossiblyHeld() {
         return statePossiblyHeld;
     }
 
-    /** Sets whether an engine may hold a state for this generation. */
+    /** Sets whether an engine possibly holds a state for this generation. */
     public void setStatePossiblyHeld(boolean possiblyHeld) {
         statePossiblyHeld = possiblyHeld;
     }
--- a/src/main/java/larchridge/state/RoutingSettings.java
+++ b/src/main/java/larchridge/state/RoutingSettings.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * Limits, capabilities and targets of a routing policy, fixed for its lifetime. Times are
- * milliseconds.
+ * Limits and permissions of a routing policy, and capabilities of the engines, fixed for the
+ * lifetime of the policy. Times are milliseconds.
  *
  * @param seed seed of the policy's random generator
  * @param routers number of routers that share the engines, including this one
@@ -14,7 +14,8 @@
  * @param probesAllowed whether engines may be probed for their load
  * @param hedgingAllowed whether two attempts of a generation may be in flight concurrently
  * @param writersCanRead whether every writer can read prompts itself
- * @param endpointSubscriptionRequired whether the policy has to request the endpoint list
+ * @param endpointSubscriptionRequired whether the policy has to subscribe to the endpoint list;
+ *     otherwise the list is pushed
  * @param reportsWithAnswers whether engines report their load with answers
  * @param reportsWithProbes whether engines report their load in probe responses
  * @param retryAfterMaxMs longest Retry-After that clients honor; 0 if they honor none
@@ -22,7 +23,7 @@
  * @param slowStartMs warm-up time of an engine
  * @param overloadMultiple factor by which the slow-start share may be exceeded before the engine
  *     counts as overloaded
- * @param overloadMs how long the share has to be exceeded for that
+ * @param overloadMs how long that share has to be exceeded before the engine counts as overloaded
  * @param overQuotaRevenue revenue of a generation over its tenant's quota, relative to one within
  */
 public record RoutingSettings(
@@ -44,7 +45,7 @@
         double overloadMs,
         double overQuotaRevenue) {
 
-    /** Validates the components that the policy relies on. */
+    /** Checks that the zone is present and the number of routers is positive. */
     public RoutingSettings {
         Objects.requireNonNull(zone, "zone");
         if (routers < 1) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /** A builder with every permission off and every limit at its default. */
+    /** A builder with every permission off, every limit 0 and one router. */
     public static Builder builder() {
         return new Builder();
     }
--- a/src/main/java/larchridge/state/SlidingWindow.java
+++ b/src/main/java/larchridge/state/SlidingWindow.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Sums over a sliding time window, kept in a ring of fixed-size buckets. */
+/** Sums or maxima over a sliding time window, kept in a ring of fixed-size buckets. */
 public final class SlidingWindow {
     private final double bucketMs;
     private final double[] values;
--- a/src/main/java/larchridge/state/TrafficClass.java
+++ b/src/main/java/larchridge/state/TrafficClass.java
@@ -20,7 +20,7 @@
     /** Fraction of the revenue that a late answer earns. */
     public final double lateRevenue;
 
-    /** Target time to first token, plus {@link #sloMsPerToken} for each prompt token. */
+    /** Fixed part of the target time to the first token; see {@link #sloMsPerToken}. */
     public final double sloMs;
 
     /** Added to {@link #sloMs} for each prompt token. */
--- a/src/test/java/larchridge/policy/EndpointWatchTest.java
+++ b/src/test/java/larchridge/policy/EndpointWatchTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests requests for the endpoint list. */
+/** Tests subscriptions to the endpoint list. */
 class EndpointWatchTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
--- a/src/test/java/larchridge/policy/IdempotencyRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -12,7 +12,7 @@
 import larchridge.state.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-/** Tests the checks of repeated attempts at decision time and at write time. */
+/** Tests the checks of repeated attempts when the engine is selected and when they are sent. */
 class IdempotencyRuleTest {
     private static final double DEDUPLICATION_WINDOW_MS = 1000;
     private static final double SENT_MS = 50_000;
@@ -58,7 +58,7 @@
         assertFalse(IdempotencyRule.maySend(again, SENT_MS + 1040, false));
     }
 
-    /** A process may be paused for 150 ms between reading the clock and writing. */
+    /** A process may be paused for 150 ms between reading the clock and sending the request. */
     @Test
     void shortWindowLeavesAMarginForAPausedProcess() {
         Generation generation = generationWithOneCutAttempt(Effect.DEDUPLICATED);
--- a/src/test/java/larchridge/state/EngineFixture.java
+++ b/src/test/java/larchridge/state/EngineFixture.java
@@ -14,7 +14,7 @@
         engine.streams = streams;
     }
 
-    /** Sets the tokens that the engine holds for other routers. */
+    /** Sets the tokens that the engine holds for other routers' answers. */
     public static void setOtherRoutersHeldTokens(Engine engine, double tokens) {
         engine.otherRoutersHeldTokens = tokens;
     }
@@ -34,7 +34,7 @@
         engine.lastReportMs = ms;
     }
 
-    /** Sets the time of the last contact with the engine. */
+    /** Sets the time of the last response of the engine. */
     public static void setLastResponseMs(Engine engine, double ms) {
         engine.lastResponseMs = ms;
     }
