--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -43,7 +43,7 @@
     public static DeploymentSettings read(JsonNode root, long seed)
             throws InvalidSettingsException {
         if (root == null || !root.isObject()) {
-            throw new InvalidSettingsException("is no JSON object; expected an object");
+            throw new InvalidSettingsException("not a JSON object; expected an object");
         }
         return new DeploymentSettingsReader(root).read(seed);
     }
--- a/src/test/java/larchridge/benchlink/BenchProtocolTest.java
+++ b/src/test/java/larchridge/benchlink/BenchProtocolTest.java
@@ -94,7 +94,7 @@
                         + "(Unexpected end-of-input: expected close marker for Object (start marker at "
                         + "[Source: REDACTED (`StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION` disabled); "
                         + "line: 1, column: 1]))",
-                "ENLIST seed=1 env=[]|line 9: ENLIST: member env: is no JSON object; expected an object",
+                "ENLIST seed=1 env=[]|line 9: ENLIST: member env: not a JSON object; expected an object",
             })
     void faultsNameLineMessageAndMember(String message, String fault) {
         assertEquals(fault, faultOf(batch(ENLIST + ENGINES + CALL + "ELAPSED\n" + message + "\n")));
