--- a/src/main/java/larchridge/state/EndpointUpdate.java
+++ b/src/main/java/larchridge/state/EndpointUpdate.java
@@ -4,7 +4,7 @@
  * One entry of the endpoint list: the current properties of an engine.
  *
  * @param startMs start time of the engine process; 0 if unknown
- * @param capacityWeight capacity weight relative to other engines of the same type
+ * @param capacityWeight capacity relative to other engines of the same type
  * @param rack rack id, unique across zones
  * @param memoryTokens number of tokens that fit in the engine's memory; NaN if unknown
  */
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -27,7 +27,7 @@
     int streams;
 
     // Recent read speeds in tokens per millisecond, and recent start delays of answers whose state
-    // was read on this engine and transferred.
+    // was read on this engine and left its rack.
     private final SlidingWindow completedReads = new SlidingWindow(10, 1000);
     private final SlidingWindow readSpeeds = new SlidingWindow(10, 1000);
     private final SlidingWindowMean transferStartDelays = new SlidingWindowMean(3, 1000);
@@ -209,12 +209,12 @@
         return readSpeeds.max(nowMs);
     }
 
-    /** Records the time to the first token of an answer whose state was read on this engine. */
+    /** Records the time to the first token of an answer whose state left this engine's rack. */
     public void recordTransferStartDelay(double delayMs, double nowMs) {
         transferStartDelays.add(nowMs, delayMs, 1);
     }
 
-    /** Mean time to the first token of recent answers whose state was read on this engine. */
+    /** Mean time to the first token of recent answers whose state left this engine's rack. */
     public double meanTransferStartDelayMs(double nowMs) {
         return transferStartDelays.mean(nowMs);
     }
