--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -207,7 +207,7 @@
         String id = message.text("job");
         Generation generation = generations.get(id);
         if (generation != null) {
-            guarded(() -> policy.clientDisconnected(generation));
+            guarded(() -> policy.generationAbandoned(generation));
             removeIfEnded(id, generation);
         }
     }
@@ -296,7 +296,7 @@
         if (!message.has("pressure")) {
             return null;
         }
-        return DeploymentSettingsReader.report(name -> message.pair("pressure", name));
+        return DeploymentSettingsReader.toLoadReport(name -> message.pair("pressure", name));
     }
 
     /** Removes a generation once no message can refer to it any more. */
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -127,7 +127,7 @@
 
     private Site site() {
         Site site = Site.plain(settings.routing());
-        site.releaseMs = settings.releaseMs();
+        site.releaseMs = settings.maxStateHoldMs();
         site.drainGraceMs = settings.drainGraceMs();
         site.limit.openGenerations =
                 (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
@@ -146,7 +146,7 @@
         return new UpstreamSettings(
                 settings.connectTimeoutMs(),
                 settings.keepAliveMs(),
-                settings.releaseMs(),
+                settings.maxStateHoldMs(),
                 (int) engineSockets,
                 (int) (engineSockets / SINGLE_ENGINE_SOCKETS_DIVISOR),
                 settings.reportFields());
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -30,43 +30,43 @@
         cancellationAllowed = settings.cancellationAllowed();
     }
 
-    /** Sends a prompt to be read; an engine that is not only a reader also writes the answer. */
+    /** Sends a prompt to be read; an engine of role WRITER or BOTH also writes the answer. */
     void sendRead(Generation generation, Engine engine) {
         double nowMs = actions.nowMs();
         double unreadTokens = affinity.tokensToRead(generation, engine);
-        boolean readOnly = engine.role() == Role.READER;
-        double accountedTokens = readOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, engine, readOnly, nowMs, accountedTokens, unreadTokens);
+        boolean readsOnly = engine.role() == Role.READER;
+        double heldTokens = readsOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, engine, readsOnly, nowMs, heldTokens, unreadTokens);
         double readMs =
                 (load.unreadTokens(engine, nowMs) + unreadTokens) * latency.msPerToken(engine, nowMs);
         attempt.setSilenceTimeoutMs(
-                readOnly
+                readsOnly
                         ? HedgingPolicy.readTimeoutMs(readMs)
                         : HedgingPolicy.writeTimeoutMs(readMs));
         // Guards against: a read whose response is lost leaves a state behind that no outcome
         // reports.
-        generation.setMayHoldState(true);
-        if (readOnly) {
+        generation.setStatePossiblyHeld(true);
+        if (readsOnly) {
             capacity.reserve(generation);
         }
         affinity.recordSent(generation, engine, nowMs);
         send(attempt);
-        if (readOnly) {
+        if (readsOnly) {
             probes.probeRandomWriters();
         }
     }
 
     /** Sends a generation with a held state to the writer that fetches the state. */
     void sendWrite(Generation generation, Engine writer) {
-        double accountedTokens = WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), accountedTokens, 0);
+        double heldTokens = WriterCapacity.neededTokens(generation);
+        Attempt attempt = new Attempt(generation, writer, false, actions.nowMs(), heldTokens, 0);
         attempt.setSilenceTimeoutMs(HedgingPolicy.writeTimeoutMs(latency.firstTokenMs()));
         generation.clearStateReleased();
         send(attempt);
     }
 
     private void send(Attempt attempt) {
-        if (!attempt.readOnly) {
+        if (!attempt.readsOnly) {
             load.recordWrite(attempt, actions.nowMs());
         }
         attempt.open();
@@ -75,7 +75,7 @@
 
     /** Removes an attempt that has ended from the load accounting. */
     void close(Attempt attempt) {
-        if (attempt.close() && attempt.readOnly) {
+        if (attempt.close() && attempt.readsOnly) {
             capacity.release(attempt);
         }
     }
--- a/src/main/java/larchridge/policy/HedgingPolicy.java
+++ b/src/main/java/larchridge/policy/HedgingPolicy.java
@@ -16,13 +16,19 @@
  * until the client disconnects.
  */
 final class HedgingPolicy {
-    /** Tolerated silence during a read, in addition to the expected duration of the read. */
+    /**
+     * Tolerated silence during a read, in addition to {@link #EXPECTED_TIME_FACTOR} times its
+     * expected duration.
+     */
     private static final double READ_SILENCE_MARGIN_MS = 400;
 
-    /** Tolerated silence before an answer, in addition to the expected time to its start. */
+    /**
+     * Tolerated silence before an answer, in addition to {@link #EXPECTED_TIME_FACTOR} times the
+     * expected time to its start.
+     */
     private static final double WRITE_SILENCE_MARGIN_MS = 700;
 
-    /** An attempt may take this many times its expected duration. */
+    /** Multiple of the expected duration that is tolerated as silence, plus a margin. */
     private static final double EXPECTED_TIME_FACTOR = 3;
 
     private final OutlierDetector outliers;
@@ -52,8 +58,8 @@
     }
 
     /** How long an engine may be silent before an answer with the given expected start delay. */
-    static double writeTimeoutMs(double startMs) {
-        return WRITE_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * startMs;
+    static double writeTimeoutMs(double startDelayMs) {
+        return WRITE_SILENCE_MARGIN_MS + EXPECTED_TIME_FACTOR * startDelayMs;
     }
 
     /** Hedges a generation in flight if the engine of its newest attempt is silent for too long. */
@@ -64,7 +70,7 @@
             return;
         }
         Attempt newest = generation.newestAttempt();
-        double silentMs = nowMs - Math.max(newest.engine.lastContactMs(), newest.sentMs);
+        double silentMs = nowMs - Math.max(newest.engine.lastResponseMs(), newest.sentMs);
         if (newest.isActive() && silentMs > newest.silenceTimeoutMs()) {
             hedge(generation, newest.engine);
         }
@@ -72,14 +78,14 @@
 
     private void hedge(Generation generation, Engine silentEngine) {
         outliers.eject(silentEngine);
-        if (generation.heldRead() == null) {
-            Engine reader = selection.readers().select(generation);
+        if (generation.readWithHeldState() == null) {
+            Engine reader = selection.readerSelection().select(generation);
             if (reader != null && reader != silentEngine) {
                 dispatcher.sendRead(generation, reader);
             }
             return;
         }
-        Engine writer = selection.writers().select(generation);
+        Engine writer = selection.writerSelection().select(generation);
         if (writer != null && writer != silentEngine && capacity.hasCapacity(writer, generation)) {
             dispatcher.cancelAll(generation);
             dispatcher.sendWrite(generation, writer);
--- a/src/main/java/larchridge/policy/StateReservations.java
+++ b/src/main/java/larchridge/policy/HeldStates.java
@@ -4,24 +4,27 @@
 import larchridge.state.Generation;
 
 /** Tracks read states that readers hold until they are fetched or released. */
-final class StateReservations {
+final class HeldStates {
     private final PolicyActions actions;
 
-    StateReservations(PolicyActions actions) {
+    HeldStates(PolicyActions actions) {
         this.actions = actions;
     }
 
     /** Records a completed read: its state is to be fetched, unless another state already is. */
     void recordHeld(Attempt read) {
-        if (read.generation.heldRead() == null) {
+        if (read.generation.readWithHeldState() == null) {
             read.generation.holdState(read);
         }
     }
 
-    /** Records that an answer started: its state was fetched; other attempts may leave another. */
+    /**
+     * Records that an answer started: its state was fetched. Other attempts still in flight may
+     * leave a state of their own.
+     */
     void recordFetched(Generation generation) {
         generation.dropState();
-        generation.setMayHoldState(generation.attemptsInFlight() > 1);
+        generation.setStatePossiblyHeld(generation.attemptsInFlight() > 1);
     }
 
     /** Records that a state was released while the attempt that is to fetch it is in flight. */
@@ -39,8 +42,8 @@
      * so the release is repeated after that attempt.
      */
     void release(Generation generation) {
-        if (generation.mayHoldState()) {
-            generation.setMayHoldState(generation.attemptsInFlight() > 0);
+        if (generation.isStatePossiblyHeld()) {
+            generation.setStatePossiblyHeld(generation.attemptsInFlight() > 0);
             actions.releaseState(generation);
         }
         generation.dropState();
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -26,22 +26,28 @@
     /** Mean fraction of a prompt that is still unread while it is being read. */
     private static final double UNREAD_FRACTION_DURING_READ = 0.5;
 
-    /** Expected own sends at which extrapolation to other routers' sends has half its weight. */
-    private static final double SIMILAR_TRAFFIC_SENDS = 0.25;
+    /**
+     * Damping of the extrapolation from own sends to other routers': at this many expected own
+     * sends, it counts half.
+     */
+    private static final double EXTRAPOLATION_HALF_WEIGHT_SENDS = 0.25;
 
     private final PolicyActions actions;
     private final int routers;
     private final List<Engine> writers;
 
     /** Fraction and number of prompt tokens that were not cached where they were read. */
-    private final SlidingWindowMean unreadFractions = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean uncachedFractions = new SlidingWindowMean(20, 1000);
 
-    private final SlidingWindowMean unreadTokensPerRead = new SlidingWindowMean(20, 1000);
+    private final SlidingWindowMean uncachedTokensPerRead = new SlidingWindowMean(20, 1000);
 
-    /** Mean reported load of other routers: unread tokens per engine, others per capacity unit. */
+    /**
+     * Mean reported load of other routers: unread tokens per engine; held tokens and streams per
+     * unit of capacity weight.
+     */
     private final SlidingWindowMean otherRoutersUnreadMean = new SlidingWindowMean(5, 1000);
 
-    private final SlidingWindowMean otherRoutersTokensMean = new SlidingWindowMean(5, 1000);
+    private final SlidingWindowMean otherRoutersHeldTokensMean = new SlidingWindowMean(5, 1000);
     private final SlidingWindowMean otherRoutersStreamsMean = new SlidingWindowMean(5, 1000);
 
     /** Tokens and number of this router's own writes. */
@@ -54,15 +60,15 @@
     }
 
     /** Records how many tokens of a completed read were not cached. */
-    void recordRead(double unreadTokens, int promptTokens, double nowMs) {
-        unreadFractions.add(nowMs, unreadTokens, promptTokens);
-        unreadTokensPerRead.add(nowMs, unreadTokens, 1);
+    void recordRead(double uncachedTokens, int promptTokens, double nowMs) {
+        uncachedFractions.add(nowMs, uncachedTokens, promptTokens);
+        uncachedTokensPerRead.add(nowMs, uncachedTokens, 1);
     }
 
     /** Records an attempt that is about to be sent to a writer. */
     void recordWrite(Attempt write, double nowMs) {
-        write.engine.recordWrite(write.countedTokens, nowMs);
-        sentWrites.add(nowMs, write.countedTokens, 1);
+        write.engine.recordWrite(write.heldTokens, nowMs);
+        sentWrites.add(nowMs, write.heldTokens, 1);
     }
 
     /** Updates the estimates from a load report of an engine. */
@@ -81,10 +87,10 @@
      * prompts that are being read. Both are corrected with this router's own measurements.
      */
     private void recordReaderReport(Engine engine, LoadReport report, double nowMs) {
-        double partlyRead = orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
+        double unreadPromptsInProgress = orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
         double unread =
-                orZero(report.pendingTokens()) * unreadFractions.mean(nowMs)
-                        + partlyRead * unreadTokensPerRead.mean(nowMs);
+                orZero(report.pendingTokens()) * uncachedFractions.mean(nowMs)
+                        + unreadPromptsInProgress * uncachedTokensPerRead.mean(nowMs);
         engine.setOtherRoutersUnreadTokens(Math.max(0, unread - engine.unreadTokens()));
         otherRoutersUnreadMean.add(nowMs, engine.otherRoutersUnreadTokens(), 1);
     }
@@ -93,14 +99,14 @@
         double pending = orZero(report.pendingTokens());
         engine.setOtherRoutersUnreadTokens(Math.max(0, pending - engine.unreadTokens()));
         engine.countReportedStreams(nowMs);
-        double own = engine.reportedWriteTokens(nowMs);
+        double own = engine.reportedOwnHeldTokens(nowMs);
         // Guards against: the memory usage of a full writer does not include the states that queue
         // for it, so pending tokens are added.
         double tokens = orZero(report.memoryShare() * engine.memoryTokens() + pending - own);
         double streams = orZero(report.inflight() - engine.reportedOwnStreams());
         engine.adjustOtherRoutersLoad(Math.max(0, tokens), Math.max(0, streams), 1 - previousWeight);
-        otherRoutersTokensMean.add(nowMs, engine.otherRoutersTokens(), engine.units());
-        otherRoutersStreamsMean.add(nowMs, engine.otherRoutersStreams(), engine.units());
+        otherRoutersHeldTokensMean.add(nowMs, engine.otherRoutersHeldTokens(), engine.capacityWeight());
+        otherRoutersStreamsMean.add(nowMs, engine.otherRoutersStreams(), engine.capacityWeight());
     }
 
     /**
@@ -117,7 +123,7 @@
     double heldTokens(Engine engine) {
         double meanPerSend = sentWrites.mean(actions.nowMs());
         return estimate(
-                engine, engine.writeTokens(), engine.otherRoutersTokens(), otherRoutersTokensMean, meanPerSend);
+                engine, engine.ownHeldTokens(), engine.otherRoutersHeldTokens(), otherRoutersHeldTokensMean, meanPerSend);
     }
 
     /** Number of answers that an engine streams. */
@@ -125,33 +131,35 @@
         return estimate(engine, engine.streams(), engine.otherRoutersStreams(), otherRoutersStreamsMean, 1);
     }
 
-    /** Number of answers that an engine streams, per capacity unit. */
+    /** Number of answers that an engine streams, per unit of capacity weight. */
     double streamsPerUnit(Engine engine) {
-        return streams(engine) / engine.units();
+        return streams(engine) / engine.capacityWeight();
     }
 
-    /** Tokens held in an engine's memory for answers, per capacity unit. */
+    /** Tokens held in an engine's memory for answers, per unit of capacity weight. */
     double heldTokensPerUnit(Engine engine) {
-        return heldTokens(engine) / engine.units();
+        return heldTokens(engine) / engine.capacityWeight();
     }
 
     /**
-     * Estimated current load: this router's part, the other routers' part from a report that decays
-     * towards the mean reported load, and the estimated sends of other routers since the report.
+     * Estimated current load: this router's part, and the other routers' part from a report that
+     * decays towards the mean reported load. The latter is corrected by how far other routers'
+     * sends since the report are likely above or below average, judged by this router's own.
      *
      * <p>Guards against: extrapolating each own send to one send of every router would outweigh all
-     * reports; with many routers, the few sends of one router say little about the others.
+     * reports; with many routers, the few sends of one router say little about the others. So the
+     * extrapolation is damped by {@link #EXTRAPOLATION_HALF_WEIGHT_SENDS}.
      */
     private double estimate(
             Engine engine, double own, double otherRouters, SlidingWindowMean reported, double meanPerSend) {
         double nowMs = actions.nowMs();
         double weight = Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
-        double typical = reported.mean(nowMs) * engine.units();
+        double typical = reported.mean(nowMs) * engine.capacityWeight();
         double reportAgeMs = Math.min(nowMs - engine.lastReportMs(), WRITER_REPORT_DECAY_MS);
         double expectedSends = sentWrites.weight(nowMs) / sentWrites.spanMs() * reportAgeMs / writers.size();
         double ownSends = Math.max(0, engine.streams() - engine.reportedOwnStreams());
-        double otherRoutersSends = (routers - 1) * expectedSends * (ownSends - expectedSends) / (SIMILAR_TRAFFIC_SENDS + expectedSends);
-        return own + Math.max(0, weight * otherRouters + (1 - weight) * typical + otherRoutersSends * meanPerSend);
+        double otherRoutersExtraSends = (routers - 1) * expectedSends * (ownSends - expectedSends) / (EXTRAPOLATION_HALF_WEIGHT_SENDS + expectedSends);
+        return own + Math.max(0, weight * otherRouters + (1 - weight) * typical + otherRoutersExtraSends * meanPerSend);
     }
 
     private static double orZero(double value) {
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Whether a generation still waits for load reports of its preferred readers; probes them if
-     * due.
+     * Probes the first affinity readers of a generation if due, and returns whether the generation
+     * has to wait for their load reports.
      */
-    boolean isAwaitingReaderReports(Generation generation) {
+    boolean awaitReaderReports(Generation generation) {
         double nowMs = actions.nowMs();
         if (nowMs - generation.readersProbedMs() > READER_REPROBE_MS) {
             generation.recordReadersProbed(nowMs);
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -12,8 +12,8 @@
 import larchridge.state.SlidingWindowMean;
 
 /**
- * Sends prompts with the same prefix to the same few readers, to hit their prefix caches, and
- * estimates how much of a prompt is cached on a reader.
+ * Determines the few readers that prompts with the same prefix should go to, to hit their prefix
+ * caches, and estimates how much of a prompt is cached on a reader.
  *
  * <p>The readers are chosen by rendezvous hashing of prefix and session, with the same hash on all
  * routers: each router sees only a small part of the traffic, and only a common hash keeps a prefix
@@ -39,7 +39,7 @@
         zone = settings.zone();
     }
 
-    /** Prompt tokens that are left to read. */
+    /** Cost of a read in tokens: prompt tokens that are not cached, but at least the minimum. */
     static double tokensToRead(int promptTokens, int cachedTokens) {
         return Math.max(promptTokens - cachedTokens, MIN_TOKENS_TO_READ);
     }
@@ -49,18 +49,18 @@
      * caller must not modify the list, which belongs to the generation.
      */
     List<Engine> readersOf(Generation generation) {
-        CachedPrefix affinityPrefix = generation.prefix != null ? generation.prefix : generation.session;
-        if (generation.affinityRevision() != registry.revision() && affinityPrefix != null) {
+        CachedPrefix selectingPrefix = generation.sharedPrefix != null ? generation.sharedPrefix : generation.sessionPrefix;
+        if (generation.affinityRevision() != registry.revision() && selectingPrefix != null) {
             generation.setAffinityRevision(registry.revision());
             generation.affinityReaders().clear();
-            addReaders(affinityPrefix, generation.affinityReaders());
-            CachedPrefix prefix = generation.session != null ? generation.session : affinityPrefix;
+            addReaders(selectingPrefix, generation.affinityReaders());
+            CachedPrefix orderingPrefix = generation.sessionPrefix != null ? generation.sessionPrefix : selectingPrefix;
             generation
                     .affinityReaders()
                     .sort(
                             Comparator.comparing((Engine engine) -> !engine.zone().equals(zone))
                                     .thenComparing(
-                                            Comparator.comparingLong(prefix::rendezvousWeight).reversed()));
+                                            Comparator.comparingLong(orderingPrefix::rendezvousWeight).reversed()));
         }
         return generation.affinityReaders();
     }
@@ -80,8 +80,8 @@
     double tokensToRead(Generation generation, Engine reader) {
         int cached =
                 Math.max(
-                        cachedTokens(generation.prefix, reader, generation.sharedTokens),
-                        cachedTokens(generation.session, reader, generation.promptTokens));
+                        cachedTokens(generation.sharedPrefix, reader, generation.sharedTokens),
+                        cachedTokens(generation.sessionPrefix, reader, generation.promptTokens));
         List<Engine> readers = readersOf(generation);
         if (readers.contains(reader)) {
             cached =
@@ -112,11 +112,11 @@
 
     /** Records that a reader will have the prefixes of a generation cached. */
     void recordSent(Generation generation, Engine reader, double nowMs) {
-        if (generation.session != null) {
-            generation.session.recordSent(reader, generation.promptTokens, nowMs);
+        if (generation.sessionPrefix != null) {
+            generation.sessionPrefix.recordSent(reader, generation.promptTokens, nowMs);
         }
-        if (generation.prefix != null) {
-            generation.prefix.recordSent(reader, generation.sharedTokens, nowMs);
+        if (generation.sharedPrefix != null) {
+            generation.sharedPrefix.recordSent(reader, generation.sharedTokens, nowMs);
         }
     }
 
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -8,10 +8,21 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Selects the reader of a prompt: the last reader of the session, or else the first affinity
- * reader, while its backlog is short; else the one with the fewest tokens among those with a short
- * backlog, or else among those with a backlog under the generation's own limit. Selects none while
- * all are overloaded.
+ * Selects the reader of a prompt, after the paper DualPath, "Breaking the Storage Bandwidth
+ * Bottleneck in Agentic LLM Inference", section 6 (adaptive request scheduling).
+ *
+ * <p>The first of these that applies is selected:
+ *
+ * <ol>
+ *   <li>The preferred reader, if its backlog is short and transfers from it are not late: the last
+ *       reader of the session, or the first affinity reader if that one is not eligible.
+ *   <li>Else the engine with the lowest rank, and with the fewest unread tokens within a rank,
+ *       among the eligible affinity readers, the last reader and the writers that may read prompts
+ *       themselves; all eligible readers take part if no affinity or last reader is eligible.
+ *       Engines whose backlog is over the generation's limit, or at which the first token would
+ *       come after the SLO deadline, are left out.
+ *   <li>None while all are overloaded or the writers lack capacity for the answer.
+ * </ol>
  */
 final class ReaderSelection {
     /** Longest backlog that counts as short (the paper's alpha): small against SLOs of seconds. */
@@ -20,11 +31,14 @@
     /** Backlog above which a reader is overloaded (the paper's beta): more misses the SLO. */
     private static final double OVERLOADED_BACKLOG_MS = 1750;
 
-    /** A writer reads prompts itself up to this many times the mean number of streams. */
-    private static final double LOCAL_READ_STREAMS_FACTOR = 0.6;
+    /**
+     * A writer may read prompts itself while it has at most this many times the writers' mean
+     * streams per unit of capacity weight.
+     */
+    private static final double SELF_READ_STREAMS_FACTOR = 0.6;
 
-    /** The same while transfers are late, as answers on other writers wait for their states. */
-    private static final double LOCAL_READ_STREAMS_FACTOR_LATE = 1.5;
+    /** The same limit while transfers are late: answers on other writers wait for their states. */
+    private static final double SELF_READ_STREAMS_FACTOR_LATE = 1.5;
 
     private final PolicyActions actions;
     private final List<Engine> readers;
@@ -60,14 +74,14 @@
         List<Engine> eligibleReaders = eligible.of(readers, generation);
         List<Engine> candidates = new ArrayList<>(affinity.readersOf(generation));
         candidates.retainAll(eligibleReaders);
-        Engine lastReader = generation.session == null ? null : generation.session.lastReader();
-        if (lastReader == null || !eligibleReaders.contains(lastReader)) {
-            lastReader = candidates.isEmpty() ? null : candidates.get(0);
-        } else if (!candidates.contains(lastReader)) {
-            candidates.add(lastReader);
+        Engine preferredReader = generation.sessionPrefix == null ? null : generation.sessionPrefix.lastReader();
+        if (preferredReader == null || !eligibleReaders.contains(preferredReader)) {
+            preferredReader = candidates.isEmpty() ? null : candidates.get(0);
+        } else if (!candidates.contains(preferredReader)) {
+            candidates.add(preferredReader);
         }
-        if (lastReader != null && hasShortBacklog(lastReader, nowMs) && !StateTransfers.areLate(lastReader, nowMs)) {
-            return lastReader;
+        if (preferredReader != null && hasShortBacklog(preferredReader, nowMs) && !StateTransfers.areLate(preferredReader, nowMs)) {
+            return preferredReader;
         }
         // Deviation from the paper: while any affinity reader is eligible, no other reader is used.
         // Guards against: reading a cached prefix again on another reader doubles the work and
@@ -75,15 +89,15 @@
         // writer that can read takes both prompt and answer.
         candidates = candidates.isEmpty() ? eligibleReaders : candidates;
         boolean transfersLate = candidates.stream().anyMatch(e -> StateTransfers.areLate(e, nowMs));
-        addLocalReaders(candidates, generation, transfersLate, nowMs);
-        return selectBest(candidates, lastReader, generation, transfersLate);
+        addWritersThatRead(candidates, generation, transfersLate, nowMs);
+        return selectBest(candidates, preferredReader, generation, transfersLate);
     }
 
     private boolean hasShortBacklog(Engine engine, double nowMs) {
         return latency.backlogMs(engine, nowMs) <= SHORT_BACKLOG_MS;
     }
 
-    private void addLocalReaders(
+    private void addWritersThatRead(
             List<Engine> candidates, Generation generation, boolean transfersLate, double nowMs) {
         double meanStreams = writers.stream().mapToDouble(load::streamsPerUnit).average().orElse(0);
         for (Engine engine : eligible.of(writers, generation)) {
@@ -91,15 +105,15 @@
                     && capacity.hasCapacity(engine, generation)
                     && hasShortBacklog(engine, nowMs)
                     && load.streams(engine)
-                            <= (transfersLate ? LOCAL_READ_STREAMS_FACTOR_LATE : LOCAL_READ_STREAMS_FACTOR)
+                            <= (transfersLate ? SELF_READ_STREAMS_FACTOR_LATE : SELF_READ_STREAMS_FACTOR)
                                     * meanStreams
-                                    * engine.units()) {
+                                    * engine.capacityWeight()) {
                 candidates.add(engine);
             }
         }
     }
 
-    private Engine selectBest(List<Engine> candidates, Engine lastReader, Generation generation, boolean transfersLate) {
+    private Engine selectBest(List<Engine> candidates, Engine preferredReader, Generation generation, boolean transfersLate) {
         double nowMs = actions.nowMs();
         double limitMs = backlogLimitMs(generation);
         Engine best = null;
@@ -124,8 +138,8 @@
                 bestRank = rank;
             }
         }
-        return best != null && lastReader != null && isCheaper(lastReader, bestTokens, generation, limitMs)
-                ? lastReader
+        return best != null && preferredReader != null && isCheaper(preferredReader, bestTokens, generation, limitMs)
+                ? preferredReader
                 : best;
     }
 
@@ -155,14 +169,15 @@
     }
 
     /**
-     * Deviation from the paper: a last reader without a short backlog is still preferred if reading
-     * the whole prompt elsewhere takes more tokens.
+     * Whether the preferred reader costs less than the best candidate. Deviation from the paper: a
+     * preferred reader without a short backlog is still selected if its unread tokens, with this
+     * prompt, are fewer than the best candidate's.
      */
     private boolean isCheaper(
-            Engine lastReader, double bestTokens, Generation generation, double limitMs) {
+            Engine preferredReader, double bestTokens, Generation generation, double limitMs) {
         double nowMs = actions.nowMs();
-        return latency.backlogMs(lastReader, nowMs) <= limitMs
-                && load.unreadTokens(lastReader, nowMs) + affinity.tokensToRead(generation, lastReader)
+        return latency.backlogMs(preferredReader, nowMs) <= limitMs
+                && load.unreadTokens(preferredReader, nowMs) + affinity.tokensToRead(generation, preferredReader)
                         < bestTokens;
     }
 }
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -32,13 +32,16 @@
     private final EngineSelection selection;
     private final LoadProbes probes;
     private final AttemptDispatcher dispatcher;
-    private final StateReservations reservations;
+    private final HeldStates heldStates;
     private final RetryPolicy retryPolicy;
     private final HedgingPolicy hedging;
     private final AdmissionQueue queue;
     private final EndpointWatch endpointWatch;
 
-    /** Generations that have arrived and are not finished, in order of arrival. */
+    /**
+     * Generations that are not finished or still have attempts in flight, in order of arrival;
+     * others are removed at the next sweep.
+     */
     private final List<Generation> openGenerations = new ArrayList<>();
 
     private boolean wakeUpScheduled;
@@ -55,7 +58,7 @@
                         new WriterSelection(actions, engineView, random));
         probes = new LoadProbes(settings, actions, engineView, random);
         dispatcher = new AttemptDispatcher(settings, actions, engineView, probes);
-        reservations = new StateReservations(actions);
+        heldStates = new HeldStates(actions);
         retryPolicy = new RetryPolicy(settings, actions, random);
         hedging = new HedgingPolicy(settings, engineView, selection, dispatcher, retryPolicy);
         queue =
@@ -66,7 +69,7 @@
                         this::advance,
                         generation -> giveUp(generation, GiveUpReason.TOO_LATE));
         endpointWatch = new EndpointWatch(actions, random);
-        if (settings.endpointListPolled()) {
+        if (settings.endpointSubscriptionRequired()) {
             endpointWatch.start();
         }
     }
@@ -90,11 +93,11 @@
         if (finished) {
             generation.finish();
         }
-        reservations.recordHeld(attempt);
+        heldStates.recordHeld(attempt);
         if (!generation.isUnanswered()) {
             // Guards against: a read that completes after its generation has been answered would
             // leave its state held.
-            reservations.release(generation);
+            heldStates.release(generation);
         } else if (!generation.isAtWriter() || generation.isStateReleased()) {
             generation.clearStateReleased();
             dispatcher.cancelOthers(generation, attempt);
@@ -109,7 +112,7 @@
         feedback.recordFirstToken(attempt);
         attempt.markRead();
         generation.startResponse();
-        reservations.recordFetched(generation);
+        heldStates.recordFetched(generation);
         dispatcher.cancelOthers(generation, attempt);
     }
 
@@ -127,7 +130,7 @@
             retryPolicy.backOff(generation);
         }
         if (!generation.isUnanswered() || outcome == AttemptOutcome.NO_STATE) {
-            reservations.release(generation);
+            heldStates.release(generation);
         }
         if (generation.isUnanswered()
                 && !generation.isWaiting()
@@ -139,20 +142,20 @@
     }
 
     /**
-     * The state that an attempt is to fetch was released because nothing was received from the
-     * attempt in time. If the attempt is in its engine's queue it still completes; moved to another
-     * writer or sent again, it would find no state.
+     * The router released the state that an attempt is to fetch, since its hold time was about to
+     * expire and the engine had not responded. An attempt already queued at its engine can still
+     * use the state; a new attempt could not fetch it.
      */
     @Override
     public void stateReleased(Attempt attempt) {
-        reservations.recordReleasedBeforeFetch(attempt);
+        heldStates.recordReleasedBeforeFetch(attempt);
     }
 
     @Override
-    public void clientDisconnected(Generation generation) {
+    public void generationAbandoned(Generation generation) {
         generation.finish();
         generation.stopWaiting();
-        reservations.release(generation);
+        heldStates.release(generation);
     }
 
     // ------------------------------------------------------------------ events of engines and time
@@ -169,7 +172,7 @@
         queue.admitWaiting();
     }
 
-    /** The endpoint list could not be fetched; it is requested again after a delay. */
+    /** The endpoint list could not be fetched; the policy subscribes again after a delay. */
     public void endpointWatchFailed() {
         endpointWatch.scheduleRetry();
         scheduleWakeUp();
@@ -192,7 +195,10 @@
         }
     }
 
-    /** Checks deadline, backoff and silent engine of a generation whose answer has not started. */
+    /**
+     * Checks deadline, backoff, silent engine and overdue transfer of a generation whose answer has
+     * not started.
+     */
     private void sweep(Generation generation, double nowMs) {
         if (!generation.isUnanswered()) {
             return;
@@ -221,19 +227,20 @@
      * up.
      */
     private void advance(Generation generation) {
-        // Guards against: a generation that is still marked as waiting would be sent a second time,
-        // and the second send would drop its state.
+        // Guards against: a generation that is advanced while it waits, for example by the
+        // completion of a cancelled read, and stays marked as waiting would be sent to a writer
+        // twice; the second send would lose its state.
         generation.stopWaiting();
         if (retryPolicy.isDeadlineNear(generation, actions.nowMs())) {
             giveUp(generation, GiveUpReason.TIME_UP);
             return;
         }
-        if (generation.heldRead() != null && generation.heldRead().isStateLost()) {
-            reservations.release(generation);
+        if (generation.readWithHeldState() != null && generation.readWithHeldState().isStateLost()) {
+            heldStates.release(generation);
         }
         if (!retryPolicy.hasAttemptsLeft(generation)) {
             giveUp(generation, GiveUpReason.ATTEMPTS_USED);
-        } else if (generation.heldRead() == null) {
+        } else if (generation.readWithHeldState() == null) {
             readOrWait(generation);
         } else {
             writeOrGiveUp(generation);
@@ -242,9 +249,9 @@
 
     private void readOrWait(Generation generation) {
         Engine reader =
-                probes.isAwaitingReaderReports(generation)
+                probes.awaitReaderReports(generation)
                         ? null
-                        : selection.readers().select(generation);
+                        : selection.readerSelection().select(generation);
         if (reader != null) {
             dispatcher.sendRead(generation, reader);
             return;
@@ -253,7 +260,7 @@
     }
 
     private void writeOrGiveUp(Generation generation) {
-        Engine writer = selection.writers().select(generation);
+        Engine writer = selection.writerSelection().select(generation);
         if (writer != null) {
             dispatcher.sendWrite(generation, writer);
         } else {
@@ -264,7 +271,7 @@
     private void giveUp(Generation generation, GiveUpReason reason) {
         generation.recordGiveUp(reason);
         dispatcher.cancelAll(generation);
-        clientDisconnected(generation);
-        retryPolicy.answerGivenUp(generation);
+        generationAbandoned(generation);
+        retryPolicy.rejectOrFail(generation);
     }
 }
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -14,8 +14,11 @@
  * traffic of a warm engine.
  */
 final class SlowStart {
-    /** Fraction of a warming engine's budget to use, since routers keep to it only on average. */
-    private static final double BUDGET_FRACTION = 0.5;
+    /**
+     * Fraction of the allowed attempt rate of a warming engine that is used, since routers keep to
+     * the rate only on average: random draws exceed it at times.
+     */
+    private static final double ALLOWED_RATE_FRACTION = 0.5;
 
     private final EngineRegistry registry;
     private final Random random;
@@ -32,7 +35,7 @@
         this.registry = registry;
         this.random = random;
         slowStartMs = settings.slowStartMs();
-        effectiveShare = settings.slowStartShare() * settings.overloadMultiple() * BUDGET_FRACTION;
+        effectiveShare = settings.slowStartShare() * settings.overloadMultiple() * ALLOWED_RATE_FRACTION;
         createdMs = nowMs;
     }
 
@@ -58,25 +61,25 @@
 
     /**
      * Admits an attempt at random, such that all routers together use the intended fraction of the
-     * budget, which is derived from the rate of warm peers.
+     * allowed rate, which is derived from the rate of warm peers.
      *
      * <p>Guards against: with many routers, even one attempt per router is too much, and an idle
-     * new engine looks best to all of them at once. The probability of a draw is proportional to
-     * the time since the previous draw.
+     * new engine looks best to all of them at once. The probability that a draw admits the attempt
+     * is proportional to the time since the previous draw.
      */
     private boolean drawAdmission(Engine engine, double nowMs) {
         boolean isReader = engine.role() == Role.READER;
         List<Engine> peers = isReader ? registry.readers() : registry.writers();
-        double warmUnits =
+        double warmCapacityWeight =
                 peers.stream()
                         .filter(peer -> !isWarmingUp(peer, nowMs))
-                        .mapToDouble(peer -> peer.units())
+                        .mapToDouble(peer -> peer.capacityWeight())
                         .sum();
-        SlidingWindow completed = isReader ? warmReads : warmWrites;
-        double spanMs = Math.min(completed.spanMs(), nowMs - createdMs + 1);
-        double warmRatePerMs = completed.sum(nowMs) / spanMs / Math.max(warmUnits, engine.units());
+        SlidingWindow warmUses = isReader ? warmReads : warmWrites;
+        double spanMs = Math.min(warmUses.spanMs(), nowMs - createdMs + 1);
+        double warmRatePerMs = warmUses.sum(nowMs) / spanMs / Math.max(warmCapacityWeight, engine.capacityWeight());
         double sinceLastDrawMs = nowMs - Math.max(engine.lastSlowStartDrawMs(), engine.startMs());
         engine.recordSlowStartDraw(nowMs);
-        return random.nextDouble() < effectiveShare * warmRatePerMs * engine.units() * sinceLastDrawMs;
+        return random.nextDouble() < effectiveShare * warmRatePerMs * engine.capacityWeight() * sinceLastDrawMs;
     }
 }
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -16,30 +16,31 @@
     EndpointState state;
     String zone;
     long rack;
-    private double units = 1;
+    private double capacityWeight = 1;
     private double memoryTokens;
     private double startMs;
 
     // This router's attempts.
     private final List<Attempt> attempts = new ArrayList<>();
     double unreadTokens;
-    private double writeTokens;
+    private double ownHeldTokens;
     int streams;
 
-    // Recent read speeds in tokens per millisecond, and recent transfer start delays.
+    // Recent read speeds in tokens per millisecond, and recent start delays of answers whose state
+    // was read on this engine and left its rack.
     private final SlidingWindow completedReads = new SlidingWindow(10, 1000);
     private final SlidingWindow readSpeeds = new SlidingWindow(10, 1000);
-    private final SlidingWindowMean transferStarts = new SlidingWindowMean(3, 1000);
+    private final SlidingWindowMean transferStartDelays = new SlidingWindowMean(3, 1000);
 
     // Reported load. The recent windows hold writes too new to be included in a report.
     private boolean reported;
     double lastReportMs = Double.NEGATIVE_INFINITY;
     private double lastProbeMs = Double.NEGATIVE_INFINITY;
-    double otherRoutersTokens;
+    double otherRoutersHeldTokens;
     double otherRoutersStreams;
     double otherRoutersUnreadTokens;
     private double reportedOwnStreams;
-    private final SlidingWindow recentWriteTokens = new SlidingWindow(5, 100);
+    private final SlidingWindow recentHeldTokens = new SlidingWindow(5, 100);
     private final SlidingWindow recentStreams = new SlidingWindow(5, 100);
 
     // Health.
@@ -48,7 +49,7 @@
     private double ejectionMs;
     private boolean onProbation;
     private double errorRate;
-    double lastContactMs = Double.NEGATIVE_INFINITY;
+    double lastResponseMs = Double.NEGATIVE_INFINITY;
 
     private double processListedMs = Double.NEGATIVE_INFINITY;
     private double lastSlowStartDrawMs;
@@ -81,8 +82,8 @@
     }
 
     /** Capacity weight relative to other engines of the same type. */
-    public double units() {
-        return units;
+    public double capacityWeight() {
+        return capacityWeight;
     }
 
     /** Number of tokens that fit in the engine's memory; NaN if unknown. */
@@ -99,7 +100,7 @@
     void apply(EndpointUpdate entry) {
         state = entry.state();
         startMs = entry.startMs();
-        units = entry.units() > 0 ? entry.units() : 1;
+        capacityWeight = entry.capacityWeight() > 0 ? entry.capacityWeight() : 1;
         zone = entry.zone();
         rack = entry.rack();
         role = entry.role();
@@ -116,7 +117,7 @@
         processListedMs = nowMs;
         completedReads.clear();
         readSpeeds.clear();
-        otherRoutersTokens = 0;
+        otherRoutersHeldTokens = 0;
         otherRoutersStreams = 0;
         reportedOwnStreams = 0;
         reported = false;
@@ -147,8 +148,8 @@
     }
 
     /** Tokens held for this router's answers in flight. */
-    public double writeTokens() {
-        return writeTokens;
+    public double ownHeldTokens() {
+        return ownHeldTokens;
     }
 
     /** Number of this router's answers in flight. */
@@ -170,8 +171,8 @@
     void opened(Attempt attempt) {
         attempts.add(attempt);
         unreadTokens += attempt.unreadTokens();
-        if (!attempt.readOnly) {
-            writeTokens += attempt.countedTokens;
+        if (!attempt.readsOnly) {
+            ownHeldTokens += attempt.heldTokens;
             streams++;
         }
     }
@@ -184,8 +185,8 @@
     /** Removes an attempt that has ended. */
     void closed(Attempt attempt) {
         attempts.remove(attempt);
-        if (!attempt.readOnly) {
-            writeTokens = attempts.isEmpty() ? 0 : Math.max(0, writeTokens - attempt.countedTokens);
+        if (!attempt.readsOnly) {
+            ownHeldTokens = attempts.isEmpty() ? 0 : Math.max(0, ownHeldTokens - attempt.heldTokens);
             streams = Math.max(0, streams - 1);
         }
     }
@@ -194,7 +195,7 @@
 
     /** Records the speed of a completed read. */
     public void recordRead(double tokensPerMs, double nowMs) {
-        readSpeeds.addMax(nowMs, tokensPerMs);
+        readSpeeds.recordMax(nowMs, tokensPerMs);
         completedReads.add(nowMs, 1);
     }
 
@@ -208,21 +209,21 @@
         return readSpeeds.max(nowMs);
     }
 
-    /** Records the start delay of a transfer of a state that was read on this engine. */
-    public void recordTransferStart(double tookMs, double nowMs) {
-        transferStarts.add(nowMs, tookMs, 1);
+    /** Records the time to the first token of an answer whose state left this engine's rack. */
+    public void recordTransferStartDelay(double delayMs, double nowMs) {
+        transferStartDelays.add(nowMs, delayMs, 1);
     }
 
-    /** Mean start delay of recent transfers of states that were read on this engine. */
-    public double meanTransferStartMs(double nowMs) {
-        return transferStarts.mean(nowMs);
+    /** Mean time to the first token of recent answers whose state left this engine's rack. */
+    public double meanTransferStartDelayMs(double nowMs) {
+        return transferStartDelays.mean(nowMs);
     }
 
     // ------------------------------------------------------------------ reported load
 
-    /** Records the tokens of an answer sent to the engine. */
+    /** Records a write attempt that is being sent, with the tokens that it will hold. */
     public void recordWrite(double tokens, double nowMs) {
-        recentWriteTokens.add(nowMs, tokens);
+        recentHeldTokens.add(nowMs, tokens);
         recentStreams.add(nowMs, 1);
     }
 
@@ -257,9 +258,9 @@
         return lastReportMs < lastProbeMs;
     }
 
-    /** Tokens of this router's answers that are old enough to be included in a report. */
-    public double reportedWriteTokens(double nowMs) {
-        return Math.max(0, writeTokens - recentWriteTokens.sum(nowMs));
+    /** Tokens held for this router's answers that are old enough to be included in a report. */
+    public double reportedOwnHeldTokens(double nowMs) {
+        return Math.max(0, ownHeldTokens - recentHeldTokens.sum(nowMs));
     }
 
     /** Records how many of this router's answers the report just received includes. */
@@ -282,9 +283,9 @@
         otherRoutersUnreadTokens = tokens;
     }
 
-    /** Tokens held for other routers, estimated from reports. */
-    public double otherRoutersTokens() {
-        return otherRoutersTokens;
+    /** Tokens held for other routers' answers, estimated from reports. */
+    public double otherRoutersHeldTokens() {
+        return otherRoutersHeldTokens;
     }
 
     /** Number of answers streamed to other routers, estimated from reports. */
@@ -294,29 +295,29 @@
 
     /** Moves the estimate of other routers' load towards reported values by the given weight. */
     public void adjustOtherRoutersLoad(double tokens, double streamCount, double weight) {
-        otherRoutersTokens += weight * (tokens - otherRoutersTokens);
+        otherRoutersHeldTokens += weight * (tokens - otherRoutersHeldTokens);
         otherRoutersStreams += weight * (streamCount - otherRoutersStreams);
     }
 
     // ------------------------------------------------------------------ health
 
-    /** Time of the last response or other contact from the engine. */
-    public double lastContactMs() {
-        return lastContactMs;
+    /** Time of the last response of the engine, also to probes. */
+    public double lastResponseMs() {
+        return lastResponseMs;
     }
 
-    /** Records a contact from the engine. */
-    public void recordContact(double nowMs) {
-        lastContactMs = nowMs;
+    /** Records a response of the engine. */
+    public void recordResponse(double nowMs) {
+        lastResponseMs = nowMs;
     }
 
-    /** Exponentially weighted error rate of the engine's answers. */
+    /** Exponentially weighted error rate of the engine's responses. */
     public double errorRate() {
         return errorRate;
     }
 
-    /** Updates the error rate with an answer: 1 for an error, 0 for a success. */
-    public void recordAnswer(int error, double weight) {
+    /** Updates the error rate with a response: 1 for an error, 0 for a success. */
+    public void updateErrorRate(int error, double weight) {
         errorRate += weight * (error - errorRate);
     }
 
@@ -350,9 +351,13 @@
         return onProbation;
     }
 
-    /** Ejects the engine until the given time; it is on probation afterwards. */
-    public void eject(double lastsMs, double untilMs) {
-        ejectionMs = lastsMs;
+    /**
+     * Ejects the engine until the given time; it is on probation afterwards.
+     *
+     * @param baseDurationMs duration before jitter
+     */
+    public void eject(double baseDurationMs, double untilMs) {
+        ejectionMs = baseDurationMs;
         ejectedUntilMs = untilMs;
         onProbation = true;
     }
--- a/src/test/java/larchridge/policy/EndpointWatchTest.java
+++ b/src/test/java/larchridge/policy/EndpointWatchTest.java
@@ -4,20 +4,20 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests requests for the endpoint list. */
+/** Tests subscriptions to the endpoint list. */
 class EndpointWatchTest {
     private final RoutingPolicyFixture fixture = new RoutingPolicyFixture();
 
     @Test
     void endpointListIsRequestedAgainAfterAFailureOnly() {
-        fixture.settings.endpointListPolled(true);
-        RoutingPolicy polling = fixture.start();
+        fixture.settings.endpointSubscriptionRequired(true);
+        RoutingPolicy policy = fixture.start();
         fixture.nowMs += 20_000;
-        polling.wakeUp();
+        policy.wakeUp();
         assertEquals(1, fixture.actions.stream().filter("follow"::equals).count());
-        polling.endpointWatchFailed();
+        policy.endpointWatchFailed();
         fixture.nowMs += 1001;
-        polling.wakeUp();
+        policy.wakeUp();
         assertEquals(2, fixture.actions.stream().filter("follow"::equals).count());
     }
 }
--- a/src/test/java/larchridge/policy/LoadEstimatorTest.java
+++ b/src/test/java/larchridge/policy/LoadEstimatorTest.java
@@ -23,7 +23,7 @@
         for (int i = 1; i <= 3; i++) {
             EngineFixture.setLastReportMs(engines[i], fixture.nowMs);
             EngineFixture.setOtherRoutersStreams(engines[i], engines[i] == first ? 4 : 30);
-            EngineFixture.setOtherRoutersTokens(engines[i], 1000 * engines[i].otherRoutersStreams());
+            EngineFixture.setOtherRoutersHeldTokens(engines[i], 1000 * engines[i].otherRoutersStreams());
         }
         policyWithManyRouters.requestArrived(fixture.generation("b"));
         policyWithManyRouters.readCompleted(fixture.last(), 0, null, false);
@@ -35,7 +35,7 @@
         Engine[] engines = fixture.engines(2, 1);
         EngineFixture.setOtherRoutersUnreadTokens(engines[0], 5000);
         EngineFixture.setLastReportMs(engines[0], fixture.nowMs);
-        EngineFixture.setLastContactMs(engines[0], fixture.nowMs);
+        EngineFixture.setLastResponseMs(engines[0], fixture.nowMs);
         EngineFixture.setUnreadTokens(engines[1], 800);
         policy.requestArrived(fixture.generation("a"));
         assertSame(engines[1], fixture.last().engine);
--- a/src/test/java/larchridge/state/EngineFixture.java
+++ b/src/test/java/larchridge/state/EngineFixture.java
@@ -14,9 +14,9 @@
         engine.streams = streams;
     }
 
-    /** Sets the tokens that the engine holds for other routers. */
-    public static void setOtherRoutersTokens(Engine engine, double tokens) {
-        engine.otherRoutersTokens = tokens;
+    /** Sets the tokens that the engine holds for other routers' answers. */
+    public static void setOtherRoutersHeldTokens(Engine engine, double tokens) {
+        engine.otherRoutersHeldTokens = tokens;
     }
 
     /** Sets the number of answers that other routers stream from the engine. */
@@ -34,9 +34,9 @@
         engine.lastReportMs = ms;
     }
 
-    /** Sets the time of the last contact with the engine. */
-    public static void setLastContactMs(Engine engine, double ms) {
-        engine.lastContactMs = ms;
+    /** Sets the time of the last response of the engine. */
+    public static void setLastResponseMs(Engine engine, double ms) {
+        engine.lastResponseMs = ms;
     }
 
     /** Sets the end of the engine's ejection. */
