--- a/src/main/java/larchridge/faultinjection/TestNode.java
+++ b/src/main/java/larchridge/faultinjection/TestNode.java
@@ -23,6 +23,16 @@
         DOWN
     }
 
+    /** Parts of the log messages with which a node reports a fault of its own. */
+    static final List<String> FAULT_MESSAGES =
+            List.of(
+                    Violations.MESSAGE,
+                    "event loop task failed",
+                    "routing policy threw an exception",
+                    "could not be submitted to the router",
+                    "could not be handled",
+                    "OutOfMemoryError");
+
     private static final int MEMORY_MB = 192;
     private static final int SOCKETS = 600;
     private static final long SIGNAL_SECONDS = 5;
@@ -159,6 +169,10 @@
         return process == null || process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
+    private static boolean reportsFault(String line) {
+        return FAULT_MESSAGES.stream().anyMatch(line::contains);
+    }
+
     /**
      * Lines of the log that tell of a fault in the node: violated invariants, steps that failed.
      */
@@ -169,14 +183,7 @@
         List<String> faults = new ArrayList<>();
         try (Stream<String> lines =
                 Files.lines(log, java.nio.charset.StandardCharsets.ISO_8859_1)) {
-            lines.filter(
-                            line ->
-                                    line.contains(Violations.MESSAGE)
-                                            || line.contains("event loop task failed")
-                                            || line.contains("the decision module failed")
-                                            || line.contains("could not be submitted to the router")
-                                            || line.contains("could not be handled")
-                                            || line.contains("OutOfMemoryError"))
+            lines.filter(TestNode::reportsFault)
                     .forEach(line -> faults.add("node " + number + ": " + line));
         }
         return faults;
