--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -43,22 +43,22 @@
 final class BatchEndpoint extends Handler.Abstract {
     private static final Logger LOG = LoggerFactory.getLogger(BatchEndpoint.class);
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int MOST_BODY = 64 << 10;
-    private static final int MOST_METADATA = 16;
-    private static final long ANSWER_MS = 30_000;
-    private static final long LONGEST_WINDOW_MS = 30L * 24 * 3600 * 1000;
-    private static final Pattern WINDOW = Pattern.compile("([1-9]\\d{0,5})([smhd])");
-    private static final Map<String, Long> UNITS =
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final int MAX_METADATA_ENTRIES = 16;
+    private static final long LOOP_CALL_TIMEOUT_MS = 30_000;
+    private static final long MAX_WINDOW_MS = 30L * 24 * 3600 * 1000;
+    private static final Pattern WINDOW_PATTERN = Pattern.compile("([1-9]\\d{0,5})([smhd])");
+    private static final Map<String, Long> UNIT_MS =
             Map.of("s", 1000L, "m", 60_000L, "h", 3_600_000L, "d", 86_400_000L);
 
     private final Site site;
-    private final BatchSettings terms;
+    private final BatchSettings settings;
     private final BatchService service;
 
     BatchEndpoint(Site site, BatchService service) {
         this.site = site;
         this.service = service;
-        terms = site.batch;
+        settings = site.batch;
     }
 
     @Override
@@ -66,35 +66,35 @@
         try {
             route(request, response);
             callback.succeeded();
-        } catch (BatchApiException refusal) {
-            refuse(response, callback, refusal);
+        } catch (BatchApiException error) {
+            sendError(response, callback, error);
         } catch (IOException e) {
             LOG.warn("a call to the batch API failed", e);
             if (response.isCommitted()) {
                 callback.failed(e);
             } else {
-                refuse(
+                sendError(
                         response,
                         callback,
-                        BatchApiException.broken(
+                        BatchApiException.internalError(
                                 "the call could not be carried out; nothing of it was kept"));
             }
         }
         return true;
     }
 
-    private static void refuse(Response response, Callback callback, BatchApiException refusal) {
+    private static void sendError(Response response, Callback callback, BatchApiException error) {
         ObjectNode body = MAPPER.createObjectNode();
         body.putObject("error")
-                .put("message", refusal.getMessage())
-                .put("type", refusal.type)
-                .put("param", refusal.field)
+                .put("message", error.getMessage())
+                .put("type", error.type)
+                .put("param", error.field)
                 .putNull("code");
-        response.setStatus(refusal.status);
+        response.setStatus(error.status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         // What is left of the body is not read.
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
-        if (refusal.status == 503) {
+        if (error.status == 503) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, "1");
         }
         response.write(
@@ -103,38 +103,38 @@
 
     private void route(Request request, Response response) throws BatchApiException, IOException {
         String[] path = Request.getPathInContext(request).split("/");
-        Site.Tenant tenant = caller(request);
-        String what = path.length > 2 && path[1].equals("v1") ? path[2] : "";
+        Site.Tenant tenant = authenticate(request);
+        String collection = path.length > 2 && path[1].equals("v1") ? path[2] : "";
         String id = path.length > 3 ? path[3] : null;
-        String part = path.length > 4 ? path[4] : null;
+        String action = path.length > 4 ? path[4] : null;
         boolean post = request.getMethod().equals("POST");
         boolean get = request.getMethod().equals("GET");
-        if (what.equals("files") && id == null && post) {
+        if (collection.equals("files") && id == null && post) {
             upload(request, response, tenant);
-        } else if (what.equals("files") && id == null && get) {
+        } else if (collection.equals("files") && id == null && get) {
             list(request, response, tenant, 'f', 10_000);
-        } else if (what.equals("files") && part == null && get) {
-            answer(response, fileJson(file(id, tenant)));
-        } else if (what.equals("files") && "content".equals(part) && get) {
-            content(response, file(id, tenant));
-        } else if (what.equals("files") && part == null && request.getMethod().equals("DELETE")) {
-            delete(response, file(id, tenant));
-        } else if (what.equals("batches") && id == null && post) {
-            make(request, response, tenant);
-        } else if (what.equals("batches") && id == null && get) {
+        } else if (collection.equals("files") && action == null && get) {
+            sendJson(response, fileJson(requireFile(id, tenant)));
+        } else if (collection.equals("files") && "content".equals(action) && get) {
+            sendContent(response, requireFile(id, tenant));
+        } else if (collection.equals("files") && action == null && request.getMethod().equals("DELETE")) {
+            deleteFile(response, requireFile(id, tenant));
+        } else if (collection.equals("batches") && id == null && post) {
+            createBatch(request, response, tenant);
+        } else if (collection.equals("batches") && id == null && get) {
             list(request, response, tenant, 'b', 100);
-        } else if (what.equals("batches") && part == null && get) {
-            answer(response, batchJson(id, tenant));
-        } else if (what.equals("batches") && "cancel".equals(part) && post) {
-            cancel(response, batch(id, tenant));
-        } else if (what.equals("files") || what.equals("batches")) {
-            throw BatchApiException.wrongMethod();
+        } else if (collection.equals("batches") && action == null && get) {
+            sendJson(response, batchJson(id, tenant));
+        } else if (collection.equals("batches") && "cancel".equals(action) && post) {
+            cancelBatch(response, requireBatch(id, tenant));
+        } else if (collection.equals("files") || collection.equals("batches")) {
+            throw BatchApiException.methodNotAllowed();
         } else {
             throw BatchApiException.notFound("path");
         }
     }
 
-    private Site.Tenant caller(Request request) throws BatchApiException {
+    private Site.Tenant authenticate(Request request) throws BatchApiException {
         String key = request.getHeaders().get(HttpHeader.AUTHORIZATION);
         key =
                 key != null && key.regionMatches(true, 0, "Bearer ", 0, 7)
@@ -142,7 +142,7 @@
                         : request.getHeaders().get("x-api-key");
         Site.Tenant tenant = key == null && site.guest == null ? null : site.tenant(key);
         if (tenant == null) {
-            throw BatchApiException.unknownKey();
+            throw BatchApiException.invalidApiKey();
         }
         return tenant;
     }
@@ -151,16 +151,16 @@
 
     private void upload(Request request, Response response, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        if (request.getLength() > terms.fileBytes + MOST_BODY) {
-            throw BatchApiException.tooLarge("the file is over " + terms.fileBytes + " bytes");
+        if (request.getLength() > settings.fileBytes + MAX_BODY_BYTES) {
+            throw BatchApiException.tooLarge("the file is over " + settings.fileBytes + " bytes");
         }
         Store store = service.store();
-        onLoop(
+        callOnLoop(
                 batches -> {
-                    room(store, tenant, Math.max(0, request.getLength() - MOST_BODY));
+                    checkQuota(store, tenant, Math.max(0, request.getLength() - MAX_BODY_BYTES));
                     return null;
                 });
-        try (MultipartUpload upload = new MultipartUpload(store::receive, terms.fileBytes);
+        try (MultipartUpload upload = new MultipartUpload(store::receive, settings.fileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
@@ -168,12 +168,12 @@
                         "purpose",
                         "'" + upload.purpose() + "' is not batch, the only purpose served");
             }
-            answer(
+            sendJson(
                     response,
                     fileJson(
-                            onLoop(
+                            callOnLoop(
                                     batches -> {
-                                        room(store, tenant, upload.file().bytes());
+                                        checkQuota(store, tenant, upload.file().bytes());
                                         return store.keep(
                                                 upload.file(),
                                                 tenant.name(),
@@ -184,23 +184,23 @@
         }
     }
 
-    private void room(Store store, Site.Tenant tenant, long bytes) throws BatchApiException {
-        if (store.bytesOf(tenant.name()) + bytes > terms.tenantBytes
-                || store.filesOf(tenant.name()) >= terms.tenantFiles) {
+    private void checkQuota(Store store, Site.Tenant tenant, long addedBytes) throws BatchApiException {
+        if (store.bytesOf(tenant.name()) + addedBytes > settings.tenantBytes
+                || store.filesOf(tenant.name()) >= settings.tenantFiles) {
             throw BatchApiException.overQuota(
                     "kept are "
                             + store.bytesOf(tenant.name())
                             + " bytes in "
                             + store.filesOf(tenant.name())
                             + " files; allowed are "
-                            + terms.tenantBytes
+                            + settings.tenantBytes
                             + " in "
-                            + terms.tenantFiles
+                            + settings.tenantFiles
                             + "; delete some");
         }
     }
 
-    private FileForm file(String id, Site.Tenant tenant) throws BatchApiException, IOException {
+    private FileForm requireFile(String id, Site.Tenant tenant) throws BatchApiException, IOException {
         // Records of files are read here: only what changes them, and batches that are under way,
         // belong to the loop.
         FileForm file = service.store().file(id);
@@ -210,28 +210,28 @@
         return file;
     }
 
-    private void content(Response response, FileForm file) throws IOException, BatchApiException {
-        try (FileChannel from = service.store().content(file)) {
+    private void sendContent(Response response, FileForm file) throws IOException, BatchApiException {
+        try (FileChannel channel = service.store().content(file)) {
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/octet-stream");
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, file.getBytes());
-            try (OutputStream to = Content.Sink.asOutputStream(response)) {
-                ByteBuffer part = ByteBuffer.allocate(1 << 16);
+            try (OutputStream out = Content.Sink.asOutputStream(response)) {
+                ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
                 // Guards against: a slow reader holds its thread; its connection is cut when it
                 // takes
                 // nothing for idle_connection_ms.
-                for (int got = from.read(part); got >= 0; got = from.read(part.clear())) {
-                    to.write(part.array(), 0, got);
+                for (int count = channel.read(buffer); count >= 0; count = channel.read(buffer.clear())) {
+                    out.write(buffer.array(), 0, count);
                 }
             }
         }
     }
 
-    private void delete(Response response, FileForm file) throws BatchApiException, IOException {
-        boolean gone = onLoop(batches -> service.store().delete(file));
-        if (!gone) {
+    private void deleteFile(Response response, FileForm file) throws BatchApiException, IOException {
+        boolean deleted = callOnLoop(batches -> service.store().delete(file));
+        if (!deleted) {
             throw BatchApiException.conflict("a batch that is not over reads this file");
         }
-        answer(
+        sendJson(
                 response,
                 MAPPER.createObjectNode()
                         .put("id", file.getId())
@@ -241,54 +241,54 @@
 
     // ------------------------------------------------------------------ batches
 
-    private void make(Request request, Response response, Site.Tenant tenant)
+    private void createBatch(Request request, Response response, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        JsonNode body = body(request);
-        FileForm input = file(text(body, "input_file_id"), tenant);
+        JsonNode body = readBody(request);
+        FileForm input = requireFile(requiredText(body, "input_file_id"), tenant);
         if (!input.getPurpose().equals("batch")) {
             throw BatchApiException.invalid(
                     "input_file_id", "the file's purpose is " + input.getPurpose() + ", not batch");
         }
-        String endpoint = text(body, "endpoint");
-        if (!endpoint.equals(BatchLineCodec.CHAT) && !endpoint.equals(BatchLineCodec.MESSAGES)) {
+        String endpoint = requiredText(body, "endpoint");
+        if (!endpoint.equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT) && !endpoint.equals(BatchLineCodec.MESSAGES_ENDPOINT)) {
             throw BatchApiException.invalid(
                     "endpoint",
                     "'"
                             + endpoint
                             + "' is not "
-                            + BatchLineCodec.CHAT
+                            + BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT
                             + " or "
-                            + BatchLineCodec.MESSAGES);
+                            + BatchLineCodec.MESSAGES_ENDPOINT);
         }
-        String window = text(body, "completion_window");
-        Matcher spans = WINDOW.matcher(window);
+        String window = requiredText(body, "completion_window");
+        Matcher matcher = WINDOW_PATTERN.matcher(window);
         long windowMs =
-                spans.matches() ? Long.parseLong(spans.group(1)) * UNITS.get(spans.group(2)) : 0;
-        if (windowMs <= 0 || windowMs > LONGEST_WINDOW_MS) {
+                matcher.matches() ? Long.parseLong(matcher.group(1)) * UNIT_MS.get(matcher.group(2)) : 0;
+        if (windowMs <= 0 || windowMs > MAX_WINDOW_MS) {
             throw BatchApiException.invalid(
                     "completion_window", "'" + window + "' is not a time like 24h, 30d at most");
         }
         Map<String, String> metadata = metadata(body.path("metadata"));
-        answer(
+        sendJson(
                 response,
-                onLoop(
+                callOnLoop(
                         batches -> {
                             // Guards against: between the look and this the file could have been
                             // deleted.
                             if (service.store().file(input.getId()) == null) {
                                 throw BatchApiException.notFound("file: " + input.getId());
                             }
-                            long now = (long) service.nowMs();
-                            return json(
+                            long nowMs = (long) service.nowMs();
+                            return toJson(
                                     batches,
-                                    batches.make(
+                                    batches.create(
                                             BatchForm.newBuilder()
                                                     .setTenant(tenant.name())
                                                     .setInput(input.getId())
                                                     .setEndpoint(endpoint)
                                                     .setWindow(window)
-                                                    .setCreatedMs(now)
-                                                    .setExpiresMs(now + windowMs)
+                                                    .setCreatedMs(nowMs)
+                                                    .setExpiresMs(nowMs + windowMs)
                                                     .putAllMetadata(metadata)));
                         }));
     }
@@ -298,9 +298,9 @@
         if (node.isMissingNode() || node.isNull()) {
             return metadata;
         }
-        if (!node.isObject() || node.size() > MOST_METADATA) {
+        if (!node.isObject() || node.size() > MAX_METADATA_ENTRIES) {
             throw BatchApiException.invalid(
-                    "metadata", "expected an object of at most " + MOST_METADATA + " texts");
+                    "metadata", "expected an object of at most " + MAX_METADATA_ENTRIES + " texts");
         }
         for (Map.Entry<String, JsonNode> entry : node.properties()) {
             if (!entry.getValue().isTextual()
@@ -315,11 +315,11 @@
         return metadata;
     }
 
-    private BatchForm batch(String id, Site.Tenant tenant) throws BatchApiException, IOException {
-        return onLoop(batches -> own(batches, id, tenant));
+    private BatchForm requireBatch(String id, Site.Tenant tenant) throws BatchApiException, IOException {
+        return callOnLoop(batches -> requireBatchOnLoop(batches, id, tenant));
     }
 
-    private static BatchForm own(Batches batches, String id, Site.Tenant tenant)
+    private static BatchForm requireBatchOnLoop(Batches batches, String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
         BatchForm batch = batches.batch(id);
         if (batch == null || !batch.getTenant().equals(tenant.name())) {
@@ -328,48 +328,48 @@
         return batch;
     }
 
-    private void cancel(Response response, BatchForm batch) throws BatchApiException, IOException {
-        ObjectNode now =
-                onLoop(
+    private void cancelBatch(Response response, BatchForm batch) throws BatchApiException, IOException {
+        ObjectNode json =
+                callOnLoop(
                         batches -> {
                             BatchForm cancelled = batches.cancel(batch.getId());
-                            return cancelled == null ? null : json(batches, cancelled);
+                            return cancelled == null ? null : toJson(batches, cancelled);
                         });
-        if (now == null) {
+        if (json == null) {
             throw BatchApiException.conflict(
-                    "a batch that is " + word(batch.getState()) + " can't be cancelled");
+                    "a batch that is " + stateName(batch.getState()) + " can't be cancelled");
         }
-        answer(response, now);
+        sendJson(response, json);
     }
 
     /** A page of files or batches, newest first; after names the last one of the page before. */
     private void list(
-            Request request, Response response, Site.Tenant tenant, char kind, int mostItems)
+            Request request, Response response, Site.Tenant tenant, char kind, int maxItems)
             throws BatchApiException, IOException {
         Fields query = Request.extractQueryParameters(request);
         String limit = query.getValue("limit");
         if (limit != null && !limit.matches("[1-9]\\d{0,4}")) {
             throw BatchApiException.invalid(
-                    "limit", "'" + limit + "' is not a number from 1 to " + mostItems);
+                    "limit", "'" + limit + "' is not a number from 1 to " + maxItems);
         }
         if ("asc".equals(query.getValue("order"))) {
             throw BatchApiException.invalid("order", "only desc is served");
         }
-        int items =
+        int pageSize =
                 Math.min(
-                        mostItems,
-                        limit == null ? kind == 'f' ? mostItems : 20 : Integer.parseInt(limit));
+                        maxItems,
+                        limit == null ? kind == 'f' ? maxItems : 20 : Integer.parseInt(limit));
         String after = query.getValue("after");
         String purpose = query.getValue("purpose");
-        long from =
+        long afterNumber =
                 after == null
                         ? -1
                         : kind == 'f'
-                                ? file(after, tenant).getNumber()
-                                : batch(after, tenant).getNumber();
+                                ? requireFile(after, tenant).getNumber()
+                                : requireBatch(after, tenant).getNumber();
         ArrayNode data = MAPPER.createArrayNode();
-        List<String> ids = service.store().page(tenant.name(), kind, from, items + 1);
-        for (String id : ids.subList(0, Math.min(items, ids.size()))) {
+        List<String> ids = service.store().page(tenant.name(), kind, afterNumber, pageSize + 1);
+        for (String id : ids.subList(0, Math.min(pageSize, ids.size()))) {
             FileForm file = kind == 'f' ? service.store().file(id) : null;
             if (kind == 'b') {
                 data.add(batchJson(id, tenant));
@@ -381,7 +381,7 @@
         page.set("data", data);
         page.put("first_id", data.isEmpty() ? null : data.get(0).path("id").asText());
         page.put("last_id", data.isEmpty() ? null : data.get(data.size() - 1).path("id").asText());
-        answer(response, page.put("has_more", ids.size() > items));
+        sendJson(response, page.put("has_more", ids.size() > pageSize));
     }
 
     // ------------------------------------------------------------------ in the API's words
@@ -400,10 +400,10 @@
     /** A batch of this tenant as it is now, in one question to the loop. */
     private ObjectNode batchJson(String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        return onLoop(batches -> json(batches, own(batches, id, tenant)));
+        return callOnLoop(batches -> toJson(batches, requireBatchOnLoop(batches, id, tenant)));
     }
 
-    private static ObjectNode json(Batches batches, BatchForm batch) {
+    private static ObjectNode toJson(Batches batches, BatchForm batch) {
         ObjectNode json =
                 MAPPER.createObjectNode()
                         .put("id", batch.getId())
@@ -411,7 +411,7 @@
                         .put("endpoint", batch.getEndpoint())
                         .put("input_file_id", batch.getInput())
                         .put("completion_window", batch.getWindow())
-                        .put("status", word(batch.getState()))
+                        .put("status", stateName(batch.getState()))
                         .put(
                                 "output_file_id",
                                 batch.getOutput().isEmpty() ? null : batch.getOutput())
@@ -419,15 +419,15 @@
                                 "error_file_id",
                                 batch.getErrors().isEmpty() ? null : batch.getErrors())
                         .put("created_at", batch.getCreatedMs() / 1000);
-        time(json, "in_progress_at", batch.getInProgressMs());
-        time(json, "expires_at", batch.getExpiresMs());
-        time(json, "finalizing_at", batch.getFinalizingMs());
-        time(json, "cancelling_at", batch.getCancellingMs());
+        putSeconds(json, "in_progress_at", batch.getInProgressMs());
+        putSeconds(json, "expires_at", batch.getExpiresMs());
+        putSeconds(json, "finalizing_at", batch.getFinalizingMs());
+        putSeconds(json, "cancelling_at", batch.getCancellingMs());
         StateForm state = batch.getState();
-        time(json, "completed_at", state == StateForm.COMPLETED ? batch.getEndedMs() : 0);
-        time(json, "failed_at", state == StateForm.FAILED ? batch.getEndedMs() : 0);
-        time(json, "expired_at", state == StateForm.EXPIRED ? batch.getEndedMs() : 0);
-        time(json, "cancelled_at", state == StateForm.CANCELLED ? batch.getEndedMs() : 0);
+        putSeconds(json, "completed_at", state == StateForm.COMPLETED ? batch.getEndedMs() : 0);
+        putSeconds(json, "failed_at", state == StateForm.FAILED ? batch.getEndedMs() : 0);
+        putSeconds(json, "expired_at", state == StateForm.EXPIRED ? batch.getEndedMs() : 0);
+        putSeconds(json, "cancelled_at", state == StateForm.CANCELLED ? batch.getEndedMs() : 0);
         json.putObject("request_counts")
                 .put("total", batch.getTotal())
                 .put("completed", batch.getDone())
@@ -437,15 +437,15 @@
         } else {
             ArrayNode data = json.putObject("errors").put("object", "list").putArray("data");
             for (FaultForm fault : batch.getFaultList()) {
-                ObjectNode one =
+                ObjectNode faultJson =
                         data.addObject()
                                 .put("code", fault.getCode())
                                 .put("message", fault.getMessage())
                                 .put("param", fault.getField().isEmpty() ? null : fault.getField());
                 if (fault.getLine() > 0) {
-                    one.put("line", fault.getLine());
+                    faultJson.put("line", fault.getLine());
                 } else {
-                    one.putNull("line");
+                    faultJson.putNull("line");
                 }
             }
         }
@@ -455,7 +455,7 @@
         return json.put("window_at_risk", batches.isAtRisk(batch.getId()));
     }
 
-    private static void time(ObjectNode json, String field, long ms) {
+    private static void putSeconds(ObjectNode json, String field, long ms) {
         if (ms == 0) {
             json.putNull(field);
         } else {
@@ -463,15 +463,15 @@
         }
     }
 
-    private static String word(StateForm state) {
+    private static String stateName(StateForm state) {
         return state.name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    private static JsonNode body(Request request) throws BatchApiException, IOException {
+    private static JsonNode readBody(Request request) throws BatchApiException, IOException {
         try (InputStream in = Content.Source.asInputStream(request)) {
-            byte[] bytes = in.readNBytes(MOST_BODY + 1);
-            if (bytes.length > MOST_BODY) {
-                throw BatchApiException.invalid(null, "the body is over " + MOST_BODY + " bytes");
+            byte[] bytes = in.readNBytes(MAX_BODY_BYTES + 1);
+            if (bytes.length > MAX_BODY_BYTES) {
+                throw BatchApiException.invalid(null, "the body is over " + MAX_BODY_BYTES + " bytes");
             }
             JsonNode body = MAPPER.readTree(bytes);
             if (body == null || !body.isObject()) {
@@ -484,7 +484,7 @@
         }
     }
 
-    private static String text(JsonNode body, String field) throws BatchApiException {
+    private static String requiredText(JsonNode body, String field) throws BatchApiException {
         if (!body.path(field).isTextual() || body.path(field).asText().isEmpty()) {
             throw BatchApiException.invalid(
                     field, body.path(field).isMissingNode() ? "is missing" : "expected a text");
@@ -492,7 +492,7 @@
         return body.path(field).asText();
     }
 
-    private static void answer(Response response, JsonNode body) throws IOException {
+    private static void sendJson(Response response, JsonNode body) throws IOException {
         response.setStatus(200);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         Content.Sink.write(
@@ -501,25 +501,25 @@
 
     // ------------------------------------------------------------------ the loop
 
-    private interface Question<T> {
-        T of(Batches batches) throws IOException, BatchApiException;
+    private interface LoopCall<T> {
+        T run(Batches batches) throws IOException, BatchApiException;
     }
 
-    private <T> T onLoop(Question<T> question) throws BatchApiException, IOException {
+    private <T> T callOnLoop(LoopCall<T> call) throws BatchApiException, IOException {
         Batches batches = service.batches();
-        java.util.concurrent.Callable<T> asked = () -> question.of(batches);
+        java.util.concurrent.Callable<T> task = () -> call.run(batches);
         try {
-            return service.loop().ask(asked).get(ANSWER_MS, TimeUnit.MILLISECONDS);
+            return service.loop().call(task).get(LOOP_CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof BatchApiException refusal) {
-                throw refusal;
+            if (e.getCause() instanceof BatchApiException error) {
+                throw error;
             }
-            throw e.getCause() instanceof IOException disk ? disk : new IOException(e.getCause());
+            throw e.getCause() instanceof IOException ioFailure ? ioFailure : new IOException(e.getCause());
         } catch (TimeoutException e) {
-            throw BatchApiException.away("the store does not answer");
+            throw BatchApiException.unavailable("the store does not answer");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw BatchApiException.away("stopping");
+            throw BatchApiException.unavailable("stopping");
         }
     }
 }
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -22,42 +22,42 @@
  * field.
  */
 final class BatchInputValidator {
-    private static final int MOST_FAULTS = 100;
-    private static final int MOST_ID = 512;
+    private static final int MAX_FAULTS = 100;
+    private static final int MAX_CUSTOM_ID_CHARS = 512;
 
     /** How many lines there are, or what is wrong with them. */
-    record Result(long lines, List<FaultForm> faults) {}
+    record Result(long lineCount, List<FaultForm> faults) {}
 
     /** What a line has to say before it is sent. */
-    record Call(String customId, JsonNode body) {}
+    record LineRequest(String customId, JsonNode body) {}
 
     /** A line that can't be a call. */
-    static final class BadLine extends Exception {
+    static final class InvalidLineException extends Exception {
         private static final long serialVersionUID = 1;
         final String code;
         final String field;
 
-        BadLine(String code, String field, String text) {
-            super(text, null, false, false);
+        InvalidLineException(String code, String field, String message) {
+            super(message, null, false, false);
             this.code = code;
             this.field = field;
         }
     }
 
     private final Store store;
-    private final BatchSettings terms;
+    private final BatchSettings settings;
     private final ObjectMapper mapper;
 
-    BatchInputValidator(Store store, BatchSettings terms, int nesting) {
+    BatchInputValidator(Store store, BatchSettings settings, int nesting) {
         this.store = store;
-        this.terms = terms;
+        this.settings = settings;
         mapper =
                 JsonMapper.builder(
                                 com.fasterxml.jackson.core.JsonFactory.builder()
                                         .streamReadConstraints(
                                                 StreamReadConstraints.builder()
                                                         .maxNestingDepth(nesting + 1)
-                                                        .maxStringLength(terms.lineBytes)
+                                                        .maxStringLength(settings.lineBytes)
                                                         .maxNumberLength(100)
                                                         .maxNameLength(10_000)
                                                         .build())
@@ -67,64 +67,64 @@
                         .build();
     }
 
-    Result check(BatchForm batch) throws IOException {
+    Result validate(BatchForm batch) throws IOException {
         FileForm file = store.file(batch.getInput());
         List<FaultForm> faults = new ArrayList<>();
-        long count = 0;
+        long lineCount = 0;
         store.unname(batch.getId());
         try (FileChannel channel = store.content(file);
-                LineReader lines = new LineReader(channel, terms.lineBytes, 0, 0)) {
+                LineReader lines = new LineReader(channel, settings.lineBytes, 0, 0)) {
             for (LineReader.Line line = lines.next();
-                    line != null && faults.size() < MOST_FAULTS;
+                    line != null && faults.size() < MAX_FAULTS;
                     line = lines.next()) {
                 try {
-                    if (++count > terms.lines) {
-                        throw new BadLine(
-                                "too_many_lines", null, "more than " + terms.lines + " lines");
+                    if (++lineCount > settings.lines) {
+                        throw new InvalidLineException(
+                                "too_many_lines", null, "more than " + settings.lines + " lines");
                     }
-                    Call call = read(line.bytes(), batch.getEndpoint());
-                    long before = store.name(batch.getId(), call.customId, line.number());
-                    if (before >= 0) {
-                        throw new BadLine(
+                    LineRequest request = parseLine(line.bytes(), batch.getEndpoint());
+                    long firstIndex = store.name(batch.getId(), request.customId, line.index());
+                    if (firstIndex >= 0) {
+                        throw new InvalidLineException(
                                 "duplicate_custom_id",
                                 "custom_id",
                                 "'"
-                                        + call.customId
+                                        + request.customId
                                         + "' is also the custom_id of line "
-                                        + (before + 1));
+                                        + (firstIndex + 1));
                     }
-                } catch (BadLine e) {
-                    faults.add(fault(e.code, line.number() + 1, e.field, e.getMessage()));
+                } catch (InvalidLineException e) {
+                    faults.add(fault(e.code, line.index() + 1, e.field, e.getMessage()));
                     if (e.code.equals("too_many_lines")) {
                         break;
                     }
                 }
             }
         }
-        if (count == 0) {
+        if (lineCount == 0) {
             faults.add(fault("empty_file", 0, null, "the input has no lines"));
         }
         store.unname(batch.getId());
-        return new Result(count, faults);
+        return new Result(lineCount, faults);
     }
 
-    static FaultForm fault(String code, long line, String field, String text) {
+    static FaultForm fault(String code, long line, String field, String message) {
         FaultForm.Builder fault =
-                FaultForm.newBuilder().setCode(code).setLine(line).setMessage(text);
+                FaultForm.newBuilder().setCode(code).setLine(line).setMessage(message);
         return field == null ? fault.build() : fault.setField(field).build();
     }
 
     /** Reads one line. */
-    Call read(byte[] bytes, String endpoint) throws BadLine {
+    LineRequest parseLine(byte[] bytes, String endpoint) throws InvalidLineException {
         if (bytes == null) {
-            throw new BadLine("line_too_long", null, "over " + terms.lineBytes + " bytes");
+            throw new InvalidLineException("line_too_long", null, "over " + settings.lineBytes + " bytes");
         }
         JsonNode json;
         try {
             json = mapper.readTree(bytes);
         } catch (JsonProcessingException e) {
             int column = e.getLocation() == null ? 0 : e.getLocation().getColumnNr();
-            throw new BadLine(
+            throw new InvalidLineException(
                     "invalid_json_line",
                     null,
                     "not valid JSON at column "
@@ -132,34 +132,34 @@
                             + ": "
                             + e.getOriginalMessage().split("\n")[0]);
         } catch (IOException e) {
-            throw new BadLine("invalid_json_line", null, "can't be read");
+            throw new InvalidLineException("invalid_json_line", null, "can't be read");
         }
         if (json == null || !json.isObject()) {
-            throw new BadLine("invalid_json_line", null, "expected a JSON object");
+            throw new InvalidLineException("invalid_json_line", null, "expected a JSON object");
         }
-        String id = text(json, "custom_id");
-        if (id.length() > MOST_ID) {
-            throw new BadLine("invalid_custom_id", "custom_id", "over " + MOST_ID + " characters");
+        String customId = requiredText(json, "custom_id");
+        if (customId.length() > MAX_CUSTOM_ID_CHARS) {
+            throw new InvalidLineException("invalid_custom_id", "custom_id", "over " + MAX_CUSTOM_ID_CHARS + " characters");
         }
-        if (!text(json, "method").equals("POST")) {
-            throw new BadLine("invalid_method", "method", "expected POST");
+        if (!requiredText(json, "method").equals("POST")) {
+            throw new InvalidLineException("invalid_method", "method", "expected POST");
         }
-        if (!text(json, "url").equals(endpoint)) {
-            throw new BadLine(
+        if (!requiredText(json, "url").equals(endpoint)) {
+            throw new InvalidLineException(
                     "mismatched_endpoint",
                     "url",
                     "'" + json.path("url").asText() + "' is not the batch's " + endpoint);
         }
         if (!json.path("body").isObject()) {
-            throw new BadLine("invalid_body", "body", "expected an object");
+            throw new InvalidLineException("invalid_body", "body", "expected an object");
         }
-        return new Call(id, json.path("body"));
+        return new LineRequest(customId, json.path("body"));
     }
 
-    private static String text(JsonNode json, String field) throws BadLine {
+    private static String requiredText(JsonNode json, String field) throws InvalidLineException {
         JsonNode value = json.path(field);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new BadLine(
+            throw new InvalidLineException(
                     "missing_field",
                     field,
                     value.isMissingNode() ? "is missing" : "expected a text");
--- a/src/main/java/larchridge/batch/BatchLineCodec.java
+++ b/src/main/java/larchridge/batch/BatchLineCodec.java
@@ -14,8 +14,8 @@
  * records of both files.
  */
 final class BatchLineCodec {
-    static final String CHAT = "/v1/chat/completions";
-    static final String MESSAGES = "/v1/messages";
+    static final String CHAT_COMPLETIONS_ENDPOINT = "/v1/chat/completions";
+    static final String MESSAGES_ENDPOINT = "/v1/messages";
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private BatchLineCodec() {}
@@ -24,13 +24,13 @@
      * A chat body as the messages API would have it; what it can't have is a fault that names the
      * field.
      */
-    static ObjectNode messages(JsonNode chat) throws ApiException {
+    static ObjectNode chatToMessages(JsonNode chat) throws ApiException {
         ObjectNode body = MAPPER.createObjectNode();
-        copy(chat, body, "model", "model");
-        copy(chat, body, "temperature", "temperature");
-        copy(chat, body, "top_p", "top_p");
-        copy(chat, body, "max_tokens", "max_tokens");
-        copy(chat, body, "max_completion_tokens", "max_tokens");
+        copyField(chat, body, "model", "model");
+        copyField(chat, body, "temperature", "temperature");
+        copyField(chat, body, "top_p", "top_p");
+        copyField(chat, body, "max_tokens", "max_tokens");
+        copyField(chat, body, "max_completion_tokens", "max_tokens");
         if (!body.has("max_tokens")) {
             throw ApiException.invalid("max_completion_tokens: Field required");
         }
@@ -57,8 +57,8 @@
         for (int i = 0; i < chat.path("messages").size(); i++) {
             JsonNode message = chat.path("messages").get(i);
             String role = message.path("role").asText();
-            boolean head = role.equals("system") || role.equals("developer");
-            if (!head && !role.equals("user") && !role.equals("assistant")) {
+            boolean isSystem = role.equals("system") || role.equals("developer");
+            if (!isSystem && !role.equals("user") && !role.equals("assistant")) {
                 throw ApiException.invalid(
                         "messages."
                                 + i
@@ -66,8 +66,8 @@
                                 + role
                                 + "' is not system, developer, user or assistant");
             }
-            JsonNode content = content(message.path("content"), "messages." + i + ".content");
-            if (!head) {
+            JsonNode content = textContent(message.path("content"), "messages." + i + ".content");
+            if (!isSystem) {
                 turns.addObject().put("role", role).set("content", content);
             } else if (content.isTextual()) {
                 system.addObject().put("type", "text").put("text", content.asText());
@@ -82,7 +82,7 @@
         return body;
     }
 
-    private static JsonNode content(JsonNode content, String path) throws ApiException {
+    private static JsonNode textContent(JsonNode content, String path) throws ApiException {
         if (content.isTextual()) {
             return content;
         }
@@ -101,24 +101,24 @@
         return blocks;
     }
 
-    private static void copy(JsonNode from, ObjectNode to, String name, String as) {
-        if (from.hasNonNull(name)) {
-            to.set(as, from.get(name));
+    private static void copyField(JsonNode source, ObjectNode target, String name, String targetName) {
+        if (source.hasNonNull(name)) {
+            target.set(targetName, source.get(name));
         }
     }
 
     /** The body of an answer. */
-    static ObjectNode answer(
+    static ObjectNode responseBody(
             String endpoint,
             String id,
             String model,
-            GenerationRequest ask,
-            int keptTokens,
+            GenerationRequest request,
+            int cachedTokens,
             String text,
-            Completion ending,
+            Completion completion,
             long nowMs) {
-        if (endpoint.equals(MESSAGES)) {
-            return MessageBodies.message(id, model, ask, keptTokens, text, ending);
+        if (endpoint.equals(MESSAGES_ENDPOINT)) {
+            return MessageBodies.message(id, model, request, cachedTokens, text, completion);
         }
         ObjectNode chat =
                 MAPPER.createObjectNode()
@@ -134,22 +134,22 @@
         choice.putNull("logprobs")
                 .put(
                         "finish_reason",
-                        ending.finishReason() == Completion.FinishReason.MAX_TOKENS
+                        completion.finishReason() == Completion.FinishReason.MAX_TOKENS
                                 ? "length"
                                 : "stop");
         ObjectNode usage =
                 chat.putObject("usage")
-                        .put("prompt_tokens", ask.promptTokens())
-                        .put("completion_tokens", ending.outputTokens())
-                        .put("total_tokens", ask.promptTokens() + ending.outputTokens());
+                        .put("prompt_tokens", request.promptTokens())
+                        .put("completion_tokens", completion.outputTokens())
+                        .put("total_tokens", request.promptTokens() + completion.outputTokens());
         usage.putObject("prompt_tokens_details")
-                .put("cached_tokens", Math.min(keptTokens, ask.promptTokens()));
+                .put("cached_tokens", Math.min(cachedTokens, request.promptTokens()));
         return chat;
     }
 
     /** The record of a line that was answered, well or with a fault of its own. */
-    static String response(String lineId, String customId, int status, JsonNode body) {
-        ObjectNode record = record(lineId, customId);
+    static String responseRecord(String lineId, String customId, int status, JsonNode body) {
+        ObjectNode record = newRecord(lineId, customId);
         ObjectNode response =
                 record.putObject("response")
                         .put("status_code", status)
@@ -158,17 +158,17 @@
         return record.putNull("error").toString();
     }
 
-    static ObjectNode fault(String endpoint, ApiException fault) {
+    static ObjectNode errorBody(String endpoint, ApiException error) {
         ObjectNode body = MAPPER.createObjectNode();
-        if (endpoint.equals(MESSAGES)) {
+        if (endpoint.equals(MESSAGES_ENDPOINT)) {
             body.put("type", "error")
                     .putObject("error")
-                    .put("type", fault.type)
-                    .put("message", fault.getMessage());
+                    .put("type", error.type)
+                    .put("message", error.getMessage());
         } else {
             body.putObject("error")
-                    .put("message", fault.getMessage())
-                    .put("type", fault.type)
+                    .put("message", error.getMessage())
+                    .put("type", error.type)
                     .putNull("param")
                     .putNull("code");
         }
@@ -176,13 +176,13 @@
     }
 
     /** The record of a line that has no answer. */
-    static String error(String lineId, String customId, String code, String text) {
-        ObjectNode record = record(lineId, customId).putNull("response");
-        record.putObject("error").put("code", code).put("message", text);
+    static String errorRecord(String lineId, String customId, String code, String message) {
+        ObjectNode record = newRecord(lineId, customId).putNull("response");
+        record.putObject("error").put("code", code).put("message", message);
         return record.toString();
     }
 
-    private static ObjectNode record(String lineId, String customId) {
+    private static ObjectNode newRecord(String lineId, String customId) {
         return MAPPER.createObjectNode()
                 .put("id", "batch_req_" + lineId)
                 .put("custom_id", customId);
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -35,70 +35,70 @@
  */
 public final class BatchService {
     private static final Logger LOG = LoggerFactory.getLogger(BatchService.class);
-    private static final double TAKE_OVER_MS = 500;
-    private static final double LOOK_MS = 100;
-    private static final int MOST_CONNECTIONS = 1024;
-    private static final long OPEN_MS = 20_000;
+    private static final double OWNERSHIP_RETRY_MS = 500;
+    private static final double LATENCY_SAMPLE_INTERVAL_MS = 100;
+    private static final int MAX_CONNECTIONS = 1024;
+    private static final long STORE_OPEN_TIMEOUT_MS = 20_000;
 
     private final Site site;
-    private final BatchSettings terms;
-    private final List<Router> fronts;
-    private final TokenCounters counters;
-    private final CrashPoints points;
+    private final BatchSettings settings;
+    private final List<Router> routers;
+    private final TokenCounters tokenCounters;
+    private final CrashPoints crashPoints;
     private final ThreadEventLoop loop = new ThreadEventLoop();
     private final Server server;
     private final ServerConnector connector;
     private volatile Store store;
     private volatile Batches batches;
-    private boolean told;
+    private boolean waitLogged;
     private boolean stopping;
 
     private BatchService(
-            Site site, List<Router> fronts, TokenCounters counters, CrashPoints points) {
+            Site site, List<Router> routers, TokenCounters tokenCounters, CrashPoints crashPoints) {
         this.site = site;
-        this.fronts = fronts;
-        this.counters = counters;
-        this.points = points;
-        terms = site.batch;
-        QueuedThreadPool threads = new QueuedThreadPool(terms.threads + 4, 4, 60_000);
+        this.routers = routers;
+        this.tokenCounters = tokenCounters;
+        this.crashPoints = crashPoints;
+        settings = site.batch;
+        QueuedThreadPool threads = new QueuedThreadPool(settings.threads + 4, 4, 60_000);
         threads.setName("batch-api");
         threads.setDaemon(true);
         server = new Server(threads);
-        HttpConfiguration http = new HttpConfiguration();
-        http.setSendServerVersion(false);
-        http.setRequestHeaderSize(site.limit.headerBytes);
-        connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
-        connector.setHost(terms.host);
-        connector.setPort(terms.port);
+        HttpConfiguration httpConfiguration = new HttpConfiguration();
+        httpConfiguration.setSendServerVersion(false);
+        httpConfiguration.setRequestHeaderSize(site.limit.headerBytes);
+        connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(httpConfiguration));
+        connector.setHost(settings.host);
+        connector.setPort(settings.port);
         connector.setIdleTimeout((long) site.limit.idleConnectionMs);
         server.addConnector(connector);
         // What waits for a thread is bounded by who may be connected.
-        server.addBean(new NetworkConnectionLimit(MOST_CONNECTIONS, connector));
+        server.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, connector));
         server.setHandler(new BatchEndpoint(site, this));
     }
 
     /** Starts the API; the work begins at once, or when the store's owner has gone. */
     public static BatchService start(
             Site site,
-            List<Router> fronts,
-            TokenCounters counters,
+            List<Router> routers,
+            TokenCounters tokenCounters,
             MeterRegistry registry,
-            CrashPoints points)
+            CrashPoints crashPoints)
             throws IOException {
-        BatchService service = new BatchService(site, fronts, counters, points);
-        service.gauge(registry, "larchridge_batch_lines_out", Batches.Figures::linesOut);
-        service.gauge(registry, "larchridge_batch_limit", Batches.Figures::limit);
-        service.gauge(registry, "larchridge_batch_falls_a_minute", Batches.Figures::fallsAMinute);
-        service.gauge(registry, "larchridge_batches_active", Batches.Figures::active);
-        service.gauge(registry, "larchridge_batches_finished", Batches.Figures::finished);
+        BatchService service = new BatchService(site, routers, tokenCounters, crashPoints);
+        service.registerGauge(registry, "larchridge_batch_lines_out", Batches.Stats::openLines);
+        service.registerGauge(registry, "larchridge_batch_limit", Batches.Stats::lineLimit);
+        service.registerGauge(registry, "larchridge_batch_falls_a_minute", Batches.Stats::limitDecreasesPerMinute);
+        service.registerGauge(registry, "larchridge_batches_active", Batches.Stats::activeCount);
+        service.registerGauge(registry, "larchridge_batches_finished", Batches.Stats::finishedCount);
         try {
             service.loop
-                    .ask(
+                    .call(
                             () -> {
-                                service.own();
+                                service.acquireStore();
                                 return null;
                             })
-                    .get(OPEN_MS, TimeUnit.MILLISECONDS);
+                    .get(STORE_OPEN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             LOG.warn("the store takes long to open; the batch API answers 503 until then");
         } catch (ExecutionException e) {
@@ -122,64 +122,64 @@
         return service;
     }
 
-    private void gauge(MeterRegistry registry, String name, ToDoubleFunction<Batches.Figures> of) {
+    private void registerGauge(MeterRegistry registry, String name, ToDoubleFunction<Batches.Stats> value) {
         Gauge.builder(
                         name,
                         () -> {
-                            Batches now = batches;
-                            return now == null ? 0 : of.applyAsDouble(now.figures());
+                            Batches current = batches;
+                            return current == null ? 0 : value.applyAsDouble(current.stats());
                         })
                 .register(registry);
     }
 
-    private void own() {
+    private void acquireStore() {
         if (stopping) {
             return;
         }
         try {
-            Store opened = Store.open(terms.folder, points);
-            Batches taken =
+            Store openedStore = Store.open(settings.folder, crashPoints);
+            Batches newBatches =
                     new Batches(
-                            opened,
+                            openedStore,
                             site,
-                            new RouterSubmitter(fronts, loop),
+                            new RouterSubmitter(routers, loop),
                             loop,
-                            new BatchPlanner(terms.openLines),
-                            new BatchRetryPolicy(terms.attempts, new Random(site.seed ^ 0xBA7C4L)),
-                            new MessageBodies(site, counters, loop));
-            store = opened;
-            batches = taken;
-            taken.start();
-            fronts.forEach(front -> loop.in(LOOK_MS, () -> look(front)));
+                            new BatchPlanner(settings.openLines),
+                            new BatchRetryPolicy(settings.attempts, new Random(site.seed ^ 0xBA7C4L)),
+                            new MessageBodies(site, tokenCounters, loop));
+            store = openedStore;
+            batches = newBatches;
+            newBatches.start();
+            routers.forEach(router -> loop.schedule(LATENCY_SAMPLE_INTERVAL_MS, () -> sampleLatency(router)));
             LOG.atInfo()
-                    .addKeyValue("store", terms.folder)
-                    .addKeyValue("epoch", opened.epoch())
+                    .addKeyValue("store", settings.folder)
+                    .addKeyValue("epoch", openedStore.epoch())
                     .log("owns the store");
         } catch (Store.Taken e) {
-            if (!told) {
-                told = true;
+            if (!waitLogged) {
+                waitLogged = true;
                 LOG.info("another process owns the store; this one waits");
             }
-            loop.in(TAKE_OVER_MS, this::own);
+            loop.schedule(OWNERSHIP_RETRY_MS, this::acquireStore);
         } catch (IOException e) {
             LOG.error("the store can't be opened; tried again", e);
-            loop.in(10 * TAKE_OVER_MS, this::own);
+            loop.schedule(10 * OWNERSHIP_RETRY_MS, this::acquireStore);
         }
     }
 
     /** Asks one front how its other work fares; one question out at a time. */
-    private void look(Router front) {
+    private void sampleLatency(Router router) {
         if (stopping) {
             return;
         }
-        front.loop()
+        router.loop()
                 .runOnContext(
                         v -> {
-                            LatencySample felt = front.latencySample();
+                            LatencySample sample = router.latencySample();
                             loop.execute(
                                     () -> {
-                                        batches.felt(felt);
-                                        loop.in(LOOK_MS, () -> look(front));
+                                        batches.addLatencySample(sample);
+                                        loop.schedule(LATENCY_SAMPLE_INTERVAL_MS, () -> sampleLatency(router));
                                     });
                         });
     }
@@ -202,19 +202,19 @@
     }
 
     Batches batches() throws BatchApiException {
-        Batches now = batches;
-        if (now == null) {
-            throw BatchApiException.away("another process of the service owns the store");
+        Batches current = batches;
+        if (current == null) {
+            throw BatchApiException.unavailable("another process of the service owns the store");
         }
-        return now;
+        return current;
     }
 
     /** Copies the store while it is in use. */
-    public void snapshot(Path to) throws IOException {
+    public void snapshot(Path destination) throws IOException {
         try {
-            loop.ask(
+            loop.call(
                             () -> {
-                                batches().store().snapshot(to);
+                                batches().store().snapshot(destination);
                                 return null;
                             })
                     .get(10, TimeUnit.MINUTES);
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -43,81 +43,81 @@
  */
 final class Batches {
     private static final Logger LOG = LoggerFactory.getLogger(Batches.class);
-    private static final double LOOK_MS = 100;
-    private static final double JUDGE_MS = 1000;
-    private static final double DISK_AGAIN_MS = 500;
+    private static final double TICK_INTERVAL_MS = 100;
+    private static final double RISK_CHECK_INTERVAL_MS = 1000;
+    private static final double STORE_RETRY_DELAY_MS = 500;
 
     /** Records that are gathered for one write at most, and lines that may wait for theirs. */
-    private static final int MOST_GATHERED = 512;
+    private static final int MAX_PENDING_RECORDS = 512;
 
-    private static final int MOST_READ_AHEAD = 10_000;
+    private static final int MAX_READ_AHEAD_LINES = 10_000;
 
     private final Store store;
-    private final BatchSettings terms;
+    private final BatchSettings settings;
     private final Site site;
-    private final GenerationSubmitter desk;
+    private final GenerationSubmitter submitter;
     private final EventLoop loop;
     private final BatchPlanner planner;
-    private final BatchRetryPolicy attempts;
-    private final MessageBodies bodies;
-    private final BatchInputValidator check;
-    private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final List<Store.Answer> gathered = new ArrayList<>();
-    private boolean flushing;
-    private boolean diskFails;
-    private boolean diskTold;
+    private final BatchRetryPolicy retryPolicy;
+    private final MessageBodies messageBodies;
+    private final BatchInputValidator validator;
+    private final Map<String, ActiveBatch> activeBatches = new LinkedHashMap<>();
+    private final List<Store.Answer> pendingRecords = new ArrayList<>();
+    private boolean flushScheduled;
+    private boolean storeFailing;
+    private boolean storeFailureLogged;
     private boolean stopping;
-    private double judgedMs;
-    private long finished;
-    private volatile Figures figures = new Figures(0, 0, 0, 0, 0);
+    private double lastRiskCheckMs;
+    private long finishedCount;
+    private volatile Stats stats = new Stats(0, 0, 0, 0, 0);
 
     Batches(
             Store store,
             Site site,
-            GenerationSubmitter desk,
+            GenerationSubmitter submitter,
             EventLoop loop,
             BatchPlanner planner,
-            BatchRetryPolicy attempts,
-            MessageBodies bodies) {
+            BatchRetryPolicy retryPolicy,
+            MessageBodies messageBodies) {
         this.store = store;
         this.site = site;
-        terms = site.batch;
-        this.desk = desk;
+        settings = site.batch;
+        this.submitter = submitter;
         this.loop = loop;
         this.planner = planner;
-        this.attempts = attempts;
-        this.bodies = bodies;
-        check = new BatchInputValidator(store, terms, site.limit.nesting);
+        this.retryPolicy = retryPolicy;
+        this.messageBodies = messageBodies;
+        validator = new BatchInputValidator(store, settings, site.limit.nesting);
     }
 
     /** One batch that is not over. */
-    private static final class Job {
+    private static final class ActiveBatch {
         BatchForm.Builder form;
-        PlannedBatch work;
-        FileChannel input;
-        LineReader lines;
-        boolean atEnd;
+        PlannedBatch planned;
+        FileChannel inputChannel;
+        LineReader lineReader;
+        boolean inputExhausted;
 
         /** Whether lines may have been answered or out before this owner came. */
         boolean resumed;
 
-        boolean ending;
-        final Map<Long, Trip> out = new LinkedHashMap<>();
-        final PriorityQueue<Trip> again =
+        boolean finalizing;
+        final Map<Long, LineTask> openLines = new LinkedHashMap<>();
+        final PriorityQueue<LineTask> retryQueue =
                 new PriorityQueue<>(
-                        Comparator.comparingDouble((Trip t) -> t.dueMs)
-                                .thenComparingLong(t -> t.line.number()));
+                        Comparator.comparingDouble((LineTask task) -> task.dueMs)
+                                .thenComparingLong(task -> task.line.index()));
 
         /**
          * Lines that were read, from the first that has no record, and those among them that have
          * one.
          */
-        final ArrayDeque<LineReader.Line> read = new ArrayDeque<>();
+        final ArrayDeque<LineReader.Line> readAhead = new ArrayDeque<>();
 
-        final Set<Long> recorded = new HashSet<>();
-        int unwritten;
+        final Set<Long> recordedLines = new HashSet<>();
+        int unwrittenRecords;
 
-        Job(BatchForm form) {
+        ActiveBatch(BatchForm form) {
             this.form = form.toBuilder();
         }
 
@@ -127,8 +127,8 @@
     }
 
     /** One line on its way. */
-    private static final class Trip {
-        final Job job;
+    private static final class LineTask {
+        final ActiveBatch batch;
         final LineReader.Line line;
 
         /**
@@ -137,17 +137,17 @@
         byte[] bytes;
 
         int attempts;
-        int refusals;
+        int timesNotRun;
 
         /** Whether it was out when the owner before ended. */
-        boolean unsure;
+        boolean mayHaveRun;
 
         double dueMs;
-        double tokens;
-        GenerationSubmitter.Out out;
+        double estimatedTokens;
+        GenerationSubmitter.Submission submission;
 
-        Trip(Job job, LineReader.Line line) {
-            this.job = job;
+        LineTask(ActiveBatch batch, LineReader.Line line) {
+            this.batch = batch;
             this.line = line;
         }
     }
@@ -157,27 +157,27 @@
     /** Takes up what the owner before left; from now on it looks at itself now and then. */
     void start() throws IOException {
         for (BatchForm form : store.active()) {
-            Job job = new Job(form);
-            job.resumed = true;
-            jobs.put(job.id(), job);
+            ActiveBatch batch = new ActiveBatch(form);
+            batch.resumed = true;
+            activeBatches.put(batch.id(), batch);
             switch (form.getState()) {
                 case VALIDATING, CANCELLING -> {
                     if (form.getTotal() == 0) {
-                        validate(job);
+                        validate(batch);
                     } else {
-                        end(job, StateForm.CANCELLED);
+                        startFinalizing(batch, StateForm.CANCELLED);
                     }
                 }
-                case IN_PROGRESS -> plan(job);
-                default -> finish(job);
+                case IN_PROGRESS -> addToPlanner(batch);
+                default -> finish(batch);
             }
         }
-        look();
+        tick();
     }
 
     /** What a front's other work lived through. */
-    void felt(LatencySample feeling) {
-        planner.addLatencySample(feeling, loop.nowMs());
+    void addLatencySample(LatencySample sample) {
+        planner.addLatencySample(sample, loop.nowMs());
     }
 
     /** Nothing new goes out; lines that are out may still come back. */
@@ -185,45 +185,45 @@
         stopping = true;
     }
 
-    BatchForm make(BatchForm.Builder about) throws IOException {
-        BatchForm form = store.begin(about);
-        Job job = new Job(form);
-        jobs.put(job.id(), job);
-        validate(job);
+    BatchForm create(BatchForm.Builder template) throws IOException {
+        BatchForm form = store.begin(template);
+        ActiveBatch batch = new ActiveBatch(form);
+        activeBatches.put(batch.id(), batch);
+        validate(batch);
         return form;
     }
 
     /** Cancels a batch; what it is then, or null if it can't be cancelled any more. */
     BatchForm cancel(String id) throws IOException {
-        Job job = jobs.get(id);
-        if (job == null || job.ending) {
+        ActiveBatch batch = activeBatches.get(id);
+        if (batch == null || batch.finalizing) {
             return null;
         }
-        if (job.form.getState() != StateForm.CANCELLING) {
-            BatchForm.Builder next =
-                    job.form
+        if (batch.form.getState() != StateForm.CANCELLING) {
+            BatchForm.Builder updated =
+                    batch.form
                             .clone()
                             .setState(StateForm.CANCELLING)
                             .setCancellingMs((long) loop.nowMs());
-            store.update(next.build());
-            job.form = next;
-            if (job.work != null) {
-                planner.removeBatch(job.work);
-                perhapsCancelled(job);
+            store.update(updated.build());
+            batch.form = updated;
+            if (batch.planned != null) {
+                planner.removeBatch(batch.planned);
+                finalizeIfCancelled(batch);
             }
         }
-        return job.form.build();
+        return batch.form.build();
     }
 
     /** A batch as it is now, with what the planner foretells; null if there is none. */
     BatchForm batch(String id) throws IOException {
-        Job job = jobs.get(id);
-        return job == null ? store.batch(id) : job.form.build();
+        ActiveBatch batch = activeBatches.get(id);
+        return batch == null ? store.batch(id) : batch.form.build();
     }
 
     boolean isAtRisk(String id) {
-        Job job = jobs.get(id);
-        return job != null && job.work != null && job.work.isAtRisk();
+        ActiveBatch batch = activeBatches.get(id);
+        return batch != null && batch.planned != null && batch.planned.isAtRisk();
     }
 
     Store store() {
@@ -231,30 +231,30 @@
     }
 
     /** What operators see of it. */
-    record Figures(double linesOut, double limit, double fallsAMinute, int active, long finished) {}
+    record Stats(double openLines, double lineLimit, double limitDecreasesPerMinute, int activeCount, long finishedCount) {}
 
     /** As of the last look; for readers on other threads. */
-    Figures figures() {
-        return figures;
+    Stats stats() {
+        return stats;
     }
 
     // ------------------------------------------------------------------ a batch's way
 
-    private void validate(Job job) {
-        BatchForm form = job.form.build();
-        loop.aside(
-                () -> check.check(form),
-                (result, failed) ->
-                        onDisk(() -> validated(job, result, failed), () -> validate(job)));
+    private void validate(ActiveBatch batch) {
+        BatchForm form = batch.form.build();
+        loop.runBlocking(
+                () -> validator.validate(form),
+                (result, failure) ->
+                        runStoreOperation(() -> validationDone(batch, result, failure), () -> validate(batch)));
     }
 
-    private void validated(Job job, BatchInputValidator.Result result, Exception failed)
+    private void validationDone(ActiveBatch batch, BatchInputValidator.Result result, Exception failure)
             throws IOException {
-        if (failed instanceof IOException disk) {
-            throw disk;
+        if (failure instanceof IOException ioFailure) {
+            throw ioFailure;
         }
         List<FaultForm> faults =
-                failed == null
+                failure == null
                         ? result.faults()
                         : List.of(
                                 BatchInputValidator.fault(
@@ -262,159 +262,159 @@
                                         0,
                                         null,
                                         "the input could not be checked"));
-        if (failed != null) {
-            LOG.error("an input could not be checked", failed);
+        if (failure != null) {
+            LOG.error("an input could not be checked", failure);
         }
-        BatchForm.Builder next = job.form.clone();
+        BatchForm.Builder updated = batch.form.clone();
         if (!faults.isEmpty()) {
-            next.setState(StateForm.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
-            store.update(next.build());
-            over(job, next);
+            updated.setState(StateForm.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
+            store.update(updated.build());
+            removeFinished(batch, updated);
             return;
         }
-        next.setTotal(result.lines());
-        if (next.getState() == StateForm.CANCELLING) {
-            store.update(next.build());
-            job.form = next;
-            end(job, StateForm.CANCELLED);
+        updated.setTotal(result.lineCount());
+        if (updated.getState() == StateForm.CANCELLING) {
+            store.update(updated.build());
+            batch.form = updated;
+            startFinalizing(batch, StateForm.CANCELLED);
             return;
         }
-        next.setState(StateForm.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
-        store.update(next.build());
-        job.form = next;
-        plan(job);
+        updated.setState(StateForm.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
+        store.update(updated.build());
+        batch.form = updated;
+        addToPlanner(batch);
     }
 
     /**
      * Opens the input where the lines begin that are not all answered, and lets the planner choose
      * among them.
      */
-    private void plan(Job job) throws IOException {
-        Site.Tenant tenant = site.tenantNamed(job.form.getTenant());
-        job.input = store.content(store.file(job.form.getInput()));
-        job.lines =
+    private void addToPlanner(ActiveBatch batch) throws IOException {
+        Site.Tenant tenant = site.tenantNamed(batch.form.getTenant());
+        batch.inputChannel = store.content(store.file(batch.form.getInput()));
+        batch.lineReader =
                 new LineReader(
-                        job.input, terms.lineBytes, job.form.getLowLine(), job.form.getLowOffset());
-        job.work =
+                        batch.inputChannel, settings.lineBytes, batch.form.getLowLine(), batch.form.getLowOffset());
+        batch.planned =
                 planner.addBatch(
-                        job.id(),
-                        job.form.getTenant(),
+                        batch.id(),
+                        batch.form.getTenant(),
                         tenant == null ? 1 : tenant.batchShare(),
-                        (double) job.form.getExpiresMs(),
-                        job.form.getNumber(),
-                        (double) (job.form.getTotal() - job.form.getDone() - job.form.getFailed()));
-        loop.in(Math.max(0, job.form.getExpiresMs() - loop.nowMs()), () -> expire(job));
-        if (isComplete(job)) {
-            end(job, StateForm.COMPLETED);
+                        (double) batch.form.getExpiresMs(),
+                        batch.form.getNumber(),
+                        (double) (batch.form.getTotal() - batch.form.getDone() - batch.form.getFailed()));
+        loop.schedule(Math.max(0, batch.form.getExpiresMs() - loop.nowMs()), () -> expire(batch));
+        if (isComplete(batch)) {
+            startFinalizing(batch, StateForm.COMPLETED);
         } else {
-            pump();
+            startLines();
         }
     }
 
-    private void expire(Job job) {
-        if (!jobs.containsValue(job)
-                || job.ending
-                || job.form.getState() != StateForm.IN_PROGRESS) {
+    private void expire(ActiveBatch batch) {
+        if (!activeBatches.containsValue(batch)
+                || batch.finalizing
+                || batch.form.getState() != StateForm.IN_PROGRESS) {
             return;
         }
-        for (Trip trip : List.copyOf(job.out.values())) {
-            trip.out.callOff();
-            planner.lineEnded(job.work, trip.tokens, false, loop.nowMs());
+        for (LineTask task : List.copyOf(batch.openLines.values())) {
+            task.submission.cancel();
+            planner.lineEnded(batch.planned, task.estimatedTokens, false, loop.nowMs());
         }
-        job.out.clear();
-        end(job, StateForm.EXPIRED);
+        batch.openLines.clear();
+        startFinalizing(batch, StateForm.EXPIRED);
     }
 
-    private boolean isComplete(Job job) {
-        return job.form.getDone() + job.form.getFailed() == job.form.getTotal();
+    private boolean isComplete(ActiveBatch batch) {
+        return batch.form.getDone() + batch.form.getFailed() == batch.form.getTotal();
     }
 
-    private void perhapsCancelled(Job job) {
-        if (job.form.getState() == StateForm.CANCELLING
-                && job.out.isEmpty()
-                && job.unwritten == 0
-                && !job.ending) {
-            end(job, StateForm.CANCELLED);
+    private void finalizeIfCancelled(ActiveBatch batch) {
+        if (batch.form.getState() == StateForm.CANCELLING
+                && batch.openLines.isEmpty()
+                && batch.unwrittenRecords == 0
+                && !batch.finalizing) {
+            startFinalizing(batch, StateForm.CANCELLED);
         }
     }
 
     /** Nothing more of it goes out; its files are made. Records that wait are written first. */
-    private void end(Job job, StateForm how) {
-        job.ending = true;
-        if (job.work != null) {
-            planner.removeBatch(job.work);
+    private void startFinalizing(ActiveBatch batch, StateForm endState) {
+        batch.finalizing = true;
+        if (batch.planned != null) {
+            planner.removeBatch(batch.planned);
         }
-        onDisk(
+        runStoreOperation(
                 () -> {
                     flush();
-                    BatchForm.Builder next =
-                            job.form.clone().setEnding(how).setFinalizingMs((long) loop.nowMs());
-                    if (how != StateForm.CANCELLED) {
-                        next.setState(StateForm.FINALIZING);
+                    BatchForm.Builder updated =
+                            batch.form.clone().setEnding(endState).setFinalizingMs((long) loop.nowMs());
+                    if (endState != StateForm.CANCELLED) {
+                        updated.setState(StateForm.FINALIZING);
                     }
-                    store.update(next.build());
-                    job.form = next;
-                    finish(job);
+                    store.update(updated.build());
+                    batch.form = updated;
+                    finish(batch);
                 },
-                () -> end(job, how));
+                () -> startFinalizing(batch, endState));
     }
 
     /** Both files of a batch, with a record for each line, and how many. */
-    private record Made(IncomingFile output, IncomingFile errors, long good, long bad) {}
-
-    private void finish(Job job) {
-        job.ending = true;
-        BatchForm form = job.form.build();
-        loop.aside(
-                () -> files(form),
-                (made, failed) ->
-                        onDisk(
+    private record ResultFiles(IncomingFile output, IncomingFile errors, long completedLines, long failedLines) {}
+
+    private void finish(ActiveBatch batch) {
+        batch.finalizing = true;
+        BatchForm form = batch.form.build();
+        loop.runBlocking(
+                () -> writeResultFiles(form),
+                (files, failure) ->
+                        runStoreOperation(
                                 () -> {
-                                    if (failed != null) {
-                                        throw failed instanceof IOException disk
-                                                ? disk
-                                                : new IOException("files were not made", failed);
+                                    if (failure != null) {
+                                        throw failure instanceof IOException ioFailure
+                                                ? ioFailure
+                                                : new IOException("files were not made", failure);
                                     }
-                                    try (IncomingFile output = made.output;
-                                            IncomingFile errors = made.errors) {
-                                        BatchForm.Builder next =
-                                                job.form
+                                    try (IncomingFile output = files.output;
+                                            IncomingFile errors = files.errors) {
+                                        BatchForm.Builder updated =
+                                                batch.form
                                                         .clone()
                                                         .setState(form.getEnding())
                                                         .setEndedMs((long) loop.nowMs())
-                                                        .setDone(made.good)
-                                                        .setFailed(made.bad);
+                                                        .setDone(files.completedLines)
+                                                        .setFailed(files.failedLines);
                                         BatchForm done =
                                                 store.finish(
-                                                        next,
-                                                        made.good > 0 ? output : null,
-                                                        made.bad > 0 ? errors : null,
+                                                        updated,
+                                                        files.completedLines > 0 ? output : null,
+                                                        files.failedLines > 0 ? errors : null,
                                                         (long) loop.nowMs());
-                                        over(job, done.toBuilder());
+                                        removeFinished(batch, done.toBuilder());
                                     }
                                 },
-                                () -> finish(job)));
+                                () -> finish(batch)));
     }
 
-    private Made files(BatchForm form) throws IOException {
+    private ResultFiles writeResultFiles(BatchForm form) throws IOException {
         IncomingFile output = store.receive();
         IncomingFile errors = null;
-        long good = 0;
-        long bad = 0;
+        long completedLines = 0;
+        long failedLines = 0;
         try (FileChannel input = store.content(store.file(form.getInput()));
-                LineReader lines = new LineReader(input, terms.lineBytes, 0, 0)) {
+                LineReader lines = new LineReader(input, settings.lineBytes, 0, 0)) {
             errors = store.receive();
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
-                AnswerForm answer = store.answer(form.getId(), line.number());
-                boolean isGood = answer != null && answer.getGood();
-                byte[] text =
-                        ((answer == null ? unanswered(form, line) : answer.getText()) + "\n")
+                AnswerForm answer = store.answer(form.getId(), line.index());
+                boolean isCompleted = answer != null && answer.getGood();
+                byte[] recordBytes =
+                        ((answer == null ? unansweredRecord(form, line) : answer.getText()) + "\n")
                                 .getBytes(java.nio.charset.StandardCharsets.UTF_8);
-                (isGood ? output : errors).write(text, 0, text.length);
-                good += isGood ? 1 : 0;
-                bad += isGood ? 0 : 1;
+                (isCompleted ? output : errors).write(recordBytes, 0, recordBytes.length);
+                completedLines += isCompleted ? 1 : 0;
+                failedLines += isCompleted ? 0 : 1;
             }
-            return new Made(output.synced(), errors.synced(), good, bad);
+            return new ResultFiles(output.synced(), errors.synced(), completedLines, failedLines);
         } catch (IOException e) {
             output.close();
             if (errors != null) {
@@ -425,68 +425,68 @@
     }
 
     /** The record of a line that its batch's end has left without an answer. */
-    private String unanswered(BatchForm form, LineReader.Line line) throws IOException {
-        boolean wasOut = store.attempts(form.getId(), line.number()) > 0;
+    private String unansweredRecord(BatchForm form, LineReader.Line line) throws IOException {
+        boolean wasOpen = store.attempts(form.getId(), line.index()) > 0;
         boolean expired = form.getEnding() == StateForm.EXPIRED;
         String customId;
         try {
-            customId = check.read(line.bytes(), form.getEndpoint()).customId();
-        } catch (BatchInputValidator.BadLine e) {
+            customId = validator.parseLine(line.bytes(), form.getEndpoint()).customId();
+        } catch (BatchInputValidator.InvalidLineException e) {
             customId = "";
         }
-        return BatchLineCodec.error(
-                lineId(form.getId(), line.number()),
+        return BatchLineCodec.errorRecord(
+                lineId(form.getId(), line.index()),
                 customId,
                 expired ? "batch_expired" : "batch_cancelled",
                 "The batch "
                         + (expired ? "expired" : "was cancelled")
-                        + (wasOut
+                        + (wasOpen
                                 ? " while this line was out; it may have run"
                                 : " before this line was executed"));
     }
 
-    private void over(Job job, BatchForm.Builder last) throws IOException {
-        jobs.remove(job.id());
-        finished++;
-        if (job.input != null) {
-            job.input.close();
+    private void removeFinished(ActiveBatch batch, BatchForm.Builder finalForm) throws IOException {
+        activeBatches.remove(batch.id());
+        finishedCount++;
+        if (batch.inputChannel != null) {
+            batch.inputChannel.close();
         }
         LOG.atInfo()
-                .addKeyValue("batch", job.id())
-                .addKeyValue("state", last.getState())
-                .addKeyValue("done", last.getDone())
-                .addKeyValue("failed", last.getFailed())
+                .addKeyValue("batch", batch.id())
+                .addKeyValue("state", finalForm.getState())
+                .addKeyValue("done", finalForm.getDone())
+                .addKeyValue("failed", finalForm.getFailed())
                 .log("batch over");
     }
 
     // ------------------------------------------------------------------ lines out
 
     /** Hands out lines for as long as the planner says so. */
-    private void pump() {
-        while (!stopping && !diskFails && gathered.size() < MOST_GATHERED) {
+    private void startLines() {
+        while (!stopping && !storeFailing && pendingRecords.size() < MAX_PENDING_RECORDS) {
             double now = loop.nowMs();
-            PlannedBatch work = planner.nextBatch(now);
-            if (work == null) {
+            PlannedBatch planned = planner.nextBatch(now);
+            if (planned == null) {
                 return;
             }
-            Job job = jobs.get(work.id);
-            onDisk(
+            ActiveBatch batch = activeBatches.get(planned.id);
+            runStoreOperation(
                     () -> {
-                        Trip trip = nextTrip(job, now);
-                        if (trip == null) {
-                            planner.setReady(work, false);
+                        LineTask task = nextLineTask(batch, now);
+                        if (task == null) {
+                            planner.setReady(planned, false);
                             return;
                         }
                         try {
-                            send(trip);
+                            submit(task);
                         } catch (IOException e) {
                             // Guards against: a line that could not be noted would be left out.
-                            trip.dueMs = now;
-                            job.again.add(trip);
+                            task.dueMs = now;
+                            batch.retryQueue.add(task);
                             throw e;
                         }
                     },
-                    this::pump);
+                    this::startLines);
         }
     }
 
@@ -494,330 +494,330 @@
      * The next line of a batch that may go now: one that goes again, else the next that is not
      * answered.
      */
-    private Trip nextTrip(Job job, double nowMs) throws IOException {
-        if (!job.again.isEmpty() && job.again.peek().dueMs <= nowMs) {
-            return job.again.poll();
+    private LineTask nextLineTask(ActiveBatch batch, double nowMs) throws IOException {
+        if (!batch.retryQueue.isEmpty() && batch.retryQueue.peek().dueMs <= nowMs) {
+            return batch.retryQueue.poll();
         }
         // Guards against: one line that goes again and again would let all others of a large file
         // be read
         // ahead of it into memory.
-        while (!job.atEnd && job.read.size() < MOST_READ_AHEAD) {
-            LineReader.Line line = job.lines.next();
+        while (!batch.inputExhausted && batch.readAhead.size() < MAX_READ_AHEAD_LINES) {
+            LineReader.Line line = batch.lineReader.next();
             if (line == null) {
-                job.atEnd = true;
+                batch.inputExhausted = true;
                 break;
             }
-            LineReader.Line place =
-                    new LineReader.Line(line.number(), line.offset(), line.next(), null);
-            job.read.add(place);
-            if (!job.resumed || !store.isAnswered(job.id(), line.number())) {
-                Trip trip = new Trip(job, place);
-                trip.bytes = line.bytes();
-                trip.attempts = job.resumed ? store.attempts(job.id(), line.number()) : 0;
-                trip.unsure = trip.attempts > 0;
-                return trip;
+            LineReader.Line position =
+                    new LineReader.Line(line.index(), line.offset(), line.nextOffset(), null);
+            batch.readAhead.add(position);
+            if (!batch.resumed || !store.isAnswered(batch.id(), line.index())) {
+                LineTask task = new LineTask(batch, position);
+                task.bytes = line.bytes();
+                task.attempts = batch.resumed ? store.attempts(batch.id(), line.index()) : 0;
+                task.mayHaveRun = task.attempts > 0;
+                return task;
             }
-            answered(job, place);
+            markRecorded(batch, position);
         }
         return null;
     }
 
-    private void send(Trip trip) throws IOException {
-        Job job = trip.job;
-        String lineId = lineId(job.id(), trip.line.number());
-        String endpoint = job.form.getEndpoint();
-        BatchInputValidator.Call call;
+    private void submit(LineTask task) throws IOException {
+        ActiveBatch batch = task.batch;
+        String lineId = lineId(batch.id(), task.line.index());
+        String endpoint = batch.form.getEndpoint();
+        BatchInputValidator.LineRequest lineRequest;
         try {
             byte[] bytes =
-                    trip.bytes != null
-                            ? trip.bytes
-                            : LineReader.again(job.input, trip.line, terms.lineBytes);
-            trip.bytes = null;
-            call = check.read(bytes, endpoint);
-        } catch (BatchInputValidator.BadLine e) {
-            record(
-                    trip,
+                    task.bytes != null
+                            ? task.bytes
+                            : LineReader.reread(batch.inputChannel, task.line, settings.lineBytes);
+            task.bytes = null;
+            lineRequest = validator.parseLine(bytes, endpoint);
+        } catch (BatchInputValidator.InvalidLineException e) {
+            addRecord(
+                    task,
                     false,
-                    BatchLineCodec.error(
+                    BatchLineCodec.errorRecord(
                             lineId,
                             "",
                             "input_damaged",
                             "The line was good and is no longer: " + e.getMessage()));
             return;
         }
-        GenerationRequest ask;
+        GenerationRequest generationRequest;
         try {
-            ask = ask(job, call);
+            generationRequest = toGenerationRequest(batch, lineRequest);
         } catch (ApiException e) {
-            record(
-                    trip,
+            addRecord(
+                    task,
                     false,
-                    BatchLineCodec.response(
-                            lineId, call.customId(), e.status, BatchLineCodec.fault(endpoint, e)));
+                    BatchLineCodec.responseRecord(
+                            lineId, lineRequest.customId(), e.status, BatchLineCodec.errorBody(endpoint, e)));
             return;
         }
-        Effect effect = ask.offering().product.effect;
-        if (trip.unsure
-                && attempts.retryDelayMs(
-                                BatchRetryPolicy.Outcome.PROCESS_ENDED, effect, trip.attempts, 0, 0)
+        Effect effect = generationRequest.offering().product.effect;
+        if (task.mayHaveRun
+                && retryPolicy.retryDelayMs(
+                                BatchRetryPolicy.Outcome.PROCESS_ENDED, effect, task.attempts, 0, 0)
                         < 0) {
-            record(
-                    trip,
+            addRecord(
+                    task,
                     false,
-                    BatchLineCodec.error(
+                    BatchLineCodec.errorRecord(
                             lineId,
-                            call.customId(),
+                            lineRequest.customId(),
                             "may_have_run",
                             "The service ended while this line was out; it may have run and is not repeated"));
             return;
         }
-        trip.unsure = false;
-        store.flight(job.id(), trip.line.number(), trip.attempts + 1, effect != Effect.IDEMPOTENT);
-        trip.attempts++;
-        trip.tokens = ask.promptTokens() + ask.maxTokens() / 2.0;
-        job.out.put(trip.line.number(), trip);
-        planner.lineStarted(job.work, trip.tokens);
-        trip.out = desk.take(ask, new Ears(trip, ask, call));
+        task.mayHaveRun = false;
+        store.flight(batch.id(), task.line.index(), task.attempts + 1, effect != Effect.IDEMPOTENT);
+        task.attempts++;
+        task.estimatedTokens = generationRequest.promptTokens() + generationRequest.maxTokens() / 2.0;
+        batch.openLines.put(task.line.index(), task);
+        planner.lineStarted(batch.planned, task.estimatedTokens);
+        task.submission = submitter.submit(generationRequest, new LineListener(task, generationRequest, lineRequest));
     }
 
-    private GenerationRequest ask(Job job, BatchInputValidator.Call call) throws ApiException {
-        Site.Tenant tenant = site.tenantNamed(job.form.getTenant());
+    private GenerationRequest toGenerationRequest(ActiveBatch batch, BatchInputValidator.LineRequest lineRequest) throws ApiException {
+        Site.Tenant tenant = site.tenantNamed(batch.form.getTenant());
         if (tenant == null) {
             throw ApiException.invalid(
-                    "the tenant '" + job.form.getTenant() + "' is no longer served");
+                    "the tenant '" + batch.form.getTenant() + "' is no longer served");
         }
-        boolean chat = job.form.getEndpoint().equals(BatchLineCodec.CHAT);
-        JsonNode body = chat ? BatchLineCodec.messages(call.body()) : call.body();
+        boolean isChat = batch.form.getEndpoint().equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT);
+        JsonNode body = isChat ? BatchLineCodec.chatToMessages(lineRequest.body()) : lineRequest.body();
         // One key for all tries of a line: one bill, and engines drop the repeats of a deduplicated
         // one.
-        String key = Site.sha256(job.id() + '\n' + call.customId());
-        return bodies.ask(
+        String idempotencyKey = Site.sha256(batch.id() + '\n' + lineRequest.customId());
+        return messageBodies.ask(
                 body,
-                chat ? 2 : 1,
+                isChat ? 2 : 1,
                 tenant,
-                offer -> offer.asBatch(terms.revenue, terms.lineMs),
-                key);
+                offering -> offering.asBatch(settings.revenue, settings.lineMs),
+                idempotencyKey);
     }
 
-    private static String lineId(String batch, long line) {
-        return batch.substring("batch_".length()) + "-" + (line + 1);
+    private static String lineId(String batchId, long lineIndex) {
+        return batchId.substring("batch_".length()) + "-" + (lineIndex + 1);
     }
 
     /** Hears how a line's generation ended. */
-    private final class Ears implements GenerationSubmitter.Told {
-        private final Trip trip;
-        private final GenerationRequest ask;
-        private final BatchInputValidator.Call call;
+    private final class LineListener implements GenerationSubmitter.Listener {
+        private final LineTask task;
+        private final GenerationRequest generationRequest;
+        private final BatchInputValidator.LineRequest lineRequest;
         private final String lineId;
 
-        Ears(Trip trip, GenerationRequest ask, BatchInputValidator.Call call) {
-            this.trip = trip;
-            this.ask = ask;
-            this.call = call;
-            lineId = lineId(trip.job.id(), trip.line.number());
+        LineListener(LineTask task, GenerationRequest generationRequest, BatchInputValidator.LineRequest lineRequest) {
+            this.task = task;
+            this.generationRequest = generationRequest;
+            this.lineRequest = lineRequest;
+            lineId = lineId(task.batch.id(), task.line.index());
         }
 
         /** Whether anybody still waits for it; if so it is no longer out. */
-        private boolean isBack(boolean answered) {
-            if (trip.job.out.get(trip.line.number()) != trip) {
+        private boolean removeOpenLine(boolean answered) {
+            if (task.batch.openLines.get(task.line.index()) != task) {
                 return false;
             }
-            trip.job.out.remove(trip.line.number());
-            planner.lineEnded(trip.job.work, trip.tokens, answered, loop.nowMs());
+            task.batch.openLines.remove(task.line.index());
+            planner.lineEnded(task.batch.planned, task.estimatedTokens, answered, loop.nowMs());
             return true;
         }
 
         @Override
-        public void streamed(String text, int keptTokens, Completion ending) {
-            if (isBack(true)) {
+        public void completed(String text, int cachedTokens, Completion completion) {
+            if (removeOpenLine(true)) {
                 ObjectNode body =
-                        BatchLineCodec.answer(
-                                trip.job.form.getEndpoint(),
+                        BatchLineCodec.responseBody(
+                                task.batch.form.getEndpoint(),
                                 lineId,
-                                call.body().path("model").asText(),
-                                ask,
-                                keptTokens,
+                                lineRequest.body().path("model").asText(),
+                                generationRequest,
+                                cachedTokens,
                                 text,
-                                ending,
+                                completion,
                                 (long) loop.nowMs());
-                record(trip, true, BatchLineCodec.response(lineId, call.customId(), 200, body));
-                pump();
+                addRecord(task, true, BatchLineCodec.responseRecord(lineId, lineRequest.customId(), 200, body));
+                startLines();
             }
         }
 
         @Override
-        public void tooLarge() {
-            if (isBack(true)) {
-                record(
-                        trip,
+        public void responseTooLarge() {
+            if (removeOpenLine(true)) {
+                addRecord(
+                        task,
                         false,
-                        BatchLineCodec.error(
+                        BatchLineCodec.errorRecord(
                                 lineId,
-                                call.customId(),
+                                lineRequest.customId(),
                                 "answer_too_large",
                                 "The answer is over " + site.limit.answerBytes + " bytes"));
-                pump();
+                startLines();
             }
         }
 
         @Override
-        public void throttled(double comeBackMs) {
+        public void throttled(double retryAfterMs) {
             planner.recordThrottled(loop.nowMs());
-            notRun(BatchRetryPolicy.Outcome.THROTTLED, comeBackMs);
+            notRun(BatchRetryPolicy.Outcome.THROTTLED, retryAfterMs);
         }
 
         @Override
-        public void overBudget(double comeBackMs) {
-            planner.pauseTenant(trip.job.work, loop.nowMs() + comeBackMs);
-            notRun(BatchRetryPolicy.Outcome.OVER_BUDGET, comeBackMs);
+        public void rejectedOverBudget(double retryAfterMs) {
+            planner.pauseTenant(task.batch.planned, loop.nowMs() + retryAfterMs);
+            notRun(BatchRetryPolicy.Outcome.OVER_BUDGET, retryAfterMs);
         }
 
         @Override
-        public void turnedAway() {
+        public void notAccepted() {
             notRun(BatchRetryPolicy.Outcome.NOT_ACCEPTED, 0);
         }
 
         /** It surely did not run, or running again is harmless: this time is not counted. */
-        private void notRun(BatchRetryPolicy.Outcome end, double comeBackMs) {
-            if (isBack(false)) {
-                trip.refusals++;
-                trip.attempts--;
-                onDisk(
-                        () -> store.landed(trip.job.id(), trip.line.number(), trip.attempts),
+        private void notRun(BatchRetryPolicy.Outcome outcome, double retryAfterMs) {
+            if (removeOpenLine(false)) {
+                task.timesNotRun++;
+                task.attempts--;
+                runStoreOperation(
+                        () -> store.landed(task.batch.id(), task.line.index(), task.attempts),
                         () -> {});
-                goesAgain(
-                        attempts.retryDelayMs(
-                                end,
-                                ask.offering().product.effect,
-                                trip.attempts,
-                                trip.refusals,
-                                comeBackMs));
+                scheduleRetry(
+                        retryPolicy.retryDelayMs(
+                                outcome,
+                                generationRequest.offering().product.effect,
+                                task.attempts,
+                                task.timesNotRun,
+                                retryAfterMs));
             }
         }
 
         @Override
         public void terminated() {
-            if (!isBack(false)) {
+            if (!removeOpenLine(false)) {
                 return;
             }
-            double afterMs =
-                    attempts.retryDelayMs(
+            double delayMs =
+                    retryPolicy.retryDelayMs(
                             BatchRetryPolicy.Outcome.TERMINATED,
-                            ask.offering().product.effect,
-                            trip.attempts,
+                            generationRequest.offering().product.effect,
+                            task.attempts,
                             0,
                             0);
-            if (afterMs >= 0) {
-                goesAgain(afterMs);
+            if (delayMs >= 0) {
+                scheduleRetry(delayMs);
                 return;
             }
-            record(
-                    trip,
+            addRecord(
+                    task,
                     false,
-                    ask.offering().product.effect == Effect.IDEMPOTENT
-                            ? BatchLineCodec.error(
+                    generationRequest.offering().product.effect == Effect.IDEMPOTENT
+                            ? BatchLineCodec.errorRecord(
                                     lineId,
-                                    call.customId(),
+                                    lineRequest.customId(),
                                     "terminated",
-                                    "Failed " + trip.attempts + " times")
-                            : BatchLineCodec.error(
+                                    "Failed " + task.attempts + " times")
+                            : BatchLineCodec.errorRecord(
                                     lineId,
-                                    call.customId(),
+                                    lineRequest.customId(),
                                     "may_have_run",
                                     "Failed; it may have run and is not repeated"));
-            pump();
+            startLines();
         }
 
-        private void goesAgain(double afterMs) {
-            Job job = trip.job;
-            trip.dueMs = loop.nowMs() + afterMs;
-            job.again.add(trip);
-            if (job.form.getState() != StateForm.IN_PROGRESS || job.ending) {
-                perhapsCancelled(job);
+        private void scheduleRetry(double delayMs) {
+            ActiveBatch batch = task.batch;
+            task.dueMs = loop.nowMs() + delayMs;
+            batch.retryQueue.add(task);
+            if (batch.form.getState() != StateForm.IN_PROGRESS || batch.finalizing) {
+                finalizeIfCancelled(batch);
                 return;
             }
-            loop.in(
-                    afterMs,
+            loop.schedule(
+                    delayMs,
                     () -> {
-                        if (!job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
-                            planner.setReady(job.work, true);
-                            pump();
+                        if (!batch.finalizing && batch.form.getState() == StateForm.IN_PROGRESS) {
+                            planner.setReady(batch.planned, true);
+                            startLines();
                         }
                     });
-            pump();
+            startLines();
         }
     }
 
     // ------------------------------------------------------------------ records
 
     /** A line has its record; it is written with others that come in the same moment. */
-    private void record(Trip trip, boolean good, String text) {
-        gathered.add(
+    private void addRecord(LineTask task, boolean completed, String text) {
+        pendingRecords.add(
                 new Store.Answer(
-                        trip.job.id(),
-                        trip.line.number(),
-                        AnswerForm.newBuilder().setGood(good).setText(text).build()));
-        Job job = trip.job;
-        job.unwritten++;
-        planner.lineRecorded(job.work);
-        job.form
-                .setDone(job.form.getDone() + (good ? 1 : 0))
-                .setFailed(job.form.getFailed() + (good ? 0 : 1));
-        answered(job, trip.line);
-        if (!flushing) {
-            flushing = true;
-            loop.execute(this::flushed);
+                        task.batch.id(),
+                        task.line.index(),
+                        AnswerForm.newBuilder().setGood(completed).setText(text).build()));
+        ActiveBatch batch = task.batch;
+        batch.unwrittenRecords++;
+        planner.lineRecorded(batch.planned);
+        batch.form
+                .setDone(batch.form.getDone() + (completed ? 1 : 0))
+                .setFailed(batch.form.getFailed() + (completed ? 0 : 1));
+        markRecorded(batch, task.line);
+        if (!flushScheduled) {
+            flushScheduled = true;
+            loop.execute(this::flushAndStartLines);
         }
     }
 
     /** Moves on the place before which all lines are answered. */
-    private void answered(Job job, LineReader.Line line) {
-        job.recorded.add(line.number());
-        boolean wasFull = job.read.size() >= MOST_READ_AHEAD;
-        while (!job.read.isEmpty() && job.recorded.remove(job.read.peek().number())) {
-            LineReader.Line low = job.read.poll();
-            job.form.setLowLine(low.number() + 1).setLowOffset(low.next());
+    private void markRecorded(ActiveBatch batch, LineReader.Line line) {
+        batch.recordedLines.add(line.index());
+        boolean wasFull = batch.readAhead.size() >= MAX_READ_AHEAD_LINES;
+        while (!batch.readAhead.isEmpty() && batch.recordedLines.remove(batch.readAhead.peek().index())) {
+            LineReader.Line recordedLine = batch.readAhead.poll();
+            batch.form.setLowLine(recordedLine.index() + 1).setLowOffset(recordedLine.nextOffset());
         }
-        if (wasFull && !job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
-            planner.setReady(job.work, true);
+        if (wasFull && !batch.finalizing && batch.form.getState() == StateForm.IN_PROGRESS) {
+            planner.setReady(batch.planned, true);
         }
     }
 
-    private void flushed() {
-        flushing = false;
-        onDisk(this::flush, () -> {});
-        pump();
+    private void flushAndStartLines() {
+        flushScheduled = false;
+        runStoreOperation(this::flush, () -> {});
+        startLines();
     }
 
     private void flush() throws IOException {
-        if (gathered.isEmpty()) {
+        if (pendingRecords.isEmpty()) {
             return;
         }
-        Set<Job> touched = new LinkedHashSet<>();
+        Set<ActiveBatch> flushedBatches = new LinkedHashSet<>();
         List<BatchForm> forms = new ArrayList<>();
-        for (Store.Answer answer : gathered) {
-            Job job = jobs.get(answer.batch());
-            if (touched.add(job)) {
-                forms.add(job.form.build());
+        for (Store.Answer answer : pendingRecords) {
+            ActiveBatch batch = activeBatches.get(answer.batch());
+            if (flushedBatches.add(batch)) {
+                forms.add(batch.form.build());
             }
         }
-        store.answered(gathered, forms);
-        gathered.clear();
-        for (Job job : touched) {
-            job.unwritten = 0;
-            if (!job.ending && isComplete(job)) {
-                end(
-                        job,
-                        job.form.getState() == StateForm.CANCELLING
+        store.answered(pendingRecords, forms);
+        pendingRecords.clear();
+        for (ActiveBatch batch : flushedBatches) {
+            batch.unwrittenRecords = 0;
+            if (!batch.finalizing && isComplete(batch)) {
+                startFinalizing(
+                        batch,
+                        batch.form.getState() == StateForm.CANCELLING
                                 ? StateForm.CANCELLED
                                 : StateForm.COMPLETED);
             } else {
-                perhapsCancelled(job);
+                finalizeIfCancelled(batch);
             }
         }
     }
 
-    private interface OnDisk {
+    private interface StoreOperation {
         void run() throws IOException;
     }
 
@@ -825,26 +825,26 @@
      * Guards against: a full disk must neither lose a record nor stop the loop; nothing new goes
      * out until it can be written.
      */
-    private void onDisk(OnDisk step, Runnable again) {
+    private void runStoreOperation(StoreOperation operation, Runnable retry) {
         try {
-            step.run();
-            if (diskTold) {
-                diskTold = false;
+            operation.run();
+            if (storeFailureLogged) {
+                storeFailureLogged = false;
                 LOG.info("the store can be written again");
             }
         } catch (IOException e) {
-            diskFails = true;
-            if (!diskTold) {
-                diskTold = true;
+            storeFailing = true;
+            if (!storeFailureLogged) {
+                storeFailureLogged = true;
                 LOG.error("the store fails; nothing new goes out until it works again", e);
             }
-            loop.in(
-                    DISK_AGAIN_MS,
+            loop.schedule(
+                    STORE_RETRY_DELAY_MS,
                     () -> {
                         if (!stopping) {
-                            diskFails = false;
-                            again.run();
-                            flushed();
+                            storeFailing = false;
+                            retry.run();
+                            flushAndStartLines();
                         }
                     });
         }
@@ -852,30 +852,30 @@
 
     // ------------------------------------------------------------------ now and then
 
-    private void look() {
+    private void tick() {
         double now = loop.nowMs();
-        if (now >= judgedMs + JUDGE_MS) {
-            judgedMs = now;
-            for (PlannedBatch work : planner.updateAtRisk(now)) {
+        if (now >= lastRiskCheckMs + RISK_CHECK_INTERVAL_MS) {
+            lastRiskCheckMs = now;
+            for (PlannedBatch planned : planner.updateAtRisk(now)) {
                 LOG.atWarn()
-                        .addKeyValue("batch", work.id)
-                        .addKeyValue("at_risk", work.isAtRisk())
+                        .addKeyValue("batch", planned.id)
+                        .addKeyValue("at_risk", planned.isAtRisk())
                         .log(
-                                work.isAtRisk()
+                                planned.isAtRisk()
                                         ? "will not be done in its window at the rate of late"
                                         : "can be done in its window again");
             }
         }
-        pump();
-        figures =
-                new Figures(
+        startLines();
+        stats =
+                new Stats(
                         planner.openLines(),
                         planner.limit(now),
                         planner.limitDecreasesPerMinute(now),
-                        jobs.size(),
-                        finished);
+                        activeBatches.size(),
+                        finishedCount);
         if (!stopping) {
-            loop.in(LOOK_MS, this::look);
+            loop.schedule(TICK_INTERVAL_MS, this::tick);
         }
     }
 }
--- a/src/main/java/larchridge/batch/EventLoop.java
+++ b/src/main/java/larchridge/batch/EventLoop.java
@@ -15,8 +15,8 @@
     double nowMs();
 
     /** Runs a step after a time. */
-    void in(double ms, Runnable step);
+    void schedule(double delayMs, Runnable task);
 
     /** Runs long work elsewhere, then tells here what it gave or how it failed. */
-    <T> void aside(Callable<T> work, BiConsumer<T, Exception> done);
+    <T> void runBlocking(Callable<T> work, BiConsumer<T, Exception> onDone);
 }
--- a/src/main/java/larchridge/batch/GenerationSubmitter.java
+++ b/src/main/java/larchridge/batch/GenerationSubmitter.java
@@ -9,27 +9,27 @@
      * Takes a generation; exactly one of the words is told, later, on the loop of batch work,
      * unless it is called off.
      */
-    Out take(GenerationRequest ask, Told told);
+    Submission submit(GenerationRequest request, Listener listener);
 
     /** A line that is out. */
-    interface Out {
+    interface Submission {
         /** Calls it off: nothing more is told. */
-        void callOff();
+        void cancel();
     }
 
     /** How it ended. */
-    interface Told {
-        void streamed(String text, int keptTokens, Completion ending);
+    interface Listener {
+        void completed(String text, int cachedTokens, Completion completion);
 
         /** The answer is larger than the site lets a whole answer be. */
-        void tooLarge();
+        void responseTooLarge();
 
-        void throttled(double comeBackMs);
+        void throttled(double retryAfterMs);
 
-        void overBudget(double comeBackMs);
+        void rejectedOverBudget(double retryAfterMs);
 
         /** No front took it. */
-        void turnedAway();
+        void notAccepted();
 
         void terminated();
     }
--- a/src/main/java/larchridge/batch/LineReader.java
+++ b/src/main/java/larchridge/batch/LineReader.java
@@ -12,86 +12,86 @@
  * over the limit is told as such, not held.
  */
 final class LineReader implements AutoCloseable {
-    private static final int STEP = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     private final FileChannel file;
-    private final int mostBytes;
-    private final ByteBuffer buffer = ByteBuffer.allocate(STEP);
-    private long number;
-    private long offset;
+    private final int maxLineBytes;
+    private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+    private long nextIndex;
+    private long nextOffset;
 
     /** How far the buffer has been filled. */
-    private long filled;
+    private long bufferEndOffset;
 
-    private byte[] held = new byte[STEP];
+    private byte[] lineBuffer = new byte[BUFFER_BYTES];
 
     /**
      * A line: its number in the file from 0, where it begins and the next does, and its bytes, null
      * if they are too many.
      */
     @SuppressWarnings("ArrayRecordComponent") // Bytes of a line as read; lines are not compared.
-    record Line(long number, long offset, long next, byte[] bytes) {}
+    record Line(long index, long offset, long nextOffset, byte[] bytes) {}
 
-    LineReader(FileChannel file, int mostBytes, long number, long offset) {
+    LineReader(FileChannel file, int maxLineBytes, long firstIndex, long startOffset) {
         this.file = file;
-        this.mostBytes = mostBytes;
-        this.number = number;
-        this.offset = offset;
-        filled = offset;
+        this.maxLineBytes = maxLineBytes;
+        this.nextIndex = firstIndex;
+        this.nextOffset = startOffset;
+        bufferEndOffset = startOffset;
         buffer.limit(0);
     }
 
     /** The next line that is not blank, or null at the end. */
     Line next() throws IOException {
         while (true) {
-            Line line = any();
+            Line line = nextLine();
             if (line == null || line.bytes == null || !isBlank(line.bytes)) {
                 return line;
             }
         }
     }
 
-    private Line any() throws IOException {
-        long from = offset;
+    private Line nextLine() throws IOException {
+        long startOffset = nextOffset;
         int length = 0;
-        long all = 0;
-        int last = -1;
+        long bytesRead = 0;
+        int lastByte = -1;
         while (true) {
             if (!buffer.hasRemaining() && !fill()) {
-                if (all == 0) {
+                if (bytesRead == 0) {
                     return null;
                 }
                 break;
             }
             byte b = buffer.get();
-            offset++;
-            all++;
+            nextOffset++;
+            bytesRead++;
             if (b == '\n') {
                 break;
             }
-            last = b;
-            if (length <= mostBytes) {
-                if (length == held.length) {
-                    held = Arrays.copyOf(held, Math.min(mostBytes + 2, 2 * length));
+            lastByte = b;
+            if (length <= maxLineBytes) {
+                if (length == lineBuffer.length) {
+                    lineBuffer = Arrays.copyOf(lineBuffer, Math.min(maxLineBytes + 2, 2 * length));
                 }
-                held[length++] = b;
+                lineBuffer[length++] = b;
             }
         }
-        int begin =
-                from == 0
+        int textStart =
+                startOffset == 0
                                 && length >= 3
-                                && held[0] == (byte) 0xEF
-                                && held[1] == (byte) 0xBB
-                                && held[2] == (byte) 0xBF
+                                && lineBuffer[0] == (byte) 0xEF
+                                && lineBuffer[1] == (byte) 0xBB
+                                && lineBuffer[2] == (byte) 0xBF
                         ? 3
                         : 0;
-        boolean tooLong = length > mostBytes;
-        int end = last == '\r' && !tooLong ? length - 1 : length;
+        boolean tooLong = length > maxLineBytes;
+        int textEnd = lastByte == '\r' && !tooLong ? length - 1 : length;
         return new Line(
-                number++,
-                from,
-                offset,
-                tooLong ? null : Arrays.copyOfRange(held, Math.min(begin, end), end));
+                nextIndex++,
+                startOffset,
+                nextOffset,
+                tooLong ? null : Arrays.copyOfRange(lineBuffer, Math.min(textStart, textEnd), textEnd));
     }
 
     private boolean fill() throws IOException {
@@ -99,18 +99,18 @@
         // Guards against: the channel's own position is shared by all who read it; one line read
         // again
         // would move the others.
-        int got = file.read(buffer, filled);
-        filled += Math.max(0, got);
+        int count = file.read(buffer, bufferEndOffset);
+        bufferEndOffset += Math.max(0, count);
         buffer.flip();
-        return got > 0;
+        return count > 0;
     }
 
     /** Reads one line again. */
-    static byte[] again(FileChannel file, Line line, int mostBytes) throws IOException {
-        try (LineReader lines = new LineReader(file, mostBytes, line.number, line.offset)) {
-            Line read = lines.any();
+    static byte[] reread(FileChannel file, Line line, int maxLineBytes) throws IOException {
+        try (LineReader lines = new LineReader(file, maxLineBytes, line.index, line.offset)) {
+            Line read = lines.nextLine();
             if (read == null) {
-                throw new EOFException("line " + (line.number + 1) + " is no longer there");
+                throw new EOFException("line " + (line.index + 1) + " is no longer there");
             }
             return read.bytes;
         }
@@ -128,6 +128,6 @@
     /** The channel belongs to whoever opened it. */
     @Override
     public void close() {
-        held = new byte[0];
+        lineBuffer = new byte[0];
     }
 }
--- a/src/main/java/larchridge/batch/MultipartUpload.java
+++ b/src/main/java/larchridge/batch/MultipartUpload.java
@@ -14,26 +14,26 @@
  * part, never into memory.
  */
 final class MultipartUpload extends MultiPart.AbstractPartsListener implements AutoCloseable {
-    private static final int MOST_FIELD_BYTES = 1000;
-    private static final int MOST_PARTS = 16;
+    private static final int MAX_PURPOSE_CHARS = 1000;
+    private static final int MAX_PARTS = 16;
 
     /** Where the file's bytes go. */
-    interface Place {
-        IncomingFile receive() throws IOException;
+    interface IncomingFileFactory {
+        IncomingFile create() throws IOException;
     }
 
-    private final Place place;
-    private final long mostBytes;
+    private final IncomingFileFactory fileFactory;
+    private final long maxFileBytes;
     private IncomingFile file;
     private String fileName;
     private final StringBuilder purpose = new StringBuilder();
-    private BatchApiException refusal;
-    private IOException broken;
+    private BatchApiException rejection;
+    private IOException ioFailure;
     private boolean complete;
 
-    MultipartUpload(Place place, long mostBytes) {
-        this.place = place;
-        this.mostBytes = mostBytes;
+    MultipartUpload(IncomingFileFactory fileFactory, long maxFileBytes) {
+        this.fileFactory = fileFactory;
+        this.maxFileBytes = maxFileBytes;
     }
 
     /** Reads a form to its end; the file is synced when this returns. */
@@ -46,21 +46,21 @@
             throw BatchApiException.invalid("file", "expected multipart/form-data with a boundary");
         }
         MultiPart.Parser parser = new MultiPart.Parser(boundary, this);
-        parser.setMaxParts(MOST_PARTS);
-        byte[] part = new byte[1 << 16];
-        for (int length = body.read(part);
-                length >= 0 && refusal == null && broken == null;
-                length = body.read(part)) {
-            parser.parse(Content.Chunk.from(ByteBuffer.wrap(part, 0, length), false));
+        parser.setMaxParts(MAX_PARTS);
+        byte[] buffer = new byte[1 << 16];
+        for (int length = body.read(buffer);
+                length >= 0 && rejection == null && ioFailure == null;
+                length = body.read(buffer)) {
+            parser.parse(Content.Chunk.from(ByteBuffer.wrap(buffer, 0, length), false));
         }
-        if (refusal == null && broken == null && !complete) {
+        if (rejection == null && ioFailure == null && !complete) {
             parser.parse(Content.Chunk.EOF);
         }
-        if (broken != null) {
-            throw broken;
+        if (ioFailure != null) {
+            throw ioFailure;
         }
-        if (refusal != null) {
-            throw refusal;
+        if (rejection != null) {
+            throw rejection;
         }
         if (!complete) {
             throw BatchApiException.invalid("file", "the form ends before its last boundary");
@@ -73,43 +73,43 @@
 
     @Override
     public void onPartContent(Content.Chunk chunk) {
-        if (refusal != null || broken != null) {
+        if (rejection != null || ioFailure != null) {
             return;
         }
         ByteBuffer bytes = chunk.getByteBuffer();
-        byte[] part = new byte[bytes.remaining()];
-        bytes.get(part);
+        byte[] content = new byte[bytes.remaining()];
+        bytes.get(content);
         try {
             if ("purpose".equals(getName())) {
-                purpose.append(new String(part, StandardCharsets.UTF_8));
-                if (purpose.length() > MOST_FIELD_BYTES) {
-                    refusal = BatchApiException.invalid("purpose", "is too long");
+                purpose.append(new String(content, StandardCharsets.UTF_8));
+                if (purpose.length() > MAX_PURPOSE_CHARS) {
+                    rejection = BatchApiException.invalid("purpose", "is too long");
                 }
             } else if ("file".equals(getName())) {
                 if (file == null) {
-                    file = place.receive();
+                    file = fileFactory.create();
                 }
-                if (file.bytes() + part.length > mostBytes) {
-                    refusal =
-                            BatchApiException.tooLarge("the file is over " + mostBytes + " bytes");
+                if (file.bytes() + content.length > maxFileBytes) {
+                    rejection =
+                            BatchApiException.tooLarge("the file is over " + maxFileBytes + " bytes");
                     return;
                 }
-                file.write(part, 0, part.length);
+                file.write(content, 0, content.length);
             }
         } catch (IOException e) {
-            broken = e;
+            ioFailure = e;
         }
     }
 
     @Override
-    public void onPart(String name, String name2, HttpFields headers) {
+    public void onPart(String name, String partFileName, HttpFields headers) {
         if ("file".equals(name)) {
-            fileName = name2;
-            if (file == null && broken == null) {
+            fileName = partFileName;
+            if (file == null && ioFailure == null) {
                 try {
-                    file = place.receive();
+                    file = fileFactory.create();
                 } catch (IOException e) {
-                    broken = e;
+                    ioFailure = e;
                 }
             }
         }
@@ -122,10 +122,10 @@
 
     @Override
     public void onFailure(Throwable failure) {
-        refusal =
-                refusal == null
+        rejection =
+                rejection == null
                         ? BatchApiException.invalid("file", "not a form: " + failure.getMessage())
-                        : refusal;
+                        : rejection;
     }
 
     IncomingFile file() {
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -10,123 +10,123 @@
 
 /** Hands lines to the fronts of this process in turn, each on its own loop. */
 final class RouterSubmitter implements GenerationSubmitter {
-    private final List<Router> fronts;
+    private final List<Router> routers;
     private final EventLoop loop;
-    private int next;
+    private int nextRouter;
 
-    RouterSubmitter(List<Router> fronts, EventLoop loop) {
-        this.fronts = fronts;
+    RouterSubmitter(List<Router> routers, EventLoop loop) {
+        this.routers = routers;
         this.loop = loop;
     }
 
     @Override
-    public Out take(GenerationRequest ask, Told told) {
-        Router front = fronts.get(Math.floorMod(next++, fronts.size()));
-        Line line = new Line(front, told);
-        front.loop().runOnContext(v -> line.begin(ask));
-        return line;
+    public Submission submit(GenerationRequest request, Listener listener) {
+        Router router = routers.get(Math.floorMod(nextRouter++, routers.size()));
+        LineSubmission submission = new LineSubmission(router, listener);
+        router.loop().runOnContext(v -> submission.start(request));
+        return submission;
     }
 
-    /** One line at its front; all but the call to {@link #callOff} happens on the front's loop. */
-    private final class Line implements ResponseSink, Out {
-        private final Router front;
-        private final Told told;
+    /** One line at its front; all but the call to {@link #cancel} happens on the front's loop. */
+    private final class LineSubmission implements ResponseSink, Submission {
+        private final Router router;
+        private final Listener listener;
         private final StringBuilder text = new StringBuilder();
-        private InFlightRequest open;
-        private int kept;
-        private boolean inside;
-        private boolean over;
-        private boolean tooLarge;
-
-        Line(Router front, Told told) {
-            this.front = front;
-            this.told = told;
+        private InFlightRequest inFlight;
+        private int cachedPromptTokens;
+        private boolean admitted;
+        private boolean ended;
+        private boolean responseTooLarge;
+
+        LineSubmission(Router router, Listener listener) {
+            this.router = router;
+            this.listener = listener;
         }
 
-        void begin(GenerationRequest ask) {
-            if (over) {
+        void start(GenerationRequest request) {
+            if (ended) {
                 return;
             }
-            if (!front.tryAdmit()) {
-                end(told::turnedAway);
+            if (!router.tryAdmit()) {
+                end(listener::notAccepted);
                 return;
             }
-            inside = true;
-            front.submit(ask, this, taken -> open = taken);
+            admitted = true;
+            router.submit(request, this, accepted -> inFlight = accepted);
         }
 
         /** Told at most once, and the front is left. */
-        private void end(Runnable word) {
-            if (over) {
+        private void end(Runnable notification) {
+            if (ended) {
                 return;
             }
-            over = true;
-            if (inside) {
-                front.exchangeEnded();
+            ended = true;
+            if (admitted) {
+                router.exchangeEnded();
             }
-            loop.execute(word);
+            loop.execute(notification);
         }
 
         @Override
-        public void callOff() {
-            front.loop()
+        public void cancel() {
+            router.loop()
                     .runOnContext(
                             v -> {
-                                if (!over) {
-                                    over = true;
-                                    if (open != null) {
-                                        open.clientDisconnected();
+                                if (!ended) {
+                                    ended = true;
+                                    if (inFlight != null) {
+                                        inFlight.clientDisconnected();
                                     }
-                                    if (inside) {
-                                        front.exchangeEnded();
+                                    if (admitted) {
+                                        router.exchangeEnded();
                                     }
                                 }
                             });
         }
 
         @Override
-        public void responseStarted(int keptTokens) {
-            kept = keptTokens;
+        public void responseStarted(int cachedTokens) {
+            cachedPromptTokens = cachedTokens;
         }
 
         @Override
-        public boolean textReceived(String piece) {
-            tooLarge |= text.length() + piece.length() > front.site().limit.answerBytes;
-            if (!tooLarge) {
-                text.append(piece);
+        public boolean textReceived(String chunk) {
+            responseTooLarge |= text.length() + chunk.length() > router.site().limit.answerBytes;
+            if (!responseTooLarge) {
+                text.append(chunk);
             }
-            return !over;
+            return !ended;
         }
 
         @Override
         public boolean isDisconnected() {
-            return over;
+            return ended;
         }
 
         @Override
-        public void rejectedOverBudget(BudgetDecision budget) {
-            end(() -> told.overBudget(budget.retryAfterMs()));
+        public void rejectedOverBudget(BudgetDecision decision) {
+            end(() -> listener.rejectedOverBudget(decision.retryAfterMs()));
         }
 
         @Override
-        public void completed(Completion ending) {
-            String all = text.toString();
-            end(tooLarge ? told::tooLarge : () -> told.streamed(all, kept, ending));
+        public void completed(Completion completion) {
+            String fullText = text.toString();
+            end(responseTooLarge ? listener::responseTooLarge : () -> listener.completed(fullText, cachedPromptTokens, completion));
         }
 
         @Override
-        public void rejected(double comeBackMs) {
-            end(() -> told.throttled(comeBackMs));
+        public void rejected(double retryAfterMs) {
+            end(() -> listener.throttled(retryAfterMs));
         }
 
         @Override
         public void failed(FailureCause cause, boolean mayRetry) {
-            end(told::terminated);
+            end(listener::terminated);
         }
 
         @Override
         public void aborted() {
-            end(told::terminated);
+            end(listener::terminated);
         }
     }
 }
--- a/src/main/java/larchridge/batch/ThreadEventLoop.java
+++ b/src/main/java/larchridge/batch/ThreadEventLoop.java
@@ -18,27 +18,27 @@
  */
 final class ThreadEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ThreadEventLoop.class);
-    private static final int MOST_ASIDE = 100_000;
-    private static final long CLOSE_MS = 10_000;
+    private static final int MAX_QUEUED_BLOCKING_TASKS = 100_000;
+    private static final long CLOSE_TIMEOUT_MS = 10_000;
 
-    private final ScheduledThreadPoolExecutor thread =
-            new ScheduledThreadPoolExecutor(1, work -> daemon(work, "batches"));
-    private final ThreadPoolExecutor aside =
+    private final ScheduledThreadPoolExecutor loopExecutor =
+            new ScheduledThreadPoolExecutor(1, work -> daemonThread(work, "batches"));
+    private final ThreadPoolExecutor blockingExecutor =
             new ThreadPoolExecutor(
                     2,
                     2,
                     1,
                     TimeUnit.SECONDS,
-                    new ArrayBlockingQueue<>(MOST_ASIDE),
-                    work -> daemon(work, "batch-files"));
+                    new ArrayBlockingQueue<>(MAX_QUEUED_BLOCKING_TASKS),
+                    work -> daemonThread(work, "batch-files"));
     private final double startMs = System.currentTimeMillis();
     private final long startNs = System.nanoTime();
 
     ThreadEventLoop() {
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        loopExecutor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    private static Thread daemon(Runnable work, String name) {
+    private static Thread daemonThread(Runnable work, String name) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         return thread;
@@ -50,9 +50,9 @@
     }
 
     @Override
-    public void execute(Runnable step) {
+    public void execute(Runnable task) {
         try {
-            thread.execute(() -> guarded(step));
+            loopExecutor.execute(() -> runAndLogFailure(task));
         } catch (RejectedExecutionException e) {
             // It is closing: what comes from fronts now is found as in flight at the next start.
             LOG.debug("a step came after the end");
@@ -60,10 +60,10 @@
     }
 
     @Override
-    public void in(double ms, Runnable step) {
+    public void schedule(double delayMs, Runnable task) {
         try {
-            thread.schedule(
-                    () -> guarded(step), (long) Math.max(1, Math.ceil(ms)), TimeUnit.MILLISECONDS);
+            loopExecutor.schedule(
+                    () -> runAndLogFailure(task), (long) Math.max(1, Math.ceil(delayMs)), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             LOG.debug("a timer came after the end");
         }
@@ -73,52 +73,52 @@
      * Guards against: a step that throws would end in a future that nobody reads, and with it all
      * that it was to start.
      */
-    private static void guarded(Runnable step) {
+    private static void runAndLogFailure(Runnable task) {
         try {
-            step.run();
+            task.run();
         } catch (RuntimeException e) {
             LOG.error("a step of batch work failed", e);
         }
     }
 
     @Override
-    public <T> void aside(Callable<T> work, BiConsumer<T, Exception> done) {
-        aside.execute(
+    public <T> void runBlocking(Callable<T> work, BiConsumer<T, Exception> onDone) {
+        blockingExecutor.execute(
                 () -> {
                     try {
-                        T got = work.call();
-                        execute(() -> done.accept(got, null));
+                        T result = work.call();
+                        execute(() -> onDone.accept(result, null));
                     } catch (Exception e) {
-                        execute(() -> done.accept(null, e));
+                        execute(() -> onDone.accept(null, e));
                     }
                 });
     }
 
     /** Runs a question on the loop and hands its answer out. */
-    <T> CompletableFuture<T> ask(Callable<T> question) {
-        CompletableFuture<T> answer = new CompletableFuture<>();
+    <T> CompletableFuture<T> call(Callable<T> task) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         try {
-            thread.execute(
+            loopExecutor.execute(
                     () -> {
                         try {
-                            answer.complete(question.call());
+                            result.complete(task.call());
                         } catch (Exception e) {
-                            answer.completeExceptionally(e);
+                            result.completeExceptionally(e);
                         }
                     });
         } catch (RejectedExecutionException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
         }
-        return answer;
+        return result;
     }
 
     @Override
     public void close() {
         try {
-            aside.shutdownNow();
-            aside.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
-            thread.shutdown();
-            thread.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
+            blockingExecutor.shutdownNow();
+            blockingExecutor.awaitTermination(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            loopExecutor.shutdown();
+            loopExecutor.awaitTermination(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -41,20 +41,20 @@
     static final ObjectMapper MAPPER = new ObjectMapper();
     final Path folder = Files.createTempDirectory("larchridge-batch");
     final Site site;
-    final TokenCounters counters = new TokenCounters(1 << 20, 1, 10, 4);
+    final TokenCounters tokenCounters = new TokenCounters(1 << 20, 1, 10, 4);
 
     /** What the engines ran, by the line's custom id; it outlives the process. */
-    final Map<String, Integer> ran = new TreeMap<>();
+    final Map<String, Integer> runsByCustomId = new TreeMap<>();
 
-    VirtualLoop loop;
+    VirtualEventLoop loop;
     Store store;
     Batches batches;
-    CrashPoints points = CrashPoints.NONE;
-    int out;
-    int mostOut;
+    CrashPoints crashPoints = CrashPoints.NONE;
+    int openSubmissions;
+    int maxOpenSubmissions;
 
     /** The process ends here. */
-    static final class Halt extends Error {
+    static final class SimulatedCrash extends Error {
         private static final long serialVersionUID = 1;
     }
 
@@ -73,30 +73,30 @@
                 batch { listen { host: "127.0.0.1" port: 0 } folder: "store" line_bytes: 2000 open_lines: 8 }
                 """,
                         folder);
-        begin();
+        start();
     }
 
     /** A process that takes up the store as it is. */
-    void begin() throws IOException {
-        loop = new VirtualLoop();
-        out = 0;
-        store = Store.open(folder.resolve("store"), name -> points.at(name));
+    void start() throws IOException {
+        loop = new VirtualEventLoop();
+        openSubmissions = 0;
+        store = Store.open(folder.resolve("store"), name -> crashPoints.at(name));
         batches =
                 new Batches(
                         store,
                         site,
-                        new Engines(),
+                        new ScriptedSubmitter(),
                         loop,
                         new BatchPlanner(site.batch.openLines),
                         new BatchRetryPolicy(site.batch.attempts, new Random(1)),
-                        new MessageBodies(site, counters, loop));
+                        new MessageBodies(site, tokenCounters, loop));
         batches.start();
     }
 
     /** The process is no more; what was not on disk is lost. */
-    void killed() throws IOException {
+    void killAndRestart() throws IOException {
         store.close();
-        begin();
+        start();
     }
 
     FileForm upload(String text) throws IOException {
@@ -106,8 +106,8 @@
         return store.keep(incoming.synced(), "g", "in.jsonl", "batch", 1);
     }
 
-    BatchForm make(FileForm input, double windowMs) throws IOException {
-        return batches.make(
+    BatchForm createBatch(FileForm input, double windowMs) throws IOException {
+        return batches.create(
                 BatchForm.newBuilder()
                         .setTenant("g")
                         .setInput(input.getId())
@@ -118,7 +118,7 @@
     }
 
     /** A line whose engines do as its words say. */
-    static String line(String id, String model, String words) {
+    static String line(String id, String model, String script) {
         return "{\"custom_id\":\""
                 + id
                 + "\",\"method\":\"POST\",\"url\":\"/v1/messages\",\"body\":{\"model\":\""
@@ -126,11 +126,11 @@
                 + "\",\"max_tokens\":10,\"messages\":[{\"role\":\"user\",\"content\":\"id="
                 + id
                 + " "
-                + words
+                + script
                 + "\"}]}}";
     }
 
-    static String file(int lines) {
+    static String inputOf(int lines) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < lines; i++) {
             text.append(line("c" + i, "free", "ok")).append('\n');
@@ -144,9 +144,9 @@
         if (fileId.isEmpty()) {
             return records;
         }
-        try (FileChannel from = store.content(store.file(fileId))) {
+        try (FileChannel channel = store.content(store.file(fileId))) {
             for (String text :
-                    new String(Channels.newInputStream(from).readAllBytes(), StandardCharsets.UTF_8)
+                    new String(Channels.newInputStream(channel).readAllBytes(), StandardCharsets.UTF_8)
                             .split("\n")) {
                 JsonNode record = MAPPER.readTree(text);
                 if (records.put(record.path("custom_id").asText(), record) != null) {
@@ -173,7 +173,7 @@
     @Override
     public void close() throws IOException {
         store.close();
-        counters.close();
+        tokenCounters.close();
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
@@ -185,34 +185,34 @@
      * Does what prompts say: ok, fail N (terminated N times), busy N (throttled N times), slow MS,
      * never.
      */
-    private final class Engines implements GenerationSubmitter {
-        private final Map<String, Integer> times = new HashMap<>();
+    private final class ScriptedSubmitter implements GenerationSubmitter {
+        private final Map<String, Integer> attemptsById = new HashMap<>();
 
         @Override
-        public Out take(GenerationRequest ask, Told told) {
-            String prompt = ask.prompt();
+        public Submission submit(GenerationRequest request, Listener listener) {
+            String prompt = request.prompt();
             String id = prompt.substring(prompt.indexOf("id=") + 3).split("\\s")[0];
-            int time = times.merge(id, 1, Integer::sum);
-            boolean[] off = new boolean[1];
-            mostOut = Math.max(mostOut, ++out);
-            boolean busy = time <= number(prompt, "busy");
+            int attempt = attemptsById.merge(id, 1, Integer::sum);
+            boolean[] cancelled = new boolean[1];
+            maxOpenSubmissions = Math.max(maxOpenSubmissions, ++openSubmissions);
+            boolean busy = attempt <= argument(prompt, "busy");
             if (!busy) {
-                ran.merge(id, 1, Integer::sum);
+                runsByCustomId.merge(id, 1, Integer::sum);
             }
             if (!prompt.contains(" never")) {
-                loop.in(
-                        Math.max(20, number(prompt, "slow")),
+                loop.schedule(
+                        Math.max(20, argument(prompt, "slow")),
                         () -> {
-                            if (off[0]) {
+                            if (cancelled[0]) {
                                 return;
                             }
-                            out--;
+                            openSubmissions--;
                             if (busy) {
-                                told.throttled(0);
-                            } else if (time <= number(prompt, "fail")) {
-                                told.terminated();
+                                listener.throttled(0);
+                            } else if (attempt <= argument(prompt, "fail")) {
+                                listener.terminated();
                             } else {
-                                told.streamed(
+                                listener.completed(
                                         "w1 w2 ",
                                         0,
                                         new Completion(
@@ -221,16 +221,16 @@
                         });
             }
             return () -> {
-                off[0] = true;
-                out--;
+                cancelled[0] = true;
+                openSubmissions--;
             };
         }
 
-        private static int number(String prompt, String word) {
-            int at = prompt.indexOf(" " + word + " ");
-            return at < 0
+        private static int argument(String prompt, String keyword) {
+            int index = prompt.indexOf(" " + keyword + " ");
+            return index < 0
                     ? 0
-                    : Integer.parseInt(prompt.substring(at + word.length() + 2).split("\\s")[0]);
+                    : Integer.parseInt(prompt.substring(index + keyword.length() + 2).split("\\s")[0]);
         }
     }
 
@@ -238,14 +238,14 @@
      * Virtual time: steps run in the order of their times, and in one moment in the order in which
      * they came.
      */
-    static final class VirtualLoop implements EventLoop {
-        private record Step(double ms, long number, Runnable run) {}
+    static final class VirtualEventLoop implements EventLoop {
+        private record ScheduledTask(double dueMs, long sequenceNumber, Runnable task) {}
 
-        private final PriorityQueue<Step> steps =
+        private final PriorityQueue<ScheduledTask> tasks =
                 new PriorityQueue<>(
-                        Comparator.comparingDouble(Step::ms).thenComparingLong(Step::number));
+                        Comparator.comparingDouble(ScheduledTask::dueMs).thenComparingLong(ScheduledTask::sequenceNumber));
         private double nowMs = 1_800_000_000_000.0;
-        private long number;
+        private long nextSequenceNumber;
 
         @Override
         public double nowMs() {
@@ -253,58 +253,58 @@
         }
 
         @Override
-        public void execute(Runnable step) {
-            steps.add(new Step(nowMs, number++, step));
+        public void execute(Runnable task) {
+            tasks.add(new ScheduledTask(nowMs, nextSequenceNumber++, task));
         }
 
         @Override
-        public void in(double ms, Runnable step) {
-            steps.add(new Step(nowMs + Math.max(1, Math.ceil(ms)), number++, step));
+        public void schedule(double delayMs, Runnable task) {
+            tasks.add(new ScheduledTask(nowMs + Math.max(1, Math.ceil(delayMs)), nextSequenceNumber++, task));
         }
 
         @Override
-        public <T> void aside(Callable<T> work, BiConsumer<T, Exception> done) {
+        public <T> void runBlocking(Callable<T> work, BiConsumer<T, Exception> onDone) {
             execute(
                     () -> {
-                        T got = null;
-                        Exception failed = null;
+                        T value = null;
+                        Exception thrown = null;
                         try {
-                            got = work.call();
+                            value = work.call();
                         } catch (Exception e) {
-                            failed = e;
+                            thrown = e;
                         }
-                        T given = got;
-                        Exception fault = failed;
-                        execute(() -> done.accept(given, fault));
+                        T result = value;
+                        Exception failure = thrown;
+                        execute(() -> onDone.accept(result, failure));
                     });
         }
 
         /** Runs for so long, virtually. */
-        void run(double ms) {
-            double end = nowMs + ms;
-            while (!steps.isEmpty() && steps.peek().ms <= end) {
-                Step step = steps.poll();
-                nowMs = Math.max(nowMs, step.ms);
-                step.run.run();
+        void run(double durationMs) {
+            double end = nowMs + durationMs;
+            while (!tasks.isEmpty() && tasks.peek().dueMs <= end) {
+                ScheduledTask scheduled = tasks.poll();
+                nowMs = Math.max(nowMs, scheduled.dueMs);
+                scheduled.task.run();
             }
             nowMs = end;
         }
     }
 
     /** Counts the places at which the store writes, and ends the process at one of them. */
-    static final class HaltAt implements CrashPoints {
-        final List<String> passed = new ArrayList<>();
-        private final int at;
+    static final class CrashAtWrite implements CrashPoints {
+        final List<String> passedWrites = new ArrayList<>();
+        private final int crashAt;
 
-        HaltAt(int at) {
-            this.at = at;
+        CrashAtWrite(int crashAt) {
+            this.crashAt = crashAt;
         }
 
         @Override
         public void at(String name) {
-            passed.add(name);
-            if (passed.size() == at) {
-                throw new Halt();
+            passedWrites.add(name);
+            if (passedWrites.size() == crashAt) {
+                throw new SimulatedCrash();
             }
         }
     }
--- a/src/test/java/larchridge/batch/BatchLineCodecTest.java
+++ b/src/test/java/larchridge/batch/BatchLineCodecTest.java
@@ -13,13 +13,13 @@
     }
 
     @Test
-    void chatBecomesMessages() throws Exception {
+    void chatRequestIsConvertedToMessagesRequest() throws Exception {
         assertEquals(
                 json(
                         "{'model':'m','temperature':1.5,'max_tokens':7,'stop_sequences':['x'],'system':[{'type':'text',"
                                 + "'text':'be brief'}],'messages':[{'role':'user','content':'a'},{'role':'assistant','content':'b'},"
                                 + "{'role':'user','content':[{'type':'text','text':'c'}]}]}"),
-                BatchLineCodec.messages(
+                BatchLineCodec.chatToMessages(
                         json(
                                 "{'model':'m',"
                                         + "'temperature':1.5,'max_completion_tokens':7,'stop':'x','messages':[{'role':'system','content':'be brief'},"
@@ -28,8 +28,8 @@
     }
 
     @Test
-    void whatChatCantHaveHereNamesItsField() throws Exception {
-        for (String[] bad :
+    void unsupportedChatFieldIsNamedInTheError() throws Exception {
+        for (String[] testCase :
                 new String[][] {
                     {"{'model':'m','messages':[]}", "max_completion_tokens: Field required"},
                     {"{'model':'m','max_tokens':1,'n':2,'messages':[]}", "n: only 1 is served"},
@@ -47,8 +47,8 @@
                     }
                 }) {
             assertEquals(
-                    bad[1],
-                    assertThrows(ApiException.class, () -> BatchLineCodec.messages(json(bad[0])))
+                    testCase[1],
+                    assertThrows(ApiException.class, () -> BatchLineCodec.chatToMessages(json(testCase[0])))
                             .getMessage());
         }
     }
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -32,19 +32,19 @@
     }
 
     @Test
-    void eachLineHasItsRecordInOrderOfTheInput() throws Exception {
-        try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(BatchFixture.file(40)), HOUR);
-            stage.loop.run(60_000);
-            BatchForm done = stage.batches.batch(batch.getId());
+    void eachLineHasARecordInInputOrder() throws Exception {
+        try (BatchFixture fixture = new BatchFixture()) {
+            BatchForm batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(40)), HOUR);
+            fixture.loop.run(60_000);
+            BatchForm done = fixture.batches.batch(batch.getId());
             assertEquals(StateForm.COMPLETED, done.getState());
-            assertEquals(ids(40), stage.records(done.getOutput()).keySet());
+            assertEquals(ids(40), fixture.records(done.getOutput()).keySet());
             assertEquals("", done.getErrors());
             assertEquals(
                     "w1 w2 ",
-                    stage.records(done).get("c7").at("/response/body/content/0/text").asText());
-            assertTrue(stage.mostOut <= 8, "out at a time: " + stage.mostOut);
-            assertEquals(List.of(), stage.store.verify());
+                    fixture.records(done).get("c7").at("/response/body/content/0/text").asText());
+            assertTrue(fixture.maxOpenSubmissions <= 8, "out at a time: " + fixture.maxOpenSubmissions);
+            assertEquals(List.of(), fixture.store.verify());
         }
     }
 
@@ -53,20 +53,20 @@
      * of a large input is read.
      */
     @Test
-    void inputLargerThanAnyBufferIsReadWhole() throws Exception {
+    void inputLargerThanTheReadBufferIsReadCompletely() throws Exception {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 300; i++) {
             text.append(BatchFixture.line("c" + i, "free", "ok " + "y".repeat(1500))).append('\n');
         }
-        try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text.toString()), HOUR);
-            stage.loop.run(120_000);
-            assertEquals(300, stage.records(stage.batches.batch(batch.getId()).getOutput()).size());
+        try (BatchFixture fixture = new BatchFixture()) {
+            BatchForm batch = fixture.createBatch(fixture.upload(text.toString()), HOUR);
+            fixture.loop.run(120_000);
+            assertEquals(300, fixture.records(fixture.batches.batch(batch.getId()).getOutput()).size());
         }
     }
 
     @Test
-    void brokenLinesFailTheBatchBeforeAnythingRuns() throws Exception {
+    void invalidLinesFailTheBatchBeforeAnyLineRuns() throws Exception {
         String good = BatchFixture.line("a", "free", "ok");
         String text =
                 "\uFEFF"
@@ -79,10 +79,10 @@
                         + good.replace("\"a\"", "\"b\"").replace("POST", "GET")
                         + "\n"
                         + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
-        try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text), HOUR);
-            stage.loop.run(1000);
-            BatchForm failed = stage.batches.batch(batch.getId());
+        try (BatchFixture fixture = new BatchFixture()) {
+            BatchForm batch = fixture.createBatch(fixture.upload(text), HOUR);
+            fixture.loop.run(1000);
+            BatchForm failed = fixture.batches.batch(batch.getId());
             assertEquals(StateForm.FAILED, failed.getState());
             assertEquals(
                     List.of(
@@ -93,20 +93,20 @@
                             "7 mismatched_endpoint url"),
                     failed.getFaultList().stream()
                             .map(
-                                    f ->
-                                            (f.getLine() + " " + f.getCode() + " " + f.getField())
+                                    fault ->
+                                            (fault.getLine() + " " + fault.getCode() + " " + fault.getField())
                                                     .strip())
                             .toList());
             assertTrue(
                     failed.getFault(1).getMessage().endsWith("of line 1"),
                     failed.getFault(1).getMessage());
-            assertTrue(stage.ran.isEmpty());
-            assertTrue(stage.store.delete(stage.store.file(failed.getInput())));
+            assertTrue(fixture.runsByCustomId.isEmpty());
+            assertTrue(fixture.store.delete(fixture.store.file(failed.getInput())));
         }
     }
 
     @Test
-    void linesThatFailGoAgainByTheirEffect() throws Exception {
+    void failedLinesAreRetriedDependingOnTheirEffect() throws Exception {
         String text =
                 BatchFixture.line("free2", "free", "fail 2")
                         + "\n"
@@ -119,107 +119,107 @@
                         + BatchFixture.line("dedup", "dedup", "fail 1")
                         + "\n"
                         + BatchFixture.line("nobody", "unknown", "ok");
-        try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text), HOUR);
-            stage.loop.run(300_000);
-            BatchForm done = stage.batches.batch(batch.getId());
+        try (BatchFixture fixture = new BatchFixture()) {
+            BatchForm batch = fixture.createBatch(fixture.upload(text), HOUR);
+            fixture.loop.run(300_000);
+            BatchForm done = fixture.batches.batch(batch.getId());
             assertEquals(StateForm.COMPLETED, done.getState());
-            assertEquals(Set.of("free2", "busy"), stage.records(done.getOutput()).keySet());
-            Map<String, JsonNode> errors = stage.records(done.getErrors());
+            assertEquals(Set.of("free2", "busy"), fixture.records(done.getOutput()).keySet());
+            Map<String, JsonNode> errors = fixture.records(done.getErrors());
             assertEquals("terminated", errors.get("free9").at("/error/code").asText());
             assertEquals("may_have_run", errors.get("once").at("/error/code").asText());
             assertEquals("may_have_run", errors.get("dedup").at("/error/code").asText());
             assertEquals(404, errors.get("nobody").at("/response/status_code").asInt());
             assertEquals(
-                    Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1), stage.ran);
+                    Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1), fixture.runsByCustomId);
             assertEquals(2, done.getDone());
             assertEquals(4, done.getFailed());
         }
     }
 
     @Test
-    void cancelledBatchKeepsWhatWasAnsweredAndNamesTheRest() throws Exception {
-        try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(BatchFixture.file(400)), HOUR);
-            stage.loop.run(300);
-            assertEquals(StateForm.CANCELLING, stage.batches.cancel(batch.getId()).getState());
-            stage.loop.run(5000);
-            BatchForm done = stage.batches.batch(batch.getId());
+    void cancelledBatchKeepsAnswersAndRecordsTheOtherLinesAsCancelled() throws Exception {
+        try (BatchFixture fixture = new BatchFixture()) {
+            BatchForm batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(400)), HOUR);
+            fixture.loop.run(300);
+            assertEquals(StateForm.CANCELLING, fixture.batches.cancel(batch.getId()).getState());
+            fixture.loop.run(5000);
+            BatchForm done = fixture.batches.batch(batch.getId());
             assertEquals(StateForm.CANCELLED, done.getState());
-            assertEquals(ids(400), stage.records(done).keySet());
+            assertEquals(ids(400), fixture.records(done).keySet());
             assertTrue(done.getDone() > 0 && done.getFailed() > 0, done.toString());
             assertEquals(
                     "batch_cancelled",
-                    stage.records(done.getErrors()).get("c399").at("/error/code").asText());
-            assertNull(stage.batches.cancel(batch.getId()));
+                    fixture.records(done.getErrors()).get("c399").at("/error/code").asText());
+            assertNull(fixture.batches.cancel(batch.getId()));
         }
     }
 
     @Test
-    void batchThatExpiresWithLinesOutSaysThatTheyMayHaveRun() throws Exception {
-        String text = BatchFixture.file(3) + BatchFixture.line("long", "free", "never") + "\n";
-        try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text), 10_000);
-            stage.loop.run(11_000);
-            BatchForm done = stage.batches.batch(batch.getId());
+    void openLinesOfAnExpiredBatchAreRecordedAsPossiblyRun() throws Exception {
+        String text = BatchFixture.inputOf(3) + BatchFixture.line("long", "free", "never") + "\n";
+        try (BatchFixture fixture = new BatchFixture()) {
+            BatchForm batch = fixture.createBatch(fixture.upload(text), 10_000);
+            fixture.loop.run(11_000);
+            BatchForm done = fixture.batches.batch(batch.getId());
             assertEquals(StateForm.EXPIRED, done.getState());
-            JsonNode error = stage.records(done.getErrors()).get("long").path("error");
+            JsonNode error = fixture.records(done.getErrors()).get("long").path("error");
             assertEquals("batch_expired", error.path("code").asText());
             assertTrue(error.path("message").asText().contains("may have run"));
             assertEquals(3, done.getDone());
-            assertEquals(0, stage.out);
+            assertEquals(0, fixture.openSubmissions);
         }
     }
 
     @Test
-    void inputIsNotDeletedWhileItIsRead() throws Exception {
-        try (BatchFixture stage = new BatchFixture()) {
-            FileForm input = stage.upload(BatchFixture.file(3));
-            stage.make(input, HOUR);
-            assertFalse(stage.store.delete(input));
-            stage.loop.run(60_000);
-            assertTrue(stage.store.delete(input));
+    void inputFileCannotBeDeletedWhileABatchReadsIt() throws Exception {
+        try (BatchFixture fixture = new BatchFixture()) {
+            FileForm input = fixture.upload(BatchFixture.inputOf(3));
+            fixture.createBatch(input, HOUR);
+            assertFalse(fixture.store.delete(input));
+            fixture.loop.run(60_000);
+            assertTrue(fixture.store.delete(input));
         }
     }
 
     /** Guards against: a disk that is full for a while must cost no line its record. */
     @Test
-    void diskThatFailsForAWhileLosesNothing() throws Exception {
-        for (String failing :
+    void temporaryDiskFailureLosesNoRecord() throws Exception {
+        for (String failingWrite :
                 List.of(
                         "record flight",
                         "record answers",
                         "sync incoming",
                         "finish batch",
                         "update batch")) {
-            try (BatchFixture stage = new BatchFixture()) {
-                BatchForm batch = stage.make(stage.upload(BatchFixture.file(30)), HOUR);
-                double from = stage.loop.nowMs();
-                stage.points =
+            try (BatchFixture fixture = new BatchFixture()) {
+                BatchForm batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(30)), HOUR);
+                double startMs = fixture.loop.nowMs();
+                fixture.crashPoints =
                         name -> {
-                            if (name.equals(failing) && stage.loop.nowMs() < from + 5000) {
+                            if (name.equals(failingWrite) && fixture.loop.nowMs() < startMs + 5000) {
                                 throw new IOException("No space left on device");
                             }
                         };
-                stage.loop.run(60_000);
-                BatchForm done = stage.batches.batch(batch.getId());
-                assertEquals(StateForm.COMPLETED, done.getState(), failing);
-                assertEquals(ids(30), stage.records(done).keySet(), failing);
-                assertEquals(List.of(), stage.store.verify(), failing);
+                fixture.loop.run(60_000);
+                BatchForm done = fixture.batches.batch(batch.getId());
+                assertEquals(StateForm.COMPLETED, done.getState(), failingWrite);
+                assertEquals(ids(30), fixture.records(done).keySet(), failingWrite);
+                assertEquals(List.of(), fixture.store.verify(), failingWrite);
             }
         }
     }
 
     @Test
-    void manySmallBatchesAllEnd() throws Exception {
-        try (BatchFixture stage = new BatchFixture()) {
-            FileForm input = stage.upload(BatchFixture.file(2));
+    void manySmallBatchesAllComplete() throws Exception {
+        try (BatchFixture fixture = new BatchFixture()) {
+            FileForm input = fixture.upload(BatchFixture.inputOf(2));
             for (int i = 0; i < 300; i++) {
-                stage.make(input, HOUR);
+                fixture.createBatch(input, HOUR);
             }
-            stage.loop.run(600_000);
-            assertEquals(List.of(), stage.store.active());
-            assertEquals(600, stage.ran.values().stream().mapToInt(Integer::intValue).sum());
+            fixture.loop.run(600_000);
+            assertEquals(List.of(), fixture.store.active());
+            assertEquals(600, fixture.runsByCustomId.values().stream().mapToInt(Integer::intValue).sum());
         }
     }
 
@@ -247,82 +247,82 @@
      * One client's day: it uploads, makes a batch, and after each end of the process looks for what
      * it was promised.
      */
-    private static BatchForm play(BatchFixture stage, boolean cancels, int atMost)
+    private static BatchForm runToEnd(BatchFixture fixture, boolean cancels, int maxStarts)
             throws Exception {
         FileForm input = null;
         BatchForm batch = null;
-        boolean asked = false;
-        for (int life = 0; life < atMost; life++) {
+        boolean cancelRequested = false;
+        for (int starts = 0; starts < maxStarts; starts++) {
             try {
                 if (input == null) {
-                    List<String> kept = stage.store.page("g", 'f', -1, 10);
-                    input = kept.isEmpty() ? stage.upload(MIXED) : stage.store.file(kept.get(0));
+                    List<String> ids = fixture.store.page("g", 'f', -1, 10);
+                    input = ids.isEmpty() ? fixture.upload(MIXED) : fixture.store.file(ids.get(0));
                 }
                 if (batch == null) {
-                    List<String> kept = stage.store.page("g", 'b', -1, 10);
+                    List<String> ids = fixture.store.page("g", 'b', -1, 10);
                     batch =
-                            kept.isEmpty()
-                                    ? stage.make(input, HOUR)
-                                    : stage.batches.batch(kept.get(0));
+                            ids.isEmpty()
+                                    ? fixture.createBatch(input, HOUR)
+                                    : fixture.batches.batch(ids.get(0));
                 }
-                if (cancels && !asked) {
-                    stage.loop.run(60);
-                    stage.batches.cancel(batch.getId());
-                    asked = true;
+                if (cancels && !cancelRequested) {
+                    fixture.loop.run(60);
+                    fixture.batches.cancel(batch.getId());
+                    cancelRequested = true;
                 }
-                stage.loop.run(120_000);
-                return stage.batches.batch(batch.getId());
-            } catch (BatchFixture.Halt e) {
-                stage.store.close();
-                reopen(stage);
+                fixture.loop.run(120_000);
+                return fixture.batches.batch(batch.getId());
+            } catch (BatchFixture.SimulatedCrash e) {
+                fixture.store.close();
+                restart(fixture);
             }
         }
         throw new AssertionError("did not end");
     }
 
-    private static void reopen(BatchFixture stage) throws Exception {
+    private static void restart(BatchFixture fixture) throws Exception {
         while (true) {
             try {
-                stage.begin();
+                fixture.start();
                 return;
-            } catch (BatchFixture.Halt e) {
-                stage.store.close();
+            } catch (BatchFixture.SimulatedCrash e) {
+                fixture.store.close();
             }
         }
     }
 
-    private static void whole(BatchFixture stage, BatchForm done, String about) throws Exception {
-        assertEquals(MIXED_IDS, stage.records(done).keySet(), about);
-        assertEquals(MIXED_IDS.size(), done.getDone() + done.getFailed(), about);
-        assertEquals(List.of(), stage.store.verify(), about);
+    private static void assertComplete(BatchFixture fixture, BatchForm done, String description) throws Exception {
+        assertEquals(MIXED_IDS, fixture.records(done).keySet(), description);
+        assertEquals(MIXED_IDS.size(), done.getDone() + done.getFailed(), description);
+        assertEquals(List.of(), fixture.store.verify(), description);
         for (String once : List.of("once1", "once2", "busy1")) {
             assertTrue(
-                    stage.ran.getOrDefault(once, 0) <= 1,
-                    about + ": " + once + " ran " + stage.ran.get(once) + " times");
+                    fixture.runsByCustomId.getOrDefault(once, 0) <= 1,
+                    description + ": " + once + " ran " + fixture.runsByCustomId.get(once) + " times");
         }
-        assertTrue(stage.store.active().isEmpty(), about);
+        assertTrue(fixture.store.active().isEmpty(), description);
     }
 
     @Test
-    void processThatEndsAtAnyWriteLosesNoLineAndDoublesNone() throws Exception {
+    void crashAtAnyWriteLosesAndDuplicatesNoLine() throws Exception {
         for (boolean cancels : new boolean[] {false, true}) {
-            BatchFixture.HaltAt count = new BatchFixture.HaltAt(-1);
-            try (BatchFixture stage = new BatchFixture()) {
-                stage.points = count;
-                whole(stage, play(stage, cancels, 1), "undisturbed");
+            BatchFixture.CrashAtWrite recorder = new BatchFixture.CrashAtWrite(-1);
+            try (BatchFixture fixture = new BatchFixture()) {
+                fixture.crashPoints = recorder;
+                assertComplete(fixture, runToEnd(fixture, cancels, 1), "undisturbed");
             }
-            assertTrue(count.passed.size() > 30, "only " + count.passed.size() + " writes");
-            for (int at = 1; at <= count.passed.size(); at++) {
-                try (BatchFixture stage = new BatchFixture()) {
-                    BatchFixture.HaltAt halt = new BatchFixture.HaltAt(at);
-                    stage.points = halt;
-                    whole(
-                            stage,
-                            play(stage, cancels, 3),
+            assertTrue(recorder.passedWrites.size() > 30, "only " + recorder.passedWrites.size() + " writes");
+            for (int writeNumber = 1; writeNumber <= recorder.passedWrites.size(); writeNumber++) {
+                try (BatchFixture fixture = new BatchFixture()) {
+                    BatchFixture.CrashAtWrite crash = new BatchFixture.CrashAtWrite(writeNumber);
+                    fixture.crashPoints = crash;
+                    assertComplete(
+                            fixture,
+                            runToEnd(fixture, cancels, 3),
                             "ended at write "
-                                    + at
+                                    + writeNumber
                                     + " ("
-                                    + count.passed.get(at - 1)
+                                    + recorder.passedWrites.get(writeNumber - 1)
                                     + "), cancels "
                                     + cancels);
                 }
@@ -331,23 +331,23 @@
     }
 
     @Test
-    void processThatEndsAgainAndAgainComesThrough() throws Exception {
-        int all = 0;
+    void batchCompletesDespiteRepeatedCrashes() throws Exception {
+        int totalCrashes = 0;
         for (long seed = 1; seed <= 3; seed++) {
             java.util.Random random = new java.util.Random(seed);
-            try (BatchFixture stage = new BatchFixture()) {
-                int[] ends = new int[1];
-                stage.points =
+            try (BatchFixture fixture = new BatchFixture()) {
+                int[] crashes = new int[1];
+                fixture.crashPoints =
                         name -> {
-                            if (ends[0] < 25 && random.nextInt(6) == 0) {
-                                ends[0]++;
-                                throw new BatchFixture.Halt();
+                            if (crashes[0] < 25 && random.nextInt(6) == 0) {
+                                crashes[0]++;
+                                throw new BatchFixture.SimulatedCrash();
                             }
                         };
-                whole(stage, play(stage, false, 60), "seed " + seed);
-                all += ends[0];
+                assertComplete(fixture, runToEnd(fixture, false, 60), "seed " + seed);
+                totalCrashes += crashes[0];
             }
         }
-        assertTrue(all >= 15, "ended only " + all + " times");
+        assertTrue(totalCrashes >= 15, "ended only " + totalCrashes + " times");
     }
 }
--- a/src/test/java/larchridge/batch/LineReaderTest.java
+++ b/src/test/java/larchridge/batch/LineReaderTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 class LineReaderTest {
-    private static List<LineReader.Line> read(Path file, int mostBytes, long number, long offset)
+    private static List<LineReader.Line> read(Path file, int maxLineBytes, long firstIndex, long startOffset)
             throws Exception {
         List<LineReader.Line> all = new ArrayList<>();
         try (FileChannel channel = FileChannel.open(file);
-                LineReader lines = new LineReader(channel, mostBytes, number, offset)) {
+                LineReader lines = new LineReader(channel, maxLineBytes, firstIndex, startOffset)) {
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
                 all.add(line);
             }
@@ -30,14 +30,14 @@
     }
 
     @Test
-    void endsMarksAndBlanksOfAllKinds() throws Exception {
+    void lineEndingsByteOrderMarkAndBlankLines() throws Exception {
         Path file = Files.createTempFile("lines", "");
         Files.writeString(file, "\uFEFFa\r\n\n  \r\nb\nc\r\r\nlast");
         List<LineReader.Line> lines = read(file, 100, 0, 0);
         assertEquals(
                 List.of("0 a", "3 b", "4 c\r", "5 last"),
                 lines.stream()
-                        .map(l -> l.number() + " " + new String(l.bytes(), StandardCharsets.UTF_8))
+                        .map(line -> line.index() + " " + new String(line.bytes(), StandardCharsets.UTF_8))
                         .toList());
         Files.write(file, new byte[0]);
         assertEquals(List.of(), read(file, 100, 0, 0));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void lineOverTheLimitIsToldAndTheNextIsRead() throws Exception {
+    void lineOverTheLimitHasNoBytesAndTheNextIsRead() throws Exception {
         Path file = Files.createTempFile("lines", "");
         Files.writeString(file, "x".repeat(300_000) + "\nok\n" + "y".repeat(101));
         List<LineReader.Line> lines = read(file, 100, 0, 0);
@@ -60,7 +60,7 @@
      * same lines as from the start.
      */
     @Property(tries = 100, seed = "20261201")
-    void readingFromAnyLineGivesTheSame(
+    void readingFromAnyLineYieldsTheSameLines(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 70_000) Integer> lengths)
             throws Exception {
         Path file = Files.createTempFile("lines", "");
@@ -71,9 +71,9 @@
         List<LineReader.Line> all = read(file, 50_000, 0, 0);
         for (int i = 0; i < all.size(); i += 7) {
             List<LineReader.Line> rest =
-                    read(file, 50_000, all.get(i).number(), all.get(i).offset());
+                    read(file, 50_000, all.get(i).index(), all.get(i).offset());
             assertEquals(all.size() - i, rest.size());
-            assertEquals(all.get(i).number(), rest.get(0).number());
+            assertEquals(all.get(i).index(), rest.get(0).index());
             assertArrayEquals(all.get(i).bytes(), rest.get(0).bytes());
         }
         Files.delete(file);
