--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -117,7 +117,9 @@
             sendJson(response, fileJson(requireFile(id, tenant)));
         } else if (collection.equals("files") && "content".equals(action) && get) {
             sendContent(response, requireFile(id, tenant));
-        } else if (collection.equals("files") && action == null && request.getMethod().equals("DELETE")) {
+        } else if (collection.equals("files")
+                && action == null
+                && request.getMethod().equals("DELETE")) {
             deleteFile(response, requireFile(id, tenant));
         } else if (collection.equals("batches") && id == null && post) {
             createBatch(request, response, tenant);
@@ -184,7 +186,8 @@
         }
     }
 
-    private void checkQuota(Store store, Site.Tenant tenant, long addedBytes) throws BatchApiException {
+    private void checkQuota(Store store, Site.Tenant tenant, long addedBytes)
+            throws BatchApiException {
         if (store.bytesOf(tenant.name()) + addedBytes > settings.tenantBytes
                 || store.filesOf(tenant.name()) >= settings.tenantFiles) {
             throw BatchApiException.overQuota(
@@ -200,7 +203,8 @@
         }
     }
 
-    private FileForm requireFile(String id, Site.Tenant tenant) throws BatchApiException, IOException {
+    private FileForm requireFile(String id, Site.Tenant tenant)
+            throws BatchApiException, IOException {
         // Records of files are read here: only what changes them, and batches that are under way,
         // belong to the loop.
         FileForm file = service.store().file(id);
@@ -210,7 +214,8 @@
         return file;
     }
 
-    private void sendContent(Response response, FileForm file) throws IOException, BatchApiException {
+    private void sendContent(Response response, FileForm file)
+            throws IOException, BatchApiException {
         try (FileChannel channel = service.store().content(file)) {
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/octet-stream");
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, file.getBytes());
@@ -219,14 +224,17 @@
                 // Guards against: a slow reader holds its thread; its connection is cut when it
                 // takes
                 // nothing for idle_connection_ms.
-                for (int count = channel.read(buffer); count >= 0; count = channel.read(buffer.clear())) {
+                for (int count = channel.read(buffer);
+                        count >= 0;
+                        count = channel.read(buffer.clear())) {
                     out.write(buffer.array(), 0, count);
                 }
             }
         }
     }
 
-    private void deleteFile(Response response, FileForm file) throws BatchApiException, IOException {
+    private void deleteFile(Response response, FileForm file)
+            throws BatchApiException, IOException {
         boolean deleted = callOnLoop(batches -> service.store().delete(file));
         if (!deleted) {
             throw BatchApiException.conflict("a batch that is not over reads this file");
@@ -250,7 +258,8 @@
                     "input_file_id", "the file's purpose is " + input.getPurpose() + ", not batch");
         }
         String endpoint = requiredText(body, "endpoint");
-        if (!endpoint.equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT) && !endpoint.equals(BatchLineCodec.MESSAGES_ENDPOINT)) {
+        if (!endpoint.equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT)
+                && !endpoint.equals(BatchLineCodec.MESSAGES_ENDPOINT)) {
             throw BatchApiException.invalid(
                     "endpoint",
                     "'"
@@ -263,7 +272,9 @@
         String window = requiredText(body, "completion_window");
         Matcher matcher = WINDOW_PATTERN.matcher(window);
         long windowMs =
-                matcher.matches() ? Long.parseLong(matcher.group(1)) * UNIT_MS.get(matcher.group(2)) : 0;
+                matcher.matches()
+                        ? Long.parseLong(matcher.group(1)) * UNIT_MS.get(matcher.group(2))
+                        : 0;
         if (windowMs <= 0 || windowMs > MAX_WINDOW_MS) {
             throw BatchApiException.invalid(
                     "completion_window", "'" + window + "' is not a time like 24h, 30d at most");
@@ -315,7 +326,8 @@
         return metadata;
     }
 
-    private BatchForm requireBatch(String id, Site.Tenant tenant) throws BatchApiException, IOException {
+    private BatchForm requireBatch(String id, Site.Tenant tenant)
+            throws BatchApiException, IOException {
         return callOnLoop(batches -> requireBatchOnLoop(batches, id, tenant));
     }
 
@@ -328,7 +340,8 @@
         return batch;
     }
 
-    private void cancelBatch(Response response, BatchForm batch) throws BatchApiException, IOException {
+    private void cancelBatch(Response response, BatchForm batch)
+            throws BatchApiException, IOException {
         ObjectNode json =
                 callOnLoop(
                         batches -> {
@@ -471,7 +484,8 @@
         try (InputStream in = Content.Source.asInputStream(request)) {
             byte[] bytes = in.readNBytes(MAX_BODY_BYTES + 1);
             if (bytes.length > MAX_BODY_BYTES) {
-                throw BatchApiException.invalid(null, "the body is over " + MAX_BODY_BYTES + " bytes");
+                throw BatchApiException.invalid(
+                        null, "the body is over " + MAX_BODY_BYTES + " bytes");
             }
             JsonNode body = MAPPER.readTree(bytes);
             if (body == null || !body.isObject()) {
@@ -514,7 +528,9 @@
             if (e.getCause() instanceof BatchApiException error) {
                 throw error;
             }
-            throw e.getCause() instanceof IOException ioFailure ? ioFailure : new IOException(e.getCause());
+            throw e.getCause() instanceof IOException ioFailure
+                    ? ioFailure
+                    : new IOException(e.getCause());
         } catch (TimeoutException e) {
             throw BatchApiException.unavailable("the store does not answer");
         } catch (InterruptedException e) {
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -117,7 +117,8 @@
     /** Reads one line. */
     LineRequest parseLine(byte[] bytes, String endpoint) throws InvalidLineException {
         if (bytes == null) {
-            throw new InvalidLineException("line_too_long", null, "over " + settings.lineBytes + " bytes");
+            throw new InvalidLineException(
+                    "line_too_long", null, "over " + settings.lineBytes + " bytes");
         }
         JsonNode json;
         try {
@@ -139,7 +140,10 @@
         }
         String customId = requiredText(json, "custom_id");
         if (customId.length() > MAX_CUSTOM_ID_CHARS) {
-            throw new InvalidLineException("invalid_custom_id", "custom_id", "over " + MAX_CUSTOM_ID_CHARS + " characters");
+            throw new InvalidLineException(
+                    "invalid_custom_id",
+                    "custom_id",
+                    "over " + MAX_CUSTOM_ID_CHARS + " characters");
         }
         if (!requiredText(json, "method").equals("POST")) {
             throw new InvalidLineException("invalid_method", "method", "expected POST");
--- a/src/main/java/larchridge/batch/BatchLineCodec.java
+++ b/src/main/java/larchridge/batch/BatchLineCodec.java
@@ -101,7 +101,8 @@
         return blocks;
     }
 
-    private static void copyField(JsonNode source, ObjectNode target, String name, String targetName) {
+    private static void copyField(
+            JsonNode source, ObjectNode target, String name, String targetName) {
         if (source.hasNonNull(name)) {
             target.set(targetName, source.get(name));
         }
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -88,9 +88,13 @@
         BatchService service = new BatchService(site, routers, tokenCounters, crashPoints);
         service.registerGauge(registry, "larchridge_batch_lines_out", Batches.Stats::openLines);
         service.registerGauge(registry, "larchridge_batch_limit", Batches.Stats::lineLimit);
-        service.registerGauge(registry, "larchridge_batch_falls_a_minute", Batches.Stats::limitDecreasesPerMinute);
+        service.registerGauge(
+                registry,
+                "larchridge_batch_falls_a_minute",
+                Batches.Stats::limitDecreasesPerMinute);
         service.registerGauge(registry, "larchridge_batches_active", Batches.Stats::activeCount);
-        service.registerGauge(registry, "larchridge_batches_finished", Batches.Stats::finishedCount);
+        service.registerGauge(
+                registry, "larchridge_batches_finished", Batches.Stats::finishedCount);
         try {
             service.loop
                     .call(
@@ -122,7 +126,8 @@
         return service;
     }
 
-    private void registerGauge(MeterRegistry registry, String name, ToDoubleFunction<Batches.Stats> value) {
+    private void registerGauge(
+            MeterRegistry registry, String name, ToDoubleFunction<Batches.Stats> value) {
         Gauge.builder(
                         name,
                         () -> {
@@ -145,12 +150,16 @@
                             new RouterSubmitter(routers, loop),
                             loop,
                             new BatchPlanner(settings.openLines),
-                            new BatchRetryPolicy(settings.attempts, new Random(site.seed ^ 0xBA7C4L)),
+                            new BatchRetryPolicy(
+                                    settings.attempts, new Random(site.seed ^ 0xBA7C4L)),
                             new MessageBodies(site, tokenCounters, loop));
             store = openedStore;
             batches = newBatches;
             newBatches.start();
-            routers.forEach(router -> loop.schedule(LATENCY_SAMPLE_INTERVAL_MS, () -> sampleLatency(router)));
+            routers.forEach(
+                    router ->
+                            loop.schedule(
+                                    LATENCY_SAMPLE_INTERVAL_MS, () -> sampleLatency(router)));
             LOG.atInfo()
                     .addKeyValue("store", settings.folder)
                     .addKeyValue("epoch", openedStore.epoch())
@@ -179,7 +188,9 @@
                             loop.execute(
                                     () -> {
                                         batches.addLatencySample(sample);
-                                        loop.schedule(LATENCY_SAMPLE_INTERVAL_MS, () -> sampleLatency(router));
+                                        loop.schedule(
+                                                LATENCY_SAMPLE_INTERVAL_MS,
+                                                () -> sampleLatency(router));
                                     });
                         });
     }
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -231,7 +231,12 @@
     }
 
     /** What operators see of it. */
-    record Stats(double openLines, double lineLimit, double limitDecreasesPerMinute, int activeCount, long finishedCount) {}
+    record Stats(
+            double openLines,
+            double lineLimit,
+            double limitDecreasesPerMinute,
+            int activeCount,
+            long finishedCount) {}
 
     /** As of the last look; for readers on other threads. */
     Stats stats() {
@@ -245,10 +250,13 @@
         loop.runBlocking(
                 () -> validator.validate(form),
                 (result, failure) ->
-                        runStoreOperation(() -> validationDone(batch, result, failure), () -> validate(batch)));
+                        runStoreOperation(
+                                () -> validationDone(batch, result, failure),
+                                () -> validate(batch)));
     }
 
-    private void validationDone(ActiveBatch batch, BatchInputValidator.Result result, Exception failure)
+    private void validationDone(
+            ActiveBatch batch, BatchInputValidator.Result result, Exception failure)
             throws IOException {
         if (failure instanceof IOException ioFailure) {
             throw ioFailure;
@@ -294,7 +302,10 @@
         batch.inputChannel = store.content(store.file(batch.form.getInput()));
         batch.lineReader =
                 new LineReader(
-                        batch.inputChannel, settings.lineBytes, batch.form.getLowLine(), batch.form.getLowOffset());
+                        batch.inputChannel,
+                        settings.lineBytes,
+                        batch.form.getLowLine(),
+                        batch.form.getLowOffset());
         batch.planned =
                 planner.addBatch(
                         batch.id(),
@@ -302,7 +313,10 @@
                         tenant == null ? 1 : tenant.batchShare(),
                         (double) batch.form.getExpiresMs(),
                         batch.form.getNumber(),
-                        (double) (batch.form.getTotal() - batch.form.getDone() - batch.form.getFailed()));
+                        (double)
+                                (batch.form.getTotal()
+                                        - batch.form.getDone()
+                                        - batch.form.getFailed()));
         loop.schedule(Math.max(0, batch.form.getExpiresMs() - loop.nowMs()), () -> expire(batch));
         if (isComplete(batch)) {
             startFinalizing(batch, StateForm.COMPLETED);
@@ -348,7 +362,10 @@
                 () -> {
                     flush();
                     BatchForm.Builder updated =
-                            batch.form.clone().setEnding(endState).setFinalizingMs((long) loop.nowMs());
+                            batch.form
+                                    .clone()
+                                    .setEnding(endState)
+                                    .setFinalizingMs((long) loop.nowMs());
                     if (endState != StateForm.CANCELLED) {
                         updated.setState(StateForm.FINALIZING);
                     }
@@ -360,7 +377,8 @@
     }
 
     /** Both files of a batch, with a record for each line, and how many. */
-    private record ResultFiles(IncomingFile output, IncomingFile errors, long completedLines, long failedLines) {}
+    private record ResultFiles(
+            IncomingFile output, IncomingFile errors, long completedLines, long failedLines) {}
 
     private void finish(ActiveBatch batch) {
         batch.finalizing = true;
@@ -553,7 +571,10 @@
                     task,
                     false,
                     BatchLineCodec.responseRecord(
-                            lineId, lineRequest.customId(), e.status, BatchLineCodec.errorBody(endpoint, e)));
+                            lineId,
+                            lineRequest.customId(),
+                            e.status,
+                            BatchLineCodec.errorBody(endpoint, e)));
             return;
         }
         Effect effect = generationRequest.offering().product.effect;
@@ -574,20 +595,25 @@
         task.mayHaveRun = false;
         store.flight(batch.id(), task.line.index(), task.attempts + 1, effect != Effect.IDEMPOTENT);
         task.attempts++;
-        task.estimatedTokens = generationRequest.promptTokens() + generationRequest.maxTokens() / 2.0;
+        task.estimatedTokens =
+                generationRequest.promptTokens() + generationRequest.maxTokens() / 2.0;
         batch.openLines.put(task.line.index(), task);
         planner.lineStarted(batch.planned, task.estimatedTokens);
-        task.submission = submitter.submit(generationRequest, new LineListener(task, generationRequest, lineRequest));
+        task.submission =
+                submitter.submit(
+                        generationRequest, new LineListener(task, generationRequest, lineRequest));
     }
 
-    private GenerationRequest toGenerationRequest(ActiveBatch batch, BatchInputValidator.LineRequest lineRequest) throws ApiException {
+    private GenerationRequest toGenerationRequest(
+            ActiveBatch batch, BatchInputValidator.LineRequest lineRequest) throws ApiException {
         Site.Tenant tenant = site.tenantNamed(batch.form.getTenant());
         if (tenant == null) {
             throw ApiException.invalid(
                     "the tenant '" + batch.form.getTenant() + "' is no longer served");
         }
         boolean isChat = batch.form.getEndpoint().equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT);
-        JsonNode body = isChat ? BatchLineCodec.chatToMessages(lineRequest.body()) : lineRequest.body();
+        JsonNode body =
+                isChat ? BatchLineCodec.chatToMessages(lineRequest.body()) : lineRequest.body();
         // One key for all tries of a line: one bill, and engines drop the repeats of a deduplicated
         // one.
         String idempotencyKey = Site.sha256(batch.id() + '\n' + lineRequest.customId());
@@ -610,7 +636,10 @@
         private final BatchInputValidator.LineRequest lineRequest;
         private final String lineId;
 
-        LineListener(LineTask task, GenerationRequest generationRequest, BatchInputValidator.LineRequest lineRequest) {
+        LineListener(
+                LineTask task,
+                GenerationRequest generationRequest,
+                BatchInputValidator.LineRequest lineRequest) {
             this.task = task;
             this.generationRequest = generationRequest;
             this.lineRequest = lineRequest;
@@ -640,7 +669,10 @@
                                 text,
                                 completion,
                                 (long) loop.nowMs());
-                addRecord(task, true, BatchLineCodec.responseRecord(lineId, lineRequest.customId(), 200, body));
+                addRecord(
+                        task,
+                        true,
+                        BatchLineCodec.responseRecord(lineId, lineRequest.customId(), 200, body));
                 startLines();
             }
         }
@@ -774,7 +806,8 @@
     private void markRecorded(ActiveBatch batch, LineReader.Line line) {
         batch.recordedLines.add(line.index());
         boolean wasFull = batch.readAhead.size() >= MAX_READ_AHEAD_LINES;
-        while (!batch.readAhead.isEmpty() && batch.recordedLines.remove(batch.readAhead.peek().index())) {
+        while (!batch.readAhead.isEmpty()
+                && batch.recordedLines.remove(batch.readAhead.peek().index())) {
             LineReader.Line recordedLine = batch.readAhead.poll();
             batch.form.setLowLine(recordedLine.index() + 1).setLowOffset(recordedLine.nextOffset());
         }
--- a/src/main/java/larchridge/batch/LineReader.java
+++ b/src/main/java/larchridge/batch/LineReader.java
@@ -91,7 +91,9 @@
                 nextIndex++,
                 startOffset,
                 nextOffset,
-                tooLong ? null : Arrays.copyOfRange(lineBuffer, Math.min(textStart, textEnd), textEnd));
+                tooLong
+                        ? null
+                        : Arrays.copyOfRange(lineBuffer, Math.min(textStart, textEnd), textEnd));
     }
 
     private boolean fill() throws IOException {
--- a/src/main/java/larchridge/batch/MultipartUpload.java
+++ b/src/main/java/larchridge/batch/MultipartUpload.java
@@ -91,7 +91,8 @@
                 }
                 if (file.bytes() + content.length > maxFileBytes) {
                     rejection =
-                            BatchApiException.tooLarge("the file is over " + maxFileBytes + " bytes");
+                            BatchApiException.tooLarge(
+                                    "the file is over " + maxFileBytes + " bytes");
                     return;
                 }
                 file.write(content, 0, content.length);
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -111,7 +111,10 @@
         @Override
         public void completed(Completion completion) {
             String fullText = text.toString();
-            end(responseTooLarge ? listener::responseTooLarge : () -> listener.completed(fullText, cachedPromptTokens, completion));
+            end(
+                    responseTooLarge
+                            ? listener::responseTooLarge
+                            : () -> listener.completed(fullText, cachedPromptTokens, completion));
         }
 
         @Override
--- a/src/main/java/larchridge/batch/ThreadEventLoop.java
+++ b/src/main/java/larchridge/batch/ThreadEventLoop.java
@@ -63,7 +63,9 @@
     public void schedule(double delayMs, Runnable task) {
         try {
             loopExecutor.schedule(
-                    () -> runAndLogFailure(task), (long) Math.max(1, Math.ceil(delayMs)), TimeUnit.MILLISECONDS);
+                    () -> runAndLogFailure(task),
+                    (long) Math.max(1, Math.ceil(delayMs)),
+                    TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             LOG.debug("a timer came after the end");
         }
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -146,7 +146,9 @@
         }
         try (FileChannel channel = store.content(store.file(fileId))) {
             for (String text :
-                    new String(Channels.newInputStream(channel).readAllBytes(), StandardCharsets.UTF_8)
+                    new String(
+                                    Channels.newInputStream(channel).readAllBytes(),
+                                    StandardCharsets.UTF_8)
                             .split("\n")) {
                 JsonNode record = MAPPER.readTree(text);
                 if (records.put(record.path("custom_id").asText(), record) != null) {
@@ -230,7 +232,8 @@
             int index = prompt.indexOf(" " + keyword + " ");
             return index < 0
                     ? 0
-                    : Integer.parseInt(prompt.substring(index + keyword.length() + 2).split("\\s")[0]);
+                    : Integer.parseInt(
+                            prompt.substring(index + keyword.length() + 2).split("\\s")[0]);
         }
     }
 
@@ -243,7 +246,8 @@
 
         private final PriorityQueue<ScheduledTask> tasks =
                 new PriorityQueue<>(
-                        Comparator.comparingDouble(ScheduledTask::dueMs).thenComparingLong(ScheduledTask::sequenceNumber));
+                        Comparator.comparingDouble(ScheduledTask::dueMs)
+                                .thenComparingLong(ScheduledTask::sequenceNumber));
         private double nowMs = 1_800_000_000_000.0;
         private long nextSequenceNumber;
 
@@ -259,7 +263,9 @@
 
         @Override
         public void schedule(double delayMs, Runnable task) {
-            tasks.add(new ScheduledTask(nowMs + Math.max(1, Math.ceil(delayMs)), nextSequenceNumber++, task));
+            tasks.add(
+                    new ScheduledTask(
+                            nowMs + Math.max(1, Math.ceil(delayMs)), nextSequenceNumber++, task));
         }
 
         @Override
--- a/src/test/java/larchridge/batch/BatchLineCodecTest.java
+++ b/src/test/java/larchridge/batch/BatchLineCodecTest.java
@@ -48,7 +48,9 @@
                 }) {
             assertEquals(
                     testCase[1],
-                    assertThrows(ApiException.class, () -> BatchLineCodec.chatToMessages(json(testCase[0])))
+                    assertThrows(
+                                    ApiException.class,
+                                    () -> BatchLineCodec.chatToMessages(json(testCase[0])))
                             .getMessage());
         }
     }
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -43,7 +43,9 @@
             assertEquals(
                     "w1 w2 ",
                     fixture.records(done).get("c7").at("/response/body/content/0/text").asText());
-            assertTrue(fixture.maxOpenSubmissions <= 8, "out at a time: " + fixture.maxOpenSubmissions);
+            assertTrue(
+                    fixture.maxOpenSubmissions <= 8,
+                    "out at a time: " + fixture.maxOpenSubmissions);
             assertEquals(List.of(), fixture.store.verify());
         }
     }
@@ -61,7 +63,8 @@
         try (BatchFixture fixture = new BatchFixture()) {
             BatchForm batch = fixture.createBatch(fixture.upload(text.toString()), HOUR);
             fixture.loop.run(120_000);
-            assertEquals(300, fixture.records(fixture.batches.batch(batch.getId()).getOutput()).size());
+            assertEquals(
+                    300, fixture.records(fixture.batches.batch(batch.getId()).getOutput()).size());
         }
     }
 
@@ -94,7 +97,11 @@
                     failed.getFaultList().stream()
                             .map(
                                     fault ->
-                                            (fault.getLine() + " " + fault.getCode() + " " + fault.getField())
+                                            (fault.getLine()
+                                                            + " "
+                                                            + fault.getCode()
+                                                            + " "
+                                                            + fault.getField())
                                                     .strip())
                             .toList());
             assertTrue(
@@ -131,7 +138,8 @@
             assertEquals("may_have_run", errors.get("dedup").at("/error/code").asText());
             assertEquals(404, errors.get("nobody").at("/response/status_code").asInt());
             assertEquals(
-                    Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1), fixture.runsByCustomId);
+                    Map.of("free2", 3, "free9", 3, "once", 1, "busy", 1, "dedup", 1),
+                    fixture.runsByCustomId);
             assertEquals(2, done.getDone());
             assertEquals(4, done.getFailed());
         }
@@ -193,11 +201,13 @@
                         "finish batch",
                         "update batch")) {
             try (BatchFixture fixture = new BatchFixture()) {
-                BatchForm batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(30)), HOUR);
+                BatchForm batch =
+                        fixture.createBatch(fixture.upload(BatchFixture.inputOf(30)), HOUR);
                 double startMs = fixture.loop.nowMs();
                 fixture.crashPoints =
                         name -> {
-                            if (name.equals(failingWrite) && fixture.loop.nowMs() < startMs + 5000) {
+                            if (name.equals(failingWrite)
+                                    && fixture.loop.nowMs() < startMs + 5000) {
                                 throw new IOException("No space left on device");
                             }
                         };
@@ -219,7 +229,9 @@
             }
             fixture.loop.run(600_000);
             assertEquals(List.of(), fixture.store.active());
-            assertEquals(600, fixture.runsByCustomId.values().stream().mapToInt(Integer::intValue).sum());
+            assertEquals(
+                    600,
+                    fixture.runsByCustomId.values().stream().mapToInt(Integer::intValue).sum());
         }
     }
 
@@ -291,14 +303,20 @@
         }
     }
 
-    private static void assertComplete(BatchFixture fixture, BatchForm done, String description) throws Exception {
+    private static void assertComplete(BatchFixture fixture, BatchForm done, String description)
+            throws Exception {
         assertEquals(MIXED_IDS, fixture.records(done).keySet(), description);
         assertEquals(MIXED_IDS.size(), done.getDone() + done.getFailed(), description);
         assertEquals(List.of(), fixture.store.verify(), description);
         for (String once : List.of("once1", "once2", "busy1")) {
             assertTrue(
                     fixture.runsByCustomId.getOrDefault(once, 0) <= 1,
-                    description + ": " + once + " ran " + fixture.runsByCustomId.get(once) + " times");
+                    description
+                            + ": "
+                            + once
+                            + " ran "
+                            + fixture.runsByCustomId.get(once)
+                            + " times");
         }
         assertTrue(fixture.store.active().isEmpty(), description);
     }
@@ -311,7 +329,9 @@
                 fixture.crashPoints = recorder;
                 assertComplete(fixture, runToEnd(fixture, cancels, 1), "undisturbed");
             }
-            assertTrue(recorder.passedWrites.size() > 30, "only " + recorder.passedWrites.size() + " writes");
+            assertTrue(
+                    recorder.passedWrites.size() > 30,
+                    "only " + recorder.passedWrites.size() + " writes");
             for (int writeNumber = 1; writeNumber <= recorder.passedWrites.size(); writeNumber++) {
                 try (BatchFixture fixture = new BatchFixture()) {
                     BatchFixture.CrashAtWrite crash = new BatchFixture.CrashAtWrite(writeNumber);
--- a/src/test/java/larchridge/batch/LineReaderTest.java
+++ b/src/test/java/larchridge/batch/LineReaderTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 class LineReaderTest {
-    private static List<LineReader.Line> read(Path file, int maxLineBytes, long firstIndex, long startOffset)
-            throws Exception {
+    private static List<LineReader.Line> read(
+            Path file, int maxLineBytes, long firstIndex, long startOffset) throws Exception {
         List<LineReader.Line> all = new ArrayList<>();
         try (FileChannel channel = FileChannel.open(file);
                 LineReader lines = new LineReader(channel, maxLineBytes, firstIndex, startOffset)) {
@@ -37,7 +37,11 @@
         assertEquals(
                 List.of("0 a", "3 b", "4 c\r", "5 last"),
                 lines.stream()
-                        .map(line -> line.index() + " " + new String(line.bytes(), StandardCharsets.UTF_8))
+                        .map(
+                                line ->
+                                        line.index()
+                                                + " "
+                                                + new String(line.bytes(), StandardCharsets.UTF_8))
                         .toList());
         Files.write(file, new byte[0]);
         assertEquals(List.of(), read(file, 100, 0, 0));
