--- a/src/main/java/larchridge/batch/BatchApiException.java
+++ b/src/main/java/larchridge/batch/BatchApiException.java
@@ -1,6 +1,6 @@
 package larchridge.batch;
 
-/** What a call to the batch API gets instead of what it asked for. */
+/** An error response of the batch API. */
 final class BatchApiException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -37,8 +37,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The Files and Batches API, by the public specification. One thread a call; what it asks of the
- * store runs on its loop.
+ * The HTTP endpoint of the Files and Batches API, according to the public specification. Each
+ * request occupies one thread; it accesses batches and changes records of the store on the batch
+ * event loop.
  */
 final class BatchEndpoint extends Handler.Abstract {
     private static final Logger LOG = LoggerFactory.getLogger(BatchEndpoint.class);
@@ -69,7 +70,7 @@
         } catch (BatchApiException error) {
             sendError(response, callback, error);
         } catch (IOException e) {
-            LOG.warn("a call to the batch API failed", e);
+            LOG.warn("a request to the batch API failed", e);
             if (response.isCommitted()) {
                 callback.failed(e);
             } else {
@@ -92,7 +93,7 @@
                 .putNull("code");
         response.setStatus(error.status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
-        // What is left of the body is not read.
+        // The rest of the request body is not read.
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
         if (error.status == 503) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, "1");
@@ -205,8 +206,8 @@
 
     private FileForm requireFile(String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        // Records of files are read here: only what changes them, and batches that are under way,
-        // belong to the loop.
+        // File records are read on this thread: only their changes and the active batches belong to
+        // the event loop.
         FileForm file = service.store().file(id);
         if (file == null || !file.getTenant().equals(tenant.name())) {
             throw BatchApiException.notFound("file: " + id);
@@ -221,9 +222,8 @@
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, file.getBytes());
             try (OutputStream out = Content.Sink.asOutputStream(response)) {
                 ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
-                // Guards against: a slow reader holds its thread; its connection is cut when it
-                // takes
-                // nothing for idle_connection_ms.
+                // Guards against: a slow client occupies a thread; its connection is closed once it
+                // has read nothing for idle_connection_ms.
                 for (int count = channel.read(buffer);
                         count >= 0;
                         count = channel.read(buffer.clear())) {
@@ -284,8 +284,8 @@
                 response,
                 callOnLoop(
                         batches -> {
-                            // Guards against: between the look and this the file could have been
-                            // deleted.
+                            // Guards against: the file may have been deleted since it was looked
+                            // up.
                             if (service.store().file(input.getId()) == null) {
                                 throw BatchApiException.notFound("file: " + input.getId());
                             }
@@ -355,7 +355,10 @@
         sendJson(response, json);
     }
 
-    /** A page of files or batches, newest first; after names the last one of the page before. */
+    /**
+     * Sends a page of files or batches, newest first; the query parameter {@code after} is the id
+     * of the last item of the previous page.
+     */
     private void list(
             Request request, Response response, Site.Tenant tenant, char kind, int maxItems)
             throws BatchApiException, IOException {
@@ -397,7 +400,7 @@
         sendJson(response, page.put("has_more", ids.size() > pageSize));
     }
 
-    // ------------------------------------------------------------------ in the API's words
+    // ------------------------------------------------------------------ JSON
 
     private static ObjectNode fileJson(FileForm file) {
         return MAPPER.createObjectNode()
@@ -410,7 +413,7 @@
                 .put("status", "processed");
     }
 
-    /** A batch of this tenant as it is now, in one question to the loop. */
+    /** The current state of a batch of this tenant, read in one call on the event loop. */
     private ObjectNode batchJson(String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
         return callOnLoop(batches -> toJson(batches, requireBatchOnLoop(batches, id, tenant)));
@@ -464,7 +467,8 @@
         }
         ObjectNode metadata = json.putObject("metadata");
         new TreeMap<>(batch.getMetadataMap()).forEach(metadata::put);
-        // Beside the specification: told as soon as it is foreseen, not at the window's end.
+        // Not in the specification: reports a miss of the completion window as soon as it is
+        // predicted, not only when the window ends.
         return json.put("window_at_risk", batches.isAtRisk(batch.getId()));
     }
 
@@ -513,7 +517,7 @@
                 response, true, ByteBuffer.wrap(body.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
-    // ------------------------------------------------------------------ the loop
+    // ------------------------------------------------------------------ event loop
 
     private interface LoopCall<T> {
         T run(Batches batches) throws IOException, BatchApiException;
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -18,20 +18,20 @@
 import larchridge.store.form.FileForm;
 
 /**
- * Reads a batch's whole input before anything of it runs; each fault with its line, from 1, and its
- * field.
+ * Validates the whole input of a batch before any of its lines runs. Each fault names its line,
+ * counted from 1, and its field.
  */
 final class BatchInputValidator {
     private static final int MAX_FAULTS = 100;
     private static final int MAX_CUSTOM_ID_CHARS = 512;
 
-    /** How many lines there are, or what is wrong with them. */
+    /** The number of lines, and the faults found in them. */
     record Result(long lineCount, List<FaultForm> faults) {}
 
-    /** What a line has to say before it is sent. */
+    /** The request that a line contains. */
     record LineRequest(String customId, JsonNode body) {}
 
-    /** A line that can't be a call. */
+    /** A line that is not a valid request. */
     static final class InvalidLineException extends Exception {
         private static final long serialVersionUID = 1;
         final String code;
@@ -114,7 +114,7 @@
         return field == null ? fault.build() : fault.setField(field).build();
     }
 
-    /** Reads one line. */
+    /** Parses one line; {@code bytes} is null if the line is over the size limit. */
     LineRequest parseLine(byte[] bytes, String endpoint) throws InvalidLineException {
         if (bytes == null) {
             throw new InvalidLineException(
--- a/src/main/java/larchridge/batch/BatchLineCodec.java
+++ b/src/main/java/larchridge/batch/BatchLineCodec.java
@@ -10,8 +10,8 @@
 import larchridge.upstream.Completion;
 
 /**
- * The words of lines: bodies of chat completions as messages, answers of either kind, and the
- * records of both files.
+ * The JSON formats of batch lines: conversion of chat completion requests to the Messages API,
+ * response bodies of both APIs, and the records of the output and error files.
  */
 final class BatchLineCodec {
     static final String CHAT_COMPLETIONS_ENDPOINT = "/v1/chat/completions";
@@ -21,8 +21,8 @@
     private BatchLineCodec() {}
 
     /**
-     * A chat body as the messages API would have it; what it can't have is a fault that names the
-     * field.
+     * Converts the body of a chat completion request to that of a Messages API request. If it
+     * cannot be converted, the exception names the field.
      */
     static ObjectNode chatToMessages(JsonNode chat) throws ApiException {
         ObjectNode body = MAPPER.createObjectNode();
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The body of an answer. */
+    /** The response body in the format of the endpoint. */
     static ObjectNode responseBody(
             String endpoint,
             String id,
@@ -148,7 +148,7 @@
         return chat;
     }
 
-    /** The record of a line that was answered, well or with a fault of its own. */
+    /** The record of a line that has a response, be it an error response to an invalid request. */
     static String responseRecord(String lineId, String customId, int status, JsonNode body) {
         ObjectNode record = newRecord(lineId, customId);
         ObjectNode response =
@@ -159,6 +159,7 @@
         return record.putNull("error").toString();
     }
 
+    /** The body of an error response in the format of the endpoint. */
     static ObjectNode errorBody(String endpoint, ApiException error) {
         ObjectNode body = MAPPER.createObjectNode();
         if (endpoint.equals(MESSAGES_ENDPOINT)) {
@@ -176,7 +177,7 @@
         return body;
     }
 
-    /** The record of a line that has no answer. */
+    /** The record of a line that has no response. */
     static String errorRecord(String lineId, String customId, String code, String message) {
         ObjectNode record = newRecord(lineId, customId).putNull("response");
         record.putObject("error").put("code", code).put("message", message);
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -30,8 +30,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The batch API of one process, beside its fronts. One process of those that share a store owns it
- * and does its work; the others answer 503 and take over within a second of its death.
+ * The batch API of one process, which runs next to its routers. Of the processes that share a
+ * store, one owns the store and runs its batches; the others respond with status 503, and one of
+ * them takes over within a second of the owner's death.
  */
 public final class BatchService {
     private static final Logger LOG = LoggerFactory.getLogger(BatchService.class);
@@ -72,12 +73,15 @@
         connector.setPort(settings.port);
         connector.setIdleTimeout((long) site.limit.idleConnectionMs);
         server.addConnector(connector);
-        // What waits for a thread is bounded by who may be connected.
+        // Bounds the number of requests that wait for a thread.
         server.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, connector));
         server.setHandler(new BatchEndpoint(site, this));
     }
 
-    /** Starts the API; the work begins at once, or when the store's owner has gone. */
+    /**
+     * Starts the API. Batches run as soon as this process owns the store: at once, or when the
+     * current owner has ended.
+     */
     public static BatchService start(
             Site site,
             List<Router> routers,
@@ -104,10 +108,10 @@
                             })
                     .get(STORE_OPEN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            LOG.warn("the store takes long to open; the batch API answers 503 until then");
+            LOG.warn("the store is not open yet; the batch API responds with 503 until it is");
         } catch (ExecutionException e) {
             throw new IOException(
-                    "the store can't be opened: " + e.getCause().getMessage(), e.getCause());
+                    "cannot open the store: " + e.getCause().getMessage(), e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -115,7 +119,7 @@
             service.server.start();
         } catch (Exception e) {
             throw new IOException(
-                    "the batch API can't listen on "
+                    "the batch API cannot listen on "
                             + site.batch.host
                             + ":"
                             + site.batch.port
@@ -163,20 +167,23 @@
             LOG.atInfo()
                     .addKeyValue("store", settings.folder)
                     .addKeyValue("epoch", openedStore.epoch())
-                    .log("owns the store");
+                    .log("opened the store as its owner");
         } catch (Store.Taken e) {
             if (!waitLogged) {
                 waitLogged = true;
-                LOG.info("another process owns the store; this one waits");
+                LOG.info("another process owns the store; waiting for it to end");
             }
             loop.schedule(OWNERSHIP_RETRY_MS, this::acquireStore);
         } catch (IOException e) {
-            LOG.error("the store can't be opened; tried again", e);
+            LOG.error("cannot open the store; retrying", e);
             loop.schedule(10 * OWNERSHIP_RETRY_MS, this::acquireStore);
         }
     }
 
-    /** Asks one front how its other work fares; one question out at a time. */
+    /**
+     * Takes a latency sample of a router's interactive requests periodically; at most one sample
+     * per router is pending at a time.
+     */
     private void sampleLatency(Router router) {
         if (stopping) {
             return;
@@ -195,6 +202,7 @@
                         });
     }
 
+    /** The port on which the batch API listens. */
     public int port() {
         return connector.getLocalPort();
     }
@@ -220,7 +228,7 @@
         return current;
     }
 
-    /** Copies the store while it is in use. */
+    /** Copies the store to a new folder while the store is in use. */
     public void snapshot(Path destination) throws IOException {
         try {
             loop.call(
@@ -237,14 +245,17 @@
         }
     }
 
-    /** Nothing new comes in or goes out; lines that are out may end while their fronts do. */
+    /**
+     * Stops the API and starts no more lines. Open lines may still end while their routers shut
+     * down.
+     */
     public void drain() throws InterruptedException {
         try {
             server.stop();
         } catch (InterruptedException e) {
             throw e;
         } catch (Exception e) {
-            LOG.error("the batch API did not stop well", e);
+            LOG.error("failed to stop the server of the batch API", e);
         }
         loop.execute(
                 () -> {
@@ -255,7 +266,10 @@
                 });
     }
 
-    /** The end, after the fronts': what came back by then is on disk. */
+    /**
+     * Closes the event loop and the store, after the routers have stopped. The results of lines
+     * that have ended by then are on disk.
+     */
     public void close() throws InterruptedException {
         loop.close();
         if (store != null) {
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -35,11 +35,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All batches of one store, from their making to their end, on one loop. Each line of an input has
- * exactly one record, in the output or in the error file, over any crash: its record is written
- * once, under batch and line, before anything counts on it, and the files are made of the records
- * when none is missing. Toward engines a line may go more than once where its product allows that;
- * it is noted before it goes, so that the next owner of the store knows which may have run.
+ * All batches of one store, from their creation to their end, on one event loop. Each line of an
+ * input has exactly one record, in the output or in the error file, whatever crashes happen: its
+ * record is written once, under batch and line, before anything depends on it, and the files are
+ * written from the records when none is missing. A line may be submitted to engines more than once
+ * if the effect of its product allows that. Each submission is recorded in the store before it is
+ * made, so that the store's next owner knows which lines may have run.
  */
 final class Batches {
     private static final Logger LOG = LoggerFactory.getLogger(Batches.class);
@@ -47,7 +48,7 @@
     private static final double RISK_CHECK_INTERVAL_MS = 1000;
     private static final double STORE_RETRY_DELAY_MS = 500;
 
-    /** Records that are gathered for one write at most, and lines that may wait for theirs. */
+    /** No more lines are started while this many records wait to be written in one change. */
     private static final int MAX_PENDING_RECORDS = 512;
 
     private static final int MAX_READ_AHEAD_LINES = 10_000;
@@ -90,7 +91,7 @@
         validator = new BatchInputValidator(store, settings, site.limit.nesting);
     }
 
-    /** One batch that is not over. */
+    /** A batch that has not ended. */
     private static final class ActiveBatch {
         BatchForm.Builder form;
         PlannedBatch planned;
@@ -98,7 +99,7 @@
         LineReader lineReader;
         boolean inputExhausted;
 
-        /** Whether lines may have been answered or out before this owner came. */
+        /** Whether lines may have been answered or submitted by a previous owner of the store. */
         boolean resumed;
 
         boolean finalizing;
@@ -108,12 +109,10 @@
                         Comparator.comparingDouble((LineTask task) -> task.dueMs)
                                 .thenComparingLong(task -> task.line.index()));
 
-        /**
-         * Lines that were read, from the first that has no record, and those among them that have
-         * one.
-         */
+        /** Lines that were read, from the first one that has no record. */
         final ArrayDeque<LineReader.Line> readAhead = new ArrayDeque<>();
 
+        /** Indexes of the lines of {@code readAhead} that have a record. */
         final Set<Long> recordedLines = new HashSet<>();
         int unwrittenRecords;
 
@@ -126,20 +125,18 @@
         }
     }
 
-    /** One line on its way. */
+    /** A line that is being executed or waits for a retry. */
     private static final class LineTask {
         final ActiveBatch batch;
         final LineReader.Line line;
 
-        /**
-         * What it says, until it goes out for the first time; one that goes again is read again.
-         */
+        /** The line's content until its first submission; for a retry it is read again. */
         byte[] bytes;
 
         int attempts;
         int timesNotRun;
 
-        /** Whether it was out when the owner before ended. */
+        /** Whether the line was submitted when the previous owner of the store ended. */
         boolean mayHaveRun;
 
         double dueMs;
@@ -152,9 +149,9 @@
         }
     }
 
-    // ------------------------------------------------------------------ what can happen
+    // ------------------------------------------------------------------ operations
 
-    /** Takes up what the owner before left; from now on it looks at itself now and then. */
+    /** Resumes the batches that the previous owner of the store left, and starts the ticks. */
     void start() throws IOException {
         for (BatchForm form : store.active()) {
             ActiveBatch batch = new ActiveBatch(form);
@@ -175,16 +172,17 @@
         tick();
     }
 
-    /** What a front's other work lived through. */
+    /** Passes a latency sample of a router's interactive requests to the planner. */
     void addLatencySample(LatencySample sample) {
         planner.addLatencySample(sample, loop.nowMs());
     }
 
-    /** Nothing new goes out; lines that are out may still come back. */
+    /** Starts no more lines; open lines may still end. */
     void stop() {
         stopping = true;
     }
 
+    /** Creates a batch and validates its input in the background. */
     BatchForm create(BatchForm.Builder template) throws IOException {
         BatchForm form = store.begin(template);
         ActiveBatch batch = new ActiveBatch(form);
@@ -193,7 +191,7 @@
         return form;
     }
 
-    /** Cancels a batch; what it is then, or null if it can't be cancelled any more. */
+    /** Cancels a batch and returns its new state, or null if it can no longer be cancelled. */
     BatchForm cancel(String id) throws IOException {
         ActiveBatch batch = activeBatches.get(id);
         if (batch == null || batch.finalizing) {
@@ -215,7 +213,7 @@
         return batch.form.build();
     }
 
-    /** A batch as it is now, with what the planner foretells; null if there is none. */
+    /** The current state of a batch, or null if there is no such batch. */
     BatchForm batch(String id) throws IOException {
         ActiveBatch batch = activeBatches.get(id);
         return batch == null ? store.batch(id) : batch.form.build();
@@ -230,7 +228,7 @@
         return store;
     }
 
-    /** What operators see of it. */
+    /** The values of the gauges. */
     record Stats(
             double openLines,
             double lineLimit,
@@ -238,12 +236,12 @@
             int activeCount,
             long finishedCount) {}
 
-    /** As of the last look; for readers on other threads. */
+    /** The values as of the last tick; may be called on any thread. */
     Stats stats() {
         return stats;
     }
 
-    // ------------------------------------------------------------------ a batch's way
+    // ------------------------------------------------------------------ lifecycle of a batch
 
     private void validate(ActiveBatch batch) {
         BatchForm form = batch.form.build();
@@ -271,7 +269,7 @@
                                         null,
                                         "the input could not be checked"));
         if (failure != null) {
-            LOG.error("an input could not be checked", failure);
+            LOG.error("failed to validate the input of a batch", failure);
         }
         BatchForm.Builder updated = batch.form.clone();
         if (!faults.isEmpty()) {
@@ -294,8 +292,8 @@
     }
 
     /**
-     * Opens the input where the lines begin that are not all answered, and lets the planner choose
-     * among them.
+     * Opens the input at the first line that has no record, and adds the batch to the planner,
+     * which decides when its lines start.
      */
     private void addToPlanner(ActiveBatch batch) throws IOException {
         Site.Tenant tenant = site.tenantNamed(batch.form.getTenant());
@@ -352,7 +350,7 @@
         }
     }
 
-    /** Nothing more of it goes out; its files are made. Records that wait are written first. */
+    /** Starts no more lines of the batch and writes its files, after the pending records. */
     private void startFinalizing(ActiveBatch batch, StateForm endState) {
         batch.finalizing = true;
         if (batch.planned != null) {
@@ -376,7 +374,7 @@
                 () -> startFinalizing(batch, endState));
     }
 
-    /** Both files of a batch, with a record for each line, and how many. */
+    /** Both files of a batch, with a record for each line, and the number of records in each. */
     private record ResultFiles(
             IncomingFile output, IncomingFile errors, long completedLines, long failedLines) {}
 
@@ -391,7 +389,8 @@
                                     if (failure != null) {
                                         throw failure instanceof IOException ioFailure
                                                 ? ioFailure
-                                                : new IOException("files were not made", failure);
+                                                : new IOException(
+                                                        "cannot write the result files", failure);
                                     }
                                     try (IncomingFile output = files.output;
                                             IncomingFile errors = files.errors) {
@@ -442,7 +441,7 @@
         }
     }
 
-    /** The record of a line that its batch's end has left without an answer. */
+    /** The record of a line that had none when its batch ended. */
     private String unansweredRecord(BatchForm form, LineReader.Line line) throws IOException {
         boolean wasOpen = store.attempts(form.getId(), line.index()) > 0;
         boolean expired = form.getEnding() == StateForm.EXPIRED;
@@ -474,12 +473,12 @@
                 .addKeyValue("state", finalForm.getState())
                 .addKeyValue("done", finalForm.getDone())
                 .addKeyValue("failed", finalForm.getFailed())
-                .log("batch over");
+                .log("batch ended");
     }
 
-    // ------------------------------------------------------------------ lines out
+    // ------------------------------------------------------------------ execution of lines
 
-    /** Hands out lines for as long as the planner says so. */
+    /** Starts lines for as long as the planner allows. */
     private void startLines() {
         while (!stopping && !storeFailing && pendingRecords.size() < MAX_PENDING_RECORDS) {
             double now = loop.nowMs();
@@ -498,7 +497,8 @@
                         try {
                             submit(task);
                         } catch (IOException e) {
-                            // Guards against: a line that could not be noted would be left out.
+                            // Guards against: a line whose submission could not be recorded would
+                            // never be executed.
                             task.dueMs = now;
                             batch.retryQueue.add(task);
                             throw e;
@@ -509,16 +509,15 @@
     }
 
     /**
-     * The next line of a batch that may go now: one that goes again, else the next that is not
-     * answered.
+     * The next line of a batch that may start now: one whose retry is due, else the next line of
+     * the input that has no record; null if there is none.
      */
     private LineTask nextLineTask(ActiveBatch batch, double nowMs) throws IOException {
         if (!batch.retryQueue.isEmpty() && batch.retryQueue.peek().dueMs <= nowMs) {
             return batch.retryQueue.poll();
         }
-        // Guards against: one line that goes again and again would let all others of a large file
-        // be read
-        // ahead of it into memory.
+        // Guards against: while one line is retried again and again, all later lines of a large
+        // file would be read ahead into memory.
         while (!batch.inputExhausted && batch.readAhead.size() < MAX_READ_AHEAD_LINES) {
             LineReader.Line line = batch.lineReader.next();
             if (line == null) {
@@ -614,8 +613,8 @@
         boolean isChat = batch.form.getEndpoint().equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT);
         JsonNode body =
                 isChat ? BatchLineCodec.chatToMessages(lineRequest.body()) : lineRequest.body();
-        // One key for all tries of a line: one bill, and engines drop the repeats of a deduplicated
-        // one.
+        // All attempts of a line have the same key: it is billed once, and engines drop repeated
+        // requests of a deduplicated product.
         String idempotencyKey = Site.sha256(batch.id() + '\n' + lineRequest.customId());
         return messageBodies.ask(
                 body,
@@ -629,7 +628,7 @@
         return batchId.substring("batch_".length()) + "-" + (lineIndex + 1);
     }
 
-    /** Hears how a line's generation ended. */
+    /** Handles the outcome of a line's generation. */
     private final class LineListener implements GenerationSubmitter.Listener {
         private final LineTask task;
         private final GenerationRequest generationRequest;
@@ -646,7 +645,7 @@
             lineId = lineId(task.batch.id(), task.line.index());
         }
 
-        /** Whether anybody still waits for it; if so it is no longer out. */
+        /** Removes the line from the open lines; returns false if it is no longer one of them. */
         private boolean removeOpenLine(boolean answered) {
             if (task.batch.openLines.get(task.line.index()) != task) {
                 return false;
@@ -709,7 +708,7 @@
             notRun(BatchRetryPolicy.Outcome.NOT_ACCEPTED, 0);
         }
 
-        /** It surely did not run, or running again is harmless: this time is not counted. */
+        /** The line did not run, or a retry is harmless: the attempt is not counted. */
         private void notRun(BatchRetryPolicy.Outcome outcome, double retryAfterMs) {
             if (removeOpenLine(false)) {
                 task.timesNotRun++;
@@ -782,7 +781,7 @@
 
     // ------------------------------------------------------------------ records
 
-    /** A line has its record; it is written with others that come in the same moment. */
+    /** Adds the record of a line; the next flush writes it together with other pending records. */
     private void addRecord(LineTask task, boolean completed, String text) {
         pendingRecords.add(
                 new Store.Answer(
@@ -802,7 +801,7 @@
         }
     }
 
-    /** Moves on the place before which all lines are answered. */
+    /** Marks a line as recorded and advances the position before which all lines have a record. */
     private void markRecorded(ActiveBatch batch, LineReader.Line line) {
         batch.recordedLines.add(line.index());
         boolean wasFull = batch.readAhead.size() >= MAX_READ_AHEAD_LINES;
@@ -855,21 +854,23 @@
     }
 
     /**
-     * Guards against: a full disk must neither lose a record nor stop the loop; nothing new goes
-     * out until it can be written.
+     * Runs an operation. If it fails, no lines are started until {@code retry} and a flush run
+     * after a delay. Guards against: a full disk would lose a record or stop the event loop.
      */
     private void runStoreOperation(StoreOperation operation, Runnable retry) {
         try {
             operation.run();
             if (storeFailureLogged) {
                 storeFailureLogged = false;
-                LOG.info("the store can be written again");
+                LOG.info("the store works again");
             }
         } catch (IOException e) {
             storeFailing = true;
             if (!storeFailureLogged) {
                 storeFailureLogged = true;
-                LOG.error("the store fails; nothing new goes out until it works again", e);
+                LOG.error(
+                        "a store operation failed; starting no lines until the store works again",
+                        e);
             }
             loop.schedule(
                     STORE_RETRY_DELAY_MS,
@@ -883,7 +884,7 @@
         }
     }
 
-    // ------------------------------------------------------------------ now and then
+    // ------------------------------------------------------------------ ticks
 
     private void tick() {
         double now = loop.nowMs();
@@ -895,8 +896,8 @@
                         .addKeyValue("at_risk", planned.isAtRisk())
                         .log(
                                 planned.isAtRisk()
-                                        ? "will not be done in its window at the rate of late"
-                                        : "can be done in its window again");
+                                        ? "batch will miss its window at its tenant's recent rate"
+                                        : "batch can complete in its window again");
             }
         }
         startLines();
--- a/src/main/java/larchridge/batch/EventLoop.java
+++ b/src/main/java/larchridge/batch/EventLoop.java
@@ -4,19 +4,20 @@
 import java.util.concurrent.Executor;
 import java.util.function.BiConsumer;
 
-/**
- * The one thread that owns a store and its batches, as they see it; tests have one in virtual time.
- */
+/** The single thread that owns a store and its batches; tests implement it in virtual time. */
 interface EventLoop extends Executor {
     /**
-     * Milliseconds since 1970 as they were at the start plus what has passed since: steps of the
-     * clock are not seen.
+     * The Unix time at the start plus the elapsed time, in milliseconds; unaffected by steps of the
+     * system clock.
      */
     double nowMs();
 
-    /** Runs a step after a time. */
+    /** Runs a task on the loop after a delay of at least 1 ms. */
     void schedule(double delayMs, Runnable task);
 
-    /** Runs long work elsewhere, then tells here what it gave or how it failed. */
+    /**
+     * Runs blocking work on another thread, then calls {@code onDone} on the loop with its result
+     * or its exception.
+     */
     <T> void runBlocking(Callable<T> work, BiConsumer<T, Exception> onDone);
 }
--- a/src/main/java/larchridge/batch/GenerationSubmitter.java
+++ b/src/main/java/larchridge/batch/GenerationSubmitter.java
@@ -3,34 +3,40 @@
 import larchridge.router.GenerationRequest;
 import larchridge.upstream.Completion;
 
-/** Where lines are handed to become generations. */
+/** Submits batch lines as generations. */
 interface GenerationSubmitter {
     /**
-     * Takes a generation; exactly one of the words is told, later, on the loop of batch work,
-     * unless it is called off.
+     * Submits a generation. Exactly one method of the listener is called, later and on the batch
+     * event loop, unless the submission is cancelled.
      */
     Submission submit(GenerationRequest request, Listener listener);
 
-    /** A line that is out. */
+    /** A submitted generation. */
     interface Submission {
-        /** Calls it off: nothing more is told. */
+        /**
+         * Cancels the generation. A call to the listener that is already queued is still made.
+         */
         void cancel();
     }
 
-    /** How it ended. */
+    /** Receives the outcome of a generation. */
     interface Listener {
+        /** The response is complete. */
         void completed(String text, int cachedTokens, Completion completion);
 
-        /** The answer is larger than the site lets a whole answer be. */
+        /** The response is larger than the site's limit for a non-streaming response. */
         void responseTooLarge();
 
+        /** Rejected for now. A retry is harmless, after this time if it is more than 0. */
         void throttled(double retryAfterMs);
 
+        /** The tenant is over its budget. A retry after this time is harmless. */
         void rejectedOverBudget(double retryAfterMs);
 
-        /** No front took it. */
+        /** The router did not admit the generation. */
         void notAccepted();
 
+        /** The generation failed or was aborted; it may have run. */
         void terminated();
     }
 }
--- a/src/main/java/larchridge/batch/LineReader.java
+++ b/src/main/java/larchridge/batch/LineReader.java
@@ -7,9 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Reads a file line by line from any byte that begins one. A line ends with LF or CR LF, the last
- * one also with the file; a byte-order mark at the start is passed over, as are blank lines. A line
- * over the limit is told as such, not held.
+ * Reads a file line by line, starting at the offset of any line. A line ends with LF or CR LF, the
+ * last one also at the end of the file. A byte order mark at the start of the file is skipped, as
+ * are blank lines. A line over the size limit is returned without its bytes.
  */
 final class LineReader implements AutoCloseable {
     private static final int BUFFER_BYTES = 1 << 16;
@@ -20,16 +20,16 @@
     private long nextIndex;
     private long nextOffset;
 
-    /** How far the buffer has been filled. */
+    /** The file offset up to which the buffer has been filled. */
     private long bufferEndOffset;
 
     private byte[] lineBuffer = new byte[BUFFER_BYTES];
 
     /**
-     * A line: its number in the file from 0, where it begins and the next does, and its bytes, null
-     * if they are too many.
+     * A line: its index in the file from 0, its offset and that of the next line, and its bytes
+     * without the line ending, or null if it is over the size limit.
      */
-    @SuppressWarnings("ArrayRecordComponent") // Bytes of a line as read; lines are not compared.
+    @SuppressWarnings("ArrayRecordComponent") // Lines are not compared.
     record Line(long index, long offset, long nextOffset, byte[] bytes) {}
 
     LineReader(FileChannel file, int maxLineBytes, long firstIndex, long startOffset) {
@@ -41,7 +41,7 @@
         buffer.limit(0);
     }
 
-    /** The next line that is not blank, or null at the end. */
+    /** The next line that is not blank, or null at the end of the file. */
     Line next() throws IOException {
         while (true) {
             Line line = nextLine();
@@ -98,21 +98,20 @@
 
     private boolean fill() throws IOException {
         buffer.clear();
-        // Guards against: the channel's own position is shared by all who read it; one line read
-        // again
-        // would move the others.
+        // Guards against: the channel's own position is shared by all its readers; rereading one
+        // line would move the others.
         int count = file.read(buffer, bufferEndOffset);
         bufferEndOffset += Math.max(0, count);
         buffer.flip();
         return count > 0;
     }
 
-    /** Reads one line again. */
+    /** Reads the bytes of a line again. */
     static byte[] reread(FileChannel file, Line line, int maxLineBytes) throws IOException {
         try (LineReader lines = new LineReader(file, maxLineBytes, line.index, line.offset)) {
             Line read = lines.nextLine();
             if (read == null) {
-                throw new EOFException("line " + (line.index + 1) + " is no longer there");
+                throw new EOFException("line " + (line.index + 1) + " is beyond the end of the file");
             }
             return read.bytes;
         }
@@ -127,7 +126,7 @@
         return true;
     }
 
-    /** The channel belongs to whoever opened it. */
+    /** Leaves the channel open; it belongs to its opener. */
     @Override
     public void close() {
         lineBuffer = new byte[0];
--- a/src/main/java/larchridge/batch/MultipartUpload.java
+++ b/src/main/java/larchridge/batch/MultipartUpload.java
@@ -10,14 +10,14 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * A form with a file and its purpose, as it comes: the file goes to the store's folder part by
- * part, never into memory.
+ * Parses a multipart form with a file and its purpose as it arrives. The file's content is written
+ * to the store's folder chunk by chunk and never held in memory as a whole.
  */
 final class MultipartUpload extends MultiPart.AbstractPartsListener implements AutoCloseable {
     private static final int MAX_PURPOSE_CHARS = 1000;
     private static final int MAX_PARTS = 16;
 
-    /** Where the file's bytes go. */
+    /** Creates the file to which the uploaded content is written. */
     interface IncomingFileFactory {
         IncomingFile create() throws IOException;
     }
@@ -36,7 +36,7 @@
         this.maxFileBytes = maxFileBytes;
     }
 
-    /** Reads a form to its end; the file is synced when this returns. */
+    /** Reads the form to its end; the file is synced when this method returns. */
     void read(String contentType, InputStream body) throws IOException, BatchApiException {
         String boundary =
                 contentType == null || !contentType.startsWith("multipart/form-data")
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -8,7 +8,7 @@
 import larchridge.router.Router;
 import larchridge.upstream.Completion;
 
-/** Hands lines to the fronts of this process in turn, each on its own loop. */
+/** Submits lines to the routers of this process in turn, on each router's own loop. */
 final class RouterSubmitter implements GenerationSubmitter {
     private final List<Router> routers;
     private final EventLoop loop;
@@ -27,7 +27,7 @@
         return submission;
     }
 
-    /** One line at its front; all but the call to {@link #cancel} happens on the front's loop. */
+    /** A line at its router. Except for calls of {@link #cancel}, it runs on the router's loop. */
     private final class LineSubmission implements ResponseSink, Submission {
         private final Router router;
         private final Listener listener;
@@ -55,7 +55,7 @@
             router.submit(request, this, accepted -> inFlight = accepted);
         }
 
-        /** Told at most once, and the front is left. */
+        /** Notifies the listener, at most once, and ends the exchange at the router. */
         private void end(Runnable notification) {
             if (ended) {
                 return;
--- a/src/main/java/larchridge/batch/ThreadEventLoop.java
+++ b/src/main/java/larchridge/batch/ThreadEventLoop.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The loop as a thread, with two threads aside. What waits for it is bounded by those that hand it
- * over: the lines that are open, the API's threads, one look at each front at a time. What waits to
- * run aside is bounded here.
+ * An event loop on its own thread, with two more threads for blocking work. The queue of the loop
+ * is bounded by its producers: the open lines, the API's threads, and one latency sample per router
+ * at a time. The queue of blocking work is bounded here.
  */
 final class ThreadEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ThreadEventLoop.class);
@@ -54,8 +54,9 @@
         try {
             loopExecutor.execute(() -> runAndLogFailure(task));
         } catch (RejectedExecutionException e) {
-            // It is closing: what comes from fronts now is found as in flight at the next start.
-            LOG.debug("a step came after the end");
+            // The loop is closing. Lines whose outcome routers report now are found as in flight at
+            // the next start.
+            LOG.debug("ignored a task that was submitted after the event loop had closed");
         }
     }
 
@@ -67,19 +68,19 @@
                     (long) Math.max(1, Math.ceil(delayMs)),
                     TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            LOG.debug("a timer came after the end");
+            LOG.debug("ignored a timer that was set after the event loop had closed");
         }
     }
 
     /**
-     * Guards against: a step that throws would end in a future that nobody reads, and with it all
-     * that it was to start.
+     * Guards against: the exception of a task that fails would end up in a future that nobody
+     * reads, and all that the task was to start would silently be missing.
      */
     private static void runAndLogFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("a step of batch work failed", e);
+            LOG.error("a task on the batch event loop failed", e);
         }
     }
 
@@ -96,7 +97,7 @@
                 });
     }
 
-    /** Runs a question on the loop and hands its answer out. */
+    /** Runs a task on the loop and returns a future of its result; called on other threads. */
     <T> CompletableFuture<T> call(Callable<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         try {
--- a/src/main/java/larchridge/batch/package-info.java
+++ b/src/main/java/larchridge/batch/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The Files and Batches API, and the life of a batch from its creation to its end.
+ * The Files and Batches API, and the lifecycle of a batch.
  *
- * <p>{@link larchridge.batch.BatchService} is the entry; one thread owns the store and all batches.
- * It submits generations through {@code larchridge.router} and knows nothing of engines.
+ * <p>Entry point: {@link larchridge.batch.BatchService}. One thread owns the store and all batches.
+ * Lines are submitted as generations to {@code larchridge.router}; nothing here depends on engines.
  */
 package larchridge.batch;
