--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -34,8 +34,8 @@
 import larchridge.upstream.Completion;
 
 /**
- * A store with its batches in virtual time, over engines that do what the prompt says; it can be
- * killed and come back.
+ * A store with its batches in virtual time, whose prompts specify the outcomes of their
+ * generations; its process can be killed and restarted.
  */
 final class BatchFixture implements AutoCloseable {
     static final ObjectMapper MAPPER = new ObjectMapper();
@@ -43,7 +43,7 @@
     final Site site;
     final TokenCounters tokenCounters = new TokenCounters(1 << 20, 1, 10, 4);
 
-    /** What the engines ran, by the line's custom id; it outlives the process. */
+    /** How often engines ran each line, by custom id; kept when the process restarts. */
     final Map<String, Integer> runsByCustomId = new TreeMap<>();
 
     VirtualEventLoop loop;
@@ -53,7 +53,7 @@
     int openSubmissions;
     int maxOpenSubmissions;
 
-    /** The process ends here. */
+    /** Ends the process at the point where it is thrown. */
     static final class SimulatedCrash extends Error {
         private static final long serialVersionUID = 1;
     }
@@ -76,7 +76,7 @@
         start();
     }
 
-    /** A process that takes up the store as it is. */
+    /** Starts a process on the store as it is. */
     void start() throws IOException {
         loop = new VirtualEventLoop();
         openSubmissions = 0;
@@ -93,7 +93,7 @@
         batches.start();
     }
 
-    /** The process is no more; what was not on disk is lost. */
+    /** Kills the process, which loses what is not on disk, and starts another one. */
     void killAndRestart() throws IOException {
         store.close();
         start();
@@ -117,7 +117,7 @@
                         .setExpiresMs((long) (loop.nowMs() + windowMs)));
     }
 
-    /** A line whose engines do as its words say. */
+    /** A line whose prompt contains a script for {@link ScriptedSubmitter}. */
     static String line(String id, String model, String script) {
         return "{\"custom_id\":\""
                 + id
@@ -138,7 +138,7 @@
         return text.toString();
     }
 
-    /** Records of a file by custom id; a custom id that comes twice fails. */
+    /** The records of a file by custom id; fails if a custom id occurs twice. */
     Map<String, JsonNode> records(String fileId) throws IOException {
         Map<String, JsonNode> records = new TreeMap<>();
         if (fileId.isEmpty()) {
@@ -152,14 +152,14 @@
                             .split("\n")) {
                 JsonNode record = MAPPER.readTree(text);
                 if (records.put(record.path("custom_id").asText(), record) != null) {
-                    throw new AssertionError("twice: " + text);
+                    throw new AssertionError("duplicate custom id: " + text);
                 }
             }
         }
         return records;
     }
 
-    /** Both files' records; a line in both fails. */
+    /** The records of both files by custom id; fails if a line is in both files. */
     Map<String, JsonNode> records(BatchForm batch) throws IOException {
         Map<String, JsonNode> all = records(batch.getOutput());
         records(batch.getErrors())
@@ -184,8 +184,8 @@
     }
 
     /**
-     * Does what prompts say: ok, fail N (terminated N times), busy N (throttled N times), slow MS,
-     * never.
+     * Follows the scripts in prompts: ok, fail N (terminates N times), busy N (throttles N times),
+     * slow MS (takes that long), never (does not end).
      */
     private final class ScriptedSubmitter implements GenerationSubmitter {
         private final Map<String, Integer> attemptsById = new HashMap<>();
@@ -238,8 +238,8 @@
     }
 
     /**
-     * Virtual time: steps run in the order of their times, and in one moment in the order in which
-     * they came.
+     * Virtual time: tasks run in the order of their due times, and those due at the same time in
+     * the order in which they were added.
      */
     static final class VirtualEventLoop implements EventLoop {
         private record ScheduledTask(double dueMs, long sequenceNumber, Runnable task) {}
@@ -285,7 +285,7 @@
                     });
         }
 
-        /** Runs for so long, virtually. */
+        /** Runs the tasks that are due within this virtual time. */
         void run(double durationMs) {
             double end = nowMs + durationMs;
             while (!tasks.isEmpty() && tasks.peek().dueMs <= end) {
@@ -297,7 +297,7 @@
         }
     }
 
-    /** Counts the places at which the store writes, and ends the process at one of them. */
+    /** Records the crash points that the store passes, and simulates a crash at one of them. */
     static final class CrashAtWrite implements CrashPoints {
         final List<String> passedWrites = new ArrayList<>();
         private final int crashAt;
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Batches in virtual time: their ways, their ends, a disk that fails, and a process that ends at
- * each place it writes.
+ * Batches in virtual time: outcomes of lines and batches, a failing disk, and a crash at each write
+ * of the store.
  */
 class BatchesTest {
     private static final double HOUR = 3_600_000;
@@ -45,14 +45,14 @@
                     fixture.records(done).get("c7").at("/response/body/content/0/text").asText());
             assertTrue(
                     fixture.maxOpenSubmissions <= 8,
-                    "out at a time: " + fixture.maxOpenSubmissions);
+                    "lines open at the same time: " + fixture.maxOpenSubmissions);
             assertEquals(List.of(), fixture.store.verify());
         }
     }
 
     /**
-     * Guards against: a line that is read again to be sent would move the place at which the rest
-     * of a large input is read.
+     * Guards against: rereading a line to submit it would move the position at which the rest of a
+     * large input is read.
      */
     @Test
     void inputLargerThanTheReadBufferIsReadCompletely() throws Exception {
@@ -190,7 +190,7 @@
         }
     }
 
-    /** Guards against: a disk that is full for a while must cost no line its record. */
+    /** Guards against: lines would have no record if the disk is full for a while. */
     @Test
     void temporaryDiskFailureLosesNoRecord() throws Exception {
         for (String failingWrite :
@@ -235,7 +235,7 @@
         }
     }
 
-    // ------------------------------------------------------------------ ends of the process
+    // ------------------------------------------------------------------ crashes
 
     private static final String MIXED =
             BatchFixture.line("ok1", "free", "ok")
@@ -256,8 +256,8 @@
             Set.of("ok1", "once1", "fail1", "busy1", "bad", "once2", "ok2");
 
     /**
-     * One client's day: it uploads, makes a batch, and after each end of the process looks for what
-     * it was promised.
+     * Acts as a client that uploads a file, creates a batch and optionally cancels it. After each
+     * crash it looks for the file and the batch in the store and continues.
      */
     private static BatchForm runToEnd(BatchFixture fixture, boolean cancels, int maxStarts)
             throws Exception {
@@ -289,7 +289,7 @@
                 restart(fixture);
             }
         }
-        throw new AssertionError("did not end");
+        throw new AssertionError("the batch did not end");
     }
 
     private static void restart(BatchFixture fixture) throws Exception {
@@ -339,7 +339,7 @@
                     assertComplete(
                             fixture,
                             runToEnd(fixture, cancels, 3),
-                            "ended at write "
+                            "crashed at write "
                                     + writeNumber
                                     + " ("
                                     + recorder.passedWrites.get(writeNumber - 1)
@@ -368,6 +368,6 @@
                 totalCrashes += crashes[0];
             }
         }
-        assertTrue(totalCrashes >= 15, "ended only " + totalCrashes + " times");
+        assertTrue(totalCrashes >= 15, "crashed only " + totalCrashes + " times");
     }
 }
--- a/src/test/java/larchridge/batch/LineReaderTest.java
+++ b/src/test/java/larchridge/batch/LineReaderTest.java
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Guards against: a batch goes on at a place in the middle of its input; that must give the
-     * same lines as from the start.
+     * Guards against: a batch that resumes in the middle of its input would read other lines than
+     * from the start.
      */
     @Property(tries = 100, seed = "20261201")
     void readingFromAnyLineYieldsTheSameLines(
