--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -136,7 +136,7 @@
         int attempts;
         int timesNotRun;
 
-        /** Whether the line was submitted when the previous owner of the store ended. */
+        /** Whether the line was open when the previous owner of the store ended. */
         boolean mayHaveRun;
 
         double dueMs;
@@ -854,8 +854,8 @@
     }
 
     /**
-     * Runs an operation. If it fails, no lines are started until {@code retry} and a flush run
-     * after a delay. Guards against: a full disk would lose a record or stop the event loop.
+     * Runs an operation. If it fails, no lines are started until {@code retry} is run after a
+     * delay. Guards against: a full disk would lose a record or stop the event loop.
      */
     private void runStoreOperation(StoreOperation operation, Runnable retry) {
         try {
--- a/src/main/java/larchridge/batch/GenerationSubmitter.java
+++ b/src/main/java/larchridge/batch/GenerationSubmitter.java
@@ -13,9 +13,7 @@
 
     /** A submitted generation. */
     interface Submission {
-        /**
-         * Cancels the generation. A call to the listener that is already queued is still made.
-         */
+        /** Cancels the generation. A call to the listener that is already queued is still made. */
         void cancel();
     }
 
