--- a/src/main/java/larchridge/batch/LineReader.java
+++ b/src/main/java/larchridge/batch/LineReader.java
@@ -111,7 +111,8 @@
         try (LineReader lines = new LineReader(file, maxLineBytes, line.index, line.offset)) {
             Line read = lines.nextLine();
             if (read == null) {
-                throw new EOFException("line " + (line.index + 1) + " is beyond the end of the file");
+                throw new EOFException(
+                        "line " + (line.index + 1) + " is beyond the end of the file");
             }
             return read.bytes;
         }
