--- a/src/main/java/larchridge/batch/ThreadEventLoop.java
+++ b/src/main/java/larchridge/batch/ThreadEventLoop.java
@@ -12,33 +12,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The loop as a thread, with two threads aside. What waits for it is bounded by those that hand it
- * over: the lines that are open, the API's threads, one look at each front at a time. What waits to
- * run aside is bounded here.
+ * An event loop on its own thread, with two more threads for blocking work. The queue of the loop
+ * is bounded by its producers: the open lines, the API's threads, and one latency sample per router
+ * at a time. The queue of blocking work is bounded here.
  */
 final class ThreadEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ThreadEventLoop.class);
-    private static final int MOST_ASIDE = 100_000;
-    private static final long CLOSE_MS = 10_000;
+    private static final int MAX_QUEUED_BLOCKING_TASKS = 100_000;
+    private static final long CLOSE_TIMEOUT_MS = 10_000;
 
-    private final ScheduledThreadPoolExecutor thread =
-            new ScheduledThreadPoolExecutor(1, work -> daemon(work, "batches"));
-    private final ThreadPoolExecutor aside =
+    private final ScheduledThreadPoolExecutor loopExecutor =
+            new ScheduledThreadPoolExecutor(1, work -> daemonThread(work, "batches"));
+    private final ThreadPoolExecutor blockingExecutor =
             new ThreadPoolExecutor(
                     2,
                     2,
                     1,
                     TimeUnit.SECONDS,
-                    new ArrayBlockingQueue<>(MOST_ASIDE),
-                    work -> daemon(work, "batch-files"));
+                    new ArrayBlockingQueue<>(MAX_QUEUED_BLOCKING_TASKS),
+                    work -> daemonThread(work, "batch-files"));
     private final double startMs = System.currentTimeMillis();
     private final long startNs = System.nanoTime();
 
     ThreadEventLoop() {
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        loopExecutor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    private static Thread daemon(Runnable work, String name) {
+    private static Thread daemonThread(Runnable work, String name) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         return thread;
@@ -50,75 +50,78 @@
     }
 
     @Override
-    public void execute(Runnable step) {
+    public void execute(Runnable task) {
         try {
-            thread.execute(() -> guarded(step));
+            loopExecutor.execute(() -> runAndLogFailure(task));
         } catch (RejectedExecutionException e) {
-            // It is closing: what comes from fronts now is found as in flight at the next start.
-            LOG.debug("a step came after the end");
+            // The loop is closing. Lines whose outcome routers report now are found as in flight at
+            // the next start.
+            LOG.debug("ignored a task that was submitted after the event loop had closed");
         }
     }
 
     @Override
-    public void in(double ms, Runnable step) {
+    public void schedule(double delayMs, Runnable task) {
         try {
-            thread.schedule(
-                    () -> guarded(step), (long) Math.max(1, Math.ceil(ms)), TimeUnit.MILLISECONDS);
+            loopExecutor.schedule(
+                    () -> runAndLogFailure(task),
+                    (long) Math.max(1, Math.ceil(delayMs)),
+                    TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            LOG.debug("a timer came after the end");
+            LOG.debug("ignored a timer that was set after the event loop had closed");
         }
     }
 
     /**
-     * Guards against: a step that throws would end in a future that nobody reads, and with it all
-     * that it was to start.
+     * Guards against: the exception of a task that fails would end up in a future that nobody
+     * reads, and all that the task was to start would silently be missing.
      */
-    private static void guarded(Runnable step) {
+    private static void runAndLogFailure(Runnable task) {
         try {
-            step.run();
+            task.run();
         } catch (RuntimeException e) {
-            LOG.error("a step of batch work failed", e);
+            LOG.error("a task on the batch event loop failed", e);
         }
     }
 
     @Override
-    public <T> void aside(Callable<T> work, BiConsumer<T, Exception> done) {
-        aside.execute(
+    public <T> void runBlocking(Callable<T> work, BiConsumer<T, Exception> onDone) {
+        blockingExecutor.execute(
                 () -> {
                     try {
-                        T got = work.call();
-                        execute(() -> done.accept(got, null));
+                        T result = work.call();
+                        execute(() -> onDone.accept(result, null));
                     } catch (Exception e) {
-                        execute(() -> done.accept(null, e));
+                        execute(() -> onDone.accept(null, e));
                     }
                 });
     }
 
-    /** Runs a question on the loop and hands its answer out. */
-    <T> CompletableFuture<T> ask(Callable<T> question) {
-        CompletableFuture<T> answer = new CompletableFuture<>();
+    /** Runs a task on the loop and returns a future of its result; called on other threads. */
+    <T> CompletableFuture<T> call(Callable<T> task) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         try {
-            thread.execute(
+            loopExecutor.execute(
                     () -> {
                         try {
-                            answer.complete(question.call());
+                            result.complete(task.call());
                         } catch (Exception e) {
-                            answer.completeExceptionally(e);
+                            result.completeExceptionally(e);
                         }
                     });
         } catch (RejectedExecutionException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
         }
-        return answer;
+        return result;
     }
 
     @Override
     public void close() {
         try {
-            aside.shutdownNow();
-            aside.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
-            thread.shutdown();
-            thread.awaitTermination(CLOSE_MS, TimeUnit.MILLISECONDS);
+            blockingExecutor.shutdownNow();
+            blockingExecutor.awaitTermination(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            loopExecutor.shutdown();
+            loopExecutor.awaitTermination(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
