--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -22,10 +22,10 @@
 import larchridge.site.BatchSettings;
 import larchridge.site.Site;
 import larchridge.store.Store;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.InputError;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.BatchState;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Handler;
@@ -200,17 +200,17 @@
         }
     }
 
-    private FileForm file(String id, Site.Tenant tenant) throws BatchApiException, IOException {
+    private FileRecord file(String id, Site.Tenant tenant) throws BatchApiException, IOException {
         // Records of files are read here: only what changes them, and batches that are under way,
         // belong to the loop.
-        FileForm file = service.store().file(id);
+        FileRecord file = service.store().file(id);
         if (file == null || !file.getTenant().equals(tenant.name())) {
             throw BatchApiException.notFound("file: " + id);
         }
         return file;
     }
 
-    private void content(Response response, FileForm file) throws IOException, BatchApiException {
+    private void content(Response response, FileRecord file) throws IOException, BatchApiException {
         try (FileChannel from = service.store().content(file)) {
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/octet-stream");
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, file.getBytes());
@@ -226,7 +226,7 @@
         }
     }
 
-    private void delete(Response response, FileForm file) throws BatchApiException, IOException {
+    private void delete(Response response, FileRecord file) throws BatchApiException, IOException {
         boolean gone = onLoop(batches -> service.store().delete(file));
         if (!gone) {
             throw BatchApiException.conflict("a batch that is not over reads this file");
@@ -244,7 +244,7 @@
     private void make(Request request, Response response, Site.Tenant tenant)
             throws BatchApiException, IOException {
         JsonNode body = body(request);
-        FileForm input = file(text(body, "input_file_id"), tenant);
+        FileRecord input = file(text(body, "input_file_id"), tenant);
         if (!input.getPurpose().equals("batch")) {
             throw BatchApiException.invalid(
                     "input_file_id", "the file's purpose is " + input.getPurpose() + ", not batch");
@@ -282,7 +282,7 @@
                             return json(
                                     batches,
                                     batches.make(
-                                            BatchForm.newBuilder()
+                                            BatchRecord.newBuilder()
                                                     .setTenant(tenant.name())
                                                     .setInput(input.getId())
                                                     .setEndpoint(endpoint)
@@ -315,24 +315,24 @@
         return metadata;
     }
 
-    private BatchForm batch(String id, Site.Tenant tenant) throws BatchApiException, IOException {
+    private BatchRecord batch(String id, Site.Tenant tenant) throws BatchApiException, IOException {
         return onLoop(batches -> own(batches, id, tenant));
     }
 
-    private static BatchForm own(Batches batches, String id, Site.Tenant tenant)
+    private static BatchRecord own(Batches batches, String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        BatchForm batch = batches.batch(id);
+        BatchRecord batch = batches.batch(id);
         if (batch == null || !batch.getTenant().equals(tenant.name())) {
             throw BatchApiException.notFound("batch: " + id);
         }
         return batch;
     }
 
-    private void cancel(Response response, BatchForm batch) throws BatchApiException, IOException {
+    private void cancel(Response response, BatchRecord batch) throws BatchApiException, IOException {
         ObjectNode now =
                 onLoop(
                         batches -> {
-                            BatchForm cancelled = batches.cancel(batch.getId());
+                            BatchRecord cancelled = batches.cancel(batch.getId());
                             return cancelled == null ? null : json(batches, cancelled);
                         });
         if (now == null) {
@@ -370,7 +370,7 @@
         ArrayNode data = MAPPER.createArrayNode();
         List<String> ids = service.store().page(tenant.name(), kind, from, items + 1);
         for (String id : ids.subList(0, Math.min(items, ids.size()))) {
-            FileForm file = kind == 'f' ? service.store().file(id) : null;
+            FileRecord file = kind == 'f' ? service.store().file(id) : null;
             if (kind == 'b') {
                 data.add(batchJson(id, tenant));
             } else if (file != null && (purpose == null || purpose.equals(file.getPurpose()))) {
@@ -386,7 +386,7 @@
 
     // ------------------------------------------------------------------ in the API's words
 
-    private static ObjectNode fileJson(FileForm file) {
+    private static ObjectNode fileJson(FileRecord file) {
         return MAPPER.createObjectNode()
                 .put("id", file.getId())
                 .put("object", "file")
@@ -403,7 +403,7 @@
         return onLoop(batches -> json(batches, own(batches, id, tenant)));
     }
 
-    private static ObjectNode json(Batches batches, BatchForm batch) {
+    private static ObjectNode json(Batches batches, BatchRecord batch) {
         ObjectNode json =
                 MAPPER.createObjectNode()
                         .put("id", batch.getId())
@@ -423,11 +423,11 @@
         time(json, "expires_at", batch.getExpiresMs());
         time(json, "finalizing_at", batch.getFinalizingMs());
         time(json, "cancelling_at", batch.getCancellingMs());
-        StateForm state = batch.getState();
-        time(json, "completed_at", state == StateForm.COMPLETED ? batch.getEndedMs() : 0);
-        time(json, "failed_at", state == StateForm.FAILED ? batch.getEndedMs() : 0);
-        time(json, "expired_at", state == StateForm.EXPIRED ? batch.getEndedMs() : 0);
-        time(json, "cancelled_at", state == StateForm.CANCELLED ? batch.getEndedMs() : 0);
+        BatchState state = batch.getState();
+        time(json, "completed_at", state == BatchState.COMPLETED ? batch.getEndedMs() : 0);
+        time(json, "failed_at", state == BatchState.FAILED ? batch.getEndedMs() : 0);
+        time(json, "expired_at", state == BatchState.EXPIRED ? batch.getEndedMs() : 0);
+        time(json, "cancelled_at", state == BatchState.CANCELLED ? batch.getEndedMs() : 0);
         json.putObject("request_counts")
                 .put("total", batch.getTotal())
                 .put("completed", batch.getDone())
@@ -436,7 +436,7 @@
             json.putNull("errors");
         } else {
             ArrayNode data = json.putObject("errors").put("object", "list").putArray("data");
-            for (FaultForm fault : batch.getFaultList()) {
+            for (InputError fault : batch.getFaultList()) {
                 ObjectNode one =
                         data.addObject()
                                 .put("code", fault.getCode())
@@ -463,7 +463,7 @@
         }
     }
 
-    private static String word(StateForm state) {
+    private static String word(BatchState state) {
         return state.name().toLowerCase(java.util.Locale.ROOT);
     }
 
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import larchridge.site.BatchSettings;
 import larchridge.store.Store;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.FileForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.InputError;
+import larchridge.store.form.FileRecord;
 
 /**
  * Reads a batch's whole input before anything of it runs; each fault with its line, from 1, and its
@@ -26,7 +26,7 @@
     private static final int MOST_ID = 512;
 
     /** How many lines there are, or what is wrong with them. */
-    record Result(long lines, List<FaultForm> faults) {}
+    record Result(long lines, List<InputError> faults) {}
 
     /** What a line has to say before it is sent. */
     record Call(String customId, JsonNode body) {}
@@ -67,9 +67,9 @@
                         .build();
     }
 
-    Result check(BatchForm batch) throws IOException {
-        FileForm file = store.file(batch.getInput());
-        List<FaultForm> faults = new ArrayList<>();
+    Result check(BatchRecord batch) throws IOException {
+        FileRecord file = store.file(batch.getInput());
+        List<InputError> faults = new ArrayList<>();
         long count = 0;
         store.unname(batch.getId());
         try (FileChannel channel = store.content(file);
@@ -108,9 +108,9 @@
         return new Result(count, faults);
     }
 
-    static FaultForm fault(String code, long line, String field, String text) {
-        FaultForm.Builder fault =
-                FaultForm.newBuilder().setCode(code).setLine(line).setMessage(text);
+    static InputError fault(String code, long line, String field, String text) {
+        InputError.Builder fault =
+                InputError.newBuilder().setCode(code).setLine(line).setMessage(text);
         return field == null ? fault.build() : fault.setField(field).build();
     }
 
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -26,10 +26,10 @@
 import larchridge.state.Effect;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.LineAnswer;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.InputError;
+import larchridge.store.form.BatchState;
 import larchridge.upstream.Completion;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -92,7 +92,7 @@
 
     /** One batch that is not over. */
     private static final class Job {
-        BatchForm.Builder form;
+        BatchRecord.Builder form;
         PlannedBatch work;
         FileChannel input;
         LineReader lines;
@@ -117,7 +117,7 @@
         final Set<Long> recorded = new HashSet<>();
         int unwritten;
 
-        Job(BatchForm form) {
+        Job(BatchRecord form) {
             this.form = form.toBuilder();
         }
 
@@ -156,7 +156,7 @@
 
     /** Takes up what the owner before left; from now on it looks at itself now and then. */
     void start() throws IOException {
-        for (BatchForm form : store.active()) {
+        for (BatchRecord form : store.active()) {
             Job job = new Job(form);
             job.resumed = true;
             jobs.put(job.id(), job);
@@ -165,7 +165,7 @@
                     if (form.getTotal() == 0) {
                         validate(job);
                     } else {
-                        end(job, StateForm.CANCELLED);
+                        end(job, BatchState.CANCELLED);
                     }
                 }
                 case IN_PROGRESS -> plan(job);
@@ -185,8 +185,8 @@
         stopping = true;
     }
 
-    BatchForm make(BatchForm.Builder about) throws IOException {
-        BatchForm form = store.begin(about);
+    BatchRecord make(BatchRecord.Builder about) throws IOException {
+        BatchRecord form = store.begin(about);
         Job job = new Job(form);
         jobs.put(job.id(), job);
         validate(job);
@@ -194,16 +194,16 @@
     }
 
     /** Cancels a batch; what it is then, or null if it can't be cancelled any more. */
-    BatchForm cancel(String id) throws IOException {
+    BatchRecord cancel(String id) throws IOException {
         Job job = jobs.get(id);
         if (job == null || job.ending) {
             return null;
         }
-        if (job.form.getState() != StateForm.CANCELLING) {
-            BatchForm.Builder next =
+        if (job.form.getState() != BatchState.CANCELLING) {
+            BatchRecord.Builder next =
                     job.form
                             .clone()
-                            .setState(StateForm.CANCELLING)
+                            .setState(BatchState.CANCELLING)
                             .setCancellingMs((long) loop.nowMs());
             store.update(next.build());
             job.form = next;
@@ -216,7 +216,7 @@
     }
 
     /** A batch as it is now, with what the planner foretells; null if there is none. */
-    BatchForm batch(String id) throws IOException {
+    BatchRecord batch(String id) throws IOException {
         Job job = jobs.get(id);
         return job == null ? store.batch(id) : job.form.build();
     }
@@ -241,7 +241,7 @@
     // ------------------------------------------------------------------ a batch's way
 
     private void validate(Job job) {
-        BatchForm form = job.form.build();
+        BatchRecord form = job.form.build();
         loop.aside(
                 () -> check.check(form),
                 (result, failed) ->
@@ -253,7 +253,7 @@
         if (failed instanceof IOException disk) {
             throw disk;
         }
-        List<FaultForm> faults =
+        List<InputError> faults =
                 failed == null
                         ? result.faults()
                         : List.of(
@@ -265,21 +265,21 @@
         if (failed != null) {
             LOG.error("an input could not be checked", failed);
         }
-        BatchForm.Builder next = job.form.clone();
+        BatchRecord.Builder next = job.form.clone();
         if (!faults.isEmpty()) {
-            next.setState(StateForm.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
+            next.setState(BatchState.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
             store.update(next.build());
             over(job, next);
             return;
         }
         next.setTotal(result.lines());
-        if (next.getState() == StateForm.CANCELLING) {
+        if (next.getState() == BatchState.CANCELLING) {
             store.update(next.build());
             job.form = next;
-            end(job, StateForm.CANCELLED);
+            end(job, BatchState.CANCELLED);
             return;
         }
-        next.setState(StateForm.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
+        next.setState(BatchState.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
         store.update(next.build());
         job.form = next;
         plan(job);
@@ -305,7 +305,7 @@
                         (double) (job.form.getTotal() - job.form.getDone() - job.form.getFailed()));
         loop.in(Math.max(0, job.form.getExpiresMs() - loop.nowMs()), () -> expire(job));
         if (isComplete(job)) {
-            end(job, StateForm.COMPLETED);
+            end(job, BatchState.COMPLETED);
         } else {
             pump();
         }
@@ -314,7 +314,7 @@
     private void expire(Job job) {
         if (!jobs.containsValue(job)
                 || job.ending
-                || job.form.getState() != StateForm.IN_PROGRESS) {
+                || job.form.getState() != BatchState.IN_PROGRESS) {
             return;
         }
         for (Trip trip : List.copyOf(job.out.values())) {
@@ -322,7 +322,7 @@
             planner.lineEnded(job.work, trip.tokens, false, loop.nowMs());
         }
         job.out.clear();
-        end(job, StateForm.EXPIRED);
+        end(job, BatchState.EXPIRED);
     }
 
     private boolean isComplete(Job job) {
@@ -330,16 +330,16 @@
     }
 
     private void perhapsCancelled(Job job) {
-        if (job.form.getState() == StateForm.CANCELLING
+        if (job.form.getState() == BatchState.CANCELLING
                 && job.out.isEmpty()
                 && job.unwritten == 0
                 && !job.ending) {
-            end(job, StateForm.CANCELLED);
+            end(job, BatchState.CANCELLED);
         }
     }
 
     /** Nothing more of it goes out; its files are made. Records that wait are written first. */
-    private void end(Job job, StateForm how) {
+    private void end(Job job, BatchState how) {
         job.ending = true;
         if (job.work != null) {
             planner.removeBatch(job.work);
@@ -347,10 +347,10 @@
         onDisk(
                 () -> {
                     flush();
-                    BatchForm.Builder next =
+                    BatchRecord.Builder next =
                             job.form.clone().setEnding(how).setFinalizingMs((long) loop.nowMs());
-                    if (how != StateForm.CANCELLED) {
-                        next.setState(StateForm.FINALIZING);
+                    if (how != BatchState.CANCELLED) {
+                        next.setState(BatchState.FINALIZING);
                     }
                     store.update(next.build());
                     job.form = next;
@@ -364,7 +364,7 @@
 
     private void finish(Job job) {
         job.ending = true;
-        BatchForm form = job.form.build();
+        BatchRecord form = job.form.build();
         loop.aside(
                 () -> files(form),
                 (made, failed) ->
@@ -377,14 +377,14 @@
                                     }
                                     try (IncomingFile output = made.output;
                                             IncomingFile errors = made.errors) {
-                                        BatchForm.Builder next =
+                                        BatchRecord.Builder next =
                                                 job.form
                                                         .clone()
                                                         .setState(form.getEnding())
                                                         .setEndedMs((long) loop.nowMs())
                                                         .setDone(made.good)
                                                         .setFailed(made.bad);
-                                        BatchForm done =
+                                        BatchRecord done =
                                                 store.finish(
                                                         next,
                                                         made.good > 0 ? output : null,
@@ -396,7 +396,7 @@
                                 () -> finish(job)));
     }
 
-    private Made files(BatchForm form) throws IOException {
+    private Made files(BatchRecord form) throws IOException {
         IncomingFile output = store.receive();
         IncomingFile errors = null;
         long good = 0;
@@ -405,7 +405,7 @@
                 LineReader lines = new LineReader(input, terms.lineBytes, 0, 0)) {
             errors = store.receive();
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
-                AnswerForm answer = store.answer(form.getId(), line.number());
+                LineAnswer answer = store.answer(form.getId(), line.number());
                 boolean isGood = answer != null && answer.getGood();
                 byte[] text =
                         ((answer == null ? unanswered(form, line) : answer.getText()) + "\n")
@@ -425,9 +425,9 @@
     }
 
     /** The record of a line that its batch's end has left without an answer. */
-    private String unanswered(BatchForm form, LineReader.Line line) throws IOException {
+    private String unanswered(BatchRecord form, LineReader.Line line) throws IOException {
         boolean wasOut = store.attempts(form.getId(), line.number()) > 0;
-        boolean expired = form.getEnding() == StateForm.EXPIRED;
+        boolean expired = form.getEnding() == BatchState.EXPIRED;
         String customId;
         try {
             customId = check.read(line.bytes(), form.getEndpoint()).customId();
@@ -445,7 +445,7 @@
                                 : " before this line was executed"));
     }
 
-    private void over(Job job, BatchForm.Builder last) throws IOException {
+    private void over(Job job, BatchRecord.Builder last) throws IOException {
         jobs.remove(job.id());
         finished++;
         if (job.input != null) {
@@ -732,14 +732,14 @@
             Job job = trip.job;
             trip.dueMs = loop.nowMs() + afterMs;
             job.again.add(trip);
-            if (job.form.getState() != StateForm.IN_PROGRESS || job.ending) {
+            if (job.form.getState() != BatchState.IN_PROGRESS || job.ending) {
                 perhapsCancelled(job);
                 return;
             }
             loop.in(
                     afterMs,
                     () -> {
-                        if (!job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
+                        if (!job.ending && job.form.getState() == BatchState.IN_PROGRESS) {
                             planner.setReady(job.work, true);
                             pump();
                         }
@@ -756,7 +756,7 @@
                 new Store.Answer(
                         trip.job.id(),
                         trip.line.number(),
-                        AnswerForm.newBuilder().setGood(good).setText(text).build()));
+                        LineAnswer.newBuilder().setGood(good).setText(text).build()));
         Job job = trip.job;
         job.unwritten++;
         planner.lineRecorded(job.work);
@@ -778,7 +778,7 @@
             LineReader.Line low = job.read.poll();
             job.form.setLowLine(low.number() + 1).setLowOffset(low.next());
         }
-        if (wasFull && !job.ending && job.form.getState() == StateForm.IN_PROGRESS) {
+        if (wasFull && !job.ending && job.form.getState() == BatchState.IN_PROGRESS) {
             planner.setReady(job.work, true);
         }
     }
@@ -794,7 +794,7 @@
             return;
         }
         Set<Job> touched = new LinkedHashSet<>();
-        List<BatchForm> forms = new ArrayList<>();
+        List<BatchRecord> forms = new ArrayList<>();
         for (Store.Answer answer : gathered) {
             Job job = jobs.get(answer.batch());
             if (touched.add(job)) {
@@ -808,9 +808,9 @@
             if (!job.ending && isComplete(job)) {
                 end(
                         job,
-                        job.form.getState() == StateForm.CANCELLING
-                                ? StateForm.CANCELLED
-                                : StateForm.COMPLETED);
+                        job.form.getState() == BatchState.CANCELLING
+                                ? BatchState.CANCELLED
+                                : BatchState.COMPLETED);
             } else {
                 perhapsCancelled(job);
             }
--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import larchridge.ledger.form.TotalForm;
-import larchridge.ledger.form.UsageForm;
+import larchridge.ledger.form.UsageTotalRecord;
+import larchridge.ledger.form.UsageRecord;
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 import org.rocksdb.ColumnFamilyHandle;
 import org.rocksdb.RocksDBException;
@@ -236,12 +236,12 @@
 
     private Usage usage(String id) throws RocksDBException, InvalidProtocolBufferException {
         byte[] bytes = open().database().get(open().usages(), id.getBytes(StandardCharsets.UTF_8));
-        return bytes == null ? null : Usage.of(id, UsageForm.parseFrom(bytes));
+        return bytes == null ? null : Usage.of(id, UsageRecord.parseFrom(bytes));
     }
 
     private UsageTotal total(String key) throws RocksDBException, InvalidProtocolBufferException {
         byte[] bytes = open().database().get(open().totals(), key.getBytes(StandardCharsets.UTF_8));
-        return bytes == null ? UsageTotal.ZERO : UsageTotal.of(TotalForm.parseFrom(bytes));
+        return bytes == null ? UsageTotal.ZERO : UsageTotal.of(UsageTotalRecord.parseFrom(bytes));
     }
 
     private static String key(Usage usage) {
@@ -338,7 +338,7 @@
 
     private static UsageTotal parsedTotal(byte[] bytes) {
         try {
-            return UsageTotal.of(TotalForm.parseFrom(bytes));
+            return UsageTotal.of(UsageTotalRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException("a sum in the ledger can't be read", e);
         }
@@ -346,7 +346,7 @@
 
     private static Usage parsedUsage(String id, byte[] bytes) {
         try {
-            return Usage.of(id, UsageForm.parseFrom(bytes));
+            return Usage.of(id, UsageRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException("record " + id + " in the ledger can't be read", e);
         }
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.time.YearMonth;
 import java.time.ZoneOffset;
-import larchridge.ledger.form.UsageForm;
+import larchridge.ledger.form.UsageRecord;
 
 /**
  * What one generation used.
@@ -53,7 +53,7 @@
     }
 
     byte[] bytes() {
-        return UsageForm.newBuilder()
+        return UsageRecord.newBuilder()
                 .setTenant(tenant)
                 .setProduct(product)
                 .setAtMs(atMs)
@@ -67,7 +67,7 @@
                 .toByteArray();
     }
 
-    static Usage of(String id, UsageForm form) {
+    static Usage of(String id, UsageRecord form) {
         return new Usage(
                 id,
                 form.getTenant(),
--- a/src/main/java/larchridge/ledger/UsageTotal.java
+++ b/src/main/java/larchridge/ledger/UsageTotal.java
@@ -1,6 +1,6 @@
 package larchridge.ledger;
 
-import larchridge.ledger.form.TotalForm;
+import larchridge.ledger.form.UsageTotalRecord;
 
 /** A sum of usage. */
 public record UsageTotal(
@@ -26,7 +26,7 @@
     }
 
     byte[] bytes() {
-        return TotalForm.newBuilder()
+        return UsageTotalRecord.newBuilder()
                 .setGenerations(generations)
                 .setPromptToks(promptTokens)
                 .setKeptToks(keptTokens)
@@ -36,7 +36,7 @@
                 .toByteArray();
     }
 
-    static UsageTotal of(TotalForm form) {
+    static UsageTotal of(UsageTotalRecord form) {
         return new UsageTotal(
                 form.getGenerations(),
                 form.getPromptToks(),
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -19,11 +19,11 @@
 import java.util.UUID;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.FlightForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.LineAnswer;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.LineAttempts;
+import larchridge.store.form.BatchState;
 import org.rocksdb.Checkpoint;
 import org.rocksdb.ColumnFamilyDescriptor;
 import org.rocksdb.ColumnFamilyHandle;
@@ -224,11 +224,11 @@
     }
 
     /** Makes a synced incoming a file; when this returns it is there for good. */
-    public FileForm keep(
+    public FileRecord keep(
             IncomingFile incoming, String tenant, String name, String purpose, long nowMs)
             throws IOException {
         Change change = new Change();
-        FileForm file = place(incoming, tenant, name, purpose, nowMs, change);
+        FileRecord file = place(incoming, tenant, name, purpose, nowMs, change);
         commit("record file", change);
         count(file, 1);
         return file;
@@ -238,7 +238,7 @@
      * Moves the bytes to where they stay and adds the record to a change; a crash before that
      * leaves bytes that nobody names.
      */
-    private FileForm place(
+    private FileRecord place(
             IncomingFile incoming,
             String tenant,
             String name,
@@ -257,8 +257,8 @@
         }
         sync(to.getParent());
         long number = ++numbers;
-        FileForm file =
-                FileForm.newBuilder()
+        FileRecord file =
+                FileRecord.newBuilder()
                         .setId("file-" + Long.toString(epoch, 36) + "-" + Long.toString(number, 36))
                         .setTenant(tenant)
                         .setName(name)
@@ -274,23 +274,23 @@
         return file;
     }
 
-    private void count(FileForm file, int sign) {
+    private void count(FileRecord file, int sign) {
         long[] sums = kept.computeIfAbsent(file.getTenant(), name -> new long[2]);
         sums[0] += sign * file.getBytes();
         sums[1] += sign;
     }
 
     /** The file of this name, or null. */
-    public FileForm file(String id) throws IOException {
+    public FileRecord file(String id) throws IOException {
         byte[] bytes = get(Family.FILES, key(id));
-        return bytes == null ? null : FileForm.parseFrom(bytes);
+        return bytes == null ? null : FileRecord.parseFrom(bytes);
     }
 
     /**
      * The bytes of a file; they stay readable through what is opened here even if the file is
      * deleted.
      */
-    public FileChannel content(FileForm file) throws IOException {
+    public FileChannel content(FileRecord file) throws IOException {
         return FileChannel.open(blob(file.getDigest()), StandardOpenOption.READ);
     }
 
@@ -299,7 +299,7 @@
     }
 
     /** Deletes a file; false if a batch that is not over reads it. */
-    public boolean delete(FileForm file) throws IOException {
+    public boolean delete(FileRecord file) throws IOException {
         if (isRead(file.getId())) {
             return false;
         }
@@ -338,11 +338,11 @@
     // ------------------------------------------------------------------ batches
 
     /** A new batch, validating; synced. */
-    public BatchForm begin(BatchForm.Builder about) throws IOException {
+    public BatchRecord begin(BatchRecord.Builder about) throws IOException {
         long number = ++numbers;
-        BatchForm batch =
+        BatchRecord batch =
                 about.setNumber(number)
-                        .setState(StateForm.VALIDATING)
+                        .setState(BatchState.VALIDATING)
                         .setId(
                                 "batch_"
                                         + Long.toString(epoch, 36)
@@ -363,43 +363,43 @@
     }
 
     /** The batch of this name, or null. */
-    public BatchForm batch(String id) throws IOException {
+    public BatchRecord batch(String id) throws IOException {
         byte[] bytes = get(Family.BATCHES, key(id));
-        return bytes == null ? null : BatchForm.parseFrom(bytes);
+        return bytes == null ? null : BatchRecord.parseFrom(bytes);
     }
 
     /** Batches that are not over, in the order in which they came. */
-    public List<BatchForm> active() throws IOException {
-        List<BatchForm> all = new ArrayList<>();
+    public List<BatchRecord> active() throws IOException {
+        List<BatchRecord> all = new ArrayList<>();
         List<String> ids = new ArrayList<>();
         each(Family.ACTIVE, new byte[0], (key, value) -> ids.add(text(key)));
         for (String id : ids) {
             all.add(batch(id));
         }
-        all.sort(java.util.Comparator.comparingLong(BatchForm::getNumber));
+        all.sort(java.util.Comparator.comparingLong(BatchRecord::getNumber));
         return all;
     }
 
     /** What a batch is from now on; synced. One that has failed is over. */
-    public void update(BatchForm batch) throws IOException {
+    public void update(BatchRecord batch) throws IOException {
         Change change = new Change().put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
-        if (batch.getState() == StateForm.FAILED) {
+        if (batch.getState() == BatchState.FAILED) {
             over(batch, change);
         }
         commit("update batch", change);
-        if (batch.getState() == StateForm.FAILED) {
+        if (batch.getState() == BatchState.FAILED) {
             unread(batch);
         }
     }
 
-    private static void over(BatchForm batch, Change change) throws IOException {
+    private static void over(BatchRecord batch, Change change) throws IOException {
         change.delete(Family.ACTIVE, key(batch.getId()));
         for (Family family : List.of(Family.ANSWERS, Family.FLIGHTS, Family.NAMES)) {
             change.deleteRange(family, line(batch.getId(), 0), line(batch.getId(), -1));
         }
     }
 
-    private void unread(BatchForm batch) {
+    private void unread(BatchRecord batch) {
         read.computeIfPresent(batch.getInput(), (id, readers) -> readers > 1 ? readers - 1 : null);
     }
 
@@ -408,11 +408,11 @@
      * nothing. The incomings may be null where a file would be empty. What was placed before a
      * crash is placed again by the next try.
      */
-    public BatchForm finish(
-            BatchForm.Builder batch, IncomingFile output, IncomingFile errors, long nowMs)
+    public BatchRecord finish(
+            BatchRecord.Builder batch, IncomingFile output, IncomingFile errors, long nowMs)
             throws IOException {
         Change change = new Change();
-        List<FileForm> made = new ArrayList<>();
+        List<FileRecord> made = new ArrayList<>();
         if (output != null) {
             made.add(
                     place(
@@ -435,7 +435,7 @@
                             change));
             batch.setErrors(made.get(made.size() - 1).getId());
         }
-        BatchForm done = batch.build();
+        BatchRecord done = batch.build();
         change.put(Family.BATCHES, key(done.getId()), done.toByteArray());
         over(done, change);
         commit("finish batch", change);
@@ -480,7 +480,7 @@
                     handle(Family.FLIGHTS),
                     how,
                     line(batch, line),
-                    FlightForm.newBuilder().setAttempts(attempts).build().toByteArray());
+                    LineAttempts.newBuilder().setAttempts(attempts).build().toByteArray());
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
@@ -503,7 +503,7 @@
     /** How often a line was handed to a front. */
     public int attempts(String batch, long line) throws IOException {
         byte[] bytes = get(Family.FLIGHTS, line(batch, line));
-        return bytes == null ? 0 : FlightForm.parseFrom(bytes).getAttempts();
+        return bytes == null ? 0 : LineAttempts.parseFrom(bytes).getAttempts();
     }
 
     public boolean isAnswered(String batch, long line) throws IOException {
@@ -511,24 +511,24 @@
     }
 
     /** The record of a line, or null. */
-    public AnswerForm answer(String batch, long line) throws IOException {
+    public LineAnswer answer(String batch, long line) throws IOException {
         byte[] bytes = get(Family.ANSWERS, line(batch, line));
-        return bytes == null ? null : AnswerForm.parseFrom(bytes);
+        return bytes == null ? null : LineAnswer.parseFrom(bytes);
     }
 
     /** One line's one record, to be written with others. */
-    public record Answer(String batch, long line, AnswerForm answer) {}
+    public record Answer(String batch, long line, LineAnswer answer) {}
 
     /**
      * Writes records and the batches that they belong to, as they are then, in one synced change.
      */
-    public void answered(List<Answer> answers, List<BatchForm> batches) throws IOException {
+    public void answered(List<Answer> answers, List<BatchRecord> batches) throws IOException {
         Change change = new Change();
         for (Answer one : answers) {
             change.put(Family.ANSWERS, line(one.batch(), one.line()), one.answer().toByteArray());
             change.delete(Family.FLIGHTS, line(one.batch(), one.line()));
         }
-        for (BatchForm batch : batches) {
+        for (BatchRecord batch : batches) {
             change.put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
         }
         commit("record answers", change);
@@ -596,17 +596,17 @@
         return new StoreVerifier(this).repair();
     }
 
-    void files(BiConsumer<String, FileForm> told) throws IOException {
+    void files(BiConsumer<String, FileRecord> told) throws IOException {
         each(Family.FILES, new byte[0], (key, value) -> told.accept(text(key), parsed(value)));
     }
 
-    void batches(BiConsumer<String, BatchForm> told) throws IOException {
+    void batches(BiConsumer<String, BatchRecord> told) throws IOException {
         each(
                 Family.BATCHES,
                 new byte[0],
                 (key, value) -> {
                     try {
-                        told.accept(text(key), BatchForm.parseFrom(value));
+                        told.accept(text(key), BatchRecord.parseFrom(value));
                     } catch (InvalidProtocolBufferException e) {
                         throw new IllegalStateException("batch " + text(key) + " can't be read", e);
                     }
@@ -625,7 +625,7 @@
                 key(batch + '\0'),
                 (key, value) -> {
                     try {
-                        counts[AnswerForm.parseFrom(value).getGood() ? 0 : 1]++;
+                        counts[LineAnswer.parseFrom(value).getGood() ? 0 : 1]++;
                     } catch (InvalidProtocolBufferException e) {
                         throw new IllegalStateException(
                                 "a record of " + batch + " can't be read", e);
@@ -809,9 +809,9 @@
         return bytes == null ? 0 : ByteBuffer.wrap(bytes).getLong();
     }
 
-    private static FileForm parsed(byte[] bytes) {
+    private static FileRecord parsed(byte[] bytes) {
         try {
-            return FileForm.parseFrom(bytes);
+            return FileRecord.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException("a file's record can't be read", e);
         }
--- a/src/main/java/larchridge/store/StoreVerifier.java
+++ b/src/main/java/larchridge/store/StoreVerifier.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.BatchState;
 
 /**
  * Reads a whole store and compares: bytes with their digests, names with what they name, counts
@@ -28,7 +28,7 @@
     private final Store store;
     private final Map<String, Long> named = new HashMap<>();
     private final Map<String, Long> sizes = new TreeMap<>();
-    private final Map<String, FileForm> files = new TreeMap<>();
+    private final Map<String, FileRecord> files = new TreeMap<>();
     private final List<String> faults = new ArrayList<>();
 
     StoreVerifier(Store store) {
@@ -55,9 +55,9 @@
         for (Path path : strangers()) {
             faults.add(path.getFileName() + ": bytes that no file names");
         }
-        List<BatchForm> batches = new ArrayList<>();
+        List<BatchRecord> batches = new ArrayList<>();
         store.batches((id, batch) -> batches.add(batch));
-        for (BatchForm batch : batches) {
+        for (BatchRecord batch : batches) {
             batch(batch);
         }
         return faults;
@@ -92,7 +92,7 @@
         }
     }
 
-    private void batch(BatchForm batch) throws IOException {
+    private void batch(BatchRecord batch) throws IOException {
         String id = batch.getId();
         boolean over =
                 switch (batch.getState()) {
@@ -128,7 +128,7 @@
             faults.add(id + ": its input " + batch.getInput() + " is missing");
         }
         if (over
-                && batch.getState() != StateForm.FAILED
+                && batch.getState() != BatchState.FAILED
                 && batch.getDone() + batch.getFailed() != batch.getTotal()) {
             faults.add(
                     id
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -11,9 +11,9 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.LineAnswer;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
 
 /**
  * What records of lines cost a store: to write, on disk, and when it is opened after an end that
@@ -36,10 +36,10 @@
             IncomingFile incoming = store.receive();
             incoming.write("{}".getBytes(StandardCharsets.UTF_8), 0, 2);
             String input = store.keep(incoming.synced(), "t", "n", "batch", 1).getId();
-            BatchForm batch =
+            BatchRecord batch =
                     store.begin(
-                            BatchForm.newBuilder().setTenant("t").setInput(input).setTotal(lines));
-            batch = batch.toBuilder().setState(StateForm.IN_PROGRESS).build();
+                            BatchRecord.newBuilder().setTenant("t").setInput(input).setTotal(lines));
+            batch = batch.toBuilder().setState(BatchState.IN_PROGRESS).build();
             long start = System.nanoTime();
             for (int from = 0; from < lines; from += GROUP) {
                 List<Store.Answer> group = new ArrayList<>();
@@ -49,7 +49,7 @@
                             new Store.Answer(
                                     batch.getId(),
                                     i,
-                                    AnswerForm.newBuilder().setGood(true).setText(ANSWER).build()));
+                                    LineAnswer.newBuilder().setGood(true).setText(ANSWER).build()));
                 }
                 batch =
                         batch.toBuilder()
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -28,8 +28,8 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.FileRecord;
 import larchridge.tokens.TokenCounters;
 import larchridge.upstream.Completion;
 
@@ -99,16 +99,16 @@
         begin();
     }
 
-    FileForm upload(String text) throws IOException {
+    FileRecord upload(String text) throws IOException {
         IncomingFile incoming = store.receive();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         incoming.write(bytes, 0, bytes.length);
         return store.keep(incoming.synced(), "g", "in.jsonl", "batch", 1);
     }
 
-    BatchForm make(FileForm input, double windowMs) throws IOException {
+    BatchRecord make(FileRecord input, double windowMs) throws IOException {
         return batches.make(
-                BatchForm.newBuilder()
+                BatchRecord.newBuilder()
                         .setTenant("g")
                         .setInput(input.getId())
                         .setEndpoint("/v1/messages")
@@ -158,7 +158,7 @@
     }
 
     /** Both files' records; a line in both fails. */
-    Map<String, JsonNode> records(BatchForm batch) throws IOException {
+    Map<String, JsonNode> records(BatchRecord batch) throws IOException {
         Map<String, JsonNode> all = records(batch.getOutput());
         records(batch.getErrors())
                 .forEach(
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.BatchState;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -34,10 +34,10 @@
     @Test
     void eachLineHasItsRecordInOrderOfTheInput() throws Exception {
         try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(BatchFixture.file(40)), HOUR);
+            BatchRecord batch = stage.make(stage.upload(BatchFixture.file(40)), HOUR);
             stage.loop.run(60_000);
-            BatchForm done = stage.batches.batch(batch.getId());
-            assertEquals(StateForm.COMPLETED, done.getState());
+            BatchRecord done = stage.batches.batch(batch.getId());
+            assertEquals(BatchState.COMPLETED, done.getState());
             assertEquals(ids(40), stage.records(done.getOutput()).keySet());
             assertEquals("", done.getErrors());
             assertEquals(
@@ -59,7 +59,7 @@
             text.append(BatchFixture.line("c" + i, "free", "ok " + "y".repeat(1500))).append('\n');
         }
         try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text.toString()), HOUR);
+            BatchRecord batch = stage.make(stage.upload(text.toString()), HOUR);
             stage.loop.run(120_000);
             assertEquals(300, stage.records(stage.batches.batch(batch.getId()).getOutput()).size());
         }
@@ -80,10 +80,10 @@
                         + "\n"
                         + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
         try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text), HOUR);
+            BatchRecord batch = stage.make(stage.upload(text), HOUR);
             stage.loop.run(1000);
-            BatchForm failed = stage.batches.batch(batch.getId());
-            assertEquals(StateForm.FAILED, failed.getState());
+            BatchRecord failed = stage.batches.batch(batch.getId());
+            assertEquals(BatchState.FAILED, failed.getState());
             assertEquals(
                     List.of(
                             "3 invalid_json_line",
@@ -120,10 +120,10 @@
                         + "\n"
                         + BatchFixture.line("nobody", "unknown", "ok");
         try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text), HOUR);
+            BatchRecord batch = stage.make(stage.upload(text), HOUR);
             stage.loop.run(300_000);
-            BatchForm done = stage.batches.batch(batch.getId());
-            assertEquals(StateForm.COMPLETED, done.getState());
+            BatchRecord done = stage.batches.batch(batch.getId());
+            assertEquals(BatchState.COMPLETED, done.getState());
             assertEquals(Set.of("free2", "busy"), stage.records(done.getOutput()).keySet());
             Map<String, JsonNode> errors = stage.records(done.getErrors());
             assertEquals("terminated", errors.get("free9").at("/error/code").asText());
@@ -140,12 +140,12 @@
     @Test
     void cancelledBatchKeepsWhatWasAnsweredAndNamesTheRest() throws Exception {
         try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(BatchFixture.file(400)), HOUR);
+            BatchRecord batch = stage.make(stage.upload(BatchFixture.file(400)), HOUR);
             stage.loop.run(300);
-            assertEquals(StateForm.CANCELLING, stage.batches.cancel(batch.getId()).getState());
+            assertEquals(BatchState.CANCELLING, stage.batches.cancel(batch.getId()).getState());
             stage.loop.run(5000);
-            BatchForm done = stage.batches.batch(batch.getId());
-            assertEquals(StateForm.CANCELLED, done.getState());
+            BatchRecord done = stage.batches.batch(batch.getId());
+            assertEquals(BatchState.CANCELLED, done.getState());
             assertEquals(ids(400), stage.records(done).keySet());
             assertTrue(done.getDone() > 0 && done.getFailed() > 0, done.toString());
             assertEquals(
@@ -159,10 +159,10 @@
     void batchThatExpiresWithLinesOutSaysThatTheyMayHaveRun() throws Exception {
         String text = BatchFixture.file(3) + BatchFixture.line("long", "free", "never") + "\n";
         try (BatchFixture stage = new BatchFixture()) {
-            BatchForm batch = stage.make(stage.upload(text), 10_000);
+            BatchRecord batch = stage.make(stage.upload(text), 10_000);
             stage.loop.run(11_000);
-            BatchForm done = stage.batches.batch(batch.getId());
-            assertEquals(StateForm.EXPIRED, done.getState());
+            BatchRecord done = stage.batches.batch(batch.getId());
+            assertEquals(BatchState.EXPIRED, done.getState());
             JsonNode error = stage.records(done.getErrors()).get("long").path("error");
             assertEquals("batch_expired", error.path("code").asText());
             assertTrue(error.path("message").asText().contains("may have run"));
@@ -174,7 +174,7 @@
     @Test
     void inputIsNotDeletedWhileItIsRead() throws Exception {
         try (BatchFixture stage = new BatchFixture()) {
-            FileForm input = stage.upload(BatchFixture.file(3));
+            FileRecord input = stage.upload(BatchFixture.file(3));
             stage.make(input, HOUR);
             assertFalse(stage.store.delete(input));
             stage.loop.run(60_000);
@@ -193,7 +193,7 @@
                         "finish batch",
                         "update batch")) {
             try (BatchFixture stage = new BatchFixture()) {
-                BatchForm batch = stage.make(stage.upload(BatchFixture.file(30)), HOUR);
+                BatchRecord batch = stage.make(stage.upload(BatchFixture.file(30)), HOUR);
                 double from = stage.loop.nowMs();
                 stage.points =
                         name -> {
@@ -202,8 +202,8 @@
                             }
                         };
                 stage.loop.run(60_000);
-                BatchForm done = stage.batches.batch(batch.getId());
-                assertEquals(StateForm.COMPLETED, done.getState(), failing);
+                BatchRecord done = stage.batches.batch(batch.getId());
+                assertEquals(BatchState.COMPLETED, done.getState(), failing);
                 assertEquals(ids(30), stage.records(done).keySet(), failing);
                 assertEquals(List.of(), stage.store.verify(), failing);
             }
@@ -213,7 +213,7 @@
     @Test
     void manySmallBatchesAllEnd() throws Exception {
         try (BatchFixture stage = new BatchFixture()) {
-            FileForm input = stage.upload(BatchFixture.file(2));
+            FileRecord input = stage.upload(BatchFixture.file(2));
             for (int i = 0; i < 300; i++) {
                 stage.make(input, HOUR);
             }
@@ -247,10 +247,10 @@
      * One client's day: it uploads, makes a batch, and after each end of the process looks for what
      * it was promised.
      */
-    private static BatchForm play(BatchFixture stage, boolean cancels, int atMost)
+    private static BatchRecord play(BatchFixture stage, boolean cancels, int atMost)
             throws Exception {
-        FileForm input = null;
-        BatchForm batch = null;
+        FileRecord input = null;
+        BatchRecord batch = null;
         boolean asked = false;
         for (int life = 0; life < atMost; life++) {
             try {
@@ -291,7 +291,7 @@
         }
     }
 
-    private static void whole(BatchFixture stage, BatchForm done, String about) throws Exception {
+    private static void whole(BatchFixture stage, BatchRecord done, String about) throws Exception {
         assertEquals(MIXED_IDS, stage.records(done).keySet(), about);
         assertEquals(MIXED_IDS.size(), done.getDone() + done.getFailed(), about);
         assertEquals(List.of(), stage.store.verify(), about);
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -18,10 +18,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.LineAnswer;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.BatchState;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
@@ -60,13 +60,13 @@
         }
     }
 
-    private static FileForm keep(Store store, String tenant, String text) throws IOException {
+    private static FileRecord keep(Store store, String tenant, String text) throws IOException {
         IncomingFile incoming = store.receive();
         incoming.write(text.getBytes(StandardCharsets.UTF_8), 0, text.length());
         return store.keep(incoming.synced(), tenant, "n", "batch", 1);
     }
 
-    private static String read(Store store, FileForm file) throws IOException {
+    private static String read(Store store, FileRecord file) throws IOException {
         return new String(
                 Channels.newInputStream(store.content(file)).readAllBytes(),
                 StandardCharsets.UTF_8);
@@ -83,8 +83,8 @@
 
     @Test
     void sameBytesLieOnceAndStayWhileAnyoneNamesThem() throws IOException {
-        FileForm first = keep(store, "a", "same");
-        FileForm second = keep(store, "b", "same");
+        FileRecord first = keep(store, "a", "same");
+        FileRecord second = keep(store, "b", "same");
         assertEquals(first.getDigest(), second.getDigest());
         store.delete(first);
         assertEquals("same", read(store, second));
@@ -95,8 +95,8 @@
 
     @Test
     void damageIsFoundAndStrangersGoByRepair() throws IOException {
-        FileForm file = keep(store, "a", "good bytes");
-        FileForm lost = keep(store, "a", "other");
+        FileRecord file = keep(store, "a", "good bytes");
+        FileRecord lost = keep(store, "a", "other");
         Files.writeString(store.blob(file.getDigest()), "bad bytes!");
         Files.delete(store.blob(lost.getDigest()));
         Path stranger = store.blobFolder().resolve("ff").resolve("f".repeat(64));
@@ -111,10 +111,10 @@
 
     @Test
     void snapshotIsWholeAndApart() throws IOException {
-        FileForm file = keep(store, "a", "before");
-        BatchForm batch = store.begin(BatchForm.newBuilder().setTenant("a").setInput(file.getId()));
+        FileRecord file = keep(store, "a", "before");
+        BatchRecord batch = store.begin(BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
         store.snapshot(folder.resolve("copy"));
-        FileForm later = keep(store, "a", "after");
+        FileRecord later = keep(store, "a", "after");
         try (Store copy = Store.open(folder.resolve("copy"), CrashPoints.NONE)) {
             assertEquals("before", read(copy, copy.file(file.getId())));
             assertEquals(batch, copy.batch(batch.getId()));
@@ -203,17 +203,17 @@
             }
         } else if (step == 5 || batches.isEmpty()) {
             String input = files.get(random.nextInt(files.size()));
-            String id = store.begin(BatchForm.newBuilder().setTenant("t").setInput(input)).getId();
+            String id = store.begin(BatchRecord.newBuilder().setTenant("t").setInput(input)).getId();
             model.inputs.put(id, input);
             model.answers.put(id, new TreeMap<>());
         } else if (step < 9) {
             String id = batches.get(random.nextInt(batches.size()));
             long line = random.nextInt(6);
             boolean isNew = !model.answers.get(id).containsKey(line);
-            AnswerForm answer =
-                    AnswerForm.newBuilder().setGood(true).setText("answer " + line).build();
+            LineAnswer answer =
+                    LineAnswer.newBuilder().setGood(true).setText("answer " + line).build();
             store.flight(id, line, 1, random.nextBoolean());
-            BatchForm batch = store.batch(id);
+            BatchRecord batch = store.batch(id);
             store.answered(
                     List.of(new Store.Answer(id, line, answer)),
                     List.of(
@@ -225,10 +225,10 @@
             String id = batches.get(random.nextInt(batches.size()));
             IncomingFile output = store.receive();
             output.write("out".getBytes(StandardCharsets.UTF_8), 0, 3);
-            BatchForm done =
+            BatchRecord done =
                     store.finish(
                             store.batch(id).toBuilder()
-                                    .setState(StateForm.COMPLETED)
+                                    .setState(BatchState.COMPLETED)
                                     .setTotal(store.batch(id).getDone()),
                             output.synced(),
                             null,
@@ -252,12 +252,12 @@
         model.files.keySet().retainAll(ids);
         assertTrue(Math.abs(model.files.size() - before) <= 1, "a step did more than one thing");
         model.inputs.clear();
-        for (BatchForm batch : store.active()) {
+        for (BatchRecord batch : store.active()) {
             model.inputs.put(batch.getId(), batch.getInput());
             Map<Long, String> answers =
                     model.answers.computeIfAbsent(batch.getId(), id -> new TreeMap<>());
             for (long line = 0; line < 6; line++) {
-                AnswerForm answer = store.answer(batch.getId(), line);
+                LineAnswer answer = store.answer(batch.getId(), line);
                 assertTrue(answer != null || !answers.containsKey(line), "an answer was lost");
                 if (answer != null) {
                     answers.put(line, answer.getText());
@@ -275,7 +275,7 @@
         }
         assertEquals(
                 List.copyOf(model.inputs.keySet()),
-                store.active().stream().map(BatchForm::getId).sorted().toList());
+                store.active().stream().map(BatchRecord::getId).sorted().toList());
         for (String id : model.inputs.keySet()) {
             assertEquals(model.answers.get(id).size(), store.batch(id).getDone());
             assertTrue(store.isRead(model.inputs.get(id)));
--- a/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
@@ -18,11 +18,11 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.LineAnswer;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.InputError;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.BatchState;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -48,15 +48,15 @@
         return Store.open(folder.resolve("store"), CrashPoints.NONE);
     }
 
-    private static FileForm.Builder file(String id, long number, String tenant, String name) {
-        return FileForm.newBuilder().setId(id).setNumber(number).setTenant(tenant).setName(name);
+    private static FileRecord.Builder file(String id, long number, String tenant, String name) {
+        return FileRecord.newBuilder().setId(id).setNumber(number).setTenant(tenant).setName(name);
     }
 
     /** Checks a file's record against the expected one and its content against the digest. */
-    private static void assertFile(Store store, FileForm.Builder expected, String content)
+    private static void assertFile(Store store, FileRecord.Builder expected, String content)
             throws IOException, NoSuchAlgorithmException {
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
-        FileForm file = store.file(expected.getId());
+        FileRecord file = store.file(expected.getId());
         assertEquals(expected.setBytes(bytes.length).build(), file);
         try (InputStream in = Channels.newInputStream(store.content(file))) {
             byte[] stored = in.readAllBytes();
@@ -153,8 +153,8 @@
 
     // ------------------------------------------------------------------ batches
 
-    private static BatchForm.Builder batch(String id, long number, StateForm state) {
-        return BatchForm.newBuilder()
+    private static BatchRecord.Builder batch(String id, long number, BatchState state) {
+        return BatchRecord.newBuilder()
                 .setId(id)
                 .setNumber(number)
                 .setState(state)
@@ -162,26 +162,26 @@
                 .setWindow("24h");
     }
 
-    private static BatchForm.Builder acme(BatchForm.Builder batch, long createdMs) {
+    private static BatchRecord.Builder acme(BatchRecord.Builder batch, long createdMs) {
         return batch.setTenant("acme")
                 .setInput("file-1-1")
                 .setCreatedMs(createdMs)
                 .setExpiresMs(createdMs + 86_400_000);
     }
 
-    private static BatchForm.Builder globex(BatchForm.Builder batch, long createdMs) {
+    private static BatchRecord.Builder globex(BatchRecord.Builder batch, long createdMs) {
         return batch.setTenant("globex")
                 .setInput("file-1-2")
                 .setCreatedMs(createdMs)
                 .setExpiresMs(createdMs + 86_400_000);
     }
 
-    private static BatchForm validating() {
-        return globex(batch("batch_2-b", 11, StateForm.VALIDATING), 50).build();
+    private static BatchRecord validating() {
+        return globex(batch("batch_2-b", 11, BatchState.VALIDATING), 50).build();
     }
 
-    private static BatchForm inProgress() {
-        return acme(batch("batch_2-c", 12, StateForm.IN_PROGRESS), 60)
+    private static BatchRecord inProgress() {
+        return acme(batch("batch_2-c", 12, BatchState.IN_PROGRESS), 60)
                 .setInProgressMs(61)
                 .setTotal(3)
                 .setDone(1)
@@ -191,9 +191,9 @@
                 .build();
     }
 
-    private static BatchForm finalizing() {
-        return acme(batch("batch_2-d", 13, StateForm.FINALIZING), 70)
-                .setEnding(StateForm.COMPLETED)
+    private static BatchRecord finalizing() {
+        return acme(batch("batch_2-d", 13, BatchState.FINALIZING), 70)
+                .setEnding(BatchState.COMPLETED)
                 .setInProgressMs(71)
                 .setFinalizingMs(7000)
                 .setTotal(2)
@@ -201,8 +201,8 @@
                 .build();
     }
 
-    private static BatchForm cancelling() {
-        return globex(batch("batch_2-e", 14, StateForm.CANCELLING), 80)
+    private static BatchRecord cancelling() {
+        return globex(batch("batch_2-e", 14, BatchState.CANCELLING), 80)
                 .setInProgressMs(81)
                 .setCancellingMs(8000)
                 .setTotal(1)
@@ -223,8 +223,8 @@
     void completedAndFailedBatchesAreRead() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
-                    acme(batch("batch_1-3", 3, StateForm.COMPLETED), 10)
-                            .setEnding(StateForm.COMPLETED)
+                    acme(batch("batch_1-3", 3, BatchState.COMPLETED), 10)
+                            .setEnding(BatchState.COMPLETED)
                             .setInProgressMs(11)
                             .setFinalizingMs(12)
                             .setEndedMs(13)
@@ -237,10 +237,10 @@
                             .build(),
                     store.batch("batch_1-3"));
             assertEquals(
-                    globex(batch("batch_1-6", 6, StateForm.FAILED), 20)
+                    globex(batch("batch_1-6", 6, BatchState.FAILED), 20)
                             .setEndedMs(2000)
                             .addFault(
-                                    FaultForm.newBuilder()
+                                    InputError.newBuilder()
                                             .setCode("invalid_json_line")
                                             .setLine(3)
                                             .setField("body")
@@ -254,8 +254,8 @@
     void expiredAndCancelledBatchesAreRead() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
-                    globex(batch("batch_1-7", 7, StateForm.EXPIRED), 30)
-                            .setEnding(StateForm.EXPIRED)
+                    globex(batch("batch_1-7", 7, BatchState.EXPIRED), 30)
+                            .setEnding(BatchState.EXPIRED)
                             .setInProgressMs(31)
                             .setFinalizingMs(32)
                             .setEndedMs(33)
@@ -265,8 +265,8 @@
                             .build(),
                     store.batch("batch_1-7"));
             assertEquals(
-                    globex(batch("batch_1-9", 9, StateForm.CANCELLED), 40)
-                            .setEnding(StateForm.CANCELLED)
+                    globex(batch("batch_1-9", 9, BatchState.CANCELLED), 40)
+                            .setEnding(BatchState.CANCELLED)
                             .setInProgressMs(41)
                             .setFinalizingMs(42)
                             .setEndedMs(43)
@@ -281,8 +281,8 @@
 
     // ------------------------------------------------------------------ lines
 
-    private static AnswerForm answer(boolean good, String text) {
-        return AnswerForm.newBuilder().setGood(good).setText(text).build();
+    private static LineAnswer answer(boolean good, String text) {
+        return LineAnswer.newBuilder().setGood(good).setText(text).build();
     }
 
     @Test
@@ -322,9 +322,9 @@
             assertEquals(List.of(), store.verify());
             IncomingFile incoming = store.receive();
             incoming.write(new byte[] {'x'}, 0, 1);
-            FileForm kept = store.keep(incoming.synced(), "acme", "new.jsonl", "batch", 9000);
+            FileRecord kept = store.keep(incoming.synced(), "acme", "new.jsonl", "batch", 9000);
             assertEquals("file-3-f", kept.getId());
-            assertEquals("batch_3-g", store.begin(acme(BatchForm.newBuilder(), 9000)).getId());
+            assertEquals("batch_3-g", store.begin(acme(BatchRecord.newBuilder(), 9000)).getId());
             assertEquals(List.of(), store.verify());
         }
     }
