--- a/src/main/java/larchridge/cli/BillCommand.java
+++ b/src/main/java/larchridge/cli/BillCommand.java
@@ -64,7 +64,7 @@
                 System.err.println(site + ": ledger: missing");
                 return 1;
             }
-            try (Ledger ledger = Ledger.look(read.ledger)) {
+            try (Ledger ledger = Ledger.openReadOnly(read.ledger)) {
                 print(read, ledger.totals(of));
             }
             return 0;
@@ -74,7 +74,7 @@
         }
     }
 
-    private void print(Site read, Map<Ledger.Line, UsageTotal> totals) {
+    private void print(Site read, Map<Ledger.TotalKey, UsageTotal> totals) {
         BigDecimal sum = BigDecimal.ZERO;
         if (format == Format.TABLE) {
             System.out.printf(
@@ -93,8 +93,8 @@
                     "month,tenant,product,generations,prompt_tokens,kept_tokens,answer_tokens,"
                             + "wasted_tokens,cost,currency");
         }
-        for (Map.Entry<Ledger.Line, UsageTotal> entry : totals.entrySet()) {
-            Ledger.Line line = entry.getKey();
+        for (Map.Entry<Ledger.TotalKey, UsageTotal> entry : totals.entrySet()) {
+            Ledger.TotalKey line = entry.getKey();
             if (tenant != null && !tenant.equals(line.tenant())) {
                 continue;
             }
@@ -103,7 +103,7 @@
                     read.prices.getOrDefault(
                             line.product(),
                             new Price(BigDecimal.ZERO, BigDecimal.ZERO, BigDecimal.ZERO));
-            BigDecimal cost = price.of(total);
+            BigDecimal cost = price.costOf(total);
             sum = sum.add(cost);
             switch (format) {
                 case TABLE ->
@@ -114,10 +114,10 @@
                                 line.product(),
                                 total.generations(),
                                 total.promptTokens(),
-                                total.keptTokens(),
-                                total.outTokens(),
+                                total.cachedTokens(),
+                                total.outputTokens(),
                                 total.wastedTokens(),
-                                Price.money(cost));
+                                Price.formatMoney(cost));
                 case CSV ->
                         System.out.println(
                                 String.join(
@@ -127,8 +127,8 @@
                                         quoted(line.product()),
                                         Long.toString(total.generations()),
                                         Long.toString(total.promptTokens()),
-                                        Long.toString(total.keptTokens()),
-                                        Long.toString(total.outTokens()),
+                                        Long.toString(total.cachedTokens()),
+                                        Long.toString(total.outputTokens()),
                                         Long.toString(total.wastedTokens()),
                                         cost.toPlainString(),
                                         read.currency));
@@ -139,8 +139,8 @@
                             .put("product", line.product())
                             .put("generations", total.generations())
                             .put("prompt_tokens", total.promptTokens())
-                            .put("kept_tokens", total.keptTokens())
-                            .put("answer_tokens", total.outTokens())
+                            .put("kept_tokens", total.cachedTokens())
+                            .put("answer_tokens", total.outputTokens())
                             .put("wasted_tokens", total.wastedTokens())
                             .put("cost", cost.toPlainString())
                             .put("currency", read.currency);
@@ -150,7 +150,7 @@
             }
         }
         if (format == Format.TABLE) {
-            System.out.println("sum " + Price.money(sum) + " " + read.currency);
+            System.out.println("sum " + Price.formatMoney(sum) + " " + read.currency);
         }
     }
 
--- a/src/main/java/larchridge/cli/LedgerCommand.java
+++ b/src/main/java/larchridge/cli/LedgerCommand.java
@@ -20,7 +20,7 @@
                     "Add all records anew and compare with the sums; also while a service writes. Exit code 1: "
                             + "they differ.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
-        try (Ledger ledger = Ledger.look(folder)) {
+        try (Ledger ledger = Ledger.openReadOnly(folder)) {
             List<String> faults = ledger.verify();
             faults.forEach(System.out::println);
             System.out.println(
@@ -37,27 +37,27 @@
             mixinStandardHelpOptions = true,
             description = "Print every record as CSV.")
     int export(@Parameters(paramLabel = "FOLDER") Path folder) {
-        try (Ledger ledger = Ledger.look(folder)) {
+        try (Ledger ledger = Ledger.openReadOnly(folder)) {
             System.out.println(
                     "id,tenant,product,at_ms,kind,prompt_tokens,kept_tokens,answer_tokens,wasted_tokens,attempts");
-            ledger.records(
+            ledger.forEachRecord(
                     u ->
                             System.out.println(
-                                    u.id()
+                                    u.billId()
                                             + ","
                                             + u.tenant()
                                             + ","
                                             + u.product()
                                             + ","
-                                            + u.atMs()
+                                            + u.endedAtMs()
                                             + ","
-                                            + u.kind()
+                                            + u.outcome()
                                             + ","
                                             + u.promptTokens()
                                             + ","
-                                            + u.keptTokens()
+                                            + u.cachedTokens()
                                             + ","
-                                            + u.outTokens()
+                                            + u.outputTokens()
                                             + ","
                                             + u.wastedTokens()
                                             + ","
--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -32,10 +32,10 @@
  */
 public final class Ledger implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
-    private static final int BATCH = 1024;
-    private static final long AGAIN_MS = 200;
+    private static final int MAX_BATCH_RECORDS = 1024;
+    private static final long RETRY_DELAY_MS = 200;
     private final Path folder;
-    private final boolean writes;
+    private final boolean writable;
 
     /** Guards the database, which the writer opens anew after a failure. */
     private final Object databaseLock = new Object();
@@ -43,32 +43,32 @@
     /** Null while it can't be opened. */
     private LedgerDatabase database;
 
-    private final MpscBlockingConsumerArrayQueue<Entry> queue;
-    private final int bound;
+    private final MpscBlockingConsumerArrayQueue<PendingRecord> queue;
+    private final int maxQueuedRecords;
     private final Thread writer;
     private volatile boolean closing;
 
     /** Written by the ledger's own thread alone. */
-    private volatile long written;
+    private volatile long writtenRecords;
 
-    private volatile boolean failing;
+    private volatile boolean writeFailing;
 
-    private Ledger(Path folder, int bound, boolean write) throws RocksDBException {
-        this.bound = bound;
-        queue = new MpscBlockingConsumerArrayQueue<>(Math.max(2, bound));
+    private Ledger(Path folder, int maxQueuedRecords, boolean writable) throws RocksDBException {
+        this.maxQueuedRecords = maxQueuedRecords;
+        queue = new MpscBlockingConsumerArrayQueue<>(Math.max(2, maxQueuedRecords));
         this.folder = folder;
-        writes = write;
-        database = LedgerDatabase.open(folder, write);
-        writer = write ? new Thread(this::write, "ledger") : null;
+        this.writable = writable;
+        database = LedgerDatabase.open(folder, writable);
+        writer = writable ? new Thread(this::runWriter, "ledger") : null;
         if (writer != null) {
             writer.start();
         }
     }
 
     /** Opens a ledger for one process to write; another that tries gets an error. */
-    public static Ledger open(Path folder, int bound) throws LedgerException {
+    public static Ledger open(Path folder, int maxQueuedRecords) throws LedgerException {
         try {
-            return new Ledger(folder, bound, true);
+            return new Ledger(folder, maxQueuedRecords, true);
         } catch (RocksDBException e) {
             throw new LedgerException(
                     "ledger " + folder + " can't be opened: " + e.getMessage(), e);
@@ -76,7 +76,7 @@
     }
 
     /** Opens a ledger to read, also while another process writes it; it is read as it was then. */
-    public static Ledger look(Path folder) throws LedgerException {
+    public static Ledger openReadOnly(Path folder) throws LedgerException {
         try {
             return new Ledger(folder, 2, false);
         } catch (RocksDBException e) {
@@ -85,7 +85,7 @@
     }
 
     /** A record on its way, and who is to be told that it is on disk. */
-    private record Entry(Usage usage, Runnable written) {}
+    private record PendingRecord(Usage usage, Runnable onDisk) {}
 
     /** Takes a record without waiting; false if as many wait as may. */
     public boolean offer(Usage usage) {
@@ -97,38 +97,38 @@
      * is not taken.
      */
     public boolean offer(Usage usage, Runnable onDisk) {
-        return queue.offer(new Entry(usage, onDisk));
+        return queue.offer(new PendingRecord(usage, onDisk));
     }
 
     /** Whether so much waits for the disk that nothing more should be begun. */
-    public boolean isBehind() {
-        return queue.size() >= bound * 3 / 4;
+    public boolean isBacklogged() {
+        return queue.size() >= maxQueuedRecords * 3 / 4;
     }
 
-    public long written() {
-        return written;
+    public long writtenRecords() {
+        return writtenRecords;
     }
 
     // ------------------------------------------------------------------ writing
 
     @SuppressWarnings("NonAtomicVolatileUpdate") // Only this one thread writes the count.
-    private void write() {
-        List<Entry> batch = new ArrayList<>(BATCH);
+    private void runWriter() {
+        List<PendingRecord> batch = new ArrayList<>(MAX_BATCH_RECORDS);
         try {
             while (!closing || !queue.isEmpty() || !batch.isEmpty()) {
                 if (batch.isEmpty()) {
-                    Entry first = queue.poll(50, TimeUnit.MILLISECONDS);
+                    PendingRecord first = queue.poll(50, TimeUnit.MILLISECONDS);
                     if (first == null) {
                         continue;
                     }
                     batch.add(first);
-                    queue.drain(batch::add, BATCH - 1);
+                    queue.drain(batch::add, MAX_BATCH_RECORDS - 1);
                 }
                 if (commit(batch)) {
-                    written += batch.size();
-                    for (Entry entry : batch) {
-                        if (entry.written != null) {
-                            entry.written.run();
+                    writtenRecords += batch.size();
+                    for (PendingRecord entry : batch) {
+                        if (entry.onDisk != null) {
+                            entry.onDisk.run();
                         }
                     }
                     batch.clear();
@@ -138,7 +138,7 @@
                             batch.size() + queue.size());
                     return;
                 } else {
-                    Thread.sleep(AGAIN_MS);
+                    Thread.sleep(RETRY_DELAY_MS);
                 }
             }
         } catch (InterruptedException e) {
@@ -146,10 +146,10 @@
         }
     }
 
-    private boolean commit(List<Entry> batch) {
+    private boolean commit(List<PendingRecord> batch) {
         synchronized (databaseLock) {
-            return (database != null && commitOpen(batch))
-                    || (!closing && reopen() && commitOpen(batch));
+            return (database != null && commitToOpenDatabase(batch))
+                    || (!closing && reopen() && commitToOpenDatabase(batch));
         }
     }
 
@@ -164,7 +164,7 @@
                 database.close();
                 database = null;
             }
-            database = LedgerDatabase.open(folder, writes);
+            database = LedgerDatabase.open(folder, writable);
             return true;
         } catch (RocksDBException e) {
             LOG.debug("the ledger can't be opened again yet", e);
@@ -172,60 +172,60 @@
         }
     }
 
-    private LedgerDatabase open() throws RocksDBException {
+    private LedgerDatabase openDatabase() throws RocksDBException {
         if (database == null) {
             throw new RocksDBException("the ledger can't be opened for now");
         }
         return database;
     }
 
-    private boolean commitOpen(List<Entry> batch) {
-        try (WriteBatch write = new WriteBatch();
-                WriteOptions sync = new WriteOptions().setSync(true)) {
+    private boolean commitToOpenDatabase(List<PendingRecord> batch) {
+        try (WriteBatch writeBatch = new WriteBatch();
+                WriteOptions syncedWrite = new WriteOptions().setSync(true)) {
             Map<String, Usage> usages = new HashMap<>();
             Map<String, UsageTotal> totals = new TreeMap<>();
-            for (Entry entry : batch) {
+            for (PendingRecord entry : batch) {
                 Usage usage = entry.usage;
-                Usage before =
-                        usages.containsKey(usage.id()) ? usages.get(usage.id()) : usage(usage.id());
+                Usage previous =
+                        usages.containsKey(usage.billId()) ? usages.get(usage.billId()) : readUsage(usage.billId());
                 // Guards against: a record that comes twice, or a client that asks again, must not
                 // be
                 // billed twice.
-                Usage now =
-                        before == null
+                Usage merged =
+                        previous == null
                                 ? usage
-                                : before.equals(usage) ? before : Usage.joined(before, usage);
-                if (before != null) {
-                    String key = key(before);
+                                : previous.equals(usage) ? previous : Usage.merge(previous, usage);
+                if (previous != null) {
+                    String key = totalKey(previous);
                     totals.put(
                             key,
-                            (totals.containsKey(key) ? totals.get(key) : total(key)).minus(before));
+                            (totals.containsKey(key) ? totals.get(key) : readTotal(key)).minus(previous));
                 }
-                String key = key(now);
-                totals.put(key, (totals.containsKey(key) ? totals.get(key) : total(key)).plus(now));
-                usages.put(usage.id(), now);
+                String key = totalKey(merged);
+                totals.put(key, (totals.containsKey(key) ? totals.get(key) : readTotal(key)).plus(merged));
+                usages.put(usage.billId(), merged);
             }
             for (Map.Entry<String, Usage> entry : usages.entrySet()) {
-                write.put(
-                        database.usages(),
+                writeBatch.put(
+                        database.usagesFamily(),
                         entry.getKey().getBytes(StandardCharsets.UTF_8),
-                        entry.getValue().bytes());
+                        entry.getValue().toBytes());
             }
             for (Map.Entry<String, UsageTotal> entry : totals.entrySet()) {
-                write.put(
-                        database.totals(),
+                writeBatch.put(
+                        database.totalsFamily(),
                         entry.getKey().getBytes(StandardCharsets.UTF_8),
-                        entry.getValue().bytes());
+                        entry.getValue().toBytes());
             }
-            database.database().write(sync, write);
-            if (failing) {
-                failing = false;
+            database.database().write(syncedWrite, writeBatch);
+            if (writeFailing) {
+                writeFailing = false;
                 LOG.info("the ledger can be written again");
             }
             return true;
         } catch (RocksDBException | InvalidProtocolBufferException e) {
-            if (!failing) {
-                failing = true;
+            if (!writeFailing) {
+                writeFailing = true;
                 LOG.error("the ledger can't be written; records wait in memory", e);
             }
             return false;
@@ -234,34 +234,34 @@
 
     // ------------------------------------------------------------------ reading
 
-    private Usage usage(String id) throws RocksDBException, InvalidProtocolBufferException {
-        byte[] bytes = open().database().get(open().usages(), id.getBytes(StandardCharsets.UTF_8));
-        return bytes == null ? null : Usage.of(id, UsageRecord.parseFrom(bytes));
+    private Usage readUsage(String id) throws RocksDBException, InvalidProtocolBufferException {
+        byte[] bytes = openDatabase().database().get(openDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
+        return bytes == null ? null : Usage.fromProto(id, UsageRecord.parseFrom(bytes));
     }
 
-    private UsageTotal total(String key) throws RocksDBException, InvalidProtocolBufferException {
-        byte[] bytes = open().database().get(open().totals(), key.getBytes(StandardCharsets.UTF_8));
-        return bytes == null ? UsageTotal.ZERO : UsageTotal.of(UsageTotalRecord.parseFrom(bytes));
+    private UsageTotal readTotal(String key) throws RocksDBException, InvalidProtocolBufferException {
+        byte[] bytes = openDatabase().database().get(openDatabase().totalsFamily(), key.getBytes(StandardCharsets.UTF_8));
+        return bytes == null ? UsageTotal.ZERO : UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
     }
 
-    private static String key(Usage usage) {
+    private static String totalKey(Usage usage) {
         return usage.month() + "\n" + usage.tenant() + "\n" + usage.product();
     }
 
     /** What names a sum. */
-    public record Line(YearMonth month, String tenant, String product) {}
+    public record TotalKey(YearMonth month, String tenant, String product) {}
 
     /** The sums of a month, or of all months where it is null, in order. */
-    public Map<Line, UsageTotal> totals(YearMonth month) throws LedgerException {
-        Map<Line, UsageTotal> totals = new java.util.LinkedHashMap<>();
+    public Map<TotalKey, UsageTotal> totals(YearMonth month) throws LedgerException {
+        Map<TotalKey, UsageTotal> totals = new java.util.LinkedHashMap<>();
         try {
-            each(
-                    LedgerDatabase::totals,
+            forEachEntry(
+                    LedgerDatabase::totalsFamily,
                     (key, value) -> {
                         String[] parts = key.split("\n", 3);
-                        YearMonth of = YearMonth.parse(parts[0]);
-                        if (month == null || month.equals(of)) {
-                            totals.put(new Line(of, parts[1], parts[2]), parsedTotal(value));
+                        YearMonth entryMonth = YearMonth.parse(parts[0]);
+                        if (month == null || month.equals(entryMonth)) {
+                            totals.put(new TotalKey(entryMonth, parts[1], parts[2]), parseTotal(value));
                         }
                     });
         } catch (IllegalStateException e) {
@@ -271,9 +271,9 @@
     }
 
     /** Tells every record, in the order of ids. */
-    public void records(java.util.function.Consumer<Usage> told) throws LedgerException {
+    public void forEachRecord(java.util.function.Consumer<Usage> consumer) throws LedgerException {
         try {
-            each(LedgerDatabase::usages, (key, value) -> told.accept(parsedUsage(key, value)));
+            forEachEntry(LedgerDatabase::usagesFamily, (key, value) -> consumer.accept(parseUsage(key, value)));
         } catch (IllegalStateException e) {
             throw new LedgerException(e.getMessage(), e);
         }
@@ -281,72 +281,72 @@
 
     /** Adds all records anew and compares; the differences, none if the ledger is whole. */
     public List<String> verify() throws LedgerException {
-        Map<String, UsageTotal> sums = new TreeMap<>();
-        records(
+        Map<String, UsageTotal> expected = new TreeMap<>();
+        forEachRecord(
                 usage ->
-                        sums.merge(
-                                key(usage),
+                        expected.merge(
+                                totalKey(usage),
                                 UsageTotal.ZERO.plus(usage),
                                 (a, b) ->
                                         new UsageTotal(
                                                 a.generations() + b.generations(),
                                                 a.promptTokens() + b.promptTokens(),
-                                                a.keptTokens() + b.keptTokens(),
-                                                a.outTokens() + b.outTokens(),
+                                                a.cachedTokens() + b.cachedTokens(),
+                                                a.outputTokens() + b.outputTokens(),
                                                 a.wastedTokens() + b.wastedTokens())));
-        List<String> faults = new ArrayList<>();
-        Map<String, UsageTotal> kept = new TreeMap<>();
+        List<String> differences = new ArrayList<>();
+        Map<String, UsageTotal> stored = new TreeMap<>();
         totals(null)
                 .forEach(
-                        (line, total) ->
-                                kept.put(
-                                        line.month() + "\n" + line.tenant() + "\n" + line.product(),
+                        (key, total) ->
+                                stored.put(
+                                        key.month() + "\n" + key.tenant() + "\n" + key.product(),
                                         total));
-        for (Map.Entry<String, UsageTotal> entry : sums.entrySet()) {
-            UsageTotal other = kept.remove(entry.getKey());
-            if (!entry.getValue().equals(other)) {
-                faults.add(
+        for (Map.Entry<String, UsageTotal> entry : expected.entrySet()) {
+            UsageTotal storedTotal = stored.remove(entry.getKey());
+            if (!entry.getValue().equals(storedTotal)) {
+                differences.add(
                         entry.getKey().replace('\n', ' ')
                                 + ": records add up to "
                                 + entry.getValue()
                                 + ", the sum says "
-                                + other);
+                                + storedTotal);
             }
         }
-        kept.forEach(
+        stored.forEach(
                 (key, total) -> {
                     if (!total.equals(UsageTotal.ZERO)) {
-                        faults.add(key.replace('\n', ' ') + ": a sum without records: " + total);
+                        differences.add(key.replace('\n', ' ') + ": a sum without records: " + total);
                     }
                 });
-        return faults;
+        return differences;
     }
 
-    private void each(
-            Function<LedgerDatabase, ColumnFamilyHandle> family, BiConsumer<String, byte[]> told) {
+    private void forEachEntry(
+            Function<LedgerDatabase, ColumnFamilyHandle> family, BiConsumer<String, byte[]> consumer) {
         synchronized (databaseLock) {
-            try (RocksIterator at = open().database().newIterator(family.apply(open()))) {
-                for (at.seekToFirst(); at.isValid(); at.next()) {
-                    told.accept(new String(at.key(), StandardCharsets.UTF_8), at.value());
+            try (RocksIterator iterator = openDatabase().database().newIterator(family.apply(openDatabase()))) {
+                for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
+                    consumer.accept(new String(iterator.key(), StandardCharsets.UTF_8), iterator.value());
                 }
-                at.status();
+                iterator.status();
             } catch (RocksDBException e) {
                 throw new IllegalStateException("the ledger can't be read: " + e.getMessage(), e);
             }
         }
     }
 
-    private static UsageTotal parsedTotal(byte[] bytes) {
+    private static UsageTotal parseTotal(byte[] bytes) {
         try {
-            return UsageTotal.of(UsageTotalRecord.parseFrom(bytes));
+            return UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException("a sum in the ledger can't be read", e);
         }
     }
 
-    private static Usage parsedUsage(String id, byte[] bytes) {
+    private static Usage parseUsage(String id, byte[] bytes) {
         try {
-            return Usage.of(id, UsageRecord.parseFrom(bytes));
+            return Usage.fromProto(id, UsageRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException("record " + id + " in the ledger can't be read", e);
         }
@@ -356,7 +356,7 @@
     public void compact() throws LedgerException {
         try {
             synchronized (databaseLock) {
-                open().compact();
+                openDatabase().compact();
             }
         } catch (RocksDBException e) {
             throw new LedgerException("not compacted: " + e.getMessage(), e);
--- a/src/main/java/larchridge/ledger/LedgerDatabase.java
+++ b/src/main/java/larchridge/ledger/LedgerDatabase.java
@@ -16,8 +16,8 @@
 final class LedgerDatabase implements AutoCloseable {
     private static final byte[] USAGES = "usages".getBytes(StandardCharsets.UTF_8);
     private static final byte[] TOTALS = "totals".getBytes(StandardCharsets.UTF_8);
-    private static final int USAGES_AT = 1;
-    private static final int TOTALS_AT = 2;
+    private static final int USAGES_INDEX = 1;
+    private static final int TOTALS_INDEX = 2;
 
     static {
         RocksDB.loadLibrary();
@@ -28,11 +28,11 @@
     private final List<ColumnFamilyHandle> families = new ArrayList<>();
     private final RocksDB database;
 
-    private LedgerDatabase(Path folder, boolean write) throws RocksDBException {
+    private LedgerDatabase(Path folder, boolean writable) throws RocksDBException {
         options =
                 new DBOptions()
-                        .setCreateIfMissing(write)
-                        .setCreateMissingColumnFamilies(write)
+                        .setCreateIfMissing(writable)
+                        .setCreateMissingColumnFamilies(writable)
                         .setWalRecoveryMode(WALRecoveryMode.TolerateCorruptedTailRecords)
                         .setMaxTotalWalSize(64 << 20)
                         .setKeepLogFileNum(2);
@@ -42,25 +42,25 @@
                         new ColumnFamilyDescriptor(USAGES, familyOptions),
                         new ColumnFamilyDescriptor(TOTALS, familyOptions));
         database =
-                write
+                writable
                         ? RocksDB.open(options, folder.toString(), descriptors, families)
                         : RocksDB.openReadOnly(options, folder.toString(), descriptors, families);
     }
 
-    static LedgerDatabase open(Path folder, boolean write) throws RocksDBException {
-        return new LedgerDatabase(folder, write);
+    static LedgerDatabase open(Path folder, boolean writable) throws RocksDBException {
+        return new LedgerDatabase(folder, writable);
     }
 
     RocksDB database() {
         return database;
     }
 
-    ColumnFamilyHandle usages() {
-        return families.get(USAGES_AT);
+    ColumnFamilyHandle usagesFamily() {
+        return families.get(USAGES_INDEX);
     }
 
-    ColumnFamilyHandle totals() {
-        return families.get(TOTALS_AT);
+    ColumnFamilyHandle totalsFamily() {
+        return families.get(TOTALS_INDEX);
     }
 
     void compact() throws RocksDBException {
--- a/src/main/java/larchridge/ledger/LedgerException.java
+++ b/src/main/java/larchridge/ledger/LedgerException.java
@@ -4,7 +4,7 @@
 public final class LedgerException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public LedgerException(String text, Throwable cause) {
-        super(text, cause);
+    public LedgerException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -8,76 +8,76 @@
 /**
  * What one generation used.
  *
- * @param id one bill a generation: its client's key, or its own name
- * @param atMs when it ended, milliseconds of Unix time
- * @param kind its final answer
+ * @param billId one bill a generation: its client's key, or its own name
+ * @param endedAtMs when it ended, milliseconds of Unix time
+ * @param outcome its final answer
  * @param promptTokens prompt tokens billed, those kept from before among them
- * @param outTokens answer tokens that went to the client's socket
+ * @param outputTokens answer tokens that went to the client's socket
  * @param wastedTokens tokens that engines did for it and nobody is billed for
  */
 public record Usage(
-        String id,
+        String billId,
         String tenant,
         String product,
-        long atMs,
-        String kind,
+        long endedAtMs,
+        String outcome,
         long promptTokens,
-        long keptTokens,
-        long outTokens,
+        long cachedTokens,
+        long outputTokens,
         long wastedTokens,
         int attempts) {
 
     public YearMonth month() {
-        return YearMonth.from(Instant.ofEpochMilli(atMs).atOffset(ZoneOffset.UTC));
+        return YearMonth.from(Instant.ofEpochMilli(endedAtMs).atOffset(ZoneOffset.UTC));
     }
 
     /**
      * One record of two for the same id: a client that asks again with its key pays once, for the
      * answer that it got most of; what was done besides is waste.
      */
-    static Usage joined(Usage before, Usage again) {
-        boolean againHasMore = again.outTokens > before.outTokens;
-        Usage more = againHasMore ? again : before;
-        Usage less = againHasMore ? before : again;
+    static Usage merge(Usage earlier, Usage later) {
+        boolean laterIsLonger = later.outputTokens > earlier.outputTokens;
+        Usage longer = laterIsLonger ? later : earlier;
+        Usage shorter = laterIsLonger ? earlier : later;
         return new Usage(
-                more.id,
-                more.tenant,
-                more.product,
-                before.atMs,
-                more.kind,
-                more.promptTokens,
-                more.keptTokens,
-                more.outTokens,
-                more.wastedTokens + less.wastedTokens + less.promptTokens + less.outTokens,
-                more.attempts + less.attempts);
+                longer.billId,
+                longer.tenant,
+                longer.product,
+                earlier.endedAtMs,
+                longer.outcome,
+                longer.promptTokens,
+                longer.cachedTokens,
+                longer.outputTokens,
+                longer.wastedTokens + shorter.wastedTokens + shorter.promptTokens + shorter.outputTokens,
+                longer.attempts + shorter.attempts);
     }
 
-    byte[] bytes() {
+    byte[] toBytes() {
         return UsageRecord.newBuilder()
                 .setTenant(tenant)
                 .setProduct(product)
-                .setAtMs(atMs)
-                .setKind(kind)
+                .setAtMs(endedAtMs)
+                .setKind(outcome)
                 .setPromptToks(promptTokens)
-                .setKeptToks(keptTokens)
-                .setOutToks(outTokens)
+                .setKeptToks(cachedTokens)
+                .setOutToks(outputTokens)
                 .setWastedToks(wastedTokens)
                 .setAttempts(attempts)
                 .build()
                 .toByteArray();
     }
 
-    static Usage of(String id, UsageRecord form) {
+    static Usage fromProto(String billId, UsageRecord stored) {
         return new Usage(
-                id,
-                form.getTenant(),
-                form.getProduct(),
-                form.getAtMs(),
-                form.getKind(),
-                form.getPromptToks(),
-                form.getKeptToks(),
-                form.getOutToks(),
-                form.getWastedToks(),
-                form.getAttempts());
+                billId,
+                stored.getTenant(),
+                stored.getProduct(),
+                stored.getAtMs(),
+                stored.getKind(),
+                stored.getPromptToks(),
+                stored.getKeptToks(),
+                stored.getOutToks(),
+                stored.getWastedToks(),
+                stored.getAttempts());
     }
 }
--- a/src/main/java/larchridge/ledger/UsageTotal.java
+++ b/src/main/java/larchridge/ledger/UsageTotal.java
@@ -4,15 +4,15 @@
 
 /** A sum of usage. */
 public record UsageTotal(
-        long generations, long promptTokens, long keptTokens, long outTokens, long wastedTokens) {
+        long generations, long promptTokens, long cachedTokens, long outputTokens, long wastedTokens) {
     public static final UsageTotal ZERO = new UsageTotal(0, 0, 0, 0, 0);
 
     UsageTotal plus(Usage usage) {
         return new UsageTotal(
                 generations + 1,
                 promptTokens + usage.promptTokens(),
-                keptTokens + usage.keptTokens(),
-                outTokens + usage.outTokens(),
+                cachedTokens + usage.cachedTokens(),
+                outputTokens + usage.outputTokens(),
                 wastedTokens + usage.wastedTokens());
     }
 
@@ -20,28 +20,28 @@
         return new UsageTotal(
                 generations - 1,
                 promptTokens - usage.promptTokens(),
-                keptTokens - usage.keptTokens(),
-                outTokens - usage.outTokens(),
+                cachedTokens - usage.cachedTokens(),
+                outputTokens - usage.outputTokens(),
                 wastedTokens - usage.wastedTokens());
     }
 
-    byte[] bytes() {
+    byte[] toBytes() {
         return UsageTotalRecord.newBuilder()
                 .setGenerations(generations)
                 .setPromptToks(promptTokens)
-                .setKeptToks(keptTokens)
-                .setOutToks(outTokens)
+                .setKeptToks(cachedTokens)
+                .setOutToks(outputTokens)
                 .setWastedToks(wastedTokens)
                 .build()
                 .toByteArray();
     }
 
-    static UsageTotal of(UsageTotalRecord form) {
+    static UsageTotal fromProto(UsageTotalRecord stored) {
         return new UsageTotal(
-                form.getGenerations(),
-                form.getPromptToks(),
-                form.getKeptToks(),
-                form.getOutToks(),
-                form.getWastedToks());
+                stored.getGenerations(),
+                stored.getPromptToks(),
+                stored.getKeptToks(),
+                stored.getOutToks(),
+                stored.getWastedToks());
     }
 }
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -35,7 +35,7 @@
 
     /** Whether the ledger is too far behind to admit more requests. */
     boolean isBehind() {
-        return ledger != null && ledger.isBehind();
+        return ledger != null && ledger.isBacklogged();
     }
 
     /**
@@ -156,7 +156,7 @@
                 .addKeyValue("generation", request.id())
                 .addKeyValue("tenant", usage.tenant())
                 .addKeyValue("prompt", usage.promptTokens())
-                .addKeyValue("out", usage.outTokens())
+                .addKeyValue("out", usage.outputTokens())
                 .log("usage record lost: the ledger's queue is full");
         return false;
     }
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -62,7 +62,7 @@
     private HttpServer admin;
     private Ledger ledger;
     private final TokenCounters counters;
-    private Map<Ledger.Line, UsageTotal> used = Map.of();
+    private Map<Ledger.TotalKey, UsageTotal> used = Map.of();
     private EngineListWatcher follower;
 
     /** Null where no batches are served. */
@@ -259,7 +259,7 @@
 
     /** Records that are on disk since the start; 0 without a ledger. */
     public long written() {
-        return ledger == null ? 0 : ledger.written();
+        return ledger == null ? 0 : ledger.writtenRecords();
     }
 
     /** Takes the budgets of a changed site file; the rest of it counts from the next start. */
@@ -353,7 +353,7 @@
                             front.restoreUsage(
                                     line.tenant(),
                                     line.product(),
-                                    (double) (total.promptTokens() + total.outTokens())));
+                                    (double) (total.promptTokens() + total.outputTokens())));
             front.endpointsChanged(first);
             fronts.add(front);
             server =
--- a/src/main/java/larchridge/systemtest/BillingChecker.java
+++ b/src/main/java/larchridge/systemtest/BillingChecker.java
@@ -109,7 +109,7 @@
         }
         Map<String, List<Usage>> byBill = new HashMap<>();
         records.forEach(
-                usage -> byBill.computeIfAbsent(usage.id(), key -> new ArrayList<>()).add(usage));
+                usage -> byBill.computeIfAbsent(usage.billId(), key -> new ArrayList<>()).add(usage));
         Map<String, Row> rows = new TreeMap<>();
         for (Map.Entry<String, Operation> entry : operations.entrySet()) {
             Operation one = entry.getValue();
@@ -124,7 +124,7 @@
             for (Usage usage :
                     byBill.getOrDefault(
                             "key " + Site.sha256(one.tenant + '\n' + entry.getKey()), List.of())) {
-                out = Math.max(out, usage.outTokens());
+                out = Math.max(out, usage.outputTokens());
                 row.prompt += usage.promptTokens();
                 row.wasted += usage.wastedTokens();
             }
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -231,8 +231,8 @@
     private List<Usage> records() {
         List<Usage> records = new ArrayList<>();
         for (Path folder : processes.ledgers()) {
-            try (Ledger ledger = Ledger.look(folder)) {
-                ledger.records(records::add);
+            try (Ledger ledger = Ledger.openReadOnly(folder)) {
+                ledger.forEachRecord(records::add);
                 List<String> faults = ledger.verify();
                 if (!faults.isEmpty()) {
                     throw new IllegalStateException(folder + ": " + faults);
--- a/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
+++ b/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
@@ -39,7 +39,7 @@
                 limitFiles(pid, "4096");
                 offer(ledger);
                 TimeUnit.MILLISECONDS.sleep(1000);
-                if (ledger.written() >= offered) {
+                if (ledger.writtenRecords() >= offered) {
                     throw new IllegalStateException("the disk did not fail");
                 }
                 limitFiles(pid, "unlimited");
@@ -68,12 +68,12 @@
 
         private static void await(Ledger ledger) throws InterruptedException {
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WRITTEN_MS);
-            while (ledger.written() < offered && System.nanoTime() < end) {
+            while (ledger.writtenRecords() < offered && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            if (ledger.written() < offered) {
+            if (ledger.writtenRecords() < offered) {
                 throw new IllegalStateException(
-                        ledger.written() + " of " + offered + " records written");
+                        ledger.writtenRecords() + " of " + offered + " records written");
             }
         }
 
@@ -105,7 +105,7 @@
         String said = new String(writer.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(writer.waitFor(40, TimeUnit.SECONDS));
         assertEquals(0, writer.exitValue(), said);
-        try (Ledger ledger = Ledger.look(folder.resolve("ledger"))) {
+        try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             assertEquals(List.of(), ledger.verify());
             assertEquals(3 * RECORDS, ledger.totals(null).values().iterator().next().generations());
         }
--- a/src/test/java/larchridge/ledger/LedgerTest.java
+++ b/src/test/java/larchridge/ledger/LedgerTest.java
@@ -25,9 +25,9 @@
     }
 
     private static void write(Ledger ledger, Usage usage) {
-        long before = ledger.written();
+        long before = ledger.writtenRecords();
         assertTrue(ledger.offer(usage));
-        while (ledger.written() == before) {
+        while (ledger.writtenRecords() == before) {
             Thread.onSpinWait();
         }
     }
@@ -131,7 +131,7 @@
         try (Ledger ledger = Ledger.open(at, 100)) {
             write(ledger, usage("a", 10));
             assertThrows(LedgerException.class, () -> Ledger.open(at, 100));
-            try (Ledger look = Ledger.look(at)) {
+            try (Ledger look = Ledger.openReadOnly(at)) {
                 assertEquals(1, sum(look).generations());
             }
         }
@@ -142,9 +142,9 @@
         Price price =
                 new Price(new BigDecimal("0.10"), new BigDecimal("0.01"), new BigDecimal("0.30"));
         UsageTotal total = new UsageTotal(1, 3, 1, 1, 0);
-        assertEquals(new BigDecimal("0.00000051"), price.of(total));
-        assertEquals("0.01", Price.money(new BigDecimal("0.005")));
-        assertFalse(price.of(UsageTotal.ZERO).signum() != 0);
+        assertEquals(new BigDecimal("0.00000051"), price.costOf(total));
+        assertEquals("0.01", Price.formatMoney(new BigDecimal("0.005")));
+        assertFalse(price.costOf(UsageTotal.ZERO).signum() != 0);
     }
 
     @Test
@@ -154,8 +154,8 @@
                     new java.util.concurrent.CompletableFuture<>();
             assertTrue(ledger.offer(usage("a", 10), () -> told.complete(null)));
             told.get(5, java.util.concurrent.TimeUnit.SECONDS);
-            try (Ledger copy = Ledger.look(killed("copy"))) {
-                assertEquals(10, sum(copy).outTokens());
+            try (Ledger copy = Ledger.openReadOnly(killed("copy"))) {
+                assertEquals(10, sum(copy).outputTokens());
             }
         }
     }
--- a/src/test/java/larchridge/serve/BillingTest.java
+++ b/src/test/java/larchridge/serve/BillingTest.java
@@ -22,8 +22,8 @@
 
     private static UsageTotal bill(ServiceFixture town) throws Exception {
         ServiceFixture.await(() -> town.service.written() > 0);
-        try (Ledger ledger = Ledger.look(town.folder.resolve("ledger"))) {
-            Map<Ledger.Line, UsageTotal> totals = ledger.totals(null);
+        try (Ledger ledger = Ledger.openReadOnly(town.folder.resolve("ledger"))) {
+            Map<Ledger.TotalKey, UsageTotal> totals = ledger.totals(null);
             assertEquals(java.util.List.of(), ledger.verify());
             return totals.values().iterator().next();
         }
@@ -36,8 +36,8 @@
                     town.ask(town.options(), ServiceFixture.call("free", true, 7));
             EventStreamChecker order = ServiceFixture.order(answer.body());
             UsageTotal total = bill(town);
-            assertEquals(order.outputTokens(), total.outTokens());
-            assertEquals(7, total.outTokens());
+            assertEquals(order.outputTokens(), total.outputTokens());
+            assertEquals(7, total.outputTokens());
             assertEquals(0, total.wastedTokens());
             assertTrue(total.promptTokens() > 0);
         }
@@ -65,7 +65,7 @@
                                         });
                             });
             UsageTotal total = bill(town);
-            assertTrue(total.outTokens() >= 9 && total.outTokens() < 5000, total.toString());
+            assertTrue(total.outputTokens() >= 9 && total.outputTokens() < 5000, total.toString());
         }
     }
 
@@ -80,7 +80,7 @@
             ServiceFixture.await(() -> town.service.written() == 3);
             UsageTotal total = bill(town);
             assertEquals(1, total.generations());
-            assertEquals(7, total.outTokens());
+            assertEquals(7, total.outputTokens());
         }
     }
 
@@ -177,7 +177,7 @@
             ServiceFixture.await(() -> town.service.written() == 2);
             UsageTotal total = bill(town);
             assertEquals(1, total.generations());
-            assertEquals(60, total.outTokens());
+            assertEquals(60, total.outputTokens());
             assertTrue(total.wastedTokens() > 0);
         }
     }
@@ -193,7 +193,7 @@
             }
             UsageTotal total = bill(town);
             assertEquals(6, total.generations());
-            assertEquals(3 * 6 + 21, total.outTokens());
+            assertEquals(3 * 6 + 21, total.outputTokens());
         }
     }
 }
--- a/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
@@ -67,25 +67,25 @@
         return new Usage(id, tenant, product, atMs, kind, prompt, cached, output, wasted, attempts);
     }
 
-    private static Map<Ledger.Line, UsageTotal> storedTotals() {
+    private static Map<Ledger.TotalKey, UsageTotal> storedTotals() {
         return Map.of(
-                new Ledger.Line(MAY, "acme", "batch"), new UsageTotal(1, 200, 0, 7, 11),
-                new Ledger.Line(MAY, "acme", "chat"), new UsageTotal(2, 100, 40, 25, 9),
-                new Ledger.Line(MAY, "globex", "chat"), new UsageTotal(2, 300, 128, 3, 81),
-                new Ledger.Line(JUNE, "acme", "chat"), new UsageTotal(4, 1150, 9, 502, 116),
-                new Ledger.Line(JUNE, "globex", "batch"), new UsageTotal(1, 60, 20, 30, 5),
-                new Ledger.Line(JUNE, "globex", "chat"), new UsageTotal(1, 0, 0, 0, 0));
+                new Ledger.TotalKey(MAY, "acme", "batch"), new UsageTotal(1, 200, 0, 7, 11),
+                new Ledger.TotalKey(MAY, "acme", "chat"), new UsageTotal(2, 100, 40, 25, 9),
+                new Ledger.TotalKey(MAY, "globex", "chat"), new UsageTotal(2, 300, 128, 3, 81),
+                new Ledger.TotalKey(JUNE, "acme", "chat"), new UsageTotal(4, 1150, 9, 502, 116),
+                new Ledger.TotalKey(JUNE, "globex", "batch"), new UsageTotal(1, 60, 20, 30, 5),
+                new Ledger.TotalKey(JUNE, "globex", "chat"), new UsageTotal(1, 0, 0, 0, 0));
     }
 
     private static List<Usage> records(Ledger ledger) throws Exception {
         List<Usage> usages = new ArrayList<>();
-        ledger.records(usages::add);
+        ledger.forEachRecord(usages::add);
         return usages;
     }
 
     @Test
     void ledgerIsReadWithoutOwningIt() throws Exception {
-        try (Ledger ledger = Ledger.look(folder.resolve("ledger"))) {
+        try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             assertEquals(storedUsages(), records(ledger));
             assertEquals(storedTotals(), ledger.totals(null));
             assertEquals(List.of(), ledger.verify());
@@ -100,13 +100,13 @@
             assertEquals(storedTotals(), ledger.totals(null));
             assertTrue(ledger.offer(added));
         }
-        try (Ledger ledger = Ledger.look(folder.resolve("ledger"))) {
+        try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             List<Usage> expected = new ArrayList<>(storedUsages());
             expected.add(added);
             assertEquals(expected, records(ledger));
             assertEquals(
                     new UsageTotal(5, 1160, 13, 505, 118),
-                    ledger.totals(JUNE).get(new Ledger.Line(JUNE, "acme", "chat")));
+                    ledger.totals(JUNE).get(new Ledger.TotalKey(JUNE, "acme", "chat")));
             assertEquals(List.of(), ledger.verify());
         }
     }
