--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -160,7 +160,7 @@
                     room(store, tenant, Math.max(0, request.getLength() - MOST_BODY));
                     return null;
                 });
-        try (MultipartUpload upload = new MultipartUpload(store::receive, terms.fileBytes);
+        try (MultipartUpload upload = new MultipartUpload(store::createIncomingFile, terms.fileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
@@ -174,7 +174,7 @@
                             onLoop(
                                     batches -> {
                                         room(store, tenant, upload.file().bytes());
-                                        return store.keep(
+                                        return store.addFile(
                                                 upload.file(),
                                                 tenant.name(),
                                                 upload.fileName(),
@@ -185,13 +185,13 @@
     }
 
     private void room(Store store, Site.Tenant tenant, long bytes) throws BatchApiException {
-        if (store.bytesOf(tenant.name()) + bytes > terms.tenantBytes
-                || store.filesOf(tenant.name()) >= terms.tenantFiles) {
+        if (store.storedBytes(tenant.name()) + bytes > terms.tenantBytes
+                || store.storedFiles(tenant.name()) >= terms.tenantFiles) {
             throw BatchApiException.overQuota(
                     "kept are "
-                            + store.bytesOf(tenant.name())
+                            + store.storedBytes(tenant.name())
                             + " bytes in "
-                            + store.filesOf(tenant.name())
+                            + store.storedFiles(tenant.name())
                             + " files; allowed are "
                             + terms.tenantBytes
                             + " in "
@@ -211,7 +211,7 @@
     }
 
     private void content(Response response, FileRecord file) throws IOException, BatchApiException {
-        try (FileChannel from = service.store().content(file)) {
+        try (FileChannel from = service.store().openContent(file)) {
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/octet-stream");
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, file.getBytes());
             try (OutputStream to = Content.Sink.asOutputStream(response)) {
@@ -227,7 +227,7 @@
     }
 
     private void delete(Response response, FileRecord file) throws BatchApiException, IOException {
-        boolean gone = onLoop(batches -> service.store().delete(file));
+        boolean gone = onLoop(batches -> service.store().deleteFile(file));
         if (!gone) {
             throw BatchApiException.conflict("a batch that is not over reads this file");
         }
@@ -368,7 +368,7 @@
                                 ? file(after, tenant).getNumber()
                                 : batch(after, tenant).getNumber();
         ArrayNode data = MAPPER.createArrayNode();
-        List<String> ids = service.store().page(tenant.name(), kind, from, items + 1);
+        List<String> ids = service.store().listIds(tenant.name(), kind, from, items + 1);
         for (String id : ids.subList(0, Math.min(items, ids.size()))) {
             FileRecord file = kind == 'f' ? service.store().file(id) : null;
             if (kind == 'b') {
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -71,8 +71,8 @@
         FileRecord file = store.file(batch.getInput());
         List<InputError> faults = new ArrayList<>();
         long count = 0;
-        store.unname(batch.getId());
-        try (FileChannel channel = store.content(file);
+        store.forgetCustomIds(batch.getId());
+        try (FileChannel channel = store.openContent(file);
                 LineReader lines = new LineReader(channel, terms.lineBytes, 0, 0)) {
             for (LineReader.Line line = lines.next();
                     line != null && faults.size() < MOST_FAULTS;
@@ -83,7 +83,7 @@
                                 "too_many_lines", null, "more than " + terms.lines + " lines");
                     }
                     Call call = read(line.bytes(), batch.getEndpoint());
-                    long before = store.name(batch.getId(), call.customId, line.number());
+                    long before = store.recordCustomId(batch.getId(), call.customId, line.number());
                     if (before >= 0) {
                         throw new BadLine(
                                 "duplicate_custom_id",
@@ -104,7 +104,7 @@
         if (count == 0) {
             faults.add(fault("empty_file", 0, null, "the input has no lines"));
         }
-        store.unname(batch.getId());
+        store.forgetCustomIds(batch.getId());
         return new Result(count, faults);
     }
 
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -155,7 +155,7 @@
                     .addKeyValue("store", terms.folder)
                     .addKeyValue("epoch", opened.epoch())
                     .log("owns the store");
-        } catch (Store.Taken e) {
+        } catch (Store.InUseException e) {
             if (!told) {
                 told = true;
                 LOG.info("another process owns the store; this one waits");
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -156,7 +156,7 @@
 
     /** Takes up what the owner before left; from now on it looks at itself now and then. */
     void start() throws IOException {
-        for (BatchRecord form : store.active()) {
+        for (BatchRecord form : store.activeBatches()) {
             Job job = new Job(form);
             job.resumed = true;
             jobs.put(job.id(), job);
@@ -186,7 +186,7 @@
     }
 
     BatchRecord make(BatchRecord.Builder about) throws IOException {
-        BatchRecord form = store.begin(about);
+        BatchRecord form = store.createBatch(about);
         Job job = new Job(form);
         jobs.put(job.id(), job);
         validate(job);
@@ -205,7 +205,7 @@
                             .clone()
                             .setState(BatchState.CANCELLING)
                             .setCancellingMs((long) loop.nowMs());
-            store.update(next.build());
+            store.updateBatch(next.build());
             job.form = next;
             if (job.work != null) {
                 planner.removeBatch(job.work);
@@ -268,19 +268,19 @@
         BatchRecord.Builder next = job.form.clone();
         if (!faults.isEmpty()) {
             next.setState(BatchState.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
-            store.update(next.build());
+            store.updateBatch(next.build());
             over(job, next);
             return;
         }
         next.setTotal(result.lines());
         if (next.getState() == BatchState.CANCELLING) {
-            store.update(next.build());
+            store.updateBatch(next.build());
             job.form = next;
             end(job, BatchState.CANCELLED);
             return;
         }
         next.setState(BatchState.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
-        store.update(next.build());
+        store.updateBatch(next.build());
         job.form = next;
         plan(job);
     }
@@ -291,7 +291,7 @@
      */
     private void plan(Job job) throws IOException {
         Site.Tenant tenant = site.tenantNamed(job.form.getTenant());
-        job.input = store.content(store.file(job.form.getInput()));
+        job.input = store.openContent(store.file(job.form.getInput()));
         job.lines =
                 new LineReader(
                         job.input, terms.lineBytes, job.form.getLowLine(), job.form.getLowOffset());
@@ -352,7 +352,7 @@
                     if (how != BatchState.CANCELLED) {
                         next.setState(BatchState.FINALIZING);
                     }
-                    store.update(next.build());
+                    store.updateBatch(next.build());
                     job.form = next;
                     finish(job);
                 },
@@ -385,7 +385,7 @@
                                                         .setDone(made.good)
                                                         .setFailed(made.bad);
                                         BatchRecord done =
-                                                store.finish(
+                                                store.finishBatch(
                                                         next,
                                                         made.good > 0 ? output : null,
                                                         made.bad > 0 ? errors : null,
@@ -397,13 +397,13 @@
     }
 
     private Made files(BatchRecord form) throws IOException {
-        IncomingFile output = store.receive();
+        IncomingFile output = store.createIncomingFile();
         IncomingFile errors = null;
         long good = 0;
         long bad = 0;
-        try (FileChannel input = store.content(store.file(form.getInput()));
+        try (FileChannel input = store.openContent(store.file(form.getInput()));
                 LineReader lines = new LineReader(input, terms.lineBytes, 0, 0)) {
-            errors = store.receive();
+            errors = store.createIncomingFile();
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
                 LineAnswer answer = store.answer(form.getId(), line.number());
                 boolean isGood = answer != null && answer.getGood();
@@ -414,7 +414,7 @@
                 good += isGood ? 1 : 0;
                 bad += isGood ? 0 : 1;
             }
-            return new Made(output.synced(), errors.synced(), good, bad);
+            return new Made(output.sync(), errors.sync(), good, bad);
         } catch (IOException e) {
             output.close();
             if (errors != null) {
@@ -572,7 +572,7 @@
             return;
         }
         trip.unsure = false;
-        store.flight(job.id(), trip.line.number(), trip.attempts + 1, effect != Effect.IDEMPOTENT);
+        store.recordAttempts(job.id(), trip.line.number(), trip.attempts + 1, effect != Effect.IDEMPOTENT);
         trip.attempts++;
         trip.tokens = ask.promptTokens() + ask.maxTokens() / 2.0;
         job.out.put(trip.line.number(), trip);
@@ -683,7 +683,7 @@
                 trip.refusals++;
                 trip.attempts--;
                 onDisk(
-                        () -> store.landed(trip.job.id(), trip.line.number(), trip.attempts),
+                        () -> store.recordNotRun(trip.job.id(), trip.line.number(), trip.attempts),
                         () -> {});
                 goesAgain(
                         attempts.retryDelayMs(
@@ -801,7 +801,7 @@
                 forms.add(job.form.build());
             }
         }
-        store.answered(gathered, forms);
+        store.recordAnswers(gathered, forms);
         gathered.clear();
         for (Job job : touched) {
             job.unwritten = 0;
--- a/src/main/java/larchridge/batch/MultipartUpload.java
+++ b/src/main/java/larchridge/batch/MultipartUpload.java
@@ -68,7 +68,7 @@
         if (file == null) {
             throw BatchApiException.invalid("file", "is missing");
         }
-        file.synced();
+        file.sync();
     }
 
     @Override
--- a/src/main/java/larchridge/cli/StoreCommand.java
+++ b/src/main/java/larchridge/cli/StoreCommand.java
@@ -29,7 +29,7 @@
                     "Read everything and compare; also while a "
                             + "service uses it (what it is just placing may show as bytes that no file names). Exit code 1: something is wrong.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
-        try (Store store = Store.look(folder)) {
+        try (Store store = Store.openReadOnly(folder)) {
             List<String> faults = store.verify();
             faults.forEach(System.out::println);
             System.out.println(
--- a/src/main/java/larchridge/store/CrashPoints.java
+++ b/src/main/java/larchridge/store/CrashPoints.java
@@ -9,5 +9,5 @@
 public interface CrashPoints {
     CrashPoints NONE = name -> {};
 
-    void at(String name) throws IOException;
+    void reached(String name) throws IOException;
 }
--- a/src/main/java/larchridge/store/IncomingFile.java
+++ b/src/main/java/larchridge/store/IncomingFile.java
@@ -21,13 +21,13 @@
     private final FileChannel channel;
     private final OutputStream out;
     private final MessageDigest digest;
-    private final CrashPoints points;
+    private final CrashPoints crashPoints;
     private long bytes;
-    private String name;
+    private String hexDigest;
 
-    IncomingFile(Path path, CrashPoints points) throws IOException {
+    IncomingFile(Path path, CrashPoints crashPoints) throws IOException {
         this.path = path;
-        this.points = points;
+        this.crashPoints = crashPoints;
         channel = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         out =
                 new BufferedOutputStream(
@@ -38,9 +38,9 @@
                             }
 
                             @Override
-                            public void write(byte[] part, int from, int length)
+                            public void write(byte[] data, int offset, int length)
                                     throws IOException {
-                                ByteBuffer buffer = ByteBuffer.wrap(part, from, length);
+                                ByteBuffer buffer = ByteBuffer.wrap(data, offset, length);
                                 while (buffer.hasRemaining()) {
                                     channel.write(buffer);
                                 }
@@ -54,9 +54,9 @@
         }
     }
 
-    public void write(byte[] part, int from, int length) throws IOException {
-        out.write(part, from, length);
-        digest.update(part, from, length);
+    public void write(byte[] data, int offset, int length) throws IOException {
+        out.write(data, offset, length);
+        digest.update(data, offset, length);
         bytes += length;
     }
 
@@ -65,20 +65,20 @@
     }
 
     /** Makes the bytes last; may take long, and so belongs on a thread that may wait. */
-    public IncomingFile synced() throws IOException {
-        points.at("sync incoming");
+    public IncomingFile sync() throws IOException {
+        crashPoints.reached("sync incoming");
         out.flush();
         channel.force(true);
         channel.close();
-        name = HexFormat.of().formatHex(digest.digest());
+        hexDigest = HexFormat.of().formatHex(digest.digest());
         return this;
     }
 
     String digest() {
-        if (name == null) {
+        if (hexDigest == null) {
             throw new IllegalStateException("not synced");
         }
-        return name;
+        return hexDigest;
     }
 
     /** Lets go of the bytes, unless they have become a file. */
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -55,21 +55,21 @@
 
     private final Path folder;
     private final Path blobs;
-    private final Path arriving;
-    private final CrashPoints points;
+    private final Path incomingFolder;
+    private final CrashPoints crashPoints;
     private final DBOptions options;
     private final ColumnFamilyOptions familyOptions = new ColumnFamilyOptions();
     private final List<ColumnFamilyHandle> handles = new ArrayList<>();
     private final RocksDB db;
-    private final boolean writes;
+    private final boolean writable;
     private long epoch;
-    private long numbers;
+    private long lastNumber;
 
     /** Tenants' bytes and files. */
-    private final Map<String, long[]> kept = new HashMap<>();
+    private final Map<String, long[]> tenantUsage = new HashMap<>();
 
     /** Files that a batch which is not over reads, and by how many. */
-    private final Map<String, Integer> read = new HashMap<>();
+    private final Map<String, Integer> activeBatchesByInput = new HashMap<>();
 
     /** What the database keeps, in families of its own. */
     private enum Family {
@@ -84,21 +84,21 @@
         BLOBS
     }
 
-    private Store(Path folder, CrashPoints points, boolean writes)
+    private Store(Path folder, CrashPoints crashPoints, boolean writable)
             throws RocksDBException, IOException {
         this.folder = folder;
-        this.points = points;
-        this.writes = writes;
+        this.crashPoints = crashPoints;
+        this.writable = writable;
         blobs = folder.resolve("blobs");
-        arriving = folder.resolve("arriving");
-        if (writes) {
+        incomingFolder = folder.resolve("arriving");
+        if (writable) {
             Files.createDirectories(blobs);
-            Files.createDirectories(arriving);
+            Files.createDirectories(incomingFolder);
         }
         options =
                 new DBOptions()
-                        .setCreateIfMissing(writes)
-                        .setCreateMissingColumnFamilies(writes)
+                        .setCreateIfMissing(writable)
+                        .setCreateMissingColumnFamilies(writable)
                         .setWalRecoveryMode(WALRecoveryMode.TolerateCorruptedTailRecords)
                         .setMaxTotalWalSize(128 << 20)
                         .setKeepLogFileNum(2);
@@ -115,36 +115,36 @@
         }
         String path = folder.resolve("db").toString();
         db =
-                writes
+                writable
                         ? RocksDB.open(options, path, descriptors, handles)
                         : RocksDB.openReadOnly(options, path, descriptors, handles);
     }
 
-    /** Opens a store as its owner; {@link Taken} if another process owns it. */
-    public static Store open(Path folder, CrashPoints points) throws IOException {
+    /** Opens a store as its owner; {@link InUseException} if another process owns it. */
+    public static Store open(Path folder, CrashPoints crashPoints) throws IOException {
         Store store;
         try {
-            store = new Store(folder, points, true);
+            store = new Store(folder, crashPoints, true);
         } catch (RocksDBException e) {
             if (e.getMessage().contains("lock")) {
-                throw new Taken("store " + folder + " belongs to another process");
+                throw new InUseException("store " + folder + " belongs to another process");
             }
             throw new StoreException("store " + folder + " can't be opened: " + e.getMessage(), e);
         }
-        boolean begun = false;
+        boolean opened = false;
         try {
-            store.begin();
-            begun = true;
+            store.becomeOwner();
+            opened = true;
             return store;
         } finally {
-            if (!begun) {
+            if (!opened) {
                 store.close();
             }
         }
     }
 
     /** Opens a store to read, also while another process owns it; it is read as it was then. */
-    public static Store look(Path folder) throws IOException {
+    public static Store openReadOnly(Path folder) throws IOException {
         try {
             return new Store(folder, CrashPoints.NONE, false);
         } catch (RocksDBException e) {
@@ -153,49 +153,49 @@
     }
 
     /** Another process owns the store. */
-    public static final class Taken extends IOException {
+    public static final class InUseException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Taken(String text) {
-            super(text);
+        InUseException(String message) {
+            super(message);
         }
     }
 
-    private void begin() throws IOException {
-        epoch = number(get(Family.META, EPOCH)) + 1;
-        try (Stream<Path> left = Files.list(arriving)) {
+    private void becomeOwner() throws IOException {
+        epoch = decodeLong(get(Family.META, EPOCH)) + 1;
+        try (Stream<Path> unfinished = Files.list(incomingFolder)) {
             // What was arriving when the owner before ended was promised to nobody.
-            for (Path path : left.toList()) {
+            for (Path path : unfinished.toList()) {
                 Files.delete(path);
             }
         }
-        try (RocksIterator last = db.newIterator(handle(Family.ORDER))) {
-            for (last.seekToFirst(); last.isValid(); last.next()) {
-                numbers = Math.max(numbers, Long.MAX_VALUE - tail(last.key()));
+        try (RocksIterator iterator = db.newIterator(handle(Family.ORDER))) {
+            for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
+                lastNumber = Math.max(lastNumber, Long.MAX_VALUE - trailingLong(iterator.key()));
             }
         }
-        files((id, file) -> count(file, 1));
-        each(
+        forEachFile((id, file) -> addToTenantUsage(file, 1));
+        forEachEntry(
                 Family.ACTIVE,
                 new byte[0],
                 (key, value) -> {
                     try {
-                        read.merge(batch(text(key)).getInput(), 1, Integer::sum);
+                        activeBatchesByInput.merge(batch(text(key)).getInput(), 1, Integer::sum);
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
-        sweep();
-        commit("take over", new Change().put(Family.META, EPOCH, bytes(epoch)));
+        deleteUnreferencedBlobs();
+        commit("take over", new Change().put(Family.META, EPOCH, encodeLong(epoch)));
     }
 
     /**
      * Bytes that were placed and named by no record, or unnamed and not removed, when the owner
      * before ended.
      */
-    private void sweep() throws IOException {
-        try (Stream<Path> all = Files.walk(blobs)) {
-            for (Path path : all.filter(Files::isRegularFile).toList()) {
+    private void deleteUnreferencedBlobs() throws IOException {
+        try (Stream<Path> paths = Files.walk(blobs)) {
+            for (Path path : paths.filter(Files::isRegularFile).toList()) {
                 if (get(Family.BLOBS, key(path.getFileName().toString())) == null) {
                     Files.delete(path);
                 }
@@ -211,26 +211,26 @@
     // ------------------------------------------------------------------ files
 
     /** A place for bytes that arrive; on any thread. */
-    public IncomingFile receive() throws IOException {
-        return new IncomingFile(arriving.resolve(UUID.randomUUID() + ".in"), points);
+    public IncomingFile createIncomingFile() throws IOException {
+        return new IncomingFile(incomingFolder.resolve(UUID.randomUUID() + ".in"), crashPoints);
     }
 
-    public long bytesOf(String tenant) {
-        return kept.getOrDefault(tenant, new long[2])[0];
+    public long storedBytes(String tenant) {
+        return tenantUsage.getOrDefault(tenant, new long[2])[0];
     }
 
-    public long filesOf(String tenant) {
-        return kept.getOrDefault(tenant, new long[2])[1];
+    public long storedFiles(String tenant) {
+        return tenantUsage.getOrDefault(tenant, new long[2])[1];
     }
 
     /** Makes a synced incoming a file; when this returns it is there for good. */
-    public FileRecord keep(
+    public FileRecord addFile(
             IncomingFile incoming, String tenant, String name, String purpose, long nowMs)
             throws IOException {
         Change change = new Change();
-        FileRecord file = place(incoming, tenant, name, purpose, nowMs, change);
+        FileRecord file = stageFile(incoming, tenant, name, purpose, nowMs, change);
         commit("record file", change);
-        count(file, 1);
+        addToTenantUsage(file, 1);
         return file;
     }
 
@@ -238,7 +238,7 @@
      * Moves the bytes to where they stay and adds the record to a change; a crash before that
      * leaves bytes that nobody names.
      */
-    private FileRecord place(
+    private FileRecord stageFile(
             IncomingFile incoming,
             String tenant,
             String name,
@@ -247,16 +247,16 @@
             Change change)
             throws IOException {
         String digest = incoming.digest();
-        Path to = blob(digest);
-        Files.createDirectories(to.getParent());
-        points.at("move blob");
-        if (Files.exists(to)) {
+        Path target = blobPath(digest);
+        Files.createDirectories(target.getParent());
+        crashPoints.reached("move blob");
+        if (Files.exists(target)) {
             Files.delete(incoming.path);
         } else {
-            Files.move(incoming.path, to, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(incoming.path, target, StandardCopyOption.ATOMIC_MOVE);
         }
-        sync(to.getParent());
-        long number = ++numbers;
+        syncDirectory(target.getParent());
+        long number = ++lastNumber;
         FileRecord file =
                 FileRecord.newBuilder()
                         .setId("file-" + Long.toString(epoch, 36) + "-" + Long.toString(number, 36))
@@ -269,15 +269,15 @@
                         .setNumber(number)
                         .build();
         change.put(Family.FILES, key(file.getId()), file.toByteArray());
-        change.put(Family.ORDER, order(tenant, 'f', number), key(file.getId()));
-        change.blob(digest, 1);
+        change.put(Family.ORDER, orderKey(tenant, 'f', number), key(file.getId()));
+        change.addReferences(digest, 1);
         return file;
     }
 
-    private void count(FileRecord file, int sign) {
-        long[] sums = kept.computeIfAbsent(file.getTenant(), name -> new long[2]);
-        sums[0] += sign * file.getBytes();
-        sums[1] += sign;
+    private void addToTenantUsage(FileRecord file, int sign) {
+        long[] usage = tenantUsage.computeIfAbsent(file.getTenant(), name -> new long[2]);
+        usage[0] += sign * file.getBytes();
+        usage[1] += sign;
     }
 
     /** The file of this name, or null. */
@@ -290,29 +290,29 @@
      * The bytes of a file; they stay readable through what is opened here even if the file is
      * deleted.
      */
-    public FileChannel content(FileRecord file) throws IOException {
-        return FileChannel.open(blob(file.getDigest()), StandardOpenOption.READ);
+    public FileChannel openContent(FileRecord file) throws IOException {
+        return FileChannel.open(blobPath(file.getDigest()), StandardOpenOption.READ);
     }
 
-    public boolean isRead(String fileId) {
-        return read.containsKey(fileId);
+    public boolean isInputInUse(String fileId) {
+        return activeBatchesByInput.containsKey(fileId);
     }
 
     /** Deletes a file; false if a batch that is not over reads it. */
-    public boolean delete(FileRecord file) throws IOException {
-        if (isRead(file.getId())) {
+    public boolean deleteFile(FileRecord file) throws IOException {
+        if (isInputInUse(file.getId())) {
             return false;
         }
         Change change =
                 new Change()
                         .delete(Family.FILES, key(file.getId()))
-                        .delete(Family.ORDER, order(file.getTenant(), 'f', file.getNumber()));
-        change.blob(file.getDigest(), -1);
+                        .delete(Family.ORDER, orderKey(file.getTenant(), 'f', file.getNumber()));
+        change.addReferences(file.getDigest(), -1);
         commit("delete file", change);
-        count(file, -1);
+        addToTenantUsage(file, -1);
         if (get(Family.BLOBS, key(file.getDigest())) == null) {
-            points.at("remove blob");
-            Files.deleteIfExists(blob(file.getDigest()));
+            crashPoints.reached("remove blob");
+            Files.deleteIfExists(blobPath(file.getDigest()));
         }
         return true;
     }
@@ -321,15 +321,15 @@
      * So many ids of a tenant's files (kind f) or batches (b), newest first, after one of them or
      * from the newest.
      */
-    public List<String> page(String tenant, char kind, long afterNumber, int most)
+    public List<String> listIds(String tenant, char kind, long afterNumber, int limit)
             throws IOException {
         List<String> ids = new ArrayList<>();
-        byte[] prefix = order(tenant, kind, -1);
-        try (RocksIterator at = db.newIterator(handle(Family.ORDER))) {
-            for (at.seek(afterNumber < 0 ? prefix : order(tenant, kind, afterNumber - 1));
-                    at.isValid() && startsWith(at.key(), prefix) && ids.size() < most;
-                    at.next()) {
-                ids.add(text(at.value()));
+        byte[] prefix = orderKey(tenant, kind, -1);
+        try (RocksIterator iterator = db.newIterator(handle(Family.ORDER))) {
+            for (iterator.seek(afterNumber < 0 ? prefix : orderKey(tenant, kind, afterNumber - 1));
+                    iterator.isValid() && startsWith(iterator.key(), prefix) && ids.size() < limit;
+                    iterator.next()) {
+                ids.add(text(iterator.value()));
             }
         }
         return ids;
@@ -338,10 +338,10 @@
     // ------------------------------------------------------------------ batches
 
     /** A new batch, validating; synced. */
-    public BatchRecord begin(BatchRecord.Builder about) throws IOException {
-        long number = ++numbers;
+    public BatchRecord createBatch(BatchRecord.Builder builder) throws IOException {
+        long number = ++lastNumber;
         BatchRecord batch =
-                about.setNumber(number)
+                builder.setNumber(number)
                         .setState(BatchState.VALIDATING)
                         .setId(
                                 "batch_"
@@ -354,11 +354,11 @@
                         .put(Family.BATCHES, key(batch.getId()), batch.toByteArray())
                         .put(
                                 Family.ORDER,
-                                order(batch.getTenant(), 'b', number),
+                                orderKey(batch.getTenant(), 'b', number),
                                 key(batch.getId()))
                         .put(Family.ACTIVE, key(batch.getId()), new byte[0]);
         commit("begin batch", change);
-        read.merge(batch.getInput(), 1, Integer::sum);
+        activeBatchesByInput.merge(batch.getInput(), 1, Integer::sum);
         return batch;
     }
 
@@ -369,38 +369,38 @@
     }
 
     /** Batches that are not over, in the order in which they came. */
-    public List<BatchRecord> active() throws IOException {
-        List<BatchRecord> all = new ArrayList<>();
+    public List<BatchRecord> activeBatches() throws IOException {
+        List<BatchRecord> batches = new ArrayList<>();
         List<String> ids = new ArrayList<>();
-        each(Family.ACTIVE, new byte[0], (key, value) -> ids.add(text(key)));
+        forEachEntry(Family.ACTIVE, new byte[0], (key, value) -> ids.add(text(key)));
         for (String id : ids) {
-            all.add(batch(id));
+            batches.add(batch(id));
         }
-        all.sort(java.util.Comparator.comparingLong(BatchRecord::getNumber));
-        return all;
+        batches.sort(java.util.Comparator.comparingLong(BatchRecord::getNumber));
+        return batches;
     }
 
     /** What a batch is from now on; synced. One that has failed is over. */
-    public void update(BatchRecord batch) throws IOException {
+    public void updateBatch(BatchRecord batch) throws IOException {
         Change change = new Change().put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
         if (batch.getState() == BatchState.FAILED) {
-            over(batch, change);
+            deleteActiveState(batch, change);
         }
         commit("update batch", change);
         if (batch.getState() == BatchState.FAILED) {
-            unread(batch);
+            releaseInput(batch);
         }
     }
 
-    private static void over(BatchRecord batch, Change change) throws IOException {
+    private static void deleteActiveState(BatchRecord batch, Change change) throws IOException {
         change.delete(Family.ACTIVE, key(batch.getId()));
         for (Family family : List.of(Family.ANSWERS, Family.FLIGHTS, Family.NAMES)) {
-            change.deleteRange(family, line(batch.getId(), 0), line(batch.getId(), -1));
+            change.deleteRange(family, lineKey(batch.getId(), 0), lineKey(batch.getId(), -1));
         }
     }
 
-    private void unread(BatchRecord batch) {
-        read.computeIfPresent(batch.getInput(), (id, readers) -> readers > 1 ? readers - 1 : null);
+    private void releaseInput(BatchRecord batch) {
+        activeBatchesByInput.computeIfPresent(batch.getInput(), (id, count) -> count > 1 ? count - 1 : null);
     }
 
     /**
@@ -408,39 +408,39 @@
      * nothing. The incomings may be null where a file would be empty. What was placed before a
      * crash is placed again by the next try.
      */
-    public BatchRecord finish(
+    public BatchRecord finishBatch(
             BatchRecord.Builder batch, IncomingFile output, IncomingFile errors, long nowMs)
             throws IOException {
         Change change = new Change();
-        List<FileRecord> made = new ArrayList<>();
+        List<FileRecord> files = new ArrayList<>();
         if (output != null) {
-            made.add(
-                    place(
+            files.add(
+                    stageFile(
                             output,
                             batch.getTenant(),
                             batch.getId() + "_output.jsonl",
                             "batch_output",
                             nowMs,
                             change));
-            batch.setOutput(made.get(0).getId());
+            batch.setOutput(files.get(0).getId());
         }
         if (errors != null) {
-            made.add(
-                    place(
+            files.add(
+                    stageFile(
                             errors,
                             batch.getTenant(),
                             batch.getId() + "_error.jsonl",
                             "batch_output",
                             nowMs,
                             change));
-            batch.setErrors(made.get(made.size() - 1).getId());
+            batch.setErrors(files.get(files.size() - 1).getId());
         }
         BatchRecord done = batch.build();
         change.put(Family.BATCHES, key(done.getId()), done.toByteArray());
-        over(done, change);
+        deleteActiveState(done, change);
         commit("finish batch", change);
-        made.forEach(file -> count(file, 1));
-        unread(done);
+        files.forEach(file -> addToTenantUsage(file, 1));
+        releaseInput(done);
         return done;
     }
 
@@ -450,15 +450,15 @@
      * Notes a custom id while a file is validated; the line that had it before, or -1. Not kept
      * over a crash.
      */
-    public long name(String batch, String customId, long line) throws IOException {
+    public long recordCustomId(String batch, String customId, long line) throws IOException {
         byte[] key = Arrays.copyOf(key(batch + '\0'), batch.length() + 17);
         System.arraycopy(sha256(customId), 0, key, batch.length() + 1, 16);
-        byte[] before = get(Family.NAMES, key);
-        if (before != null) {
-            return number(before);
+        byte[] previous = get(Family.NAMES, key);
+        if (previous != null) {
+            return decodeLong(previous);
         }
-        try (WriteOptions unsafe = new WriteOptions().setDisableWAL(true)) {
-            db.put(handle(Family.NAMES), unsafe, key, bytes(line));
+        try (WriteOptions withoutLog = new WriteOptions().setDisableWAL(true)) {
+            db.put(handle(Family.NAMES), withoutLog, key, encodeLong(line));
             return -1;
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
@@ -466,20 +466,20 @@
     }
 
     /** Forgets the custom ids noted for a batch. */
-    public void unname(String batch) throws IOException {
+    public void forgetCustomIds(String batch) throws IOException {
         commit(
                 "forget names",
-                new Change().deleteRange(Family.NAMES, line(batch, 0), line(batch, -1)));
+                new Change().deleteRange(Family.NAMES, lineKey(batch, 0), lineKey(batch, -1)));
     }
 
     /** A line goes to a front for this time; synced where nobody may find out by trying again. */
-    public void flight(String batch, long line, int attempts, boolean sync) throws IOException {
-        points.at("record flight");
-        try (WriteOptions how = new WriteOptions().setSync(sync)) {
+    public void recordAttempts(String batch, long line, int attempts, boolean sync) throws IOException {
+        crashPoints.reached("record flight");
+        try (WriteOptions writeOptions = new WriteOptions().setSync(sync)) {
             db.put(
                     handle(Family.FLIGHTS),
-                    how,
-                    line(batch, line),
+                    writeOptions,
+                    lineKey(batch, line),
                     LineAttempts.newBuilder().setAttempts(attempts).build().toByteArray());
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
@@ -487,14 +487,14 @@
     }
 
     /** A line came back from its front as one that surely did not run there. */
-    public void landed(String batch, long line, int attempts) throws IOException {
+    public void recordNotRun(String batch, long line, int attempts) throws IOException {
         if (attempts > 0) {
-            flight(batch, line, attempts, false);
+            recordAttempts(batch, line, attempts, false);
             return;
         }
-        points.at("record landing");
+        crashPoints.reached("record landing");
         try {
-            db.delete(handle(Family.FLIGHTS), line(batch, line));
+            db.delete(handle(Family.FLIGHTS), lineKey(batch, line));
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
@@ -502,17 +502,17 @@
 
     /** How often a line was handed to a front. */
     public int attempts(String batch, long line) throws IOException {
-        byte[] bytes = get(Family.FLIGHTS, line(batch, line));
+        byte[] bytes = get(Family.FLIGHTS, lineKey(batch, line));
         return bytes == null ? 0 : LineAttempts.parseFrom(bytes).getAttempts();
     }
 
     public boolean isAnswered(String batch, long line) throws IOException {
-        return get(Family.ANSWERS, line(batch, line)) != null;
+        return get(Family.ANSWERS, lineKey(batch, line)) != null;
     }
 
     /** The record of a line, or null. */
     public LineAnswer answer(String batch, long line) throws IOException {
-        byte[] bytes = get(Family.ANSWERS, line(batch, line));
+        byte[] bytes = get(Family.ANSWERS, lineKey(batch, line));
         return bytes == null ? null : LineAnswer.parseFrom(bytes);
     }
 
@@ -522,11 +522,11 @@
     /**
      * Writes records and the batches that they belong to, as they are then, in one synced change.
      */
-    public void answered(List<Answer> answers, List<BatchRecord> batches) throws IOException {
+    public void recordAnswers(List<Answer> answers, List<BatchRecord> batches) throws IOException {
         Change change = new Change();
-        for (Answer one : answers) {
-            change.put(Family.ANSWERS, line(one.batch(), one.line()), one.answer().toByteArray());
-            change.delete(Family.FLIGHTS, line(one.batch(), one.line()));
+        for (Answer answer : answers) {
+            change.put(Family.ANSWERS, lineKey(answer.batch(), answer.line()), answer.answer().toByteArray());
+            change.delete(Family.FLIGHTS, lineKey(answer.batch(), answer.line()));
         }
         for (BatchRecord batch : batches) {
             change.put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
@@ -542,18 +542,18 @@
      */
     public void snapshot(Path to) throws IOException {
         Files.createDirectories(to);
-        points.at("snapshot");
+        crashPoints.reached("snapshot");
         try (Checkpoint checkpoint = Checkpoint.create(db)) {
             checkpoint.createCheckpoint(to.resolve("db").toString());
         } catch (RocksDBException e) {
             throw new StoreException("no snapshot: " + e.getMessage(), e);
         }
         List<String> digests = new ArrayList<>();
-        each(Family.BLOBS, new byte[0], (key, value) -> digests.add(text(key)));
+        forEachEntry(Family.BLOBS, new byte[0], (key, value) -> digests.add(text(key)));
         for (String digest : digests) {
-            copy(blob(digest), blobIn(to.resolve("blobs"), digest));
+            linkOrCopy(blobPath(digest), blobPathIn(to.resolve("blobs"), digest));
         }
-        sync(to);
+        syncDirectory(to);
     }
 
     /**
@@ -561,20 +561,20 @@
      * there yet.
      */
     public static void copyFolder(Path from, Path to) throws IOException {
-        try (Stream<Path> all = Files.walk(from)) {
-            for (Path path : all.toList()) {
-                Path into = to.resolve(from.relativize(path).toString());
+        try (Stream<Path> paths = Files.walk(from)) {
+            for (Path path : paths.toList()) {
+                Path target = to.resolve(from.relativize(path).toString());
                 if (Files.isDirectory(path)) {
-                    Files.createDirectories(into);
+                    Files.createDirectories(target);
                 } else {
-                    Files.copy(path, into);
+                    Files.copy(path, target);
                 }
             }
         }
     }
 
     /** Links where the file system can, copies elsewhere. */
-    static void copy(Path from, Path to) throws IOException {
+    static void linkOrCopy(Path from, Path to) throws IOException {
         Files.createDirectories(to.getParent());
         try {
             Files.createLink(to, from);
@@ -585,7 +585,7 @@
 
     /** Reads everything and tells what is wrong; nothing if the store is whole. */
     public List<String> verify() throws IOException {
-        return new StoreVerifier(this).faults();
+        return new StoreVerifier(this).findFaults();
     }
 
     /**
@@ -596,17 +596,17 @@
         return new StoreVerifier(this).repair();
     }
 
-    void files(BiConsumer<String, FileRecord> told) throws IOException {
-        each(Family.FILES, new byte[0], (key, value) -> told.accept(text(key), parsed(value)));
+    void forEachFile(BiConsumer<String, FileRecord> consumer) throws IOException {
+        forEachEntry(Family.FILES, new byte[0], (key, value) -> consumer.accept(text(key), parseFile(value)));
     }
 
-    void batches(BiConsumer<String, BatchRecord> told) throws IOException {
-        each(
+    void forEachBatch(BiConsumer<String, BatchRecord> consumer) throws IOException {
+        forEachEntry(
                 Family.BATCHES,
                 new byte[0],
                 (key, value) -> {
                     try {
-                        told.accept(text(key), BatchRecord.parseFrom(value));
+                        consumer.accept(text(key), BatchRecord.parseFrom(value));
                     } catch (InvalidProtocolBufferException e) {
                         throw new IllegalStateException("batch " + text(key) + " can't be read", e);
                     }
@@ -618,9 +618,9 @@
     }
 
     /** Counts a batch's records: those for the output, and those for the errors. */
-    long[] answersOf(String batch) throws IOException {
+    long[] countAnswers(String batch) throws IOException {
         long[] counts = new long[2];
-        each(
+        forEachEntry(
                 Family.ANSWERS,
                 key(batch + '\0'),
                 (key, value) -> {
@@ -634,18 +634,18 @@
         return counts;
     }
 
-    Map<String, Long> blobCounts() throws IOException {
+    Map<String, Long> referenceCounts() throws IOException {
         Map<String, Long> counts = new HashMap<>();
-        each(Family.BLOBS, new byte[0], (key, value) -> counts.put(text(key), number(value)));
+        forEachEntry(Family.BLOBS, new byte[0], (key, value) -> counts.put(text(key), decodeLong(value)));
         return counts;
     }
 
-    void blobCounts(Map<String, Long> right) throws IOException {
+    void replaceReferenceCounts(Map<String, Long> counts) throws IOException {
         Change change = new Change();
-        for (String digest : blobCounts().keySet()) {
+        for (String digest : referenceCounts().keySet()) {
             change.delete(Family.BLOBS, key(digest));
         }
-        right.forEach((digest, count) -> change.put(Family.BLOBS, key(digest), bytes(count)));
+        counts.forEach((digest, count) -> change.put(Family.BLOBS, key(digest), encodeLong(count)));
         commit("repair", change);
     }
 
@@ -653,11 +653,11 @@
         return blobs;
     }
 
-    Path blob(String digest) {
-        return blobIn(blobs, digest);
+    Path blobPath(String digest) {
+        return blobPathIn(blobs, digest);
     }
 
-    private static Path blobIn(Path blobs, String digest) {
+    private static Path blobPathIn(Path blobs, String digest) {
         return blobs.resolve(digest.substring(0, 2)).resolve(digest);
     }
 
@@ -680,34 +680,34 @@
         private final WriteBatch batch = new WriteBatch();
 
         Change put(Family family, byte[] key, byte[] value) {
-            return run(() -> batch.put(handle(family), key, value));
+            return apply(() -> batch.put(handle(family), key, value));
         }
 
         Change delete(Family family, byte[] key) {
-            return run(() -> batch.delete(handle(family), key));
+            return apply(() -> batch.delete(handle(family), key));
         }
 
         Change deleteRange(Family family, byte[] from, byte[] to) {
-            return run(() -> batch.deleteRange(handle(family), from, to));
+            return apply(() -> batch.deleteRange(handle(family), from, to));
         }
 
         /** One name more or less for these bytes. */
-        void blob(String digest, int more) throws IOException {
+        void addReferences(String digest, int delta) throws IOException {
             long count =
-                    added.merge(digest, (long) more, Long::sum)
-                            + number(get(Family.BLOBS, key(digest)));
+                    referenceDeltas.merge(digest, (long) delta, Long::sum)
+                            + decodeLong(get(Family.BLOBS, key(digest)));
             if (count > 0) {
-                put(Family.BLOBS, key(digest), bytes(count));
+                put(Family.BLOBS, key(digest), encodeLong(count));
             } else {
                 delete(Family.BLOBS, key(digest));
             }
         }
 
-        private final Map<String, Long> added = new HashMap<>();
+        private final Map<String, Long> referenceDeltas = new HashMap<>();
 
-        private Change run(Write write) {
+        private Change apply(BatchOperation operation) {
             try {
-                write.run();
+                operation.run();
                 return this;
             } catch (RocksDBException e) {
                 throw new IllegalStateException("no change can be made", e);
@@ -715,19 +715,19 @@
         }
     }
 
-    private interface Write {
+    private interface BatchOperation {
         void run() throws RocksDBException;
     }
 
-    private void commit(String name, Change change) throws IOException {
-        if (!writes) {
+    private void commit(String crashPoint, Change change) throws IOException {
+        if (!writable) {
             throw new IllegalStateException("opened to read");
         }
         try (WriteBatch batch = change.batch;
-                WriteOptions sync = new WriteOptions().setSync(true)) {
-            points.at(name);
-            db.write(sync, batch);
-            points.at("after: " + name);
+                WriteOptions syncedWrite = new WriteOptions().setSync(true)) {
+            crashPoints.reached(crashPoint);
+            db.write(syncedWrite, batch);
+            crashPoints.reached("after: " + crashPoint);
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
@@ -741,13 +741,13 @@
         }
     }
 
-    private void each(Family family, byte[] prefix, BiConsumer<byte[], byte[]> told)
+    private void forEachEntry(Family family, byte[] prefix, BiConsumer<byte[], byte[]> consumer)
             throws IOException {
-        try (RocksIterator at = db.newIterator(handle(family))) {
-            for (at.seek(prefix); at.isValid() && startsWith(at.key(), prefix); at.next()) {
-                told.accept(at.key(), at.value());
+        try (RocksIterator iterator = db.newIterator(handle(family))) {
+            for (iterator.seek(prefix); iterator.isValid() && startsWith(iterator.key(), prefix); iterator.next()) {
+                consumer.accept(iterator.key(), iterator.value());
             }
-            at.status();
+            iterator.status();
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be read: " + e.getMessage(), e);
         }
@@ -760,8 +760,8 @@
     }
 
     /** Makes a rename last. */
-    private void sync(Path directory) throws IOException {
-        points.at("sync folder");
+    private void syncDirectory(Path directory) throws IOException {
+        crashPoints.reached("sync folder");
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
@@ -781,35 +781,35 @@
     }
 
     /** The key of a line; -1 is after all of them. Ids hold no NUL. */
-    private static byte[] line(String batch, long line) {
+    private static byte[] lineKey(String batch, long line) {
         byte[] id = key(batch);
         return ByteBuffer.allocate(id.length + 9).put(id).put((byte) 0).putLong(line).array();
     }
 
     /** Newest first; a number under 0 gives the beginning of all of them. */
-    private static byte[] order(String tenant, char kind, long number) {
-        byte[] start = key(tenant + '\0' + kind + '\0');
+    private static byte[] orderKey(String tenant, char kind, long number) {
+        byte[] prefix = key(tenant + '\0' + kind + '\0');
         return number < 0
-                ? start
-                : ByteBuffer.allocate(start.length + 8)
-                        .put(start)
+                ? prefix
+                : ByteBuffer.allocate(prefix.length + 8)
+                        .put(prefix)
                         .putLong(Long.MAX_VALUE - number)
                         .array();
     }
 
-    private static long tail(byte[] key) {
+    private static long trailingLong(byte[] key) {
         return ByteBuffer.wrap(key).getLong(key.length - 8);
     }
 
-    private static byte[] bytes(long number) {
+    private static byte[] encodeLong(long number) {
         return ByteBuffer.allocate(8).putLong(number).array();
     }
 
-    private static long number(byte[] bytes) {
+    private static long decodeLong(byte[] bytes) {
         return bytes == null ? 0 : ByteBuffer.wrap(bytes).getLong();
     }
 
-    private static FileRecord parsed(byte[] bytes) {
+    private static FileRecord parseFile(byte[] bytes) {
         try {
             return FileRecord.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
--- a/src/main/java/larchridge/store/StoreException.java
+++ b/src/main/java/larchridge/store/StoreException.java
@@ -6,7 +6,7 @@
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1;
 
-    public StoreException(String text, Throwable cause) {
-        super(text, cause);
+    public StoreException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/src/main/java/larchridge/store/StoreVerifier.java
+++ b/src/main/java/larchridge/store/StoreVerifier.java
@@ -26,8 +26,8 @@
  */
 final class StoreVerifier {
     private final Store store;
-    private final Map<String, Long> named = new HashMap<>();
-    private final Map<String, Long> sizes = new TreeMap<>();
+    private final Map<String, Long> referenceCounts = new HashMap<>();
+    private final Map<String, Long> blobSizes = new TreeMap<>();
     private final Map<String, FileRecord> files = new TreeMap<>();
     private final List<String> faults = new ArrayList<>();
 
@@ -35,36 +35,36 @@
         this.store = store;
     }
 
-    List<String> faults() throws IOException {
-        store.files(
+    List<String> findFaults() throws IOException {
+        store.forEachFile(
                 (id, file) -> {
                     files.put(id, file);
-                    named.merge(file.getDigest(), 1L, Long::sum);
-                    sizes.put(file.getDigest(), file.getBytes());
+                    referenceCounts.merge(file.getDigest(), 1L, Long::sum);
+                    blobSizes.put(file.getDigest(), file.getBytes());
                 });
-        for (Map.Entry<String, Long> blob : sizes.entrySet()) {
-            bytes(blob.getKey(), blob.getValue());
+        for (Map.Entry<String, Long> blob : blobSizes.entrySet()) {
+            verifyBlob(blob.getKey(), blob.getValue());
         }
-        if (!store.blobCounts().equals(named)) {
+        if (!store.referenceCounts().equals(referenceCounts)) {
             faults.add(
                     "the counts of names are "
-                            + store.blobCounts().size()
+                            + store.referenceCounts().size()
                             + " kinds, the files name "
-                            + named.size());
+                            + referenceCounts.size());
         }
-        for (Path path : strangers()) {
+        for (Path path : unreferencedBlobs()) {
             faults.add(path.getFileName() + ": bytes that no file names");
         }
         List<BatchRecord> batches = new ArrayList<>();
-        store.batches((id, batch) -> batches.add(batch));
+        store.forEachBatch((id, batch) -> batches.add(batch));
         for (BatchRecord batch : batches) {
-            batch(batch);
+            verifyBatch(batch);
         }
         return faults;
     }
 
-    private void bytes(String digest, long size) throws IOException {
-        Path path = store.blob(digest);
+    private void verifyBlob(String digest, long size) throws IOException {
+        Path path = store.blobPath(digest);
         if (!Files.exists(path)) {
             faults.add(digest + ": bytes are missing");
             return;
@@ -82,9 +82,9 @@
         try (InputStream in =
                 Channels.newInputStream(FileChannel.open(path, StandardOpenOption.READ))) {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            byte[] part = new byte[1 << 16];
-            for (int length = in.read(part); length >= 0; length = in.read(part)) {
-                digest.update(part, 0, length);
+            byte[] buffer = new byte[1 << 16];
+            for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
+                digest.update(buffer, 0, length);
             }
             return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
@@ -92,27 +92,27 @@
         }
     }
 
-    private void batch(BatchRecord batch) throws IOException {
+    private void verifyBatch(BatchRecord batch) throws IOException {
         String id = batch.getId();
-        boolean over =
+        boolean ended =
                 switch (batch.getState()) {
                     case FAILED, COMPLETED, EXPIRED, CANCELLED -> true;
                     default -> false;
                 };
-        if (store.isActive(id) == over) {
+        if (store.isActive(id) == ended) {
             faults.add(
                     id
                             + ": is "
                             + batch.getState()
                             + " and "
-                            + (over ? "" : "not ")
+                            + (ended ? "" : "not ")
                             + "listed as active");
         }
-        long[] answers = store.answersOf(id);
-        if (over && answers[0] + answers[1] > 0) {
+        long[] answers = store.countAnswers(id);
+        if (ended && answers[0] + answers[1] > 0) {
             faults.add(id + ": is over and still has records of lines");
         }
-        if (!over && (answers[0] != batch.getDone() || answers[1] != batch.getFailed())) {
+        if (!ended && (answers[0] != batch.getDone() || answers[1] != batch.getFailed())) {
             faults.add(
                     id
                             + ": has "
@@ -124,10 +124,10 @@
                             + " and "
                             + batch.getFailed());
         }
-        if (!over && !files.containsKey(batch.getInput())) {
+        if (!ended && !files.containsKey(batch.getInput())) {
             faults.add(id + ": its input " + batch.getInput() + " is missing");
         }
-        if (over
+        if (ended
                 && batch.getState() != BatchState.FAILED
                 && batch.getDone() + batch.getFailed() != batch.getTotal()) {
             faults.add(
@@ -140,29 +140,29 @@
         }
     }
 
-    private List<Path> strangers() throws IOException {
+    private List<Path> unreferencedBlobs() throws IOException {
         if (!Files.exists(store.blobFolder())) {
             return List.of();
         }
-        try (Stream<Path> all = Files.walk(store.blobFolder())) {
-            return all.filter(Files::isRegularFile)
-                    .filter(path -> !named.containsKey(path.getFileName().toString()))
+        try (Stream<Path> paths = Files.walk(store.blobFolder())) {
+            return paths.filter(Files::isRegularFile)
+                    .filter(path -> !referenceCounts.containsKey(path.getFileName().toString()))
                     .sorted()
                     .toList();
         }
     }
 
     List<String> repair() throws IOException {
-        faults();
-        List<String> done = new ArrayList<>();
-        for (Path path : strangers()) {
+        findFaults();
+        List<String> actions = new ArrayList<>();
+        for (Path path : unreferencedBlobs()) {
             Files.delete(path);
-            done.add(path.getFileName() + ": removed, no file names it");
+            actions.add(path.getFileName() + ": removed, no file names it");
         }
-        if (!store.blobCounts().equals(named)) {
-            store.blobCounts(named);
-            done.add("counts of names made anew");
+        if (!store.referenceCounts().equals(referenceCounts)) {
+            store.replaceReferenceCounts(referenceCounts);
+            actions.add("counts of names made anew");
         }
-        return done;
+        return actions;
     }
 }
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -33,18 +33,18 @@
         double writtenMs;
         Path copy = folder.resolveSibling(folder.getFileName() + ".killed");
         try (Store store = Store.open(folder, CrashPoints.NONE)) {
-            IncomingFile incoming = store.receive();
+            IncomingFile incoming = store.createIncomingFile();
             incoming.write("{}".getBytes(StandardCharsets.UTF_8), 0, 2);
-            String input = store.keep(incoming.synced(), "t", "n", "batch", 1).getId();
+            String input = store.addFile(incoming.sync(), "t", "n", "batch", 1).getId();
             BatchRecord batch =
-                    store.begin(
+                    store.createBatch(
                             BatchRecord.newBuilder().setTenant("t").setInput(input).setTotal(lines));
             batch = batch.toBuilder().setState(BatchState.IN_PROGRESS).build();
             long start = System.nanoTime();
             for (int from = 0; from < lines; from += GROUP) {
                 List<Store.Answer> group = new ArrayList<>();
                 for (int i = from; i < Math.min(lines, from + GROUP); i++) {
-                    store.flight(batch.getId(), i, 1, false);
+                    store.recordAttempts(batch.getId(), i, 1, false);
                     group.add(
                             new Store.Answer(
                                     batch.getId(),
@@ -56,7 +56,7 @@
                                 .setDone(batch.getDone() + group.size())
                                 .setLowLine(from + group.size())
                                 .build();
-                store.answered(group, List.of(batch));
+                store.recordAnswers(group, List.of(batch));
             }
             writtenMs = (System.nanoTime() - start) / 1e6;
             Store.copyFolder(folder, copy);
@@ -64,7 +64,7 @@
         long start = System.nanoTime();
         try (Store store = Store.open(copy, CrashPoints.NONE)) {
             double openedMs = (System.nanoTime() - start) / 1e6;
-            long done = store.active().get(0).getDone();
+            long done = store.activeBatches().get(0).getDone();
             return String.format(
                     Locale.ROOT,
                     "lines %d kept %d written/s %.0f opened in %.0f ms disk %.1f MB",
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -80,7 +80,7 @@
     void begin() throws IOException {
         loop = new VirtualLoop();
         out = 0;
-        store = Store.open(folder.resolve("store"), name -> points.at(name));
+        store = Store.open(folder.resolve("store"), name -> points.reached(name));
         batches =
                 new Batches(
                         store,
@@ -100,10 +100,10 @@
     }
 
     FileRecord upload(String text) throws IOException {
-        IncomingFile incoming = store.receive();
+        IncomingFile incoming = store.createIncomingFile();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         incoming.write(bytes, 0, bytes.length);
-        return store.keep(incoming.synced(), "g", "in.jsonl", "batch", 1);
+        return store.addFile(incoming.sync(), "g", "in.jsonl", "batch", 1);
     }
 
     BatchRecord make(FileRecord input, double windowMs) throws IOException {
@@ -144,7 +144,7 @@
         if (fileId.isEmpty()) {
             return records;
         }
-        try (FileChannel from = store.content(store.file(fileId))) {
+        try (FileChannel from = store.openContent(store.file(fileId))) {
             for (String text :
                     new String(Channels.newInputStream(from).readAllBytes(), StandardCharsets.UTF_8)
                             .split("\n")) {
@@ -301,7 +301,7 @@
         }
 
         @Override
-        public void at(String name) {
+        public void reached(String name) {
             passed.add(name);
             if (passed.size() == at) {
                 throw new Halt();
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -101,7 +101,7 @@
                     failed.getFault(1).getMessage().endsWith("of line 1"),
                     failed.getFault(1).getMessage());
             assertTrue(stage.ran.isEmpty());
-            assertTrue(stage.store.delete(stage.store.file(failed.getInput())));
+            assertTrue(stage.store.deleteFile(stage.store.file(failed.getInput())));
         }
     }
 
@@ -176,9 +176,9 @@
         try (BatchFixture stage = new BatchFixture()) {
             FileRecord input = stage.upload(BatchFixture.file(3));
             stage.make(input, HOUR);
-            assertFalse(stage.store.delete(input));
+            assertFalse(stage.store.deleteFile(input));
             stage.loop.run(60_000);
-            assertTrue(stage.store.delete(input));
+            assertTrue(stage.store.deleteFile(input));
         }
     }
 
@@ -218,7 +218,7 @@
                 stage.make(input, HOUR);
             }
             stage.loop.run(600_000);
-            assertEquals(List.of(), stage.store.active());
+            assertEquals(List.of(), stage.store.activeBatches());
             assertEquals(600, stage.ran.values().stream().mapToInt(Integer::intValue).sum());
         }
     }
@@ -255,11 +255,11 @@
         for (int life = 0; life < atMost; life++) {
             try {
                 if (input == null) {
-                    List<String> kept = stage.store.page("g", 'f', -1, 10);
+                    List<String> kept = stage.store.listIds("g", 'f', -1, 10);
                     input = kept.isEmpty() ? stage.upload(MIXED) : stage.store.file(kept.get(0));
                 }
                 if (batch == null) {
-                    List<String> kept = stage.store.page("g", 'b', -1, 10);
+                    List<String> kept = stage.store.listIds("g", 'b', -1, 10);
                     batch =
                             kept.isEmpty()
                                     ? stage.make(input, HOUR)
@@ -300,7 +300,7 @@
                     stage.ran.getOrDefault(once, 0) <= 1,
                     about + ": " + once + " ran " + stage.ran.get(once) + " times");
         }
-        assertTrue(stage.store.active().isEmpty(), about);
+        assertTrue(stage.store.activeBatches().isEmpty(), about);
     }
 
     @Test
--- a/src/test/java/larchridge/serve/BatchTest.java
+++ b/src/test/java/larchridge/serve/BatchTest.java
@@ -229,7 +229,7 @@
             } finally {
                 second.stop();
             }
-            try (Store store = Store.look(town.folder.resolve("store"))) {
+            try (Store store = Store.openReadOnly(town.folder.resolve("store"))) {
                 assertEquals(java.util.List.of(), store.verify());
             }
         }
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -61,20 +61,20 @@
     }
 
     private static FileRecord keep(Store store, String tenant, String text) throws IOException {
-        IncomingFile incoming = store.receive();
+        IncomingFile incoming = store.createIncomingFile();
         incoming.write(text.getBytes(StandardCharsets.UTF_8), 0, text.length());
-        return store.keep(incoming.synced(), tenant, "n", "batch", 1);
+        return store.addFile(incoming.sync(), tenant, "n", "batch", 1);
     }
 
     private static String read(Store store, FileRecord file) throws IOException {
         return new String(
-                Channels.newInputStream(store.content(file)).readAllBytes(),
+                Channels.newInputStream(store.openContent(file)).readAllBytes(),
                 StandardCharsets.UTF_8);
     }
 
     @Test
     void secondOwnerIsTurnedAwayAndTakesOverWhenTheFirstIsGone() throws IOException {
-        assertThrows(Store.Taken.class, () -> Store.open(folder.resolve("s"), CrashPoints.NONE));
+        assertThrows(Store.InUseException.class, () -> Store.open(folder.resolve("s"), CrashPoints.NONE));
         long epoch = store.epoch();
         store.close();
         store = Store.open(folder.resolve("s"), CrashPoints.NONE);
@@ -86,10 +86,10 @@
         FileRecord first = keep(store, "a", "same");
         FileRecord second = keep(store, "b", "same");
         assertEquals(first.getDigest(), second.getDigest());
-        store.delete(first);
+        store.deleteFile(first);
         assertEquals("same", read(store, second));
-        store.delete(second);
-        assertFalse(Files.exists(store.blob(second.getDigest())));
+        store.deleteFile(second);
+        assertFalse(Files.exists(store.blobPath(second.getDigest())));
         assertEquals(List.of(), store.verify());
     }
 
@@ -97,8 +97,8 @@
     void damageIsFoundAndStrangersGoByRepair() throws IOException {
         FileRecord file = keep(store, "a", "good bytes");
         FileRecord lost = keep(store, "a", "other");
-        Files.writeString(store.blob(file.getDigest()), "bad bytes!");
-        Files.delete(store.blob(lost.getDigest()));
+        Files.writeString(store.blobPath(file.getDigest()), "bad bytes!");
+        Files.delete(store.blobPath(lost.getDigest()));
         Path stranger = store.blobFolder().resolve("ff").resolve("f".repeat(64));
         Files.createDirectories(stranger.getParent());
         Files.writeString(stranger, "?");
@@ -112,7 +112,7 @@
     @Test
     void snapshotIsWholeAndApart() throws IOException {
         FileRecord file = keep(store, "a", "before");
-        BatchRecord batch = store.begin(BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
+        BatchRecord batch = store.createBatch(BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
         store.snapshot(folder.resolve("copy"));
         FileRecord later = keep(store, "a", "after");
         try (Store copy = Store.open(folder.resolve("copy"), CrashPoints.NONE)) {
@@ -122,7 +122,7 @@
             assertEquals(List.of(), copy.verify());
             keep(copy, "a", "only there");
         }
-        assertEquals(2, store.filesOf("a"));
+        assertEquals(2, store.storedFiles("a"));
     }
 
     @Test
@@ -132,9 +132,9 @@
             ids.add(0, keep(store, "a", "t" + i).getId());
             keep(store, "ab", "u" + i);
         }
-        assertEquals(ids.subList(0, 3), store.page("a", 'f', -1, 3));
+        assertEquals(ids.subList(0, 3), store.listIds("a", 'f', -1, 3));
         assertEquals(
-                ids.subList(3, 7), store.page("a", 'f', store.file(ids.get(2)).getNumber(), 9));
+                ids.subList(3, 7), store.listIds("a", 'f', store.file(ids.get(2)).getNumber(), 9));
     }
 
     // ------------------------------------------------------------------ against a simple model
@@ -197,13 +197,13 @@
             model.files.put(keep(store, "t", text).getId(), text);
         } else if (step == 4) {
             String id = files.get(random.nextInt(files.size()));
-            assertEquals(!model.inputs.containsValue(id), store.delete(store.file(id)));
+            assertEquals(!model.inputs.containsValue(id), store.deleteFile(store.file(id)));
             if (!model.inputs.containsValue(id)) {
                 model.files.remove(id);
             }
         } else if (step == 5 || batches.isEmpty()) {
             String input = files.get(random.nextInt(files.size()));
-            String id = store.begin(BatchRecord.newBuilder().setTenant("t").setInput(input)).getId();
+            String id = store.createBatch(BatchRecord.newBuilder().setTenant("t").setInput(input)).getId();
             model.inputs.put(id, input);
             model.answers.put(id, new TreeMap<>());
         } else if (step < 9) {
@@ -212,9 +212,9 @@
             boolean isNew = !model.answers.get(id).containsKey(line);
             LineAnswer answer =
                     LineAnswer.newBuilder().setGood(true).setText("answer " + line).build();
-            store.flight(id, line, 1, random.nextBoolean());
+            store.recordAttempts(id, line, 1, random.nextBoolean());
             BatchRecord batch = store.batch(id);
-            store.answered(
+            store.recordAnswers(
                     List.of(new Store.Answer(id, line, answer)),
                     List.of(
                             isNew
@@ -223,14 +223,14 @@
             model.answers.get(id).put(line, answer.getText());
         } else {
             String id = batches.get(random.nextInt(batches.size()));
-            IncomingFile output = store.receive();
+            IncomingFile output = store.createIncomingFile();
             output.write("out".getBytes(StandardCharsets.UTF_8), 0, 3);
             BatchRecord done =
-                    store.finish(
+                    store.finishBatch(
                             store.batch(id).toBuilder()
                                     .setState(BatchState.COMPLETED)
                                     .setTotal(store.batch(id).getDone()),
-                            output.synced(),
+                            output.sync(),
                             null,
                             1);
             model.files.put(done.getOutput(), "out");
@@ -244,7 +244,7 @@
      * step more or none.
      */
     private static void adopt(Store store, Model model) throws IOException {
-        List<String> ids = store.page("t", 'f', -1, 1000);
+        List<String> ids = store.listIds("t", 'f', -1, 1000);
         int before = model.files.size();
         for (String id : ids) {
             model.files.putIfAbsent(id, read(store, store.file(id)));
@@ -252,7 +252,7 @@
         model.files.keySet().retainAll(ids);
         assertTrue(Math.abs(model.files.size() - before) <= 1, "a step did more than one thing");
         model.inputs.clear();
-        for (BatchRecord batch : store.active()) {
+        for (BatchRecord batch : store.activeBatches()) {
             model.inputs.put(batch.getId(), batch.getInput());
             Map<Long, String> answers =
                     model.answers.computeIfAbsent(batch.getId(), id -> new TreeMap<>());
@@ -268,17 +268,17 @@
     }
 
     private static void compare(Store store, Model model) throws IOException {
-        List<String> ids = store.page("t", 'f', -1, 1000);
+        List<String> ids = store.listIds("t", 'f', -1, 1000);
         assertEquals(List.copyOf(model.files.keySet()), ids.stream().sorted().toList());
         for (Map.Entry<String, String> file : model.files.entrySet()) {
             assertEquals(file.getValue(), read(store, store.file(file.getKey())));
         }
         assertEquals(
                 List.copyOf(model.inputs.keySet()),
-                store.active().stream().map(BatchRecord::getId).sorted().toList());
+                store.activeBatches().stream().map(BatchRecord::getId).sorted().toList());
         for (String id : model.inputs.keySet()) {
             assertEquals(model.answers.get(id).size(), store.batch(id).getDone());
-            assertTrue(store.isRead(model.inputs.get(id)));
+            assertTrue(store.isInputInUse(model.inputs.get(id)));
         }
     }
 }
--- a/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
@@ -58,7 +58,7 @@
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
         FileRecord file = store.file(expected.getId());
         assertEquals(expected.setBytes(bytes.length).build(), file);
-        try (InputStream in = Channels.newInputStream(store.content(file))) {
+        try (InputStream in = Channels.newInputStream(store.openContent(file))) {
             byte[] stored = in.readAllBytes();
             assertEquals(content, new String(stored, StandardCharsets.UTF_8));
             byte[] digest = MessageDigest.getInstance("SHA-256").digest(stored);
@@ -85,8 +85,8 @@
                             .setDigest(
                                     "21a364e2ee91ffe9daa01fa63df851de81fe2abe47a64431684c8ea6a711652c"),
                     "{\"custom_id\":\"c\"}\n");
-            assertTrue(store.isRead("file-1-1"));
-            assertTrue(store.isRead("file-1-2"));
+            assertTrue(store.isInputInUse("file-1-1"));
+            assertTrue(store.isInputInUse("file-1-2"));
         }
     }
 
@@ -125,7 +125,7 @@
                             .setDigest(
                                     "907f750067f14946a4e90d1726975f3617be3787d0f88bfe0c630a060ada9844"),
                     "{\"id\":\"cancelled-0\"}\n");
-            assertFalse(store.isRead("file-1-4"));
+            assertFalse(store.isInputInUse("file-1-4"));
         }
     }
 
@@ -134,20 +134,20 @@
         try (Store store = openStore()) {
             assertEquals(
                     List.of("file-1-5", "file-1-4", "file-1-1"),
-                    store.page("acme", 'f', -1, ALL_IDS));
+                    store.listIds("acme", 'f', -1, ALL_IDS));
             assertEquals(
                     List.of("file-1-a", "file-1-8", "file-1-2"),
-                    store.page("globex", 'f', -1, ALL_IDS));
+                    store.listIds("globex", 'f', -1, ALL_IDS));
             assertEquals(
                     List.of("batch_2-d", "batch_2-c", "batch_1-3"),
-                    store.page("acme", 'b', -1, ALL_IDS));
+                    store.listIds("acme", 'b', -1, ALL_IDS));
             assertEquals(
                     List.of("batch_2-e", "batch_2-b", "batch_1-9", "batch_1-7", "batch_1-6"),
-                    store.page("globex", 'b', -1, ALL_IDS));
-            assertEquals(3, store.filesOf("acme"));
-            assertEquals(36 + 21 + 21, store.bytesOf("acme"));
-            assertEquals(3, store.filesOf("globex"));
-            assertEquals(18 + 19 + 21, store.bytesOf("globex"));
+                    store.listIds("globex", 'b', -1, ALL_IDS));
+            assertEquals(3, store.storedFiles("acme"));
+            assertEquals(36 + 21 + 21, store.storedBytes("acme"));
+            assertEquals(3, store.storedFiles("globex"));
+            assertEquals(18 + 19 + 21, store.storedBytes("globex"));
         }
     }
 
@@ -214,8 +214,8 @@
         try (Store store = openStore()) {
             assertEquals(
                     List.of(validating(), inProgress(), finalizing(), cancelling()),
-                    store.active());
-            assertEquals(0, store.name("batch_2-b", "c", 9), "the line that has this custom id");
+                    store.activeBatches());
+            assertEquals(0, store.recordCustomId("batch_2-b", "c", 9), "the line that has this custom id");
         }
     }
 
@@ -307,10 +307,10 @@
 
     @Test
     void storeIsReadWithoutOwningIt() throws Exception {
-        try (Store store = Store.look(folder.resolve("store"))) {
+        try (Store store = Store.openReadOnly(folder.resolve("store"))) {
             assertEquals(
                     List.of(validating(), inProgress(), finalizing(), cancelling()),
-                    store.active());
+                    store.activeBatches());
             assertEquals(List.of(), store.verify());
         }
     }
@@ -320,11 +320,11 @@
         try (Store store = openStore()) {
             assertEquals(3, store.epoch());
             assertEquals(List.of(), store.verify());
-            IncomingFile incoming = store.receive();
+            IncomingFile incoming = store.createIncomingFile();
             incoming.write(new byte[] {'x'}, 0, 1);
-            FileRecord kept = store.keep(incoming.synced(), "acme", "new.jsonl", "batch", 9000);
+            FileRecord kept = store.addFile(incoming.sync(), "acme", "new.jsonl", "batch", 9000);
             assertEquals("file-3-f", kept.getId());
-            assertEquals("batch_3-g", store.begin(acme(BatchRecord.newBuilder(), 9000)).getId());
+            assertEquals("batch_3-g", store.createBatch(acme(BatchRecord.newBuilder(), 9000)).getId());
             assertEquals(List.of(), store.verify());
         }
     }
