--- a/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
+++ b/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
@@ -18,7 +18,7 @@
 @Timeout(60)
 class LedgerRecoveryTest {
     private static final int RECORDS = 50;
-    private static final long WRITTEN_MS = 5000;
+    private static final long WRITE_TIMEOUT_MS = 5000;
 
     @TempDir Path folder;
 
@@ -36,13 +36,13 @@
             try (Ledger ledger = Ledger.open(Path.of(args[0]), 10_000)) {
                 offer(ledger);
                 await(ledger);
-                limitFiles(pid, "4096");
+                limitFileSize(pid, "4096");
                 offer(ledger);
                 TimeUnit.MILLISECONDS.sleep(1000);
                 if (ledger.writtenRecords() >= offered) {
                     throw new IllegalStateException("the disk did not fail");
                 }
-                limitFiles(pid, "unlimited");
+                limitFileSize(pid, "unlimited");
                 offer(ledger);
                 await(ledger);
             }
@@ -67,7 +67,7 @@
         }
 
         private static void await(Ledger ledger) throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WRITTEN_MS);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WRITE_TIMEOUT_MS);
             while (ledger.writtenRecords() < offered && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
@@ -77,13 +77,13 @@
             }
         }
 
-        private static void limitFiles(long pid, String most)
+        private static void limitFileSize(long pid, String limit)
                 throws IOException, InterruptedException {
             new ProcessBuilder(
                             "prlimit",
                             "--pid",
                             Long.toString(pid),
-                            "--fsize=" + most + ":unlimited")
+                            "--fsize=" + limit + ":unlimited")
                     .inheritIO()
                     .start()
                     .waitFor();
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void recordsTakenWhileTheDiskFailsAreWrittenOnceItIsWell() throws Exception {
+    void recordsOfferedWhileWritesFailAreWrittenAfterRecovery() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         Process writer =
                 new ProcessBuilder(
@@ -102,9 +102,9 @@
                                 folder.resolve("ledger").toString())
                         .redirectErrorStream(true)
                         .start();
-        String said = new String(writer.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(writer.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(writer.waitFor(40, TimeUnit.SECONDS));
-        assertEquals(0, writer.exitValue(), said);
+        assertEquals(0, writer.exitValue(), output);
         try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             assertEquals(List.of(), ledger.verify());
             assertEquals(3 * RECORDS, ledger.totals(null).values().iterator().next().generations());
--- a/src/test/java/larchridge/ledger/LedgerTest.java
+++ b/src/test/java/larchridge/ledger/LedgerTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class LedgerTest {
-    private static final long AT = 1_780_000_000_000L;
+    private static final long ENDED_AT_MS = 1_780_000_000_000L;
 
     @TempDir private Path folder;
 
-    private static Usage usage(String id, long out) {
-        return new Usage(id, "t", "p", AT, "streamed", 100, 40, out, 5, 2);
+    private static Usage usage(String billId, long outputTokens) {
+        return new Usage(billId, "t", "p", ENDED_AT_MS, "streamed", 100, 40, outputTokens, 5, 2);
     }
 
     private static void write(Ledger ledger, Usage usage) {
@@ -32,12 +32,12 @@
         }
     }
 
-    private static UsageTotal sum(Ledger ledger) throws LedgerException {
+    private static UsageTotal total(Ledger ledger) throws LedgerException {
         return ledger.totals(null).values().stream().findFirst().orElse(UsageTotal.ZERO);
     }
 
     /** As after a kill: what was on disk at that moment, opened anew. */
-    private Path killed(String name) throws IOException {
+    private Path copyAsAfterKill(String name) throws IOException {
         Path copy = folder.resolve(name);
         Files.createDirectories(copy);
         try (Stream<Path> files = Files.list(folder.resolve("ledger"))) {
@@ -51,32 +51,32 @@
     }
 
     @Test
-    void recordIsBilledOnceHoweverOftenItComes() throws Exception {
+    void repeatedRecordIsBilledOnce() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
             write(ledger, usage("a", 10));
             write(ledger, usage("a", 10));
-            assertEquals(new UsageTotal(1, 100, 40, 10, 5), sum(ledger));
+            assertEquals(new UsageTotal(1, 100, 40, 10, 5), total(ledger));
             assertEquals(List.of(), ledger.verify());
         }
     }
 
     @Test
-    void clientThatAsksAgainPaysForTheLongerAnswer() throws Exception {
+    void retryIsBilledForTheLongerAnswer() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
             write(ledger, usage("k", 3));
             write(ledger, usage("k", 10));
-            assertEquals(new UsageTotal(1, 100, 40, 10, 5 + 5 + 103), sum(ledger));
+            assertEquals(new UsageTotal(1, 100, 40, 10, 5 + 5 + 103), total(ledger));
             assertEquals(List.of(), ledger.verify());
         }
     }
 
     @Test
-    void whatWasWrittenSurvivesAKill() throws Exception {
+    void writtenRecordsSurviveAKill() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
             for (int i = 0; i < 20; i++) {
                 write(ledger, usage("g" + i, i));
-                try (Ledger after = Ledger.open(killed("copy" + i), 100)) {
-                    assertEquals(i + 1, sum(after).generations());
+                try (Ledger after = Ledger.open(copyAsAfterKill("copy" + i), 100)) {
+                    assertEquals(i + 1, total(after).generations());
                     assertEquals(List.of(), after.verify());
                 }
             }
@@ -84,55 +84,55 @@
     }
 
     @Test
-    void logCutAtEveryByteGivesABeginningOfIt() throws Exception {
-        List<Long> ends = new ArrayList<>();
+    void truncatedLogYieldsTheRecordsWhollyInIt() throws Exception {
+        List<Long> logSizes = new ArrayList<>();
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
             for (int i = 0; i < 4; i++) {
                 write(ledger, usage("g" + i, i));
-                ends.add(Files.size(log(folder.resolve("ledger"))));
+                logSizes.add(Files.size(log(folder.resolve("ledger"))));
             }
-            Path whole = killed("whole");
+            Path whole = copyAsAfterKill("whole");
             byte[] bytes = Files.readAllBytes(log(whole));
             for (int cut = 0; cut <= bytes.length; cut += cut + 40 < bytes.length ? 7 : 1) {
-                Path copy = killed("cut" + cut);
+                Path copy = copyAsAfterKill("cut" + cut);
                 Files.write(log(copy), java.util.Arrays.copyOf(bytes, cut));
                 int acknowledged = 0;
-                for (long end : ends) {
-                    acknowledged += end <= cut ? 1 : 0;
+                for (long logSize : logSizes) {
+                    acknowledged += logSize <= cut ? 1 : 0;
                 }
                 try (Ledger after = Ledger.open(copy, 100)) {
-                    assertEquals(acknowledged, sum(after).generations(), "cut at " + cut);
+                    assertEquals(acknowledged, total(after).generations(), "cut at " + cut);
                     assertEquals(List.of(), after.verify());
                 }
             }
         }
     }
 
-    private static Path log(Path of) throws IOException {
-        try (Stream<Path> files = Files.list(of)) {
+    private static Path log(Path ledgerFolder) throws IOException {
+        try (Stream<Path> files = Files.list(ledgerFolder)) {
             return files.filter(f -> f.toString().endsWith(".log")).findFirst().orElseThrow();
         }
     }
 
     @Test
-    void fullQueueSaysNoInsteadOfWaiting() throws Exception {
+    void offerDoesNotWaitForRoomInTheQueue() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 16)) {
-            int taken = 0;
-            while (ledger.offer(usage("g" + taken, 1)) && taken < 1_000_000) {
-                taken++;
+            int accepted = 0;
+            while (ledger.offer(usage("g" + accepted, 1)) && accepted < 1_000_000) {
+                accepted++;
             }
-            assertTrue(taken >= 16);
+            assertTrue(accepted >= 16);
         }
     }
 
     @Test
-    void secondWriterIsTurnedAwayAndAReaderIsNot() throws Exception {
-        Path at = folder.resolve("ledger");
-        try (Ledger ledger = Ledger.open(at, 100)) {
+    void secondWriterIsRejectedAndAReaderIsNot() throws Exception {
+        Path ledgerFolder = folder.resolve("ledger");
+        try (Ledger ledger = Ledger.open(ledgerFolder, 100)) {
             write(ledger, usage("a", 10));
-            assertThrows(LedgerException.class, () -> Ledger.open(at, 100));
-            try (Ledger look = Ledger.openReadOnly(at)) {
-                assertEquals(1, sum(look).generations());
+            assertThrows(LedgerException.class, () -> Ledger.open(ledgerFolder, 100));
+            try (Ledger reader = Ledger.openReadOnly(ledgerFolder)) {
+                assertEquals(1, total(reader).generations());
             }
         }
     }
@@ -148,14 +148,14 @@
     }
 
     @Test
-    void whoWaitsIsToldWhenTheRecordIsOnDisk() throws Exception {
+    void callbackRunsOnceTheRecordIsOnDisk() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
-            java.util.concurrent.CompletableFuture<Void> told =
+            java.util.concurrent.CompletableFuture<Void> onDisk =
                     new java.util.concurrent.CompletableFuture<>();
-            assertTrue(ledger.offer(usage("a", 10), () -> told.complete(null)));
-            told.get(5, java.util.concurrent.TimeUnit.SECONDS);
-            try (Ledger copy = Ledger.openReadOnly(killed("copy"))) {
-                assertEquals(10, sum(copy).outputTokens());
+            assertTrue(ledger.offer(usage("a", 10), () -> onDisk.complete(null)));
+            onDisk.get(5, java.util.concurrent.TimeUnit.SECONDS);
+            try (Ledger copy = Ledger.openReadOnly(copyAsAfterKill("copy"))) {
+                assertEquals(10, total(copy).outputTokens());
             }
         }
     }
@@ -165,8 +165,8 @@
     void lateWasteIsAddedToItsBill() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
             write(ledger, usage("a", 10));
-            write(ledger, new Usage("a", "t", "p", AT, "waste", 0, 0, 0, 100, 1));
-            assertEquals(new UsageTotal(1, 100, 40, 10, 105), sum(ledger));
+            write(ledger, new Usage("a", "t", "p", ENDED_AT_MS, "waste", 0, 0, 0, 100, 1));
+            assertEquals(new UsageTotal(1, 100, 40, 10, 105), total(ledger));
             assertEquals(List.of(), ledger.verify());
         }
     }
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -36,7 +36,7 @@
     private Store store;
 
     /** The process ends here. */
-    private static final class Halt extends Error {
+    private static final class SimulatedCrash extends Error {
         private static final long serialVersionUID = 1;
     }
 
@@ -49,10 +49,10 @@
     @AfterEach
     void close() throws IOException {
         store.close();
-        remove(folder);
+        deleteRecursively(folder);
     }
 
-    private static void remove(Path folder) throws IOException {
+    private static void deleteRecursively(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
@@ -60,20 +60,20 @@
         }
     }
 
-    private static FileRecord keep(Store store, String tenant, String text) throws IOException {
+    private static FileRecord addFile(Store store, String tenant, String text) throws IOException {
         IncomingFile incoming = store.createIncomingFile();
         incoming.write(text.getBytes(StandardCharsets.UTF_8), 0, text.length());
         return store.addFile(incoming.sync(), tenant, "n", "batch", 1);
     }
 
-    private static String read(Store store, FileRecord file) throws IOException {
+    private static String readContent(Store store, FileRecord file) throws IOException {
         return new String(
                 Channels.newInputStream(store.openContent(file)).readAllBytes(),
                 StandardCharsets.UTF_8);
     }
 
     @Test
-    void secondOwnerIsTurnedAwayAndTakesOverWhenTheFirstIsGone() throws IOException {
+    void secondOwnerIsRejectedUntilTheFirstCloses() throws IOException {
         assertThrows(Store.InUseException.class, () -> Store.open(folder.resolve("s"), CrashPoints.NONE));
         long epoch = store.epoch();
         store.close();
@@ -82,55 +82,55 @@
     }
 
     @Test
-    void sameBytesLieOnceAndStayWhileAnyoneNamesThem() throws IOException {
-        FileRecord first = keep(store, "a", "same");
-        FileRecord second = keep(store, "b", "same");
+    void identicalContentIsStoredOnceUntilItsLastFileIsDeleted() throws IOException {
+        FileRecord first = addFile(store, "a", "same");
+        FileRecord second = addFile(store, "b", "same");
         assertEquals(first.getDigest(), second.getDigest());
         store.deleteFile(first);
-        assertEquals("same", read(store, second));
+        assertEquals("same", readContent(store, second));
         store.deleteFile(second);
         assertFalse(Files.exists(store.blobPath(second.getDigest())));
         assertEquals(List.of(), store.verify());
     }
 
     @Test
-    void damageIsFoundAndStrangersGoByRepair() throws IOException {
-        FileRecord file = keep(store, "a", "good bytes");
-        FileRecord lost = keep(store, "a", "other");
+    void verifyFindsDamageAndRepairRemovesUnreferencedBlobs() throws IOException {
+        FileRecord file = addFile(store, "a", "good bytes");
+        FileRecord missing = addFile(store, "a", "other");
         Files.writeString(store.blobPath(file.getDigest()), "bad bytes!");
-        Files.delete(store.blobPath(lost.getDigest()));
-        Path stranger = store.blobFolder().resolve("ff").resolve("f".repeat(64));
-        Files.createDirectories(stranger.getParent());
-        Files.writeString(stranger, "?");
+        Files.delete(store.blobPath(missing.getDigest()));
+        Path unreferenced = store.blobFolder().resolve("ff").resolve("f".repeat(64));
+        Files.createDirectories(unreferenced.getParent());
+        Files.writeString(unreferenced, "?");
         List<String> faults = store.verify();
         assertEquals(3, faults.size(), faults.toString());
         assertEquals(1, store.repair().size());
-        assertFalse(Files.exists(stranger));
+        assertFalse(Files.exists(unreferenced));
         assertEquals(2, store.verify().size());
     }
 
     @Test
-    void snapshotIsWholeAndApart() throws IOException {
-        FileRecord file = keep(store, "a", "before");
+    void snapshotIsCompleteAndIndependent() throws IOException {
+        FileRecord file = addFile(store, "a", "before");
         BatchRecord batch = store.createBatch(BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
         store.snapshot(folder.resolve("copy"));
-        FileRecord later = keep(store, "a", "after");
+        FileRecord later = addFile(store, "a", "after");
         try (Store copy = Store.open(folder.resolve("copy"), CrashPoints.NONE)) {
-            assertEquals("before", read(copy, copy.file(file.getId())));
+            assertEquals("before", readContent(copy, copy.file(file.getId())));
             assertEquals(batch, copy.batch(batch.getId()));
             assertNull(copy.file(later.getId()));
             assertEquals(List.of(), copy.verify());
-            keep(copy, "a", "only there");
+            addFile(copy, "a", "only there");
         }
         assertEquals(2, store.storedFiles("a"));
     }
 
     @Test
-    void pagesGoFromTheNewestAndPastEachOther() throws IOException {
+    void pagesAreNewestFirstAndOfOneTenant() throws IOException {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
-            ids.add(0, keep(store, "a", "t" + i).getId());
-            keep(store, "ab", "u" + i);
+            ids.add(0, addFile(store, "a", "t" + i).getId());
+            addFile(store, "ab", "u" + i);
         }
         assertEquals(ids.subList(0, 3), store.listIds("a", 'f', -1, 3));
         assertEquals(
@@ -152,49 +152,49 @@
      * not at all.
      */
     @Property(tries = 60, seed = "20261201", shrinking = ShrinkingMode.BOUNDED)
-    void isAsTheModelSays(
+    void matchesTheModelAcrossCrashes(
             @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 9) Integer> steps,
             @ForAll long seed)
             throws IOException {
-        Path own = Files.createTempDirectory("larchridge-model");
+        Path storeFolder = Files.createTempDirectory("larchridge-model");
         Random random = new Random(seed);
-        int[] left = {-1};
-        CrashPoints points =
+        int[] writesUntilCrash = {-1};
+        CrashPoints crashPoints =
                 name -> {
-                    if (left[0] > 0 && --left[0] == 0) {
-                        throw new Halt();
+                    if (writesUntilCrash[0] > 0 && --writesUntilCrash[0] == 0) {
+                        throw new SimulatedCrash();
                     }
                 };
         Model model = new Model();
-        Store now = Store.open(own, points);
+        Store current = Store.open(storeFolder, crashPoints);
         try {
             for (int step : steps) {
                 // Now and then the process ends in the middle of what it does.
-                left[0] = random.nextInt(4) == 0 ? 1 + random.nextInt(6) : -1;
+                writesUntilCrash[0] = random.nextInt(4) == 0 ? 1 + random.nextInt(6) : -1;
                 try {
-                    step(now, model, step, random);
-                } catch (Halt e) {
-                    now.close();
-                    left[0] = -1;
-                    now = Store.open(own, points);
-                    adopt(now, model);
+                    applyStep(current, model, step, random);
+                } catch (SimulatedCrash e) {
+                    current.close();
+                    writesUntilCrash[0] = -1;
+                    current = Store.open(storeFolder, crashPoints);
+                    adoptStateAfterCrash(current, model);
                 }
-                left[0] = -1;
-                compare(now, model);
+                writesUntilCrash[0] = -1;
+                assertMatches(current, model);
             }
-            assertEquals(List.of(), now.verify());
+            assertEquals(List.of(), current.verify());
         } finally {
-            now.close();
-            remove(own);
+            current.close();
+            deleteRecursively(storeFolder);
         }
     }
 
-    private static void step(Store store, Model model, int step, Random random) throws IOException {
+    private static void applyStep(Store store, Model model, int step, Random random) throws IOException {
         List<String> files = List.copyOf(model.files.keySet());
         List<String> batches = List.copyOf(model.inputs.keySet());
         if (step < 4 || files.isEmpty()) {
             String text = "text " + random.nextInt(5);
-            model.files.put(keep(store, "t", text).getId(), text);
+            model.files.put(addFile(store, "t", text).getId(), text);
         } else if (step == 4) {
             String id = files.get(random.nextInt(files.size()));
             assertEquals(!model.inputs.containsValue(id), store.deleteFile(store.file(id)));
@@ -243,11 +243,11 @@
      * After an end in the middle of a step the model takes what is there, as long as that is one
      * step more or none.
      */
-    private static void adopt(Store store, Model model) throws IOException {
+    private static void adoptStateAfterCrash(Store store, Model model) throws IOException {
         List<String> ids = store.listIds("t", 'f', -1, 1000);
         int before = model.files.size();
         for (String id : ids) {
-            model.files.putIfAbsent(id, read(store, store.file(id)));
+            model.files.putIfAbsent(id, readContent(store, store.file(id)));
         }
         model.files.keySet().retainAll(ids);
         assertTrue(Math.abs(model.files.size() - before) <= 1, "a step did more than one thing");
@@ -267,11 +267,11 @@
         model.answers.keySet().retainAll(model.inputs.keySet());
     }
 
-    private static void compare(Store store, Model model) throws IOException {
+    private static void assertMatches(Store store, Model model) throws IOException {
         List<String> ids = store.listIds("t", 'f', -1, 1000);
         assertEquals(List.copyOf(model.files.keySet()), ids.stream().sorted().toList());
         for (Map.Entry<String, String> file : model.files.entrySet()) {
-            assertEquals(file.getValue(), read(store, store.file(file.getKey())));
+            assertEquals(file.getValue(), readContent(store, store.file(file.getKey())));
         }
         assertEquals(
                 List.copyOf(model.inputs.keySet()),
--- a/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
@@ -27,7 +27,7 @@
     private static final long JUNE_MS = 1_782_678_400_000L;
     private static final YearMonth MAY = YearMonth.of(2026, 5);
     private static final YearMonth JUNE = YearMonth.of(2026, 6);
-    private static final int LEDGER_BOUND = 100;
+    private static final int MAX_QUEUED_RECORDS = 100;
 
     @TempDir private Path folder;
 
@@ -54,17 +54,17 @@
     }
 
     private static Usage usage(
-            String id,
+            String billId,
             String tenant,
             String product,
-            long atMs,
-            String kind,
+            long endedAtMs,
+            String outcome,
             long prompt,
             long cached,
             long output,
             long wasted,
             int attempts) {
-        return new Usage(id, tenant, product, atMs, kind, prompt, cached, output, wasted, attempts);
+        return new Usage(billId, tenant, product, endedAtMs, outcome, prompt, cached, output, wasted, attempts);
     }
 
     private static Map<Ledger.TotalKey, UsageTotal> storedTotals() {
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void ledgerIsReadWithoutOwningIt() throws Exception {
+    void storedLedgerOpensReadOnly() throws Exception {
         try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             assertEquals(storedUsages(), records(ledger));
             assertEquals(storedTotals(), ledger.totals(null));
@@ -93,9 +93,9 @@
     }
 
     @Test
-    void ledgerIsReadAndWrittenOnByItsOwner() throws Exception {
+    void storedLedgerIsReadAndExtendedByItsOwner() throws Exception {
         Usage added = usage("bill-12", "acme", "chat", JUNE_MS + 6, "streamed", 10, 4, 3, 2, 1);
-        try (Ledger ledger = Ledger.open(folder.resolve("ledger"), LEDGER_BOUND)) {
+        try (Ledger ledger = Ledger.open(folder.resolve("ledger"), MAX_QUEUED_RECORDS)) {
             assertEquals(storedUsages(), records(ledger));
             assertEquals(storedTotals(), ledger.totals(null));
             assertTrue(ledger.offer(added));
--- a/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void batchesThatAreNotOverAreActive() throws Exception {
+    void unfinishedBatchesAreActive() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
                     List.of(validating(), inProgress(), finalizing(), cancelling()),
@@ -286,7 +286,7 @@
     }
 
     @Test
-    void recordsOfLinesAreRead() throws Exception {
+    void lineAnswersAndAttemptsAreRead() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
                     answer(true, "{\"id\":\"in-progress-0\",\"text\":\"se\u00f1al\"}"),
@@ -306,7 +306,7 @@
     // ------------------------------------------------------------------ the whole store
 
     @Test
-    void storeIsReadWithoutOwningIt() throws Exception {
+    void storedStoreOpensReadOnly() throws Exception {
         try (Store store = Store.openReadOnly(folder.resolve("store"))) {
             assertEquals(
                     List.of(validating(), inProgress(), finalizing(), cancelling()),
@@ -316,14 +316,14 @@
     }
 
     @Test
-    void storeIsWrittenOnByItsNextOwner() throws Exception {
+    void storedStoreIsExtendedByItsNextOwner() throws Exception {
         try (Store store = openStore()) {
             assertEquals(3, store.epoch());
             assertEquals(List.of(), store.verify());
             IncomingFile incoming = store.createIncomingFile();
             incoming.write(new byte[] {'x'}, 0, 1);
-            FileRecord kept = store.addFile(incoming.sync(), "acme", "new.jsonl", "batch", 9000);
-            assertEquals("file-3-f", kept.getId());
+            FileRecord added = store.addFile(incoming.sync(), "acme", "new.jsonl", "batch", 9000);
+            assertEquals("file-3-f", added.getId());
             assertEquals("batch_3-g", store.createBatch(acme(BatchRecord.newBuilder(), 9000)).getId());
             assertEquals(List.of(), store.verify());
         }
