--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -23,9 +23,9 @@
 import larchridge.site.Site;
 import larchridge.store.Store;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.InputError;
-import larchridge.store.form.FileRecord;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.InputError;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Handler;
@@ -160,7 +160,8 @@
                     room(store, tenant, Math.max(0, request.getLength() - MOST_BODY));
                     return null;
                 });
-        try (MultipartUpload upload = new MultipartUpload(store::createIncomingFile, terms.fileBytes);
+        try (MultipartUpload upload =
+                        new MultipartUpload(store::createIncomingFile, terms.fileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
@@ -328,7 +329,8 @@
         return batch;
     }
 
-    private void cancel(Response response, BatchRecord batch) throws BatchApiException, IOException {
+    private void cancel(Response response, BatchRecord batch)
+            throws BatchApiException, IOException {
         ObjectNode now =
                 onLoop(
                         batches -> {
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -14,8 +14,8 @@
 import larchridge.site.BatchSettings;
 import larchridge.store.Store;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.InputError;
 import larchridge.store.form.FileRecord;
+import larchridge.store.form.InputError;
 
 /**
  * Reads a batch's whole input before anything of it runs; each fault with its line, from 1, and its
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -26,10 +26,10 @@
 import larchridge.state.Effect;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.LineAnswer;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.InputError;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.InputError;
+import larchridge.store.form.LineAnswer;
 import larchridge.upstream.Completion;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -572,7 +572,8 @@
             return;
         }
         trip.unsure = false;
-        store.recordAttempts(job.id(), trip.line.number(), trip.attempts + 1, effect != Effect.IDEMPOTENT);
+        store.recordAttempts(
+                job.id(), trip.line.number(), trip.attempts + 1, effect != Effect.IDEMPOTENT);
         trip.attempts++;
         trip.tokens = ask.promptTokens() + ask.maxTokens() / 2.0;
         job.out.put(trip.line.number(), trip);
--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import larchridge.ledger.form.UsageTotalRecord;
 import larchridge.ledger.form.UsageRecord;
+import larchridge.ledger.form.UsageTotalRecord;
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 import org.rocksdb.ColumnFamilyHandle;
 import org.rocksdb.RocksDBException;
@@ -187,7 +187,9 @@
             for (PendingRecord entry : batch) {
                 Usage usage = entry.usage;
                 Usage previous =
-                        usages.containsKey(usage.billId()) ? usages.get(usage.billId()) : readUsage(usage.billId());
+                        usages.containsKey(usage.billId())
+                                ? usages.get(usage.billId())
+                                : readUsage(usage.billId());
                 // Guards against: a record that comes twice, or a client that asks again, must not
                 // be
                 // billed twice.
@@ -199,10 +201,13 @@
                     String key = totalKey(previous);
                     totals.put(
                             key,
-                            (totals.containsKey(key) ? totals.get(key) : readTotal(key)).minus(previous));
+                            (totals.containsKey(key) ? totals.get(key) : readTotal(key))
+                                    .minus(previous));
                 }
                 String key = totalKey(merged);
-                totals.put(key, (totals.containsKey(key) ? totals.get(key) : readTotal(key)).plus(merged));
+                totals.put(
+                        key,
+                        (totals.containsKey(key) ? totals.get(key) : readTotal(key)).plus(merged));
                 usages.put(usage.billId(), merged);
             }
             for (Map.Entry<String, Usage> entry : usages.entrySet()) {
@@ -235,13 +240,22 @@
     // ------------------------------------------------------------------ reading
 
     private Usage readUsage(String id) throws RocksDBException, InvalidProtocolBufferException {
-        byte[] bytes = openDatabase().database().get(openDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
+        byte[] bytes =
+                openDatabase()
+                        .database()
+                        .get(openDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
         return bytes == null ? null : Usage.fromProto(id, UsageRecord.parseFrom(bytes));
     }
 
-    private UsageTotal readTotal(String key) throws RocksDBException, InvalidProtocolBufferException {
-        byte[] bytes = openDatabase().database().get(openDatabase().totalsFamily(), key.getBytes(StandardCharsets.UTF_8));
-        return bytes == null ? UsageTotal.ZERO : UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
+    private UsageTotal readTotal(String key)
+            throws RocksDBException, InvalidProtocolBufferException {
+        byte[] bytes =
+                openDatabase()
+                        .database()
+                        .get(openDatabase().totalsFamily(), key.getBytes(StandardCharsets.UTF_8));
+        return bytes == null
+                ? UsageTotal.ZERO
+                : UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
     }
 
     private static String totalKey(Usage usage) {
@@ -261,7 +275,9 @@
                         String[] parts = key.split("\n", 3);
                         YearMonth entryMonth = YearMonth.parse(parts[0]);
                         if (month == null || month.equals(entryMonth)) {
-                            totals.put(new TotalKey(entryMonth, parts[1], parts[2]), parseTotal(value));
+                            totals.put(
+                                    new TotalKey(entryMonth, parts[1], parts[2]),
+                                    parseTotal(value));
                         }
                     });
         } catch (IllegalStateException e) {
@@ -273,7 +289,9 @@
     /** Tells every record, in the order of ids. */
     public void forEachRecord(java.util.function.Consumer<Usage> consumer) throws LedgerException {
         try {
-            forEachEntry(LedgerDatabase::usagesFamily, (key, value) -> consumer.accept(parseUsage(key, value)));
+            forEachEntry(
+                    LedgerDatabase::usagesFamily,
+                    (key, value) -> consumer.accept(parseUsage(key, value)));
         } catch (IllegalStateException e) {
             throw new LedgerException(e.getMessage(), e);
         }
@@ -316,18 +334,22 @@
         stored.forEach(
                 (key, total) -> {
                     if (!total.equals(UsageTotal.ZERO)) {
-                        differences.add(key.replace('\n', ' ') + ": a sum without records: " + total);
+                        differences.add(
+                                key.replace('\n', ' ') + ": a sum without records: " + total);
                     }
                 });
         return differences;
     }
 
     private void forEachEntry(
-            Function<LedgerDatabase, ColumnFamilyHandle> family, BiConsumer<String, byte[]> consumer) {
+            Function<LedgerDatabase, ColumnFamilyHandle> family,
+            BiConsumer<String, byte[]> consumer) {
         synchronized (databaseLock) {
-            try (RocksIterator iterator = openDatabase().database().newIterator(family.apply(openDatabase()))) {
+            try (RocksIterator iterator =
+                    openDatabase().database().newIterator(family.apply(openDatabase()))) {
                 for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
-                    consumer.accept(new String(iterator.key(), StandardCharsets.UTF_8), iterator.value());
+                    consumer.accept(
+                            new String(iterator.key(), StandardCharsets.UTF_8), iterator.value());
                 }
                 iterator.status();
             } catch (RocksDBException e) {
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -48,7 +48,10 @@
                 longer.promptTokens,
                 longer.cachedTokens,
                 longer.outputTokens,
-                longer.wastedTokens + shorter.wastedTokens + shorter.promptTokens + shorter.outputTokens,
+                longer.wastedTokens
+                        + shorter.wastedTokens
+                        + shorter.promptTokens
+                        + shorter.outputTokens,
                 longer.attempts + shorter.attempts);
     }
 
--- a/src/main/java/larchridge/ledger/UsageTotal.java
+++ b/src/main/java/larchridge/ledger/UsageTotal.java
@@ -4,7 +4,11 @@
 
 /** A sum of usage. */
 public record UsageTotal(
-        long generations, long promptTokens, long cachedTokens, long outputTokens, long wastedTokens) {
+        long generations,
+        long promptTokens,
+        long cachedTokens,
+        long outputTokens,
+        long wastedTokens) {
     public static final UsageTotal ZERO = new UsageTotal(0, 0, 0, 0, 0);
 
     UsageTotal plus(Usage usage) {
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -19,11 +19,11 @@
 import java.util.UUID;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import larchridge.store.form.LineAnswer;
 import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
 import larchridge.store.form.FileRecord;
+import larchridge.store.form.LineAnswer;
 import larchridge.store.form.LineAttempts;
-import larchridge.store.form.BatchState;
 import org.rocksdb.Checkpoint;
 import org.rocksdb.ColumnFamilyDescriptor;
 import org.rocksdb.ColumnFamilyHandle;
@@ -400,7 +400,8 @@
     }
 
     private void releaseInput(BatchRecord batch) {
-        activeBatchesByInput.computeIfPresent(batch.getInput(), (id, count) -> count > 1 ? count - 1 : null);
+        activeBatchesByInput.computeIfPresent(
+                batch.getInput(), (id, count) -> count > 1 ? count - 1 : null);
     }
 
     /**
@@ -473,7 +474,8 @@
     }
 
     /** A line goes to a front for this time; synced where nobody may find out by trying again. */
-    public void recordAttempts(String batch, long line, int attempts, boolean sync) throws IOException {
+    public void recordAttempts(String batch, long line, int attempts, boolean sync)
+            throws IOException {
         crashPoints.reached("record flight");
         try (WriteOptions writeOptions = new WriteOptions().setSync(sync)) {
             db.put(
@@ -525,7 +527,10 @@
     public void recordAnswers(List<Answer> answers, List<BatchRecord> batches) throws IOException {
         Change change = new Change();
         for (Answer answer : answers) {
-            change.put(Family.ANSWERS, lineKey(answer.batch(), answer.line()), answer.answer().toByteArray());
+            change.put(
+                    Family.ANSWERS,
+                    lineKey(answer.batch(), answer.line()),
+                    answer.answer().toByteArray());
             change.delete(Family.FLIGHTS, lineKey(answer.batch(), answer.line()));
         }
         for (BatchRecord batch : batches) {
@@ -597,7 +602,10 @@
     }
 
     void forEachFile(BiConsumer<String, FileRecord> consumer) throws IOException {
-        forEachEntry(Family.FILES, new byte[0], (key, value) -> consumer.accept(text(key), parseFile(value)));
+        forEachEntry(
+                Family.FILES,
+                new byte[0],
+                (key, value) -> consumer.accept(text(key), parseFile(value)));
     }
 
     void forEachBatch(BiConsumer<String, BatchRecord> consumer) throws IOException {
@@ -636,7 +644,10 @@
 
     Map<String, Long> referenceCounts() throws IOException {
         Map<String, Long> counts = new HashMap<>();
-        forEachEntry(Family.BLOBS, new byte[0], (key, value) -> counts.put(text(key), decodeLong(value)));
+        forEachEntry(
+                Family.BLOBS,
+                new byte[0],
+                (key, value) -> counts.put(text(key), decodeLong(value)));
         return counts;
     }
 
@@ -744,7 +755,9 @@
     private void forEachEntry(Family family, byte[] prefix, BiConsumer<byte[], byte[]> consumer)
             throws IOException {
         try (RocksIterator iterator = db.newIterator(handle(family))) {
-            for (iterator.seek(prefix); iterator.isValid() && startsWith(iterator.key(), prefix); iterator.next()) {
+            for (iterator.seek(prefix);
+                    iterator.isValid() && startsWith(iterator.key(), prefix);
+                    iterator.next()) {
                 consumer.accept(iterator.key(), iterator.value());
             }
             iterator.status();
--- a/src/main/java/larchridge/store/StoreVerifier.java
+++ b/src/main/java/larchridge/store/StoreVerifier.java
@@ -17,8 +17,8 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.FileRecord;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
 
 /**
  * Reads a whole store and compares: bytes with their digests, names with what they name, counts
--- a/src/main/java/larchridge/systemtest/BillingChecker.java
+++ b/src/main/java/larchridge/systemtest/BillingChecker.java
@@ -109,7 +109,9 @@
         }
         Map<String, List<Usage>> byBill = new HashMap<>();
         records.forEach(
-                usage -> byBill.computeIfAbsent(usage.billId(), key -> new ArrayList<>()).add(usage));
+                usage ->
+                        byBill.computeIfAbsent(usage.billId(), key -> new ArrayList<>())
+                                .add(usage));
         Map<String, Row> rows = new TreeMap<>();
         for (Map.Entry<String, Operation> entry : operations.entrySet()) {
             Operation one = entry.getValue();
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -11,9 +11,9 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.LineAnswer;
 import larchridge.store.form.BatchRecord;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.LineAnswer;
 
 /**
  * What records of lines cost a store: to write, on disk, and when it is opened after an end that
@@ -38,7 +38,10 @@
             String input = store.addFile(incoming.sync(), "t", "n", "batch", 1).getId();
             BatchRecord batch =
                     store.createBatch(
-                            BatchRecord.newBuilder().setTenant("t").setInput(input).setTotal(lines));
+                            BatchRecord.newBuilder()
+                                    .setTenant("t")
+                                    .setInput(input)
+                                    .setTotal(lines));
             batch = batch.toBuilder().setState(BatchState.IN_PROGRESS).build();
             long start = System.nanoTime();
             for (int from = 0; from < lines; from += GROUP) {
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.FileRecord;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -18,10 +18,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larchridge.store.form.LineAnswer;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.FileRecord;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.LineAnswer;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
@@ -74,7 +74,9 @@
 
     @Test
     void secondOwnerIsRejectedUntilTheFirstCloses() throws IOException {
-        assertThrows(Store.InUseException.class, () -> Store.open(folder.resolve("s"), CrashPoints.NONE));
+        assertThrows(
+                Store.InUseException.class,
+                () -> Store.open(folder.resolve("s"), CrashPoints.NONE));
         long epoch = store.epoch();
         store.close();
         store = Store.open(folder.resolve("s"), CrashPoints.NONE);
@@ -112,7 +114,9 @@
     @Test
     void snapshotIsCompleteAndIndependent() throws IOException {
         FileRecord file = addFile(store, "a", "before");
-        BatchRecord batch = store.createBatch(BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
+        BatchRecord batch =
+                store.createBatch(
+                        BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
         store.snapshot(folder.resolve("copy"));
         FileRecord later = addFile(store, "a", "after");
         try (Store copy = Store.open(folder.resolve("copy"), CrashPoints.NONE)) {
@@ -189,7 +193,8 @@
         }
     }
 
-    private static void applyStep(Store store, Model model, int step, Random random) throws IOException {
+    private static void applyStep(Store store, Model model, int step, Random random)
+            throws IOException {
         List<String> files = List.copyOf(model.files.keySet());
         List<String> batches = List.copyOf(model.inputs.keySet());
         if (step < 4 || files.isEmpty()) {
@@ -203,7 +208,9 @@
             }
         } else if (step == 5 || batches.isEmpty()) {
             String input = files.get(random.nextInt(files.size()));
-            String id = store.createBatch(BatchRecord.newBuilder().setTenant("t").setInput(input)).getId();
+            String id =
+                    store.createBatch(BatchRecord.newBuilder().setTenant("t").setInput(input))
+                            .getId();
             model.inputs.put(id, input);
             model.answers.put(id, new TreeMap<>());
         } else if (step < 9) {
--- a/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
@@ -64,7 +64,17 @@
             long output,
             long wasted,
             int attempts) {
-        return new Usage(billId, tenant, product, endedAtMs, outcome, prompt, cached, output, wasted, attempts);
+        return new Usage(
+                billId,
+                tenant,
+                product,
+                endedAtMs,
+                outcome,
+                prompt,
+                cached,
+                output,
+                wasted,
+                attempts);
     }
 
     private static Map<Ledger.TotalKey, UsageTotal> storedTotals() {
--- a/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
@@ -18,11 +18,11 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.LineAnswer;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.InputError;
-import larchridge.store.form.FileRecord;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.InputError;
+import larchridge.store.form.LineAnswer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -215,7 +215,10 @@
             assertEquals(
                     List.of(validating(), inProgress(), finalizing(), cancelling()),
                     store.activeBatches());
-            assertEquals(0, store.recordCustomId("batch_2-b", "c", 9), "the line that has this custom id");
+            assertEquals(
+                    0,
+                    store.recordCustomId("batch_2-b", "c", 9),
+                    "the line that has this custom id");
         }
     }
 
@@ -324,7 +327,9 @@
             incoming.write(new byte[] {'x'}, 0, 1);
             FileRecord added = store.addFile(incoming.sync(), "acme", "new.jsonl", "batch", 9000);
             assertEquals("file-3-f", added.getId());
-            assertEquals("batch_3-g", store.createBatch(acme(BatchRecord.newBuilder(), 9000)).getId());
+            assertEquals(
+                    "batch_3-g",
+                    store.createBatch(acme(BatchRecord.newBuilder(), 9000)).getId());
             assertEquals(List.of(), store.verify());
         }
     }
