--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -24,11 +24,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Usage on disk: one record a generation under its billing id, and the sums of each month, tenant
- * and product, written together or not at all. Records are taken by loops without waiting, and
- * written in order by one thread that syncs the disk once a batch. A torn tail is dropped at the
- * next opening: it was never acknowledged. Where the disk is slow or full, up to {@code bound}
- * records wait in memory; beyond that {@link #offer} says no, and fronts take nothing more.
+ * Durable usage records in RocksDB: one per generation, keyed by bill id, and totals per month,
+ * tenant and product. A batch of records and the totals that it changes are written atomically.
+ *
+ * <p>Event loops queue records without blocking; a single thread writes them in order, with one
+ * disk sync per batch. The next opening drops an incomplete tail of the write-ahead log, which was
+ * never acknowledged. While the disk is slow or full, up to {@code maxQueuedRecords} records wait
+ * in memory; beyond that {@link #offer} returns false and routers admit no more requests.
  */
 public final class Ledger implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
@@ -37,10 +39,10 @@
     private final Path folder;
     private final boolean writable;
 
-    /** Guards the database, which the writer opens anew after a failure. */
+    /** Guards {@link #database}, which the writer thread reopens after a failure. */
     private final Object databaseLock = new Object();
 
-    /** Null while it can't be opened. */
+    /** Null while the database can't be opened. */
     private LedgerDatabase database;
 
     private final MpscBlockingConsumerArrayQueue<PendingRecord> queue;
@@ -48,7 +50,7 @@
     private final Thread writer;
     private volatile boolean closing;
 
-    /** Written by the ledger's own thread alone. */
+    /** Modified only by the writer thread. */
     private volatile long writtenRecords;
 
     private volatile boolean writeFailing;
@@ -65,7 +67,10 @@
         }
     }
 
-    /** Opens a ledger for one process to write; another that tries gets an error. */
+    /**
+     * Opens a ledger for writing. Only one process can have it open for writing; the call fails in
+     * any other.
+     */
     public static Ledger open(Path folder, int maxQueuedRecords) throws LedgerException {
         try {
             return new Ledger(folder, maxQueuedRecords, true);
@@ -75,7 +80,10 @@
         }
     }
 
-    /** Opens a ledger to read, also while another process writes it; it is read as it was then. */
+    /**
+     * Opens a ledger for reading, also while another process writes to it; reads return its state
+     * at the time of opening.
+     */
     public static Ledger openReadOnly(Path folder) throws LedgerException {
         try {
             return new Ledger(folder, 2, false);
@@ -84,34 +92,36 @@
         }
     }
 
-    /** A record on its way, and who is to be told that it is on disk. */
+    /** A queued record and its callback, null if none, to run once the record is on disk. */
     private record PendingRecord(Usage usage, Runnable onDisk) {}
 
-    /** Takes a record without waiting; false if as many wait as may. */
+    /** Queues a record without blocking; returns false if the queue is full. */
     public boolean offer(Usage usage) {
         return offer(usage, null);
     }
 
     /**
-     * The same; onDisk is run, on the ledger's thread, when the record is on disk, and never if it
-     * is not taken.
+     * Queues a record without blocking; returns false if the queue is full. {@code onDisk}, which
+     * may be null, runs on the writer thread once the record is on disk, and never if the record
+     * was not queued.
      */
     public boolean offer(Usage usage, Runnable onDisk) {
         return queue.offer(new PendingRecord(usage, onDisk));
     }
 
-    /** Whether so much waits for the disk that nothing more should be begun. */
+    /** Whether the queue is three quarters full, so that no more requests should be admitted. */
     public boolean isBacklogged() {
         return queue.size() >= maxQueuedRecords * 3 / 4;
     }
 
+    /** The number of records written to disk since this ledger was opened. */
     public long writtenRecords() {
         return writtenRecords;
     }
 
     // ------------------------------------------------------------------ writing
 
-    @SuppressWarnings("NonAtomicVolatileUpdate") // Only this one thread writes the count.
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Only this thread modifies writtenRecords.
     private void runWriter() {
         List<PendingRecord> batch = new ArrayList<>(MAX_BATCH_RECORDS);
         try {
@@ -134,7 +144,7 @@
                     batch.clear();
                 } else if (closing) {
                     LOG.error(
-                            "{} records are lost: the ledger can't be written",
+                            "{} usage records lost: the ledger could not be written while closing",
                             batch.size() + queue.size());
                     return;
                 } else {
@@ -142,7 +152,7 @@
                 }
             }
         } catch (InterruptedException e) {
-            LOG.error("the ledger's writer was interrupted", e);
+            LOG.error("the ledger's writer thread was interrupted", e);
         }
     }
 
@@ -154,9 +164,9 @@
     }
 
     /**
-     * After a write or sync that failed the database takes no more writes, also when the disk is
-     * well again; only opening it anew ends that. What was written in part is dropped then, and the
-     * batch is written whole.
+     * Reopens the database. After a failed write or sync RocksDB rejects all further writes, even
+     * once the disk has recovered, until the database is reopened. Reopening drops the incomplete
+     * write, so the whole batch can be written again.
      */
     private boolean reopen() {
         try {
@@ -167,14 +177,14 @@
             database = LedgerDatabase.open(folder, writable);
             return true;
         } catch (RocksDBException e) {
-            LOG.debug("the ledger can't be opened again yet", e);
+            LOG.debug("the ledger can't be reopened yet; trying again", e);
             return false;
         }
     }
 
     private LedgerDatabase openDatabase() throws RocksDBException {
         if (database == null) {
-            throw new RocksDBException("the ledger can't be opened for now");
+            throw new RocksDBException("the ledger's database is closed after a failure");
         }
         return database;
     }
@@ -190,9 +200,8 @@
                         usages.containsKey(usage.billId())
                                 ? usages.get(usage.billId())
                                 : readUsage(usage.billId());
-                // Guards against: a record that comes twice, or a client that asks again, must not
-                // be
-                // billed twice.
+                // Guards against: billing twice for a record that was queued twice, or for a retry
+                // by the client.
                 Usage merged =
                         previous == null
                                 ? usage
@@ -225,13 +234,13 @@
             database.database().write(syncedWrite, writeBatch);
             if (writeFailing) {
                 writeFailing = false;
-                LOG.info("the ledger can be written again");
+                LOG.info("the ledger is writable again");
             }
             return true;
         } catch (RocksDBException | InvalidProtocolBufferException e) {
             if (!writeFailing) {
                 writeFailing = true;
-                LOG.error("the ledger can't be written; records wait in memory", e);
+                LOG.error("the ledger can't be written; usage records are queued in memory", e);
             }
             return false;
         }
@@ -262,10 +271,10 @@
         return usage.month() + "\n" + usage.tenant() + "\n" + usage.product();
     }
 
-    /** What names a sum. */
+    /** Identifies a total. */
     public record TotalKey(YearMonth month, String tenant, String product) {}
 
-    /** The sums of a month, or of all months where it is null, in order. */
+    /** The totals of a month, or of all months if it is null, in the order of their keys. */
     public Map<TotalKey, UsageTotal> totals(YearMonth month) throws LedgerException {
         Map<TotalKey, UsageTotal> totals = new java.util.LinkedHashMap<>();
         try {
@@ -286,7 +295,7 @@
         return totals;
     }
 
-    /** Tells every record, in the order of ids. */
+    /** Passes every record to {@code consumer}, in the order of the bill ids. */
     public void forEachRecord(java.util.function.Consumer<Usage> consumer) throws LedgerException {
         try {
             forEachEntry(
@@ -297,7 +306,10 @@
         }
     }
 
-    /** Adds all records anew and compares; the differences, none if the ledger is whole. */
+    /**
+     * Recomputes the totals from the records and compares them with the stored totals. Returns a
+     * message per difference, none if the ledger is consistent.
+     */
     public List<String> verify() throws LedgerException {
         Map<String, UsageTotal> expected = new TreeMap<>();
         forEachRecord(
@@ -325,9 +337,9 @@
             if (!entry.getValue().equals(storedTotal)) {
                 differences.add(
                         entry.getKey().replace('\n', ' ')
-                                + ": records add up to "
+                                + ": the records add up to "
                                 + entry.getValue()
-                                + ", the sum says "
+                                + ", but the stored total is "
                                 + storedTotal);
             }
         }
@@ -335,7 +347,7 @@
                 (key, total) -> {
                     if (!total.equals(UsageTotal.ZERO)) {
                         differences.add(
-                                key.replace('\n', ' ') + ": a sum without records: " + total);
+                                key.replace('\n', ' ') + ": a total without records: " + total);
                     }
                 });
         return differences;
@@ -362,7 +374,7 @@
         try {
             return UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("a sum in the ledger can't be read", e);
+            throw new IllegalStateException("a total in the ledger can't be parsed", e);
         }
     }
 
@@ -370,22 +382,22 @@
         try {
             return Usage.fromProto(id, UsageRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("record " + id + " in the ledger can't be read", e);
+            throw new IllegalStateException("record " + id + " in the ledger can't be parsed", e);
         }
     }
 
-    /** Merges the files on disk; takes a while. */
+    /** Compacts the database; blocks until done, which takes long for a large ledger. */
     public void compact() throws LedgerException {
         try {
             synchronized (databaseLock) {
                 openDatabase().compact();
             }
         } catch (RocksDBException e) {
-            throw new LedgerException("not compacted: " + e.getMessage(), e);
+            throw new LedgerException("the ledger can't be compacted: " + e.getMessage(), e);
         }
     }
 
-    /** Writes what waits, then closes. */
+    /** Writes the queued records, waiting at most 10 seconds, then closes the database. */
     @Override
     public void close() {
         closing = true;
--- a/src/main/java/larchridge/ledger/LedgerDatabase.java
+++ b/src/main/java/larchridge/ledger/LedgerDatabase.java
@@ -12,7 +12,7 @@
 import org.rocksdb.RocksDBException;
 import org.rocksdb.WALRecoveryMode;
 
-/** The database of a ledger while it is open: records by id, and their sums. */
+/** An open RocksDB with the records of a ledger by bill id, and their totals. */
 final class LedgerDatabase implements AutoCloseable {
     private static final byte[] USAGES = "usages".getBytes(StandardCharsets.UTF_8);
     private static final byte[] TOTALS = "totals".getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/larchridge/ledger/LedgerException.java
+++ b/src/main/java/larchridge/ledger/LedgerException.java
@@ -1,6 +1,6 @@
 package larchridge.ledger;
 
-/** A ledger that can't be opened, read or written. */
+/** Thrown if a ledger can't be opened, read or compacted. */
 public final class LedgerException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/larchridge/ledger/Price.java
+++ b/src/main/java/larchridge/ledger/Price.java
@@ -3,12 +3,18 @@
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 
-/** What a million tokens of a product cost, in the site's currency. */
+/**
+ * Prices of a product in the site's currency, per million tokens.
+ *
+ * @param promptPerMillion prompt tokens that were not cached
+ * @param cachedPerMillion cached prompt tokens
+ * @param outputPerMillion output tokens
+ */
 public record Price(
         BigDecimal promptPerMillion, BigDecimal cachedPerMillion, BigDecimal outputPerMillion) {
     private static final BigDecimal MILLION = new BigDecimal(1_000_000);
 
-    /** The exact cost of a sum; rounded only where it is printed. */
+    /** The exact cost of a total; {@link #formatMoney} rounds it for display. */
     public BigDecimal costOf(UsageTotal total) {
         BigDecimal uncachedCost =
                 promptPerMillion.multiply(
@@ -20,7 +26,7 @@
                 .stripTrailingZeros();
     }
 
-    /** As money: half a cent and more is a cent. */
+    /** Formats a cost with two decimals, rounding half up. */
     public static String formatMoney(BigDecimal cost) {
         return cost.setScale(2, RoundingMode.HALF_UP).toPlainString();
     }
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -6,14 +6,17 @@
 import larchridge.ledger.form.UsageRecord;
 
 /**
- * What one generation used.
+ * The usage record of one generation.
  *
- * @param billId one bill a generation: its client's key, or its own name
- * @param endedAtMs when it ended, milliseconds of Unix time
- * @param outcome its final answer
- * @param promptTokens prompt tokens billed, those kept from before among them
- * @param outputTokens answer tokens that went to the client's socket
- * @param wastedTokens tokens that engines did for it and nobody is billed for
+ * @param billId identifies the bill, one per generation: the client's idempotency key, or the
+ *     generation's own id
+ * @param endedAtMs when the generation ended, in milliseconds of Unix time
+ * @param outcome the recorded name of the final response, or {@code waste} for a record that only
+ *     adds waste to a bill
+ * @param promptTokens billed prompt tokens, including the cached ones
+ * @param cachedTokens prompt tokens that were cached
+ * @param outputTokens response tokens written to the client's socket
+ * @param wastedTokens tokens that engines processed for it and that are not billed
  */
 public record Usage(
         String billId,
@@ -27,13 +30,14 @@
         long wastedTokens,
         int attempts) {
 
+    /** The month, in UTC, to which the record is billed. */
     public YearMonth month() {
         return YearMonth.from(Instant.ofEpochMilli(endedAtMs).atOffset(ZoneOffset.UTC));
     }
 
     /**
-     * One record of two for the same id: a client that asks again with its key pays once, for the
-     * answer that it got most of; what was done besides is waste.
+     * Merges two records of the same bill. A client that retries with its idempotency key pays
+     * once, for the longer response that it received; the tokens of the other one are waste.
      */
     static Usage merge(Usage earlier, Usage later) {
         boolean laterIsLonger = later.outputTokens > earlier.outputTokens;
--- a/src/main/java/larchridge/ledger/UsageTotal.java
+++ b/src/main/java/larchridge/ledger/UsageTotal.java
@@ -2,7 +2,7 @@
 
 import larchridge.ledger.form.UsageTotalRecord;
 
-/** A sum of usage. */
+/** The sum of several usage records. */
 public record UsageTotal(
         long generations,
         long promptTokens,
--- a/src/main/java/larchridge/ledger/package-info.java
+++ b/src/main/java/larchridge/ledger/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Usage records on disk and the bills made of them.
+ * Durable usage records, and the totals and prices from which bills are computed.
  *
- * <p>{@link larchridge.ledger.Ledger} is the entry: records are taken without waiting and written
- * by one thread. Stored forms are in {@code ledger.proto} and stay readable; it knows nothing of
- * routing.
+ * <p>The entry point is {@link larchridge.ledger.Ledger}, which queues records without blocking and
+ * writes them on one thread. The stored messages are defined in {@code ledger.proto}; changes to
+ * them must keep existing data readable. The package does not depend on routing.
  */
 package larchridge.ledger;
