--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -186,7 +186,7 @@
                     }
                 });
         deleteUnreferencedBlobs();
-        commit("take over", new Change().put(Family.META, EPOCH, encodeLong(epoch)));
+        commit("increment epoch", new Change().put(Family.META, EPOCH, encodeLong(epoch)));
     }
 
     /**
@@ -229,7 +229,7 @@
             throws IOException {
         Change change = new Change();
         FileRecord file = stageFile(incoming, tenant, name, purpose, nowMs, change);
-        commit("record file", change);
+        commit("add file", change);
         addToTenantUsage(file, 1);
         return file;
     }
@@ -357,7 +357,7 @@
                                 orderKey(batch.getTenant(), 'b', number),
                                 key(batch.getId()))
                         .put(Family.ACTIVE, key(batch.getId()), new byte[0]);
-        commit("begin batch", change);
+        commit("create batch", change);
         activeBatchesByInput.merge(batch.getInput(), 1, Integer::sum);
         return batch;
     }
@@ -469,14 +469,14 @@
     /** Forgets the custom ids noted for a batch. */
     public void forgetCustomIds(String batch) throws IOException {
         commit(
-                "forget names",
+                "forget custom ids",
                 new Change().deleteRange(Family.NAMES, lineKey(batch, 0), lineKey(batch, -1)));
     }
 
     /** A line goes to a front for this time; synced where nobody may find out by trying again. */
     public void recordAttempts(String batch, long line, int attempts, boolean sync)
             throws IOException {
-        crashPoints.reached("record flight");
+        crashPoints.reached("record attempts");
         try (WriteOptions writeOptions = new WriteOptions().setSync(sync)) {
             db.put(
                     handle(Family.FLIGHTS),
@@ -494,7 +494,7 @@
             recordAttempts(batch, line, attempts, false);
             return;
         }
-        crashPoints.reached("record landing");
+        crashPoints.reached("record not run");
         try {
             db.delete(handle(Family.FLIGHTS), lineKey(batch, line));
         } catch (RocksDBException e) {
@@ -774,7 +774,7 @@
 
     /** Makes a rename last. */
     private void syncDirectory(Path directory) throws IOException {
-        crashPoints.reached("sync folder");
+        crashPoints.reached("sync directory");
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -187,7 +187,7 @@
     void diskThatFailsForAWhileLosesNothing() throws Exception {
         for (String failing :
                 List.of(
-                        "record flight",
+                        "record attempts",
                         "record answers",
                         "sync incoming",
                         "finish batch",
