--- a/src/main/java/larchridge/store/IncomingFile.java
+++ b/src/main/java/larchridge/store/IncomingFile.java
@@ -13,8 +13,8 @@
 import java.util.HexFormat;
 
 /**
- * Bytes on their way to becoming a file: written aside, digested as they come, synced before anyone
- * is told of them.
+ * An upload that is not yet a file of the store. Its content is written to a temporary file and
+ * digested as it arrives, and must be synced before {@link Store#addFile}.
  */
 public final class IncomingFile implements AutoCloseable {
     final Path path;
@@ -50,21 +50,26 @@
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("the Java runtime has no SHA-256", e);
         }
     }
 
+    /** Appends to the content. */
     public void write(byte[] data, int offset, int length) throws IOException {
         out.write(data, offset, length);
         digest.update(data, offset, length);
         bytes += length;
     }
 
+    /** The number of bytes written so far. */
     public long bytes() {
         return bytes;
     }
 
-    /** Makes the bytes last; may take long, and so belongs on a thread that may wait. */
+    /**
+     * Ends the content and syncs it to disk. Blocks, possibly for long, so it must not be called on
+     * an event loop.
+     */
     public IncomingFile sync() throws IOException {
         crashPoints.reached("sync incoming");
         out.flush();
@@ -74,14 +79,15 @@
         return this;
     }
 
+    /** The SHA-256 of the content in lower-case hex; only after {@link #sync}. */
     String digest() {
         if (hexDigest == null) {
-            throw new IllegalStateException("not synced");
+            throw new IllegalStateException("the incoming file is not synced");
         }
         return hexDigest;
     }
 
-    /** Lets go of the bytes, unless they have become a file. */
+    /** Deletes the temporary file, unless its content was moved into the store. */
     @Override
     public void close() throws IOException {
         channel.close();
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -37,14 +37,14 @@
 import org.rocksdb.WriteOptions;
 
 /**
- * Files and batches on disk, over crashes. Bytes lie in {@code blobs} under their SHA-256 and never
- * change; everything else is in one RocksDB, so that what belongs together is written together or
- * not at all. A record that a client was promised is synced. What is half-done when the process
- * ends is either not there at the next opening, or done anew.
+ * Durable, crash-safe storage of files and batches. File contents are immutable blobs in the folder
+ * {@code blobs}, named by their SHA-256; everything else is in one RocksDB, so that related changes
+ * are written atomically. Records that are acknowledged to a client are synced first. An operation
+ * that a crash interrupts is either absent at the next opening or can be repeated.
  *
- * <p>One process owns a store, by the kernel's lock on its database, which goes with the process;
- * each owner has a higher epoch. All that writes here, but for an {@link IncomingFile}, runs on one
- * thread of the owner.
+ * <p>One process owns a store through the operating system's lock on its database, which is
+ * released when the process ends. Each owner has a higher epoch than the one before. All writes,
+ * except those to an {@link IncomingFile}, are made on a single thread of the owner.
  */
 public final class Store implements AutoCloseable {
     private static final byte[] EPOCH = "epoch".getBytes(StandardCharsets.UTF_8);
@@ -65,22 +65,31 @@
     private long epoch;
     private long lastNumber;
 
-    /** Tenants' bytes and files. */
+    /** The number of bytes and the number of files stored, by tenant. */
     private final Map<String, long[]> tenantUsage = new HashMap<>();
 
-    /** Files that a batch which is not over reads, and by how many. */
+    /** The number of active batches by the id of their input file. */
     private final Map<String, Integer> activeBatchesByInput = new HashMap<>();
 
-    /** What the database keeps, in families of its own. */
+    /** The column families. Their lower-case names are stored; META is the default family. */
     private enum Family {
+        /** The epoch. */
         META,
+        /** File records by id. */
         FILES,
+        /** Batch records by id. */
         BATCHES,
+        /** Ids of files and batches by tenant and kind, newest first. */
         ORDER,
+        /** Ids of the batches that have not ended, without values. */
         ACTIVE,
+        /** Answers to lines of active batches, by batch and line. */
         ANSWERS,
+        /** Attempts of lines that are sent or may have run, by batch and line. */
         FLIGHTS,
+        /** Line numbers by batch and digest of the custom id, while the input is validated. */
         NAMES,
+        /** The number of files that refer to a blob, by its digest. */
         BLOBS
     }
 
@@ -120,14 +129,18 @@
                         : RocksDB.openReadOnly(options, path, descriptors, handles);
     }
 
-    /** Opens a store as its owner; {@link InUseException} if another process owns it. */
+    /**
+     * Opens a store as its owner.
+     *
+     * @throws InUseException if another process owns the store
+     */
     public static Store open(Path folder, CrashPoints crashPoints) throws IOException {
         Store store;
         try {
             store = new Store(folder, crashPoints, true);
         } catch (RocksDBException e) {
             if (e.getMessage().contains("lock")) {
-                throw new InUseException("store " + folder + " belongs to another process");
+                throw new InUseException("store " + folder + " is owned by another process");
             }
             throw new StoreException("store " + folder + " can't be opened: " + e.getMessage(), e);
         }
@@ -143,7 +156,10 @@
         }
     }
 
-    /** Opens a store to read, also while another process owns it; it is read as it was then. */
+    /**
+     * Opens a store for reading, also while another process owns it; reads return its state at the
+     * time of opening.
+     */
     public static Store openReadOnly(Path folder) throws IOException {
         try {
             return new Store(folder, CrashPoints.NONE, false);
@@ -152,7 +168,7 @@
         }
     }
 
-    /** Another process owns the store. */
+    /** Thrown if another process owns the store. */
     public static final class InUseException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -164,7 +180,7 @@
     private void becomeOwner() throws IOException {
         epoch = decodeLong(get(Family.META, EPOCH)) + 1;
         try (Stream<Path> unfinished = Files.list(incomingFolder)) {
-            // What was arriving when the owner before ended was promised to nobody.
+            // Uploads that the previous owner did not complete were never acknowledged.
             for (Path path : unfinished.toList()) {
                 Files.delete(path);
             }
@@ -190,8 +206,8 @@
     }
 
     /**
-     * Bytes that were placed and named by no record, or unnamed and not removed, when the owner
-     * before ended.
+     * Deletes blobs that the previous owner moved into place without committing a record, or whose
+     * last reference it deleted without deleting the blob.
      */
     private void deleteUnreferencedBlobs() throws IOException {
         try (Stream<Path> paths = Files.walk(blobs)) {
@@ -203,27 +219,29 @@
         }
     }
 
-    /** How often the store has had an owner. */
+    /** The number of owners of the store so far, including this one; 0 if opened for reading. */
     public long epoch() {
         return epoch;
     }
 
     // ------------------------------------------------------------------ files
 
-    /** A place for bytes that arrive; on any thread. */
+    /** Creates an empty file to receive an upload; may be called on any thread. */
     public IncomingFile createIncomingFile() throws IOException {
         return new IncomingFile(incomingFolder.resolve(UUID.randomUUID() + ".in"), crashPoints);
     }
 
+    /** The total size of a tenant's files. */
     public long storedBytes(String tenant) {
         return tenantUsage.getOrDefault(tenant, new long[2])[0];
     }
 
+    /** The number of a tenant's files. */
     public long storedFiles(String tenant) {
         return tenantUsage.getOrDefault(tenant, new long[2])[1];
     }
 
-    /** Makes a synced incoming a file; when this returns it is there for good. */
+    /** Adds a synced incoming file to the store; the file is durable when this returns. */
     public FileRecord addFile(
             IncomingFile incoming, String tenant, String name, String purpose, long nowMs)
             throws IOException {
@@ -235,8 +253,8 @@
     }
 
     /**
-     * Moves the bytes to where they stay and adds the record to a change; a crash before that
-     * leaves bytes that nobody names.
+     * Moves the content to its blob and adds the file record to {@code change}. A crash before the
+     * change is committed leaves an unreferenced blob, which the next owner deletes.
      */
     private FileRecord stageFile(
             IncomingFile incoming,
@@ -280,25 +298,23 @@
         usage[1] += sign;
     }
 
-    /** The file of this name, or null. */
+    /** The record of the file with this id, or null if there is none. */
     public FileRecord file(String id) throws IOException {
         byte[] bytes = get(Family.FILES, key(id));
         return bytes == null ? null : FileRecord.parseFrom(bytes);
     }
 
-    /**
-     * The bytes of a file; they stay readable through what is opened here even if the file is
-     * deleted.
-     */
+    /** Opens the content of a file; the channel stays readable even if the file is deleted. */
     public FileChannel openContent(FileRecord file) throws IOException {
         return FileChannel.open(blobPath(file.getDigest()), StandardOpenOption.READ);
     }
 
+    /** Whether a file is the input of an active batch. */
     public boolean isInputInUse(String fileId) {
         return activeBatchesByInput.containsKey(fileId);
     }
 
-    /** Deletes a file; false if a batch that is not over reads it. */
+    /** Deletes a file; returns false if it is the input of an active batch. */
     public boolean deleteFile(FileRecord file) throws IOException {
         if (isInputInUse(file.getId())) {
             return false;
@@ -318,8 +334,11 @@
     }
 
     /**
-     * So many ids of a tenant's files (kind f) or batches (b), newest first, after one of them or
-     * from the newest.
+     * Lists ids of a tenant's files or batches, newest first.
+     *
+     * @param kind {@code 'f'} for files, {@code 'b'} for batches
+     * @param afterNumber the number of the last item of the previous page, or -1 for the first page
+     * @param limit the most ids to return
      */
     public List<String> listIds(String tenant, char kind, long afterNumber, int limit)
             throws IOException {
@@ -337,7 +356,7 @@
 
     // ------------------------------------------------------------------ batches
 
-    /** A new batch, validating; synced. */
+    /** Creates a batch in state VALIDATING; synced. */
     public BatchRecord createBatch(BatchRecord.Builder builder) throws IOException {
         long number = ++lastNumber;
         BatchRecord batch =
@@ -362,13 +381,13 @@
         return batch;
     }
 
-    /** The batch of this name, or null. */
+    /** The record of the batch with this id, or null if there is none. */
     public BatchRecord batch(String id) throws IOException {
         byte[] bytes = get(Family.BATCHES, key(id));
         return bytes == null ? null : BatchRecord.parseFrom(bytes);
     }
 
-    /** Batches that are not over, in the order in which they came. */
+    /** The batches that have not ended, in the order of their creation. */
     public List<BatchRecord> activeBatches() throws IOException {
         List<BatchRecord> batches = new ArrayList<>();
         List<String> ids = new ArrayList<>();
@@ -380,7 +399,7 @@
         return batches;
     }
 
-    /** What a batch is from now on; synced. One that has failed is over. */
+    /** Replaces the record of a batch; synced. A batch in state FAILED has ended. */
     public void updateBatch(BatchRecord batch) throws IOException {
         Change change = new Change().put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
         if (batch.getState() == BatchState.FAILED) {
@@ -392,6 +411,7 @@
         }
     }
 
+    /** Adds to {@code change} the deletion of what is stored only while a batch is active. */
     private static void deleteActiveState(BatchRecord batch, Change change) throws IOException {
         change.delete(Family.ACTIVE, key(batch.getId()));
         for (Family family : List.of(Family.ANSWERS, Family.FLIGHTS, Family.NAMES)) {
@@ -405,9 +425,9 @@
     }
 
     /**
-     * The end of a batch: its files, its last state and the going of its lines' records, all or
-     * nothing. The incomings may be null where a file would be empty. What was placed before a
-     * crash is placed again by the next try.
+     * Ends a batch: atomically adds its files, stores its final record and deletes the records of
+     * its lines. {@code output} and {@code errors} may be null if the file would be empty. After a
+     * crash the call can be repeated with newly written files.
      */
     public BatchRecord finishBatch(
             BatchRecord.Builder batch, IncomingFile output, IncomingFile errors, long nowMs)
@@ -448,8 +468,8 @@
     // ------------------------------------------------------------------ lines
 
     /**
-     * Notes a custom id while a file is validated; the line that had it before, or -1. Not kept
-     * over a crash.
+     * Records the custom id of a line during validation. Returns the number of an earlier line with
+     * the same custom id, or -1. Not durable: a crash may lose it.
      */
     public long recordCustomId(String batch, String customId, long line) throws IOException {
         byte[] key = Arrays.copyOf(key(batch + '\0'), batch.length() + 17);
@@ -466,14 +486,18 @@
         }
     }
 
-    /** Forgets the custom ids noted for a batch. */
+    /** Deletes the custom ids recorded for a batch. */
     public void forgetCustomIds(String batch) throws IOException {
         commit(
                 "forget custom ids",
                 new Change().deleteRange(Family.NAMES, lineKey(batch, 0), lineKey(batch, -1)));
     }
 
-    /** A line goes to a front for this time; synced where nobody may find out by trying again. */
+    /**
+     * Records, before a line is sent to a router, how many attempts it has had including this one.
+     *
+     * @param sync whether to sync first, required if a line that may have run must not be repeated
+     */
     public void recordAttempts(String batch, long line, int attempts, boolean sync)
             throws IOException {
         crashPoints.reached("record attempts");
@@ -488,7 +512,11 @@
         }
     }
 
-    /** A line came back from its front as one that surely did not run there. */
+    /**
+     * Records that the last attempt of a line did not run.
+     *
+     * @param attempts the attempts that remain counted
+     */
     public void recordNotRun(String batch, long line, int attempts) throws IOException {
         if (attempts > 0) {
             recordAttempts(batch, line, attempts, false);
@@ -502,28 +530,27 @@
         }
     }
 
-    /** How often a line was handed to a front. */
+    /** The recorded attempts of a line. */
     public int attempts(String batch, long line) throws IOException {
         byte[] bytes = get(Family.FLIGHTS, lineKey(batch, line));
         return bytes == null ? 0 : LineAttempts.parseFrom(bytes).getAttempts();
     }
 
+    /** Whether a line has an answer. */
     public boolean isAnswered(String batch, long line) throws IOException {
         return get(Family.ANSWERS, lineKey(batch, line)) != null;
     }
 
-    /** The record of a line, or null. */
+    /** The answer to a line, or null if there is none. */
     public LineAnswer answer(String batch, long line) throws IOException {
         byte[] bytes = get(Family.ANSWERS, lineKey(batch, line));
         return bytes == null ? null : LineAnswer.parseFrom(bytes);
     }
 
-    /** One line's one record, to be written with others. */
+    /** The answer to one line of a batch, for {@link #recordAnswers}. */
     public record Answer(String batch, long line, LineAnswer answer) {}
 
-    /**
-     * Writes records and the batches that they belong to, as they are then, in one synced change.
-     */
+    /** Stores answers and the updated records of their batches in one synced change. */
     public void recordAnswers(List<Answer> answers, List<BatchRecord> batches) throws IOException {
         Change change = new Change();
         for (Answer answer : answers) {
@@ -539,11 +566,11 @@
         commit("record answers", change);
     }
 
-    // ------------------------------------------------------------------ looking after it
+    // ------------------------------------------------------------------ maintenance
 
     /**
-     * Copies the whole store, as it is now, to a folder that is not there yet; bytes are shared by
-     * links where possible.
+     * Copies the current state of the store to a folder that does not exist yet. Blobs are hard
+     * links where the file system allows it.
      */
     public void snapshot(Path to) throws IOException {
         Files.createDirectories(to);
@@ -551,7 +578,7 @@
         try (Checkpoint checkpoint = Checkpoint.create(db)) {
             checkpoint.createCheckpoint(to.resolve("db").toString());
         } catch (RocksDBException e) {
-            throw new StoreException("no snapshot: " + e.getMessage(), e);
+            throw new StoreException("the snapshot failed: " + e.getMessage(), e);
         }
         List<String> digests = new ArrayList<>();
         forEachEntry(Family.BLOBS, new byte[0], (key, value) -> digests.add(text(key)));
@@ -562,8 +589,8 @@
     }
 
     /**
-     * Copies a store that lies still, or lies as a kill would leave it, to a folder that is not
-     * there yet.
+     * Copies the files of a store to a folder that does not exist yet. The store must not be
+     * written meanwhile; it may be in the state that a killed process leaves.
      */
     public static void copyFolder(Path from, Path to) throws IOException {
         try (Stream<Path> paths = Files.walk(from)) {
@@ -578,7 +605,7 @@
         }
     }
 
-    /** Links where the file system can, copies elsewhere. */
+    /** Creates a hard link, or a copy where the file system has no hard links. */
     static void linkOrCopy(Path from, Path to) throws IOException {
         Files.createDirectories(to.getParent());
         try {
@@ -588,14 +615,14 @@
         }
     }
 
-    /** Reads everything and tells what is wrong; nothing if the store is whole. */
+    /** Checks the whole store; returns a message per fault, none if it is consistent. */
     public List<String> verify() throws IOException {
         return new StoreVerifier(this).findFaults();
     }
 
     /**
-     * Mends what can be: bytes that nobody names go, counts of names are made anew. Returns what
-     * was done.
+     * Deletes unreferenced blobs and rebuilds the reference counts. Returns a message per action;
+     * other faults remain.
      */
     public List<String> repair() throws IOException {
         return new StoreVerifier(this).repair();
@@ -616,7 +643,8 @@
                     try {
                         consumer.accept(text(key), BatchRecord.parseFrom(value));
                     } catch (InvalidProtocolBufferException e) {
-                        throw new IllegalStateException("batch " + text(key) + " can't be read", e);
+                        throw new IllegalStateException(
+                                "batch " + text(key) + " can't be parsed", e);
                     }
                 });
     }
@@ -625,7 +653,7 @@
         return get(Family.ACTIVE, key(batch)) != null;
     }
 
-    /** Counts a batch's records: those for the output, and those for the errors. */
+    /** Counts the answers of a batch: for the output file at index 0, for the error file at 1. */
     long[] countAnswers(String batch) throws IOException {
         long[] counts = new long[2];
         forEachEntry(
@@ -636,7 +664,7 @@
                         counts[LineAnswer.parseFrom(value).getGood() ? 0 : 1]++;
                     } catch (InvalidProtocolBufferException e) {
                         throw new IllegalStateException(
-                                "a record of " + batch + " can't be read", e);
+                                "a line answer of " + batch + " can't be parsed", e);
                     }
                 });
         return counts;
@@ -686,7 +714,7 @@
 
     // ------------------------------------------------------------------ the database
 
-    /** What is to be written together. */
+    /** A set of updates that is written atomically. */
     private final class Change {
         private final WriteBatch batch = new WriteBatch();
 
@@ -702,7 +730,7 @@
             return apply(() -> batch.deleteRange(handle(family), from, to));
         }
 
-        /** One name more or less for these bytes. */
+        /** Adds {@code delta} to the number of files that refer to a blob. */
         void addReferences(String digest, int delta) throws IOException {
             long count =
                     referenceDeltas.merge(digest, (long) delta, Long::sum)
@@ -721,7 +749,7 @@
                 operation.run();
                 return this;
             } catch (RocksDBException e) {
-                throw new IllegalStateException("no change can be made", e);
+                throw new IllegalStateException("the update can't be added to the write batch", e);
             }
         }
     }
@@ -732,7 +760,7 @@
 
     private void commit(String crashPoint, Change change) throws IOException {
         if (!writable) {
-            throw new IllegalStateException("opened to read");
+            throw new IllegalStateException("the store is open for reading only");
         }
         try (WriteBatch batch = change.batch;
                 WriteOptions syncedWrite = new WriteOptions().setSync(true)) {
@@ -766,13 +794,13 @@
         }
     }
 
-    /** Handles are listed in the order of the families, as the database opened them. */
+    /** RocksDB returned the handles in the order in which the families were passed. */
     @SuppressWarnings("EnumOrdinal")
     private ColumnFamilyHandle handle(Family family) {
         return handles.get(family.ordinal());
     }
 
-    /** Makes a rename last. */
+    /** Syncs a directory, so that a rename in it is durable. */
     private void syncDirectory(Path directory) throws IOException {
         crashPoints.reached("sync directory");
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
@@ -793,13 +821,16 @@
         return new String(key, StandardCharsets.UTF_8);
     }
 
-    /** The key of a line; -1 is after all of them. Ids hold no NUL. */
+    /** The key of a line; line -1 sorts after all lines of the batch. Ids contain no NUL. */
     private static byte[] lineKey(String batch, long line) {
         byte[] id = key(batch);
         return ByteBuffer.allocate(id.length + 9).put(id).put((byte) 0).putLong(line).array();
     }
 
-    /** Newest first; a number under 0 gives the beginning of all of them. */
+    /**
+     * The key of a file or batch in the family ORDER, which sorts the newest first; for a negative
+     * number, the prefix of all keys of this tenant and kind.
+     */
     private static byte[] orderKey(String tenant, char kind, long number) {
         byte[] prefix = key(tenant + '\0' + kind + '\0');
         return number < 0
@@ -826,7 +857,7 @@
         try {
             return FileRecord.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("a file's record can't be read", e);
+            throw new IllegalStateException("a file record can't be parsed", e);
         }
     }
 
@@ -834,7 +865,7 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(key(text));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("the Java runtime has no SHA-256", e);
         }
     }
 }
--- a/src/main/java/larchridge/store/StoreException.java
+++ b/src/main/java/larchridge/store/StoreException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A store that can't be opened, read or written. */
+/** Thrown if a store can't be opened, read or written. */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/larchridge/store/StoreVerifier.java
+++ b/src/main/java/larchridge/store/StoreVerifier.java
@@ -21,8 +21,8 @@
 import larchridge.store.form.FileRecord;
 
 /**
- * Reads a whole store and compares: bytes with their digests, names with what they name, counts
- * with what they count.
+ * Checks a whole store for consistency: blobs against their digests and sizes, reference counts
+ * against the files, and batch records against their answers and input files.
  */
 final class StoreVerifier {
     private final Store store;
@@ -47,13 +47,13 @@
         }
         if (!store.referenceCounts().equals(referenceCounts)) {
             faults.add(
-                    "the counts of names are "
+                    "the stored reference counts, of "
                             + store.referenceCounts().size()
-                            + " kinds, the files name "
+                            + " blobs, differ from those of the files, of "
                             + referenceCounts.size());
         }
         for (Path path : unreferencedBlobs()) {
-            faults.add(path.getFileName() + ": bytes that no file names");
+            faults.add(path.getFileName() + ": blob is not referenced by any file");
         }
         List<BatchRecord> batches = new ArrayList<>();
         store.forEachBatch((id, batch) -> batches.add(batch));
@@ -66,15 +66,20 @@
     private void verifyBlob(String digest, long size) throws IOException {
         Path path = store.blobPath(digest);
         if (!Files.exists(path)) {
-            faults.add(digest + ": bytes are missing");
+            faults.add(digest + ": blob is missing");
             return;
         }
         if (Files.size(path) != size) {
-            faults.add(digest + ": is " + Files.size(path) + " bytes, its file says " + size);
+            faults.add(
+                    digest
+                            + ": blob has "
+                            + Files.size(path)
+                            + " bytes, its file record says "
+                            + size);
             return;
         }
         if (!digestOf(path).equals(digest)) {
-            faults.add(digest + ": the bytes have another digest");
+            faults.add(digest + ": blob does not match its digest");
         }
     }
 
@@ -88,7 +93,7 @@
             }
             return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("the Java runtime has no SHA-256", e);
         }
     }
 
@@ -110,7 +115,7 @@
         }
         long[] answers = store.countAnswers(id);
         if (ended && answers[0] + answers[1] > 0) {
-            faults.add(id + ": is over and still has records of lines");
+            faults.add(id + ": has ended but still has line answers");
         }
         if (!ended && (answers[0] != batch.getDone() || answers[1] != batch.getFailed())) {
             faults.add(
@@ -119,24 +124,24 @@
                             + answers[0]
                             + " and "
                             + answers[1]
-                            + " records, and says "
+                            + " line answers (good, failed), but its record says "
                             + batch.getDone()
                             + " and "
                             + batch.getFailed());
         }
         if (!ended && !files.containsKey(batch.getInput())) {
-            faults.add(id + ": its input " + batch.getInput() + " is missing");
+            faults.add(id + ": its input file " + batch.getInput() + " is missing");
         }
         if (ended
                 && batch.getState() != BatchState.FAILED
                 && batch.getDone() + batch.getFailed() != batch.getTotal()) {
             faults.add(
                     id
-                            + ": is over with "
+                            + ": has ended with "
                             + (batch.getDone() + batch.getFailed())
                             + " of "
                             + batch.getTotal()
-                            + " lines");
+                            + " lines answered");
         }
     }
 
@@ -157,11 +162,11 @@
         List<String> actions = new ArrayList<>();
         for (Path path : unreferencedBlobs()) {
             Files.delete(path);
-            actions.add(path.getFileName() + ": removed, no file names it");
+            actions.add(path.getFileName() + ": deleted, not referenced by any file");
         }
         if (!store.referenceCounts().equals(referenceCounts)) {
             store.replaceReferenceCounts(referenceCounts);
-            actions.add("counts of names made anew");
+            actions.add("reference counts rebuilt");
         }
         return actions;
     }
--- a/src/main/java/larchridge/store/package-info.java
+++ b/src/main/java/larchridge/store/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Files and batches on disk, safe over crashes.
+ * Durable, crash-safe storage of files and batches.
  *
- * <p>{@link larchridge.store.Store} is the entry. Stored forms are in {@code store.proto} and stay
- * readable; it knows nothing of what batches do.
+ * <p>The entry point is {@link larchridge.store.Store}. The stored messages are defined in {@code
+ * store.proto}; changes to them must keep existing data readable. The package does not depend on
+ * how batches are run.
  */
 package larchridge.store;
