--- a/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
+++ b/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A disk that fails for a while under a ledger: what was taken on is written once it is well again.
+ * Guards against: losing queued records when writes to the disk fail for a while. The test limits
+ * the file size of the writing process, so that its writes fail, and then lifts the limit.
  */
 @Timeout(60)
 class LedgerRecoveryTest {
@@ -23,8 +24,8 @@
     @TempDir Path folder;
 
     /**
-     * The process whose files may not grow for a while; a limit of this test's own process would
-     * meet other tests.
+     * The process whose file size is limited. It is a child process because a limit on this process
+     * would also affect other tests.
      */
     static final class Writer {
         private static int offered;
@@ -40,7 +41,8 @@
                 offer(ledger);
                 TimeUnit.MILLISECONDS.sleep(1000);
                 if (ledger.writtenRecords() >= offered) {
-                    throw new IllegalStateException("the disk did not fail");
+                    throw new IllegalStateException(
+                            "writes did not fail under the file size limit");
                 }
                 limitFileSize(pid, "unlimited");
                 offer(ledger);
--- a/src/test/java/larchridge/ledger/LedgerTest.java
+++ b/src/test/java/larchridge/ledger/LedgerTest.java
@@ -36,7 +36,7 @@
         return ledger.totals(null).values().stream().findFirst().orElse(UsageTotal.ZERO);
     }
 
-    /** As after a kill: what was on disk at that moment, opened anew. */
+    /** Copies the ledger's files as a kill at this moment would leave them. */
     private Path copyAsAfterKill(String name) throws IOException {
         Path copy = folder.resolve(name);
         Files.createDirectories(copy);
@@ -160,7 +160,7 @@
         }
     }
 
-    /** What a second attempt did after the answer was recorded is waste of the same bill. */
+    /** A second attempt that ends after the response was recorded adds its waste to the bill. */
     @Test
     void lateWasteIsAddedToItsBill() throws Exception {
         try (Ledger ledger = Ledger.open(folder.resolve("ledger"), 100)) {
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -35,7 +35,7 @@
     private Path folder;
     private Store store;
 
-    /** The process ends here. */
+    /** Simulates the end of the process at a crash point. */
     private static final class SimulatedCrash extends Error {
         private static final long serialVersionUID = 1;
     }
@@ -141,9 +141,9 @@
                 ids.subList(3, 7), store.listIds("a", 'f', store.file(ids.get(2)).getNumber(), 9));
     }
 
-    // ------------------------------------------------------------------ against a simple model
+    // ------------------------------------------------------------------ comparison with a model
 
-    /** What a store should hold, as plain maps. */
+    /** The expected content of a store. */
     private static final class Model {
         final Map<String, String> files = new TreeMap<>();
         final Map<String, String> inputs = new TreeMap<>();
@@ -151,9 +151,9 @@
     }
 
     /**
-     * Any row of steps, with ends of the process at any write among them, leaves the store as a
-     * simple model says: a step that came to its end is there, one that did not is there wholly or
-     * not at all.
+     * Guards against: operations lost or half applied by a crash. After any sequence of steps, with
+     * crashes at arbitrary writes, the store matches the model: completed steps are present, and an
+     * interrupted step is applied completely or not at all.
      */
     @Property(tries = 60, seed = "20261201", shrinking = ShrinkingMode.BOUNDED)
     void matchesTheModelAcrossCrashes(
@@ -173,7 +173,7 @@
         Store current = Store.open(storeFolder, crashPoints);
         try {
             for (int step : steps) {
-                // Now and then the process ends in the middle of what it does.
+                // A quarter of the steps crash at one of their first six crash points.
                 writesUntilCrash[0] = random.nextInt(4) == 0 ? 1 + random.nextInt(6) : -1;
                 try {
                     applyStep(current, model, step, random);
@@ -247,8 +247,8 @@
     }
 
     /**
-     * After an end in the middle of a step the model takes what is there, as long as that is one
-     * step more or none.
+     * After a crash, updates the model to the content of the store, and checks that the interrupted
+     * step changed it by at most one file and that no answer was lost.
      */
     private static void adoptStateAfterCrash(Store store, Model model) throws IOException {
         List<String> ids = store.listIds("t", 'f', -1, 1000);
@@ -257,7 +257,7 @@
             model.files.putIfAbsent(id, readContent(store, store.file(id)));
         }
         model.files.keySet().retainAll(ids);
-        assertTrue(Math.abs(model.files.size() - before) <= 1, "a step did more than one thing");
+        assertTrue(Math.abs(model.files.size() - before) <= 1, "a step changed more than one file");
         model.inputs.clear();
         for (BatchRecord batch : store.activeBatches()) {
             model.inputs.put(batch.getId(), batch.getInput());
--- a/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Opens the ledger that the build of commit f8721a5 wrote. The literals are those of the program
- * that wrote them, {@code stored-data/f8721a5/WriteStoredData.java} in the test resources.
+ * Guards against: a change that makes existing ledgers unreadable. Opens a ledger written by the
+ * build of commit f8721a5; the expected values are those of the program that wrote it, {@code
+ * stored-data/f8721a5/WriteStoredData.java} in the test resources.
  */
 class LedgerCompatibilityTest {
     private static final long MAY_MS = 1_780_000_000_000L;
@@ -39,7 +40,7 @@
 
     private static List<Usage> storedUsages() {
         return List.of(
-                // The waste of a second attempt had joined the record of its answer.
+                // Includes the waste of a second attempt, which was merged into this record.
                 usage("bill-01", "acme", "chat", MAY_MS, "streamed", 100, 40, 25, 9, 2),
                 usage("bill-02", "acme", "chat", MAY_MS + 1, "throttled", 0, 0, 0, 0, 0),
                 usage("bill-03", "acme", "batch", MAY_MS + 2, "terminated", 200, 0, 7, 11, 2),
--- a/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
@@ -28,8 +28,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Opens the store that the build of commit f8721a5 wrote. The literals are those of the program
- * that wrote them, {@code stored-data/f8721a5/WriteStoredData.java} in the test resources.
+ * Guards against: a change that makes existing stores unreadable. Opens a store written by the
+ * build of commit f8721a5; the expected values are those of the program that wrote it, {@code
+ * stored-data/f8721a5/WriteStoredData.java} in the test resources.
  */
 class StoreCompatibilityTest {
     private static final int ALL_IDS = 100;
@@ -302,7 +303,8 @@
             assertEquals(answer(true, "{\"id\":\"finalizing-1\"}"), store.answer("batch_2-d", 1));
             assertNull(store.answer("batch_2-e", 0));
             assertEquals(1, store.attempts("batch_2-e", 0));
-            assertFalse(store.isAnswered("batch_1-3", 0), "a batch that is over has no records");
+            assertFalse(
+                    store.isAnswered("batch_1-3", 0), "the answers of an ended batch are deleted");
         }
     }
 
