--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -85,7 +85,7 @@
         ACTIVE,
         /** Answers to lines of active batches, by batch and line. */
         ANSWERS,
-        /** Attempts of lines that are sent or may have run, by batch and line. */
+        /** Attempts of unanswered lines that were sent and may have run, by batch and line. */
         FLIGHTS,
         /** Line numbers by batch and digest of the custom id, while the input is validated. */
         NAMES,
@@ -513,7 +513,7 @@
     }
 
     /**
-     * Records that the last attempt of a line did not run.
+     * Records that the last attempt of a line certainly did not run, or is harmless to repeat.
      *
      * @param attempts the attempts that remain counted
      */
@@ -700,6 +700,7 @@
         return blobs.resolve(digest.substring(0, 2)).resolve(digest);
     }
 
+    /** The folder that holds the store. */
     public Path folder() {
         return folder;
     }
