--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -22,10 +22,10 @@
 import larchridge.site.BatchSettings;
 import larchridge.site.Site;
 import larchridge.store.Store;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.InputError;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Handler;
@@ -163,7 +163,7 @@
                     checkQuota(store, tenant, Math.max(0, request.getLength() - MAX_BODY_BYTES));
                     return null;
                 });
-        try (MultipartUpload upload = new MultipartUpload(store::receive, settings.fileBytes);
+        try (MultipartUpload upload = new MultipartUpload(store::createIncomingFile, settings.fileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
@@ -177,7 +177,7 @@
                             callOnLoop(
                                     batches -> {
                                         checkQuota(store, tenant, upload.file().bytes());
-                                        return store.keep(
+                                        return store.addFile(
                                                 upload.file(),
                                                 tenant.name(),
                                                 upload.fileName(),
@@ -189,13 +189,13 @@
 
     private void checkQuota(Store store, Site.Tenant tenant, long addedBytes)
             throws BatchApiException {
-        if (store.bytesOf(tenant.name()) + addedBytes > settings.tenantBytes
-                || store.filesOf(tenant.name()) >= settings.tenantFiles) {
+        if (store.storedBytes(tenant.name()) + addedBytes > settings.tenantBytes
+                || store.storedFiles(tenant.name()) >= settings.tenantFiles) {
             throw BatchApiException.overQuota(
                     "kept are "
-                            + store.bytesOf(tenant.name())
+                            + store.storedBytes(tenant.name())
                             + " bytes in "
-                            + store.filesOf(tenant.name())
+                            + store.storedFiles(tenant.name())
                             + " files; allowed are "
                             + settings.tenantBytes
                             + " in "
@@ -204,20 +204,20 @@
         }
     }
 
-    private FileForm requireFile(String id, Site.Tenant tenant)
+    private FileRecord requireFile(String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
         // File records are read on this thread: only their changes and the active batches belong to
         // the event loop.
-        FileForm file = service.store().file(id);
+        FileRecord file = service.store().file(id);
         if (file == null || !file.getTenant().equals(tenant.name())) {
             throw BatchApiException.notFound("file: " + id);
         }
         return file;
     }
 
-    private void sendContent(Response response, FileForm file)
+    private void sendContent(Response response, FileRecord file)
             throws IOException, BatchApiException {
-        try (FileChannel channel = service.store().content(file)) {
+        try (FileChannel channel = service.store().openContent(file)) {
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/octet-stream");
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, file.getBytes());
             try (OutputStream out = Content.Sink.asOutputStream(response)) {
@@ -233,9 +233,9 @@
         }
     }
 
-    private void deleteFile(Response response, FileForm file)
+    private void deleteFile(Response response, FileRecord file)
             throws BatchApiException, IOException {
-        boolean deleted = callOnLoop(batches -> service.store().delete(file));
+        boolean deleted = callOnLoop(batches -> service.store().deleteFile(file));
         if (!deleted) {
             throw BatchApiException.conflict("a batch that is not over reads this file");
         }
@@ -252,7 +252,7 @@
     private void createBatch(Request request, Response response, Site.Tenant tenant)
             throws BatchApiException, IOException {
         JsonNode body = readBody(request);
-        FileForm input = requireFile(requiredText(body, "input_file_id"), tenant);
+        FileRecord input = requireFile(requiredText(body, "input_file_id"), tenant);
         if (!input.getPurpose().equals("batch")) {
             throw BatchApiException.invalid(
                     "input_file_id", "the file's purpose is " + input.getPurpose() + ", not batch");
@@ -293,7 +293,7 @@
                             return toJson(
                                     batches,
                                     batches.create(
-                                            BatchForm.newBuilder()
+                                            BatchRecord.newBuilder()
                                                     .setTenant(tenant.name())
                                                     .setInput(input.getId())
                                                     .setEndpoint(endpoint)
@@ -326,26 +326,26 @@
         return metadata;
     }
 
-    private BatchForm requireBatch(String id, Site.Tenant tenant)
+    private BatchRecord requireBatch(String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
         return callOnLoop(batches -> requireBatchOnLoop(batches, id, tenant));
     }
 
-    private static BatchForm requireBatchOnLoop(Batches batches, String id, Site.Tenant tenant)
+    private static BatchRecord requireBatchOnLoop(Batches batches, String id, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        BatchForm batch = batches.batch(id);
+        BatchRecord batch = batches.batch(id);
         if (batch == null || !batch.getTenant().equals(tenant.name())) {
             throw BatchApiException.notFound("batch: " + id);
         }
         return batch;
     }
 
-    private void cancelBatch(Response response, BatchForm batch)
+    private void cancelBatch(Response response, BatchRecord batch)
             throws BatchApiException, IOException {
         ObjectNode json =
                 callOnLoop(
                         batches -> {
-                            BatchForm cancelled = batches.cancel(batch.getId());
+                            BatchRecord cancelled = batches.cancel(batch.getId());
                             return cancelled == null ? null : toJson(batches, cancelled);
                         });
         if (json == null) {
@@ -384,9 +384,9 @@
                                 ? requireFile(after, tenant).getNumber()
                                 : requireBatch(after, tenant).getNumber();
         ArrayNode data = MAPPER.createArrayNode();
-        List<String> ids = service.store().page(tenant.name(), kind, afterNumber, pageSize + 1);
+        List<String> ids = service.store().listIds(tenant.name(), kind, afterNumber, pageSize + 1);
         for (String id : ids.subList(0, Math.min(pageSize, ids.size()))) {
-            FileForm file = kind == 'f' ? service.store().file(id) : null;
+            FileRecord file = kind == 'f' ? service.store().file(id) : null;
             if (kind == 'b') {
                 data.add(batchJson(id, tenant));
             } else if (file != null && (purpose == null || purpose.equals(file.getPurpose()))) {
@@ -402,7 +402,7 @@
 
     // ------------------------------------------------------------------ JSON
 
-    private static ObjectNode fileJson(FileForm file) {
+    private static ObjectNode fileJson(FileRecord file) {
         return MAPPER.createObjectNode()
                 .put("id", file.getId())
                 .put("object", "file")
@@ -419,7 +419,7 @@
         return callOnLoop(batches -> toJson(batches, requireBatchOnLoop(batches, id, tenant)));
     }
 
-    private static ObjectNode toJson(Batches batches, BatchForm batch) {
+    private static ObjectNode toJson(Batches batches, BatchRecord batch) {
         ObjectNode json =
                 MAPPER.createObjectNode()
                         .put("id", batch.getId())
@@ -439,11 +439,11 @@
         putSeconds(json, "expires_at", batch.getExpiresMs());
         putSeconds(json, "finalizing_at", batch.getFinalizingMs());
         putSeconds(json, "cancelling_at", batch.getCancellingMs());
-        StateForm state = batch.getState();
-        putSeconds(json, "completed_at", state == StateForm.COMPLETED ? batch.getEndedMs() : 0);
-        putSeconds(json, "failed_at", state == StateForm.FAILED ? batch.getEndedMs() : 0);
-        putSeconds(json, "expired_at", state == StateForm.EXPIRED ? batch.getEndedMs() : 0);
-        putSeconds(json, "cancelled_at", state == StateForm.CANCELLED ? batch.getEndedMs() : 0);
+        BatchState state = batch.getState();
+        putSeconds(json, "completed_at", state == BatchState.COMPLETED ? batch.getEndedMs() : 0);
+        putSeconds(json, "failed_at", state == BatchState.FAILED ? batch.getEndedMs() : 0);
+        putSeconds(json, "expired_at", state == BatchState.EXPIRED ? batch.getEndedMs() : 0);
+        putSeconds(json, "cancelled_at", state == BatchState.CANCELLED ? batch.getEndedMs() : 0);
         json.putObject("request_counts")
                 .put("total", batch.getTotal())
                 .put("completed", batch.getDone())
@@ -452,7 +452,7 @@
             json.putNull("errors");
         } else {
             ArrayNode data = json.putObject("errors").put("object", "list").putArray("data");
-            for (FaultForm fault : batch.getFaultList()) {
+            for (InputError fault : batch.getFaultList()) {
                 ObjectNode faultJson =
                         data.addObject()
                                 .put("code", fault.getCode())
@@ -480,7 +480,7 @@
         }
     }
 
-    private static String stateName(StateForm state) {
+    private static String stateName(BatchState state) {
         return state.name().toLowerCase(java.util.Locale.ROOT);
     }
 
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import larchridge.site.BatchSettings;
 import larchridge.store.Store;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.FileForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.InputError;
 
 /**
  * Validates the whole input of a batch before any of its lines runs. Each fault names its line,
@@ -26,7 +26,7 @@
     private static final int MAX_CUSTOM_ID_CHARS = 512;
 
     /** The number of lines, and the faults found in them. */
-    record Result(long lineCount, List<FaultForm> faults) {}
+    record Result(long lineCount, List<InputError> faults) {}
 
     /** The request that a line contains. */
     record LineRequest(String customId, JsonNode body) {}
@@ -67,12 +67,12 @@
                         .build();
     }
 
-    Result validate(BatchForm batch) throws IOException {
-        FileForm file = store.file(batch.getInput());
-        List<FaultForm> faults = new ArrayList<>();
+    Result validate(BatchRecord batch) throws IOException {
+        FileRecord file = store.file(batch.getInput());
+        List<InputError> faults = new ArrayList<>();
         long lineCount = 0;
-        store.unname(batch.getId());
-        try (FileChannel channel = store.content(file);
+        store.forgetCustomIds(batch.getId());
+        try (FileChannel channel = store.openContent(file);
                 LineReader lines = new LineReader(channel, settings.lineBytes, 0, 0)) {
             for (LineReader.Line line = lines.next();
                     line != null && faults.size() < MAX_FAULTS;
@@ -83,7 +83,7 @@
                                 "too_many_lines", null, "more than " + settings.lines + " lines");
                     }
                     LineRequest request = parseLine(line.bytes(), batch.getEndpoint());
-                    long firstIndex = store.name(batch.getId(), request.customId, line.index());
+                    long firstIndex = store.recordCustomId(batch.getId(), request.customId, line.index());
                     if (firstIndex >= 0) {
                         throw new InvalidLineException(
                                 "duplicate_custom_id",
@@ -104,13 +104,13 @@
         if (lineCount == 0) {
             faults.add(fault("empty_file", 0, null, "the input has no lines"));
         }
-        store.unname(batch.getId());
+        store.forgetCustomIds(batch.getId());
         return new Result(lineCount, faults);
     }
 
-    static FaultForm fault(String code, long line, String field, String message) {
-        FaultForm.Builder fault =
-                FaultForm.newBuilder().setCode(code).setLine(line).setMessage(message);
+    static InputError fault(String code, long line, String field, String message) {
+        InputError.Builder fault =
+                InputError.newBuilder().setCode(code).setLine(line).setMessage(message);
         return field == null ? fault.build() : fault.setField(field).build();
     }
 
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -168,7 +168,7 @@
                     .addKeyValue("store", settings.folder)
                     .addKeyValue("epoch", openedStore.epoch())
                     .log("opened the store as its owner");
-        } catch (Store.Taken e) {
+        } catch (Store.InUseException e) {
             if (!waitLogged) {
                 waitLogged = true;
                 LOG.info("another process owns the store; waiting for it to end");
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -26,10 +26,10 @@
 import larchridge.state.Effect;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.LineAnswer;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.InputError;
+import larchridge.store.form.BatchState;
 import larchridge.upstream.AnswerSummary;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -93,7 +93,7 @@
 
     /** A batch that has not ended. */
     private static final class ActiveBatch {
-        BatchForm.Builder form;
+        BatchRecord.Builder form;
         PlannedBatch planned;
         FileChannel inputChannel;
         LineReader lineReader;
@@ -116,7 +116,7 @@
         final Set<Long> recordedLines = new HashSet<>();
         int unwrittenRecords;
 
-        ActiveBatch(BatchForm form) {
+        ActiveBatch(BatchRecord form) {
             this.form = form.toBuilder();
         }
 
@@ -153,7 +153,7 @@
 
     /** Resumes the batches that the previous owner of the store left, and starts the ticks. */
     void start() throws IOException {
-        for (BatchForm form : store.active()) {
+        for (BatchRecord form : store.activeBatches()) {
             ActiveBatch batch = new ActiveBatch(form);
             batch.resumed = true;
             activeBatches.put(batch.id(), batch);
@@ -162,7 +162,7 @@
                     if (form.getTotal() == 0) {
                         validate(batch);
                     } else {
-                        startFinalizing(batch, StateForm.CANCELLED);
+                        startFinalizing(batch, BatchState.CANCELLED);
                     }
                 }
                 case IN_PROGRESS -> addToPlanner(batch);
@@ -183,8 +183,8 @@
     }
 
     /** Creates a batch and validates its input in the background. */
-    BatchForm create(BatchForm.Builder template) throws IOException {
-        BatchForm form = store.begin(template);
+    BatchRecord create(BatchRecord.Builder template) throws IOException {
+        BatchRecord form = store.createBatch(template);
         ActiveBatch batch = new ActiveBatch(form);
         activeBatches.put(batch.id(), batch);
         validate(batch);
@@ -192,18 +192,18 @@
     }
 
     /** Cancels a batch and returns its new state, or null if it can no longer be cancelled. */
-    BatchForm cancel(String id) throws IOException {
+    BatchRecord cancel(String id) throws IOException {
         ActiveBatch batch = activeBatches.get(id);
         if (batch == null || batch.finalizing) {
             return null;
         }
-        if (batch.form.getState() != StateForm.CANCELLING) {
-            BatchForm.Builder updated =
+        if (batch.form.getState() != BatchState.CANCELLING) {
+            BatchRecord.Builder updated =
                     batch.form
                             .clone()
-                            .setState(StateForm.CANCELLING)
+                            .setState(BatchState.CANCELLING)
                             .setCancellingMs((long) loop.nowMs());
-            store.update(updated.build());
+            store.updateBatch(updated.build());
             batch.form = updated;
             if (batch.planned != null) {
                 planner.removeBatch(batch.planned);
@@ -214,7 +214,7 @@
     }
 
     /** The current state of a batch, or null if there is no such batch. */
-    BatchForm batch(String id) throws IOException {
+    BatchRecord batch(String id) throws IOException {
         ActiveBatch batch = activeBatches.get(id);
         return batch == null ? store.batch(id) : batch.form.build();
     }
@@ -244,7 +244,7 @@
     // ------------------------------------------------------------------ lifecycle of a batch
 
     private void validate(ActiveBatch batch) {
-        BatchForm form = batch.form.build();
+        BatchRecord form = batch.form.build();
         loop.runBlocking(
                 () -> validator.validate(form),
                 (result, failure) ->
@@ -259,7 +259,7 @@
         if (failure instanceof IOException ioFailure) {
             throw ioFailure;
         }
-        List<FaultForm> faults =
+        List<InputError> faults =
                 failure == null
                         ? result.faults()
                         : List.of(
@@ -271,22 +271,22 @@
         if (failure != null) {
             LOG.error("failed to validate the input of a batch", failure);
         }
-        BatchForm.Builder updated = batch.form.clone();
+        BatchRecord.Builder updated = batch.form.clone();
         if (!faults.isEmpty()) {
-            updated.setState(StateForm.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
-            store.update(updated.build());
+            updated.setState(BatchState.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
+            store.updateBatch(updated.build());
             removeFinished(batch, updated);
             return;
         }
         updated.setTotal(result.lineCount());
-        if (updated.getState() == StateForm.CANCELLING) {
-            store.update(updated.build());
+        if (updated.getState() == BatchState.CANCELLING) {
+            store.updateBatch(updated.build());
             batch.form = updated;
-            startFinalizing(batch, StateForm.CANCELLED);
+            startFinalizing(batch, BatchState.CANCELLED);
             return;
         }
-        updated.setState(StateForm.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
-        store.update(updated.build());
+        updated.setState(BatchState.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
+        store.updateBatch(updated.build());
         batch.form = updated;
         addToPlanner(batch);
     }
@@ -297,7 +297,7 @@
      */
     private void addToPlanner(ActiveBatch batch) throws IOException {
         Site.Tenant tenant = site.tenantNamed(batch.form.getTenant());
-        batch.inputChannel = store.content(store.file(batch.form.getInput()));
+        batch.inputChannel = store.openContent(store.file(batch.form.getInput()));
         batch.lineReader =
                 new LineReader(
                         batch.inputChannel,
@@ -317,7 +317,7 @@
                                         - batch.form.getFailed()));
         loop.schedule(Math.max(0, batch.form.getExpiresMs() - loop.nowMs()), () -> expire(batch));
         if (isComplete(batch)) {
-            startFinalizing(batch, StateForm.COMPLETED);
+            startFinalizing(batch, BatchState.COMPLETED);
         } else {
             startLines();
         }
@@ -326,7 +326,7 @@
     private void expire(ActiveBatch batch) {
         if (!activeBatches.containsValue(batch)
                 || batch.finalizing
-                || batch.form.getState() != StateForm.IN_PROGRESS) {
+                || batch.form.getState() != BatchState.IN_PROGRESS) {
             return;
         }
         for (LineTask task : List.copyOf(batch.openLines.values())) {
@@ -334,7 +334,7 @@
             planner.lineEnded(batch.planned, task.estimatedTokens, false, loop.nowMs());
         }
         batch.openLines.clear();
-        startFinalizing(batch, StateForm.EXPIRED);
+        startFinalizing(batch, BatchState.EXPIRED);
     }
 
     private boolean isComplete(ActiveBatch batch) {
@@ -342,16 +342,16 @@
     }
 
     private void finalizeIfCancelled(ActiveBatch batch) {
-        if (batch.form.getState() == StateForm.CANCELLING
+        if (batch.form.getState() == BatchState.CANCELLING
                 && batch.openLines.isEmpty()
                 && batch.unwrittenRecords == 0
                 && !batch.finalizing) {
-            startFinalizing(batch, StateForm.CANCELLED);
+            startFinalizing(batch, BatchState.CANCELLED);
         }
     }
 
     /** Starts no more lines of the batch and writes its files, after the pending records. */
-    private void startFinalizing(ActiveBatch batch, StateForm endState) {
+    private void startFinalizing(ActiveBatch batch, BatchState endState) {
         batch.finalizing = true;
         if (batch.planned != null) {
             planner.removeBatch(batch.planned);
@@ -359,15 +359,15 @@
         runStoreOperation(
                 () -> {
                     flush();
-                    BatchForm.Builder updated =
+                    BatchRecord.Builder updated =
                             batch.form
                                     .clone()
                                     .setEnding(endState)
                                     .setFinalizingMs((long) loop.nowMs());
-                    if (endState != StateForm.CANCELLED) {
-                        updated.setState(StateForm.FINALIZING);
+                    if (endState != BatchState.CANCELLED) {
+                        updated.setState(BatchState.FINALIZING);
                     }
-                    store.update(updated.build());
+                    store.updateBatch(updated.build());
                     batch.form = updated;
                     finish(batch);
                 },
@@ -380,7 +380,7 @@
 
     private void finish(ActiveBatch batch) {
         batch.finalizing = true;
-        BatchForm form = batch.form.build();
+        BatchRecord form = batch.form.build();
         loop.runBlocking(
                 () -> writeResultFiles(form),
                 (files, failure) ->
@@ -394,15 +394,15 @@
                                     }
                                     try (IncomingFile output = files.output;
                                             IncomingFile errors = files.errors) {
-                                        BatchForm.Builder updated =
+                                        BatchRecord.Builder updated =
                                                 batch.form
                                                         .clone()
                                                         .setState(form.getEnding())
                                                         .setEndedMs((long) loop.nowMs())
                                                         .setDone(files.completedLines)
                                                         .setFailed(files.failedLines);
-                                        BatchForm done =
-                                                store.finish(
+                                        BatchRecord done =
+                                                store.finishBatch(
                                                         updated,
                                                         files.completedLines > 0 ? output : null,
                                                         files.failedLines > 0 ? errors : null,
@@ -413,16 +413,16 @@
                                 () -> finish(batch)));
     }
 
-    private ResultFiles writeResultFiles(BatchForm form) throws IOException {
-        IncomingFile output = store.receive();
+    private ResultFiles writeResultFiles(BatchRecord form) throws IOException {
+        IncomingFile output = store.createIncomingFile();
         IncomingFile errors = null;
         long completedLines = 0;
         long failedLines = 0;
-        try (FileChannel input = store.content(store.file(form.getInput()));
+        try (FileChannel input = store.openContent(store.file(form.getInput()));
                 LineReader lines = new LineReader(input, settings.lineBytes, 0, 0)) {
-            errors = store.receive();
+            errors = store.createIncomingFile();
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
-                AnswerForm answer = store.answer(form.getId(), line.index());
+                LineAnswer answer = store.answer(form.getId(), line.index());
                 boolean isCompleted = answer != null && answer.getGood();
                 byte[] recordBytes =
                         ((answer == null ? unansweredRecord(form, line) : answer.getText()) + "\n")
@@ -442,9 +442,9 @@
     }
 
     /** The record of a line that had none when its batch ended. */
-    private String unansweredRecord(BatchForm form, LineReader.Line line) throws IOException {
+    private String unansweredRecord(BatchRecord form, LineReader.Line line) throws IOException {
         boolean wasOpen = store.attempts(form.getId(), line.index()) > 0;
-        boolean expired = form.getEnding() == StateForm.EXPIRED;
+        boolean expired = form.getEnding() == BatchState.EXPIRED;
         String customId;
         try {
             customId = validator.parseLine(line.bytes(), form.getEndpoint()).customId();
@@ -462,7 +462,7 @@
                                 : " before this line was executed"));
     }
 
-    private void removeFinished(ActiveBatch batch, BatchForm.Builder finalForm) throws IOException {
+    private void removeFinished(ActiveBatch batch, BatchRecord.Builder finalForm) throws IOException {
         activeBatches.remove(batch.id());
         finishedCount++;
         if (batch.inputChannel != null) {
@@ -592,7 +592,7 @@
             return;
         }
         task.mayHaveRun = false;
-        store.flight(batch.id(), task.line.index(), task.attempts + 1, effect != Effect.IDEMPOTENT);
+        store.recordAttempts(batch.id(), task.line.index(), task.attempts + 1, effect != Effect.IDEMPOTENT);
         task.attempts++;
         task.estimatedTokens =
                 generationRequest.promptTokens() + generationRequest.maxTokens() / 2.0;
@@ -714,7 +714,7 @@
                 task.timesNotRun++;
                 task.attempts--;
                 runStoreOperation(
-                        () -> store.landed(task.batch.id(), task.line.index(), task.attempts),
+                        () -> store.recordNotRun(task.batch.id(), task.line.index(), task.attempts),
                         () -> {});
                 scheduleRetry(
                         retryPolicy.retryDelayMs(
@@ -763,14 +763,14 @@
             ActiveBatch batch = task.batch;
             task.dueMs = loop.nowMs() + delayMs;
             batch.retryQueue.add(task);
-            if (batch.form.getState() != StateForm.IN_PROGRESS || batch.finalizing) {
+            if (batch.form.getState() != BatchState.IN_PROGRESS || batch.finalizing) {
                 finalizeIfCancelled(batch);
                 return;
             }
             loop.schedule(
                     delayMs,
                     () -> {
-                        if (!batch.finalizing && batch.form.getState() == StateForm.IN_PROGRESS) {
+                        if (!batch.finalizing && batch.form.getState() == BatchState.IN_PROGRESS) {
                             planner.setReady(batch.planned, true);
                             startLines();
                         }
@@ -787,7 +787,7 @@
                 new Store.Answer(
                         task.batch.id(),
                         task.line.index(),
-                        AnswerForm.newBuilder().setGood(completed).setText(text).build()));
+                        LineAnswer.newBuilder().setGood(completed).setText(text).build()));
         ActiveBatch batch = task.batch;
         batch.unwrittenRecords++;
         planner.lineRecorded(batch.planned);
@@ -810,7 +810,7 @@
             LineReader.Line recordedLine = batch.readAhead.poll();
             batch.form.setLowLine(recordedLine.index() + 1).setLowOffset(recordedLine.nextOffset());
         }
-        if (wasFull && !batch.finalizing && batch.form.getState() == StateForm.IN_PROGRESS) {
+        if (wasFull && !batch.finalizing && batch.form.getState() == BatchState.IN_PROGRESS) {
             planner.setReady(batch.planned, true);
         }
     }
@@ -826,23 +826,23 @@
             return;
         }
         Set<ActiveBatch> flushedBatches = new LinkedHashSet<>();
-        List<BatchForm> forms = new ArrayList<>();
+        List<BatchRecord> forms = new ArrayList<>();
         for (Store.Answer answer : pendingRecords) {
             ActiveBatch batch = activeBatches.get(answer.batch());
             if (flushedBatches.add(batch)) {
                 forms.add(batch.form.build());
             }
         }
-        store.answered(pendingRecords, forms);
+        store.recordAnswers(pendingRecords, forms);
         pendingRecords.clear();
         for (ActiveBatch batch : flushedBatches) {
             batch.unwrittenRecords = 0;
             if (!batch.finalizing && isComplete(batch)) {
                 startFinalizing(
                         batch,
-                        batch.form.getState() == StateForm.CANCELLING
-                                ? StateForm.CANCELLED
-                                : StateForm.COMPLETED);
+                        batch.form.getState() == BatchState.CANCELLING
+                                ? BatchState.CANCELLED
+                                : BatchState.COMPLETED);
             } else {
                 finalizeIfCancelled(batch);
             }
--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import larchridge.ledger.form.TotalForm;
-import larchridge.ledger.form.UsageForm;
+import larchridge.ledger.form.UsageRecord;
+import larchridge.ledger.form.UsageTotalRecord;
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 import org.rocksdb.ColumnFamilyHandle;
 import org.rocksdb.RocksDBException;
@@ -24,59 +24,67 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Usage on disk: one record a generation under its billing id, and the sums of each month, tenant
- * and product, written together or not at all. Records are taken by loops without waiting, and
- * written in order by one thread that syncs the disk once a batch. A torn tail is dropped at the
- * next opening: it was never acknowledged. Where the disk is slow or full, up to {@code bound}
- * records wait in memory; beyond that {@link #offer} says no, and fronts take nothing more.
+ * Durable usage records in RocksDB: one per generation, keyed by bill id, and totals per month,
+ * tenant and product. A batch of records and the totals that it changes are written atomically.
+ *
+ * <p>Event loops queue records without blocking; a single thread writes them in order, with one
+ * disk sync per batch. The next opening drops an incomplete tail of the write-ahead log, which was
+ * never acknowledged. While the disk is slow or full, up to {@code maxQueuedRecords} records wait
+ * in memory; beyond that {@link #offer} returns false and routers admit no more requests.
  */
 public final class Ledger implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
-    private static final int BATCH = 1024;
-    private static final long AGAIN_MS = 200;
+    private static final int MAX_BATCH_RECORDS = 1024;
+    private static final long RETRY_DELAY_MS = 200;
     private final Path folder;
-    private final boolean writes;
+    private final boolean writable;
 
-    /** Guards the database, which the writer opens anew after a failure. */
+    /** Guards {@link #database}, which the writer thread reopens after a failure. */
     private final Object databaseLock = new Object();
 
-    /** Null while it can't be opened. */
+    /** Null while the database can't be opened. */
     private LedgerDatabase database;
 
-    private final MpscBlockingConsumerArrayQueue<Entry> queue;
-    private final int bound;
+    private final MpscBlockingConsumerArrayQueue<PendingRecord> queue;
+    private final int maxQueuedRecords;
     private final Thread writer;
     private volatile boolean closing;
 
-    /** Written by the ledger's own thread alone. */
-    private volatile long written;
+    /** Modified only by the writer thread. */
+    private volatile long writtenRecords;
 
-    private volatile boolean failing;
+    private volatile boolean writeFailing;
 
-    private Ledger(Path folder, int bound, boolean write) throws RocksDBException {
-        this.bound = bound;
-        queue = new MpscBlockingConsumerArrayQueue<>(Math.max(2, bound));
+    private Ledger(Path folder, int maxQueuedRecords, boolean writable) throws RocksDBException {
+        this.maxQueuedRecords = maxQueuedRecords;
+        queue = new MpscBlockingConsumerArrayQueue<>(Math.max(2, maxQueuedRecords));
         this.folder = folder;
-        writes = write;
-        database = LedgerDatabase.open(folder, write);
-        writer = write ? new Thread(this::write, "ledger") : null;
+        this.writable = writable;
+        database = LedgerDatabase.open(folder, writable);
+        writer = writable ? new Thread(this::runWriter, "ledger") : null;
         if (writer != null) {
             writer.start();
         }
     }
 
-    /** Opens a ledger for one process to write; another that tries gets an error. */
-    public static Ledger open(Path folder, int bound) throws LedgerException {
+    /**
+     * Opens a ledger for writing. Only one process can have it open for writing; the call fails in
+     * any other.
+     */
+    public static Ledger open(Path folder, int maxQueuedRecords) throws LedgerException {
         try {
-            return new Ledger(folder, bound, true);
+            return new Ledger(folder, maxQueuedRecords, true);
         } catch (RocksDBException e) {
             throw new LedgerException(
                     "ledger " + folder + " can't be opened: " + e.getMessage(), e);
         }
     }
 
-    /** Opens a ledger to read, also while another process writes it; it is read as it was then. */
-    public static Ledger look(Path folder) throws LedgerException {
+    /**
+     * Opens a ledger for reading, also while another process writes to it; reads return its state
+     * at the time of opening.
+     */
+    public static Ledger openReadOnly(Path folder) throws LedgerException {
         try {
             return new Ledger(folder, 2, false);
         } catch (RocksDBException e) {
@@ -84,79 +92,81 @@
         }
     }
 
-    /** A record on its way, and who is to be told that it is on disk. */
-    private record Entry(Usage usage, Runnable written) {}
+    /** A queued record and its callback, null if none, to run once the record is on disk. */
+    private record PendingRecord(Usage usage, Runnable onDisk) {}
 
-    /** Takes a record without waiting; false if as many wait as may. */
+    /** Queues a record without blocking; returns false if the queue is full. */
     public boolean offer(Usage usage) {
         return offer(usage, null);
     }
 
     /**
-     * The same; onDisk is run, on the ledger's thread, when the record is on disk, and never if it
-     * is not taken.
+     * Queues a record without blocking; returns false if the queue is full. {@code onDisk}, which
+     * may be null, runs on the writer thread once the record is on disk, and never if the record
+     * was not queued.
      */
     public boolean offer(Usage usage, Runnable onDisk) {
-        return queue.offer(new Entry(usage, onDisk));
+        return queue.offer(new PendingRecord(usage, onDisk));
     }
 
-    /** Whether so much waits for the disk that nothing more should be begun. */
-    public boolean isBehind() {
-        return queue.size() >= bound * 3 / 4;
+    /** Whether the queue is three quarters full, so that no more requests should be admitted. */
+    public boolean isBacklogged() {
+        return queue.size() >= maxQueuedRecords * 3 / 4;
     }
 
-    public long written() {
-        return written;
+    /** The number of records written to disk since this ledger was opened. */
+    public long writtenRecords() {
+        return writtenRecords;
     }
 
     // ------------------------------------------------------------------ writing
 
-    @SuppressWarnings("NonAtomicVolatileUpdate") // Only this one thread writes the count.
-    private void write() {
-        List<Entry> batch = new ArrayList<>(BATCH);
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Only this thread modifies writtenRecords.
+    private void runWriter() {
+        List<PendingRecord> batch = new ArrayList<>(MAX_BATCH_RECORDS);
         try {
             while (!closing || !queue.isEmpty() || !batch.isEmpty()) {
                 if (batch.isEmpty()) {
-                    Entry first = queue.poll(50, TimeUnit.MILLISECONDS);
+                    PendingRecord first = queue.poll(50, TimeUnit.MILLISECONDS);
                     if (first == null) {
                         continue;
                     }
                     batch.add(first);
-                    queue.drain(batch::add, BATCH - 1);
+                    queue.drain(batch::add, MAX_BATCH_RECORDS - 1);
                 }
                 if (commit(batch)) {
-                    written += batch.size();
-                    for (Entry entry : batch) {
-                        if (entry.written != null) {
-                            entry.written.run();
+                    writtenRecords += batch.size();
+                    for (PendingRecord entry : batch) {
+                        if (entry.onDisk != null) {
+                            entry.onDisk.run();
                         }
                     }
                     batch.clear();
                 } else if (closing) {
                     LOG.error(
-                            "{} records are lost: the ledger can't be written",
+                            "{} usage records lost: the ledger could not be written while closing",
                             batch.size() + queue.size());
                     return;
                 } else {
-                    Thread.sleep(AGAIN_MS);
+                    Thread.sleep(RETRY_DELAY_MS);
                 }
             }
         } catch (InterruptedException e) {
-            LOG.error("the ledger's writer was interrupted", e);
+            LOG.error("the ledger's writer thread was interrupted", e);
         }
     }
 
-    private boolean commit(List<Entry> batch) {
+    private boolean commit(List<PendingRecord> batch) {
         synchronized (databaseLock) {
-            return (database != null && commitOpen(batch))
-                    || (!closing && reopen() && commitOpen(batch));
+            return (database != null && commitToOpenDatabase(batch))
+                    || (!closing && reopen() && commitToOpenDatabase(batch));
         }
     }
 
     /**
-     * After a write or sync that failed the database takes no more writes, also when the disk is
-     * well again; only opening it anew ends that. What was written in part is dropped then, and the
-     * batch is written whole.
+     * Reopens the database. After a failed write or sync RocksDB rejects all further writes, even
+     * once the disk has recovered, until the database is reopened. Reopening drops the incomplete
+     * write, so the whole batch can be written again.
      */
     private boolean reopen() {
         try {
@@ -164,69 +174,73 @@
                 database.close();
                 database = null;
             }
-            database = LedgerDatabase.open(folder, writes);
+            database = LedgerDatabase.open(folder, writable);
             return true;
         } catch (RocksDBException e) {
-            LOG.debug("the ledger can't be opened again yet", e);
+            LOG.debug("the ledger can't be reopened yet; trying again", e);
             return false;
         }
     }
 
-    private LedgerDatabase open() throws RocksDBException {
+    private LedgerDatabase openDatabase() throws RocksDBException {
         if (database == null) {
-            throw new RocksDBException("the ledger can't be opened for now");
+            throw new RocksDBException("the ledger's database is closed after a failure");
         }
         return database;
     }
 
-    private boolean commitOpen(List<Entry> batch) {
-        try (WriteBatch write = new WriteBatch();
-                WriteOptions sync = new WriteOptions().setSync(true)) {
+    private boolean commitToOpenDatabase(List<PendingRecord> batch) {
+        try (WriteBatch writeBatch = new WriteBatch();
+                WriteOptions syncedWrite = new WriteOptions().setSync(true)) {
             Map<String, Usage> usages = new HashMap<>();
             Map<String, UsageTotal> totals = new TreeMap<>();
-            for (Entry entry : batch) {
+            for (PendingRecord entry : batch) {
                 Usage usage = entry.usage;
-                Usage before =
-                        usages.containsKey(usage.id()) ? usages.get(usage.id()) : usage(usage.id());
-                // Guards against: a record that comes twice, or a client that asks again, must not
-                // be
-                // billed twice.
-                Usage now =
-                        before == null
+                Usage previous =
+                        usages.containsKey(usage.billId())
+                                ? usages.get(usage.billId())
+                                : readUsage(usage.billId());
+                // Guards against: billing twice for a record that was queued twice, or for a retry
+                // by the client.
+                Usage merged =
+                        previous == null
                                 ? usage
-                                : before.equals(usage) ? before : Usage.joined(before, usage);
-                if (before != null) {
-                    String key = key(before);
+                                : previous.equals(usage) ? previous : Usage.merge(previous, usage);
+                if (previous != null) {
+                    String key = totalKey(previous);
                     totals.put(
                             key,
-                            (totals.containsKey(key) ? totals.get(key) : total(key)).minus(before));
+                            (totals.containsKey(key) ? totals.get(key) : readTotal(key))
+                                    .minus(previous));
                 }
-                String key = key(now);
-                totals.put(key, (totals.containsKey(key) ? totals.get(key) : total(key)).plus(now));
-                usages.put(usage.id(), now);
+                String key = totalKey(merged);
+                totals.put(
+                        key,
+                        (totals.containsKey(key) ? totals.get(key) : readTotal(key)).plus(merged));
+                usages.put(usage.billId(), merged);
             }
             for (Map.Entry<String, Usage> entry : usages.entrySet()) {
-                write.put(
-                        database.usages(),
+                writeBatch.put(
+                        database.usagesFamily(),
                         entry.getKey().getBytes(StandardCharsets.UTF_8),
-                        entry.getValue().bytes());
+                        entry.getValue().toBytes());
             }
             for (Map.Entry<String, UsageTotal> entry : totals.entrySet()) {
-                write.put(
-                        database.totals(),
+                writeBatch.put(
+                        database.totalsFamily(),
                         entry.getKey().getBytes(StandardCharsets.UTF_8),
-                        entry.getValue().bytes());
+                        entry.getValue().toBytes());
             }
-            database.database().write(sync, write);
-            if (failing) {
-                failing = false;
-                LOG.info("the ledger can be written again");
+            database.database().write(syncedWrite, writeBatch);
+            if (writeFailing) {
+                writeFailing = false;
+                LOG.info("the ledger is writable again");
             }
             return true;
         } catch (RocksDBException | InvalidProtocolBufferException e) {
-            if (!failing) {
-                failing = true;
-                LOG.error("the ledger can't be written; records wait in memory", e);
+            if (!writeFailing) {
+                writeFailing = true;
+                LOG.error("the ledger can't be written; usage records are queued in memory", e);
             }
             return false;
         }
@@ -234,34 +248,45 @@
 
     // ------------------------------------------------------------------ reading
 
-    private Usage usage(String id) throws RocksDBException, InvalidProtocolBufferException {
-        byte[] bytes = open().database().get(open().usages(), id.getBytes(StandardCharsets.UTF_8));
-        return bytes == null ? null : Usage.of(id, UsageForm.parseFrom(bytes));
+    private Usage readUsage(String id) throws RocksDBException, InvalidProtocolBufferException {
+        byte[] bytes =
+                openDatabase()
+                        .database()
+                        .get(openDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
+        return bytes == null ? null : Usage.fromProto(id, UsageRecord.parseFrom(bytes));
     }
 
-    private UsageTotal total(String key) throws RocksDBException, InvalidProtocolBufferException {
-        byte[] bytes = open().database().get(open().totals(), key.getBytes(StandardCharsets.UTF_8));
-        return bytes == null ? UsageTotal.ZERO : UsageTotal.of(TotalForm.parseFrom(bytes));
+    private UsageTotal readTotal(String key)
+            throws RocksDBException, InvalidProtocolBufferException {
+        byte[] bytes =
+                openDatabase()
+                        .database()
+                        .get(openDatabase().totalsFamily(), key.getBytes(StandardCharsets.UTF_8));
+        return bytes == null
+                ? UsageTotal.ZERO
+                : UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
     }
 
-    private static String key(Usage usage) {
+    private static String totalKey(Usage usage) {
         return usage.month() + "\n" + usage.tenant() + "\n" + usage.product();
     }
 
-    /** What names a sum. */
-    public record Line(YearMonth month, String tenant, String product) {}
+    /** Identifies a total. */
+    public record TotalKey(YearMonth month, String tenant, String product) {}
 
-    /** The sums of a month, or of all months where it is null, in order. */
-    public Map<Line, UsageTotal> totals(YearMonth month) throws LedgerException {
-        Map<Line, UsageTotal> totals = new java.util.LinkedHashMap<>();
+    /** The totals of a month, or of all months if it is null, in the order of their keys. */
+    public Map<TotalKey, UsageTotal> totals(YearMonth month) throws LedgerException {
+        Map<TotalKey, UsageTotal> totals = new java.util.LinkedHashMap<>();
         try {
-            each(
-                    LedgerDatabase::totals,
+            forEachEntry(
+                    LedgerDatabase::totalsFamily,
                     (key, value) -> {
                         String[] parts = key.split("\n", 3);
-                        YearMonth of = YearMonth.parse(parts[0]);
-                        if (month == null || month.equals(of)) {
-                            totals.put(new Line(of, parts[1], parts[2]), parsedTotal(value));
+                        YearMonth entryMonth = YearMonth.parse(parts[0]);
+                        if (month == null || month.equals(entryMonth)) {
+                            totals.put(
+                                    new TotalKey(entryMonth, parts[1], parts[2]),
+                                    parseTotal(value));
                         }
                     });
         } catch (IllegalStateException e) {
@@ -270,100 +295,109 @@
         return totals;
     }
 
-    /** Tells every record, in the order of ids. */
-    public void records(java.util.function.Consumer<Usage> told) throws LedgerException {
+    /** Passes every record to {@code consumer}, in the order of the bill ids. */
+    public void forEachRecord(java.util.function.Consumer<Usage> consumer) throws LedgerException {
         try {
-            each(LedgerDatabase::usages, (key, value) -> told.accept(parsedUsage(key, value)));
+            forEachEntry(
+                    LedgerDatabase::usagesFamily,
+                    (key, value) -> consumer.accept(parseUsage(key, value)));
         } catch (IllegalStateException e) {
             throw new LedgerException(e.getMessage(), e);
         }
     }
 
-    /** Adds all records anew and compares; the differences, none if the ledger is whole. */
+    /**
+     * Recomputes the totals from the records and compares them with the stored totals. Returns a
+     * message per difference, none if the ledger is consistent.
+     */
     public List<String> verify() throws LedgerException {
-        Map<String, UsageTotal> sums = new TreeMap<>();
-        records(
+        Map<String, UsageTotal> expected = new TreeMap<>();
+        forEachRecord(
                 usage ->
-                        sums.merge(
-                                key(usage),
+                        expected.merge(
+                                totalKey(usage),
                                 UsageTotal.ZERO.plus(usage),
                                 (a, b) ->
                                         new UsageTotal(
                                                 a.generations() + b.generations(),
                                                 a.promptTokens() + b.promptTokens(),
-                                                a.keptTokens() + b.keptTokens(),
-                                                a.outTokens() + b.outTokens(),
+                                                a.cachedTokens() + b.cachedTokens(),
+                                                a.outputTokens() + b.outputTokens(),
                                                 a.wastedTokens() + b.wastedTokens())));
-        List<String> faults = new ArrayList<>();
-        Map<String, UsageTotal> kept = new TreeMap<>();
+        List<String> differences = new ArrayList<>();
+        Map<String, UsageTotal> stored = new TreeMap<>();
         totals(null)
                 .forEach(
-                        (line, total) ->
-                                kept.put(
-                                        line.month() + "\n" + line.tenant() + "\n" + line.product(),
+                        (key, total) ->
+                                stored.put(
+                                        key.month() + "\n" + key.tenant() + "\n" + key.product(),
                                         total));
-        for (Map.Entry<String, UsageTotal> entry : sums.entrySet()) {
-            UsageTotal other = kept.remove(entry.getKey());
-            if (!entry.getValue().equals(other)) {
-                faults.add(
+        for (Map.Entry<String, UsageTotal> entry : expected.entrySet()) {
+            UsageTotal storedTotal = stored.remove(entry.getKey());
+            if (!entry.getValue().equals(storedTotal)) {
+                differences.add(
                         entry.getKey().replace('\n', ' ')
-                                + ": records add up to "
+                                + ": the records add up to "
                                 + entry.getValue()
-                                + ", the sum says "
-                                + other);
+                                + ", but the stored total is "
+                                + storedTotal);
             }
         }
-        kept.forEach(
+        stored.forEach(
                 (key, total) -> {
                     if (!total.equals(UsageTotal.ZERO)) {
-                        faults.add(key.replace('\n', ' ') + ": a sum without records: " + total);
+                        differences.add(
+                                key.replace('\n', ' ') + ": a total without records: " + total);
                     }
                 });
-        return faults;
+        return differences;
     }
 
-    private void each(
-            Function<LedgerDatabase, ColumnFamilyHandle> family, BiConsumer<String, byte[]> told) {
+    private void forEachEntry(
+            Function<LedgerDatabase, ColumnFamilyHandle> family,
+            BiConsumer<String, byte[]> consumer) {
         synchronized (databaseLock) {
-            try (RocksIterator at = open().database().newIterator(family.apply(open()))) {
-                for (at.seekToFirst(); at.isValid(); at.next()) {
-                    told.accept(new String(at.key(), StandardCharsets.UTF_8), at.value());
+            try (RocksIterator iterator =
+                    openDatabase().database().newIterator(family.apply(openDatabase()))) {
+                for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
+                    consumer.accept(
+                            new String(iterator.key(), StandardCharsets.UTF_8), iterator.value());
                 }
-                at.status();
+                iterator.status();
             } catch (RocksDBException e) {
                 throw new IllegalStateException("the ledger can't be read: " + e.getMessage(), e);
             }
         }
     }
 
-    private static UsageTotal parsedTotal(byte[] bytes) {
+    private static UsageTotal parseTotal(byte[] bytes) {
         try {
-            return UsageTotal.of(TotalForm.parseFrom(bytes));
+            return UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("a sum in the ledger can't be read", e);
+            throw new IllegalStateException("a total in the ledger can't be parsed", e);
         }
     }
 
-    private static Usage parsedUsage(String id, byte[] bytes) {
+    private static Usage parseUsage(String id, byte[] bytes) {
         try {
-            return Usage.of(id, UsageForm.parseFrom(bytes));
+            return Usage.fromProto(id, UsageRecord.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("record " + id + " in the ledger can't be read", e);
+            throw new IllegalStateException("record " + id + " in the ledger can't be parsed", e);
         }
     }
 
-    /** Merges the files on disk; takes a while. */
+    /** Compacts the database; blocks until done, which takes long for a large ledger. */
     public void compact() throws LedgerException {
         try {
             synchronized (databaseLock) {
-                open().compact();
+                openDatabase().compact();
             }
         } catch (RocksDBException e) {
-            throw new LedgerException("not compacted: " + e.getMessage(), e);
+            throw new LedgerException("the ledger can't be compacted: " + e.getMessage(), e);
         }
     }
 
-    /** Writes what waits, then closes. */
+    /** Writes the queued records, waiting at most 10 seconds, then closes the database. */
     @Override
     public void close() {
         closing = true;
--- a/src/main/java/larchridge/ledger/LedgerException.java
+++ b/src/main/java/larchridge/ledger/LedgerException.java
@@ -1,10 +1,10 @@
 package larchridge.ledger;
 
-/** A ledger that can't be opened, read or written. */
+/** Thrown if a ledger can't be opened, read or compacted. */
 public final class LedgerException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public LedgerException(String text, Throwable cause) {
-        super(text, cause);
+    public LedgerException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -3,81 +3,88 @@
 import java.time.Instant;
 import java.time.YearMonth;
 import java.time.ZoneOffset;
-import larchridge.ledger.form.UsageForm;
+import larchridge.ledger.form.UsageRecord;
 
 /**
- * What one generation used.
+ * The usage record of one generation.
  *
- * @param id one bill a generation: its client's key, or its own name
- * @param atMs when it ended, milliseconds of Unix time
- * @param kind its final answer
- * @param promptTokens prompt tokens billed, those kept from before among them
- * @param outTokens answer tokens that went to the client's socket
- * @param wastedTokens tokens that engines did for it and nobody is billed for
+ * @param billId identifies the bill, one per generation: the client's idempotency key, or the
+ *     generation's own id
+ * @param endedAtMs when the generation ended, in milliseconds of Unix time
+ * @param outcome the recorded name of the final response, or {@code waste} for a record that only
+ *     adds waste to a bill
+ * @param promptTokens billed prompt tokens, including the cached ones
+ * @param cachedTokens prompt tokens that were cached
+ * @param outputTokens response tokens written to the client's socket
+ * @param wastedTokens tokens that engines processed for it and that are not billed
  */
 public record Usage(
-        String id,
+        String billId,
         String tenant,
         String product,
-        long atMs,
-        String kind,
+        long endedAtMs,
+        String outcome,
         long promptTokens,
-        long keptTokens,
-        long outTokens,
+        long cachedTokens,
+        long outputTokens,
         long wastedTokens,
         int attempts) {
 
+    /** The month, in UTC, to which the record is billed. */
     public YearMonth month() {
-        return YearMonth.from(Instant.ofEpochMilli(atMs).atOffset(ZoneOffset.UTC));
+        return YearMonth.from(Instant.ofEpochMilli(endedAtMs).atOffset(ZoneOffset.UTC));
     }
 
     /**
-     * One record of two for the same id: a client that asks again with its key pays once, for the
-     * answer that it got most of; what was done besides is waste.
+     * Merges two records of the same bill. A client that retries with its idempotency key pays
+     * once, for the longer response that it received; the tokens of the other one are waste.
      */
-    static Usage joined(Usage before, Usage again) {
-        boolean againHasMore = again.outTokens > before.outTokens;
-        Usage more = againHasMore ? again : before;
-        Usage less = againHasMore ? before : again;
+    static Usage merge(Usage earlier, Usage later) {
+        boolean laterIsLonger = later.outputTokens > earlier.outputTokens;
+        Usage longer = laterIsLonger ? later : earlier;
+        Usage shorter = laterIsLonger ? earlier : later;
         return new Usage(
-                more.id,
-                more.tenant,
-                more.product,
-                before.atMs,
-                more.kind,
-                more.promptTokens,
-                more.keptTokens,
-                more.outTokens,
-                more.wastedTokens + less.wastedTokens + less.promptTokens + less.outTokens,
-                more.attempts + less.attempts);
+                longer.billId,
+                longer.tenant,
+                longer.product,
+                earlier.endedAtMs,
+                longer.outcome,
+                longer.promptTokens,
+                longer.cachedTokens,
+                longer.outputTokens,
+                longer.wastedTokens
+                        + shorter.wastedTokens
+                        + shorter.promptTokens
+                        + shorter.outputTokens,
+                longer.attempts + shorter.attempts);
     }
 
-    byte[] bytes() {
-        return UsageForm.newBuilder()
+    byte[] toBytes() {
+        return UsageRecord.newBuilder()
                 .setTenant(tenant)
                 .setProduct(product)
-                .setAtMs(atMs)
-                .setKind(kind)
+                .setAtMs(endedAtMs)
+                .setKind(outcome)
                 .setPromptToks(promptTokens)
-                .setKeptToks(keptTokens)
-                .setOutToks(outTokens)
+                .setKeptToks(cachedTokens)
+                .setOutToks(outputTokens)
                 .setWastedToks(wastedTokens)
                 .setAttempts(attempts)
                 .build()
                 .toByteArray();
     }
 
-    static Usage of(String id, UsageForm form) {
+    static Usage fromProto(String billId, UsageRecord stored) {
         return new Usage(
-                id,
-                form.getTenant(),
-                form.getProduct(),
-                form.getAtMs(),
-                form.getKind(),
-                form.getPromptToks(),
-                form.getKeptToks(),
-                form.getOutToks(),
-                form.getWastedToks(),
-                form.getAttempts());
+                billId,
+                stored.getTenant(),
+                stored.getProduct(),
+                stored.getAtMs(),
+                stored.getKind(),
+                stored.getPromptToks(),
+                stored.getKeptToks(),
+                stored.getOutToks(),
+                stored.getWastedToks(),
+                stored.getAttempts());
     }
 }
--- a/src/main/java/larchridge/store/IncomingFile.java
+++ b/src/main/java/larchridge/store/IncomingFile.java
@@ -13,21 +13,21 @@
 import java.util.HexFormat;
 
 /**
- * Bytes on their way to becoming a file: written aside, digested as they come, synced before anyone
- * is told of them.
+ * An upload that is not yet a file of the store. Its content is written to a temporary file and
+ * digested as it arrives, and must be synced before {@link Store#addFile}.
  */
 public final class IncomingFile implements AutoCloseable {
     final Path path;
     private final FileChannel channel;
     private final OutputStream out;
     private final MessageDigest digest;
-    private final CrashPoints points;
+    private final CrashPoints crashPoints;
     private long bytes;
-    private String name;
+    private String hexDigest;
 
-    IncomingFile(Path path, CrashPoints points) throws IOException {
+    IncomingFile(Path path, CrashPoints crashPoints) throws IOException {
         this.path = path;
-        this.points = points;
+        this.crashPoints = crashPoints;
         channel = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         out =
                 new BufferedOutputStream(
@@ -38,9 +38,9 @@
                             }
 
                             @Override
-                            public void write(byte[] part, int from, int length)
+                            public void write(byte[] data, int offset, int length)
                                     throws IOException {
-                                ByteBuffer buffer = ByteBuffer.wrap(part, from, length);
+                                ByteBuffer buffer = ByteBuffer.wrap(data, offset, length);
                                 while (buffer.hasRemaining()) {
                                     channel.write(buffer);
                                 }
@@ -50,38 +50,44 @@
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("the Java runtime has no SHA-256", e);
         }
     }
 
-    public void write(byte[] part, int from, int length) throws IOException {
-        out.write(part, from, length);
-        digest.update(part, from, length);
+    /** Appends to the content. */
+    public void write(byte[] data, int offset, int length) throws IOException {
+        out.write(data, offset, length);
+        digest.update(data, offset, length);
         bytes += length;
     }
 
+    /** The number of bytes written so far. */
     public long bytes() {
         return bytes;
     }
 
-    /** Makes the bytes last; may take long, and so belongs on a thread that may wait. */
-    public IncomingFile synced() throws IOException {
-        points.at("sync incoming");
+    /**
+     * Ends the content and syncs it to disk. Blocks, possibly for long, so it must not be called on
+     * an event loop.
+     */
+    public IncomingFile sync() throws IOException {
+        crashPoints.reached("sync incoming");
         out.flush();
         channel.force(true);
         channel.close();
-        name = HexFormat.of().formatHex(digest.digest());
+        hexDigest = HexFormat.of().formatHex(digest.digest());
         return this;
     }
 
+    /** The SHA-256 of the content in lower-case hex; only after {@link #sync}. */
     String digest() {
-        if (name == null) {
-            throw new IllegalStateException("not synced");
+        if (hexDigest == null) {
+            throw new IllegalStateException("the incoming file is not synced");
         }
-        return name;
+        return hexDigest;
     }
 
-    /** Lets go of the bytes, unless they have become a file. */
+    /** Deletes the temporary file, unless its content was moved into the store. */
     @Override
     public void close() throws IOException {
         channel.close();
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -19,11 +19,11 @@
 import java.util.UUID;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.FlightForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.LineAnswer;
+import larchridge.store.form.LineAttempts;
 import org.rocksdb.Checkpoint;
 import org.rocksdb.ColumnFamilyDescriptor;
 import org.rocksdb.ColumnFamilyHandle;
@@ -37,14 +37,14 @@
 import org.rocksdb.WriteOptions;
 
 /**
- * Files and batches on disk, over crashes. Bytes lie in {@code blobs} under their SHA-256 and never
- * change; everything else is in one RocksDB, so that what belongs together is written together or
- * not at all. A record that a client was promised is synced. What is half-done when the process
- * ends is either not there at the next opening, or done anew.
+ * Durable, crash-safe storage of files and batches. File contents are immutable blobs in the folder
+ * {@code blobs}, named by their SHA-256; everything else is in one RocksDB, so that related changes
+ * are written atomically. Records that are acknowledged to a client are synced first. An operation
+ * that a crash interrupts is either absent at the next opening or can be repeated.
  *
- * <p>One process owns a store, by the kernel's lock on its database, which goes with the process;
- * each owner has a higher epoch. All that writes here, but for an {@link IncomingFile}, runs on one
- * thread of the owner.
+ * <p>One process owns a store through the operating system's lock on its database, which is
+ * released when the process ends. Each owner has a higher epoch than the one before. All writes,
+ * except those to an {@link IncomingFile}, are made on a single thread of the owner.
  */
 public final class Store implements AutoCloseable {
     private static final byte[] EPOCH = "epoch".getBytes(StandardCharsets.UTF_8);
@@ -55,50 +55,59 @@
 
     private final Path folder;
     private final Path blobs;
-    private final Path arriving;
-    private final CrashPoints points;
+    private final Path incomingFolder;
+    private final CrashPoints crashPoints;
     private final DBOptions options;
     private final ColumnFamilyOptions familyOptions = new ColumnFamilyOptions();
     private final List<ColumnFamilyHandle> handles = new ArrayList<>();
     private final RocksDB db;
-    private final boolean writes;
+    private final boolean writable;
     private long epoch;
-    private long numbers;
+    private long lastNumber;
 
-    /** Tenants' bytes and files. */
-    private final Map<String, long[]> kept = new HashMap<>();
+    /** The number of bytes and the number of files stored, by tenant. */
+    private final Map<String, long[]> tenantUsage = new HashMap<>();
 
-    /** Files that a batch which is not over reads, and by how many. */
-    private final Map<String, Integer> read = new HashMap<>();
+    /** The number of active batches by the id of their input file. */
+    private final Map<String, Integer> activeBatchesByInput = new HashMap<>();
 
-    /** What the database keeps, in families of its own. */
+    /** The column families. Their lower-case names are stored; META is the default family. */
     private enum Family {
+        /** The epoch. */
         META,
+        /** File records by id. */
         FILES,
+        /** Batch records by id. */
         BATCHES,
+        /** Ids of files and batches by tenant and kind, newest first. */
         ORDER,
+        /** Ids of the batches that have not ended, without values. */
         ACTIVE,
+        /** Answers to lines of active batches, by batch and line. */
         ANSWERS,
+        /** Attempts of unanswered lines that were sent and may have run, by batch and line. */
         FLIGHTS,
+        /** Line numbers by batch and digest of the custom id, while the input is validated. */
         NAMES,
+        /** The number of files that refer to a blob, by its digest. */
         BLOBS
     }
 
-    private Store(Path folder, CrashPoints points, boolean writes)
+    private Store(Path folder, CrashPoints crashPoints, boolean writable)
             throws RocksDBException, IOException {
         this.folder = folder;
-        this.points = points;
-        this.writes = writes;
+        this.crashPoints = crashPoints;
+        this.writable = writable;
         blobs = folder.resolve("blobs");
-        arriving = folder.resolve("arriving");
-        if (writes) {
+        incomingFolder = folder.resolve("arriving");
+        if (writable) {
             Files.createDirectories(blobs);
-            Files.createDirectories(arriving);
+            Files.createDirectories(incomingFolder);
         }
         options =
                 new DBOptions()
-                        .setCreateIfMissing(writes)
-                        .setCreateMissingColumnFamilies(writes)
+                        .setCreateIfMissing(writable)
+                        .setCreateMissingColumnFamilies(writable)
                         .setWalRecoveryMode(WALRecoveryMode.TolerateCorruptedTailRecords)
                         .setMaxTotalWalSize(128 << 20)
                         .setKeepLogFileNum(2);
@@ -115,36 +124,43 @@
         }
         String path = folder.resolve("db").toString();
         db =
-                writes
+                writable
                         ? RocksDB.open(options, path, descriptors, handles)
                         : RocksDB.openReadOnly(options, path, descriptors, handles);
     }
 
-    /** Opens a store as its owner; {@link Taken} if another process owns it. */
-    public static Store open(Path folder, CrashPoints points) throws IOException {
+    /**
+     * Opens a store as its owner.
+     *
+     * @throws InUseException if another process owns the store
+     */
+    public static Store open(Path folder, CrashPoints crashPoints) throws IOException {
         Store store;
         try {
-            store = new Store(folder, points, true);
+            store = new Store(folder, crashPoints, true);
         } catch (RocksDBException e) {
             if (e.getMessage().contains("lock")) {
-                throw new Taken("store " + folder + " belongs to another process");
+                throw new InUseException("store " + folder + " is owned by another process");
             }
             throw new StoreException("store " + folder + " can't be opened: " + e.getMessage(), e);
         }
-        boolean begun = false;
+        boolean opened = false;
         try {
-            store.begin();
-            begun = true;
+            store.becomeOwner();
+            opened = true;
             return store;
         } finally {
-            if (!begun) {
+            if (!opened) {
                 store.close();
             }
         }
     }
 
-    /** Opens a store to read, also while another process owns it; it is read as it was then. */
-    public static Store look(Path folder) throws IOException {
+    /**
+     * Opens a store for reading, also while another process owns it; reads return its state at the
+     * time of opening.
+     */
+    public static Store openReadOnly(Path folder) throws IOException {
         try {
             return new Store(folder, CrashPoints.NONE, false);
         } catch (RocksDBException e) {
@@ -152,50 +168,50 @@
         }
     }
 
-    /** Another process owns the store. */
-    public static final class Taken extends IOException {
+    /** Thrown if another process owns the store. */
+    public static final class InUseException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Taken(String text) {
-            super(text);
+        InUseException(String message) {
+            super(message);
         }
     }
 
-    private void begin() throws IOException {
-        epoch = number(get(Family.META, EPOCH)) + 1;
-        try (Stream<Path> left = Files.list(arriving)) {
-            // What was arriving when the owner before ended was promised to nobody.
-            for (Path path : left.toList()) {
+    private void becomeOwner() throws IOException {
+        epoch = decodeLong(get(Family.META, EPOCH)) + 1;
+        try (Stream<Path> unfinished = Files.list(incomingFolder)) {
+            // Uploads that the previous owner did not complete were never acknowledged.
+            for (Path path : unfinished.toList()) {
                 Files.delete(path);
             }
         }
-        try (RocksIterator last = db.newIterator(handle(Family.ORDER))) {
-            for (last.seekToFirst(); last.isValid(); last.next()) {
-                numbers = Math.max(numbers, Long.MAX_VALUE - tail(last.key()));
+        try (RocksIterator iterator = db.newIterator(handle(Family.ORDER))) {
+            for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
+                lastNumber = Math.max(lastNumber, Long.MAX_VALUE - trailingLong(iterator.key()));
             }
         }
-        files((id, file) -> count(file, 1));
-        each(
+        forEachFile((id, file) -> addToTenantUsage(file, 1));
+        forEachEntry(
                 Family.ACTIVE,
                 new byte[0],
                 (key, value) -> {
                     try {
-                        read.merge(batch(text(key)).getInput(), 1, Integer::sum);
+                        activeBatchesByInput.merge(batch(text(key)).getInput(), 1, Integer::sum);
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
-        sweep();
-        commit("take over", new Change().put(Family.META, EPOCH, bytes(epoch)));
+        deleteUnreferencedBlobs();
+        commit("increment epoch", new Change().put(Family.META, EPOCH, encodeLong(epoch)));
     }
 
     /**
-     * Bytes that were placed and named by no record, or unnamed and not removed, when the owner
-     * before ended.
+     * Deletes blobs that the previous owner moved into place without committing a record, or whose
+     * last reference it deleted without deleting the blob.
      */
-    private void sweep() throws IOException {
-        try (Stream<Path> all = Files.walk(blobs)) {
-            for (Path path : all.filter(Files::isRegularFile).toList()) {
+    private void deleteUnreferencedBlobs() throws IOException {
+        try (Stream<Path> paths = Files.walk(blobs)) {
+            for (Path path : paths.filter(Files::isRegularFile).toList()) {
                 if (get(Family.BLOBS, key(path.getFileName().toString())) == null) {
                     Files.delete(path);
                 }
@@ -203,42 +219,44 @@
         }
     }
 
-    /** How often the store has had an owner. */
+    /** The number of owners of the store so far, including this one; 0 if opened for reading. */
     public long epoch() {
         return epoch;
     }
 
     // ------------------------------------------------------------------ files
 
-    /** A place for bytes that arrive; on any thread. */
-    public IncomingFile receive() throws IOException {
-        return new IncomingFile(arriving.resolve(UUID.randomUUID() + ".in"), points);
+    /** Creates an empty file to receive an upload; may be called on any thread. */
+    public IncomingFile createIncomingFile() throws IOException {
+        return new IncomingFile(incomingFolder.resolve(UUID.randomUUID() + ".in"), crashPoints);
     }
 
-    public long bytesOf(String tenant) {
-        return kept.getOrDefault(tenant, new long[2])[0];
+    /** The total size of a tenant's files. */
+    public long storedBytes(String tenant) {
+        return tenantUsage.getOrDefault(tenant, new long[2])[0];
     }
 
-    public long filesOf(String tenant) {
-        return kept.getOrDefault(tenant, new long[2])[1];
+    /** The number of a tenant's files. */
+    public long storedFiles(String tenant) {
+        return tenantUsage.getOrDefault(tenant, new long[2])[1];
     }
 
-    /** Makes a synced incoming a file; when this returns it is there for good. */
-    public FileForm keep(
+    /** Adds a synced incoming file to the store; the file is durable when this returns. */
+    public FileRecord addFile(
             IncomingFile incoming, String tenant, String name, String purpose, long nowMs)
             throws IOException {
         Change change = new Change();
-        FileForm file = place(incoming, tenant, name, purpose, nowMs, change);
-        commit("record file", change);
-        count(file, 1);
+        FileRecord file = stageFile(incoming, tenant, name, purpose, nowMs, change);
+        commit("add file", change);
+        addToTenantUsage(file, 1);
         return file;
     }
 
     /**
-     * Moves the bytes to where they stay and adds the record to a change; a crash before that
-     * leaves bytes that nobody names.
+     * Moves the content to its blob and adds the file record to {@code change}. A crash before the
+     * change is committed leaves an unreferenced blob, which the next owner deletes.
      */
-    private FileForm place(
+    private FileRecord stageFile(
             IncomingFile incoming,
             String tenant,
             String name,
@@ -247,18 +265,18 @@
             Change change)
             throws IOException {
         String digest = incoming.digest();
-        Path to = blob(digest);
-        Files.createDirectories(to.getParent());
-        points.at("move blob");
-        if (Files.exists(to)) {
+        Path target = blobPath(digest);
+        Files.createDirectories(target.getParent());
+        crashPoints.reached("move blob");
+        if (Files.exists(target)) {
             Files.delete(incoming.path);
         } else {
-            Files.move(incoming.path, to, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(incoming.path, target, StandardCopyOption.ATOMIC_MOVE);
         }
-        sync(to.getParent());
-        long number = ++numbers;
-        FileForm file =
-                FileForm.newBuilder()
+        syncDirectory(target.getParent());
+        long number = ++lastNumber;
+        FileRecord file =
+                FileRecord.newBuilder()
                         .setId("file-" + Long.toString(epoch, 36) + "-" + Long.toString(number, 36))
                         .setTenant(tenant)
                         .setName(name)
@@ -269,67 +287,68 @@
                         .setNumber(number)
                         .build();
         change.put(Family.FILES, key(file.getId()), file.toByteArray());
-        change.put(Family.ORDER, order(tenant, 'f', number), key(file.getId()));
-        change.blob(digest, 1);
+        change.put(Family.ORDER, orderKey(tenant, 'f', number), key(file.getId()));
+        change.addReferences(digest, 1);
         return file;
     }
 
-    private void count(FileForm file, int sign) {
-        long[] sums = kept.computeIfAbsent(file.getTenant(), name -> new long[2]);
-        sums[0] += sign * file.getBytes();
-        sums[1] += sign;
+    private void addToTenantUsage(FileRecord file, int sign) {
+        long[] usage = tenantUsage.computeIfAbsent(file.getTenant(), name -> new long[2]);
+        usage[0] += sign * file.getBytes();
+        usage[1] += sign;
     }
 
-    /** The file of this name, or null. */
-    public FileForm file(String id) throws IOException {
+    /** The record of the file with this id, or null if there is none. */
+    public FileRecord file(String id) throws IOException {
         byte[] bytes = get(Family.FILES, key(id));
-        return bytes == null ? null : FileForm.parseFrom(bytes);
+        return bytes == null ? null : FileRecord.parseFrom(bytes);
     }
 
-    /**
-     * The bytes of a file; they stay readable through what is opened here even if the file is
-     * deleted.
-     */
-    public FileChannel content(FileForm file) throws IOException {
-        return FileChannel.open(blob(file.getDigest()), StandardOpenOption.READ);
+    /** Opens the content of a file; the channel stays readable even if the file is deleted. */
+    public FileChannel openContent(FileRecord file) throws IOException {
+        return FileChannel.open(blobPath(file.getDigest()), StandardOpenOption.READ);
     }
 
-    public boolean isRead(String fileId) {
-        return read.containsKey(fileId);
+    /** Whether a file is the input of an active batch. */
+    public boolean isInputInUse(String fileId) {
+        return activeBatchesByInput.containsKey(fileId);
     }
 
-    /** Deletes a file; false if a batch that is not over reads it. */
-    public boolean delete(FileForm file) throws IOException {
-        if (isRead(file.getId())) {
+    /** Deletes a file; returns false if it is the input of an active batch. */
+    public boolean deleteFile(FileRecord file) throws IOException {
+        if (isInputInUse(file.getId())) {
             return false;
         }
         Change change =
                 new Change()
                         .delete(Family.FILES, key(file.getId()))
-                        .delete(Family.ORDER, order(file.getTenant(), 'f', file.getNumber()));
-        change.blob(file.getDigest(), -1);
+                        .delete(Family.ORDER, orderKey(file.getTenant(), 'f', file.getNumber()));
+        change.addReferences(file.getDigest(), -1);
         commit("delete file", change);
-        count(file, -1);
+        addToTenantUsage(file, -1);
         if (get(Family.BLOBS, key(file.getDigest())) == null) {
-            points.at("remove blob");
-            Files.deleteIfExists(blob(file.getDigest()));
+            crashPoints.reached("remove blob");
+            Files.deleteIfExists(blobPath(file.getDigest()));
         }
         return true;
     }
 
     /**
-     * So many ids of a tenant's files (kind f) or batches (b), newest first, after one of them or
-     * from the newest.
+     * Lists ids of a tenant's files or batches, newest first.
+     *
+     * @param kind {@code 'f'} for files, {@code 'b'} for batches
+     * @param afterNumber the number of the last item of the previous page, or -1 for the first page
+     * @param limit the most ids to return
      */
-    public List<String> page(String tenant, char kind, long afterNumber, int most)
+    public List<String> listIds(String tenant, char kind, long afterNumber, int limit)
             throws IOException {
         List<String> ids = new ArrayList<>();
-        byte[] prefix = order(tenant, kind, -1);
-        try (RocksIterator at = db.newIterator(handle(Family.ORDER))) {
-            for (at.seek(afterNumber < 0 ? prefix : order(tenant, kind, afterNumber - 1));
-                    at.isValid() && startsWith(at.key(), prefix) && ids.size() < most;
-                    at.next()) {
-                ids.add(text(at.value()));
+        byte[] prefix = orderKey(tenant, kind, -1);
+        try (RocksIterator iterator = db.newIterator(handle(Family.ORDER))) {
+            for (iterator.seek(afterNumber < 0 ? prefix : orderKey(tenant, kind, afterNumber - 1));
+                    iterator.isValid() && startsWith(iterator.key(), prefix) && ids.size() < limit;
+                    iterator.next()) {
+                ids.add(text(iterator.value()));
             }
         }
         return ids;
@@ -337,12 +356,12 @@
 
     // ------------------------------------------------------------------ batches
 
-    /** A new batch, validating; synced. */
-    public BatchForm begin(BatchForm.Builder about) throws IOException {
-        long number = ++numbers;
-        BatchForm batch =
-                about.setNumber(number)
-                        .setState(StateForm.VALIDATING)
+    /** Creates a batch in state VALIDATING; synced. */
+    public BatchRecord createBatch(BatchRecord.Builder builder) throws IOException {
+        long number = ++lastNumber;
+        BatchRecord batch =
+                builder.setNumber(number)
+                        .setState(BatchState.VALIDATING)
                         .setId(
                                 "batch_"
                                         + Long.toString(epoch, 36)
@@ -354,227 +373,240 @@
                         .put(Family.BATCHES, key(batch.getId()), batch.toByteArray())
                         .put(
                                 Family.ORDER,
-                                order(batch.getTenant(), 'b', number),
+                                orderKey(batch.getTenant(), 'b', number),
                                 key(batch.getId()))
                         .put(Family.ACTIVE, key(batch.getId()), new byte[0]);
-        commit("begin batch", change);
-        read.merge(batch.getInput(), 1, Integer::sum);
+        commit("create batch", change);
+        activeBatchesByInput.merge(batch.getInput(), 1, Integer::sum);
         return batch;
     }
 
-    /** The batch of this name, or null. */
-    public BatchForm batch(String id) throws IOException {
+    /** The record of the batch with this id, or null if there is none. */
+    public BatchRecord batch(String id) throws IOException {
         byte[] bytes = get(Family.BATCHES, key(id));
-        return bytes == null ? null : BatchForm.parseFrom(bytes);
+        return bytes == null ? null : BatchRecord.parseFrom(bytes);
     }
 
-    /** Batches that are not over, in the order in which they came. */
-    public List<BatchForm> active() throws IOException {
-        List<BatchForm> all = new ArrayList<>();
+    /** The batches that have not ended, in the order of their creation. */
+    public List<BatchRecord> activeBatches() throws IOException {
+        List<BatchRecord> batches = new ArrayList<>();
         List<String> ids = new ArrayList<>();
-        each(Family.ACTIVE, new byte[0], (key, value) -> ids.add(text(key)));
+        forEachEntry(Family.ACTIVE, new byte[0], (key, value) -> ids.add(text(key)));
         for (String id : ids) {
-            all.add(batch(id));
+            batches.add(batch(id));
         }
-        all.sort(java.util.Comparator.comparingLong(BatchForm::getNumber));
-        return all;
+        batches.sort(java.util.Comparator.comparingLong(BatchRecord::getNumber));
+        return batches;
     }
 
-    /** What a batch is from now on; synced. One that has failed is over. */
-    public void update(BatchForm batch) throws IOException {
+    /** Replaces the record of a batch; synced. A batch in state FAILED has ended. */
+    public void updateBatch(BatchRecord batch) throws IOException {
         Change change = new Change().put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
-        if (batch.getState() == StateForm.FAILED) {
-            over(batch, change);
+        if (batch.getState() == BatchState.FAILED) {
+            deleteActiveState(batch, change);
         }
         commit("update batch", change);
-        if (batch.getState() == StateForm.FAILED) {
-            unread(batch);
+        if (batch.getState() == BatchState.FAILED) {
+            releaseInput(batch);
         }
     }
 
-    private static void over(BatchForm batch, Change change) throws IOException {
+    /** Adds to {@code change} the deletion of what is stored only while a batch is active. */
+    private static void deleteActiveState(BatchRecord batch, Change change) throws IOException {
         change.delete(Family.ACTIVE, key(batch.getId()));
         for (Family family : List.of(Family.ANSWERS, Family.FLIGHTS, Family.NAMES)) {
-            change.deleteRange(family, line(batch.getId(), 0), line(batch.getId(), -1));
+            change.deleteRange(family, lineKey(batch.getId(), 0), lineKey(batch.getId(), -1));
         }
     }
 
-    private void unread(BatchForm batch) {
-        read.computeIfPresent(batch.getInput(), (id, readers) -> readers > 1 ? readers - 1 : null);
+    private void releaseInput(BatchRecord batch) {
+        activeBatchesByInput.computeIfPresent(
+                batch.getInput(), (id, count) -> count > 1 ? count - 1 : null);
     }
 
     /**
-     * The end of a batch: its files, its last state and the going of its lines' records, all or
-     * nothing. The incomings may be null where a file would be empty. What was placed before a
-     * crash is placed again by the next try.
+     * Ends a batch: atomically adds its files, stores its final record and deletes the records of
+     * its lines. {@code output} and {@code errors} may be null if the file would be empty. After a
+     * crash the call can be repeated with newly written files.
      */
-    public BatchForm finish(
-            BatchForm.Builder batch, IncomingFile output, IncomingFile errors, long nowMs)
+    public BatchRecord finishBatch(
+            BatchRecord.Builder batch, IncomingFile output, IncomingFile errors, long nowMs)
             throws IOException {
         Change change = new Change();
-        List<FileForm> made = new ArrayList<>();
+        List<FileRecord> files = new ArrayList<>();
         if (output != null) {
-            made.add(
-                    place(
+            files.add(
+                    stageFile(
                             output,
                             batch.getTenant(),
                             batch.getId() + "_output.jsonl",
                             "batch_output",
                             nowMs,
                             change));
-            batch.setOutput(made.get(0).getId());
+            batch.setOutput(files.get(0).getId());
         }
         if (errors != null) {
-            made.add(
-                    place(
+            files.add(
+                    stageFile(
                             errors,
                             batch.getTenant(),
                             batch.getId() + "_error.jsonl",
                             "batch_output",
                             nowMs,
                             change));
-            batch.setErrors(made.get(made.size() - 1).getId());
+            batch.setErrors(files.get(files.size() - 1).getId());
         }
-        BatchForm done = batch.build();
+        BatchRecord done = batch.build();
         change.put(Family.BATCHES, key(done.getId()), done.toByteArray());
-        over(done, change);
+        deleteActiveState(done, change);
         commit("finish batch", change);
-        made.forEach(file -> count(file, 1));
-        unread(done);
+        files.forEach(file -> addToTenantUsage(file, 1));
+        releaseInput(done);
         return done;
     }
 
     // ------------------------------------------------------------------ lines
 
     /**
-     * Notes a custom id while a file is validated; the line that had it before, or -1. Not kept
-     * over a crash.
+     * Records the custom id of a line during validation. Returns the number of an earlier line with
+     * the same custom id, or -1. Not durable: a crash may lose it.
      */
-    public long name(String batch, String customId, long line) throws IOException {
+    public long recordCustomId(String batch, String customId, long line) throws IOException {
         byte[] key = Arrays.copyOf(key(batch + '\0'), batch.length() + 17);
         System.arraycopy(sha256(customId), 0, key, batch.length() + 1, 16);
-        byte[] before = get(Family.NAMES, key);
-        if (before != null) {
-            return number(before);
+        byte[] previous = get(Family.NAMES, key);
+        if (previous != null) {
+            return decodeLong(previous);
         }
-        try (WriteOptions unsafe = new WriteOptions().setDisableWAL(true)) {
-            db.put(handle(Family.NAMES), unsafe, key, bytes(line));
+        try (WriteOptions withoutLog = new WriteOptions().setDisableWAL(true)) {
+            db.put(handle(Family.NAMES), withoutLog, key, encodeLong(line));
             return -1;
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
     }
 
-    /** Forgets the custom ids noted for a batch. */
-    public void unname(String batch) throws IOException {
+    /** Deletes the custom ids recorded for a batch. */
+    public void forgetCustomIds(String batch) throws IOException {
         commit(
-                "forget names",
-                new Change().deleteRange(Family.NAMES, line(batch, 0), line(batch, -1)));
+                "forget custom ids",
+                new Change().deleteRange(Family.NAMES, lineKey(batch, 0), lineKey(batch, -1)));
     }
 
-    /** A line goes to a front for this time; synced where nobody may find out by trying again. */
-    public void flight(String batch, long line, int attempts, boolean sync) throws IOException {
-        points.at("record flight");
-        try (WriteOptions how = new WriteOptions().setSync(sync)) {
+    /**
+     * Records, before a line is sent to a router, how many attempts it has had including this one.
+     *
+     * @param sync whether to sync first, required if a line that may have run must not be repeated
+     */
+    public void recordAttempts(String batch, long line, int attempts, boolean sync)
+            throws IOException {
+        crashPoints.reached("record attempts");
+        try (WriteOptions writeOptions = new WriteOptions().setSync(sync)) {
             db.put(
                     handle(Family.FLIGHTS),
-                    how,
-                    line(batch, line),
-                    FlightForm.newBuilder().setAttempts(attempts).build().toByteArray());
+                    writeOptions,
+                    lineKey(batch, line),
+                    LineAttempts.newBuilder().setAttempts(attempts).build().toByteArray());
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
     }
 
-    /** A line came back from its front as one that surely did not run there. */
-    public void landed(String batch, long line, int attempts) throws IOException {
+    /**
+     * Records that the last attempt of a line certainly did not run, or is harmless to repeat.
+     *
+     * @param attempts the attempts that remain counted
+     */
+    public void recordNotRun(String batch, long line, int attempts) throws IOException {
         if (attempts > 0) {
-            flight(batch, line, attempts, false);
+            recordAttempts(batch, line, attempts, false);
             return;
         }
-        points.at("record landing");
+        crashPoints.reached("record not run");
         try {
-            db.delete(handle(Family.FLIGHTS), line(batch, line));
+            db.delete(handle(Family.FLIGHTS), lineKey(batch, line));
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
     }
 
-    /** How often a line was handed to a front. */
+    /** The recorded attempts of a line. */
     public int attempts(String batch, long line) throws IOException {
-        byte[] bytes = get(Family.FLIGHTS, line(batch, line));
-        return bytes == null ? 0 : FlightForm.parseFrom(bytes).getAttempts();
+        byte[] bytes = get(Family.FLIGHTS, lineKey(batch, line));
+        return bytes == null ? 0 : LineAttempts.parseFrom(bytes).getAttempts();
     }
 
+    /** Whether a line has an answer. */
     public boolean isAnswered(String batch, long line) throws IOException {
-        return get(Family.ANSWERS, line(batch, line)) != null;
+        return get(Family.ANSWERS, lineKey(batch, line)) != null;
     }
 
-    /** The record of a line, or null. */
-    public AnswerForm answer(String batch, long line) throws IOException {
-        byte[] bytes = get(Family.ANSWERS, line(batch, line));
-        return bytes == null ? null : AnswerForm.parseFrom(bytes);
+    /** The answer to a line, or null if there is none. */
+    public LineAnswer answer(String batch, long line) throws IOException {
+        byte[] bytes = get(Family.ANSWERS, lineKey(batch, line));
+        return bytes == null ? null : LineAnswer.parseFrom(bytes);
     }
 
-    /** One line's one record, to be written with others. */
-    public record Answer(String batch, long line, AnswerForm answer) {}
+    /** The answer to one line of a batch, for {@link #recordAnswers}. */
+    public record Answer(String batch, long line, LineAnswer answer) {}
 
-    /**
-     * Writes records and the batches that they belong to, as they are then, in one synced change.
-     */
-    public void answered(List<Answer> answers, List<BatchForm> batches) throws IOException {
+    /** Stores answers and the updated records of their batches in one synced change. */
+    public void recordAnswers(List<Answer> answers, List<BatchRecord> batches) throws IOException {
         Change change = new Change();
-        for (Answer one : answers) {
-            change.put(Family.ANSWERS, line(one.batch(), one.line()), one.answer().toByteArray());
-            change.delete(Family.FLIGHTS, line(one.batch(), one.line()));
-        }
-        for (BatchForm batch : batches) {
+        for (Answer answer : answers) {
+            change.put(
+                    Family.ANSWERS,
+                    lineKey(answer.batch(), answer.line()),
+                    answer.answer().toByteArray());
+            change.delete(Family.FLIGHTS, lineKey(answer.batch(), answer.line()));
+        }
+        for (BatchRecord batch : batches) {
             change.put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
         }
         commit("record answers", change);
     }
 
-    // ------------------------------------------------------------------ looking after it
+    // ------------------------------------------------------------------ maintenance
 
     /**
-     * Copies the whole store, as it is now, to a folder that is not there yet; bytes are shared by
-     * links where possible.
+     * Copies the current state of the store to a folder that does not exist yet. Blobs are hard
+     * links where the file system allows it.
      */
     public void snapshot(Path to) throws IOException {
         Files.createDirectories(to);
-        points.at("snapshot");
+        crashPoints.reached("snapshot");
         try (Checkpoint checkpoint = Checkpoint.create(db)) {
             checkpoint.createCheckpoint(to.resolve("db").toString());
         } catch (RocksDBException e) {
-            throw new StoreException("no snapshot: " + e.getMessage(), e);
+            throw new StoreException("the snapshot failed: " + e.getMessage(), e);
         }
         List<String> digests = new ArrayList<>();
-        each(Family.BLOBS, new byte[0], (key, value) -> digests.add(text(key)));
+        forEachEntry(Family.BLOBS, new byte[0], (key, value) -> digests.add(text(key)));
         for (String digest : digests) {
-            copy(blob(digest), blobIn(to.resolve("blobs"), digest));
+            linkOrCopy(blobPath(digest), blobPathIn(to.resolve("blobs"), digest));
         }
-        sync(to);
+        syncDirectory(to);
     }
 
     /**
-     * Copies a store that lies still, or lies as a kill would leave it, to a folder that is not
-     * there yet.
+     * Copies the files of a store to a folder that does not exist yet. The store must not be
+     * written meanwhile; it may be in the state that a killed process leaves.
      */
     public static void copyFolder(Path from, Path to) throws IOException {
-        try (Stream<Path> all = Files.walk(from)) {
-            for (Path path : all.toList()) {
-                Path into = to.resolve(from.relativize(path).toString());
+        try (Stream<Path> paths = Files.walk(from)) {
+            for (Path path : paths.toList()) {
+                Path target = to.resolve(from.relativize(path).toString());
                 if (Files.isDirectory(path)) {
-                    Files.createDirectories(into);
+                    Files.createDirectories(target);
                 } else {
-                    Files.copy(path, into);
+                    Files.copy(path, target);
                 }
             }
         }
     }
 
-    /** Links where the file system can, copies elsewhere. */
-    static void copy(Path from, Path to) throws IOException {
+    /** Creates a hard link, or a copy where the file system has no hard links. */
+    static void linkOrCopy(Path from, Path to) throws IOException {
         Files.createDirectories(to.getParent());
         try {
             Files.createLink(to, from);
@@ -583,32 +615,36 @@
         }
     }
 
-    /** Reads everything and tells what is wrong; nothing if the store is whole. */
+    /** Checks the whole store; returns a message per fault, none if it is consistent. */
     public List<String> verify() throws IOException {
-        return new StoreVerifier(this).faults();
+        return new StoreVerifier(this).findFaults();
     }
 
     /**
-     * Mends what can be: bytes that nobody names go, counts of names are made anew. Returns what
-     * was done.
+     * Deletes unreferenced blobs and rebuilds the reference counts. Returns a message per action;
+     * other faults remain.
      */
     public List<String> repair() throws IOException {
         return new StoreVerifier(this).repair();
     }
 
-    void files(BiConsumer<String, FileForm> told) throws IOException {
-        each(Family.FILES, new byte[0], (key, value) -> told.accept(text(key), parsed(value)));
+    void forEachFile(BiConsumer<String, FileRecord> consumer) throws IOException {
+        forEachEntry(
+                Family.FILES,
+                new byte[0],
+                (key, value) -> consumer.accept(text(key), parseFile(value)));
     }
 
-    void batches(BiConsumer<String, BatchForm> told) throws IOException {
-        each(
+    void forEachBatch(BiConsumer<String, BatchRecord> consumer) throws IOException {
+        forEachEntry(
                 Family.BATCHES,
                 new byte[0],
                 (key, value) -> {
                     try {
-                        told.accept(text(key), BatchForm.parseFrom(value));
+                        consumer.accept(text(key), BatchRecord.parseFrom(value));
                     } catch (InvalidProtocolBufferException e) {
-                        throw new IllegalStateException("batch " + text(key) + " can't be read", e);
+                        throw new IllegalStateException(
+                                "batch " + text(key) + " can't be parsed", e);
                     }
                 });
     }
@@ -617,35 +653,38 @@
         return get(Family.ACTIVE, key(batch)) != null;
     }
 
-    /** Counts a batch's records: those for the output, and those for the errors. */
-    long[] answersOf(String batch) throws IOException {
+    /** Counts the answers of a batch: for the output file at index 0, for the error file at 1. */
+    long[] countAnswers(String batch) throws IOException {
         long[] counts = new long[2];
-        each(
+        forEachEntry(
                 Family.ANSWERS,
                 key(batch + '\0'),
                 (key, value) -> {
                     try {
-                        counts[AnswerForm.parseFrom(value).getGood() ? 0 : 1]++;
+                        counts[LineAnswer.parseFrom(value).getGood() ? 0 : 1]++;
                     } catch (InvalidProtocolBufferException e) {
                         throw new IllegalStateException(
-                                "a record of " + batch + " can't be read", e);
+                                "a line answer of " + batch + " can't be parsed", e);
                     }
                 });
         return counts;
     }
 
-    Map<String, Long> blobCounts() throws IOException {
+    Map<String, Long> referenceCounts() throws IOException {
         Map<String, Long> counts = new HashMap<>();
-        each(Family.BLOBS, new byte[0], (key, value) -> counts.put(text(key), number(value)));
+        forEachEntry(
+                Family.BLOBS,
+                new byte[0],
+                (key, value) -> counts.put(text(key), decodeLong(value)));
         return counts;
     }
 
-    void blobCounts(Map<String, Long> right) throws IOException {
+    void replaceReferenceCounts(Map<String, Long> counts) throws IOException {
         Change change = new Change();
-        for (String digest : blobCounts().keySet()) {
+        for (String digest : referenceCounts().keySet()) {
             change.delete(Family.BLOBS, key(digest));
         }
-        right.forEach((digest, count) -> change.put(Family.BLOBS, key(digest), bytes(count)));
+        counts.forEach((digest, count) -> change.put(Family.BLOBS, key(digest), encodeLong(count)));
         commit("repair", change);
     }
 
@@ -653,14 +692,15 @@
         return blobs;
     }
 
-    Path blob(String digest) {
-        return blobIn(blobs, digest);
+    Path blobPath(String digest) {
+        return blobPathIn(blobs, digest);
     }
 
-    private static Path blobIn(Path blobs, String digest) {
+    private static Path blobPathIn(Path blobs, String digest) {
         return blobs.resolve(digest.substring(0, 2)).resolve(digest);
     }
 
+    /** The folder that holds the store. */
     public Path folder() {
         return folder;
     }
@@ -675,59 +715,59 @@
 
     // ------------------------------------------------------------------ the database
 
-    /** What is to be written together. */
+    /** A set of updates that is written atomically. */
     private final class Change {
         private final WriteBatch batch = new WriteBatch();
 
         Change put(Family family, byte[] key, byte[] value) {
-            return run(() -> batch.put(handle(family), key, value));
+            return apply(() -> batch.put(handle(family), key, value));
         }
 
         Change delete(Family family, byte[] key) {
-            return run(() -> batch.delete(handle(family), key));
+            return apply(() -> batch.delete(handle(family), key));
         }
 
         Change deleteRange(Family family, byte[] from, byte[] to) {
-            return run(() -> batch.deleteRange(handle(family), from, to));
+            return apply(() -> batch.deleteRange(handle(family), from, to));
         }
 
-        /** One name more or less for these bytes. */
-        void blob(String digest, int more) throws IOException {
+        /** Adds {@code delta} to the number of files that refer to a blob. */
+        void addReferences(String digest, int delta) throws IOException {
             long count =
-                    added.merge(digest, (long) more, Long::sum)
-                            + number(get(Family.BLOBS, key(digest)));
+                    referenceDeltas.merge(digest, (long) delta, Long::sum)
+                            + decodeLong(get(Family.BLOBS, key(digest)));
             if (count > 0) {
-                put(Family.BLOBS, key(digest), bytes(count));
+                put(Family.BLOBS, key(digest), encodeLong(count));
             } else {
                 delete(Family.BLOBS, key(digest));
             }
         }
 
-        private final Map<String, Long> added = new HashMap<>();
+        private final Map<String, Long> referenceDeltas = new HashMap<>();
 
-        private Change run(Write write) {
+        private Change apply(BatchOperation operation) {
             try {
-                write.run();
+                operation.run();
                 return this;
             } catch (RocksDBException e) {
-                throw new IllegalStateException("no change can be made", e);
+                throw new IllegalStateException("the update can't be added to the write batch", e);
             }
         }
     }
 
-    private interface Write {
+    private interface BatchOperation {
         void run() throws RocksDBException;
     }
 
-    private void commit(String name, Change change) throws IOException {
-        if (!writes) {
-            throw new IllegalStateException("opened to read");
+    private void commit(String crashPoint, Change change) throws IOException {
+        if (!writable) {
+            throw new IllegalStateException("the store is open for reading only");
         }
         try (WriteBatch batch = change.batch;
-                WriteOptions sync = new WriteOptions().setSync(true)) {
-            points.at(name);
-            db.write(sync, batch);
-            points.at("after: " + name);
+                WriteOptions syncedWrite = new WriteOptions().setSync(true)) {
+            crashPoints.reached(crashPoint);
+            db.write(syncedWrite, batch);
+            crashPoints.reached("after: " + crashPoint);
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
@@ -741,27 +781,29 @@
         }
     }
 
-    private void each(Family family, byte[] prefix, BiConsumer<byte[], byte[]> told)
+    private void forEachEntry(Family family, byte[] prefix, BiConsumer<byte[], byte[]> consumer)
             throws IOException {
-        try (RocksIterator at = db.newIterator(handle(family))) {
-            for (at.seek(prefix); at.isValid() && startsWith(at.key(), prefix); at.next()) {
-                told.accept(at.key(), at.value());
+        try (RocksIterator iterator = db.newIterator(handle(family))) {
+            for (iterator.seek(prefix);
+                    iterator.isValid() && startsWith(iterator.key(), prefix);
+                    iterator.next()) {
+                consumer.accept(iterator.key(), iterator.value());
             }
-            at.status();
+            iterator.status();
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be read: " + e.getMessage(), e);
         }
     }
 
-    /** Handles are listed in the order of the families, as the database opened them. */
+    /** RocksDB returned the handles in the order in which the families were passed. */
     @SuppressWarnings("EnumOrdinal")
     private ColumnFamilyHandle handle(Family family) {
         return handles.get(family.ordinal());
     }
 
-    /** Makes a rename last. */
-    private void sync(Path directory) throws IOException {
-        points.at("sync folder");
+    /** Syncs a directory, so that a rename in it is durable. */
+    private void syncDirectory(Path directory) throws IOException {
+        crashPoints.reached("sync directory");
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
@@ -780,40 +822,43 @@
         return new String(key, StandardCharsets.UTF_8);
     }
 
-    /** The key of a line; -1 is after all of them. Ids hold no NUL. */
-    private static byte[] line(String batch, long line) {
+    /** The key of a line; line -1 sorts after all lines of the batch. Ids contain no NUL. */
+    private static byte[] lineKey(String batch, long line) {
         byte[] id = key(batch);
         return ByteBuffer.allocate(id.length + 9).put(id).put((byte) 0).putLong(line).array();
     }
 
-    /** Newest first; a number under 0 gives the beginning of all of them. */
-    private static byte[] order(String tenant, char kind, long number) {
-        byte[] start = key(tenant + '\0' + kind + '\0');
+    /**
+     * The key of a file or batch in the family ORDER, which sorts the newest first; for a negative
+     * number, the prefix of all keys of this tenant and kind.
+     */
+    private static byte[] orderKey(String tenant, char kind, long number) {
+        byte[] prefix = key(tenant + '\0' + kind + '\0');
         return number < 0
-                ? start
-                : ByteBuffer.allocate(start.length + 8)
-                        .put(start)
+                ? prefix
+                : ByteBuffer.allocate(prefix.length + 8)
+                        .put(prefix)
                         .putLong(Long.MAX_VALUE - number)
                         .array();
     }
 
-    private static long tail(byte[] key) {
+    private static long trailingLong(byte[] key) {
         return ByteBuffer.wrap(key).getLong(key.length - 8);
     }
 
-    private static byte[] bytes(long number) {
+    private static byte[] encodeLong(long number) {
         return ByteBuffer.allocate(8).putLong(number).array();
     }
 
-    private static long number(byte[] bytes) {
+    private static long decodeLong(byte[] bytes) {
         return bytes == null ? 0 : ByteBuffer.wrap(bytes).getLong();
     }
 
-    private static FileForm parsed(byte[] bytes) {
+    private static FileRecord parseFile(byte[] bytes) {
         try {
-            return FileForm.parseFrom(bytes);
+            return FileRecord.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("a file's record can't be read", e);
+            throw new IllegalStateException("a file record can't be parsed", e);
         }
     }
 
@@ -821,7 +866,7 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(key(text));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("the Java runtime has no SHA-256", e);
         }
     }
 }
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -11,9 +11,9 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
+import larchridge.store.form.LineAnswer;
 
 /**
  * What records of lines cost a store: to write, on disk, and when it is opened after an end that
@@ -33,30 +33,33 @@
         double writtenMs;
         Path copy = folder.resolveSibling(folder.getFileName() + ".killed");
         try (Store store = Store.open(folder, CrashPoints.NONE)) {
-            IncomingFile incoming = store.receive();
+            IncomingFile incoming = store.createIncomingFile();
             incoming.write("{}".getBytes(StandardCharsets.UTF_8), 0, 2);
-            String input = store.keep(incoming.synced(), "t", "n", "batch", 1).getId();
-            BatchForm batch =
-                    store.begin(
-                            BatchForm.newBuilder().setTenant("t").setInput(input).setTotal(lines));
-            batch = batch.toBuilder().setState(StateForm.IN_PROGRESS).build();
+            String input = store.addFile(incoming.sync(), "t", "n", "batch", 1).getId();
+            BatchRecord batch =
+                    store.createBatch(
+                            BatchRecord.newBuilder()
+                                    .setTenant("t")
+                                    .setInput(input)
+                                    .setTotal(lines));
+            batch = batch.toBuilder().setState(BatchState.IN_PROGRESS).build();
             long start = System.nanoTime();
             for (int from = 0; from < lines; from += GROUP) {
                 List<Store.Answer> group = new ArrayList<>();
                 for (int i = from; i < Math.min(lines, from + GROUP); i++) {
-                    store.flight(batch.getId(), i, 1, false);
+                    store.recordAttempts(batch.getId(), i, 1, false);
                     group.add(
                             new Store.Answer(
                                     batch.getId(),
                                     i,
-                                    AnswerForm.newBuilder().setGood(true).setText(ANSWER).build()));
+                                    LineAnswer.newBuilder().setGood(true).setText(ANSWER).build()));
                 }
                 batch =
                         batch.toBuilder()
                                 .setDone(batch.getDone() + group.size())
                                 .setLowLine(from + group.size())
                                 .build();
-                store.answered(group, List.of(batch));
+                store.recordAnswers(group, List.of(batch));
             }
             writtenMs = (System.nanoTime() - start) / 1e6;
             Store.copyFolder(folder, copy);
@@ -64,7 +67,7 @@
         long start = System.nanoTime();
         try (Store store = Store.open(copy, CrashPoints.NONE)) {
             double openedMs = (System.nanoTime() - start) / 1e6;
-            long done = store.active().get(0).getDone();
+            long done = store.activeBatches().get(0).getDone();
             return String.format(
                     Locale.ROOT,
                     "lines %d kept %d written/s %.0f opened in %.0f ms disk %.1f MB",
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -28,8 +28,8 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.FileRecord;
 import larchridge.tokens.TokenCounters;
 import larchridge.upstream.AnswerSummary;
 
@@ -80,7 +80,7 @@
     void start() throws IOException {
         loop = new VirtualEventLoop();
         openSubmissions = 0;
-        store = Store.open(folder.resolve("store"), name -> crashPoints.at(name));
+        store = Store.open(folder.resolve("store"), name -> crashPoints.reached(name));
         batches =
                 new Batches(
                         store,
@@ -99,16 +99,16 @@
         start();
     }
 
-    FileForm upload(String text) throws IOException {
-        IncomingFile incoming = store.receive();
+    FileRecord upload(String text) throws IOException {
+        IncomingFile incoming = store.createIncomingFile();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         incoming.write(bytes, 0, bytes.length);
-        return store.keep(incoming.synced(), "g", "in.jsonl", "batch", 1);
+        return store.addFile(incoming.sync(), "g", "in.jsonl", "batch", 1);
     }
 
-    BatchForm createBatch(FileForm input, double windowMs) throws IOException {
+    BatchRecord createBatch(FileRecord input, double windowMs) throws IOException {
         return batches.create(
-                BatchForm.newBuilder()
+                BatchRecord.newBuilder()
                         .setTenant("g")
                         .setInput(input.getId())
                         .setEndpoint("/v1/messages")
@@ -144,7 +144,7 @@
         if (fileId.isEmpty()) {
             return records;
         }
-        try (FileChannel channel = store.content(store.file(fileId))) {
+        try (FileChannel channel = store.openContent(store.file(fileId))) {
             for (String text :
                     new String(
                                     Channels.newInputStream(channel).readAllBytes(),
@@ -160,7 +160,7 @@
     }
 
     /** The records of both files by custom id; fails if a line is in both files. */
-    Map<String, JsonNode> records(BatchForm batch) throws IOException {
+    Map<String, JsonNode> records(BatchRecord batch) throws IOException {
         Map<String, JsonNode> all = records(batch.getOutput());
         records(batch.getErrors())
                 .forEach(
@@ -310,7 +310,7 @@
         }
 
         @Override
-        public void at(String name) {
+        public void reached(String name) {
             passedWrites.add(name);
             if (passedWrites.size() == crashAt) {
                 throw new SimulatedCrash();
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -34,10 +34,10 @@
     @Test
     void eachLineHasARecordInInputOrder() throws Exception {
         try (BatchFixture fixture = new BatchFixture()) {
-            BatchForm batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(40)), HOUR);
+            BatchRecord batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(40)), HOUR);
             fixture.loop.run(60_000);
-            BatchForm done = fixture.batches.batch(batch.getId());
-            assertEquals(StateForm.COMPLETED, done.getState());
+            BatchRecord done = fixture.batches.batch(batch.getId());
+            assertEquals(BatchState.COMPLETED, done.getState());
             assertEquals(ids(40), fixture.records(done.getOutput()).keySet());
             assertEquals("", done.getErrors());
             assertEquals(
@@ -61,7 +61,7 @@
             text.append(BatchFixture.line("c" + i, "free", "ok " + "y".repeat(1500))).append('\n');
         }
         try (BatchFixture fixture = new BatchFixture()) {
-            BatchForm batch = fixture.createBatch(fixture.upload(text.toString()), HOUR);
+            BatchRecord batch = fixture.createBatch(fixture.upload(text.toString()), HOUR);
             fixture.loop.run(120_000);
             assertEquals(
                     300, fixture.records(fixture.batches.batch(batch.getId()).getOutput()).size());
@@ -83,10 +83,10 @@
                         + "\n"
                         + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
         try (BatchFixture fixture = new BatchFixture()) {
-            BatchForm batch = fixture.createBatch(fixture.upload(text), HOUR);
+            BatchRecord batch = fixture.createBatch(fixture.upload(text), HOUR);
             fixture.loop.run(1000);
-            BatchForm failed = fixture.batches.batch(batch.getId());
-            assertEquals(StateForm.FAILED, failed.getState());
+            BatchRecord failed = fixture.batches.batch(batch.getId());
+            assertEquals(BatchState.FAILED, failed.getState());
             assertEquals(
                     List.of(
                             "3 invalid_json_line",
@@ -108,7 +108,7 @@
                     failed.getFault(1).getMessage().endsWith("of line 1"),
                     failed.getFault(1).getMessage());
             assertTrue(fixture.runsByCustomId.isEmpty());
-            assertTrue(fixture.store.delete(fixture.store.file(failed.getInput())));
+            assertTrue(fixture.store.deleteFile(fixture.store.file(failed.getInput())));
         }
     }
 
@@ -127,10 +127,10 @@
                         + "\n"
                         + BatchFixture.line("nobody", "unknown", "ok");
         try (BatchFixture fixture = new BatchFixture()) {
-            BatchForm batch = fixture.createBatch(fixture.upload(text), HOUR);
+            BatchRecord batch = fixture.createBatch(fixture.upload(text), HOUR);
             fixture.loop.run(300_000);
-            BatchForm done = fixture.batches.batch(batch.getId());
-            assertEquals(StateForm.COMPLETED, done.getState());
+            BatchRecord done = fixture.batches.batch(batch.getId());
+            assertEquals(BatchState.COMPLETED, done.getState());
             assertEquals(Set.of("free2", "busy"), fixture.records(done.getOutput()).keySet());
             Map<String, JsonNode> errors = fixture.records(done.getErrors());
             assertEquals("terminated", errors.get("free9").at("/error/code").asText());
@@ -148,12 +148,12 @@
     @Test
     void cancelledBatchKeepsAnswersAndRecordsTheOtherLinesAsCancelled() throws Exception {
         try (BatchFixture fixture = new BatchFixture()) {
-            BatchForm batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(400)), HOUR);
+            BatchRecord batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(400)), HOUR);
             fixture.loop.run(300);
-            assertEquals(StateForm.CANCELLING, fixture.batches.cancel(batch.getId()).getState());
+            assertEquals(BatchState.CANCELLING, fixture.batches.cancel(batch.getId()).getState());
             fixture.loop.run(5000);
-            BatchForm done = fixture.batches.batch(batch.getId());
-            assertEquals(StateForm.CANCELLED, done.getState());
+            BatchRecord done = fixture.batches.batch(batch.getId());
+            assertEquals(BatchState.CANCELLED, done.getState());
             assertEquals(ids(400), fixture.records(done).keySet());
             assertTrue(done.getDone() > 0 && done.getFailed() > 0, done.toString());
             assertEquals(
@@ -167,10 +167,10 @@
     void openLinesOfAnExpiredBatchAreRecordedAsPossiblyRun() throws Exception {
         String text = BatchFixture.inputOf(3) + BatchFixture.line("long", "free", "never") + "\n";
         try (BatchFixture fixture = new BatchFixture()) {
-            BatchForm batch = fixture.createBatch(fixture.upload(text), 10_000);
+            BatchRecord batch = fixture.createBatch(fixture.upload(text), 10_000);
             fixture.loop.run(11_000);
-            BatchForm done = fixture.batches.batch(batch.getId());
-            assertEquals(StateForm.EXPIRED, done.getState());
+            BatchRecord done = fixture.batches.batch(batch.getId());
+            assertEquals(BatchState.EXPIRED, done.getState());
             JsonNode error = fixture.records(done.getErrors()).get("long").path("error");
             assertEquals("batch_expired", error.path("code").asText());
             assertTrue(error.path("message").asText().contains("may have run"));
@@ -182,11 +182,11 @@
     @Test
     void inputFileCannotBeDeletedWhileABatchReadsIt() throws Exception {
         try (BatchFixture fixture = new BatchFixture()) {
-            FileForm input = fixture.upload(BatchFixture.inputOf(3));
+            FileRecord input = fixture.upload(BatchFixture.inputOf(3));
             fixture.createBatch(input, HOUR);
-            assertFalse(fixture.store.delete(input));
+            assertFalse(fixture.store.deleteFile(input));
             fixture.loop.run(60_000);
-            assertTrue(fixture.store.delete(input));
+            assertTrue(fixture.store.deleteFile(input));
         }
     }
 
@@ -195,13 +195,13 @@
     void temporaryDiskFailureLosesNoRecord() throws Exception {
         for (String failingWrite :
                 List.of(
-                        "record flight",
+                        "record attempts",
                         "record answers",
                         "sync incoming",
                         "finish batch",
                         "update batch")) {
             try (BatchFixture fixture = new BatchFixture()) {
-                BatchForm batch =
+                BatchRecord batch =
                         fixture.createBatch(fixture.upload(BatchFixture.inputOf(30)), HOUR);
                 double startMs = fixture.loop.nowMs();
                 fixture.crashPoints =
@@ -212,8 +212,8 @@
                             }
                         };
                 fixture.loop.run(60_000);
-                BatchForm done = fixture.batches.batch(batch.getId());
-                assertEquals(StateForm.COMPLETED, done.getState(), failingWrite);
+                BatchRecord done = fixture.batches.batch(batch.getId());
+                assertEquals(BatchState.COMPLETED, done.getState(), failingWrite);
                 assertEquals(ids(30), fixture.records(done).keySet(), failingWrite);
                 assertEquals(List.of(), fixture.store.verify(), failingWrite);
             }
@@ -223,12 +223,12 @@
     @Test
     void manySmallBatchesAllComplete() throws Exception {
         try (BatchFixture fixture = new BatchFixture()) {
-            FileForm input = fixture.upload(BatchFixture.inputOf(2));
+            FileRecord input = fixture.upload(BatchFixture.inputOf(2));
             for (int i = 0; i < 300; i++) {
                 fixture.createBatch(input, HOUR);
             }
             fixture.loop.run(600_000);
-            assertEquals(List.of(), fixture.store.active());
+            assertEquals(List.of(), fixture.store.activeBatches());
             assertEquals(
                     600,
                     fixture.runsByCustomId.values().stream().mapToInt(Integer::intValue).sum());
@@ -259,19 +259,19 @@
      * Acts as a client that uploads a file, creates a batch and optionally cancels it. After each
      * crash it looks for the file and the batch in the store and continues.
      */
-    private static BatchForm runToEnd(BatchFixture fixture, boolean cancels, int maxStarts)
+    private static BatchRecord runToEnd(BatchFixture fixture, boolean cancels, int maxStarts)
             throws Exception {
-        FileForm input = null;
-        BatchForm batch = null;
+        FileRecord input = null;
+        BatchRecord batch = null;
         boolean cancelRequested = false;
         for (int starts = 0; starts < maxStarts; starts++) {
             try {
                 if (input == null) {
-                    List<String> ids = fixture.store.page("g", 'f', -1, 10);
+                    List<String> ids = fixture.store.listIds("g", 'f', -1, 10);
                     input = ids.isEmpty() ? fixture.upload(MIXED) : fixture.store.file(ids.get(0));
                 }
                 if (batch == null) {
-                    List<String> ids = fixture.store.page("g", 'b', -1, 10);
+                    List<String> ids = fixture.store.listIds("g", 'b', -1, 10);
                     batch =
                             ids.isEmpty()
                                     ? fixture.createBatch(input, HOUR)
@@ -303,7 +303,7 @@
         }
     }
 
-    private static void assertComplete(BatchFixture fixture, BatchForm done, String description)
+    private static void assertComplete(BatchFixture fixture, BatchRecord done, String description)
             throws Exception {
         assertEquals(MIXED_IDS, fixture.records(done).keySet(), description);
         assertEquals(MIXED_IDS.size(), done.getDone() + done.getFailed(), description);
@@ -318,7 +318,7 @@
                             + fixture.runsByCustomId.get(once)
                             + " times");
         }
-        assertTrue(fixture.store.active().isEmpty(), description);
+        assertTrue(fixture.store.activeBatches().isEmpty(), description);
     }
 
     @Test
--- a/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
+++ b/src/test/java/larchridge/ledger/LedgerRecoveryTest.java
@@ -13,18 +13,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A disk that fails for a while under a ledger: what was taken on is written once it is well again.
+ * Guards against: losing queued records when writes to the disk fail for a while. The test limits
+ * the file size of the writing process, so that its writes fail, and then lifts the limit.
  */
 @Timeout(60)
 class LedgerRecoveryTest {
     private static final int RECORDS = 50;
-    private static final long WRITTEN_MS = 5000;
+    private static final long WRITE_TIMEOUT_MS = 5000;
 
     @TempDir Path folder;
 
     /**
-     * The process whose files may not grow for a while; a limit of this test's own process would
-     * meet other tests.
+     * The process whose file size is limited. It is a child process because a limit on this process
+     * would also affect other tests.
      */
     static final class Writer {
         private static int offered;
@@ -36,13 +37,14 @@
             try (Ledger ledger = Ledger.open(Path.of(args[0]), 10_000)) {
                 offer(ledger);
                 await(ledger);
-                limitFiles(pid, "4096");
+                limitFileSize(pid, "4096");
                 offer(ledger);
                 TimeUnit.MILLISECONDS.sleep(1000);
-                if (ledger.written() >= offered) {
-                    throw new IllegalStateException("the disk did not fail");
+                if (ledger.writtenRecords() >= offered) {
+                    throw new IllegalStateException(
+                            "writes did not fail under the file size limit");
                 }
-                limitFiles(pid, "unlimited");
+                limitFileSize(pid, "unlimited");
                 offer(ledger);
                 await(ledger);
             }
@@ -67,23 +69,23 @@
         }
 
         private static void await(Ledger ledger) throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WRITTEN_MS);
-            while (ledger.written() < offered && System.nanoTime() < end) {
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WRITE_TIMEOUT_MS);
+            while (ledger.writtenRecords() < offered && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            if (ledger.written() < offered) {
+            if (ledger.writtenRecords() < offered) {
                 throw new IllegalStateException(
-                        ledger.written() + " of " + offered + " records written");
+                        ledger.writtenRecords() + " of " + offered + " records written");
             }
         }
 
-        private static void limitFiles(long pid, String most)
+        private static void limitFileSize(long pid, String limit)
                 throws IOException, InterruptedException {
             new ProcessBuilder(
                             "prlimit",
                             "--pid",
                             Long.toString(pid),
-                            "--fsize=" + most + ":unlimited")
+                            "--fsize=" + limit + ":unlimited")
                     .inheritIO()
                     .start()
                     .waitFor();
@@ -91,7 +93,7 @@
     }
 
     @Test
-    void recordsTakenWhileTheDiskFailsAreWrittenOnceItIsWell() throws Exception {
+    void recordsOfferedWhileWritesFailAreWrittenAfterRecovery() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         Process writer =
                 new ProcessBuilder(
@@ -102,10 +104,10 @@
                                 folder.resolve("ledger").toString())
                         .redirectErrorStream(true)
                         .start();
-        String said = new String(writer.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(writer.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(writer.waitFor(40, TimeUnit.SECONDS));
-        assertEquals(0, writer.exitValue(), said);
-        try (Ledger ledger = Ledger.look(folder.resolve("ledger"))) {
+        assertEquals(0, writer.exitValue(), output);
+        try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             assertEquals(List.of(), ledger.verify());
             assertEquals(3 * RECORDS, ledger.totals(null).values().iterator().next().generations());
         }
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -18,10 +18,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.LineAnswer;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
@@ -35,8 +35,8 @@
     private Path folder;
     private Store store;
 
-    /** The process ends here. */
-    private static final class Halt extends Error {
+    /** Simulates the end of the process at a crash point. */
+    private static final class SimulatedCrash extends Error {
         private static final long serialVersionUID = 1;
     }
 
@@ -49,10 +49,10 @@
     @AfterEach
     void close() throws IOException {
         store.close();
-        remove(folder);
+        deleteRecursively(folder);
     }
 
-    private static void remove(Path folder) throws IOException {
+    private static void deleteRecursively(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
@@ -60,21 +60,23 @@
         }
     }
 
-    private static FileForm keep(Store store, String tenant, String text) throws IOException {
-        IncomingFile incoming = store.receive();
+    private static FileRecord addFile(Store store, String tenant, String text) throws IOException {
+        IncomingFile incoming = store.createIncomingFile();
         incoming.write(text.getBytes(StandardCharsets.UTF_8), 0, text.length());
-        return store.keep(incoming.synced(), tenant, "n", "batch", 1);
+        return store.addFile(incoming.sync(), tenant, "n", "batch", 1);
     }
 
-    private static String read(Store store, FileForm file) throws IOException {
+    private static String readContent(Store store, FileRecord file) throws IOException {
         return new String(
-                Channels.newInputStream(store.content(file)).readAllBytes(),
+                Channels.newInputStream(store.openContent(file)).readAllBytes(),
                 StandardCharsets.UTF_8);
     }
 
     @Test
-    void secondOwnerIsTurnedAwayAndTakesOverWhenTheFirstIsGone() throws IOException {
-        assertThrows(Store.Taken.class, () -> Store.open(folder.resolve("s"), CrashPoints.NONE));
+    void secondOwnerIsRejectedUntilTheFirstCloses() throws IOException {
+        assertThrows(
+                Store.InUseException.class,
+                () -> Store.open(folder.resolve("s"), CrashPoints.NONE));
         long epoch = store.epoch();
         store.close();
         store = Store.open(folder.resolve("s"), CrashPoints.NONE);
@@ -82,64 +84,66 @@
     }
 
     @Test
-    void sameBytesLieOnceAndStayWhileAnyoneNamesThem() throws IOException {
-        FileForm first = keep(store, "a", "same");
-        FileForm second = keep(store, "b", "same");
+    void identicalContentIsStoredOnceUntilItsLastFileIsDeleted() throws IOException {
+        FileRecord first = addFile(store, "a", "same");
+        FileRecord second = addFile(store, "b", "same");
         assertEquals(first.getDigest(), second.getDigest());
-        store.delete(first);
-        assertEquals("same", read(store, second));
-        store.delete(second);
-        assertFalse(Files.exists(store.blob(second.getDigest())));
+        store.deleteFile(first);
+        assertEquals("same", readContent(store, second));
+        store.deleteFile(second);
+        assertFalse(Files.exists(store.blobPath(second.getDigest())));
         assertEquals(List.of(), store.verify());
     }
 
     @Test
-    void damageIsFoundAndStrangersGoByRepair() throws IOException {
-        FileForm file = keep(store, "a", "good bytes");
-        FileForm lost = keep(store, "a", "other");
-        Files.writeString(store.blob(file.getDigest()), "bad bytes!");
-        Files.delete(store.blob(lost.getDigest()));
-        Path stranger = store.blobFolder().resolve("ff").resolve("f".repeat(64));
-        Files.createDirectories(stranger.getParent());
-        Files.writeString(stranger, "?");
+    void verifyFindsDamageAndRepairRemovesUnreferencedBlobs() throws IOException {
+        FileRecord file = addFile(store, "a", "good bytes");
+        FileRecord missing = addFile(store, "a", "other");
+        Files.writeString(store.blobPath(file.getDigest()), "bad bytes!");
+        Files.delete(store.blobPath(missing.getDigest()));
+        Path unreferenced = store.blobFolder().resolve("ff").resolve("f".repeat(64));
+        Files.createDirectories(unreferenced.getParent());
+        Files.writeString(unreferenced, "?");
         List<String> faults = store.verify();
         assertEquals(3, faults.size(), faults.toString());
         assertEquals(1, store.repair().size());
-        assertFalse(Files.exists(stranger));
+        assertFalse(Files.exists(unreferenced));
         assertEquals(2, store.verify().size());
     }
 
     @Test
-    void snapshotIsWholeAndApart() throws IOException {
-        FileForm file = keep(store, "a", "before");
-        BatchForm batch = store.begin(BatchForm.newBuilder().setTenant("a").setInput(file.getId()));
+    void snapshotIsCompleteAndIndependent() throws IOException {
+        FileRecord file = addFile(store, "a", "before");
+        BatchRecord batch =
+                store.createBatch(
+                        BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
         store.snapshot(folder.resolve("copy"));
-        FileForm later = keep(store, "a", "after");
+        FileRecord later = addFile(store, "a", "after");
         try (Store copy = Store.open(folder.resolve("copy"), CrashPoints.NONE)) {
-            assertEquals("before", read(copy, copy.file(file.getId())));
+            assertEquals("before", readContent(copy, copy.file(file.getId())));
             assertEquals(batch, copy.batch(batch.getId()));
             assertNull(copy.file(later.getId()));
             assertEquals(List.of(), copy.verify());
-            keep(copy, "a", "only there");
+            addFile(copy, "a", "only there");
         }
-        assertEquals(2, store.filesOf("a"));
+        assertEquals(2, store.storedFiles("a"));
     }
 
     @Test
-    void pagesGoFromTheNewestAndPastEachOther() throws IOException {
+    void pagesAreNewestFirstAndOfOneTenant() throws IOException {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
-            ids.add(0, keep(store, "a", "t" + i).getId());
-            keep(store, "ab", "u" + i);
+            ids.add(0, addFile(store, "a", "t" + i).getId());
+            addFile(store, "ab", "u" + i);
         }
-        assertEquals(ids.subList(0, 3), store.page("a", 'f', -1, 3));
+        assertEquals(ids.subList(0, 3), store.listIds("a", 'f', -1, 3));
         assertEquals(
-                ids.subList(3, 7), store.page("a", 'f', store.file(ids.get(2)).getNumber(), 9));
+                ids.subList(3, 7), store.listIds("a", 'f', store.file(ids.get(2)).getNumber(), 9));
     }
 
-    // ------------------------------------------------------------------ against a simple model
+    // ------------------------------------------------------------------ comparison with a model
 
-    /** What a store should hold, as plain maps. */
+    /** The expected content of a store. */
     private static final class Model {
         final Map<String, String> files = new TreeMap<>();
         final Map<String, String> inputs = new TreeMap<>();
@@ -147,74 +151,77 @@
     }
 
     /**
-     * Any row of steps, with ends of the process at any write among them, leaves the store as a
-     * simple model says: a step that came to its end is there, one that did not is there wholly or
-     * not at all.
+     * Guards against: operations lost or half applied by a crash. After any sequence of steps, with
+     * crashes at arbitrary writes, the store matches the model: completed steps are present, and an
+     * interrupted step is applied completely or not at all.
      */
     @Property(tries = 60, seed = "20261201", shrinking = ShrinkingMode.BOUNDED)
-    void isAsTheModelSays(
+    void matchesTheModelAcrossCrashes(
             @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 9) Integer> steps,
             @ForAll long seed)
             throws IOException {
-        Path own = Files.createTempDirectory("larchridge-model");
+        Path storeFolder = Files.createTempDirectory("larchridge-model");
         Random random = new Random(seed);
-        int[] left = {-1};
-        CrashPoints points =
+        int[] writesUntilCrash = {-1};
+        CrashPoints crashPoints =
                 name -> {
-                    if (left[0] > 0 && --left[0] == 0) {
-                        throw new Halt();
+                    if (writesUntilCrash[0] > 0 && --writesUntilCrash[0] == 0) {
+                        throw new SimulatedCrash();
                     }
                 };
         Model model = new Model();
-        Store now = Store.open(own, points);
+        Store current = Store.open(storeFolder, crashPoints);
         try {
             for (int step : steps) {
-                // Now and then the process ends in the middle of what it does.
-                left[0] = random.nextInt(4) == 0 ? 1 + random.nextInt(6) : -1;
+                // A quarter of the steps crash at one of their first six crash points.
+                writesUntilCrash[0] = random.nextInt(4) == 0 ? 1 + random.nextInt(6) : -1;
                 try {
-                    step(now, model, step, random);
-                } catch (Halt e) {
-                    now.close();
-                    left[0] = -1;
-                    now = Store.open(own, points);
-                    adopt(now, model);
+                    applyStep(current, model, step, random);
+                } catch (SimulatedCrash e) {
+                    current.close();
+                    writesUntilCrash[0] = -1;
+                    current = Store.open(storeFolder, crashPoints);
+                    adoptStateAfterCrash(current, model);
                 }
-                left[0] = -1;
-                compare(now, model);
+                writesUntilCrash[0] = -1;
+                assertMatches(current, model);
             }
-            assertEquals(List.of(), now.verify());
+            assertEquals(List.of(), current.verify());
         } finally {
-            now.close();
-            remove(own);
+            current.close();
+            deleteRecursively(storeFolder);
         }
     }
 
-    private static void step(Store store, Model model, int step, Random random) throws IOException {
+    private static void applyStep(Store store, Model model, int step, Random random)
+            throws IOException {
         List<String> files = List.copyOf(model.files.keySet());
         List<String> batches = List.copyOf(model.inputs.keySet());
         if (step < 4 || files.isEmpty()) {
             String text = "text " + random.nextInt(5);
-            model.files.put(keep(store, "t", text).getId(), text);
+            model.files.put(addFile(store, "t", text).getId(), text);
         } else if (step == 4) {
             String id = files.get(random.nextInt(files.size()));
-            assertEquals(!model.inputs.containsValue(id), store.delete(store.file(id)));
+            assertEquals(!model.inputs.containsValue(id), store.deleteFile(store.file(id)));
             if (!model.inputs.containsValue(id)) {
                 model.files.remove(id);
             }
         } else if (step == 5 || batches.isEmpty()) {
             String input = files.get(random.nextInt(files.size()));
-            String id = store.begin(BatchForm.newBuilder().setTenant("t").setInput(input)).getId();
+            String id =
+                    store.createBatch(BatchRecord.newBuilder().setTenant("t").setInput(input))
+                            .getId();
             model.inputs.put(id, input);
             model.answers.put(id, new TreeMap<>());
         } else if (step < 9) {
             String id = batches.get(random.nextInt(batches.size()));
             long line = random.nextInt(6);
             boolean isNew = !model.answers.get(id).containsKey(line);
-            AnswerForm answer =
-                    AnswerForm.newBuilder().setGood(true).setText("answer " + line).build();
-            store.flight(id, line, 1, random.nextBoolean());
-            BatchForm batch = store.batch(id);
-            store.answered(
+            LineAnswer answer =
+                    LineAnswer.newBuilder().setGood(true).setText("answer " + line).build();
+            store.recordAttempts(id, line, 1, random.nextBoolean());
+            BatchRecord batch = store.batch(id);
+            store.recordAnswers(
                     List.of(new Store.Answer(id, line, answer)),
                     List.of(
                             isNew
@@ -223,14 +230,14 @@
             model.answers.get(id).put(line, answer.getText());
         } else {
             String id = batches.get(random.nextInt(batches.size()));
-            IncomingFile output = store.receive();
+            IncomingFile output = store.createIncomingFile();
             output.write("out".getBytes(StandardCharsets.UTF_8), 0, 3);
-            BatchForm done =
-                    store.finish(
+            BatchRecord done =
+                    store.finishBatch(
                             store.batch(id).toBuilder()
-                                    .setState(StateForm.COMPLETED)
+                                    .setState(BatchState.COMPLETED)
                                     .setTotal(store.batch(id).getDone()),
-                            output.synced(),
+                            output.sync(),
                             null,
                             1);
             model.files.put(done.getOutput(), "out");
@@ -240,24 +247,24 @@
     }
 
     /**
-     * After an end in the middle of a step the model takes what is there, as long as that is one
-     * step more or none.
+     * After a crash, updates the model to the content of the store, and checks that the interrupted
+     * step changed it by at most one file and that no answer was lost.
      */
-    private static void adopt(Store store, Model model) throws IOException {
-        List<String> ids = store.page("t", 'f', -1, 1000);
+    private static void adoptStateAfterCrash(Store store, Model model) throws IOException {
+        List<String> ids = store.listIds("t", 'f', -1, 1000);
         int before = model.files.size();
         for (String id : ids) {
-            model.files.putIfAbsent(id, read(store, store.file(id)));
+            model.files.putIfAbsent(id, readContent(store, store.file(id)));
         }
         model.files.keySet().retainAll(ids);
-        assertTrue(Math.abs(model.files.size() - before) <= 1, "a step did more than one thing");
+        assertTrue(Math.abs(model.files.size() - before) <= 1, "a step changed more than one file");
         model.inputs.clear();
-        for (BatchForm batch : store.active()) {
+        for (BatchRecord batch : store.activeBatches()) {
             model.inputs.put(batch.getId(), batch.getInput());
             Map<Long, String> answers =
                     model.answers.computeIfAbsent(batch.getId(), id -> new TreeMap<>());
             for (long line = 0; line < 6; line++) {
-                AnswerForm answer = store.answer(batch.getId(), line);
+                LineAnswer answer = store.answer(batch.getId(), line);
                 assertTrue(answer != null || !answers.containsKey(line), "an answer was lost");
                 if (answer != null) {
                     answers.put(line, answer.getText());
@@ -267,18 +274,18 @@
         model.answers.keySet().retainAll(model.inputs.keySet());
     }
 
-    private static void compare(Store store, Model model) throws IOException {
-        List<String> ids = store.page("t", 'f', -1, 1000);
+    private static void assertMatches(Store store, Model model) throws IOException {
+        List<String> ids = store.listIds("t", 'f', -1, 1000);
         assertEquals(List.copyOf(model.files.keySet()), ids.stream().sorted().toList());
         for (Map.Entry<String, String> file : model.files.entrySet()) {
-            assertEquals(file.getValue(), read(store, store.file(file.getKey())));
+            assertEquals(file.getValue(), readContent(store, store.file(file.getKey())));
         }
         assertEquals(
                 List.copyOf(model.inputs.keySet()),
-                store.active().stream().map(BatchForm::getId).sorted().toList());
+                store.activeBatches().stream().map(BatchRecord::getId).sorted().toList());
         for (String id : model.inputs.keySet()) {
             assertEquals(model.answers.get(id).size(), store.batch(id).getDone());
-            assertTrue(store.isRead(model.inputs.get(id)));
+            assertTrue(store.isInputInUse(model.inputs.get(id)));
         }
     }
 }
--- a/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
@@ -19,15 +19,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Opens the ledger that the build of commit f8721a5 wrote. The literals are those of the program
- * that wrote them, {@code stored-data/f8721a5/WriteStoredData.java} in the test resources.
+ * Guards against: a change that makes existing ledgers unreadable. Opens a ledger written by the
+ * build of commit f8721a5; the expected values are those of the program that wrote it, {@code
+ * stored-data/f8721a5/WriteStoredData.java} in the test resources.
  */
 class LedgerCompatibilityTest {
     private static final long MAY_MS = 1_780_000_000_000L;
     private static final long JUNE_MS = 1_782_678_400_000L;
     private static final YearMonth MAY = YearMonth.of(2026, 5);
     private static final YearMonth JUNE = YearMonth.of(2026, 6);
-    private static final int LEDGER_BOUND = 100;
+    private static final int MAX_QUEUED_RECORDS = 100;
 
     @TempDir private Path folder;
 
@@ -39,7 +40,7 @@
 
     private static List<Usage> storedUsages() {
         return List.of(
-                // The waste of a second attempt had joined the record of its answer.
+                // Includes the waste of a second attempt, which was merged into this record.
                 usage("bill-01", "acme", "chat", MAY_MS, "streamed", 100, 40, 25, 9, 2),
                 usage("bill-02", "acme", "chat", MAY_MS + 1, "throttled", 0, 0, 0, 0, 0),
                 usage("bill-03", "acme", "batch", MAY_MS + 2, "terminated", 200, 0, 7, 11, 2),
@@ -54,38 +55,48 @@
     }
 
     private static Usage usage(
-            String id,
+            String billId,
             String tenant,
             String product,
-            long atMs,
-            String kind,
+            long endedAtMs,
+            String outcome,
             long prompt,
             long cached,
             long output,
             long wasted,
             int attempts) {
-        return new Usage(id, tenant, product, atMs, kind, prompt, cached, output, wasted, attempts);
+        return new Usage(
+                billId,
+                tenant,
+                product,
+                endedAtMs,
+                outcome,
+                prompt,
+                cached,
+                output,
+                wasted,
+                attempts);
     }
 
-    private static Map<Ledger.Line, UsageTotal> storedTotals() {
+    private static Map<Ledger.TotalKey, UsageTotal> storedTotals() {
         return Map.of(
-                new Ledger.Line(MAY, "acme", "batch"), new UsageTotal(1, 200, 0, 7, 11),
-                new Ledger.Line(MAY, "acme", "chat"), new UsageTotal(2, 100, 40, 25, 9),
-                new Ledger.Line(MAY, "globex", "chat"), new UsageTotal(2, 300, 128, 3, 81),
-                new Ledger.Line(JUNE, "acme", "chat"), new UsageTotal(4, 1150, 9, 502, 116),
-                new Ledger.Line(JUNE, "globex", "batch"), new UsageTotal(1, 60, 20, 30, 5),
-                new Ledger.Line(JUNE, "globex", "chat"), new UsageTotal(1, 0, 0, 0, 0));
+                new Ledger.TotalKey(MAY, "acme", "batch"), new UsageTotal(1, 200, 0, 7, 11),
+                new Ledger.TotalKey(MAY, "acme", "chat"), new UsageTotal(2, 100, 40, 25, 9),
+                new Ledger.TotalKey(MAY, "globex", "chat"), new UsageTotal(2, 300, 128, 3, 81),
+                new Ledger.TotalKey(JUNE, "acme", "chat"), new UsageTotal(4, 1150, 9, 502, 116),
+                new Ledger.TotalKey(JUNE, "globex", "batch"), new UsageTotal(1, 60, 20, 30, 5),
+                new Ledger.TotalKey(JUNE, "globex", "chat"), new UsageTotal(1, 0, 0, 0, 0));
     }
 
     private static List<Usage> records(Ledger ledger) throws Exception {
         List<Usage> usages = new ArrayList<>();
-        ledger.records(usages::add);
+        ledger.forEachRecord(usages::add);
         return usages;
     }
 
     @Test
-    void ledgerIsReadWithoutOwningIt() throws Exception {
-        try (Ledger ledger = Ledger.look(folder.resolve("ledger"))) {
+    void storedLedgerOpensReadOnly() throws Exception {
+        try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             assertEquals(storedUsages(), records(ledger));
             assertEquals(storedTotals(), ledger.totals(null));
             assertEquals(List.of(), ledger.verify());
@@ -93,20 +104,20 @@
     }
 
     @Test
-    void ledgerIsReadAndWrittenOnByItsOwner() throws Exception {
+    void storedLedgerIsReadAndExtendedByItsOwner() throws Exception {
         Usage added = usage("bill-12", "acme", "chat", JUNE_MS + 6, "streamed", 10, 4, 3, 2, 1);
-        try (Ledger ledger = Ledger.open(folder.resolve("ledger"), LEDGER_BOUND)) {
+        try (Ledger ledger = Ledger.open(folder.resolve("ledger"), MAX_QUEUED_RECORDS)) {
             assertEquals(storedUsages(), records(ledger));
             assertEquals(storedTotals(), ledger.totals(null));
             assertTrue(ledger.offer(added));
         }
-        try (Ledger ledger = Ledger.look(folder.resolve("ledger"))) {
+        try (Ledger ledger = Ledger.openReadOnly(folder.resolve("ledger"))) {
             List<Usage> expected = new ArrayList<>(storedUsages());
             expected.add(added);
             assertEquals(expected, records(ledger));
             assertEquals(
                     new UsageTotal(5, 1160, 13, 505, 118),
-                    ledger.totals(JUNE).get(new Ledger.Line(JUNE, "acme", "chat")));
+                    ledger.totals(JUNE).get(new Ledger.TotalKey(JUNE, "acme", "chat")));
             assertEquals(List.of(), ledger.verify());
         }
     }
--- a/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
@@ -18,18 +18,19 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.AnswerForm;
-import larchridge.store.form.BatchForm;
-import larchridge.store.form.FaultForm;
-import larchridge.store.form.FileForm;
-import larchridge.store.form.StateForm;
+import larchridge.store.form.BatchRecord;
+import larchridge.store.form.BatchState;
+import larchridge.store.form.FileRecord;
+import larchridge.store.form.InputError;
+import larchridge.store.form.LineAnswer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Opens the store that the build of commit f8721a5 wrote. The literals are those of the program
- * that wrote them, {@code stored-data/f8721a5/WriteStoredData.java} in the test resources.
+ * Guards against: a change that makes existing stores unreadable. Opens a store written by the
+ * build of commit f8721a5; the expected values are those of the program that wrote it, {@code
+ * stored-data/f8721a5/WriteStoredData.java} in the test resources.
  */
 class StoreCompatibilityTest {
     private static final int ALL_IDS = 100;
@@ -48,17 +49,17 @@
         return Store.open(folder.resolve("store"), CrashPoints.NONE);
     }
 
-    private static FileForm.Builder file(String id, long number, String tenant, String name) {
-        return FileForm.newBuilder().setId(id).setNumber(number).setTenant(tenant).setName(name);
+    private static FileRecord.Builder file(String id, long number, String tenant, String name) {
+        return FileRecord.newBuilder().setId(id).setNumber(number).setTenant(tenant).setName(name);
     }
 
     /** Checks a file's record against the expected one and its content against the digest. */
-    private static void assertFile(Store store, FileForm.Builder expected, String content)
+    private static void assertFile(Store store, FileRecord.Builder expected, String content)
             throws IOException, NoSuchAlgorithmException {
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
-        FileForm file = store.file(expected.getId());
+        FileRecord file = store.file(expected.getId());
         assertEquals(expected.setBytes(bytes.length).build(), file);
-        try (InputStream in = Channels.newInputStream(store.content(file))) {
+        try (InputStream in = Channels.newInputStream(store.openContent(file))) {
             byte[] stored = in.readAllBytes();
             assertEquals(content, new String(stored, StandardCharsets.UTF_8));
             byte[] digest = MessageDigest.getInstance("SHA-256").digest(stored);
@@ -85,8 +86,8 @@
                             .setDigest(
                                     "21a364e2ee91ffe9daa01fa63df851de81fe2abe47a64431684c8ea6a711652c"),
                     "{\"custom_id\":\"c\"}\n");
-            assertTrue(store.isRead("file-1-1"));
-            assertTrue(store.isRead("file-1-2"));
+            assertTrue(store.isInputInUse("file-1-1"));
+            assertTrue(store.isInputInUse("file-1-2"));
         }
     }
 
@@ -125,7 +126,7 @@
                             .setDigest(
                                     "907f750067f14946a4e90d1726975f3617be3787d0f88bfe0c630a060ada9844"),
                     "{\"id\":\"cancelled-0\"}\n");
-            assertFalse(store.isRead("file-1-4"));
+            assertFalse(store.isInputInUse("file-1-4"));
         }
     }
 
@@ -134,27 +135,27 @@
         try (Store store = openStore()) {
             assertEquals(
                     List.of("file-1-5", "file-1-4", "file-1-1"),
-                    store.page("acme", 'f', -1, ALL_IDS));
+                    store.listIds("acme", 'f', -1, ALL_IDS));
             assertEquals(
                     List.of("file-1-a", "file-1-8", "file-1-2"),
-                    store.page("globex", 'f', -1, ALL_IDS));
+                    store.listIds("globex", 'f', -1, ALL_IDS));
             assertEquals(
                     List.of("batch_2-d", "batch_2-c", "batch_1-3"),
-                    store.page("acme", 'b', -1, ALL_IDS));
+                    store.listIds("acme", 'b', -1, ALL_IDS));
             assertEquals(
                     List.of("batch_2-e", "batch_2-b", "batch_1-9", "batch_1-7", "batch_1-6"),
-                    store.page("globex", 'b', -1, ALL_IDS));
-            assertEquals(3, store.filesOf("acme"));
-            assertEquals(36 + 21 + 21, store.bytesOf("acme"));
-            assertEquals(3, store.filesOf("globex"));
-            assertEquals(18 + 19 + 21, store.bytesOf("globex"));
+                    store.listIds("globex", 'b', -1, ALL_IDS));
+            assertEquals(3, store.storedFiles("acme"));
+            assertEquals(36 + 21 + 21, store.storedBytes("acme"));
+            assertEquals(3, store.storedFiles("globex"));
+            assertEquals(18 + 19 + 21, store.storedBytes("globex"));
         }
     }
 
     // ------------------------------------------------------------------ batches
 
-    private static BatchForm.Builder batch(String id, long number, StateForm state) {
-        return BatchForm.newBuilder()
+    private static BatchRecord.Builder batch(String id, long number, BatchState state) {
+        return BatchRecord.newBuilder()
                 .setId(id)
                 .setNumber(number)
                 .setState(state)
@@ -162,26 +163,26 @@
                 .setWindow("24h");
     }
 
-    private static BatchForm.Builder acme(BatchForm.Builder batch, long createdMs) {
+    private static BatchRecord.Builder acme(BatchRecord.Builder batch, long createdMs) {
         return batch.setTenant("acme")
                 .setInput("file-1-1")
                 .setCreatedMs(createdMs)
                 .setExpiresMs(createdMs + 86_400_000);
     }
 
-    private static BatchForm.Builder globex(BatchForm.Builder batch, long createdMs) {
+    private static BatchRecord.Builder globex(BatchRecord.Builder batch, long createdMs) {
         return batch.setTenant("globex")
                 .setInput("file-1-2")
                 .setCreatedMs(createdMs)
                 .setExpiresMs(createdMs + 86_400_000);
     }
 
-    private static BatchForm validating() {
-        return globex(batch("batch_2-b", 11, StateForm.VALIDATING), 50).build();
+    private static BatchRecord validating() {
+        return globex(batch("batch_2-b", 11, BatchState.VALIDATING), 50).build();
     }
 
-    private static BatchForm inProgress() {
-        return acme(batch("batch_2-c", 12, StateForm.IN_PROGRESS), 60)
+    private static BatchRecord inProgress() {
+        return acme(batch("batch_2-c", 12, BatchState.IN_PROGRESS), 60)
                 .setInProgressMs(61)
                 .setTotal(3)
                 .setDone(1)
@@ -191,9 +192,9 @@
                 .build();
     }
 
-    private static BatchForm finalizing() {
-        return acme(batch("batch_2-d", 13, StateForm.FINALIZING), 70)
-                .setEnding(StateForm.COMPLETED)
+    private static BatchRecord finalizing() {
+        return acme(batch("batch_2-d", 13, BatchState.FINALIZING), 70)
+                .setEnding(BatchState.COMPLETED)
                 .setInProgressMs(71)
                 .setFinalizingMs(7000)
                 .setTotal(2)
@@ -201,8 +202,8 @@
                 .build();
     }
 
-    private static BatchForm cancelling() {
-        return globex(batch("batch_2-e", 14, StateForm.CANCELLING), 80)
+    private static BatchRecord cancelling() {
+        return globex(batch("batch_2-e", 14, BatchState.CANCELLING), 80)
                 .setInProgressMs(81)
                 .setCancellingMs(8000)
                 .setTotal(1)
@@ -210,12 +211,15 @@
     }
 
     @Test
-    void batchesThatAreNotOverAreActive() throws Exception {
+    void unfinishedBatchesAreActive() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
                     List.of(validating(), inProgress(), finalizing(), cancelling()),
-                    store.active());
-            assertEquals(0, store.name("batch_2-b", "c", 9), "the line that has this custom id");
+                    store.activeBatches());
+            assertEquals(
+                    0,
+                    store.recordCustomId("batch_2-b", "c", 9),
+                    "the line that has this custom id");
         }
     }
 
@@ -223,8 +227,8 @@
     void completedAndFailedBatchesAreRead() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
-                    acme(batch("batch_1-3", 3, StateForm.COMPLETED), 10)
-                            .setEnding(StateForm.COMPLETED)
+                    acme(batch("batch_1-3", 3, BatchState.COMPLETED), 10)
+                            .setEnding(BatchState.COMPLETED)
                             .setInProgressMs(11)
                             .setFinalizingMs(12)
                             .setEndedMs(13)
@@ -237,10 +241,10 @@
                             .build(),
                     store.batch("batch_1-3"));
             assertEquals(
-                    globex(batch("batch_1-6", 6, StateForm.FAILED), 20)
+                    globex(batch("batch_1-6", 6, BatchState.FAILED), 20)
                             .setEndedMs(2000)
                             .addFault(
-                                    FaultForm.newBuilder()
+                                    InputError.newBuilder()
                                             .setCode("invalid_json_line")
                                             .setLine(3)
                                             .setField("body")
@@ -254,8 +258,8 @@
     void expiredAndCancelledBatchesAreRead() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
-                    globex(batch("batch_1-7", 7, StateForm.EXPIRED), 30)
-                            .setEnding(StateForm.EXPIRED)
+                    globex(batch("batch_1-7", 7, BatchState.EXPIRED), 30)
+                            .setEnding(BatchState.EXPIRED)
                             .setInProgressMs(31)
                             .setFinalizingMs(32)
                             .setEndedMs(33)
@@ -265,8 +269,8 @@
                             .build(),
                     store.batch("batch_1-7"));
             assertEquals(
-                    globex(batch("batch_1-9", 9, StateForm.CANCELLED), 40)
-                            .setEnding(StateForm.CANCELLED)
+                    globex(batch("batch_1-9", 9, BatchState.CANCELLED), 40)
+                            .setEnding(BatchState.CANCELLED)
                             .setInProgressMs(41)
                             .setFinalizingMs(42)
                             .setEndedMs(43)
@@ -281,12 +285,12 @@
 
     // ------------------------------------------------------------------ lines
 
-    private static AnswerForm answer(boolean good, String text) {
-        return AnswerForm.newBuilder().setGood(good).setText(text).build();
+    private static LineAnswer answer(boolean good, String text) {
+        return LineAnswer.newBuilder().setGood(good).setText(text).build();
     }
 
     @Test
-    void recordsOfLinesAreRead() throws Exception {
+    void lineAnswersAndAttemptsAreRead() throws Exception {
         try (Store store = openStore()) {
             assertEquals(
                     answer(true, "{\"id\":\"in-progress-0\",\"text\":\"se\u00f1al\"}"),
@@ -299,32 +303,35 @@
             assertEquals(answer(true, "{\"id\":\"finalizing-1\"}"), store.answer("batch_2-d", 1));
             assertNull(store.answer("batch_2-e", 0));
             assertEquals(1, store.attempts("batch_2-e", 0));
-            assertFalse(store.isAnswered("batch_1-3", 0), "a batch that is over has no records");
+            assertFalse(
+                    store.isAnswered("batch_1-3", 0), "the answers of an ended batch are deleted");
         }
     }
 
     // ------------------------------------------------------------------ the whole store
 
     @Test
-    void storeIsReadWithoutOwningIt() throws Exception {
-        try (Store store = Store.look(folder.resolve("store"))) {
+    void storedStoreOpensReadOnly() throws Exception {
+        try (Store store = Store.openReadOnly(folder.resolve("store"))) {
             assertEquals(
                     List.of(validating(), inProgress(), finalizing(), cancelling()),
-                    store.active());
+                    store.activeBatches());
             assertEquals(List.of(), store.verify());
         }
     }
 
     @Test
-    void storeIsWrittenOnByItsNextOwner() throws Exception {
+    void storedStoreIsExtendedByItsNextOwner() throws Exception {
         try (Store store = openStore()) {
             assertEquals(3, store.epoch());
             assertEquals(List.of(), store.verify());
-            IncomingFile incoming = store.receive();
+            IncomingFile incoming = store.createIncomingFile();
             incoming.write(new byte[] {'x'}, 0, 1);
-            FileForm kept = store.keep(incoming.synced(), "acme", "new.jsonl", "batch", 9000);
-            assertEquals("file-3-f", kept.getId());
-            assertEquals("batch_3-g", store.begin(acme(BatchForm.newBuilder(), 9000)).getId());
+            FileRecord added = store.addFile(incoming.sync(), "acme", "new.jsonl", "batch", 9000);
+            assertEquals("file-3-f", added.getId());
+            assertEquals(
+                    "batch_3-g",
+                    store.createBatch(acme(BatchRecord.newBuilder(), 9000)).getId());
             assertEquals(List.of(), store.verify());
         }
     }
