--- a/src/main/java/larchridge/benchlink/BenchActions.java
+++ b/src/main/java/larchridge/benchlink/BenchActions.java
@@ -82,21 +82,21 @@
 
     @Override
     public void log(String text) {
-        line("EMIT").text(" message=").text(onOneLine(text)).end();
+        line("EMIT").text(" message=").text(toSingleLine(text)).end();
     }
 
     /** Reports an exception of the policy, which makes the bench end the run with its cause. */
     void reportFailure(RuntimeException failure) {
         StackTraceElement[] trace = failure.getStackTrace();
-        String place = trace.length > 0 ? " at " + trace[0] : "";
-        line("BROKEN").text(" message=").text(onOneLine(failure + place)).end();
+        String location = trace.length > 0 ? " at " + trace[0] : "";
+        line("BROKEN").text(" message=").text(toSingleLine(failure + location)).end();
     }
 
     private ReplyWriter line(String name) {
         return reply.line(instance, name);
     }
 
-    private static String onOneLine(String text) {
+    private static String toSingleLine(String text) {
         return text.replace('\n', ' ').replace('\r', ' ');
     }
 }
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -60,7 +60,7 @@
         if (message.is("ENLIST")) {
             tearDown();
             settings = readSettings(message);
-            guarded(() -> policy = new RoutingPolicy(settings.routing(), actions));
+            callPolicy(() -> policy = new RoutingPolicy(settings.routing(), actions));
             return;
         }
         if (message.is("TEARDOWN")) {
@@ -75,7 +75,7 @@
             case "CALL" -> requestArrived(message);
             case "REPLY" -> attemptReplied(message);
             case "BEGUN" -> responseStarted(message);
-            case "ELAPSED" -> guarded(policy::wakeUp);
+            case "ELAPSED" -> callPolicy(policy::wakeUp);
             case "TIMED_OUT_CLIENT" -> clientDisconnected(message);
             case "BACKENDS_CHANGED" -> endpointsChanged(message);
             case "PROBED" -> loadProbed(message);
@@ -87,7 +87,7 @@
             throws InvalidMessageException {
         try {
             return DeploymentSettingsReader.read(
-                    MAPPER.readTree(message.rest("env")), message.integer("seed"));
+                    MAPPER.readTree(message.textToLineEnd("env")), message.integer("seed"));
         } catch (JsonProcessingException e) {
             throw message.invalid(
                     "member env is broken JSON; expected an object ("
@@ -107,7 +107,7 @@
     }
 
     /** Runs a call of the policy; its failure ends the run with the cause instead of silently. */
-    private void guarded(Runnable policyCall) {
+    private void callPolicy(Runnable policyCall) {
         try {
             policyCall.run();
         } catch (RuntimeException e) {
@@ -144,7 +144,7 @@
                         nowMs,
                         message.decimal("not_after_s") * MS_PER_SECOND);
         generations.put(id, generation);
-        guarded(() -> policy.requestArrived(generation));
+        callPolicy(() -> policy.requestArrived(generation));
         removeIfEnded(id, generation);
     }
 
@@ -168,10 +168,10 @@
         String disposition = message.text("disposition");
         int note = (int) message.decimalOr("note", 0);
         if (disposition.equals("half_done")) {
-            guarded(() -> policy.readCompleted(attempt, note, report, noMore));
+            callPolicy(() -> policy.readCompleted(attempt, note, report, noMore));
         } else {
             AttemptOutcome outcome = outcome(message, disposition, note);
-            guarded(() -> policy.attemptEnded(attempt, outcome, report, noMore));
+            callPolicy(() -> policy.attemptEnded(attempt, outcome, report, noMore));
         }
         removeIfEnded(id, generation);
     }
@@ -199,7 +199,7 @@
         Generation generation = generations.get(message.text("job"));
         int number = (int) message.integer("round_no");
         if (generation != null && number >= 0 && number < generation.attempts().size()) {
-            guarded(() -> policy.responseStarted(generation.attempts().get(number)));
+            callPolicy(() -> policy.responseStarted(generation.attempts().get(number)));
         }
     }
 
@@ -207,7 +207,7 @@
         String id = message.text("job");
         Generation generation = generations.get(id);
         if (generation != null) {
-            guarded(() -> policy.clientDisconnected(generation));
+            callPolicy(() -> policy.clientDisconnected(generation));
             removeIfEnded(id, generation);
         }
     }
@@ -217,7 +217,7 @@
         if (engine != null) {
             boolean answered = message.valueIs("disposition", "pass");
             LoadReport report = loadReport(message);
-            guarded(() -> policy.loadProbed(engine, answered, report));
+            callPolicy(() -> policy.loadProbed(engine, answered, report));
         }
     }
 
@@ -233,9 +233,9 @@
             updates.add(endpointUpdate(message));
         }
         switch (kind) {
-            case "INCREMENTAL" -> guarded(() -> policy.endpointsChanged(updates, false));
-            case "FULL", "SAVED" -> guarded(() -> policy.endpointsChanged(updates, true));
-            case "FAILED" -> guarded(policy::endpointWatchFailed);
+            case "INCREMENTAL" -> callPolicy(() -> policy.endpointsChanged(updates, false));
+            case "FULL", "SAVED" -> callPolicy(() -> policy.endpointsChanged(updates, true));
+            case "FAILED" -> callPolicy(policy::endpointWatchFailed);
             default ->
                     throw message.invalid(
                             "member kind is '"
@@ -259,7 +259,7 @@
 
     private EndpointUpdate endpointUpdate(MessageReader message) throws InvalidMessageException {
         long id = message.integer("engine");
-        String kind = message.textOr("class_of_host", "");
+        String hostType = message.textOr("class_of_host", "");
         EndpointState state = endpointState(message);
         Engine engine = engines.get(id);
         if (engine == null) {
@@ -273,8 +273,8 @@
                 message.decimalOr("units", 1),
                 message.textOr("zone", ""),
                 message.integerOr("group", 0),
-                settings.roles().getOrDefault(kind, Role.BOTH),
-                settings.memoryTokens().getOrDefault(kind, Double.NaN));
+                settings.roles().getOrDefault(hostType, Role.BOTH),
+                settings.memoryTokens().getOrDefault(hostType, Double.NaN));
     }
 
     private static EndpointState endpointState(MessageReader message)
--- a/src/main/java/larchridge/benchlink/MessageReader.java
+++ b/src/main/java/larchridge/benchlink/MessageReader.java
@@ -158,7 +158,7 @@
     }
 
     /** The value of a member that extends to the end of the line. */
-    String rest(String member) throws InvalidMessageException {
+    String textToLineEnd(String member) throws InvalidMessageException {
         int index = require(member, "text to the end of the line");
         return text(equalsSigns[index] + 1, lineLength);
     }
--- a/src/main/java/larchridge/inventory/EngineListWatcher.java
+++ b/src/main/java/larchridge/inventory/EngineListWatcher.java
@@ -24,7 +24,7 @@
     private final Path file;
     private final Consumer<List<EngineEntry>> listener;
     private byte[] lastContent = new byte[0];
-    private String lastFault = "";
+    private String lastError = "";
     private boolean polling;
     private Vertx vertx;
     private long timer;
@@ -87,15 +87,15 @@
             }
             lastContent = content;
             List<EngineEntry> entries = parse(content);
-            lastFault = "";
+            lastError = "";
             LOG.atInfo().addKeyValue("engines", entries.size()).log("engine list taken");
             return entries;
         } catch (InvalidEngineListException e) {
-            logFault(e.getMessage());
+            logError(e.getMessage());
         } catch (NoSuchFileException e) {
-            logFault(file + ": missing");
+            logError(file + ": missing");
         } catch (IOException e) {
-            logFault(file + ": can't be read (" + e + ")");
+            logError(file + ": can't be read (" + e + ")");
         }
         return null;
     }
@@ -104,10 +104,10 @@
         return EngineListReader.read(file.toString(), new String(content, StandardCharsets.UTF_8));
     }
 
-    private void logFault(String fault) {
-        if (!fault.equals(lastFault)) {
-            lastFault = fault;
-            LOG.atError().addKeyValue("fault", fault).log("engine list kept as it was");
+    private void logError(String error) {
+        if (!error.equals(lastError)) {
+            lastError = error;
+            LOG.atError().addKeyValue("fault", error).log("engine list kept as it was");
         }
     }
 }
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -218,7 +218,7 @@
                 MessagesReader.Body read = reader.read(body, counts);
                 if (!look(read)) {
                     take(read);
-                } else if (way() == CountingPolicy.Way.ASIDE) {
+                } else if (way() == CountingPolicy.Mode.WORKER) {
                     aside(
                             measuring.costMs(),
                             () -> {
@@ -241,14 +241,14 @@
         }
 
         /** Who asks for a count gets it, be it long; for a generation a guess may do. */
-        private CountingPolicy.Way way() {
-            CountingPolicy.Way way = measuring.way();
-            return counts && way == CountingPolicy.Way.GUESS ? CountingPolicy.Way.ASIDE : way;
+        private CountingPolicy.Mode way() {
+            CountingPolicy.Mode way = measuring.way();
+            return counts && way == CountingPolicy.Mode.ESTIMATE ? CountingPolicy.Mode.WORKER : way;
         }
 
         private void count(boolean isAside) {
-            CountingPolicy.Way way = way();
-            if (way == CountingPolicy.Way.NOW || (isAside && way == CountingPolicy.Way.ASIDE)) {
+            CountingPolicy.Mode way = way();
+            if (way == CountingPolicy.Mode.INLINE || (isAside && way == CountingPolicy.Mode.WORKER)) {
                 measuring.finish();
             }
         }
@@ -265,7 +265,7 @@
                                     (long) site.limit.bodyMs,
                                     late -> done.tryFail(ApiException.overloaded("Overloaded")));
             boolean taken =
-                    lengths.counters.workers.take(
+                    lengths.counters.workers.trySubmit(
                             expectedMs,
                             () -> {
                                 if (left || done.future().isComplete()) {
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -2,10 +2,10 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import larchridge.tokens.Counting;
+import larchridge.tokens.TokenCountTask;
 import larchridge.tokens.CountingPolicy;
 import larchridge.tokens.CountingRate;
-import larchridge.tokens.Measure;
+import larchridge.tokens.PromptLengthSettings;
 import larchridge.tokens.TokenCount;
 import larchridge.tokens.TokenCountCorrection;
 import larchridge.tokens.TokenCounters;
@@ -35,16 +35,16 @@
     /** One body on its way to its lengths; looking up may run on any thread. */
     final class Measuring {
         final MessagesReader.Body body;
-        private final Measure measure;
+        private final PromptLengthSettings measure;
         private final CountingRate pace;
-        private final Counting counting;
+        private final TokenCountTask counting;
 
         Measuring(MessagesReader.Body body) {
             this.body = body;
             measure = body.offer().measure;
-            pace = counters.pace(measure.vocabulary());
+            pace = counters.rate(measure.vocabulary());
             counting =
-                    new Counting(
+                    new TokenCountTask(
                             body.countable().prompt(),
                             body.countable().sharedChars(),
                             measure.vocabulary(),
@@ -52,29 +52,29 @@
         }
 
         double costMs() {
-            return pace.msFor(counting.missingChars());
+            return pace.expectedMs(counting.uncountedChars());
         }
 
-        CountingPolicy.Way way() {
-            return CountingPolicy.of(
+        CountingPolicy.Mode way() {
+            return CountingPolicy.choose(
                     costMs(),
-                    counters.workers.waitMs(),
-                    pace.tokensAChar() * counting.missingChars(),
+                    counters.workers.expectedWaitMs(),
+                    pace.tokensPerChar() * counting.uncountedChars(),
                     READ_TOKS_PER_MS,
                     body.offer().product.sloMs);
         }
 
         boolean finish() {
-            return counting.finish(pace);
+            return counting.countMissing(pace);
         }
 
         void callOff() {
-            counting.callOff();
+            counting.cancel();
         }
 
         /** What engines would count, without correction. */
         TokenCount count() {
-            return counting.count(pace.tokensAChar());
+            return counting.tokenCount(pace.tokensPerChar());
         }
 
         int extraTokens() {
@@ -87,12 +87,12 @@
     MessagesReader.Body measured(Measuring measuring, boolean onlyCounted) throws ApiException {
         TokenCount count = measuring.count();
         MessagesReader.Body body = measuring.body;
-        Measure measure = measuring.measure;
+        PromptLengthSettings measure = measuring.measure;
         double factor = drift(body.engineModel()).factor();
         int tokens = (int) Math.round(factor * (count.tokens() + measuring.extraTokens()));
         // Guards against: a guess or a drift must not turn away what fits; only what surely does
         // not is.
-        long least = count.exact() ? tokens : count.least();
+        long least = count.exact() ? tokens : count.lowerBound();
         if (!onlyCounted && least + body.maxTokens() > measure.windowTokens()) {
             throw ApiException.invalid(
                     "prompt is too long: "
@@ -111,9 +111,9 @@
                                         factor
                                                 * (measuring
                                                                 .counting
-                                                                .beginning(
+                                                                .prefixTokenCount(
                                                                         measuring.pace
-                                                                                .tokensAChar())
+                                                                                .tokensPerChar())
                                                                 .tokens()
                                                         + body.countable().sharedImages()
                                                                 * measure.imageTokens()));
@@ -132,8 +132,8 @@
             return;
         }
         TokenCountCorrection drift = drift(model);
-        switch (drift.reported(expected, reported)) {
-            case DRIFTS ->
+        switch (drift.recordReport(expected, reported)) {
+            case COUNT_DRIFT ->
                     LOG.atWarn()
                             .addKeyValue("model", model)
                             .addKeyValue("factor", drift.factor())
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -89,7 +89,7 @@
                         site.limit.countWaits,
                         site.limit.bytesPerToken);
         RouterMetrics.registerTokenCountCache(
-                registry, counters.cache::size, counters.cache::found, counters.cache::missed);
+                registry, counters.cache::size, counters.cache::hits, counters.cache::misses);
         vertx =
                 Vertx.vertx(
                         new VertxOptions()
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -1,7 +1,7 @@
 package larchridge.site;
 
 import larchridge.state.TrafficClass;
-import larchridge.tokens.Measure;
+import larchridge.tokens.PromptLengthSettings;
 
 /** A product as clients ask for it: its models and how long a client waits for a first token. */
 public final class ProductOffering {
@@ -16,7 +16,7 @@
     public final double limitMs;
     public final double limitMsPerToken;
     public final int mostTokens;
-    public final Measure measure;
+    public final PromptLengthSettings measure;
 
     /** Whether it is batch work, for which nobody waits. */
     public final boolean isBatch;
@@ -28,7 +28,7 @@
             double limitMs,
             double limitMsPerToken,
             int mostTokens,
-            Measure measure) {
+            PromptLengthSettings measure) {
         this(product, borrowed, engineModel, limitMs, limitMsPerToken, mostTokens, measure, false);
     }
 
@@ -39,7 +39,7 @@
             double limitMs,
             double limitMsPerToken,
             int mostTokens,
-            Measure measure,
+            PromptLengthSettings measure,
             boolean isBatch) {
         this.isBatch = isBatch;
         this.product = product;
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -30,7 +30,7 @@
 import larchridge.state.RoutingSettings;
 import larchridge.state.TrafficClass;
 import larchridge.tokens.InvalidVocabularyException;
-import larchridge.tokens.Measure;
+import larchridge.tokens.PromptLengthSettings;
 import larchridge.tokens.PretokenizerPattern;
 import larchridge.tokens.Vocabulary;
 import larchridge.tokens.VocabularyReader;
@@ -210,17 +210,17 @@
         }
     }
 
-    private Measure measure(At at, ProductText text, Map<String, Vocabulary> vocabularies) {
+    private PromptLengthSettings measure(At at, ProductText text, Map<String, Vocabulary> vocabularies) {
         Vocabulary vocabulary = vocabularies.get(text.getVocabulary());
         if (vocabulary == null
                 && !text.getVocabulary().isEmpty()
                 && !vocabularies.containsKey(text.getVocabulary())) {
             at.fault("vocabulary", "'" + text.getVocabulary() + "' is no vocabulary of this file");
         }
-        return new Measure(
+        return new PromptLengthSettings(
                 vocabulary,
                 (int) at.number("window_tokens", Integer.MAX_VALUE, 1, Integer.MAX_VALUE),
-                (int) at.number("image_tokens", Measure.GUESSED.imageTokens(), 0, 1e6),
+                (int) at.number("image_tokens", PromptLengthSettings.ESTIMATED.imageTokens(), 0, 1e6),
                 (int) at.number("message_tokens", 0, 0, 1000));
     }
 
@@ -249,8 +249,8 @@
                 read.put(
                         name,
                         !text.getEncoding().isEmpty()
-                                ? VocabularyReader.named(name, text.getEncoding())
-                                : VocabularyReader.file(
+                                ? VocabularyReader.forEncoding(name, text.getEncoding())
+                                : VocabularyReader.readFile(
                                         name,
                                         folder == null
                                                 ? Path.of(text.getFile())
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -146,7 +146,7 @@
         Fronts fronts = null;
         try {
             if (script.encoding() != null) {
-                Vocabulary vocabulary = VocabularyReader.named("v", script.encoding());
+                Vocabulary vocabulary = VocabularyReader.forEncoding("v", script.encoding());
                 makes.keySet()
                         .forEach(id -> fleet.on(id, engine -> engine.counts = vocabulary::count));
             }
--- a/src/main/java/larchridge/tokens/CountingPolicy.java
+++ b/src/main/java/larchridge/tokens/CountingPolicy.java
@@ -7,25 +7,25 @@
  */
 public final class CountingPolicy {
     /** What one text may hold up its loop. */
-    static final double LOOP_MS = 1;
+    static final double MAX_LOOP_MS = 1;
 
     /**
      * How far a guess by bytes is off as a rule, as a part of the prompt, where it is not known
      * better.
      */
-    static final double GUESS_ERROR = 0.25;
+    static final double ESTIMATE_ERROR_FRACTION = 0.25;
 
     /** Counting may take this part of the time by which the guess is wrong. */
-    static final double PART = 0.2;
+    static final double MAX_FRACTION_OF_ERROR_COST = 0.2;
 
     /** Nobody waits for his count longer than this part of his SLO time. */
-    static final double SLO_PART = 0.05;
+    static final double MAX_FRACTION_OF_SLO = 0.05;
 
     /** What is done with a text. */
-    public enum Way {
-        NOW,
-        ASIDE,
-        GUESS
+    public enum Mode {
+        INLINE,
+        WORKER,
+        ESTIMATE
     }
 
     private CountingPolicy() {}
@@ -34,22 +34,22 @@
      * Decides on one text.
      *
      * @param countMs what counting takes
-     * @param waitMs what is before it aside
-     * @param guessTokens tokens that are guessed of what is not known
+     * @param queueWaitMs what is before it aside
+     * @param estimatedTokens tokens that are guessed of what is not known
      * @param readTokensPerMs how fast an idle reader reads
      * @param sloMs the generation's SLO time
      */
-    public static Way of(
+    public static Mode choose(
             double countMs,
-            double waitMs,
-            double guessTokens,
+            double queueWaitMs,
+            double estimatedTokens,
             double readTokensPerMs,
             double sloMs) {
-        if (countMs <= LOOP_MS) {
-            return Way.NOW;
+        if (countMs <= MAX_LOOP_MS) {
+            return Mode.INLINE;
         }
-        double wrongMs = GUESS_ERROR * guessTokens / Math.max(1e-9, readTokensPerMs);
-        double may = Math.min(PART * wrongMs, SLO_PART * sloMs);
-        return countMs + waitMs <= may ? Way.ASIDE : Way.GUESS;
+        double errorCostMs = ESTIMATE_ERROR_FRACTION * estimatedTokens / Math.max(1e-9, readTokensPerMs);
+        double maxCountingMs = Math.min(MAX_FRACTION_OF_ERROR_COST * errorCostMs, MAX_FRACTION_OF_SLO * sloMs);
+        return countMs + queueWaitMs <= maxCountingMs ? Mode.WORKER : Mode.ESTIMATE;
     }
 }
--- a/src/main/java/larchridge/tokens/CountingRate.java
+++ b/src/main/java/larchridge/tokens/CountingRate.java
@@ -5,31 +5,31 @@
  * Any thread may tell it; a lost update of two that meet does no harm.
  */
 public final class CountingRate {
-    private static final double KEPT = 0.9;
+    private static final double PREVIOUS_WEIGHT = 0.9;
 
-    private volatile double nsAChar = 100;
-    private volatile double tokensAChar;
+    private volatile double nsPerChar = 100;
+    private volatile double tokensPerChar;
 
     /** Begins with what a site believes of its texts. */
-    public CountingRate(double tokensAChar) {
-        this.tokensAChar = tokensAChar;
+    public CountingRate(double tokensPerChar) {
+        this.tokensPerChar = tokensPerChar;
     }
 
     /**
      * So many characters took so long; the text that they are of has so many tokens in so many
      * characters.
      */
-    void counted(int chars, long ns, int tokens, int ofChars) {
-        nsAChar = KEPT * nsAChar + (1 - KEPT) * ns / chars;
-        tokensAChar =
-                ofChars > 0 ? KEPT * tokensAChar + (1 - KEPT) * tokens / ofChars : tokensAChar;
+    void recordCount(int newChars, long elapsedNs, int textTokens, int textChars) {
+        nsPerChar = PREVIOUS_WEIGHT * nsPerChar + (1 - PREVIOUS_WEIGHT) * elapsedNs / newChars;
+        tokensPerChar =
+                textChars > 0 ? PREVIOUS_WEIGHT * tokensPerChar + (1 - PREVIOUS_WEIGHT) * textTokens / textChars : tokensPerChar;
     }
 
-    public double msFor(int chars) {
-        return chars * nsAChar / 1e6;
+    public double expectedMs(int chars) {
+        return chars * nsPerChar / 1e6;
     }
 
-    public double tokensAChar() {
-        return tokensAChar;
+    public double tokensPerChar() {
+        return tokensPerChar;
     }
 }
--- a/src/main/java/larchridge/tokens/CountingWorkers.java
+++ b/src/main/java/larchridge/tokens/CountingWorkers.java
@@ -11,53 +11,53 @@
  * taken.
  */
 public final class CountingWorkers implements AutoCloseable {
-    private final ThreadPoolExecutor threads;
-    private final int count;
-    private final AtomicLong waitingUs = new AtomicLong();
+    private final ThreadPoolExecutor executor;
+    private final int threadCount;
+    private final AtomicLong pendingUs = new AtomicLong();
 
-    public CountingWorkers(int count, int mostWaiting) {
-        this.count = count;
-        threads =
+    public CountingWorkers(int threadCount, int queueCapacity) {
+        this.threadCount = threadCount;
+        executor =
                 new ThreadPoolExecutor(
-                        count,
-                        count,
+                        threadCount,
+                        threadCount,
                         1,
                         TimeUnit.SECONDS,
-                        new ArrayBlockingQueue<>(mostWaiting),
-                        work -> {
-                            Thread thread = new Thread(work, "aside");
+                        new ArrayBlockingQueue<>(queueCapacity),
+                        task -> {
+                            Thread thread = new Thread(task, "aside");
                             thread.setDaemon(true);
                             return thread;
                         });
     }
 
     /** Takes work that is expected to last so long; false if too much waits. */
-    public boolean take(double expectedMs, Runnable work) {
-        long us = (long) (expectedMs * 1000);
-        waitingUs.addAndGet(us);
+    public boolean trySubmit(double expectedMs, Runnable task) {
+        long expectedUs = (long) (expectedMs * 1000);
+        pendingUs.addAndGet(expectedUs);
         try {
-            threads.execute(
+            executor.execute(
                     () -> {
                         try {
-                            work.run();
+                            task.run();
                         } finally {
-                            waitingUs.addAndGet(-us);
+                            pendingUs.addAndGet(-expectedUs);
                         }
                     });
             return true;
         } catch (RejectedExecutionException e) {
-            waitingUs.addAndGet(-us);
+            pendingUs.addAndGet(-expectedUs);
             return false;
         }
     }
 
     /** How long what is taken now would wait, by what was expected of the work before it. */
-    public double waitMs() {
-        return waitingUs.get() / 1000.0 / count;
+    public double expectedWaitMs() {
+        return pendingUs.get() / 1000.0 / threadCount;
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/larchridge/tokens/LibraryVocabulary.java
+++ b/src/main/java/larchridge/tokens/JtokkitVocabulary.java
@@ -9,39 +9,39 @@
 import java.util.Optional;
 
 /** A vocabulary counted by JTokkit: one of its own, or ranks from a file. */
-final class LibraryVocabulary implements Vocabulary {
+final class JtokkitVocabulary implements Vocabulary {
     /** The longest token of the library's own encodings: a run of spaces. */
-    private static final int LONGEST = 128;
+    private static final int LIBRARY_MAX_TOKEN_BYTES = 128;
 
     private final String name;
     private final Encoding encoding;
-    private final int longest;
+    private final int maxTokenBytes;
 
-    private LibraryVocabulary(String name, Encoding encoding, int longest) {
+    private JtokkitVocabulary(String name, Encoding encoding, int maxTokenBytes) {
         this.name = name;
         this.encoding = encoding;
-        this.longest = longest;
+        this.maxTokenBytes = maxTokenBytes;
     }
 
-    static Vocabulary named(String name, String encodingName) throws InvalidVocabularyException {
+    static Vocabulary forEncoding(String name, String encodingName) throws InvalidVocabularyException {
         Optional<EncodingType> type = EncodingType.fromName(encodingName);
         if (type.isEmpty()) {
             throw new InvalidVocabularyException(
                     "vocabulary " + name + ": no encoding '" + encodingName + "'");
         }
-        return new LibraryVocabulary(
-                name, Encodings.newLazyEncodingRegistry().getEncoding(type.get()), LONGEST);
+        return new JtokkitVocabulary(
+                name, Encodings.newLazyEncodingRegistry().getEncoding(type.get()), LIBRARY_MAX_TOKEN_BYTES);
     }
 
-    static Vocabulary ranked(String name, PretokenizerPattern split, Map<byte[], Integer> ranks) {
+    static Vocabulary fromRanks(String name, PretokenizerPattern pretokenizer, Map<byte[], Integer> ranks) {
         EncodingRegistry registry = Encodings.newLazyEncodingRegistry();
         registry.registerGptBytePairEncoding(
-                new GptBytePairEncodingParams(name, split.pattern, ranks, Map.of()));
-        int longest = 1;
+                new GptBytePairEncodingParams(name, pretokenizer.pattern, ranks, Map.of()));
+        int maxTokenBytes = 1;
         for (byte[] token : ranks.keySet()) {
-            longest = Math.max(longest, token.length);
+            maxTokenBytes = Math.max(maxTokenBytes, token.length);
         }
-        return new LibraryVocabulary(name, registry.getEncoding(name).orElseThrow(), longest);
+        return new JtokkitVocabulary(name, registry.getEncoding(name).orElseThrow(), maxTokenBytes);
     }
 
     @Override
@@ -51,15 +51,15 @@
 
     @Override
     public int count(String text) {
-        return encoding.countTokensOrdinary(whole(text));
+        return encoding.countTokensOrdinary(replaceUnpairedSurrogates(text));
     }
 
     /**
      * Guards against: the library throws at half a pair of surrogates, which JSON may well hold;
      * engines get a '?' for it.
      */
-    private static String whole(String text) {
-        StringBuilder mended = null;
+    private static String replaceUnpairedSurrogates(String text) {
+        StringBuilder replaced = null;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (!Character.isSurrogate(c)) {
@@ -70,15 +70,15 @@
                     && Character.isLowSurrogate(text.charAt(i + 1))) {
                 i++;
             } else {
-                mended = mended == null ? new StringBuilder(text) : mended;
-                mended.setCharAt(i, '?');
+                replaced = replaced == null ? new StringBuilder(text) : replaced;
+                replaced.setCharAt(i, '?');
             }
         }
-        return mended == null ? text : mended.toString();
+        return replaced == null ? text : replaced.toString();
     }
 
     @Override
-    public int longestTokenBytes() {
-        return longest;
+    public int maxTokenBytes() {
+        return maxTokenBytes;
     }
 }
--- a/src/main/java/larchridge/tokens/MergesVocabulary.java
+++ b/src/main/java/larchridge/tokens/MergesVocabulary.java
@@ -17,44 +17,44 @@
  */
 final class MergesVocabulary implements Vocabulary {
     private final String name;
-    private final Pattern split;
-    private final boolean normalized;
-    private final boolean wholePieces;
-    private final Map<String, Integer> numbers;
+    private final Pattern pretokenizer;
+    private final boolean normalizesToNfc;
+    private final boolean ignoreMerges;
+    private final Map<String, Integer> symbolIds;
     private final Set<String> tokens;
 
     /** By pair of symbols: the rank of their merge and the symbol that comes of it. */
     private final Map<Long, long[]> merges = new HashMap<>();
 
-    private final int[] bytes = new int[256];
-    private final Pattern special;
-    private final int longest;
+    private final int[] byteSymbols = new int[256];
+    private final Pattern specialTokenPattern;
+    private final int maxTokenBytes;
 
     /**
      * A vocabulary of a merges list.
      *
      * @param tokens all tokens, each byte a character of the byte-level alphabet
      * @param pairs the pairs in the order in which they are merged
-     * @param specials texts that are one token wherever they stand
-     * @param wholePieces whether a piece that is a token is never cut
+     * @param specialTokens texts that are one token wherever they stand
+     * @param ignoreMerges whether a piece that is a token is never cut
      */
     MergesVocabulary(
             String name,
-            Pattern split,
-            boolean normalized,
-            boolean wholePieces,
+            Pattern pretokenizer,
+            boolean normalizesToNfc,
+            boolean ignoreMerges,
             Set<String> tokens,
             List<String[]> pairs,
-            List<String> specials)
+            List<String> specialTokens)
             throws InvalidVocabularyException {
         this.name = name;
-        this.split = split;
-        this.normalized = normalized;
-        this.wholePieces = wholePieces;
+        this.pretokenizer = pretokenizer;
+        this.normalizesToNfc = normalizesToNfc;
+        this.ignoreMerges = ignoreMerges;
         this.tokens = tokens;
-        numbers = new HashMap<>();
+        symbolIds = new HashMap<>();
         for (int i = 0; i < 256; i++) {
-            bytes[i] = number(String.valueOf(alphabet(i)));
+            byteSymbols[i] = symbolId(String.valueOf(byteLevelChar(i)));
         }
         for (int i = 0; i < pairs.size(); i++) {
             String joined = pairs.get(i)[0] + pairs.get(i)[1];
@@ -62,29 +62,29 @@
                 throw new InvalidVocabularyException(
                         "merge " + i + ": '" + joined + "' is no token");
             }
-            long pair = pair(number(pairs.get(i)[0]), number(pairs.get(i)[1]));
-            merges.putIfAbsent(pair, new long[] {i, number(joined)});
+            long pair = pair(symbolId(pairs.get(i)[0]), symbolId(pairs.get(i)[1]));
+            merges.putIfAbsent(pair, new long[] {i, symbolId(joined)});
         }
-        special =
-                specials.isEmpty()
+        specialTokenPattern =
+                specialTokens.isEmpty()
                         ? null
                         : Pattern.compile(
                                 String.join(
                                         "|",
-                                        specials.stream()
+                                        specialTokens.stream()
                                                 .sorted((a, b) -> b.length() - a.length())
                                                 .map(Pattern::quote)
                                                 .toList()));
-        int most =
-                specials.stream()
+        int maxSpecialTokenBytes =
+                specialTokens.stream()
                         .mapToInt(s -> s.getBytes(StandardCharsets.UTF_8).length)
                         .max()
                         .orElse(1);
-        longest = Math.max(most, tokens.stream().mapToInt(String::length).max().orElse(1));
+        maxTokenBytes = Math.max(maxSpecialTokenBytes, tokens.stream().mapToInt(String::length).max().orElse(1));
     }
 
-    private int number(String symbol) {
-        return numbers.computeIfAbsent(symbol, s -> numbers.size());
+    private int symbolId(String symbol) {
+        return symbolIds.computeIfAbsent(symbol, s -> symbolIds.size());
     }
 
     private static long pair(int left, int right) {
@@ -95,18 +95,18 @@
      * The published byte-level alphabet: printable bytes are themselves, the others follow from 256
      * on.
      */
-    static char alphabet(int value) {
-        if (isPlain(value)) {
+    static char byteLevelChar(int value) {
+        if (isPrintable(value)) {
             return (char) value;
         }
-        int before = 0;
+        int unprintableBelow = 0;
         for (int i = 0; i < value; i++) {
-            before += isPlain(i) ? 0 : 1;
+            unprintableBelow += isPrintable(i) ? 0 : 1;
         }
-        return (char) (256 + before);
+        return (char) (256 + unprintableBelow);
     }
 
-    private static boolean isPlain(int value) {
+    private static boolean isPrintable(int value) {
         return (value >= '!' && value <= '~')
                 || (value >= 0xA1 && value <= 0xAC)
                 || (value >= 0xAE && value <= 0xFF);
@@ -118,103 +118,103 @@
     }
 
     @Override
-    public int longestTokenBytes() {
-        return longest;
+    public int maxTokenBytes() {
+        return maxTokenBytes;
     }
 
     @Override
     public int count(String text) {
-        String all = normalized ? Normalizer.normalize(text, Normalizer.Form.NFC) : text;
-        if (special == null) {
-            return ordinary(all);
+        String normalizedText = normalizesToNfc ? Normalizer.normalize(text, Normalizer.Form.NFC) : text;
+        if (specialTokenPattern == null) {
+            return countOrdinary(normalizedText);
         }
         int count = 0;
         int from = 0;
-        Matcher mark = special.matcher(all);
-        while (mark.find()) {
-            count += ordinary(all.substring(from, mark.start())) + 1;
-            from = mark.end();
+        Matcher specialToken = specialTokenPattern.matcher(normalizedText);
+        while (specialToken.find()) {
+            count += countOrdinary(normalizedText.substring(from, specialToken.start())) + 1;
+            from = specialToken.end();
         }
-        return count + ordinary(all.substring(from));
+        return count + countOrdinary(normalizedText.substring(from));
     }
 
-    private int ordinary(String text) {
+    private int countOrdinary(String text) {
         int count = 0;
-        Matcher piece = split.matcher(text);
+        Matcher piece = pretokenizer.matcher(text);
         int from = 0;
         while (piece.find()) {
             // What no piece takes stands alone between two.
-            count += piece.start() > from ? merged(text.substring(from, piece.start())) : 0;
-            count += merged(piece.group());
+            count += piece.start() > from ? countPiece(text.substring(from, piece.start())) : 0;
+            count += countPiece(piece.group());
             from = piece.end();
         }
-        return count + (from < text.length() ? merged(text.substring(from)) : 0);
+        return count + (from < text.length() ? countPiece(text.substring(from)) : 0);
     }
 
     /** A place where two neighbours may be merged; lower ranks first, then the left one. */
-    private record Spot(long rank, int left, int right, int into, int leftIs, int rightIs)
-            implements Comparable<Spot> {
+    private record MergeCandidate(long rank, int left, int right, int mergedSymbol, int leftSymbol, int rightSymbol)
+            implements Comparable<MergeCandidate> {
         @Override
-        public int compareTo(Spot other) {
+        public int compareTo(MergeCandidate other) {
             return rank != other.rank
                     ? Long.compare(rank, other.rank)
                     : Integer.compare(left, other.left);
         }
     }
 
-    private int merged(String piece) {
-        byte[] raw = piece.getBytes(StandardCharsets.UTF_8);
-        if (raw.length < 2 || (wholePieces && tokens.contains(spelled(raw)))) {
-            return Math.min(1, raw.length);
+    private int countPiece(String piece) {
+        byte[] utf8 = piece.getBytes(StandardCharsets.UTF_8);
+        if (utf8.length < 2 || (ignoreMerges && tokens.contains(toByteLevel(utf8)))) {
+            return Math.min(1, utf8.length);
         }
-        int[] symbols = new int[raw.length];
-        int[] next = new int[raw.length];
-        int[] before = new int[raw.length];
-        for (int i = 0; i < raw.length; i++) {
-            symbols[i] = bytes[raw[i] & 255];
-            next[i] = i + 1 < raw.length ? i + 1 : -1;
-            before[i] = i - 1;
+        int[] symbols = new int[utf8.length];
+        int[] next = new int[utf8.length];
+        int[] previous = new int[utf8.length];
+        for (int i = 0; i < utf8.length; i++) {
+            symbols[i] = byteSymbols[utf8[i] & 255];
+            next[i] = i + 1 < utf8.length ? i + 1 : -1;
+            previous[i] = i - 1;
         }
-        PriorityQueue<Spot> spots = new PriorityQueue<>();
-        for (int i = 0; i + 1 < raw.length; i++) {
-            spot(spots, symbols, i, i + 1);
+        PriorityQueue<MergeCandidate> candidates = new PriorityQueue<>();
+        for (int i = 0; i + 1 < utf8.length; i++) {
+            addCandidate(candidates, symbols, i, i + 1);
         }
-        int count = raw.length;
-        while (!spots.isEmpty()) {
-            Spot endpoint = spots.poll();
+        int count = utf8.length;
+        while (!candidates.isEmpty()) {
+            MergeCandidate candidate = candidates.poll();
             // One of the two may have been merged since, or the left one has another neighbour.
-            if (symbols[endpoint.left] != endpoint.leftIs
-                    || next[endpoint.left] != endpoint.right
-                    || symbols[endpoint.right] != endpoint.rightIs) {
+            if (symbols[candidate.left] != candidate.leftSymbol
+                    || next[candidate.left] != candidate.right
+                    || symbols[candidate.right] != candidate.rightSymbol) {
                 continue;
             }
-            symbols[endpoint.left] = endpoint.into;
-            symbols[endpoint.right] = -1;
-            next[endpoint.left] = next[endpoint.right];
-            if (next[endpoint.left] >= 0) {
-                before[next[endpoint.left]] = endpoint.left;
-                spot(spots, symbols, endpoint.left, next[endpoint.left]);
+            symbols[candidate.left] = candidate.mergedSymbol;
+            symbols[candidate.right] = -1;
+            next[candidate.left] = next[candidate.right];
+            if (next[candidate.left] >= 0) {
+                previous[next[candidate.left]] = candidate.left;
+                addCandidate(candidates, symbols, candidate.left, next[candidate.left]);
             }
-            if (before[endpoint.left] >= 0) {
-                spot(spots, symbols, before[endpoint.left], endpoint.left);
+            if (previous[candidate.left] >= 0) {
+                addCandidate(candidates, symbols, previous[candidate.left], candidate.left);
             }
             count--;
         }
         return count;
     }
 
-    private void spot(PriorityQueue<Spot> spots, int[] symbols, int left, int right) {
+    private void addCandidate(PriorityQueue<MergeCandidate> candidates, int[] symbols, int left, int right) {
         long[] merge = merges.get(pair(symbols[left], symbols[right]));
         if (merge != null) {
-            spots.add(
-                    new Spot(merge[0], left, right, (int) merge[1], symbols[left], symbols[right]));
+            candidates.add(
+                    new MergeCandidate(merge[0], left, right, (int) merge[1], symbols[left], symbols[right]));
         }
     }
 
-    private static String spelled(byte[] raw) {
-        char[] text = new char[raw.length];
-        for (int i = 0; i < raw.length; i++) {
-            text[i] = alphabet(raw[i] & 255);
+    private static String toByteLevel(byte[] utf8) {
+        char[] text = new char[utf8.length];
+        for (int i = 0; i < utf8.length; i++) {
+            text[i] = byteLevelChar(utf8[i] & 255);
         }
         return new String(text);
     }
--- a/src/main/java/larchridge/tokens/Measure.java
+++ b/src/main/java/larchridge/tokens/PromptLengthSettings.java
@@ -8,6 +8,6 @@
  * @param imageTokens what an image counts as
  * @param messageTokens what the engines' frame adds to each message
  */
-public record Measure(Vocabulary vocabulary, int windowTokens, int imageTokens, int messageTokens) {
-    public static final Measure GUESSED = new Measure(null, Integer.MAX_VALUE, 1600, 0);
+public record PromptLengthSettings(Vocabulary vocabulary, int windowTokens, int imageTokens, int messageTokens) {
+    public static final PromptLengthSettings ESTIMATED = new PromptLengthSettings(null, Integer.MAX_VALUE, 1600, 0);
 }
--- a/src/main/java/larchridge/tokens/TextChunker.java
+++ b/src/main/java/larchridge/tokens/TextChunker.java
@@ -8,14 +8,14 @@
  */
 public final class TextChunker {
     /** A part is at least this long, but for the last. */
-    public static final int CHARS = 4096;
+    public static final int MIN_CHUNK_CHARS = 4096;
 
     private TextChunker() {}
 
     /** Where the part that begins there ends. */
-    public static int end(String text, int from) {
-        for (int i = from + CHARS; i < text.length(); i++) {
-            if (isCut(text, i)) {
+    public static int chunkEnd(String text, int from) {
+        for (int i = from + MIN_CHUNK_CHARS; i < text.length(); i++) {
+            if (isChunkBoundary(text, i)) {
                 return i;
             }
         }
@@ -23,14 +23,14 @@
     }
 
     /** Whether no token goes over this place. */
-    public static boolean isCut(String text, int at) {
-        char before = text.charAt(at - 1);
+    public static boolean isChunkBoundary(String text, int index) {
+        char before = text.charAt(index - 1);
         // A letter beyond the basic plane is two chars; neither is a letter by itself.
-        return text.charAt(at) == ' ' && Character.isLetter(before) && isPlainLetter(before);
+        return text.charAt(index) == ' ' && Character.isLetter(before) && isUpperLowerOrOtherLetter(before);
     }
 
     /** Marks that some patterns let follow letters are none. */
-    private static boolean isPlainLetter(char c) {
+    private static boolean isUpperLowerOrOtherLetter(char c) {
         int type = Character.getType(c);
         return type == Character.LOWERCASE_LETTER
                 || type == Character.UPPERCASE_LETTER
--- a/src/main/java/larchridge/tokens/CountCache.java
+++ b/src/main/java/larchridge/tokens/TokenCountCache.java
@@ -12,7 +12,7 @@
  * reading takes no lock. It holds so many bytes at most; what is asked for often stays when much
  * comes that is asked for once (W-TinyLFU).
  */
-public final class CountCache {
+public final class TokenCountCache {
     /** What an entry takes: key, count, node, and its place in the table. */
     static final int ENTRY_BYTES = 160;
 
@@ -20,10 +20,10 @@
 
     record Key(long high, long low, String vocabulary) {}
 
-    public CountCache(long mostBytes) {
+    public TokenCountCache(long maxBytes) {
         counts =
                 Caffeine.newBuilder()
-                        .maximumSize(Math.max(1, mostBytes / ENTRY_BYTES))
+                        .maximumSize(Math.max(1, maxBytes / ENTRY_BYTES))
                         .recordStats()
                         .build();
     }
@@ -32,12 +32,12 @@
      * A key that only the same part has: half of a SHA-256, so that nobody can make another part
      * with it.
      */
-    static Key key(String part, String vocabulary) {
+    static Key key(String chunk, String vocabulary) {
         try {
             ByteBuffer digest =
                     ByteBuffer.wrap(
                             MessageDigest.getInstance("SHA-256")
-                                    .digest(part.getBytes(StandardCharsets.UTF_8)));
+                                    .digest(chunk.getBytes(StandardCharsets.UTF_8)));
             return new Key(digest.getLong(), digest.getLong(), vocabulary);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
@@ -60,11 +60,11 @@
     }
 
     /** How many look-ups found a count so far. */
-    public long found() {
+    public long hits() {
         return counts.stats().hitCount();
     }
 
-    public long missed() {
+    public long misses() {
         return counts.stats().missCount();
     }
 
--- a/src/main/java/larchridge/tokens/TokenCountCorrection.java
+++ b/src/main/java/larchridge/tokens/TokenCountCorrection.java
@@ -6,53 +6,53 @@
  * clock or threads; each front has its own.
  */
 public final class TokenCountCorrection {
-    private static final double LEAST = 0.5;
-    private static final double MOST = 2;
-    private static final double KEPT = 0.95;
-    private static final int ENOUGH = 20;
+    private static final double MIN_RATIO = 0.5;
+    private static final double MAX_RATIO = 2;
+    private static final double PREVIOUS_WEIGHT = 0.95;
+    private static final int MIN_REPORTS = 20;
 
     /** Under this nothing is corrected: a few tokens of a frame that engines add. */
-    private static final double SMALL = 0.02;
+    private static final double MAX_IGNORED_DEVIATION = 0.02;
 
-    private static final double WRONG = 1.25;
-    private static final double SCATTER = 0.1;
+    private static final double MAX_PLAUSIBLE_RATIO = 1.25;
+    private static final double MAX_MEAN_DEVIATION = 0.1;
 
     /** What is to be told of a model, each once. */
     public enum Finding {
         NONE,
-        DRIFTS,
+        COUNT_DRIFT,
         WRONG_VOCABULARY
     }
 
-    private double mean = 1;
-    private double scatter;
-    private int seen;
-    private Finding told = Finding.NONE;
+    private double meanRatio = 1;
+    private double meanDeviation;
+    private int reports;
+    private Finding highestFinding = Finding.NONE;
 
     /** An engine reports a prompt that was counted exactly; returns what is new to tell. */
-    public Finding reported(int counted, int reported) {
+    public Finding recordReport(int counted, int reported) {
         if (counted < 16 || reported <= 0) {
             return Finding.NONE;
         }
-        double ratio = Math.max(LEAST, Math.min(MOST, (double) reported / counted));
-        seen++;
-        double kept = seen < ENOUGH ? 1 - 1.0 / seen : KEPT;
-        mean = kept * mean + (1 - kept) * ratio;
-        scatter = kept * scatter + (1 - kept) * Math.abs(ratio - mean);
-        if (seen < ENOUGH) {
+        double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, (double) reported / counted));
+        reports++;
+        double previousWeight = reports < MIN_REPORTS ? 1 - 1.0 / reports : PREVIOUS_WEIGHT;
+        meanRatio = previousWeight * meanRatio + (1 - previousWeight) * ratio;
+        meanDeviation = previousWeight * meanDeviation + (1 - previousWeight) * Math.abs(ratio - meanRatio);
+        if (reports < MIN_REPORTS) {
             return Finding.NONE;
         }
-        Finding found =
-                mean > WRONG || mean < 1 / WRONG || scatter > SCATTER
+        Finding finding =
+                meanRatio > MAX_PLAUSIBLE_RATIO || meanRatio < 1 / MAX_PLAUSIBLE_RATIO || meanDeviation > MAX_MEAN_DEVIATION
                         ? Finding.WRONG_VOCABULARY
-                        : Math.abs(mean - 1) > SMALL ? Finding.DRIFTS : Finding.NONE;
-        boolean isNew = found.compareTo(told) > 0;
-        told = found.compareTo(told) > 0 ? found : told;
-        return isNew ? found : Finding.NONE;
+                        : Math.abs(meanRatio - 1) > MAX_IGNORED_DEVIATION ? Finding.COUNT_DRIFT : Finding.NONE;
+        boolean isNew = finding.compareTo(highestFinding) > 0;
+        highestFinding = finding.compareTo(highestFinding) > 0 ? finding : highestFinding;
+        return isNew ? finding : Finding.NONE;
     }
 
     /** By what counts are multiplied for the engines' own figures. */
     public double factor() {
-        return seen < ENOUGH || Math.abs(mean - 1) <= SMALL ? 1 : mean;
+        return reports < MIN_REPORTS || Math.abs(meanRatio - 1) <= MAX_IGNORED_DEVIATION ? 1 : meanRatio;
     }
 }
--- a/src/main/java/larchridge/tokens/TokenCounters.java
+++ b/src/main/java/larchridge/tokens/TokenCounters.java
@@ -8,19 +8,19 @@
  * vocabulary's pace.
  */
 public final class TokenCounters implements AutoCloseable {
-    public final CountCache cache;
+    public final TokenCountCache cache;
     public final CountingWorkers workers;
-    private final double tokensAChar;
-    private final Map<String, CountingRate> paces = new ConcurrentHashMap<>();
+    private final double tokensPerChar;
+    private final Map<String, CountingRate> rates = new ConcurrentHashMap<>();
 
-    public TokenCounters(long cacheBytes, int threads, int mostWaiting, double bytesPerToken) {
-        cache = new CountCache(cacheBytes);
-        workers = new CountingWorkers(threads, mostWaiting);
-        tokensAChar = 1 / bytesPerToken;
+    public TokenCounters(long cacheBytes, int threads, int queueCapacity, double bytesPerToken) {
+        cache = new TokenCountCache(cacheBytes);
+        workers = new CountingWorkers(threads, queueCapacity);
+        tokensPerChar = 1 / bytesPerToken;
     }
 
-    public CountingRate pace(Vocabulary vocabulary) {
-        return paces.computeIfAbsent(vocabulary.name(), name -> new CountingRate(tokensAChar));
+    public CountingRate rate(Vocabulary vocabulary) {
+        return rates.computeIfAbsent(vocabulary.name(), name -> new CountingRate(tokensPerChar));
     }
 
     @Override
--- a/src/main/java/larchridge/tokens/Vocabulary.java
+++ b/src/main/java/larchridge/tokens/Vocabulary.java
@@ -9,5 +9,5 @@
     int count(String text);
 
     /** No token has more bytes than this. */
-    int longestTokenBytes();
+    int maxTokenBytes();
 }
--- a/src/main/java/larchridge/tokens/VocabularyReader.java
+++ b/src/main/java/larchridge/tokens/VocabularyReader.java
@@ -22,23 +22,23 @@
  * tokenizer.json}.
  */
 public final class VocabularyReader {
-    private static final long MOST_BYTES = 200L << 20;
+    private static final long MAX_FILE_BYTES = 200L << 20;
 
     private VocabularyReader() {}
 
-    public static Vocabulary named(String name, String encoding) throws InvalidVocabularyException {
-        return LibraryVocabulary.named(name, encoding);
+    public static Vocabulary forEncoding(String name, String encoding) throws InvalidVocabularyException {
+        return JtokkitVocabulary.forEncoding(name, encoding);
     }
 
     /**
      * A file; split is needed for rank files, which do not tell it, and unused for the other form.
      */
-    public static Vocabulary file(String name, Path file, PretokenizerPattern split)
+    public static Vocabulary readFile(String name, Path file, PretokenizerPattern pretokenizer)
             throws InvalidVocabularyException {
         byte[] bytes;
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new InvalidVocabularyException(file + ": over " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new InvalidVocabularyException(file + ": over " + MAX_FILE_BYTES + " bytes");
             }
             bytes = Files.readAllBytes(file);
         } catch (IOException e) {
@@ -46,13 +46,13 @@
         }
         String text = new String(bytes, StandardCharsets.UTF_8);
         return text.stripLeading().startsWith("{")
-                ? merges(name, file, bytes)
-                : ranks(name, file, text, split);
+                ? readTokenizerJson(name, file, bytes)
+                : readRankFile(name, file, text, pretokenizer);
     }
 
-    private static Vocabulary ranks(String name, Path file, String text, PretokenizerPattern split)
+    private static Vocabulary readRankFile(String name, Path file, String text, PretokenizerPattern pretokenizer)
             throws InvalidVocabularyException {
-        if (split == null) {
+        if (pretokenizer == null) {
             throw new InvalidVocabularyException(
                     file + ": a rank file needs split: GPT2, CL100K or O200K");
         }
@@ -60,53 +60,53 @@
                 "ArrayAsKeyOfSetOrMap") // The library takes ranks as such a map; nothing is looked
         // up in it.
         Map<byte[], Integer> ranks = new HashMap<>();
-        Map<String, Integer> lines = new HashMap<>();
-        Set<Integer> used = new HashSet<>();
-        int number = 0;
+        Map<String, Integer> lineByToken = new HashMap<>();
+        Set<Integer> usedRanks = new HashSet<>();
+        int lineNumber = 0;
         for (String line : text.split("\n")) {
-            number++;
+            lineNumber++;
             if (line.isBlank()) {
                 continue;
             }
-            String[] parts = line.strip().split(" ");
-            String at = file + ":" + number + ": ";
-            if (parts.length != 2 || !parts[1].matches("\\d{1,9}")) {
+            String[] fields = line.strip().split(" ");
+            String location = file + ":" + lineNumber + ": ";
+            if (fields.length != 2 || !fields[1].matches("\\d{1,9}")) {
                 throw new InvalidVocabularyException(
-                        at + "expected a token in base64 and its rank");
+                        location + "expected a token in base64 and its rank");
             }
             byte[] token;
             try {
-                token = Base64.getDecoder().decode(parts[0]);
+                token = Base64.getDecoder().decode(fields[0]);
             } catch (IllegalArgumentException e) {
-                throw new InvalidVocabularyException(at + "'" + parts[0] + "' is not base64");
+                throw new InvalidVocabularyException(location + "'" + fields[0] + "' is not base64");
             }
-            Integer before = lines.put(parts[0], number);
-            if (before != null) {
-                throw new InvalidVocabularyException(at + "the token of line " + before + " again");
+            Integer earlierLine = lineByToken.put(fields[0], lineNumber);
+            if (earlierLine != null) {
+                throw new InvalidVocabularyException(location + "the token of line " + earlierLine + " again");
             }
-            if (!used.add(Integer.parseInt(parts[1]))) {
-                throw new InvalidVocabularyException(at + "rank " + parts[1] + " again");
+            if (!usedRanks.add(Integer.parseInt(fields[1]))) {
+                throw new InvalidVocabularyException(location + "rank " + fields[1] + " again");
             }
-            ranks.put(token, Integer.parseInt(parts[1]));
+            ranks.put(token, Integer.parseInt(fields[1]));
         }
         // Guards against: a file cut short would count far too many tokens; single bytes come
         // first, the
         // end is not marked.
         for (int i = 0; i < 256; i++) {
-            if (!lines.containsKey(Base64.getEncoder().encodeToString(new byte[] {(byte) i}))) {
+            if (!lineByToken.containsKey(Base64.getEncoder().encodeToString(new byte[] {(byte) i}))) {
                 throw new InvalidVocabularyException(
-                        file + ":" + number + ": byte " + i + " is no token; is the file whole?");
+                        file + ":" + lineNumber + ": byte " + i + " is no token; is the file whole?");
             }
         }
-        int highest = used.stream().mapToInt(i -> i).max().orElse(0);
-        if (!text.endsWith("\n") || highest > 2 * used.size()) {
+        int highestRank = usedRanks.stream().mapToInt(i -> i).max().orElse(0);
+        if (!text.endsWith("\n") || highestRank > 2 * usedRanks.size()) {
             throw new InvalidVocabularyException(
-                    file + ":" + number + ": the last line has no end; is the file whole?");
+                    file + ":" + lineNumber + ": the last line has no end; is the file whole?");
         }
-        return LibraryVocabulary.ranked(name, split, ranks);
+        return JtokkitVocabulary.fromRanks(name, pretokenizer, ranks);
     }
 
-    private static Vocabulary merges(String name, Path file, byte[] bytes)
+    private static Vocabulary readTokenizerJson(String name, Path file, byte[] bytes)
             throws InvalidVocabularyException {
         JsonNode root;
         try {
@@ -151,33 +151,33 @@
             }
             pairs.add(pair);
         }
-        List<String> specials = new ArrayList<>();
+        List<String> specialTokens = new ArrayList<>();
         for (JsonNode added : root.path("added_tokens")) {
             if (!added.path("content").asText().isEmpty()) {
-                specials.add(added.path("content").asText());
+                specialTokens.add(added.path("content").asText());
             }
         }
         try {
             return new MergesVocabulary(
                     name,
-                    split(file, root.path("pre_tokenizer")),
+                    pretokenizerPattern(file, root.path("pre_tokenizer")),
                     nfc,
                     model.path("ignore_merges").asBoolean(false),
                     tokens,
                     pairs,
-                    specials);
+                    specialTokens);
         } catch (InvalidVocabularyException e) {
             throw new InvalidVocabularyException(file + ": model." + e.getMessage());
         }
     }
 
     /** Byte level with its own pattern, or a pattern of the file before it. */
-    private static Pattern split(Path file, JsonNode before) throws InvalidVocabularyException {
+    private static Pattern pretokenizerPattern(Path file, JsonNode preTokenizer) throws InvalidVocabularyException {
         List<JsonNode> steps = new ArrayList<>();
-        if (before.path("type").asText().equals("Sequence")) {
-            before.path("pretokenizers").forEach(steps::add);
+        if (preTokenizer.path("type").asText().equals("Sequence")) {
+            preTokenizer.path("pretokenizers").forEach(steps::add);
         } else {
-            steps.add(before);
+            steps.add(preTokenizer);
         }
         Pattern pattern = null;
         for (JsonNode step : steps) {
--- a/src/test/java/larchridge/benchlink/BenchProtocolTest.java
+++ b/src/test/java/larchridge/benchlink/BenchProtocolTest.java
@@ -39,7 +39,7 @@
         return run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static String faultOf(String input) {
+    private static String errorOf(String input) {
         return assertThrows(InvalidMessageException.class, () -> run(input)).getMessage();
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void inputInPartsAndWithCarriageReturnsIsTheSame() throws Exception {
+    void fragmentedInputWithCarriageReturnsGivesTheSameReplies() throws Exception {
         String input = batch(ENLIST + ENGINES + CALL);
         byte[] bytes = input.replace("\n", "\r\n").getBytes(StandardCharsets.UTF_8);
         InputStream oneByteEach =
@@ -96,21 +96,21 @@
                         + "line: 1, column: 1]))",
                 "ENLIST seed=1 env=[]|line 9: ENLIST: member env: is no JSON object; expected an object",
             })
-    void faultsNameLineMessageAndMember(String message, String fault) {
-        assertEquals(fault, faultOf(batch(ENLIST + ENGINES + CALL + "ELAPSED\n" + message + "\n")));
+    void errorsNameLineMessageAndMember(String message, String error) {
+        assertEquals(error, errorOf(batch(ENLIST + ENGINES + CALL + "ELAPSED\n" + message + "\n")));
     }
 
     @Test
     void messagesOutOfOrderAreRejected() {
-        assertEquals("line 1: FLUSH: a batch begins with SYNC", faultOf("FLUSH\n"));
+        assertEquals("line 1: FLUSH: a batch begins with SYNC", errorOf("FLUSH\n"));
         assertEquals(
                 "line 2: CALL: no INSTANCE line before it; expected INSTANCE who=...",
-                faultOf("SYNC at_time_s=1\n" + CALL + "FLUSH\n"));
+                errorOf("SYNC at_time_s=1\n" + CALL + "FLUSH\n"));
         assertEquals(
                 "line 3: CALL: instance 3 is not started; expected ENLIST first",
-                faultOf(batch(CALL)));
+                errorOf(batch(CALL)));
         assertEquals(
                 "line 2: the input ends inside a batch; expected FLUSH",
-                faultOf("SYNC at_time_s=1\n"));
+                errorOf("SYNC at_time_s=1\n"));
     }
 }
--- a/src/test/java/larchridge/inventory/EngineListReaderTest.java
+++ b/src/test/java/larchridge/inventory/EngineListReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class EngineListReaderTest {
-    private static final String GOOD =
+    private static final String VALID_LIST =
             """
             engines:
               - id: 1
@@ -22,7 +22,7 @@
               - {id: 2, host: h, port: 8001, role: both, mode: draining, memory_tokens: 1000}
             """;
 
-    private static void fault(String text, String expected) {
+    private static void assertError(String text, String expected) {
         InvalidEngineListException invalid =
                 assertThrows(
                         InvalidEngineListException.class, () -> EngineListReader.read("e", text));
@@ -31,7 +31,7 @@
 
     @Test
     void validListIsRead() throws InvalidEngineListException {
-        EngineEntry first = EngineListReader.read("e", GOOD).get(0);
+        EngineEntry first = EngineListReader.read("e", VALID_LIST).get(0);
         assertEquals(
                 new EngineEntry(
                         1,
@@ -45,15 +45,15 @@
                         1769846400000.0,
                         EndpointState.READY),
                 first);
-        assertEquals(EndpointState.DRAINING, EngineListReader.read("e", GOOD).get(1).state());
+        assertEquals(EndpointState.DRAINING, EngineListReader.read("e", VALID_LIST).get(1).state());
     }
 
     @Test
-    void listTruncatedAnywhereIsEitherAFaultOrItsCompleteEntries() {
-        for (int end = 0; end < GOOD.length(); end++) {
-            String part = GOOD.substring(0, end);
+    void listTruncatedAnywhereIsRejectedOrHasOnlyCompleteEntries() {
+        for (int end = 0; end < VALID_LIST.length(); end++) {
+            String truncated = VALID_LIST.substring(0, end);
             try {
-                for (EngineEntry entry : EngineListReader.read("e", part)) {
+                for (EngineEntry entry : EngineListReader.read("e", truncated)) {
                     assertTrue(entry.port() > 0 && entry.role() != null);
                 }
             } catch (InvalidEngineListException e) {
@@ -63,27 +63,27 @@
     }
 
     @Test
-    void faultsNameLineAndField() {
-        fault(GOOD.replace("role: reader", "role: reeder"), "e:5: engines[0].role: is 'reeder'");
-        fault(GOOD.replace("    port: 8000\n", ""), "e:2: engines[0].port: missing");
-        fault(
-                GOOD.replace("port: 8000", "port: x"),
+    void errorsNameLineAndField() {
+        assertError(VALID_LIST.replace("role: reader", "role: reeder"), "e:5: engines[0].role: is 'reeder'");
+        assertError(VALID_LIST.replace("    port: 8000\n", ""), "e:2: engines[0].port: missing");
+        assertError(
+                VALID_LIST.replace("port: 8000", "port: x"),
                 "e:4: engines[0].port: is 'x'; expected a number");
-        fault(GOOD.replace("id: 2", "id: 1"), "e:9: id: 1 is also the id of the engine on line 2");
-        fault(GOOD.replace("zone: west", "zoon: west"), "e:6: engines[0].zoon: unknown field");
-        fault(
-                GOOD.replace("8000Z", "x").replace("2026-01-31T08:00:00Z", "soon"),
+        assertError(VALID_LIST.replace("id: 2", "id: 1"), "e:9: id: 1 is also the id of the engine on line 2");
+        assertError(VALID_LIST.replace("zone: west", "zoon: west"), "e:6: engines[0].zoon: unknown field");
+        assertError(
+                VALID_LIST.replace("8000Z", "x").replace("2026-01-31T08:00:00Z", "soon"),
                 "e:8: engines[0].start");
     }
 
     @Test
     void emptyListIsRejected() {
-        fault("engines: []", "e:1: engines: empty");
-        fault("", "e:1: engines: missing");
+        assertError("engines: []", "e:1: engines: empty");
+        assertError("", "e:1: engines: missing");
     }
 
     @Test
     void aliasesAreRejected() {
-        fault("a: &a [x]\nengines: [*a, *a]\n", "e:");
+        assertError("a: &a [x]\nengines: [*a, *a]\n", "e:");
     }
 }
--- a/src/test/java/larchridge/serve/CountingTest.java
+++ b/src/test/java/larchridge/serve/CountingTest.java
@@ -39,7 +39,7 @@
 
     @Test
     void countIsTheVocabularysOfTheRenderedPrompt() throws Exception {
-        Vocabulary vocabulary = VocabularyReader.named("v", "cl100k_base");
+        Vocabulary vocabulary = VocabularyReader.forEncoding("v", "cl100k_base");
         String large = "El caudal del Nalón sube a 31,4 m3/s. ".repeat(20_000);
         try (ServiceFixture town = new ServiceFixture(SITE)) {
             for (String text : List.of("Nivel del Nalón?", "\uD83C half", large)) {
--- a/src/test/java/larchridge/tokens/Corpus.java
+++ b/src/test/java/larchridge/tokens/Corpus.java
@@ -44,21 +44,21 @@
         "2026-12-01T06:00:00Z",
         "3.14159265358979323846264338"
     };
-    private static final String[] GAPS = {
+    private static final String[] SEPARATORS = {
         " ", " ", " ", "  ", "\n", "\r\n", "\t", ", ", ". ", " - ", "", "\n\n   ", "\u00A0",
         "\u2003", " \n", "/", "\u200D"
     };
 
     private Corpus() {}
 
-    static String text(Random random, int pieces) {
+    static String randomText(Random random, int pieces) {
         StringBuilder text = new StringBuilder();
         int kind = random.nextInt(6);
         for (int i = 0; i < pieces; i++) {
             switch (kind) {
                 case 0, 1 ->
                         text.append(WORDS[random.nextInt(WORDS.length)])
-                                .append(GAPS[random.nextInt(GAPS.length)]);
+                                .append(SEPARATORS[random.nextInt(SEPARATORS.length)]);
                 case 2 ->
                         text.append("station=")
                                 .append(random.nextInt(99))
@@ -79,14 +79,14 @@
                                 .append("\": [")
                                 .append(random.nextInt())
                                 .append(", null], \"x\":\"")
-                                .append(GAPS[random.nextInt(GAPS.length)])
+                                .append(SEPARATORS[random.nextInt(SEPARATORS.length)])
                                 .append("\"} ");
                 default -> {
-                    byte[] raw = new byte[6];
-                    random.nextBytes(raw);
+                    byte[] randomBytes = new byte[6];
+                    random.nextBytes(randomBytes);
                     text.append(
                             new String(
-                                    raw,
+                                    randomBytes,
                                     random.nextBoolean()
                                             ? StandardCharsets.UTF_8
                                             : StandardCharsets.UTF_16BE));
@@ -97,8 +97,8 @@
     }
 
     /** The library's own rank file of an encoding, in the published form. */
-    static Path ranks(Path folder, String encoding) throws IOException {
-        Path file = folder.resolve(encoding + ".tiktoken");
+    static Path writeRankFile(Path directory, String encoding) throws IOException {
+        Path file = directory.resolve(encoding + ".tiktoken");
         try (InputStream in =
                 com.knuddels.jtokkit.Encodings.class.getResourceAsStream(
                         "/com/knuddels/jtokkit/" + encoding + ".tiktoken")) {
--- a/src/test/java/larchridge/tokens/CountingPolicyTest.java
+++ b/src/test/java/larchridge/tokens/CountingPolicyTest.java
@@ -9,21 +9,21 @@
     @ParameterizedTest
     @CsvSource({
         // counting, waiting, guessed tokens, reader's tokens a ms, SLO time
-        "0.9, 500, 100, 10, 1000, NOW",
-        "20, 0, 50000, 10, 2000, ASIDE",
-        "20, 200, 50000, 10, 2000, GUESS",
-        "20, 0, 500, 10, 2000, GUESS",
-        "90, 0, 400000, 10, 1000, GUESS",
-        "90, 0, 400000, 10, 20000, ASIDE",
-        "20, 0, 50000, 0, 2000, ASIDE"
+        "0.9, 500, 100, 10, 1000, INLINE",
+        "20, 0, 50000, 10, 2000, WORKER",
+        "20, 200, 50000, 10, 2000, ESTIMATE",
+        "20, 0, 500, 10, 2000, ESTIMATE",
+        "90, 0, 400000, 10, 1000, ESTIMATE",
+        "90, 0, 400000, 10, 20000, WORKER",
+        "20, 0, 50000, 0, 2000, WORKER"
     })
-    void countsWhereThatTakesLessThanAGuessCosts(
+    void countsOnlyIfThatTakesLessThanTheEstimateErrorCosts(
             double countMs,
-            double waitMs,
-            double tokens,
-            double speed,
+            double queueWaitMs,
+            double estimatedTokens,
+            double readTokensPerMs,
             double sloMs,
-            CountingPolicy.Way way) {
-        assertEquals(way, CountingPolicy.of(countMs, waitMs, tokens, speed, sloMs));
+            CountingPolicy.Mode expected) {
+        assertEquals(expected, CountingPolicy.choose(countMs, queueWaitMs, estimatedTokens, readTokensPerMs, sloMs));
     }
 }
--- a/src/test/java/larchridge/tokens/CountingTest.java
+++ b/src/test/java/larchridge/tokens/TokenCountTaskTest.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-class CountingTest {
-    private final CountCache cache = new CountCache(1 << 20);
-    private final CountingRate pace = new CountingRate(0.25);
+class TokenCountTaskTest {
+    private final TokenCountCache cache = new TokenCountCache(1 << 20);
+    private final CountingRate rate = new CountingRate(0.25);
 
     /** A token a word, so that tests see what was counted. */
-    private static final class Words implements Vocabulary {
-        int chars;
+    private static final class WordVocabulary implements Vocabulary {
+        int countedChars;
 
         @Override
         public String name() {
@@ -25,71 +25,71 @@
 
         @Override
         public int count(String text) {
-            chars += text.length();
+            countedChars += text.length();
             return (int) text.chars().filter(c -> c == ' ').count();
         }
 
         @Override
-        public int longestTokenBytes() {
+        public int maxTokenBytes() {
             return 20;
         }
     }
 
-    private static String words(int count, String seed) {
+    private static String repeatWord(int count, String word) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            text.append(seed).append(' ');
+            text.append(word).append(' ');
         }
         return text.toString();
     }
 
     @Test
-    void nextTurnCountsOnlyWhatWasAdded() {
-        Words vocabulary = new Words();
-        String first = words(20_000, "caudal");
-        assertTrue(new Counting(first, 0, vocabulary, cache).finish(pace));
-        int before = vocabulary.chars;
-        String second = first + words(100, "nivel");
-        Counting next = new Counting(second, 0, vocabulary, cache);
-        assertTrue(next.missingChars() < 2 * TextChunker.CHARS, next.missingChars() + " missing");
-        next.finish(pace);
-        assertTrue(vocabulary.chars - before < 2 * TextChunker.CHARS);
-        assertEquals(20_100, next.count(0.25).tokens());
+    void nextTurnCountsOnlyTheAddedText() {
+        WordVocabulary vocabulary = new WordVocabulary();
+        String first = repeatWord(20_000, "caudal");
+        assertTrue(new TokenCountTask(first, 0, vocabulary, cache).countMissing(rate));
+        int charsOfFirst = vocabulary.countedChars;
+        String second = first + repeatWord(100, "nivel");
+        TokenCountTask nextTask = new TokenCountTask(second, 0, vocabulary, cache);
+        assertTrue(nextTask.uncountedChars() < 2 * TextChunker.MIN_CHUNK_CHARS, nextTask.uncountedChars() + " missing");
+        nextTask.countMissing(rate);
+        assertTrue(vocabulary.countedChars - charsOfFirst < 2 * TextChunker.MIN_CHUNK_CHARS);
+        assertEquals(20_100, nextTask.tokenCount(0.25).tokens());
     }
 
     @Test
-    void beginningIsCountedUpToItsMark() {
-        String text = words(3000, "umbral");
-        for (int mark :
+    void prefixIsCountedUpToItsLength() {
+        String text = repeatWord(3000, "umbral");
+        for (int prefixChars :
                 new int[] {0, 1, 4096, 4097, 4102, 9000, text.length() - 1, text.length()}) {
-            Counting counting = new Counting(text, mark, new Words(), new CountCache(1 << 20));
-            counting.finish(pace);
-            assertEquals(3000, counting.count(0).tokens());
+            TokenCountTask task = new TokenCountTask(text, prefixChars, new WordVocabulary(), new TokenCountCache(1 << 20));
+            task.countMissing(rate);
+            assertEquals(3000, task.tokenCount(0).tokens());
             assertEquals(
-                    (int) text.substring(0, mark).chars().filter(c -> c == ' ').count(),
-                    counting.beginning(0).tokens(),
-                    "mark " + mark);
+                    (int) text.substring(0, prefixChars).chars().filter(c -> c == ' ').count(),
+                    task.prefixTokenCount(0).tokens(),
+                    "mark " + prefixChars);
         }
     }
 
     @Test
-    void guessStaysWithinItsBounds() {
-        Counting counting = new Counting("x".repeat(300_000), 0, new Words(), cache);
-        counting.finish(pace);
-        TokenCount low = counting.count(0);
-        TokenCount high = counting.count(99);
+    void estimateStaysWithinItsBounds() {
+        TokenCountTask task = new TokenCountTask("x".repeat(300_000), 0, new WordVocabulary(), cache);
+        task.countMissing(rate);
+        TokenCount low = task.tokenCount(0);
+        TokenCount high = task.tokenCount(99);
         assertFalse(low.exact());
         assertEquals(15_000, low.tokens());
         assertEquals(300_000, high.tokens());
     }
 
     @Test
-    void countThatIsCalledOffEndsAtTheNextPart() {
-        Words vocabulary = new Words();
-        Counting counting = new Counting(words(50_000, "aviso"), 0, vocabulary, cache);
-        counting.callOff();
-        assertFalse(counting.finish(pace));
-        assertEquals(0, vocabulary.chars);
+    void cancelledCountEndsAtTheNextChunk() {
+        WordVocabulary vocabulary = new WordVocabulary();
+        TokenCountTask task = new TokenCountTask(repeatWord(50_000, "aviso"), 0, vocabulary, cache);
+        task.cancel();
+        assertFalse(task.countMissing(rate));
+        assertEquals(0, vocabulary.countedChars);
     }
 
     /**
@@ -97,8 +97,8 @@
      * all the time.
      */
     @Test
-    void floodOfUniqueTextsLeavesWhatIsHot() {
-        CountCache small = new CountCache(500L * CountCache.ENTRY_BYTES);
+    void floodOfUniqueTextsDoesNotEvictHotTexts() {
+        TokenCountCache small = new TokenCountCache(500L * TokenCountCache.ENTRY_BYTES);
         Map<Integer, Integer> lru =
                 new LinkedHashMap<>(16, 0.75f, true) {
                     private static final long serialVersionUID = 1;
@@ -116,7 +116,7 @@
             // One in ten asks for one of 400 hot texts, nine for one that never comes again.
             boolean isHot = random.nextInt(10) == 0;
             int text = isHot ? random.nextInt(400) : 1000 + i;
-            CountCache.Key key = new CountCache.Key(text, text, "v");
+            TokenCountCache.Key key = new TokenCountCache.Key(text, text, "v");
             boolean has = small.get(key) >= 0;
             boolean lruHas = lru.containsKey(text);
             small.put(key, 1);
@@ -146,26 +146,26 @@
     }
 
     @Test
-    void workersTakeSoManyAndNoMore() throws Exception {
-        CountDownLatch gate = new CountDownLatch(1);
+    void workersRejectTasksOverTheQueueCapacity() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(3);
         try (CountingWorkers workers = new CountingWorkers(1, 2)) {
             for (int i = 0; i < 3; i++) {
                 assertTrue(
-                        workers.take(
+                        workers.trySubmit(
                                 10,
                                 () -> {
                                     try {
-                                        gate.await();
+                                        release.await();
                                     } catch (InterruptedException e) {
                                         Thread.currentThread().interrupt();
                                     }
                                     done.countDown();
                                 }));
             }
-            assertFalse(workers.take(10, () -> {}));
-            assertEquals(30, workers.waitMs());
-            gate.countDown();
+            assertFalse(workers.trySubmit(10, () -> {}));
+            assertEquals(30, workers.expectedWaitMs());
+            release.countDown();
             done.await();
         }
     }
--- a/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
+++ b/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
@@ -21,41 +21,41 @@
 
     @ParameterizedTest
     @CsvSource({"cl100k_base,26000", "o200k_base,26000", "r50k_base,26000", "p50k_base,26000"})
-    void partsAddUpToTheWholeAtEveryCut(String encoding, int texts) throws Exception {
-        Vocabulary vocabulary = VocabularyReader.named("v", encoding);
+    void chunkCountsAddUpToTheTextCountAtEveryBoundary(String encoding, int texts) throws Exception {
+        Vocabulary vocabulary = VocabularyReader.forEncoding("v", encoding);
         long seed = 20261201;
         Random random = new Random(seed);
-        int cuts = 0;
+        int boundaries = 0;
         for (int n = 0; n < texts; n++) {
-            String text = Corpus.text(random, 1 + random.nextInt(20));
-            int whole = vocabulary.count(text);
-            boolean all = n % 20 == 0;
+            String text = Corpus.randomText(random, 1 + random.nextInt(20));
+            int textCount = vocabulary.count(text);
+            boolean checkEveryBoundary = n % 20 == 0;
             for (int at = 1; at < text.length(); at++) {
-                if (TextChunker.isCut(text, at) && (all || random.nextInt(12) == 0)) {
-                    cuts++;
-                    int parts =
+                if (TextChunker.isChunkBoundary(text, at) && (checkEveryBoundary || random.nextInt(12) == 0)) {
+                    boundaries++;
+                    int chunkCounts =
                             vocabulary.count(text.substring(0, at))
                                     + vocabulary.count(text.substring(at));
                     assertEquals(
-                            whole,
-                            parts,
+                            textCount,
+                            chunkCounts,
                             "seed " + seed + ", text " + n + ", cut at " + at + ": " + text);
                 }
             }
         }
-        assertTrue(cuts > texts / 4, cuts + " cuts");
+        assertTrue(boundaries > texts / 4, boundaries + " cuts");
     }
 
     @ParameterizedTest
     @CsvSource({"cl100k_base,CL100K", "o200k_base,O200K", "r50k_base,GPT2"})
-    void rankFileCountsAsTheLibrarysOwn(String encoding, PretokenizerPattern split)
+    void rankFileCountsLikeTheLibraryEncoding(String encoding, PretokenizerPattern split)
             throws Exception {
-        Vocabulary own = VocabularyReader.named("v", encoding);
-        Vocabulary read = VocabularyReader.file("w", Corpus.ranks(folder, encoding), split);
+        Vocabulary library = VocabularyReader.forEncoding("v", encoding);
+        Vocabulary fromFile = VocabularyReader.readFile("w", Corpus.writeRankFile(folder, encoding), split);
         Random random = new Random(7);
         for (int n = 0; n < 4000; n++) {
-            String text = Corpus.text(random, 1 + random.nextInt(20));
-            assertEquals(own.count(text), read.count(text), "text " + n + ": " + text);
+            String text = Corpus.randomText(random, 1 + random.nextInt(20));
+            assertEquals(library.count(text), fromFile.count(text), "text " + n + ": " + text);
         }
     }
 
@@ -63,8 +63,8 @@
      * Merges that the ranks imply, in their order, must count like the library counts the ranks.
      */
     @Test
-    void mergesCountAsTheRanksFromWhichTheyFollow() throws Exception {
-        List<String> lines = Files.readAllLines(Corpus.ranks(folder, "r50k_base")).subList(0, 6000);
+    void mergesCountLikeTheRanksTheyAreDerivedFrom() throws Exception {
+        List<String> lines = Files.readAllLines(Corpus.writeRankFile(folder, "r50k_base")).subList(0, 6000);
         Path ranks = folder.resolve("small.tiktoken");
         Files.writeString(ranks, String.join("\n", lines) + "\n");
         Map<String, Integer> rankOf = new HashMap<>();
@@ -73,11 +73,11 @@
         for (String line : lines) {
             byte[] token = Base64.getDecoder().decode(line.split(" ")[0]);
             int rank = Integer.parseInt(line.split(" ")[1]);
-            StringBuilder spelled = new StringBuilder();
+            StringBuilder byteLevelToken = new StringBuilder();
             List<String> parts = new ArrayList<>();
             for (byte b : token) {
-                spelled.append(MergesVocabulary.alphabet(b & 255));
-                parts.add(String.valueOf(MergesVocabulary.alphabet(b & 255)));
+                byteLevelToken.append(MergesVocabulary.byteLevelChar(b & 255));
+                parts.add(String.valueOf(MergesVocabulary.byteLevelChar(b & 255)));
             }
             while (parts.size() > 2) {
                 int best = -1;
@@ -92,9 +92,9 @@
                 }
                 parts.set(best, parts.get(best) + parts.remove(best + 1));
             }
-            rankOf.put(spelled.toString(), rank);
+            rankOf.put(byteLevelToken.toString(), rank);
             vocab.append(vocab.length() == 0 ? "" : ",")
-                    .append(json(spelled.toString()))
+                    .append(json(byteLevelToken.toString()))
                     .append(':')
                     .append(rank);
             if (parts.size() == 2) {
@@ -111,12 +111,12 @@
                         + "},\"merges\":["
                         + merges
                         + "]}}");
-        Vocabulary reference = VocabularyReader.file("r", ranks, PretokenizerPattern.GPT2);
-        Vocabulary read = VocabularyReader.file("m", file, null);
+        Vocabulary reference = VocabularyReader.readFile("r", ranks, PretokenizerPattern.GPT2);
+        Vocabulary fromFile = VocabularyReader.readFile("m", file, null);
         Random random = new Random(11);
         for (int n = 0; n < 8000; n++) {
-            String text = Corpus.text(random, 1 + random.nextInt(20));
-            assertEquals(reference.count(text), read.count(text), "text " + n + ": " + text);
+            String text = Corpus.randomText(random, 1 + random.nextInt(20));
+            assertEquals(reference.count(text), fromFile.count(text), "text " + n + ": " + text);
         }
     }
 
@@ -126,16 +126,16 @@
 
     @ParameterizedTest
     @CsvSource({"a", "' '", "ñ", "\uD83C", "7", "'\n'", "ab ", "👩‍👩‍👧"})
-    void pathologicalTextsComeToAnEnd(String unit) throws Exception {
-        Vocabulary vocabulary = VocabularyReader.named("v", "cl100k_base");
+    void pathologicalTextsAreCountedExactly(String unit) throws Exception {
+        Vocabulary vocabulary = VocabularyReader.forEncoding("v", "cl100k_base");
         String text = unit.repeat(200_000 / unit.length());
-        CountCache cache = new CountCache(1 << 20);
-        Counting counting = new Counting(text, 0, vocabulary, cache);
-        CountingRate pace = new CountingRate(0.25);
-        assertTrue(counting.finish(pace));
-        TokenCount count = counting.count(pace.tokensAChar());
+        TokenCountCache cache = new TokenCountCache(1 << 20);
+        TokenCountTask task = new TokenCountTask(text, 0, vocabulary, cache);
+        CountingRate rate = new CountingRate(0.25);
+        assertTrue(task.countMissing(rate));
+        TokenCount count = task.tokenCount(rate.tokensPerChar());
         assertTrue(
-                count.least() <= count.tokens() && count.tokens() <= count.most(),
+                count.lowerBound() <= count.tokens() && count.tokens() <= count.upperBound(),
                 count.toString());
         assertTrue(count.exact());
         assertEquals(vocabulary.count(text), count.tokens());
--- a/src/test/java/larchridge/tokens/VocabularyReaderTest.java
+++ b/src/test/java/larchridge/tokens/VocabularyReaderTest.java
@@ -14,52 +14,52 @@
 class VocabularyReaderTest {
     @TempDir Path folder;
 
-    private static String bytes() {
-        StringBuilder all = new StringBuilder();
+    private static String singleByteRanks() {
+        StringBuilder ranks = new StringBuilder();
         for (int i = 0; i < 256; i++) {
-            all.append(Base64.getEncoder().encodeToString(new byte[] {(byte) i}))
+            ranks.append(Base64.getEncoder().encodeToString(new byte[] {(byte) i}))
                     .append(' ')
                     .append(i)
                     .append('\n');
         }
-        return all.toString();
+        return ranks.toString();
     }
 
-    private String fault(String text, PretokenizerPattern split) throws Exception {
+    private String errorMessage(String text, PretokenizerPattern pretokenizer) throws Exception {
         Path file = folder.resolve("v");
         Files.writeString(file, text);
         return assertThrows(
                         InvalidVocabularyException.class,
-                        () -> VocabularyReader.file("v", file, split))
+                        () -> VocabularyReader.readFile("v", file, pretokenizer))
                 .getMessage();
     }
 
     @Test
-    void faultsOfRankFilesNameTheLine() throws Exception {
+    void rankFileErrorsNameTheLine() throws Exception {
         assertTrue(
-                fault(bytes() + "YWI= 256 9\n", PretokenizerPattern.GPT2)
+                errorMessage(singleByteRanks() + "YWI= 256 9\n", PretokenizerPattern.GPT2)
                         .contains("v:257: expected a token"));
         assertTrue(
-                fault(bytes() + "Y?I= 256\n", PretokenizerPattern.GPT2)
+                errorMessage(singleByteRanks() + "Y?I= 256\n", PretokenizerPattern.GPT2)
                         .contains("v:257: 'Y?I=' is not base64"));
         assertTrue(
-                fault(bytes() + "YWI= 7\n", PretokenizerPattern.GPT2)
+                errorMessage(singleByteRanks() + "YWI= 7\n", PretokenizerPattern.GPT2)
                         .contains("v:257: rank 7 again"));
         assertTrue(
-                fault(bytes() + "YWI= 256\nYWI= 257\n", PretokenizerPattern.GPT2)
+                errorMessage(singleByteRanks() + "YWI= 256\nYWI= 257\n", PretokenizerPattern.GPT2)
                         .contains("the token of line 257 again"));
-        assertTrue(fault(bytes(), null).contains("needs split"));
+        assertTrue(errorMessage(singleByteRanks(), null).contains("needs split"));
     }
 
     @Test
-    void fileCutShortIsNotTaken() throws Exception {
+    void truncatedFileIsRejected() throws Exception {
         assertTrue(
-                fault(
-                                bytes().substring(0, bytes().indexOf("\n", 900) + 1),
+                errorMessage(
+                                singleByteRanks().substring(0, singleByteRanks().indexOf("\n", 900) + 1),
                                 PretokenizerPattern.GPT2)
                         .contains("is the file whole?"));
         assertTrue(
-                fault(bytes() + "YWI= 256\nYWJj 257", PretokenizerPattern.GPT2)
+                errorMessage(singleByteRanks() + "YWI= 256\nYWJj 257", PretokenizerPattern.GPT2)
                         .contains("is the file whole?"));
     }
 
@@ -77,18 +77,18 @@
                 "{'pre_tokenizer':{'type':'Split','pattern':{'Regex':'('},'behavior':'Isolated'},'model':{'vocab':{},'merges':[]}}"
                         + "|pre_tokenizer: pattern: ",
             })
-    void faultsOfTokenizerFilesNameTheField(String text, String said) throws Exception {
-        String got = fault(text.replace('\'', '"'), null);
-        assertTrue(got.contains(said), got);
+    void tokenizerJsonErrorsNameTheField(String text, String expected) throws Exception {
+        String message = errorMessage(text.replace('\'', '"'), null);
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
-    void missingFileIsTold() {
+    void missingFileIsReported() {
         assertTrue(
                 assertThrows(
                                 InvalidVocabularyException.class,
                                 () ->
-                                        VocabularyReader.file(
+                                        VocabularyReader.readFile(
                                                 "v",
                                                 folder.resolve("no"),
                                                 PretokenizerPattern.GPT2))
