--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -248,7 +248,8 @@
 
         private void count(boolean isAside) {
             CountingPolicy.Mode way = way();
-            if (way == CountingPolicy.Mode.INLINE || (isAside && way == CountingPolicy.Mode.WORKER)) {
+            if (way == CountingPolicy.Mode.INLINE
+                    || (isAside && way == CountingPolicy.Mode.WORKER)) {
                 measuring.finish();
             }
         }
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -30,8 +30,8 @@
 import larchridge.state.RoutingSettings;
 import larchridge.state.TrafficClass;
 import larchridge.tokens.InvalidVocabularyException;
-import larchridge.tokens.PromptLengthSettings;
 import larchridge.tokens.PretokenizerPattern;
+import larchridge.tokens.PromptLengthSettings;
 import larchridge.tokens.Vocabulary;
 import larchridge.tokens.VocabularyReader;
 
@@ -210,7 +210,8 @@
         }
     }
 
-    private PromptLengthSettings measure(At at, ProductText text, Map<String, Vocabulary> vocabularies) {
+    private PromptLengthSettings measure(
+            At at, ProductText text, Map<String, Vocabulary> vocabularies) {
         Vocabulary vocabulary = vocabularies.get(text.getVocabulary());
         if (vocabulary == null
                 && !text.getVocabulary().isEmpty()
@@ -220,7 +221,12 @@
         return new PromptLengthSettings(
                 vocabulary,
                 (int) at.number("window_tokens", Integer.MAX_VALUE, 1, Integer.MAX_VALUE),
-                (int) at.number("image_tokens", PromptLengthSettings.ESTIMATED.imageTokens(), 0, 1e6),
+                (int)
+                        at.number(
+                                "image_tokens",
+                                PromptLengthSettings.ESTIMATED.imageTokens(),
+                                0,
+                                1e6),
                 (int) at.number("message_tokens", 0, 0, 1000));
     }
 
--- a/src/test/java/larchridge/router/ResponseDeadlinesTest.java
+++ b/src/test/java/larchridge/router/ResponseDeadlinesTest.java
@@ -14,7 +14,13 @@
             new TrafficClass("p", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0, 1000, 0, 50);
     private final ProductOffering offering =
             new ProductOffering(
-                    product, product, "", 5000, 1, 100, larchridge.tokens.PromptLengthSettings.ESTIMATED);
+                    product,
+                    product,
+                    "",
+                    5000,
+                    1,
+                    100,
+                    larchridge.tokens.PromptLengthSettings.ESTIMATED);
 
     @Test
     void streamingResponseHasOnlyTheProductsFirstTokenDeadline() {
