--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -127,7 +127,7 @@
         TenantQuota tenantQuota = settings.tenants().get(message.textOr("tenant", ""));
         CachedPrefix session = cachedPrefix(sessions, message.textOr("talk", null));
         CachedPrefix prefix = cachedPrefix(prefixes, message.textOr("prefix", null));
-        double hintTokens =
+        double expectedOutputTokens =
                 message.decimalOr("expected_s", Double.NaN) * MS_PER_SECOND / trafficClass.targetTokenIntervalMs;
         Generation generation =
                 new Generation(
@@ -139,7 +139,7 @@
                         (int) message.integerOr("n_prompt", 0),
                         (int) message.integerOr("shared_len", 0),
                         (int) message.integerOr("n_max", 0),
-                        hintTokens,
+                        expectedOutputTokens,
                         message.flag("resent"),
                         nowMs,
                         message.decimal("not_after_s") * MS_PER_SECOND);
@@ -163,15 +163,15 @@
             return;
         }
         Attempt attempt = generation.attempts().get(number);
-        boolean noMore = message.flag("no_more");
+        boolean finished = message.flag("no_more");
         LoadReport report = loadReport(message);
         String disposition = message.text("disposition");
         int note = (int) message.decimalOr("note", 0);
         if (disposition.equals("half_done")) {
-            callPolicy(() -> policy.readCompleted(attempt, note, report, noMore));
+            callPolicy(() -> policy.readCompleted(attempt, note, report, finished));
         } else {
             AttemptOutcome outcome = outcome(message, disposition, note);
-            callPolicy(() -> policy.attemptEnded(attempt, outcome, report, noMore));
+            callPolicy(() -> policy.attemptEnded(attempt, outcome, report, finished));
         }
         removeIfEnded(id, generation);
     }
