--- a/src/main/java/larchridge/tokens/CountingPolicy.java
+++ b/src/main/java/larchridge/tokens/CountingPolicy.java
@@ -1,42 +1,44 @@
 package larchridge.tokens;
 
 /**
- * Whether a text is counted on the loop, aside, or not at all. A guess of a prompt's length costs
- * about what it is wrong by in reading time; counting may take a part of that. Without I/O, clock
- * or threads.
+ * Decides whether a text is counted on the event loop, on a worker thread, or not at all. An
+ * estimate of a prompt's length costs about the time in which a reader processes the tokens by
+ * which it is wrong; counting may take a fraction of that time. Uses no I/O, clock or threads.
  */
 public final class CountingPolicy {
-    /** What one text may hold up its loop. */
+    /** The longest time for which counting one text may block the event loop. */
     static final double MAX_LOOP_MS = 1;
 
     /**
-     * How far a guess by bytes is off as a rule, as a part of the prompt, where it is not known
-     * better.
+     * Assumed error of an estimate from the number of bytes, as a fraction of the prompt's tokens.
      */
     static final double ESTIMATE_ERROR_FRACTION = 0.25;
 
-    /** Counting may take this part of the time by which the guess is wrong. */
+    /** Counting may take up to this fraction of the time that the estimate's error costs. */
     static final double MAX_FRACTION_OF_ERROR_COST = 0.2;
 
-    /** Nobody waits for his count longer than this part of his SLO time. */
+    /** No client waits for a count longer than this fraction of its SLO time. */
     static final double MAX_FRACTION_OF_SLO = 0.05;
 
-    /** What is done with a text. */
+    /** How the length of a text is determined. */
     public enum Mode {
+        /** Counted on the event loop. */
         INLINE,
+        /** Counted on a worker thread. */
         WORKER,
+        /** Not counted but estimated. */
         ESTIMATE
     }
 
     private CountingPolicy() {}
 
     /**
-     * Decides on one text.
+     * Chooses the mode for one text.
      *
-     * @param countMs what counting takes
-     * @param queueWaitMs what is before it aside
-     * @param estimatedTokens tokens that are guessed of what is not known
-     * @param readTokensPerMs how fast an idle reader reads
+     * @param countMs expected time of counting
+     * @param queueWaitMs expected wait for a worker thread
+     * @param estimatedTokens estimated tokens of the part that is not counted yet
+     * @param readTokensPerMs reading rate of an idle reader
      * @param sloMs the generation's SLO time
      */
     public static Mode choose(
@@ -48,8 +50,10 @@
         if (countMs <= MAX_LOOP_MS) {
             return Mode.INLINE;
         }
-        double errorCostMs = ESTIMATE_ERROR_FRACTION * estimatedTokens / Math.max(1e-9, readTokensPerMs);
-        double maxCountingMs = Math.min(MAX_FRACTION_OF_ERROR_COST * errorCostMs, MAX_FRACTION_OF_SLO * sloMs);
+        double errorCostMs =
+                ESTIMATE_ERROR_FRACTION * estimatedTokens / Math.max(1e-9, readTokensPerMs);
+        double maxCountingMs =
+                Math.min(MAX_FRACTION_OF_ERROR_COST * errorCostMs, MAX_FRACTION_OF_SLO * sloMs);
         return countMs + queueWaitMs <= maxCountingMs ? Mode.WORKER : Mode.ESTIMATE;
     }
 }
--- a/src/main/java/larchridge/tokens/CountingWorkers.java
+++ b/src/main/java/larchridge/tokens/CountingWorkers.java
@@ -7,14 +7,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A few threads for work that would hold up a loop; so much may wait, and what is beyond is not
- * taken.
+ * A fixed pool of threads for tasks that would block an event loop. Its queue is bounded; tasks
+ * that find it full are rejected.
  */
 public final class CountingWorkers implements AutoCloseable {
     private final ThreadPoolExecutor executor;
     private final int threadCount;
     private final AtomicLong pendingUs = new AtomicLong();
 
+    /** Creates a pool; its threads start as tasks arrive. */
     public CountingWorkers(int threadCount, int queueCapacity) {
         this.threadCount = threadCount;
         executor =
@@ -31,7 +32,12 @@
                         });
     }
 
-    /** Takes work that is expected to last so long; false if too much waits. */
+    /**
+     * Submits a task.
+     *
+     * @param expectedMs expected run time of the task, used for {@link #expectedWaitMs}
+     * @return false if the queue is full
+     */
     public boolean trySubmit(double expectedMs, Runnable task) {
         long expectedUs = (long) (expectedMs * 1000);
         pendingUs.addAndGet(expectedUs);
@@ -51,7 +57,7 @@
         }
     }
 
-    /** How long what is taken now would wait, by what was expected of the work before it. */
+    /** Expected wait of a task submitted now, from the expected run times of unfinished tasks. */
     public double expectedWaitMs() {
         return pendingUs.get() / 1000.0 / threadCount;
     }
--- a/src/main/java/larchridge/tokens/InvalidVocabularyException.java
+++ b/src/main/java/larchridge/tokens/InvalidVocabularyException.java
@@ -1,11 +1,13 @@
 package larchridge.tokens;
 
 /**
- * A vocabulary that can't be used; the message names file, line or field, and what is wrong there.
+ * Thrown for a vocabulary that can't be used; the message names the file and, where known, the line
+ * or field, and the problem.
  */
 public final class InvalidVocabularyException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** An error described by its location and problem. */
     public InvalidVocabularyException(String message) {
         super(message);
     }
--- a/src/main/java/larchridge/tokens/JtokkitVocabulary.java
+++ b/src/main/java/larchridge/tokens/JtokkitVocabulary.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A vocabulary counted by JTokkit: one of its own, or ranks from a file. */
+/** Counts with the JTokkit library: an encoding of the library, or ranks read from a file. */
 final class JtokkitVocabulary implements Vocabulary {
-    /** The longest token of the library's own encodings: a run of spaces. */
+    /** The longest token of the library's own encodings, a run of spaces. */
     private static final int LIBRARY_MAX_TOKEN_BYTES = 128;
 
     private final String name;
@@ -23,17 +23,21 @@
         this.maxTokenBytes = maxTokenBytes;
     }
 
-    static Vocabulary forEncoding(String name, String encodingName) throws InvalidVocabularyException {
+    static Vocabulary forEncoding(String name, String encodingName)
+            throws InvalidVocabularyException {
         Optional<EncodingType> type = EncodingType.fromName(encodingName);
         if (type.isEmpty()) {
             throw new InvalidVocabularyException(
-                    "vocabulary " + name + ": no encoding '" + encodingName + "'");
+                    "vocabulary " + name + ": unknown encoding '" + encodingName + "'");
         }
         return new JtokkitVocabulary(
-                name, Encodings.newLazyEncodingRegistry().getEncoding(type.get()), LIBRARY_MAX_TOKEN_BYTES);
+                name,
+                Encodings.newLazyEncodingRegistry().getEncoding(type.get()),
+                LIBRARY_MAX_TOKEN_BYTES);
     }
 
-    static Vocabulary fromRanks(String name, PretokenizerPattern pretokenizer, Map<byte[], Integer> ranks) {
+    static Vocabulary fromRanks(
+            String name, PretokenizerPattern pretokenizer, Map<byte[], Integer> ranks) {
         EncodingRegistry registry = Encodings.newLazyEncodingRegistry();
         registry.registerGptBytePairEncoding(
                 new GptBytePairEncodingParams(name, pretokenizer.pattern, ranks, Map.of()));
@@ -55,8 +59,8 @@
     }
 
     /**
-     * Guards against: the library throws at half a pair of surrogates, which JSON may well hold;
-     * engines get a '?' for it.
+     * Guards against: the library throws an exception for an unpaired surrogate, which JSON may
+     * contain. Engines receive a '?' in its place, so this is what is counted.
      */
     private static String replaceUnpairedSurrogates(String text) {
         StringBuilder replaced = null;
--- a/src/main/java/larchridge/tokens/MergesVocabulary.java
+++ b/src/main/java/larchridge/tokens/MergesVocabulary.java
@@ -11,9 +11,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Byte pairs merged in the order of a list, as {@code tokenizer.json} files have it. The library
- * merges any neighbours whose joined bytes are a token, which is not the same where a list has no
- * such pair; hence this one.
+ * Byte-pair encoding by an ordered list of merges, the form of {@code tokenizer.json} files.
+ * JTokkit merges any two adjacent symbols whose joined bytes are a token, which gives other counts
+ * where the list has no such pair.
  */
 final class MergesVocabulary implements Vocabulary {
     private final String name;
@@ -23,7 +23,7 @@
     private final Map<String, Integer> symbolIds;
     private final Set<String> tokens;
 
-    /** By pair of symbols: the rank of their merge and the symbol that comes of it. */
+    /** By pair of symbols: the rank of their merge and the resulting symbol. */
     private final Map<Long, long[]> merges = new HashMap<>();
 
     private final int[] byteSymbols = new int[256];
@@ -31,12 +31,12 @@
     private final int maxTokenBytes;
 
     /**
-     * A vocabulary of a merges list.
+     * A vocabulary given by its merges.
      *
-     * @param tokens all tokens, each byte a character of the byte-level alphabet
+     * @param ignoreMerges whether a piece that is itself a token counts as one without any merges
+     * @param tokens all tokens, each byte written as a character of the byte-level alphabet
      * @param pairs the pairs in the order in which they are merged
-     * @param specialTokens texts that are one token wherever they stand
-     * @param ignoreMerges whether a piece that is a token is never cut
+     * @param specialTokens texts that are one token wherever they occur
      */
     MergesVocabulary(
             String name,
@@ -60,7 +60,7 @@
             String joined = pairs.get(i)[0] + pairs.get(i)[1];
             if (!tokens.contains(joined)) {
                 throw new InvalidVocabularyException(
-                        "merge " + i + ": '" + joined + "' is no token");
+                        "merges[" + i + "]: '" + joined + "' is not in vocab");
             }
             long pair = pair(symbolId(pairs.get(i)[0]), symbolId(pairs.get(i)[1]));
             merges.putIfAbsent(pair, new long[] {i, symbolId(joined)});
@@ -80,7 +80,10 @@
                         .mapToInt(s -> s.getBytes(StandardCharsets.UTF_8).length)
                         .max()
                         .orElse(1);
-        maxTokenBytes = Math.max(maxSpecialTokenBytes, tokens.stream().mapToInt(String::length).max().orElse(1));
+        maxTokenBytes =
+                Math.max(
+                        maxSpecialTokenBytes,
+                        tokens.stream().mapToInt(String::length).max().orElse(1));
     }
 
     private int symbolId(String symbol) {
@@ -92,8 +95,8 @@
     }
 
     /**
-     * The published byte-level alphabet: printable bytes are themselves, the others follow from 256
-     * on.
+     * The character of a byte in GPT-2's byte-level alphabet: printable bytes stand for themselves,
+     * the others are numbered from 256.
      */
     static char byteLevelChar(int value) {
         if (isPrintable(value)) {
@@ -124,7 +127,8 @@
 
     @Override
     public int count(String text) {
-        String normalizedText = normalizesToNfc ? Normalizer.normalize(text, Normalizer.Form.NFC) : text;
+        String normalizedText =
+                normalizesToNfc ? Normalizer.normalize(text, Normalizer.Form.NFC) : text;
         if (specialTokenPattern == null) {
             return countOrdinary(normalizedText);
         }
@@ -143,7 +147,7 @@
         Matcher piece = pretokenizer.matcher(text);
         int from = 0;
         while (piece.find()) {
-            // What no piece takes stands alone between two.
+            // Text between two matches of the pattern is a piece of its own.
             count += piece.start() > from ? countPiece(text.substring(from, piece.start())) : 0;
             count += countPiece(piece.group());
             from = piece.end();
@@ -151,8 +155,9 @@
         return count + (from < text.length() ? countPiece(text.substring(from)) : 0);
     }
 
-    /** A place where two neighbours may be merged; lower ranks first, then the left one. */
-    private record MergeCandidate(long rank, int left, int right, int mergedSymbol, int leftSymbol, int rightSymbol)
+    /** Two adjacent symbols that may be merged; ordered by rank, then from left to right. */
+    private record MergeCandidate(
+            long rank, int left, int right, int mergedSymbol, int leftSymbol, int rightSymbol)
             implements Comparable<MergeCandidate> {
         @Override
         public int compareTo(MergeCandidate other) {
@@ -182,7 +187,8 @@
         int count = utf8.length;
         while (!candidates.isEmpty()) {
             MergeCandidate candidate = candidates.poll();
-            // One of the two may have been merged since, or the left one has another neighbour.
+            // Outdated if one of the symbols was merged meanwhile or the left one has another right
+            // neighbour by now.
             if (symbols[candidate.left] != candidate.leftSymbol
                     || next[candidate.left] != candidate.right
                     || symbols[candidate.right] != candidate.rightSymbol) {
@@ -203,11 +209,13 @@
         return count;
     }
 
-    private void addCandidate(PriorityQueue<MergeCandidate> candidates, int[] symbols, int left, int right) {
+    private void addCandidate(
+            PriorityQueue<MergeCandidate> candidates, int[] symbols, int left, int right) {
         long[] merge = merges.get(pair(symbols[left], symbols[right]));
         if (merge != null) {
             candidates.add(
-                    new MergeCandidate(merge[0], left, right, (int) merge[1], symbols[left], symbols[right]));
+                    new MergeCandidate(
+                            merge[0], left, right, (int) merge[1], symbols[left], symbols[right]));
         }
     }
 
--- a/src/main/java/larchridge/tokens/PretokenizerPattern.java
+++ b/src/main/java/larchridge/tokens/PretokenizerPattern.java
@@ -3,9 +3,9 @@
 import java.util.regex.Pattern;
 
 /**
- * How the published encodings cut a text into pieces before pairs are merged. None of them looks
- * behind, and none has a piece in which a space follows a letter; {@link TextChunker} rests on
- * both.
+ * The patterns with which the published encodings split a text into pieces before byte pairs are
+ * merged. No pattern uses lookbehind, and none matches a piece in which a space follows a letter;
+ * {@link TextChunker} depends on both.
  */
 public enum PretokenizerPattern {
     GPT2("'s|'t|'re|'ve|'m|'ll|'d| ?\\p{L}+| ?\\p{N}+| ?[^\\s\\p{L}\\p{N}]+|\\s+(?!\\S)|\\s+"),
--- a/src/main/java/larchridge/tokens/TextChunker.java
+++ b/src/main/java/larchridge/tokens/TextChunker.java
@@ -1,18 +1,18 @@
 package larchridge.tokens;
 
 /**
- * Cuts a text where its tokens are cut anyway, so that the tokens of the parts add up to those of
- * the whole: before a space that follows a letter. The cuts depend on what is before them only, and
- * so are the same for every text with the same beginning: a conversation's next turn finds the
- * parts of the turns before. Without state.
+ * Splits a text into chunks before a space that follows a letter. No token crosses such a boundary,
+ * so the tokens of the chunks add up to those of the text. Where a chunk ends does not depend on
+ * the text after it, so texts with a common prefix share the chunks of that prefix, and the next
+ * turn of a conversation finds the chunks of earlier turns in the cache. Stateless.
  */
 public final class TextChunker {
-    /** A part is at least this long, but for the last. */
+    /** Minimum length of each chunk but the last. */
     public static final int MIN_CHUNK_CHARS = 4096;
 
     private TextChunker() {}
 
-    /** Where the part that begins there ends. */
+    /** The end of the chunk that starts at the given index. */
     public static int chunkEnd(String text, int from) {
         for (int i = from + MIN_CHUNK_CHARS; i < text.length(); i++) {
             if (isChunkBoundary(text, i)) {
@@ -22,14 +22,17 @@
         return text.length();
     }
 
-    /** Whether no token goes over this place. */
+    /** Whether a chunk may end before this index, which no token crosses. */
     public static boolean isChunkBoundary(String text, int index) {
         char before = text.charAt(index - 1);
-        // A letter beyond the basic plane is two chars; neither is a letter by itself.
-        return text.charAt(index) == ' ' && Character.isLetter(before) && isUpperLowerOrOtherLetter(before);
+        // No chunk ends after a letter outside the basic multilingual plane: neither of its two
+        // chars is a letter by itself.
+        return text.charAt(index) == ' '
+                && Character.isLetter(before)
+                && isUpperLowerOrOtherLetter(before);
     }
 
-    /** Marks that some patterns let follow letters are none. */
+    /** Marks, which some patterns allow after a letter, do not count as letters. */
     private static boolean isUpperLowerOrOtherLetter(char c) {
         int type = Character.getType(c);
         return type == Character.LOWERCASE_LETTER
--- a/src/main/java/larchridge/tokens/TokenCountCache.java
+++ b/src/main/java/larchridge/tokens/TokenCountCache.java
@@ -8,18 +8,20 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * What parts of texts counted, by the digest of the part. Shared by the fronts of a process;
- * reading takes no lock. It holds so many bytes at most; what is asked for often stays when much
- * comes that is asked for once (W-TinyLFU).
+ * Caches the token counts of text chunks by a digest of the chunk. Shared by the routers of a
+ * process; lookups take no lock. The cache is bounded in bytes and evicts by W-TinyLFU, so that
+ * many chunks that occur once do not displace chunks that occur often.
  */
 public final class TokenCountCache {
-    /** What an entry takes: key, count, node, and its place in the table. */
+    /** Memory of one entry: key, count, cache node and hash table slot. */
     static final int ENTRY_BYTES = 160;
 
     private final Cache<Key, Integer> counts;
 
+    /** 128 bits of a chunk's SHA-256 digest, and the name of the vocabulary. */
     record Key(long high, long low, String vocabulary) {}
 
+    /** Creates an empty cache that holds up to the given number of bytes. */
     public TokenCountCache(long maxBytes) {
         counts =
                 Caffeine.newBuilder()
@@ -29,8 +31,8 @@
     }
 
     /**
-     * A key that only the same part has: half of a SHA-256, so that nobody can make another part
-     * with it.
+     * The key of a chunk. Half of a SHA-256 digest is collision resistant, so that a client cannot
+     * construct another chunk with the same key.
      */
     static Key key(String chunk, String vocabulary) {
         try {
@@ -40,11 +42,11 @@
                                     .digest(chunk.getBytes(StandardCharsets.UTF_8)));
             return new Key(digest.getLong(), digest.getLong(), vocabulary);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is missing from this Java runtime", e);
         }
     }
 
-    /** The count of a part, or -1. */
+    /** The token count of a chunk, or -1 if it is not cached. */
     int get(Key key) {
         Integer count = counts.getIfPresent(key);
         return count == null ? -1 : count;
@@ -54,20 +56,22 @@
         counts.put(key, count);
     }
 
-    /** Does what is put off: evictions. */
+    /** Runs pending evictions. */
     void cleanUp() {
         counts.cleanUp();
     }
 
-    /** How many look-ups found a count so far. */
+    /** The number of lookups so far that found a count. */
     public long hits() {
         return counts.stats().hitCount();
     }
 
+    /** The number of lookups so far that found no count. */
     public long misses() {
         return counts.stats().missCount();
     }
 
+    /** The approximate number of cached counts. */
     public long size() {
         return counts.estimatedSize();
     }
--- a/src/main/java/larchridge/tokens/TokenCountCorrection.java
+++ b/src/main/java/larchridge/tokens/TokenCountCorrection.java
@@ -1,9 +1,9 @@
 package larchridge.tokens;
 
 /**
- * What engines report of prompts beside what was counted here, for one model: a factor that
- * corrects counts, within bounds, and whether the vocabulary can be the engines'. Without I/O,
- * clock or threads; each front has its own.
+ * Compares the prompt lengths that the engines of one model report with the counts made here. Gives
+ * a factor within bounds that corrects the counts, and finds out whether the vocabulary can be that
+ * of the engines. Uses no I/O, clock or threads; each router has an instance of its own.
  */
 public final class TokenCountCorrection {
     private static final double MIN_RATIO = 0.5;
@@ -11,16 +11,19 @@
     private static final double PREVIOUS_WEIGHT = 0.95;
     private static final int MIN_REPORTS = 20;
 
-    /** Under this nothing is corrected: a few tokens of a frame that engines add. */
+    /** Smaller deviations are not corrected; the engines' chat template adds a few tokens. */
     private static final double MAX_IGNORED_DEVIATION = 0.02;
 
     private static final double MAX_PLAUSIBLE_RATIO = 1.25;
     private static final double MAX_MEAN_DEVIATION = 0.1;
 
-    /** What is to be told of a model, each once. */
+    /** A result worth logging, ordered by severity. Each is returned at most once for a model. */
     public enum Finding {
+        /** Nothing new. */
         NONE,
+        /** The engines' counts differ by a steady factor; counts are corrected. */
         COUNT_DRIFT,
+        /** The ratio is too far off or varies too much for the vocabulary to be the engines'. */
         WRONG_VOCABULARY
     }
 
@@ -29,7 +32,11 @@
     private int reports;
     private Finding highestFinding = Finding.NONE;
 
-    /** An engine reports a prompt that was counted exactly; returns what is new to tell. */
+    /**
+     * Records the length that an engine reports for a prompt that was counted exactly.
+     *
+     * @return a finding more severe than those returned before, or {@link Finding#NONE}
+     */
     public Finding recordReport(int counted, int reported) {
         if (counted < 16 || reported <= 0) {
             return Finding.NONE;
@@ -38,21 +45,28 @@
         reports++;
         double previousWeight = reports < MIN_REPORTS ? 1 - 1.0 / reports : PREVIOUS_WEIGHT;
         meanRatio = previousWeight * meanRatio + (1 - previousWeight) * ratio;
-        meanDeviation = previousWeight * meanDeviation + (1 - previousWeight) * Math.abs(ratio - meanRatio);
+        meanDeviation =
+                previousWeight * meanDeviation + (1 - previousWeight) * Math.abs(ratio - meanRatio);
         if (reports < MIN_REPORTS) {
             return Finding.NONE;
         }
         Finding finding =
-                meanRatio > MAX_PLAUSIBLE_RATIO || meanRatio < 1 / MAX_PLAUSIBLE_RATIO || meanDeviation > MAX_MEAN_DEVIATION
+                meanRatio > MAX_PLAUSIBLE_RATIO
+                                || meanRatio < 1 / MAX_PLAUSIBLE_RATIO
+                                || meanDeviation > MAX_MEAN_DEVIATION
                         ? Finding.WRONG_VOCABULARY
-                        : Math.abs(meanRatio - 1) > MAX_IGNORED_DEVIATION ? Finding.COUNT_DRIFT : Finding.NONE;
+                        : Math.abs(meanRatio - 1) > MAX_IGNORED_DEVIATION
+                                ? Finding.COUNT_DRIFT
+                                : Finding.NONE;
         boolean isNew = finding.compareTo(highestFinding) > 0;
         highestFinding = finding.compareTo(highestFinding) > 0 ? finding : highestFinding;
         return isNew ? finding : Finding.NONE;
     }
 
-    /** By what counts are multiplied for the engines' own figures. */
+    /** The factor that converts counts made here into the engines' counts. */
     public double factor() {
-        return reports < MIN_REPORTS || Math.abs(meanRatio - 1) <= MAX_IGNORED_DEVIATION ? 1 : meanRatio;
+        return reports < MIN_REPORTS || Math.abs(meanRatio - 1) <= MAX_IGNORED_DEVIATION
+                ? 1
+                : meanRatio;
     }
 }
--- a/src/main/java/larchridge/tokens/TokenCountTask.java
+++ b/src/main/java/larchridge/tokens/TokenCountTask.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * The count of one text, and of its beginning up to a mark, on its way: what is known already, and
- * what is still to be counted. The beginning has the text's own parts but for the one in which the
- * mark stands.
+ * Counts the tokens of one text and of a prefix of it, chunk by chunk: keeps the counts known from
+ * the cache, counts the missing chunks and estimates those not counted. The prefix consists of the
+ * text's own chunks, except for the chunk in which the prefix ends: its first part is counted as a
+ * chunk of its own.
  */
 public final class TokenCountTask {
     /**
-     * A part longer than this has no place to be cut and is not counted: nothing could call that
-     * off.
+     * A longer chunk has no boundary at which it could be split. It is not counted, because
+     * counting a chunk can't be cancelled.
      */
     static final int MAX_CHUNK_CHARS = 256 << 10;
 
@@ -20,13 +21,14 @@
     private final TokenCountCache cache;
     private final List<Chunk> chunks = new ArrayList<>();
 
-    /** How many parts end before the mark, and the piece from there to it. */
+    /** Number of chunks that end within the prefix. */
     private int wholeChunksInPrefix;
 
+    /** The rest of the prefix, after its whole chunks. */
     private final Chunk prefixTail;
     private volatile boolean cancelled;
 
-    /** A part; key is null where it can't be counted, toks is under 0 until it is known. */
+    /** A chunk; key is null if it can't be counted, tokens is negative until it is known. */
     private static final class Chunk {
         final int from;
         final int to;
@@ -44,8 +46,13 @@
         }
     }
 
-    /** Looks up the parts of a text; costs a digest of it. */
-    public TokenCountTask(String text, int prefixChars, Vocabulary vocabulary, TokenCountCache cache) {
+    /**
+     * Looks up the chunks of a text in the cache, which takes one digest over the text.
+     *
+     * @param prefixChars length of the prefix that is counted, too
+     */
+    public TokenCountTask(
+            String text, int prefixChars, Vocabulary vocabulary, TokenCountCache cache) {
         this.text = text;
         this.vocabulary = vocabulary;
         this.cache = cache;
@@ -66,19 +73,22 @@
         if (from == to || to - from > MAX_CHUNK_CHARS) {
             return new Chunk(from, to, null);
         }
-        Chunk chunk = new Chunk(from, to, TokenCountCache.key(text.substring(from, to), vocabulary.name()));
+        Chunk chunk =
+                new Chunk(
+                        from, to, TokenCountCache.key(text.substring(from, to), vocabulary.name()));
         chunk.tokens = cache.get(chunk.key);
         return chunk;
     }
 
-    /** Characters that would have to be counted. */
+    /** The number of characters whose tokens are still to be counted. */
     public int uncountedChars() {
         return chunks.stream().mapToInt(Chunk::uncountedChars).sum() + prefixTail.uncountedChars();
     }
 
     /**
-     * Counts what is missing, on any thread; false if it was called off. How long that took goes to
-     * the pace.
+     * Counts the missing chunks and reports the time taken to the rate. May run on any thread.
+     *
+     * @return false if the task was cancelled
      */
     public boolean countMissing(CountingRate rate) {
         long start = System.nanoTime();
@@ -106,20 +116,22 @@
         return true;
     }
 
-    /** Whoever asked has left; a count that runs ends at the next part. */
+    /** Cancels the task, since its client disconnected; a running count stops at the next chunk. */
     public void cancel() {
         cancelled = true;
     }
 
     /**
-     * What is known now of the text: the count if nothing is missing, a guess for the rest at so
-     * many tokens a character.
+     * The tokens of the text: exact if every chunk has been counted. Otherwise the other chunks are
+     * estimated.
+     *
+     * @param tokensPerChar the ratio used for the estimate
      */
     public TokenCount tokenCount(double tokensPerChar) {
         return total(chunks, tokensPerChar);
     }
 
-    /** The same of its beginning. */
+    /** The tokens of the prefix, counted or estimated likewise. */
     public TokenCount prefixTokenCount(double tokensPerChar) {
         List<Chunk> prefixChunks = new ArrayList<>(chunks.subList(0, wholeChunksInPrefix));
         prefixChunks.add(prefixTail);
@@ -152,7 +164,7 @@
                 uncountedChars == 0);
     }
 
-    /** Bytes of a part as UTF-8. */
+    /** Bytes of a chunk in UTF-8. */
     private int utf8Bytes(Chunk chunk) {
         int bytes = 0;
         for (int i = chunk.from; i < chunk.to; i++) {
--- a/src/main/java/larchridge/tokens/TokenCounters.java
+++ b/src/main/java/larchridge/tokens/TokenCounters.java
@@ -4,21 +4,31 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the fronts of one process share for counting: the cache, the threads aside, and each
- * vocabulary's pace.
+ * What the routers of one process share for counting: the cache, the worker threads and the
+ * counting rate of each vocabulary.
  */
 public final class TokenCounters implements AutoCloseable {
+    /** The counts of chunks. */
     public final TokenCountCache cache;
+
+    /** The threads for counts that would block an event loop. */
     public final CountingWorkers workers;
     private final double tokensPerChar;
     private final Map<String, CountingRate> rates = new ConcurrentHashMap<>();
 
+    /**
+     * Creates an empty cache and the worker threads.
+     *
+     * @param queueCapacity how many tasks may wait for a thread
+     * @param bytesPerToken estimate from which the rates start
+     */
     public TokenCounters(long cacheBytes, int threads, int queueCapacity, double bytesPerToken) {
         cache = new TokenCountCache(cacheBytes);
         workers = new CountingWorkers(threads, queueCapacity);
         tokensPerChar = 1 / bytesPerToken;
     }
 
+    /** The counting rate of a vocabulary, common to all routers. */
     public CountingRate rate(Vocabulary vocabulary) {
         return rates.computeIfAbsent(vocabulary.name(), name -> new CountingRate(tokensPerChar));
     }
--- a/src/main/java/larchridge/tokens/Vocabulary.java
+++ b/src/main/java/larchridge/tokens/Vocabulary.java
@@ -1,13 +1,13 @@
 package larchridge.tokens;
 
-/** Counts tokens as one family of engines does. Any thread may use it. */
+/** Counts tokens like the engines of a model do. Safe for use by several threads. */
 public interface Vocabulary {
-    /** The name by which the site file calls it. */
+    /** Its name in the site file. */
     String name();
 
-    /** Tokens of a text; the marks of special tokens are counted as the engines count them. */
+    /** The tokens of a text; text that spells a special token is counted as engines count it. */
     int count(String text);
 
-    /** No token has more bytes than this. */
+    /** The length of the longest token in bytes, or an upper bound of it. */
     int maxTokenBytes();
 }
--- a/src/main/java/larchridge/tokens/VocabularyReader.java
+++ b/src/main/java/larchridge/tokens/VocabularyReader.java
@@ -18,27 +18,39 @@
 import java.util.regex.PatternSyntaxException;
 
 /**
- * Reads vocabularies: the library's by name, rank files of the tiktoken form, and {@code
- * tokenizer.json}.
+ * Creates vocabularies: encodings of the JTokkit library by name, rank files in the tiktoken
+ * format, and {@code tokenizer.json} files.
  */
 public final class VocabularyReader {
     private static final long MAX_FILE_BYTES = 200L << 20;
 
     private VocabularyReader() {}
 
-    public static Vocabulary forEncoding(String name, String encoding) throws InvalidVocabularyException {
+    /**
+     * A vocabulary of the library.
+     *
+     * @param name its name in the site file
+     * @param encoding the library's name of it
+     */
+    public static Vocabulary forEncoding(String name, String encoding)
+            throws InvalidVocabularyException {
         return JtokkitVocabulary.forEncoding(name, encoding);
     }
 
     /**
-     * A file; split is needed for rank files, which do not tell it, and unused for the other form.
+     * Reads a vocabulary file of either format.
+     *
+     * @param name its name in the site file
+     * @param pretokenizer the pattern for a rank file, which does not contain one; not used for
+     *     {@code tokenizer.json}
      */
     public static Vocabulary readFile(String name, Path file, PretokenizerPattern pretokenizer)
             throws InvalidVocabularyException {
         byte[] bytes;
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new InvalidVocabularyException(file + ": over " + MAX_FILE_BYTES + " bytes");
+                throw new InvalidVocabularyException(
+                        file + ": larger than " + MAX_FILE_BYTES + " bytes");
             }
             bytes = Files.readAllBytes(file);
         } catch (IOException e) {
@@ -50,15 +62,15 @@
                 : readRankFile(name, file, text, pretokenizer);
     }
 
-    private static Vocabulary readRankFile(String name, Path file, String text, PretokenizerPattern pretokenizer)
+    private static Vocabulary readRankFile(
+            String name, Path file, String text, PretokenizerPattern pretokenizer)
             throws InvalidVocabularyException {
         if (pretokenizer == null) {
             throw new InvalidVocabularyException(
                     file + ": a rank file needs split: GPT2, CL100K or O200K");
         }
-        @SuppressWarnings(
-                "ArrayAsKeyOfSetOrMap") // The library takes ranks as such a map; nothing is looked
-        // up in it.
+        // The library requires such a map; nothing is looked up in it by the array.
+        @SuppressWarnings("ArrayAsKeyOfSetOrMap")
         Map<byte[], Integer> ranks = new HashMap<>();
         Map<String, Integer> lineByToken = new HashMap<>();
         Set<Integer> usedRanks = new HashSet<>();
@@ -78,30 +90,41 @@
             try {
                 token = Base64.getDecoder().decode(fields[0]);
             } catch (IllegalArgumentException e) {
-                throw new InvalidVocabularyException(location + "'" + fields[0] + "' is not base64");
+                throw new InvalidVocabularyException(
+                        location + "'" + fields[0] + "' is not base64");
             }
             Integer earlierLine = lineByToken.put(fields[0], lineNumber);
             if (earlierLine != null) {
-                throw new InvalidVocabularyException(location + "the token of line " + earlierLine + " again");
+                throw new InvalidVocabularyException(
+                        location + "duplicate of the token on line " + earlierLine);
             }
             if (!usedRanks.add(Integer.parseInt(fields[1]))) {
-                throw new InvalidVocabularyException(location + "rank " + fields[1] + " again");
+                throw new InvalidVocabularyException(location + "duplicate rank " + fields[1]);
             }
             ranks.put(token, Integer.parseInt(fields[1]));
         }
-        // Guards against: a file cut short would count far too many tokens; single bytes come
-        // first, the
-        // end is not marked.
+        // Guards against: a truncated file would give far too high counts. The format has no end
+        // mark; tokens of a single byte come first.
         for (int i = 0; i < 256; i++) {
-            if (!lineByToken.containsKey(Base64.getEncoder().encodeToString(new byte[] {(byte) i}))) {
+            if (!lineByToken.containsKey(
+                    Base64.getEncoder().encodeToString(new byte[] {(byte) i}))) {
                 throw new InvalidVocabularyException(
-                        file + ":" + lineNumber + ": byte " + i + " is no token; is the file whole?");
+                        file
+                                + ":"
+                                + lineNumber
+                                + ": no token for byte "
+                                + i
+                                + "; the file may be truncated");
             }
         }
         int highestRank = usedRanks.stream().mapToInt(i -> i).max().orElse(0);
         if (!text.endsWith("\n") || highestRank > 2 * usedRanks.size()) {
             throw new InvalidVocabularyException(
-                    file + ":" + lineNumber + ": the last line has no end; is the file whole?");
+                    file
+                            + ":"
+                            + lineNumber
+                            + ": the last line has no line end, or ranks are missing;"
+                            + " the file may be truncated");
         }
         return JtokkitVocabulary.fromRanks(name, pretokenizer, ranks);
     }
@@ -135,7 +158,7 @@
                     file
                             + ": normalizer.type: '"
                             + normalizer.path("type").asText()
-                            + "' is not served; NFC or none is");
+                            + "' is not supported; expected NFC or none");
         }
         Set<String> tokens = new HashSet<>();
         model.path("vocab").fieldNames().forEachRemaining(tokens::add);
@@ -171,8 +194,9 @@
         }
     }
 
-    /** Byte level with its own pattern, or a pattern of the file before it. */
-    private static Pattern pretokenizerPattern(Path file, JsonNode preTokenizer) throws InvalidVocabularyException {
+    /** The pattern of a Split step before the ByteLevel step, or else ByteLevel's own pattern. */
+    private static Pattern pretokenizerPattern(Path file, JsonNode preTokenizer)
+            throws InvalidVocabularyException {
         List<JsonNode> steps = new ArrayList<>();
         if (preTokenizer.path("type").asText().equals("Sequence")) {
             preTokenizer.path("pretokenizers").forEach(steps::add);
@@ -201,7 +225,7 @@
                 if (step.path("use_regex").asBoolean(true)) {
                     if (pattern != null) {
                         throw new InvalidVocabularyException(
-                                file + ": pre_tokenizer: two patterns one after the other");
+                                file + ": pre_tokenizer: more than one pattern");
                     }
                     pattern = PretokenizerPattern.GPT2.pattern;
                 }
@@ -210,8 +234,8 @@
                         file
                                 + ": pre_tokenizer: "
                                 + type
-                                + " as written is not served; one isolated "
-                                + "Split by a Regex and ByteLevel without add_prefix_space are");
+                                + " is not supported as configured; expected at most one isolated"
+                                + " Split by a Regex, and ByteLevel without add_prefix_space");
             }
         }
         if (pattern == null) {
--- a/src/main/java/larchridge/tokens/package-info.java
+++ b/src/main/java/larchridge/tokens/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Counts the tokens of prompts: vocabularies, a cache of counts, and whether counting is worth its
- * time.
+ * Counts the tokens of prompts: vocabularies, a cache of counts, and the decision whether counting
+ * is worth the time it takes.
  *
- * <p>{@link larchridge.tokens.TokenCounters} is the entry. It knows nothing of requests or routing.
+ * <p>Entry point: {@link larchridge.tokens.TokenCounters}. This package must not know requests or
+ * routing.
  */
 package larchridge.tokens;
--- a/src/test/java/larchridge/tokens/Corpus.java
+++ b/src/test/java/larchridge/tokens/Corpus.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.Random;
 
-/** Texts as the users have them, and texts made to do harm. */
+/** Random texts similar to users' prompts, and malformed ones. */
 final class Corpus {
     private static final String[] WORDS = {
         "caudal",
@@ -96,7 +96,7 @@
         return text.toString();
     }
 
-    /** The library's own rank file of an encoding, in the published form. */
+    /** Writes the library's rank file of an encoding, which has the published format. */
     static Path writeRankFile(Path directory, String encoding) throws IOException {
         Path file = directory.resolve(encoding + ".tiktoken");
         try (InputStream in =
--- a/src/test/java/larchridge/tokens/CountingPolicyTest.java
+++ b/src/test/java/larchridge/tokens/CountingPolicyTest.java
@@ -8,7 +8,7 @@
 class CountingPolicyTest {
     @ParameterizedTest
     @CsvSource({
-        // counting, waiting, guessed tokens, reader's tokens a ms, SLO time
+        // counting ms, queue wait ms, estimated tokens, reader's tokens per ms, SLO ms, mode
         "0.9, 500, 100, 10, 1000, INLINE",
         "20, 0, 50000, 10, 2000, WORKER",
         "20, 200, 50000, 10, 2000, ESTIMATE",
@@ -24,6 +24,9 @@
             double readTokensPerMs,
             double sloMs,
             CountingPolicy.Mode expected) {
-        assertEquals(expected, CountingPolicy.choose(countMs, queueWaitMs, estimatedTokens, readTokensPerMs, sloMs));
+        assertEquals(
+                expected,
+                CountingPolicy.choose(
+                        countMs, queueWaitMs, estimatedTokens, readTokensPerMs, sloMs));
     }
 }
--- a/src/test/java/larchridge/tokens/TokenCountTaskTest.java
+++ b/src/test/java/larchridge/tokens/TokenCountTaskTest.java
@@ -14,7 +14,7 @@
     private final TokenCountCache cache = new TokenCountCache(1 << 20);
     private final CountingRate rate = new CountingRate(0.25);
 
-    /** A token a word, so that tests see what was counted. */
+    /** Counts one token per space; records how many characters it was asked to count. */
     private static final class WordVocabulary implements Vocabulary {
         int countedChars;
 
@@ -51,7 +51,9 @@
         int charsOfFirst = vocabulary.countedChars;
         String second = first + repeatWord(100, "nivel");
         TokenCountTask nextTask = new TokenCountTask(second, 0, vocabulary, cache);
-        assertTrue(nextTask.uncountedChars() < 2 * TextChunker.MIN_CHUNK_CHARS, nextTask.uncountedChars() + " missing");
+        assertTrue(
+                nextTask.uncountedChars() < 2 * TextChunker.MIN_CHUNK_CHARS,
+                nextTask.uncountedChars() + " characters not counted");
         nextTask.countMissing(rate);
         assertTrue(vocabulary.countedChars - charsOfFirst < 2 * TextChunker.MIN_CHUNK_CHARS);
         assertEquals(20_100, nextTask.tokenCount(0.25).tokens());
@@ -62,19 +64,22 @@
         String text = repeatWord(3000, "umbral");
         for (int prefixChars :
                 new int[] {0, 1, 4096, 4097, 4102, 9000, text.length() - 1, text.length()}) {
-            TokenCountTask task = new TokenCountTask(text, prefixChars, new WordVocabulary(), new TokenCountCache(1 << 20));
+            TokenCountTask task =
+                    new TokenCountTask(
+                            text, prefixChars, new WordVocabulary(), new TokenCountCache(1 << 20));
             task.countMissing(rate);
             assertEquals(3000, task.tokenCount(0).tokens());
             assertEquals(
                     (int) text.substring(0, prefixChars).chars().filter(c -> c == ' ').count(),
                     task.prefixTokenCount(0).tokens(),
-                    "mark " + prefixChars);
+                    "prefix of " + prefixChars + " characters");
         }
     }
 
     @Test
     void estimateStaysWithinItsBounds() {
-        TokenCountTask task = new TokenCountTask("x".repeat(300_000), 0, new WordVocabulary(), cache);
+        TokenCountTask task =
+                new TokenCountTask("x".repeat(300_000), 0, new WordVocabulary(), cache);
         task.countMissing(rate);
         TokenCount low = task.tokenCount(0);
         TokenCount high = task.tokenCount(99);
@@ -93,8 +98,8 @@
     }
 
     /**
-     * Guards against: with plain LRU a flood of prompts that come once would push out what comes
-     * all the time.
+     * Guards against: with plain LRU, a flood of prompts that occur once would evict the prompts
+     * that occur all the time.
      */
     @Test
     void floodOfUniqueTextsDoesNotEvictHotTexts() {
@@ -113,7 +118,7 @@
         int hits = 0;
         int lruHits = 0;
         for (int i = 0; i < 60_000; i++) {
-            // One in ten asks for one of 400 hot texts, nine for one that never comes again.
+            // One request in ten is for one of 400 hot texts, the others are for unique texts.
             boolean isHot = random.nextInt(10) == 0;
             int text = isHot ? random.nextInt(400) : 1000 + i;
             TokenCountCache.Key key = new TokenCountCache.Key(text, text, "v");
@@ -133,11 +138,11 @@
         }
         small.cleanUp();
         System.out.println(
-                "hot texts found of "
+                "requests for hot texts: "
                         + asked
-                        + ": "
+                        + ", cache hits: "
                         + hits
-                        + ", plain LRU "
+                        + ", hits of plain LRU: "
                         + lruHits
                         + " (seed 3)");
         assertTrue(
--- a/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
+++ b/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
@@ -21,7 +21,8 @@
 
     @ParameterizedTest
     @CsvSource({"cl100k_base,26000", "o200k_base,26000", "r50k_base,26000", "p50k_base,26000"})
-    void chunkCountsAddUpToTheTextCountAtEveryBoundary(String encoding, int texts) throws Exception {
+    void chunkCountsAddUpToTheTextCountAtEveryBoundary(String encoding, int texts)
+            throws Exception {
         Vocabulary vocabulary = VocabularyReader.forEncoding("v", encoding);
         long seed = 20261201;
         Random random = new Random(seed);
@@ -31,7 +32,8 @@
             int textCount = vocabulary.count(text);
             boolean checkEveryBoundary = n % 20 == 0;
             for (int at = 1; at < text.length(); at++) {
-                if (TextChunker.isChunkBoundary(text, at) && (checkEveryBoundary || random.nextInt(12) == 0)) {
+                if (TextChunker.isChunkBoundary(text, at)
+                        && (checkEveryBoundary || random.nextInt(12) == 0)) {
                     boundaries++;
                     int chunkCounts =
                             vocabulary.count(text.substring(0, at))
@@ -39,11 +41,11 @@
                     assertEquals(
                             textCount,
                             chunkCounts,
-                            "seed " + seed + ", text " + n + ", cut at " + at + ": " + text);
+                            "seed " + seed + ", text " + n + ", boundary at " + at + ": " + text);
                 }
             }
         }
-        assertTrue(boundaries > texts / 4, boundaries + " cuts");
+        assertTrue(boundaries > texts / 4, boundaries + " boundaries checked");
     }
 
     @ParameterizedTest
@@ -51,7 +53,8 @@
     void rankFileCountsLikeTheLibraryEncoding(String encoding, PretokenizerPattern split)
             throws Exception {
         Vocabulary library = VocabularyReader.forEncoding("v", encoding);
-        Vocabulary fromFile = VocabularyReader.readFile("w", Corpus.writeRankFile(folder, encoding), split);
+        Vocabulary fromFile =
+                VocabularyReader.readFile("w", Corpus.writeRankFile(folder, encoding), split);
         Random random = new Random(7);
         for (int n = 0; n < 4000; n++) {
             String text = Corpus.randomText(random, 1 + random.nextInt(20));
@@ -59,12 +62,11 @@
         }
     }
 
-    /**
-     * Merges that the ranks imply, in their order, must count like the library counts the ranks.
-     */
+    /** Derives the merges that the ranks imply; the library counts the ranks themselves. */
     @Test
     void mergesCountLikeTheRanksTheyAreDerivedFrom() throws Exception {
-        List<String> lines = Files.readAllLines(Corpus.writeRankFile(folder, "r50k_base")).subList(0, 6000);
+        List<String> lines =
+                Files.readAllLines(Corpus.writeRankFile(folder, "r50k_base")).subList(0, 6000);
         Path ranks = folder.resolve("small.tiktoken");
         Files.writeString(ranks, String.join("\n", lines) + "\n");
         Map<String, Integer> rankOf = new HashMap<>();
--- a/src/test/java/larchridge/tokens/VocabularyReaderTest.java
+++ b/src/test/java/larchridge/tokens/VocabularyReaderTest.java
@@ -44,10 +44,10 @@
                         .contains("v:257: 'Y?I=' is not base64"));
         assertTrue(
                 errorMessage(singleByteRanks() + "YWI= 7\n", PretokenizerPattern.GPT2)
-                        .contains("v:257: rank 7 again"));
+                        .contains("v:257: duplicate rank 7"));
         assertTrue(
                 errorMessage(singleByteRanks() + "YWI= 256\nYWI= 257\n", PretokenizerPattern.GPT2)
-                        .contains("the token of line 257 again"));
+                        .contains("v:258: duplicate of the token on line 257"));
         assertTrue(errorMessage(singleByteRanks(), null).contains("needs split"));
     }
 
@@ -55,12 +55,13 @@
     void truncatedFileIsRejected() throws Exception {
         assertTrue(
                 errorMessage(
-                                singleByteRanks().substring(0, singleByteRanks().indexOf("\n", 900) + 1),
+                                singleByteRanks()
+                                        .substring(0, singleByteRanks().indexOf("\n", 900) + 1),
                                 PretokenizerPattern.GPT2)
-                        .contains("is the file whole?"));
+                        .contains("; the file may be truncated"));
         assertTrue(
                 errorMessage(singleByteRanks() + "YWI= 256\nYWJj 257", PretokenizerPattern.GPT2)
-                        .contains("is the file whole?"));
+                        .contains("; the file may be truncated"));
     }
 
     @ParameterizedTest
@@ -72,8 +73,8 @@
                 "{'model':{'type':'Unigram'}}|model: expected type BPE",
                 "{'normalizer':{'type':'Lowercase'},'model':{'vocab':{},'merges':[]}}|normalizer.type: 'Lowercase'",
                 "{'model':{'vocab':{},'merges':['a']}}|model.merges[0]: expected two tokens",
-                "{'model':{'vocab':{},'merges':[]}}|pre_tokenizer: none as written is not served",
-                "{'pre_tokenizer':{'type':'ByteLevel'},'model':{'vocab':{},'merges':['a b']}}|merge 0: 'ab' is no token",
+                "{'model':{'vocab':{},'merges':[]}}|pre_tokenizer: none is not supported as configured",
+                "{'pre_tokenizer':{'type':'ByteLevel'},'model':{'vocab':{},'merges':['a b']}}|model.merges[0]: 'ab' is not in vocab",
                 "{'pre_tokenizer':{'type':'Split','pattern':{'Regex':'('},'behavior':'Isolated'},'model':{'vocab':{},'merges':[]}}"
                         + "|pre_tokenizer: pattern: ",
             })
