--- a/src/main/java/larchridge/benchlink/BenchActions.java
+++ b/src/main/java/larchridge/benchlink/BenchActions.java
@@ -5,7 +5,7 @@
 import larchridge.state.Engine;
 import larchridge.state.Generation;
 
-/** Writes the decisions of one router instance's policy to the reply. */
+/** Writes the actions of one simulated router's policy as lines of the reply. */
 final class BenchActions implements PolicyActions {
     private final long instance;
     private final ReplyWriter reply;
@@ -85,7 +85,7 @@
         line("EMIT").text(" message=").text(toSingleLine(text)).end();
     }
 
-    /** Reports an exception of the policy, which makes the bench end the run with its cause. */
+    /** Reports an exception of the policy, so that the bench ends the run and shows the cause. */
     void reportFailure(RuntimeException failure) {
         StackTraceElement[] trace = failure.getStackTrace();
         String location = trace.length > 0 ? " at " + trace[0] : "";
--- a/src/main/java/larchridge/benchlink/BenchProtocol.java
+++ b/src/main/java/larchridge/benchlink/BenchProtocol.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Reads batches of messages, hands each message to the router instance that it is addressed to, and
- * writes one reply for each batch. Not safe for use by several threads.
+ * Reads batches of messages, passes each message to the simulated router that it is addressed to,
+ * and writes one reply for each batch. Not safe for use by several threads.
  */
 public final class BenchProtocol {
     private static final double MS_PER_SECOND = 1000;
@@ -18,7 +18,7 @@
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Long, BenchRouter> routers = new HashMap<>();
 
-    /** The protocol over two streams; neither is closed here. */
+    /** Serves the protocol over two streams; closes neither. */
     public BenchProtocol(InputStream in, OutputStream out) {
         this.message = new MessageReader(in);
         this.out = out;
@@ -27,7 +27,7 @@
     /**
      * Serves batches until the input ends.
      *
-     * @throws InvalidMessageException if a message does not follow the wire's specification
+     * @throws InvalidMessageException if a message violates the protocol
      */
     public void run() throws IOException, InvalidMessageException {
         while (message.advance()) {
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -32,16 +32,17 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final double MS_PER_SECOND = 1000;
 
-    /** The note of a rejection for want of the state that was to be fetched. */
+    /** Note of a rejection because the state to be fetched is missing. */
     private static final int NOTE_NO_STATE = 1;
 
     private final long instance;
     private final BenchActions actions;
     private double nowMs;
 
-    /** The settings of the current run, and its policy; null outside a run. */
+    /** Settings of the current or last run; null before the first. */
     private DeploymentSettings settings;
 
+    /** Policy of the current run; null outside a run. */
     private RoutingPolicy policy;
     private final Map<String, Generation> generations = new HashMap<>();
     private final Map<Long, Engine> engines = new HashMap<>();
@@ -53,7 +54,7 @@
         this.actions = new BenchActions(instance, reply);
     }
 
-    /** Handles one message at the time of its batch. */
+    /** Handles one message; the current time is that of its batch. */
     void handle(MessageReader message, double batchMs) throws InvalidMessageException {
         nowMs = batchMs;
         actions.setNowMs(batchMs);
@@ -90,7 +91,7 @@
                     MAPPER.readTree(message.textToLineEnd("env")), message.integer("seed"));
         } catch (JsonProcessingException e) {
             throw message.invalid(
-                    "member env is broken JSON; expected an object ("
+                    "member env is not valid JSON; expected an object ("
                             + e.getOriginalMessage()
                             + ")");
         } catch (InvalidSettingsException e) {
@@ -106,7 +107,7 @@
         prefixes.clear();
     }
 
-    /** Runs a call of the policy; its failure ends the run with the cause instead of silently. */
+    /** Calls the policy and reports its exceptions, so that the run ends and its cause is known. */
     private void callPolicy(Runnable policyCall) {
         try {
             policyCall.run();
@@ -128,7 +129,9 @@
         CachedPrefix session = cachedPrefix(sessions, message.textOr("talk", null));
         CachedPrefix prefix = cachedPrefix(prefixes, message.textOr("prefix", null));
         double expectedOutputTokens =
-                message.decimalOr("expected_s", Double.NaN) * MS_PER_SECOND / trafficClass.targetTokenIntervalMs;
+                message.decimalOr("expected_s", Double.NaN)
+                        * MS_PER_SECOND
+                        / trafficClass.targetTokenIntervalMs;
         Generation generation =
                 new Generation(
                         id,
@@ -148,7 +151,7 @@
         removeIfEnded(id, generation);
     }
 
-    /** The text of an id; null for the id "0", which stands for none. */
+    /** The cached prefix with this id; null if the id is missing or is "0", which means none. */
     private static CachedPrefix cachedPrefix(Map<String, CachedPrefix> registry, String id) {
         return id == null || id.equals("0")
                 ? null
@@ -253,7 +256,7 @@
         try {
             return message.advance();
         } catch (IOException e) {
-            throw message.invalid("the wire broke: " + e.getMessage());
+            throw message.invalid("could not read the input: " + e.getMessage());
         }
     }
 
@@ -299,7 +302,7 @@
         return DeploymentSettingsReader.report(name -> message.pair("pressure", name));
     }
 
-    /** Removes a generation once no message can refer to it any more. */
+    /** Removes a generation if no later message can refer to it. */
     private void removeIfEnded(String id, Generation generation) {
         if (generation.isFinished() && generation.attemptsInFlight() == 0) {
             generations.remove(id);
--- a/src/main/java/larchridge/benchlink/InvalidMessageException.java
+++ b/src/main/java/larchridge/benchlink/InvalidMessageException.java
@@ -1,11 +1,11 @@
 package larchridge.benchlink;
 
-/** Thrown for a message that does not follow the wire's specification; names line and member. */
+/** Thrown for a message that violates the protocol; the message names line and member. */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
     /**
-     * A fault in one line of the input.
+     * An error in one line of the input.
      *
      * @param lineNumber the line, counted from 1
      * @param problem what is wrong with it, and what is expected
--- a/src/main/java/larchridge/benchlink/MessageReader.java
+++ b/src/main/java/larchridge/benchlink/MessageReader.java
@@ -7,8 +7,8 @@
 
 /**
  * Reads messages, one on each line: a name followed by members {@code name=value}. Members are
- * located in the line's bytes, so that a message allocates nothing until a text is requested. The
- * reader stands for the current message.
+ * located in the line's bytes, so that nothing is allocated for a message until a text is
+ * requested. The accessors refer to the current message.
  */
 final class MessageReader {
     private static final int MAX_MEMBERS = 64;
@@ -18,7 +18,7 @@
     /** Integers with more digits could overflow a long. */
     private static final int MAX_INTEGER_DIGITS = 18;
 
-    /** With more digits than that, scaling a long is not as exact as the library's parser. */
+    /** With more digits, scaling a long is less exact than {@link Double#parseDouble}. */
     private static final long MAX_FAST_DIGITS = 100_000_000_000_000L;
 
     private final InputStream in;
@@ -53,7 +53,7 @@
         return true;
     }
 
-    /** Reads up to a line feed or the end of the input; false if nothing is left. */
+    /** Reads up to a line feed or the end of the input; false if there is no more input. */
     private boolean readLine() throws IOException {
         lineLength = 0;
         while (true) {
@@ -145,7 +145,7 @@
         return find(member) >= 0;
     }
 
-    /** A member that must be there, as text. */
+    /** A required member as text. */
     String text(String member) throws InvalidMessageException {
         int index = require(member, "text");
         return text(equalsSigns[index] + 1, memberEnds[index]);
@@ -163,13 +163,13 @@
         return text(equalsSigns[index] + 1, lineLength);
     }
 
-    /** Whether a member that must be there has this value. */
+    /** Whether a required member has this value. */
     boolean valueIs(String member, String value) throws InvalidMessageException {
         int index = require(member, "a word");
         return matches(equalsSigns[index] + 1, memberEnds[index], value);
     }
 
-    /** A member that must be there, as a number. */
+    /** A required member as a number. */
     double decimal(String member) throws InvalidMessageException {
         return parseDecimal(member, require(member, "a number"));
     }
@@ -180,7 +180,7 @@
         return index < 0 ? fallback : parseDecimal(member, index);
     }
 
-    /** A member that must be there, as an integer. */
+    /** A required member as an integer. */
     long integer(String member) throws InvalidMessageException {
         return parseInteger(member, require(member, "a whole number"));
     }
@@ -191,7 +191,7 @@
         return index < 0 ? fallback : parseInteger(member, index);
     }
 
-    /** A member that is 1 or 0; false if it is missing. */
+    /** A member that is 1 or 0; a missing one is false. */
     boolean flag(String member) throws InvalidMessageException {
         int index = find(member);
         if (index < 0) {
@@ -269,7 +269,7 @@
 
     /**
      * A number in the current line, or NaN. Plain decimals are parsed here, without allocation;
-     * anything with an exponent or too many digits is left to the library.
+     * those with an exponent or too many digits are parsed by {@link Double#parseDouble}.
      */
     private double parseDecimal(int from, int to) {
         int at = from;
--- a/src/main/java/larchridge/benchlink/ReplyWriter.java
+++ b/src/main/java/larchridge/benchlink/ReplyWriter.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Builds the reply to one batch, encoded as bytes at once; the buffer is reused for the next. */
+/** Builds the reply to one batch directly as bytes; the buffer is reused for the next reply. */
 final class ReplyWriter {
     private static final int INITIAL_BYTES = 1 << 14;
 
-    /** A char takes at most three bytes in UTF-8; a surrogate pair takes four for its two. */
+    /** A char takes at most 3 bytes in UTF-8; a surrogate pair takes 4, which is 2 per char. */
     private static final int MAX_BYTES_PER_CHAR = 3;
 
     private static final int FIRST_NON_ASCII = 128;
@@ -22,7 +22,7 @@
     private int length;
     private long currentInstance = NO_INSTANCE;
 
-    /** Begins a line of an instance, after a line that names the instance where it changes. */
+    /** Begins a line of an instance, after a line that names the instance if it has changed. */
     ReplyWriter line(long instance, String name) {
         if (currentInstance != instance) {
             currentInstance = instance;
--- a/src/test/java/larchridge/benchlink/BenchProtocolTest.java
+++ b/src/test/java/larchridge/benchlink/BenchProtocolTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the bench's wire answers, message by message. */
+/** The replies to batches of the bench protocol, and the errors for invalid messages. */
 class BenchProtocolTest {
     private static final String ENLIST =
             "ENLIST seed=7 env={\"host_types\":[\"a\",\"b\"],"
@@ -90,7 +90,7 @@
                         + "expected INCREMENTAL, FULL, SAVED or FAILED",
                 "BACKENDS_CHANGED kind=FULL entries=1|"
                         + "line 10: FLUSH: expected 1 ENTRY lines after BACKENDS_CHANGED, found 0",
-                "ENLIST seed=1 env={|line 9: ENLIST: member env is broken JSON; expected an object "
+                "ENLIST seed=1 env={|line 9: ENLIST: member env is not valid JSON; expected an object "
                         + "(Unexpected end-of-input: expected close marker for Object (start marker at "
                         + "[Source: REDACTED (`StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION` disabled); "
                         + "line: 1, column: 1]))",
