--- a/src/main/java/larchridge/inventory/EngineEntry.java
+++ b/src/main/java/larchridge/inventory/EngineEntry.java
@@ -4,19 +4,18 @@
 import larchridge.state.Role;
 
 /**
- * One engine of the list.
+ * One engine of the engine list.
  *
- * @param id the engine's number, unique in the list
+ * @param id number of the engine, unique in the list
  * @param host host name or address
  * @param port TCP port
- * @param role what the engine does of a generation
- * @param zone where it runs; empty if the list does not say
- * @param rack the rack it stands in
- * @param capacityUnits its capacity relative to other engines of its role
- * @param memoryTokens its memory in tokens, or NaN where the list does not say
- * @param startMs when its process started, milliseconds of Unix time, or 0 where the list does not
- *     say
- * @param state whether it takes generations or is draining
+ * @param role which stages of a generation the engine serves: reading, writing or both
+ * @param zone its zone; empty if not specified
+ * @param rack number of its rack, or 0 if not specified
+ * @param capacityUnits its capacity relative to the other engines of its role
+ * @param memoryTokens its memory in tokens, or NaN if not specified
+ * @param startMs start time of its process in milliseconds of Unix time, or 0 if not specified
+ * @param state whether it accepts generations or is draining
  */
 public record EngineEntry(
         long id,
@@ -29,13 +28,13 @@
         double memoryTokens,
         double startMs,
         EndpointState state) {
-    /** The same engine with another start time. */
+    /** A copy with another start time. */
     public EngineEntry withStartMs(double otherStartMs) {
         return new EngineEntry(
                 id, host, port, role, zone, rack, capacityUnits, memoryTokens, otherStartMs, state);
     }
 
-    /** The same engine in another state. */
+    /** A copy with another state. */
     public EngineEntry withState(EndpointState otherState) {
         return new EngineEntry(
                 id, host, port, role, zone, rack, capacityUnits, memoryTokens, startMs, otherState);
--- a/src/main/java/larchridge/inventory/EngineListReader.java
+++ b/src/main/java/larchridge/inventory/EngineListReader.java
@@ -24,8 +24,8 @@
 import org.yaml.snakeyaml.nodes.SequenceNode;
 
 /**
- * Reads and validates an engine list in YAML: {@code engines:} with one mapping for each engine. A
- * fault names file, line and field.
+ * Reads and validates an engine list in YAML: the key {@code engines} with a sequence of one
+ * mapping for each engine. An error names file, line and field.
  */
 public final class EngineListReader {
     private static final Set<String> FIELDS =
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Reads a list; an empty one is a fault, since no list may remove all engines.
+     * Reads a list. An empty one is an error, since no list may remove all engines.
      *
-     * @param file the list's name in faults
+     * @param file name of the list in error messages
      * @return the engines in the order of the list
      */
     public static List<EngineEntry> read(String file, String text)
@@ -123,7 +123,7 @@
             throw invalid(
                     list == null ? root : list,
                     "engines",
-                    "empty; a list without engines is not believed");
+                    "empty; expected at least one engine");
         }
         return items;
     }
@@ -238,7 +238,7 @@
             return values.containsKey(field);
         }
 
-        /** A field that must be there, as text. */
+        /** A required field as text. */
         String text(String field) throws InvalidEngineListException {
             if (!has(field)) {
                 throw EngineListReader.this.invalid(item, path + "." + field, "missing");
@@ -250,7 +250,7 @@
             return has(field) ? text(field) : fallback;
         }
 
-        /** A field that must be there, as a number within bounds. */
+        /** A required field as a number within bounds. */
         double number(String field, double min, double max) throws InvalidEngineListException {
             String text = text(field);
             double value;
@@ -270,7 +270,7 @@
             return has(field) ? number(field, min, max) : fallback;
         }
 
-        /** An exception that names the place of a field that is there. */
+        /** An exception that names the line of a field that is present. */
         InvalidEngineListException invalid(String field, String problem) {
             return EngineListReader.this.invalid(values.get(field), path + "." + field, problem);
         }
--- a/src/main/java/larchridge/inventory/EngineListWatcher.java
+++ b/src/main/java/larchridge/inventory/EngineListWatcher.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches the engine list's file: polls it and delivers each new valid version. An invalid or
- * missing file is logged once and changes nothing: the last valid list stays in force. The file is
- * read on a worker thread, never on an event loop.
+ * Polls the file of the engine list and delivers each new valid version. An invalid or missing file
+ * is logged once and changes nothing: the last valid list stays in force. The file is read on a
+ * worker thread, never on an event loop.
  */
 public final class EngineListWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(EngineListWatcher.class);
@@ -30,7 +30,7 @@
     private long timer;
 
     /**
-     * A watcher of a file.
+     * Creates a watcher that does not poll yet.
      *
      * @param listener receives each new version, on an event loop of its own
      */
@@ -39,7 +39,7 @@
         this.listener = listener;
     }
 
-    /** Reads the list as it is now, for the start; the listener is not notified of it. */
+    /** Reads the list for the start of the process; the listener is not notified of it. */
     public List<EngineEntry> readInitial() throws InvalidEngineListException {
         try {
             lastContent = Files.readAllBytes(file);
@@ -49,13 +49,13 @@
         }
     }
 
-    /** Starts to poll the file. */
+    /** Starts polling the file. */
     public void start(Vertx pollingVertx, double pollMs) {
         vertx = pollingVertx;
         timer = vertx.setPeriodic(Math.max(1, (long) pollMs), due -> startPoll());
     }
 
-    /** Stops to poll the file; a version that is being read is dropped. */
+    /** Stops polling the file; a version that is being read is dropped. */
     public void stop() {
         if (vertx != null) {
             vertx.cancelTimer(timer);
@@ -72,13 +72,13 @@
     private void pollEnded(AsyncResult<List<EngineEntry>> poll) {
         polling = false;
         if (poll.failed()) {
-            LOG.error("engine list not followed", poll.cause());
+            LOG.error("failed to poll the engine list", poll.cause());
         } else if (poll.result() != null) {
             listener.accept(poll.result());
         }
     }
 
-    /** The new version of the list; null if there is none, or no valid one. */
+    /** The new version of the list; null if the file is unchanged or invalid. */
     private List<EngineEntry> readIfChanged() {
         try {
             byte[] content = Files.readAllBytes(file);
@@ -88,7 +88,7 @@
             lastContent = content;
             List<EngineEntry> entries = parse(content);
             lastError = "";
-            LOG.atInfo().addKeyValue("engines", entries.size()).log("engine list taken");
+            LOG.atInfo().addKeyValue("engines", entries.size()).log("engine list loaded");
             return entries;
         } catch (InvalidEngineListException e) {
             logError(e.getMessage());
@@ -107,7 +107,9 @@
     private void logError(String error) {
         if (!error.equals(lastError)) {
             lastError = error;
-            LOG.atError().addKeyValue("fault", error).log("engine list kept as it was");
+            LOG.atError()
+                    .addKeyValue("fault", error)
+                    .log("engine list can't be used; keeping the last valid one");
         }
     }
 }
--- a/src/main/java/larchridge/inventory/InvalidEngineListException.java
+++ b/src/main/java/larchridge/inventory/InvalidEngineListException.java
@@ -1,15 +1,15 @@
 package larchridge.inventory;
 
-/** Thrown for an engine list that can't be read or trusted; the message names file, line, field. */
+/** Thrown for an engine list that can't be read or is invalid; names file, line and field. */
 public final class InvalidEngineListException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** A fault described by its place and problem. */
+    /** An error described by its location and problem. */
     public InvalidEngineListException(String message) {
         super(message);
     }
 
-    /** A fault with the exception that revealed it. */
+    /** An error caused by another exception. */
     public InvalidEngineListException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/larchridge/inventory/package-info.java
+++ b/src/main/java/larchridge/inventory/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The list of engines in a file: its entries, the reader that validates them and the watcher that
- * follows changes.
+ * The engine list in a file: its entries, the reader that validates them and the watcher that polls
+ * the file for changes.
  *
  * <p>Entry point: {@link larchridge.inventory.EngineListWatcher}. This package must not know what
- * engines are used for; a list that can't be trusted changes nothing.
+ * engines are used for. An invalid list changes nothing.
  */
 package larchridge.inventory;
--- a/src/main/java/larchridge/logging/JsonLogConfigurator.java
+++ b/src/main/java/larchridge/logging/JsonLogConfigurator.java
@@ -10,11 +10,11 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Configures the log: one JSON object on each line of standard error, this program's events from
- * the level that the environment variable {@code LARCHRIDGE_LOG} names (INFO by default), other
- * libraries' from WARN. In code, since reading a configuration in XML took a third of a node's
- * start; where the system property {@code logback.configurationFile} names a file, that is used
- * instead.
+ * Configures logging: one JSON object per line on standard error. Events of this program are logged
+ * from the level that the environment variable {@code LARCHRIDGE_LOG} names (INFO by default),
+ * events of libraries from WARN. The configuration is in code because reading it from XML took a
+ * third of a node's startup time. If the system property {@code logback.configurationFile} names a
+ * file, that file is used instead.
  */
 public final class JsonLogConfigurator extends ContextAwareBase implements Configurator {
     @Override
--- a/src/main/java/larchridge/logging/package-info.java
+++ b/src/main/java/larchridge/logging/package-info.java
@@ -1,7 +1,7 @@
 /**
  * The format and levels of the log.
  *
- * <p>Entry point: {@link larchridge.logging.JsonLogConfigurator}, which the logging library finds
- * as a service. Nothing else refers to this package.
+ * <p>Entry point: {@link larchridge.logging.JsonLogConfigurator}, which Logback loads as a service
+ * provider. Nothing else refers to this package.
  */
 package larchridge.logging;
--- a/src/test/java/larchridge/inventory/EngineListReaderTest.java
+++ b/src/test/java/larchridge/inventory/EngineListReaderTest.java
@@ -64,13 +64,19 @@
 
     @Test
     void errorsNameLineAndField() {
-        assertError(VALID_LIST.replace("role: reader", "role: reeder"), "e:5: engines[0].role: is 'reeder'");
+        assertError(
+                VALID_LIST.replace("role: reader", "role: reeder"),
+                "e:5: engines[0].role: is 'reeder'");
         assertError(VALID_LIST.replace("    port: 8000\n", ""), "e:2: engines[0].port: missing");
         assertError(
                 VALID_LIST.replace("port: 8000", "port: x"),
                 "e:4: engines[0].port: is 'x'; expected a number");
-        assertError(VALID_LIST.replace("id: 2", "id: 1"), "e:9: id: 1 is also the id of the engine on line 2");
-        assertError(VALID_LIST.replace("zone: west", "zoon: west"), "e:6: engines[0].zoon: unknown field");
+        assertError(
+                VALID_LIST.replace("id: 2", "id: 1"),
+                "e:9: id: 1 is also the id of the engine on line 2");
+        assertError(
+                VALID_LIST.replace("zone: west", "zoon: west"),
+                "e:6: engines[0].zoon: unknown field");
         assertError(
                 VALID_LIST.replace("8000Z", "x").replace("2026-01-31T08:00:00Z", "soon"),
                 "e:8: engines[0].start");
