--- a/src/test/java/larchridge/tokens/TokenCountTaskTest.java
+++ b/src/test/java/larchridge/tokens/TokenCountTaskTest.java
@@ -103,7 +103,7 @@
      */
     @Test
     void floodOfUniqueTextsDoesNotEvictHotTexts() {
-        TokenCountCache small = new TokenCountCache(500L * TokenCountCache.ENTRY_BYTES);
+        TokenCountCache smallCache = new TokenCountCache(500L * TokenCountCache.ENTRY_BYTES);
         Map<Integer, Integer> lru =
                 new LinkedHashMap<>(16, 0.75f, true) {
                     private static final long serialVersionUID = 1;
@@ -114,7 +114,7 @@
                     }
                 };
         Random random = new Random(3);
-        int asked = 0;
+        int hotRequests = 0;
         int hits = 0;
         int lruHits = 0;
         for (int i = 0; i < 60_000; i++) {
@@ -122,32 +122,32 @@
             boolean isHot = random.nextInt(10) == 0;
             int text = isHot ? random.nextInt(400) : 1000 + i;
             TokenCountCache.Key key = new TokenCountCache.Key(text, text, "v");
-            boolean has = small.get(key) >= 0;
-            boolean lruHas = lru.containsKey(text);
-            small.put(key, 1);
+            boolean isCached = smallCache.get(key) >= 0;
+            boolean isCachedByLru = lru.containsKey(text);
+            smallCache.put(key, 1);
             lru.put(text, 1);
             lru.get(text);
             if (i % 64 == 0) {
-                small.cleanUp();
+                smallCache.cleanUp();
             }
             if (isHot && i > 30_000) {
-                asked++;
-                hits += has ? 1 : 0;
-                lruHits += lruHas ? 1 : 0;
+                hotRequests++;
+                hits += isCached ? 1 : 0;
+                lruHits += isCachedByLru ? 1 : 0;
             }
         }
-        small.cleanUp();
+        smallCache.cleanUp();
         System.out.println(
                 "requests for hot texts: "
-                        + asked
+                        + hotRequests
                         + ", cache hits: "
                         + hits
                         + ", hits of plain LRU: "
                         + lruHits
                         + " (seed 3)");
         assertTrue(
-                hits > 2 * lruHits && hits > asked / 2, hits + " and " + lruHits + " of " + asked);
-        assertTrue(small.size() <= 500);
+                hits > 2 * lruHits && hits > hotRequests / 2, hits + " and " + lruHits + " of " + hotRequests);
+        assertTrue(smallCache.size() <= 500);
     }
 
     @Test
