--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -44,6 +44,7 @@
 
     /** Policy of the current run; null outside a run. */
     private RoutingPolicy policy;
+
     private final Map<String, Generation> generations = new HashMap<>();
     private final Map<Long, Engine> engines = new HashMap<>();
     private final Map<String, CachedPrefix> sessions = new PrefixRegistry();
--- a/src/main/java/larchridge/tokens/TokenCountTask.java
+++ b/src/main/java/larchridge/tokens/TokenCountTask.java
@@ -26,6 +26,7 @@
 
     /** The rest of the prefix, after its whole chunks. */
     private final Chunk prefixTail;
+
     private volatile boolean cancelled;
 
     /** A chunk; key is null if it can't be counted, tokens is negative until it is known. */
@@ -47,7 +48,7 @@
     }
 
     /**
-     * Looks up the chunks of a text in the cache, which takes one digest over the text.
+     * Looks up the chunks of a text in the cache, which computes a digest of each chunk.
      *
      * @param prefixChars length of the prefix that is counted, too
      */
@@ -116,7 +117,7 @@
         return true;
     }
 
-    /** Cancels the task, since its client disconnected; a running count stops at the next chunk. */
+    /** Cancels the task of a client that disconnected; a running count stops at the next chunk. */
     public void cancel() {
         cancelled = true;
     }
--- a/src/main/java/larchridge/tokens/TokenCounters.java
+++ b/src/main/java/larchridge/tokens/TokenCounters.java
@@ -13,6 +13,7 @@
 
     /** The threads for counts that would block an event loop. */
     public final CountingWorkers workers;
+
     private final double tokensPerChar;
     private final Map<String, CountingRate> rates = new ConcurrentHashMap<>();
 
--- a/src/test/java/larchridge/tokens/TokenCountTaskTest.java
+++ b/src/test/java/larchridge/tokens/TokenCountTaskTest.java
@@ -146,7 +146,8 @@
                         + lruHits
                         + " (seed 3)");
         assertTrue(
-                hits > 2 * lruHits && hits > hotRequests / 2, hits + " and " + lruHits + " of " + hotRequests);
+                hits > 2 * lruHits && hits > hotRequests / 2,
+                hits + " and " + lruHits + " of " + hotRequests);
         assertTrue(smallCache.size() <= 500);
     }
 
