--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -431,7 +431,7 @@
                 completedLines += isCompleted ? 1 : 0;
                 failedLines += isCompleted ? 0 : 1;
             }
-            return new ResultFiles(output.synced(), errors.synced(), completedLines, failedLines);
+            return new ResultFiles(output.sync(), errors.sync(), completedLines, failedLines);
         } catch (IOException e) {
             output.close();
             if (errors != null) {
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -32,17 +32,19 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final double MS_PER_SECOND = 1000;
 
-    /** The note of a rejection for want of the state that was to be fetched. */
+    /** Note of a rejection because the state to be fetched is missing. */
     private static final int NOTE_NO_STATE = 1;
 
     private final long instance;
     private final BenchActions actions;
     private double nowMs;
 
-    /** The settings of the current run, and its policy; null outside a run. */
+    /** Settings of the current or last run; null before the first. */
     private DeploymentSettings settings;
 
+    /** Policy of the current run; null outside a run. */
     private RoutingPolicy policy;
+
     private final Map<String, Generation> generations = new HashMap<>();
     private final Map<Long, Engine> engines = new HashMap<>();
     private final Map<String, CachedPrefix> sessions = new PrefixRegistry();
@@ -53,14 +55,14 @@
         this.actions = new BenchActions(instance, reply);
     }
 
-    /** Handles one message at the time of its batch. */
+    /** Handles one message; the current time is that of its batch. */
     void handle(MessageReader message, double batchMs) throws InvalidMessageException {
         nowMs = batchMs;
         actions.setNowMs(batchMs);
         if (message.is("ENLIST")) {
             tearDown();
             settings = readSettings(message);
-            guarded(() -> policy = new RoutingPolicy(settings.routing(), actions));
+            callPolicy(() -> policy = new RoutingPolicy(settings.routing(), actions));
             return;
         }
         if (message.is("TEARDOWN")) {
@@ -75,7 +77,7 @@
             case "CALL" -> requestArrived(message);
             case "REPLY" -> attemptReplied(message);
             case "BEGUN" -> responseStarted(message);
-            case "ELAPSED" -> guarded(policy::wakeUp);
+            case "ELAPSED" -> callPolicy(policy::wakeUp);
             case "TIMED_OUT_CLIENT" -> clientDisconnected(message);
             case "BACKENDS_CHANGED" -> endpointsChanged(message);
             case "PROBED" -> loadProbed(message);
@@ -87,10 +89,10 @@
             throws InvalidMessageException {
         try {
             return DeploymentSettingsReader.read(
-                    MAPPER.readTree(message.rest("env")), message.integer("seed"));
+                    MAPPER.readTree(message.textToLineEnd("env")), message.integer("seed"));
         } catch (JsonProcessingException e) {
             throw message.invalid(
-                    "member env is broken JSON; expected an object ("
+                    "member env is not valid JSON; expected an object ("
                             + e.getOriginalMessage()
                             + ")");
         } catch (InvalidSettingsException e) {
@@ -106,8 +108,8 @@
         prefixes.clear();
     }
 
-    /** Runs a call of the policy; its failure ends the run with the cause instead of silently. */
-    private void guarded(Runnable policyCall) {
+    /** Calls the policy and reports its exceptions, so that the run ends and its cause is known. */
+    private void callPolicy(Runnable policyCall) {
         try {
             policyCall.run();
         } catch (RuntimeException e) {
@@ -127,8 +129,10 @@
         TenantQuota tenantQuota = settings.tenants().get(message.textOr("tenant", ""));
         CachedPrefix session = cachedPrefix(sessions, message.textOr("talk", null));
         CachedPrefix prefix = cachedPrefix(prefixes, message.textOr("prefix", null));
-        double hintTokens =
-                message.decimalOr("expected_s", Double.NaN) * MS_PER_SECOND / trafficClass.targetTokenIntervalMs;
+        double expectedOutputTokens =
+                message.decimalOr("expected_s", Double.NaN)
+                        * MS_PER_SECOND
+                        / trafficClass.targetTokenIntervalMs;
         Generation generation =
                 new Generation(
                         id,
@@ -139,16 +143,16 @@
                         (int) message.integerOr("n_prompt", 0),
                         (int) message.integerOr("shared_len", 0),
                         (int) message.integerOr("n_max", 0),
-                        hintTokens,
+                        expectedOutputTokens,
                         message.flag("resent"),
                         nowMs,
                         message.decimal("not_after_s") * MS_PER_SECOND);
         generations.put(id, generation);
-        guarded(() -> policy.requestArrived(generation));
+        callPolicy(() -> policy.requestArrived(generation));
         removeIfEnded(id, generation);
     }
 
-    /** The text of an id; null for the id "0", which stands for none. */
+    /** The cached prefix with this id; null if the id is missing or is "0", which means none. */
     private static CachedPrefix cachedPrefix(Map<String, CachedPrefix> registry, String id) {
         return id == null || id.equals("0")
                 ? null
@@ -163,15 +167,15 @@
             return;
         }
         Attempt attempt = generation.attempts().get(number);
-        boolean noMore = message.flag("no_more");
+        boolean finished = message.flag("no_more");
         LoadReport report = loadReport(message);
         String disposition = message.text("disposition");
         int note = (int) message.decimalOr("note", 0);
         if (disposition.equals("half_done")) {
-            guarded(() -> policy.readCompleted(attempt, note, report, noMore));
+            callPolicy(() -> policy.readCompleted(attempt, note, report, finished));
         } else {
             AttemptOutcome outcome = outcome(message, disposition, note);
-            guarded(() -> policy.attemptEnded(attempt, outcome, report, noMore));
+            callPolicy(() -> policy.attemptEnded(attempt, outcome, report, finished));
         }
         removeIfEnded(id, generation);
     }
@@ -199,7 +203,7 @@
         Generation generation = generations.get(message.text("job"));
         int number = (int) message.integer("round_no");
         if (generation != null && number >= 0 && number < generation.attempts().size()) {
-            guarded(() -> policy.responseStarted(generation.attempts().get(number)));
+            callPolicy(() -> policy.responseStarted(generation.attempts().get(number)));
         }
     }
 
@@ -207,7 +211,7 @@
         String id = message.text("job");
         Generation generation = generations.get(id);
         if (generation != null) {
-            guarded(() -> policy.generationAbandoned(generation));
+            callPolicy(() -> policy.generationAbandoned(generation));
             removeIfEnded(id, generation);
         }
     }
@@ -217,7 +221,7 @@
         if (engine != null) {
             boolean answered = message.valueIs("disposition", "pass");
             LoadReport report = loadReport(message);
-            guarded(() -> policy.loadProbed(engine, answered, report));
+            callPolicy(() -> policy.loadProbed(engine, answered, report));
         }
     }
 
@@ -233,9 +237,9 @@
             updates.add(endpointUpdate(message));
         }
         switch (kind) {
-            case "INCREMENTAL" -> guarded(() -> policy.endpointsChanged(updates, false));
-            case "FULL", "SAVED" -> guarded(() -> policy.endpointsChanged(updates, true));
-            case "FAILED" -> guarded(policy::endpointWatchFailed);
+            case "INCREMENTAL" -> callPolicy(() -> policy.endpointsChanged(updates, false));
+            case "FULL", "SAVED" -> callPolicy(() -> policy.endpointsChanged(updates, true));
+            case "FAILED" -> callPolicy(policy::endpointWatchFailed);
             default ->
                     throw message.invalid(
                             "member kind is '"
@@ -253,13 +257,13 @@
         try {
             return message.advance();
         } catch (IOException e) {
-            throw message.invalid("the wire broke: " + e.getMessage());
+            throw message.invalid("could not read the input: " + e.getMessage());
         }
     }
 
     private EndpointUpdate endpointUpdate(MessageReader message) throws InvalidMessageException {
         long id = message.integer("engine");
-        String kind = message.textOr("class_of_host", "");
+        String hostType = message.textOr("class_of_host", "");
         EndpointState state = endpointState(message);
         Engine engine = engines.get(id);
         if (engine == null) {
@@ -273,8 +277,8 @@
                 message.decimalOr("units", 1),
                 message.textOr("zone", ""),
                 message.integerOr("group", 0),
-                settings.roles().getOrDefault(kind, Role.BOTH),
-                settings.memoryTokens().getOrDefault(kind, Double.NaN));
+                settings.roles().getOrDefault(hostType, Role.BOTH),
+                settings.memoryTokens().getOrDefault(hostType, Double.NaN));
     }
 
     private static EndpointState endpointState(MessageReader message)
@@ -299,7 +303,7 @@
         return DeploymentSettingsReader.toLoadReport(name -> message.pair("pressure", name));
     }
 
-    /** Removes a generation once no message can refer to it any more. */
+    /** Removes a generation if no later message can refer to it. */
     private void removeIfEnded(String id, Generation generation) {
         if (generation.isFinished() && generation.attemptsInFlight() == 0) {
             generations.remove(id);
--- a/src/main/java/larchridge/tokens/CountingWorkers.java
+++ b/src/main/java/larchridge/tokens/CountingWorkers.java
@@ -7,57 +7,63 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A few threads for work that would hold up a loop; so much may wait, and what is beyond is not
- * taken.
+ * A fixed pool of threads for tasks that would block an event loop. Its queue is bounded; tasks
+ * that find it full are rejected.
  */
 public final class CountingWorkers implements AutoCloseable {
-    private final ThreadPoolExecutor threads;
-    private final int count;
-    private final AtomicLong waitingUs = new AtomicLong();
+    private final ThreadPoolExecutor executor;
+    private final int threadCount;
+    private final AtomicLong pendingUs = new AtomicLong();
 
-    public CountingWorkers(int count, int mostWaiting) {
-        this.count = count;
-        threads =
+    /** Creates a pool; its threads start as tasks arrive. */
+    public CountingWorkers(int threadCount, int queueCapacity) {
+        this.threadCount = threadCount;
+        executor =
                 new ThreadPoolExecutor(
-                        count,
-                        count,
+                        threadCount,
+                        threadCount,
                         1,
                         TimeUnit.SECONDS,
-                        new ArrayBlockingQueue<>(mostWaiting),
-                        work -> {
-                            Thread thread = new Thread(work, "aside");
+                        new ArrayBlockingQueue<>(queueCapacity),
+                        task -> {
+                            Thread thread = new Thread(task, "aside");
                             thread.setDaemon(true);
                             return thread;
                         });
     }
 
-    /** Takes work that is expected to last so long; false if too much waits. */
-    public boolean take(double expectedMs, Runnable work) {
-        long us = (long) (expectedMs * 1000);
-        waitingUs.addAndGet(us);
+    /**
+     * Submits a task.
+     *
+     * @param expectedMs expected run time of the task, used for {@link #expectedWaitMs}
+     * @return false if the queue is full
+     */
+    public boolean trySubmit(double expectedMs, Runnable task) {
+        long expectedUs = (long) (expectedMs * 1000);
+        pendingUs.addAndGet(expectedUs);
         try {
-            threads.execute(
+            executor.execute(
                     () -> {
                         try {
-                            work.run();
+                            task.run();
                         } finally {
-                            waitingUs.addAndGet(-us);
+                            pendingUs.addAndGet(-expectedUs);
                         }
                     });
             return true;
         } catch (RejectedExecutionException e) {
-            waitingUs.addAndGet(-us);
+            pendingUs.addAndGet(-expectedUs);
             return false;
         }
     }
 
-    /** How long what is taken now would wait, by what was expected of the work before it. */
-    public double waitMs() {
-        return waitingUs.get() / 1000.0 / count;
+    /** Expected wait of a task submitted now, from the expected run times of unfinished tasks. */
+    public double expectedWaitMs() {
+        return pendingUs.get() / 1000.0 / threadCount;
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/tokens/TokenCountTask.java
@@ -0,0 +1,177 @@
+package larchridge.tokens;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Counts the tokens of one text and of a prefix of it, chunk by chunk: keeps the counts known from
+ * the cache, counts the missing chunks and estimates those not counted. The prefix consists of the
+ * text's own chunks, except for the chunk in which the prefix ends: its first part is counted as a
+ * chunk of its own.
+ */
+public final class TokenCountTask {
+    /**
+     * A longer chunk has no boundary at which it could be split. It is not counted, because
+     * counting a chunk can't be cancelled.
+     */
+    static final int MAX_CHUNK_CHARS = 256 << 10;
+
+    private final String text;
+    private final Vocabulary vocabulary;
+    private final TokenCountCache cache;
+    private final List<Chunk> chunks = new ArrayList<>();
+
+    /** Number of chunks that end within the prefix. */
+    private int wholeChunksInPrefix;
+
+    /** The rest of the prefix, after its whole chunks. */
+    private final Chunk prefixTail;
+
+    private volatile boolean cancelled;
+
+    /** A chunk; key is null if it can't be counted, tokens is negative until it is known. */
+    private static final class Chunk {
+        final int from;
+        final int to;
+        final TokenCountCache.Key key;
+        int tokens = -1;
+
+        Chunk(int from, int to, TokenCountCache.Key key) {
+            this.from = from;
+            this.to = to;
+            this.key = key;
+        }
+
+        int uncountedChars() {
+            return tokens < 0 && key != null ? to - from : 0;
+        }
+    }
+
+    /**
+     * Looks up the chunks of a text in the cache, which computes a digest of each chunk.
+     *
+     * @param prefixChars length of the prefix that is counted, too
+     */
+    public TokenCountTask(
+            String text, int prefixChars, Vocabulary vocabulary, TokenCountCache cache) {
+        this.text = text;
+        this.vocabulary = vocabulary;
+        this.cache = cache;
+        int tailFrom = 0;
+        for (int from = 0; from < text.length(); ) {
+            int to = TextChunker.chunkEnd(text, from);
+            chunks.add(chunk(from, to));
+            if (to <= prefixChars) {
+                wholeChunksInPrefix++;
+                tailFrom = to;
+            }
+            from = to;
+        }
+        prefixTail = chunk(tailFrom, Math.max(tailFrom, prefixChars));
+    }
+
+    private Chunk chunk(int from, int to) {
+        if (from == to || to - from > MAX_CHUNK_CHARS) {
+            return new Chunk(from, to, null);
+        }
+        Chunk chunk =
+                new Chunk(
+                        from, to, TokenCountCache.key(text.substring(from, to), vocabulary.name()));
+        chunk.tokens = cache.get(chunk.key);
+        return chunk;
+    }
+
+    /** The number of characters whose tokens are still to be counted. */
+    public int uncountedChars() {
+        return chunks.stream().mapToInt(Chunk::uncountedChars).sum() + prefixTail.uncountedChars();
+    }
+
+    /**
+     * Counts the missing chunks and reports the time taken to the rate. May run on any thread.
+     *
+     * @return false if the task was cancelled
+     */
+    public boolean countMissing(CountingRate rate) {
+        long start = System.nanoTime();
+        int newChars = 0;
+        for (int i = 0; i <= chunks.size(); i++) {
+            if (cancelled) {
+                return false;
+            }
+            Chunk chunk = i < chunks.size() ? chunks.get(i) : prefixTail;
+            if (chunk.uncountedChars() > 0) {
+                chunk.tokens = vocabulary.count(text.substring(chunk.from, chunk.to));
+                cache.put(chunk.key, chunk.tokens);
+                newChars += chunk.to - chunk.from;
+            }
+        }
+        if (newChars > 0) {
+            int tokens = 0;
+            int textChars = 0;
+            for (Chunk chunk : chunks) {
+                tokens += Math.max(0, chunk.tokens);
+                textChars += chunk.tokens < 0 ? 0 : chunk.to - chunk.from;
+            }
+            rate.recordCount(newChars, System.nanoTime() - start, tokens, textChars);
+        }
+        return true;
+    }
+
+    /** Cancels the task of a client that disconnected; a running count stops at the next chunk. */
+    public void cancel() {
+        cancelled = true;
+    }
+
+    /**
+     * The tokens of the text: exact if every chunk has been counted. Otherwise the other chunks are
+     * estimated.
+     *
+     * @param tokensPerChar the ratio used for the estimate
+     */
+    public TokenCount tokenCount(double tokensPerChar) {
+        return total(chunks, tokensPerChar);
+    }
+
+    /** The tokens of the prefix, counted or estimated likewise. */
+    public TokenCount prefixTokenCount(double tokensPerChar) {
+        List<Chunk> prefixChunks = new ArrayList<>(chunks.subList(0, wholeChunksInPrefix));
+        prefixChunks.add(prefixTail);
+        return total(prefixChunks, tokensPerChar);
+    }
+
+    private TokenCount total(List<Chunk> selected, double tokensPerChar) {
+        int countedTokens = 0;
+        int uncountedChars = 0;
+        int uncountedBytes = 0;
+        for (Chunk chunk : selected) {
+            if (chunk.tokens >= 0) {
+                countedTokens += chunk.tokens;
+            } else {
+                uncountedChars += chunk.to - chunk.from;
+                uncountedBytes += utf8Bytes(chunk);
+            }
+        }
+        int lowerBound =
+                countedTokens
+                        + (uncountedChars == 0
+                                ? 0
+                                : Math.max(1, uncountedBytes / vocabulary.maxTokenBytes()));
+        int upperBound = countedTokens + uncountedBytes;
+        double estimate = countedTokens + tokensPerChar * uncountedChars;
+        return new TokenCount(
+                (int) Math.max(lowerBound, Math.min(upperBound, Math.round(estimate))),
+                lowerBound,
+                upperBound,
+                uncountedChars == 0);
+    }
+
+    /** Bytes of a chunk in UTF-8. */
+    private int utf8Bytes(Chunk chunk) {
+        int bytes = 0;
+        for (int i = chunk.from; i < chunk.to; i++) {
+            char c = text.charAt(i);
+            bytes += c < 0x80 ? 1 : c < 0x800 ? 2 : Character.isSurrogate(c) ? 2 : 3;
+        }
+        return bytes;
+    }
+}
--- a/src/test/java/larchridge/benchlink/BenchProtocolTest.java
+++ b/src/test/java/larchridge/benchlink/BenchProtocolTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the bench's wire answers, message by message. */
+/** The replies to batches of the bench protocol, and the errors for invalid messages. */
 class BenchProtocolTest {
     private static final String ENLIST =
             "ENLIST seed=7 env={\"host_types\":[\"a\",\"b\"],"
@@ -39,7 +39,7 @@
         return run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static String faultOf(String input) {
+    private static String errorOf(String input) {
         return assertThrows(InvalidMessageException.class, () -> run(input)).getMessage();
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void inputInPartsAndWithCarriageReturnsIsTheSame() throws Exception {
+    void fragmentedInputWithCarriageReturnsGivesTheSameReplies() throws Exception {
         String input = batch(ENLIST + ENGINES + CALL);
         byte[] bytes = input.replace("\n", "\r\n").getBytes(StandardCharsets.UTF_8);
         InputStream oneByteEach =
@@ -90,27 +90,27 @@
                         + "expected INCREMENTAL, FULL, SAVED or FAILED",
                 "BACKENDS_CHANGED kind=FULL entries=1|"
                         + "line 10: FLUSH: expected 1 ENTRY lines after BACKENDS_CHANGED, found 0",
-                "ENLIST seed=1 env={|line 9: ENLIST: member env is broken JSON; expected an object "
+                "ENLIST seed=1 env={|line 9: ENLIST: member env is not valid JSON; expected an object "
                         + "(Unexpected end-of-input: expected close marker for Object (start marker at "
                         + "[Source: REDACTED (`StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION` disabled); "
                         + "line: 1, column: 1]))",
                 "ENLIST seed=1 env=[]|line 9: ENLIST: member env: not a JSON object; expected an object",
             })
-    void faultsNameLineMessageAndMember(String message, String fault) {
-        assertEquals(fault, faultOf(batch(ENLIST + ENGINES + CALL + "ELAPSED\n" + message + "\n")));
+    void errorsNameLineMessageAndMember(String message, String error) {
+        assertEquals(error, errorOf(batch(ENLIST + ENGINES + CALL + "ELAPSED\n" + message + "\n")));
     }
 
     @Test
     void messagesOutOfOrderAreRejected() {
-        assertEquals("line 1: FLUSH: a batch begins with SYNC", faultOf("FLUSH\n"));
+        assertEquals("line 1: FLUSH: a batch begins with SYNC", errorOf("FLUSH\n"));
         assertEquals(
                 "line 2: CALL: no INSTANCE line before it; expected INSTANCE who=...",
-                faultOf("SYNC at_time_s=1\n" + CALL + "FLUSH\n"));
+                errorOf("SYNC at_time_s=1\n" + CALL + "FLUSH\n"));
         assertEquals(
                 "line 3: CALL: instance 3 is not started; expected ENLIST first",
-                faultOf(batch(CALL)));
+                errorOf(batch(CALL)));
         assertEquals(
                 "line 2: the input ends inside a batch; expected FLUSH",
-                faultOf("SYNC at_time_s=1\n"));
+                errorOf("SYNC at_time_s=1\n"));
     }
 }
