--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -34,39 +34,39 @@
         PREFIX_HASH
     }
 
-    private static final double EARLY_MS = 30;
-    private static final double LOOK_MS = 20;
+    private static final double DEADLINE_MARGIN_MS = 30;
+    private static final double DEADLINE_CHECK_INTERVAL_MS = 20;
 
     private final Kind kind;
-    private final PolicyActions host;
+    private final PolicyActions actions;
     private final Random random;
     private final int maxAttempts;
-    private final EngineRegistry fleet = new EngineRegistry();
-    private final List<Generation> open = new ArrayList<>();
-    private boolean wakeSet;
-    private int turn;
+    private final EngineRegistry engines = new EngineRegistry();
+    private final List<Generation> openGenerations = new ArrayList<>();
+    private boolean wakeUpScheduled;
+    private int nextIndex;
 
-    public BaselinePolicy(Kind kind, RoutingSettings settings, PolicyActions host) {
+    public BaselinePolicy(Kind kind, RoutingSettings settings, PolicyActions actions) {
         this.kind = kind;
-        this.host = host;
+        this.actions = actions;
         random = new Random(settings.seed());
         maxAttempts = settings.maxAttempts();
     }
 
     @Override
     public void requestArrived(Generation generation) {
-        open.add(generation);
-        advance(generation);
-        setWake();
+        openGenerations.add(generation);
+        sendNextAttempt(generation);
+        scheduleWakeUp();
     }
 
-    private void advance(Generation generation) {
+    private void sendNextAttempt(Generation generation) {
         if (generation.readWithHeldState() != null && generation.readWithHeldState().isStateLost()) {
-            host.releaseState(generation);
+            actions.releaseState(generation);
             generation.dropState();
         }
         Engine engine =
-                pick(generation, generation.readWithHeldState() == null ? fleet.readers() : fleet.writers());
+                chooseEngine(generation, generation.readWithHeldState() == null ? engines.readers() : engines.writers());
         if (engine == null
                 || generation.attempts().size() + (generation.readWithHeldState() == null ? 2 : 1)
                         > maxAttempts) {
@@ -79,53 +79,53 @@
                         generation,
                         engine,
                         read,
-                        host.nowMs(),
+                        actions.nowMs(),
                         generation.promptTokens,
                         generation.readWithHeldState() == null ? generation.promptTokens : 0);
         if (read) {
             generation.setStatePossiblyHeld(true);
         }
         attempt.open();
-        host.send(attempt);
+        actions.send(attempt);
     }
 
-    private Engine pick(Generation generation, List<Engine> pool) {
+    private Engine chooseEngine(Generation generation, List<Engine> pool) {
         if (pool.isEmpty()) {
             return null;
         }
         return switch (kind) {
             case RANDOM -> pool.get(random.nextInt(pool.size()));
-            case ROUND_ROBIN -> pool.get(turn++ % pool.size());
+            case ROUND_ROBIN -> pool.get(nextIndex++ % pool.size());
             case LEAST_OPEN ->
                     pool.stream().min(Comparator.comparingInt(e -> e.attempts().size())).get();
             case POWER_OF_TWO -> {
-                Engine one = pool.get(random.nextInt(pool.size()));
-                Engine other = pool.get(random.nextInt(pool.size()));
-                yield one.attempts().size() <= other.attempts().size() ? one : other;
+                Engine first = pool.get(random.nextInt(pool.size()));
+                Engine second = pool.get(random.nextInt(pool.size()));
+                yield first.attempts().size() <= second.attempts().size() ? first : second;
             }
             case PREFIX_HASH -> {
-                CachedPrefix text =
+                CachedPrefix prefix =
                         generation.sharedPrefix != null ? generation.sharedPrefix : generation.sessionPrefix;
-                yield generation.readWithHeldState() != null || text == null
+                yield generation.readWithHeldState() != null || prefix == null
                         ? pool.get(random.nextInt(pool.size()))
-                        : pool.stream().max(Comparator.comparingLong(text::rendezvousWeight)).get();
+                        : pool.stream().max(Comparator.comparingLong(prefix::rendezvousWeight)).get();
             }
         };
     }
 
     @Override
-    public void readCompleted(Attempt attempt, int keptTokens, LoadReport report, boolean over) {
+    public void readCompleted(Attempt attempt, int cachedTokens, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
         attempt.close();
-        if (over) {
+        if (finished) {
             generation.finish();
         }
         if (generation.isFinished()) {
-            host.releaseState(generation);
+            actions.releaseState(generation);
             return;
         }
         generation.holdState(attempt);
-        advance(generation);
+        sendNextAttempt(generation);
     }
 
     @Override
@@ -137,15 +137,15 @@
 
     @Override
     public void attemptEnded(
-            Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean over) {
+            Attempt attempt, AttemptOutcome outcome, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
         attempt.recordOutcome(outcome);
         attempt.close();
-        if (over) {
+        if (finished) {
             generation.finish();
         }
         if (!generation.isUnanswered() || outcome == AttemptOutcome.NO_STATE) {
-            host.releaseState(generation);
+            actions.releaseState(generation);
             generation.dropState();
         }
         if (!generation.isUnanswered() || generation.attemptsInFlight() > 0) {
@@ -154,8 +154,8 @@
         boolean mayRepeat =
                 generation.trafficClass.effect == Effect.IDEMPOTENT
                         || generation.attempts().stream().noneMatch(Attempt::mayHaveRun);
-        if (mayRepeat && host.nowMs() < generation.deadlineMs - EARLY_MS) {
-            advance(generation);
+        if (mayRepeat && actions.nowMs() < generation.deadlineMs - DEADLINE_MARGIN_MS) {
+            sendNextAttempt(generation);
         } else {
             giveUp(generation);
         }
@@ -165,7 +165,7 @@
         for (Attempt attempt : generation.attempts()) {
             if (attempt.isActive()) {
                 attempt.cancel();
-                host.cancel(attempt);
+                actions.cancel(attempt);
             }
         }
         generationAbandoned(generation);
@@ -173,16 +173,16 @@
                 || (generation.trafficClass.effect == Effect.DEDUPLICATED
                         && generation.trafficClass.deduplicationScope == DeduplicationScope.ALL)
                 || generation.attempts().stream().noneMatch(Attempt::mayHaveRun)) {
-            host.reject(generation, 0);
+            actions.reject(generation, 0);
         } else {
-            host.fail(generation);
+            actions.fail(generation);
         }
     }
 
     @Override
     public void generationAbandoned(Generation generation) {
         generation.finish();
-        host.releaseState(generation);
+        actions.releaseState(generation);
         generation.dropState();
     }
 
@@ -194,26 +194,26 @@
 
     @Override
     public void endpointsChanged(List<EndpointUpdate> entries, boolean complete) {
-        fleet.apply(entries, complete, host.nowMs());
+        engines.apply(entries, complete, actions.nowMs());
     }
 
     @Override
     public void wakeUp() {
-        wakeSet = false;
-        open.removeIf(
+        wakeUpScheduled = false;
+        openGenerations.removeIf(
                 generation -> !generation.isUnanswered() && generation.attemptsInFlight() == 0);
-        for (Generation generation : List.copyOf(open)) {
-            if (generation.isUnanswered() && host.nowMs() >= generation.deadlineMs - EARLY_MS) {
+        for (Generation generation : List.copyOf(openGenerations)) {
+            if (generation.isUnanswered() && actions.nowMs() >= generation.deadlineMs - DEADLINE_MARGIN_MS) {
                 giveUp(generation);
             }
         }
-        setWake();
+        scheduleWakeUp();
     }
 
-    private void setWake() {
-        if (!wakeSet && !open.isEmpty()) {
-            wakeSet = true;
-            host.wakeAt(host.nowMs() + LOOK_MS);
+    private void scheduleWakeUp() {
+        if (!wakeUpScheduled && !openGenerations.isEmpty()) {
+            wakeUpScheduled = true;
+            actions.wakeAt(actions.nowMs() + DEADLINE_CHECK_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/larchridge/cli/ExperimentCommand.java
+++ b/src/main/java/larchridge/cli/ExperimentCommand.java
@@ -46,7 +46,7 @@
         ExperimentPlan read;
         try {
             read = ExperimentPlan.read(plan);
-        } catch (ExperimentPlan.BadPlan e) {
+        } catch (ExperimentPlan.InvalidPlanException e) {
             System.err.println(e.getMessage());
             return 1;
         }
@@ -60,7 +60,7 @@
         boolean broken =
                 rows.stream()
                         .anyMatch(
-                                row -> row.point().policy().equals("choice") && row.breaches() > 0);
+                                row -> row.run().policy().equals("choice") && row.breaches() > 0);
         return broken ? 3 : 0;
     }
 }
--- a/src/main/java/larchridge/cli/SearchCommand.java
+++ b/src/main/java/larchridge/cli/SearchCommand.java
@@ -59,7 +59,7 @@
             System.err.println(e.getMessage());
             return 1;
         }
-        FaultSearch.Found found = FaultSearch.run(read, seed, tries, sideBySide);
+        FaultSearch.Candidate found = FaultSearch.run(read, seed, tries, sideBySide);
         Files.writeString(into, FaultSearch.yaml(found.script()));
         System.out.printf(
                 Locale.ROOT,
@@ -68,7 +68,7 @@
                 tries,
                 found.service(),
                 found.breaches(),
-                found.breaches() > 0 ? 0 : found.badness());
+                found.breaches() > 0 ? 0 : found.severity());
         found.script().troubles().forEach(System.out::println);
         return found.breaches() > 0 ? 3 : 0;
     }
--- a/src/main/java/larchridge/cli/SystemTestCommand.java
+++ b/src/main/java/larchridge/cli/SystemTestCommand.java
@@ -58,19 +58,19 @@
     private double scale;
 
     private int playVirtually(TestScript script) throws IOException {
-        SimulationRun.Result result = SimulationRun.play(script);
+        SimulationRun.Result result = SimulationRun.simulate(script);
         System.out.print(ResultCounts.table(result.rows()));
         if (log != null) {
-            TrafficLog.write(result.log(), log);
+            TrafficLog.write(result.events(), log);
         }
         result.breaches().forEach(System.out::println);
         System.out.printf(
                 Locale.ROOT,
                 "%d broken rules in %d sights, digest %s, %d steps, %.0f virtual seconds a second%n",
                 result.breaches().size(),
-                result.log().size(),
+                result.events().size(),
                 result.digest(),
-                result.steps(),
+                result.tasksRun(),
                 result.virtualMs() / result.realMs());
         return result.breaches().isEmpty() ? 0 : 3;
     }
--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -10,126 +10,126 @@
  * A serving engine as published work describes them, without clock, threads or sockets: continuous
  * batching in steps, prompts in chunks beside answers, memory in blocks with kept beginnings,
  * preemption of the newest by reading it anew, states that wait to be fetched. Whoever drives it
- * calls {@link #begin} when there may be work and {@link #end} when that step's time is over.
+ * calls {@link #beginStep} when there may be work and {@link #endStep} when that step's time is over.
  */
 public final class EngineModel {
-    /** What it tells whoever drives it, from inside {@link #end} and {@link #begin}. */
-    public interface Ears {
+    /** What it tells whoever drives it, from inside {@link #endStep} and {@link #beginStep}. */
+    public interface Listener {
         /** The prompt is read; its state waits. */
-        void read(Job job);
+        void readCompleted(Job job);
 
         /** There is a place for an answer; its state may be fetched. */
-        void fetch(Job job);
+        void fetchRequired(Job job);
 
         /** One token more; the first once for each answer. */
-        void token(Job job);
+        void tokenGenerated(Job job);
 
         /** The answer has all its tokens. */
-        void done(Job job);
+        void answerCompleted(Job job);
 
         /** A state that waited is gone. */
-        void lost(Job job);
+        void stateLost(Job job);
     }
 
-    private final EngineHardware silicon;
-    private final Ears ears;
-    private final BlockMemory memory;
+    private final EngineHardware hardware;
+    private final Listener listener;
+    private final KvBlockPool memory;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
-    private final Map<String, Job> held = new LinkedHashMap<>();
-    private boolean inStep;
+    private final Map<String, Job> heldStates = new LinkedHashMap<>();
+    private boolean stepInProgress;
     private double startedMs;
     // Ailments.
-    private double slowness = 1;
-    private int stallsAbove = Integer.MAX_VALUE;
-    private double stall = 1;
+    private double slowdown = 1;
+    private int stallThreshold = Integer.MAX_VALUE;
+    private double stallFactor = 1;
     // What it did.
-    private long promptTokensIn;
+    private long promptTokensSubmitted;
     private long promptTokensRead;
-    private long promptTokensKept;
-    private long tokensOut;
-    private long tokensLost;
+    private long promptTokensCached;
+    private long outputTokens;
+    private long outputTokensDiscarded;
     private long preemptions;
     private long steps;
 
     /** StartedMs: when its process came up; minus infinity for a warm one. */
-    public EngineModel(EngineHardware silicon, double startedMs, Ears ears) {
-        this.silicon = silicon;
+    public EngineModel(EngineHardware hardware, double startedMs, Listener listener) {
+        this.hardware = hardware;
         this.startedMs = startedMs;
-        this.ears = ears;
-        memory = new BlockMemory(silicon.blocks());
+        this.listener = listener;
+        memory = new KvBlockPool(hardware.blocks());
     }
 
     // ------------------------------------------------------------------ what comes
 
     /** Takes an attempt; false if as many wait as may. */
     public boolean submit(Job job) {
-        if (waiting.size() >= silicon.queue()) {
+        if (waiting.size() >= hardware.maxQueued()) {
             return false;
         }
         waiting.add(job);
-        promptTokensIn += job.kind == Job.Kind.WRITE ? 0 : job.prompt.tokens;
+        promptTokensSubmitted += job.kind == Job.Kind.WRITE ? 0 : job.prompt.tokens;
         return true;
     }
 
     /** The state of an answer has come. */
-    public void fetched(Job job) {
-        job.fetching = false;
-        job.have = job.prompt.tokens;
-        memory.filled(job.prompt, job.blocks, 0, job.prompt.blocks.length);
+    public void stateFetched(Job job) {
+        job.fetchingState = false;
+        job.computedTokens = job.prompt.tokens;
+        memory.cacheFilledBlocks(job.prompt, job.blocks, 0, job.prompt.blockHashes.length);
     }
 
     /** An attempt is called off, or its client has left. */
-    public void drop(Job job) {
-        if (!job.gone) {
-            tokensLost += job.made;
-            leave(job);
+    public void cancel(Job job) {
+        if (!job.removed) {
+            outputTokensDiscarded += job.generatedTokens;
+            remove(job);
         }
     }
 
     /** A state is let go of, or was fetched; false if it is not here. */
-    public boolean release(String rid) {
-        Job job = held.remove(rid);
+    public boolean release(String attemptId) {
+        Job job = heldStates.remove(attemptId);
         if (job == null) {
             return false;
         }
-        leave(job);
+        remove(job);
         return true;
     }
 
-    public boolean holds(String rid) {
-        return held.containsKey(rid);
+    public boolean holdsState(String attemptId) {
+        return heldStates.containsKey(attemptId);
     }
 
     /** States that nobody fetched go; when to look again, or infinite. */
-    public double lapse(double nowMs) {
-        for (Job job : List.copyOf(held.values())) {
-            if (nowMs - job.heldSinceMs >= silicon.lapseMs()) {
-                release(job.rid);
-                ears.lost(job);
+    public double releaseExpiredStates(double nowMs) {
+        for (Job job : List.copyOf(heldStates.values())) {
+            if (nowMs - job.heldSinceMs >= hardware.stateTimeoutMs()) {
+                release(job.attemptId);
+                listener.stateLost(job);
             }
         }
-        return held.isEmpty()
+        return heldStates.isEmpty()
                 ? Double.POSITIVE_INFINITY
-                : held.values().iterator().next().heldSinceMs + silicon.lapseMs();
+                : heldStates.values().iterator().next().heldSinceMs + hardware.stateTimeoutMs();
     }
 
     /** So many times as slow, and so many times more when over so many are in work. */
-    public void ails(double times, int above, double more) {
-        slowness = times;
-        stallsAbove = above;
-        stall = more;
+    public void injectSlowdown(double newSlowdown, int newStallThreshold, double newStallFactor) {
+        slowdown = newSlowdown;
+        stallThreshold = newStallThreshold;
+        stallFactor = newStallFactor;
     }
 
     public void flush() {
         memory.flush();
     }
 
-    private void leave(Job job) {
-        job.gone = true;
+    private void remove(Job job) {
+        job.removed = true;
         waiting.remove(job);
         running.remove(job);
-        memory.give(job.blocks);
+        memory.release(job.blocks);
     }
 
     // ------------------------------------------------------------------ steps
@@ -138,99 +138,99 @@
      * Begins a step where there is work; its length in milliseconds, or NaN where there is none or
      * one is under way.
      */
-    public double begin(double nowMs) {
-        if (inStep) {
+    public double beginStep(double nowMs) {
+        if (stepInProgress) {
             return Double.NaN;
         }
-        int budget = silicon.batchTokens();
+        int tokenBudget = hardware.batchTokens();
         int answers = 0;
-        double context = 0;
+        double contextTokens = 0;
         for (Job job : List.copyOf(running)) {
-            if (!job.gone && running.contains(job) && job.writes()) {
-                if (!grow(job)) {
+            if (!job.removed && running.contains(job) && job.isGenerating()) {
+                if (!reserveNextToken(job)) {
                     continue;
                 }
-                job.inStep = true;
+                job.inCurrentStep = true;
                 answers++;
-                budget--;
-                context += job.prompt.tokens + job.made;
+                tokenBudget--;
+                contextTokens += job.prompt.tokens + job.generatedTokens;
             }
         }
-        double prompts = 0;
-        double lookBack = 0;
+        double promptTokens = 0;
+        double attendedTokens = 0;
         for (Job job : running) {
-            if (!job.fetching && job.have < job.target) {
-                job.chunk = Math.max(0, Math.min(budget, job.target - job.have));
-                budget -= job.chunk;
-                prompts += job.chunk;
-                lookBack += (double) job.chunk * job.have;
+            if (!job.fetchingState && job.computedTokens < job.requiredTokens) {
+                job.chunkTokens = Math.max(0, Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
+                tokenBudget -= job.chunkTokens;
+                promptTokens += job.chunkTokens;
+                attendedTokens += (double) job.chunkTokens * job.computedTokens;
             }
         }
         while (!waiting.isEmpty()
-                && running.size() < silicon.seqs()
-                && (budget > 0
+                && running.size() < hardware.maxSequences()
+                && (tokenBudget > 0
                         || (waiting.peek().kind == Job.Kind.WRITE && !waiting.peek().preempted))) {
             Job job = waiting.peek();
-            if (!place(job)) {
+            if (!admit(job)) {
                 break;
             }
             waiting.poll();
             running.add(job);
-            if (job.fetching) {
-                ears.fetch(job);
+            if (job.fetchingState) {
+                listener.fetchRequired(job);
             } else {
-                job.chunk = Math.max(0, Math.min(budget, job.target - job.have));
-                budget -= job.chunk;
-                prompts += job.chunk;
-                lookBack += (double) job.chunk * job.have;
+                job.chunkTokens = Math.max(0, Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
+                tokenBudget -= job.chunkTokens;
+                promptTokens += job.chunkTokens;
+                attendedTokens += (double) job.chunkTokens * job.computedTokens;
             }
         }
-        if (answers == 0 && prompts == 0) {
+        if (answers == 0 && promptTokens == 0) {
             return Double.NaN;
         }
-        inStep = true;
+        stepInProgress = true;
         steps++;
         double ms =
-                silicon.stepMs()
-                        + silicon.promptTokenMs() * prompts
-                        + silicon.seqMs() * answers
-                        + silicon.contextTokenMs() * context
-                        + silicon.lookBackMs() * lookBack;
-        return ms * slowness * (running.size() > stallsAbove ? stall : 1) / capacity(nowMs);
+                hardware.stepMs()
+                        + hardware.promptTokenMs() * promptTokens
+                        + hardware.sequenceMs() * answers
+                        + hardware.contextTokenMs() * contextTokens
+                        + hardware.attentionMs() * attendedTokens;
+        return ms * slowdown * (running.size() > stallThreshold ? stallFactor : 1) / relativeSpeed(nowMs);
     }
 
-    private double capacity(double nowMs) {
-        double age = nowMs - startedMs;
-        return age >= silicon.coldMs()
+    private double relativeSpeed(double nowMs) {
+        double ageMs = nowMs - startedMs;
+        return ageMs >= hardware.coldMs()
                 ? 1
-                : silicon.coldShare()
-                        + (1 - silicon.coldShare()) * Math.max(0, age) / silicon.coldMs();
+                : hardware.coldShare()
+                        + (1 - hardware.coldShare()) * Math.max(0, ageMs) / hardware.coldMs();
     }
 
     /**
      * Finds memory for the whole of an attempt's prompt; a state that waits may have to go for it.
      */
-    private boolean place(Job job) {
-        int found = memory.found(job.prompt);
-        int blocks = job.target / silicon.blockTokens() + 1;
-        List<BlockMemory.Block> taken = memory.take(job.prompt, found, blocks);
-        while (taken == null && silicon.evictsHeld() && !held.isEmpty()) {
-            Job oldest = held.values().iterator().next();
-            release(oldest.rid);
-            ears.lost(oldest);
-            found = memory.found(job.prompt);
-            taken = memory.take(job.prompt, found, blocks);
+    private boolean admit(Job job) {
+        int cachedBlocks = memory.countCachedBlocks(job.prompt);
+        int blockCount = job.requiredTokens / hardware.blockTokens() + 1;
+        List<KvBlockPool.Block> allocated = memory.allocate(job.prompt, cachedBlocks, blockCount);
+        while (allocated == null && hardware.evictsHeldStates() && !heldStates.isEmpty()) {
+            Job oldest = heldStates.values().iterator().next();
+            release(oldest.attemptId);
+            listener.stateLost(oldest);
+            cachedBlocks = memory.countCachedBlocks(job.prompt);
+            allocated = memory.allocate(job.prompt, cachedBlocks, blockCount);
         }
-        if (taken == null) {
+        if (allocated == null) {
             return false;
         }
-        job.blocks = taken;
-        job.fetching = job.kind == Job.Kind.WRITE && !job.preempted;
+        job.blocks = allocated;
+        job.fetchingState = job.kind == Job.Kind.WRITE && !job.preempted;
         // The last token is always read: it is what the next one is made of.
-        job.have = Math.min(found * silicon.blockTokens(), job.target - 1);
-        if (!job.fetching && !job.preempted) {
-            job.kept = job.have;
-            promptTokensKept += job.kept;
+        job.computedTokens = Math.min(cachedBlocks * hardware.blockTokens(), job.requiredTokens - 1);
+        if (!job.fetchingState && !job.preempted) {
+            job.cachedTokens = job.computedTokens;
+            promptTokensCached += job.cachedTokens;
         }
         return true;
     }
@@ -239,9 +239,9 @@
      * A block for an answer's next token, if it needs one; where there is none the newest goes back
      * to wait.
      */
-    private boolean grow(Job job) {
-        while (job.prompt.tokens + job.made + 1 > job.blocks.size() * silicon.blockTokens()) {
-            BlockMemory.Block block = memory.more();
+    private boolean reserveNextToken(Job job) {
+        while (job.prompt.tokens + job.generatedTokens + 1 > job.blocks.size() * hardware.blockTokens()) {
+            KvBlockPool.Block block = memory.allocateBlock();
             if (block != null) {
                 job.blocks.add(block);
                 continue;
@@ -258,59 +258,59 @@
     private void preempt(Job job) {
         preemptions++;
         running.remove(job);
-        memory.give(job.blocks);
-        job.chunk = 0;
-        job.have = 0;
+        memory.release(job.blocks);
+        job.chunkTokens = 0;
+        job.computedTokens = 0;
         // One whose state was still to come waits for it anew; all others are read anew here, with
         // what they had written.
-        if (!job.fetching) {
+        if (!job.fetchingState) {
             job.preempted = true;
-            job.target = job.prompt.tokens + job.made;
+            job.requiredTokens = job.prompt.tokens + job.generatedTokens;
         }
-        job.inStep = false;
-        job.fetching = false;
+        job.inCurrentStep = false;
+        job.fetchingState = false;
         waiting.addFirst(job);
     }
 
     /** The step's time is over. */
-    public void end(double nowMs) {
-        inStep = false;
+    public void endStep(double nowMs) {
+        stepInProgress = false;
         for (Job job : List.copyOf(running)) {
-            if (job.gone) {
+            if (job.removed) {
                 continue;
             }
-            if (job.chunk > 0) {
-                int before = job.have / silicon.blockTokens();
-                job.have += job.chunk;
-                promptTokensRead += job.chunk;
-                job.chunk = 0;
-                memory.filled(job.prompt, job.blocks, before, job.have / silicon.blockTokens());
-                if (job.have < job.target) {
+            if (job.chunkTokens > 0) {
+                int blocksBefore = job.computedTokens / hardware.blockTokens();
+                job.computedTokens += job.chunkTokens;
+                promptTokensRead += job.chunkTokens;
+                job.chunkTokens = 0;
+                memory.cacheFilledBlocks(job.prompt, job.blocks, blocksBefore, job.computedTokens / hardware.blockTokens());
+                if (job.computedTokens < job.requiredTokens) {
                     continue;
                 }
                 if (job.kind == Job.Kind.READ) {
                     running.remove(job);
                     job.heldSinceMs = nowMs;
-                    held.put(job.rid, job);
-                    ears.read(job);
+                    heldStates.put(job.attemptId, job);
+                    listener.readCompleted(job);
                     continue;
                 }
                 // The last chunk gives the next token.
-                token(job);
-            } else if (job.inStep) {
-                job.inStep = false;
-                token(job);
+                generateToken(job);
+            } else if (job.inCurrentStep) {
+                job.inCurrentStep = false;
+                generateToken(job);
             }
         }
     }
 
-    private void token(Job job) {
-        job.made++;
-        tokensOut++;
-        ears.token(job);
-        if (!job.gone && job.made >= job.length) {
-            leave(job);
-            ears.done(job);
+    private void generateToken(Job job) {
+        job.generatedTokens++;
+        outputTokens++;
+        listener.tokenGenerated(job);
+        if (!job.removed && job.generatedTokens >= job.answerTokens) {
+            remove(job);
+            listener.answerCompleted(job);
         }
     }
 
@@ -318,50 +318,50 @@
 
     /** Attempts here, states that wait included. */
     public int inflight() {
-        return running.size() + waiting.size() + held.size();
+        return running.size() + waiting.size() + heldStates.size();
     }
 
-    public int queue() {
+    public int queueLength() {
         return waiting.size();
     }
 
     /** Share of memory that somebody refers to. */
-    public double heldShare() {
-        return memory.used() / (double) memory.total();
+    public double memoryShare() {
+        return memory.usedBlocks() / (double) memory.totalBlocks();
     }
 
     /** Prompt tokens to be read or fetched. */
-    public double toRead() {
+    public double pendingPromptTokens() {
         double tokens = 0;
         for (Job job : waiting) {
-            tokens += job.target;
+            tokens += job.requiredTokens;
         }
         for (Job job : running) {
-            tokens += job.fetching ? job.prompt.tokens : Math.max(0, job.target - job.have);
+            tokens += job.fetchingState ? job.prompt.tokens : Math.max(0, job.requiredTokens - job.computedTokens);
         }
         return tokens;
     }
 
     /** What it has done so far. */
-    public record Sums(
-            long promptTokensIn,
+    public record Totals(
+            long promptTokensSubmitted,
             long promptTokensRead,
-            long promptTokensKept,
-            long tokensOut,
-            long tokensLost,
+            long promptTokensCached,
+            long outputTokens,
+            long outputTokensDiscarded,
             long preemptions,
             long evictions,
             long steps) {}
 
-    public Sums sums() {
-        return new Sums(
-                promptTokensIn,
+    public Totals totals() {
+        return new Totals(
+                promptTokensSubmitted,
                 promptTokensRead,
-                promptTokensKept,
-                tokensOut,
-                tokensLost,
+                promptTokensCached,
+                outputTokens,
+                outputTokensDiscarded,
                 preemptions,
-                memory.evicted(),
+                memory.evictions(),
                 steps);
     }
 }
--- a/src/main/java/larchridge/emulator/Job.java
+++ b/src/main/java/larchridge/emulator/Job.java
@@ -15,52 +15,52 @@
         BOTH
     }
 
-    public final String rid;
+    public final String attemptId;
     public final Kind kind;
     public final Prompt prompt;
 
     /** Tokens that the answer will have. */
-    public final int length;
+    public final int answerTokens;
 
     /** For whoever drives the engine. */
-    public Object owner;
+    public Object attachment;
 
-    List<BlockMemory.Block> blocks = new ArrayList<>();
-    int have;
-    int kept;
-    int made;
-    int chunk;
-    boolean fetching;
-    boolean gone;
+    List<KvBlockPool.Block> blocks = new ArrayList<>();
+    int computedTokens;
+    int cachedTokens;
+    int generatedTokens;
+    int chunkTokens;
+    boolean fetchingState;
+    boolean removed;
     boolean preempted;
-    boolean inStep;
+    boolean inCurrentStep;
 
     /**
      * What has to be read before the next token can be written: the prompt, after a preemption also
      * what was written.
      */
-    int target;
+    int requiredTokens;
 
     double heldSinceMs;
 
-    public Job(String rid, Kind kind, Prompt prompt, int length) {
-        this.rid = rid;
+    public Job(String attemptId, Kind kind, Prompt prompt, int answerTokens) {
+        this.attemptId = attemptId;
         this.kind = kind;
         this.prompt = prompt;
-        this.length = length;
-        target = prompt.tokens;
+        this.answerTokens = answerTokens;
+        requiredTokens = prompt.tokens;
     }
 
     /** Prompt tokens that needed no reading. */
-    public int kept() {
-        return kept;
+    public int cachedTokens() {
+        return cachedTokens;
     }
 
-    public int made() {
-        return made;
+    public int generatedTokens() {
+        return generatedTokens;
     }
 
-    boolean writes() {
-        return kind != Kind.READ && !fetching && have >= target;
+    boolean isGenerating() {
+        return kind != Kind.READ && !fetchingState && computedTokens >= requiredTokens;
     }
 }
--- a/src/main/java/larchridge/emulator/Prompt.java
+++ b/src/main/java/larchridge/emulator/Prompt.java
@@ -8,44 +8,44 @@
  */
 public final class Prompt {
     public final int tokens;
-    final long[] blocks;
+    final long[] blockHashes;
 
-    private Prompt(int tokens, long[] blocks) {
+    private Prompt(int tokens, long[] blockHashes) {
         this.tokens = tokens;
-        this.blocks = blocks;
+        this.blockHashes = blockHashes;
     }
 
     /**
      * Of texts that follow each other.
      *
-     * @param texts what each text is, the same number for the same text
-     * @param length tokens of each
+     * @param segmentIds what each text is, the same number for the same text
+     * @param segmentTokens tokens of each
      */
-    public static Prompt of(long[] texts, int[] length, int blockTokens) {
-        int tokens = Arrays.stream(length).sum();
-        long[] blocks = new long[tokens / blockTokens];
-        int text = 0;
-        int begun = 0;
+    public static Prompt of(long[] segmentIds, int[] segmentTokens, int blockTokens) {
+        int tokens = Arrays.stream(segmentTokens).sum();
+        long[] blockHashes = new long[tokens / blockTokens];
+        int segment = 0;
+        int segmentStart = 0;
         long hash = 0x9E3779B97F4A7C15L;
-        for (int i = 0; i < blocks.length; i++) {
-            int from = i * blockTokens;
-            int to = from + blockTokens;
-            while (begun + length[text] <= from) {
-                begun += length[text++];
+        for (int i = 0; i < blockHashes.length; i++) {
+            int blockStart = i * blockTokens;
+            int blockEnd = blockStart + blockTokens;
+            while (segmentStart + segmentTokens[segment] <= blockStart) {
+                segmentStart += segmentTokens[segment++];
             }
             // What of which texts is in this block.
-            int at = from;
-            int one = text;
-            int oneBegun = begun;
-            while (at < to) {
-                int end = Math.min(to, oneBegun + length[one]);
-                hash = mix(hash ^ mix(texts[one] * 31 + (at - oneBegun)) + (end - at));
-                at = end;
-                oneBegun += length[one++];
+            int position = blockStart;
+            int current = segment;
+            int currentStart = segmentStart;
+            while (position < blockEnd) {
+                int end = Math.min(blockEnd, currentStart + segmentTokens[current]);
+                hash = mix(hash ^ mix(segmentIds[current] * 31 + (position - currentStart)) + (end - position));
+                position = end;
+                currentStart += segmentTokens[current++];
             }
-            blocks[i] = hash;
+            blockHashes[i] = hash;
         }
-        return new Prompt(tokens, blocks);
+        return new Prompt(tokens, blockHashes);
     }
 
     private static long mix(long x) {
--- a/src/main/java/larchridge/emulator/SharedLinks.java
+++ b/src/main/java/larchridge/emulator/SharedLinks.java
@@ -14,38 +14,38 @@
     /** One link. */
     public static final class Link {
         private double tokensPerMs;
-        private int moves;
+        private int transfers;
 
         /** From now on it carries so much. */
-        void carries(double more) {
-            tokensPerMs = more;
+        void setTokensPerMs(double newTokensPerMs) {
+            tokensPerMs = newTokensPerMs;
         }
     }
 
     /** One state on its way. */
-    public static final class Move {
-        private final List<Link> way;
-        private final Runnable done;
-        private double left;
+    public static final class Transfer {
+        private final List<Link> path;
+        private final Runnable onCompleted;
+        private double remainingTokens;
 
-        private Move(double left, List<Link> way, Runnable done) {
-            this.left = left;
-            this.way = way;
-            this.done = done;
+        private Transfer(double remainingTokens, List<Link> path, Runnable onCompleted) {
+            this.remainingTokens = remainingTokens;
+            this.path = path;
+            this.onCompleted = onCompleted;
         }
 
         private double rate() {
             double rate = Double.POSITIVE_INFINITY;
-            for (Link link : way) {
-                rate = Math.min(rate, link.tokensPerMs / link.moves);
+            for (Link link : path) {
+                rate = Math.min(rate, link.tokensPerMs / link.transfers);
             }
             return rate;
         }
     }
 
     private final Map<String, Link> links = new LinkedHashMap<>();
-    private final List<Move> moves = new ArrayList<>();
-    private double atMs;
+    private final List<Transfer> transfers = new ArrayList<>();
+    private double advancedToMs;
 
     /** The link of this name, made with this speed when it is first asked for. */
     public Link link(String name, double tokensPerMs) {
@@ -59,55 +59,55 @@
     }
 
     /** Begins a move; done runs from {@link #advance} when all has come. */
-    public Move begin(double nowMs, double tokens, List<Link> way, Runnable done) {
+    public Transfer startTransfer(double nowMs, double tokens, List<Link> path, Runnable onCompleted) {
         advance(nowMs);
-        Move move = new Move(Math.max(1, tokens), way, done);
-        way.forEach(link -> link.moves++);
-        moves.add(move);
-        return move;
+        Transfer transfer = new Transfer(Math.max(1, tokens), path, onCompleted);
+        path.forEach(link -> link.transfers++);
+        transfers.add(transfer);
+        return transfer;
     }
 
-    public void stop(double nowMs, Move move) {
+    public void cancelTransfer(double nowMs, Transfer transfer) {
         advance(nowMs);
-        if (moves.remove(move)) {
-            move.way.forEach(link -> link.moves--);
+        if (transfers.remove(transfer)) {
+            transfer.path.forEach(link -> link.transfers--);
         }
     }
 
     /** Changes what a link carries. */
-    public void carries(double nowMs, String name, double tokensPerMs) {
+    public void setTokensPerMs(double nowMs, String name, double tokensPerMs) {
         advance(nowMs);
-        link(name, tokensPerMs).carries(tokensPerMs);
+        link(name, tokensPerMs).setTokensPerMs(tokensPerMs);
     }
 
     /** When the next move ends as things are; infinite if none does. */
-    public double nextMs() {
+    public double nextCompletionMs() {
         double next = Double.POSITIVE_INFINITY;
-        for (Move move : moves) {
-            next = Math.min(next, atMs + move.left / move.rate());
+        for (Transfer transfer : transfers) {
+            next = Math.min(next, advancedToMs + transfer.remainingTokens / transfer.rate());
         }
         return next;
     }
 
     /** Moves on to a time; those that have come are told, in the order in which they began. */
     public void advance(double nowMs) {
-        double ms = nowMs - atMs;
-        atMs = nowMs;
-        if (moves.isEmpty()) {
+        double elapsedMs = nowMs - advancedToMs;
+        advancedToMs = nowMs;
+        if (transfers.isEmpty()) {
             return;
         }
-        List<Move> come = new ArrayList<>();
-        for (Move move : moves) {
-            move.left -= ms * move.rate();
+        List<Transfer> completed = new ArrayList<>();
+        for (Transfer transfer : transfers) {
+            transfer.remainingTokens -= elapsedMs * transfer.rate();
             // Guards against: what is left may be less than time itself can tell apart.
-            if (move.left <= 1e-3 + 1e-6 * move.rate()) {
-                come.add(move);
+            if (transfer.remainingTokens <= 1e-3 + 1e-6 * transfer.rate()) {
+                completed.add(transfer);
             }
         }
-        moves.removeAll(come);
-        for (Move move : come) {
-            move.way.forEach(link -> link.moves--);
+        transfers.removeAll(completed);
+        for (Transfer transfer : completed) {
+            transfer.path.forEach(link -> link.transfers--);
         }
-        come.forEach(move -> move.done.run());
+        completed.forEach(transfer -> transfer.onCompleted.run());
     }
 }
--- a/src/main/java/larchridge/experiment/ExperimentPlan.java
+++ b/src/main/java/larchridge/experiment/ExperimentPlan.java
@@ -20,47 +20,47 @@
  */
 public final class ExperimentPlan {
     /** One run of a plan. */
-    public record Point(String policy, double rate, double engines, int fronts, long seed) {
+    public record RunParameters(String policy, double rateFactor, double engineFactor, int routers, long seed) {
         /** Names the run in the table of results. */
         String key() {
-            return policy + "," + rate + "," + engines + "," + fronts + "," + seed;
+            return policy + "," + rateFactor + "," + engineFactor + "," + routers + "," + seed;
         }
     }
 
     /** A plan that can't be run. */
-    public static final class BadPlan extends Exception {
+    public static final class InvalidPlanException extends Exception {
         private static final long serialVersionUID = 1;
 
-        BadPlan(String text) {
-            super(text);
+        InvalidPlanException(String message) {
+            super(message);
         }
     }
 
-    private record Form(
+    private record PlanFile(
             @JsonProperty("script") String script,
             @JsonProperty("seeds") List<Long> seeds,
             @JsonProperty("policies") List<String> policies,
             @JsonProperty("rates") List<Double> rates,
             @JsonProperty("engines") List<Double> engines,
-            @JsonProperty("fronts") List<Integer> fronts) {}
+            @JsonProperty("fronts") List<Integer> routers) {}
 
-    static final String CHOICE = "choice";
+    static final String ROUTING_POLICY = "choice";
     public final TestScript script;
     final List<String> policies;
     final List<Double> rates;
-    public final List<Point> points = new ArrayList<>();
+    public final List<RunParameters> runs = new ArrayList<>();
 
-    private ExperimentPlan(TestScript script, Form form) {
+    private ExperimentPlan(TestScript script, PlanFile file) {
         this.script = script;
-        policies = form.policies == null ? List.of(CHOICE) : form.policies;
-        rates = form.rates == null ? List.of(1.0) : form.rates;
+        policies = file.policies == null ? List.of(ROUTING_POLICY) : file.policies;
+        rates = file.rates == null ? List.of(1.0) : file.rates;
         for (String policy : policies) {
-            for (double rate : rates) {
-                for (double engines : form.engines == null ? List.of(1.0) : form.engines) {
-                    for (int fronts :
-                            form.fronts == null ? List.of(script.fronts()) : form.fronts) {
-                        for (long seed : form.seeds == null ? List.of(1L, 2L, 3L) : form.seeds) {
-                            points.add(new Point(policy, rate, engines, fronts, seed));
+            for (double rateFactor : rates) {
+                for (double engineFactor : file.engines == null ? List.of(1.0) : file.engines) {
+                    for (int routers :
+                            file.routers == null ? List.of(script.fronts()) : file.routers) {
+                        for (long seed : file.seeds == null ? List.of(1L, 2L, 3L) : file.seeds) {
+                            runs.add(new RunParameters(policy, rateFactor, engineFactor, routers, seed));
                         }
                     }
                 }
@@ -69,25 +69,25 @@
     }
 
     /** Reads a plan; its script's path is relative to its folder. */
-    public static ExperimentPlan read(Path file) throws BadPlan {
-        Form form;
+    public static ExperimentPlan read(Path path) throws InvalidPlanException {
+        PlanFile file;
         try {
-            form =
+            file =
                     new ObjectMapper(new YAMLFactory())
-                            .readValue(Files.readString(file), Form.class);
+                            .readValue(Files.readString(path), PlanFile.class);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new BadPlan(file + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
+            throw new InvalidPlanException(path + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
         } catch (IOException e) {
-            throw new BadPlan(file + ": can't be read (" + e.getMessage() + ")");
+            throw new InvalidPlanException(path + ": can't be read (" + e.getMessage() + ")");
         }
-        if (form == null || form.script == null) {
-            throw new BadPlan(file + ": script: missing");
+        if (file == null || file.script == null) {
+            throw new InvalidPlanException(path + ": script: missing");
         }
-        for (String policy : form.policies == null ? List.<String>of() : form.policies) {
-            if (!policy.equals(CHOICE) && kind(policy) == null) {
-                throw new BadPlan(
-                        file
+        for (String policy : file.policies == null ? List.<String>of() : file.policies) {
+            if (!policy.equals(ROUTING_POLICY) && baselineKind(policy) == null) {
+                throw new InvalidPlanException(
+                        path
                                 + ": policies: '"
                                 + policy
                                 + "' is not choice, random, round_robin, least_open, "
@@ -96,14 +96,14 @@
         }
         try {
             return new ExperimentPlan(
-                    TestScriptReader.read(file.toAbsolutePath().resolveSibling(form.script)), form);
+                    TestScriptReader.read(path.toAbsolutePath().resolveSibling(file.script)), file);
         } catch (TestScriptReader.BadScript e) {
-            throw new BadPlan(e.getMessage());
+            throw new InvalidPlanException(e.getMessage());
         }
     }
 
     /** The plain policy of this name, or null. */
-    static BaselinePolicy.Kind kind(String policy) {
+    static BaselinePolicy.Kind baselineKind(String policy) {
         for (BaselinePolicy.Kind kind : BaselinePolicy.Kind.values()) {
             if (kind.name().equalsIgnoreCase(policy)) {
                 return kind;
--- a/src/main/java/larchridge/experiment/ExperimentRunner.java
+++ b/src/main/java/larchridge/experiment/ExperimentRunner.java
@@ -25,139 +25,139 @@
  * that a plan goes on where it was.
  */
 public final class ExperimentRunner {
-    static final String HEAD =
+    static final String CSV_HEADER =
             "policy,rate,engines,fronts,seed,service,asked,streamed,throttled,terminated,p50_ms,p99_ms,"
                     + "read_toks,kept_toks,out_toks,preemptions,evictions,breaches,virtual_per_real,digest";
 
     /** One row of the results. */
     public record Row(
-            ExperimentPlan.Point point,
+            ExperimentPlan.RunParameters run,
             double service,
-            double p50,
-            double p99,
+            double firstTokenP50Ms,
+            double firstTokenP99Ms,
             int breaches,
             String digest,
-            String text) {}
+            String csvLine) {}
 
     private ExperimentRunner() {}
 
     /** Runs what the table does not hold yet; returns all rows in the plan's order. */
-    public static List<Row> run(ExperimentPlan plan, Path table, int sideBySide)
+    public static List<Row> run(ExperimentPlan plan, Path resultsFile, int parallelism)
             throws IOException, InterruptedException {
-        Map<String, Row> known = read(plan, table);
-        ExecutorService threads = Executors.newFixedThreadPool(sideBySide);
+        Map<String, Row> completed = readCompletedRuns(plan, resultsFile);
+        ExecutorService executor = Executors.newFixedThreadPool(parallelism);
         try (BufferedWriter out =
                 Files.newBufferedWriter(
-                        table, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
-            if (known.isEmpty() && Files.size(table) == 0) {
-                out.write(HEAD + "\n");
+                        resultsFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+            if (completed.isEmpty() && Files.size(resultsFile) == 0) {
+                out.write(CSV_HEADER + "\n");
             }
-            Map<ExperimentPlan.Point, Future<Row>> running = new LinkedHashMap<>();
-            for (ExperimentPlan.Point point : plan.points) {
-                if (!known.containsKey(point.key())) {
+            Map<ExperimentPlan.RunParameters, Future<Row>> running = new LinkedHashMap<>();
+            for (ExperimentPlan.RunParameters run : plan.runs) {
+                if (!completed.containsKey(run.key())) {
                     running.put(
-                            point,
-                            threads.submit(
+                            run,
+                            executor.submit(
                                     () -> {
-                                        Row row = one(plan, point);
+                                        Row row = simulate(plan, run);
                                         synchronized (out) {
-                                            out.write(row.text + "\n");
+                                            out.write(row.csvLine + "\n");
                                             out.flush();
                                         }
                                         return row;
                                     }));
                 }
             }
-            for (Map.Entry<ExperimentPlan.Point, Future<Row>> entry : running.entrySet()) {
-                known.put(entry.getKey().key(), entry.getValue().get());
+            for (Map.Entry<ExperimentPlan.RunParameters, Future<Row>> entry : running.entrySet()) {
+                completed.put(entry.getKey().key(), entry.getValue().get());
             }
         } catch (ExecutionException e) {
             throw new IllegalStateException("a run failed", e.getCause());
         } finally {
-            threads.shutdownNow();
+            executor.shutdownNow();
         }
-        return plan.points.stream().map(point -> known.get(point.key())).toList();
+        return plan.runs.stream().map(run -> completed.get(run.key())).toList();
     }
 
-    private static Row one(ExperimentPlan plan, ExperimentPlan.Point point) {
-        PolicyEvents.Factory module =
-                point.policy().equals(ExperimentPlan.CHOICE)
+    private static Row simulate(ExperimentPlan plan, ExperimentPlan.RunParameters run) {
+        PolicyEvents.Factory policyFactory =
+                run.policy().equals(ExperimentPlan.ROUTING_POLICY)
                         ? RoutingPolicy::new
-                        : (terms, host) ->
+                        : (settings, actions) ->
                                 new BaselinePolicy(
-                                        ExperimentPlan.kind(point.policy()), terms, host);
+                                        ExperimentPlan.baselineKind(run.policy()), settings, actions);
         SimulationRun.Result result =
-                SimulationRun.play(
+                SimulationRun.simulate(
                         plan.script
-                                .scaled(point.rate(), point.engines(), point.fronts())
-                                .withSeed(point.seed()),
-                        module);
-        long read = 0;
-        long kept = 0;
-        long out = 0;
-        long preempted = 0;
-        long evicted = 0;
-        for (EngineModel.Sums sums : result.sums()) {
-            read += sums.promptTokensRead();
-            kept += sums.promptTokensKept();
-            out += sums.tokensOut();
-            preempted += sums.preemptions();
-            evicted += sums.evictions();
+                                .scaled(run.rateFactor(), run.engineFactor(), run.routers())
+                                .withSeed(run.seed()),
+                        policyFactory);
+        long readTokens = 0;
+        long cachedTokens = 0;
+        long outputTokens = 0;
+        long preemptions = 0;
+        long evictions = 0;
+        for (EngineModel.Totals totals : result.engineTotals()) {
+            readTokens += totals.promptTokensRead();
+            cachedTokens += totals.promptTokensCached();
+            outputTokens += totals.outputTokens();
+            preemptions += totals.preemptions();
+            evictions += totals.evictions();
         }
-        String text =
+        String csvLine =
                 String.format(
                         Locale.ROOT,
                         "%s,%.6f,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%.1f,%s",
-                        point.key(),
-                        result.all().service(),
-                        result.all().asked,
-                        result.all().streamed,
-                        result.all().throttled,
-                        result.all().terminated,
-                        result.all().firstToken.getValueAtPercentile(50),
-                        result.all().firstToken.getValueAtPercentile(99),
-                        read,
-                        kept,
-                        out,
-                        preempted,
-                        evicted,
+                        run.key(),
+                        result.overall().service(),
+                        result.overall().asked,
+                        result.overall().streamed,
+                        result.overall().throttled,
+                        result.overall().terminated,
+                        result.overall().firstToken.getValueAtPercentile(50),
+                        result.overall().firstToken.getValueAtPercentile(99),
+                        readTokens,
+                        cachedTokens,
+                        outputTokens,
+                        preemptions,
+                        evictions,
                         result.breaches().size(),
                         result.virtualMs() / result.realMs(),
                         result.digest());
-        return row(point, text);
+        return parseRow(run, csvLine);
     }
 
-    private static Row row(ExperimentPlan.Point point, String text) {
-        String[] cells = text.split(",");
+    private static Row parseRow(ExperimentPlan.RunParameters run, String csvLine) {
+        String[] columns = csvLine.split(",");
         return new Row(
-                point,
-                Double.parseDouble(cells[5]),
-                Double.parseDouble(cells[10]),
-                Double.parseDouble(cells[11]),
-                Integer.parseInt(cells[17]),
-                cells[19],
-                text);
+                run,
+                Double.parseDouble(columns[5]),
+                Double.parseDouble(columns[10]),
+                Double.parseDouble(columns[11]),
+                Integer.parseInt(columns[17]),
+                columns[19],
+                csvLine);
     }
 
     /** Rows of runs that ended; a last line that was cut short is run again. */
-    private static Map<String, Row> read(ExperimentPlan plan, Path table) throws IOException {
+    private static Map<String, Row> readCompletedRuns(ExperimentPlan plan, Path resultsFile) throws IOException {
         Map<String, Row> rows = new LinkedHashMap<>();
-        if (!Files.exists(table)) {
+        if (!Files.exists(resultsFile)) {
             return rows;
         }
-        List<String> whole = new ArrayList<>();
-        String all = Files.readString(table);
-        for (String line : all.substring(0, all.lastIndexOf('\n') + 1).split("\n")) {
-            whole.add(line);
-            for (ExperimentPlan.Point point : plan.points) {
-                if (line.startsWith(point.key() + ",")
-                        && line.split(",").length == HEAD.split(",").length) {
-                    rows.put(point.key(), row(point, line));
+        List<String> completeLines = new ArrayList<>();
+        String content = Files.readString(resultsFile);
+        for (String line : content.substring(0, content.lastIndexOf('\n') + 1).split("\n")) {
+            completeLines.add(line);
+            for (ExperimentPlan.RunParameters run : plan.runs) {
+                if (line.startsWith(run.key() + ",")
+                        && line.split(",").length == CSV_HEADER.split(",").length) {
+                    rows.put(run.key(), parseRow(run, line));
                 }
             }
         }
-        if (!all.endsWith("\n")) {
-            Files.writeString(table, String.join("\n", whole) + "\n");
+        if (!content.endsWith("\n")) {
+            Files.writeString(resultsFile, String.join("\n", completeLines) + "\n");
         }
         return rows;
     }
--- a/src/main/java/larchridge/experiment/FaultSearch.java
+++ b/src/main/java/larchridge/experiment/FaultSearch.java
@@ -27,7 +27,7 @@
  * goes. From a seed; the same seed finds the same.
  */
 public final class FaultSearch {
-    private static final List<String> KINDS =
+    private static final List<String> FAULT_KINDS =
             List.of(
                     "crash",
                     "pause",
@@ -42,94 +42,94 @@
                     "drain",
                     "remove",
                     "burst");
-    private static final int MOST_TROUBLES = 5;
-    private static final int KEPT = 4;
-    private static final double KEEPS = 0.8;
-    private static final double BREACH = 10;
-    private static final List<BaselinePolicy.Kind> BESIDE =
+    private static final int MAX_FAULTS = 5;
+    private static final int MAX_CANDIDATES = 4;
+    private static final double MIN_SHRUNK_SEVERITY = 0.8;
+    private static final double VIOLATION_SEVERITY = 10;
+    private static final List<BaselinePolicy.Kind> BASELINES =
             List.of(BaselinePolicy.Kind.LEAST_OPEN, BaselinePolicy.Kind.PREFIX_HASH);
 
     /**
-     * A script with how bad it is: {@value #BREACH} and more for a broken rule, else what a plain
+     * A script with how bad it is: {@value #VIOLATION_SEVERITY} and more for a broken rule, else what a plain
      * policy serves more.
      */
-    public record Found(TestScript script, double badness, double service, int breaches) {}
+    public record Candidate(TestScript script, double severity, double service, int breaches) {}
 
     private final TestScript base;
     private final Random random;
-    private final List<EngineProfile> makes;
-    private final ExecutorService threads;
+    private final List<EngineProfile> profiles;
+    private final ExecutorService executor;
 
-    private FaultSearch(TestScript base, long seed, int sideBySide) {
+    private FaultSearch(TestScript base, long seed, int parallelism) {
         this.base = base;
         random = new Random(seed);
-        makes = SystemTest.makes(base);
-        threads = Executors.newFixedThreadPool(sideBySide);
+        profiles = SystemTest.makes(base);
+        executor = Executors.newFixedThreadPool(parallelism);
     }
 
     /** Tries so many scripts, then shrinks the worst. */
-    public static Found run(TestScript base, long seed, int tries, int sideBySide)
+    public static Candidate run(TestScript base, long seed, int scriptCount, int parallelism)
             throws InterruptedException {
-        FaultSearch search = new FaultSearch(base, seed, sideBySide);
+        FaultSearch search = new FaultSearch(base, seed, parallelism);
         try {
-            return search.shrink(search.worst(tries, sideBySide));
+            return search.shrink(search.findWorst(scriptCount, parallelism));
         } finally {
-            search.threads.shutdownNow();
+            search.executor.shutdownNow();
         }
     }
 
-    private Found worst(int tries, int atATime) throws InterruptedException {
-        List<Found> best = new ArrayList<>();
-        for (int done = 0; done < tries; done += atATime) {
-            List<TestScript> next = new ArrayList<>();
-            for (int i = 0; i < atATime; i++) {
-                boolean fresh = best.isEmpty() || random.nextInt(3) == 0;
-                next.add(
-                        fresh
-                                ? with(fresh())
-                                : with(
-                                        changed(
-                                                best.get(random.nextInt(best.size()))
+    private Candidate findWorst(int scriptCount, int batchSize) throws InterruptedException {
+        List<Candidate> worst = new ArrayList<>();
+        for (int done = 0; done < scriptCount; done += batchSize) {
+            List<TestScript> scripts = new ArrayList<>();
+            for (int i = 0; i < batchSize; i++) {
+                boolean startAnew = worst.isEmpty() || random.nextInt(3) == 0;
+                scripts.add(
+                        startAnew
+                                ? scriptWithFaults(randomFaults())
+                                : scriptWithFaults(
+                                        mutateOneFault(
+                                                worst.get(random.nextInt(worst.size()))
                                                         .script
                                                         .troubles())));
             }
-            best.addAll(all(next));
+            worst.addAll(evaluateAll(scripts));
             // Ties by the order found: the same seed finds the same.
-            best.sort(Comparator.comparingDouble(Found::badness).reversed());
-            best = new ArrayList<>(best.subList(0, Math.min(KEPT, best.size())));
+            worst.sort(Comparator.comparingDouble(Candidate::severity).reversed());
+            worst = new ArrayList<>(worst.subList(0, Math.min(MAX_CANDIDATES, worst.size())));
         }
-        return best.get(0);
+        return worst.get(0);
     }
 
-    private TestScript with(List<TestScript.Trouble> troubles) {
+    private TestScript scriptWithFaults(List<TestScript.Trouble> faults) {
         return base.withTroubles(
-                troubles.stream()
+                faults.stream()
                         .sorted(Comparator.comparingDouble(TestScript.Trouble::atMs))
                         .toList());
     }
 
-    private List<TestScript.Trouble> fresh() {
-        List<TestScript.Trouble> troubles = new ArrayList<>();
-        for (int i = 1 + random.nextInt(MOST_TROUBLES); i > 0; i--) {
-            troubles.add(trouble());
+    private List<TestScript.Trouble> randomFaults() {
+        List<TestScript.Trouble> faults = new ArrayList<>();
+        for (int i = 1 + random.nextInt(MAX_FAULTS); i > 0; i--) {
+            faults.add(randomFault());
         }
-        return troubles;
+        return faults;
     }
 
-    private List<TestScript.Trouble> changed(List<TestScript.Trouble> before) {
-        List<TestScript.Trouble> troubles = new ArrayList<>(before);
-        if (troubles.size() < MOST_TROUBLES && random.nextBoolean()) {
-            troubles.add(trouble());
+    private List<TestScript.Trouble> mutateOneFault(List<TestScript.Trouble> before) {
+        List<TestScript.Trouble> faults = new ArrayList<>(before);
+        if (faults.size() < MAX_FAULTS && random.nextBoolean()) {
+            faults.add(randomFault());
         } else {
-            troubles.set(random.nextInt(troubles.size()), trouble());
+            faults.set(random.nextInt(faults.size()), randomFault());
         }
-        return troubles;
+        return faults;
     }
 
-    private TestScript.Trouble trouble() {
-        String kind = KINDS.get(random.nextInt(KINDS.size()));
-        double at = Math.round(base.durationMs() * (0.1 + 0.6 * random.nextDouble()));
-        double length = Math.round(base.durationMs() * (0.03 + 0.3 * random.nextDouble()));
+    private TestScript.Trouble randomFault() {
+        String kind = FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size()));
+        double atMs = Math.round(base.durationMs() * (0.1 + 0.6 * random.nextDouble()));
+        double durationMs = Math.round(base.durationMs() * (0.03 + 0.3 * random.nextDouble()));
         double size =
                 switch (kind) {
                     case "slow" -> 2 + random.nextInt(20);
@@ -138,136 +138,136 @@
                     default -> 0.2 + 0.8 * random.nextDouble();
                 };
         return new TestScript.Trouble(
-                at, length, kind, kind.equals("burst") ? List.of() : some(), size);
+                atMs, durationMs, kind, kind.equals("burst") ? List.of() : randomEngines(), size);
     }
 
     /**
      * Engines that fail together: some by chance, or a rack, or all of one role in a zone; never
      * more than half.
      */
-    private List<Long> some() {
-        EngineProfile one = makes.get(random.nextInt(makes.size()));
-        int how = random.nextInt(3);
+    private List<Long> randomEngines() {
+        EngineProfile first = profiles.get(random.nextInt(profiles.size()));
+        int selection = random.nextInt(3);
         TreeSet<Long> ids = new TreeSet<>();
-        ids.add(one.id());
-        int most = Math.max(1, makes.size() / 2);
-        for (EngineProfile make : makes) {
-            boolean with =
-                    how == 0
+        ids.add(first.id());
+        int maxEngines = Math.max(1, profiles.size() / 2);
+        for (EngineProfile profile : profiles) {
+            boolean selected =
+                    selection == 0
                             ? random.nextInt(6) == 0
-                            : how == 1
-                                    ? make.zone().equals(one.zone()) && make.rack() == one.rack()
-                                    : make.zone().equals(one.zone()) && make.role() == one.role();
-            if (with && ids.size() < most) {
-                ids.add(make.id());
+                            : selection == 1
+                                    ? profile.zone().equals(first.zone()) && profile.rack() == first.rack()
+                                    : profile.zone().equals(first.zone()) && profile.role() == first.role();
+            if (selected && ids.size() < maxEngines) {
+                ids.add(profile.id());
             }
         }
         return List.copyOf(ids);
     }
 
-    private List<Found> all(List<TestScript> scripts) throws InterruptedException {
-        List<Future<Found>> running = new ArrayList<>();
+    private List<Candidate> evaluateAll(List<TestScript> scripts) throws InterruptedException {
+        List<Future<Candidate>> running = new ArrayList<>();
         for (TestScript script : scripts) {
-            running.add(threads.submit((Callable<Found>) () -> judge(script)));
+            running.add(executor.submit((Callable<Candidate>) () -> evaluate(script)));
         }
-        List<Found> found = new ArrayList<>();
-        for (Future<Found> one : running) {
+        List<Candidate> candidates = new ArrayList<>();
+        for (Future<Candidate> evaluation : running) {
             try {
-                found.add(one.get());
+                candidates.add(evaluation.get());
             } catch (ExecutionException e) {
                 throw new IllegalStateException("a run failed", e.getCause());
             }
         }
-        return found;
+        return candidates;
     }
 
     /**
      * Plays a script with the module, and where it breaks no rule with plain policies beside it.
      */
-    static Found judge(TestScript script) {
-        SimulationRun.Result ours = SimulationRun.play(script);
-        double service = ours.all().service();
-        if (!ours.breaches().isEmpty()) {
-            return new Found(
-                    script, BREACH + ours.breaches().size(), service, ours.breaches().size());
+    static Candidate evaluate(TestScript script) {
+        SimulationRun.Result result = SimulationRun.simulate(script);
+        double service = result.overall().service();
+        if (!result.breaches().isEmpty()) {
+            return new Candidate(
+                    script, VIOLATION_SEVERITY + result.breaches().size(), service, result.breaches().size());
         }
-        double other = 0;
-        for (BaselinePolicy.Kind kind : BESIDE) {
-            other =
+        double bestBaseline = 0;
+        for (BaselinePolicy.Kind kind : BASELINES) {
+            bestBaseline =
                     Math.max(
-                            other,
-                            SimulationRun.play(
+                            bestBaseline,
+                            SimulationRun.simulate(
                                             script,
-                                            (terms, host) -> new BaselinePolicy(kind, terms, host))
-                                    .all()
+                                            (settings, actions) -> new BaselinePolicy(kind, settings, actions))
+                                    .overall()
                                     .service());
         }
-        return new Found(script, other - service, service, 0);
+        return new Candidate(script, bestBaseline - service, service, 0);
     }
 
     /** Leaves out whatever can be left out while it stays nearly as bad. */
-    private Found shrink(Found found) throws InterruptedException {
-        Found least = found;
+    private Candidate shrink(Candidate original) throws InterruptedException {
+        Candidate smallest = original;
         boolean smaller = true;
         while (smaller) {
             smaller = false;
-            List<TestScript> tries = new ArrayList<>();
-            List<TestScript.Trouble> troubles = least.script.troubles();
-            for (int i = 0; i < troubles.size(); i++) {
-                TestScript.Trouble trouble = troubles.get(i);
-                if (troubles.size() > 1) {
-                    tries.add(with(changed(troubles, i, null)));
+            List<TestScript> variants = new ArrayList<>();
+            List<TestScript.Trouble> faults = smallest.script.troubles();
+            for (int i = 0; i < faults.size(); i++) {
+                TestScript.Trouble fault = faults.get(i);
+                if (faults.size() > 1) {
+                    variants.add(scriptWithFaults(replaceOrRemoveFault(faults, i, null)));
                 }
                 for (Long engine :
-                        trouble.engines().size() > 1 ? trouble.engines() : List.<Long>of()) {
-                    tries.add(
-                            with(
-                                    changed(
-                                            troubles,
+                        fault.engines().size() > 1 ? fault.engines() : List.<Long>of()) {
+                    variants.add(
+                            scriptWithFaults(
+                                    replaceOrRemoveFault(
+                                            faults,
                                             i,
                                             new TestScript.Trouble(
-                                                    trouble.atMs(),
-                                                    trouble.forMs(),
-                                                    trouble.kind(),
-                                                    trouble.engines().stream()
+                                                    fault.atMs(),
+                                                    fault.forMs(),
+                                                    fault.kind(),
+                                                    fault.engines().stream()
                                                             .filter(id -> !id.equals(engine))
                                                             .toList(),
-                                                    trouble.size()))));
+                                                    fault.size()))));
                 }
-                if (trouble.forMs() > 400) {
-                    tries.add(
-                            with(
-                                    changed(
-                                            troubles,
+                if (fault.forMs() > 400) {
+                    variants.add(
+                            scriptWithFaults(
+                                    replaceOrRemoveFault(
+                                            faults,
                                             i,
                                             new TestScript.Trouble(
-                                                    trouble.atMs(),
-                                                    Math.round(trouble.forMs() / 2),
-                                                    trouble.kind(),
-                                                    trouble.engines(),
-                                                    trouble.size()))));
+                                                    fault.atMs(),
+                                                    Math.round(fault.forMs() / 2),
+                                                    fault.kind(),
+                                                    fault.engines(),
+                                                    fault.size()))));
                 }
             }
-            for (Found one : all(tries)) {
-                if (one.badness >= KEEPS * found.badness && one.badness > 0) {
-                    least = one;
+            for (Candidate candidate : evaluateAll(variants)) {
+                if (candidate.severity >= MIN_SHRUNK_SEVERITY * original.severity && candidate.severity > 0) {
+                    smallest = candidate;
                     smaller = true;
                     break;
                 }
             }
         }
-        return least;
+        return smallest;
     }
 
-    private static List<TestScript.Trouble> changed(
-            List<TestScript.Trouble> troubles, int at, TestScript.Trouble other) {
-        List<TestScript.Trouble> all = new ArrayList<>(troubles);
-        if (other == null) {
-            all.remove(at);
+    private static List<TestScript.Trouble> replaceOrRemoveFault(
+            List<TestScript.Trouble> faults, int index, TestScript.Trouble replacement) {
+        List<TestScript.Trouble> changed = new ArrayList<>(faults);
+        if (replacement == null) {
+            changed.remove(index);
         } else {
-            all.set(at, other);
+            changed.set(index, replacement);
         }
-        return all;
+        return changed;
     }
 
     /** A script as a file that can be played again. */
--- a/src/main/java/larchridge/experiment/ReportPage.java
+++ b/src/main/java/larchridge/experiment/ReportPage.java
@@ -25,55 +25,55 @@
     private ReportPage() {}
 
     /** A mean with the half of its interval; 0 where there is one value only. */
-    public record Mean(double value, double half) {
-        static Mean of(List<Double> values) {
-            SummaryStatistics sums = new SummaryStatistics();
-            values.forEach(sums::addValue);
-            double half =
+    public record ConfidenceInterval(double mean, double halfWidth) {
+        static ConfidenceInterval of(List<Double> values) {
+            SummaryStatistics statistics = new SummaryStatistics();
+            values.forEach(statistics::addValue);
+            double halfWidth =
                     values.size() < 2
                             ? 0
                             : new TDistribution(values.size() - 1.0)
                                             .inverseCumulativeProbability(0.5 + CONFIDENCE / 2)
-                                    * sums.getStandardDeviation()
+                                    * statistics.getStandardDeviation()
                                     / Math.sqrt(values.size());
-            return new Mean(sums.getMean(), half);
+            return new ConfidenceInterval(statistics.getMean(), halfWidth);
         }
 
         /** Whether it differs from 0 by more than chance would have it. */
-        boolean isMoreThanNoise() {
-            return half > 0 && Math.abs(value) > half;
+        boolean isSignificant() {
+            return halfWidth > 0 && Math.abs(mean) > halfWidth;
         }
 
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%.3f ± %.3f", value, half);
+            return String.format(Locale.ROOT, "%.3f ± %.3f", mean, halfWidth);
         }
     }
 
     /**
      * Differences of a policy from the first of the plan, seed by seed, where all else is the same.
      */
-    static Mean difference(
-            List<ExperimentRunner.Row> rows, String first, String policy, double rate) {
-        Map<String, Double> base = new TreeMap<>();
+    static ConfidenceInterval difference(
+            List<ExperimentRunner.Row> rows, String baseline, String policy, double rate) {
+        Map<String, Double> baselineService = new TreeMap<>();
         rows.stream()
-                .filter(r -> r.point().policy().equals(first))
-                .forEach(r -> base.put(rest(r.point()), r.service()));
-        return Mean.of(
+                .filter(r -> r.run().policy().equals(baseline))
+                .forEach(r -> baselineService.put(keyWithoutPolicy(r.run()), r.service()));
+        return ConfidenceInterval.of(
                 rows.stream()
-                        .filter(r -> r.point().policy().equals(policy) && r.point().rate() == rate)
-                        .map(r -> r.service() - base.get(rest(r.point())))
+                        .filter(r -> r.run().policy().equals(policy) && r.run().rateFactor() == rate)
+                        .map(r -> r.service() - baselineService.get(keyWithoutPolicy(r.run())))
                         .toList());
     }
 
-    private static String rest(ExperimentPlan.Point point) {
-        return point.key().substring(point.policy().length());
+    private static String keyWithoutPolicy(ExperimentPlan.RunParameters run) {
+        return run.key().substring(run.policy().length());
     }
 
     public static void write(ExperimentPlan plan, List<ExperimentRunner.Row> rows, Path folder)
             throws IOException {
         chart(plan, rows, "service", ExperimentRunner.Row::service, folder.resolve("service"));
-        chart(plan, rows, "first token p99, ms", ExperimentRunner.Row::p99, folder.resolve("p99"));
+        chart(plan, rows, "first token p99, ms", ExperimentRunner.Row::firstTokenP99Ms, folder.resolve("p99"));
         StringBuilder html =
                 new StringBuilder(
                         "<!doctype html><meta charset=\"utf-8\"><title>Experiment</title>"
@@ -93,28 +93,28 @@
         List<String> lines = new ArrayList<>();
         for (String policy : plan.policies) {
             for (double rate : plan.rates) {
-                List<ExperimentRunner.Row> some =
+                List<ExperimentRunner.Row> selected =
                         rows.stream()
                                 .filter(
                                         r ->
-                                                r.point().policy().equals(policy)
-                                                        && r.point().rate() == rate)
+                                                r.run().policy().equals(policy)
+                                                        && r.run().rateFactor() == rate)
                                 .toList();
-                Mean beside = difference(rows, plan.policies.get(0), policy, rate);
+                ConfidenceInterval difference = difference(rows, plan.policies.get(0), policy, rate);
                 lines.add(
                         policy
                                 + " | "
                                 + rate
                                 + " | "
-                                + Mean.of(some.stream().map(ExperimentRunner.Row::service).toList())
+                                + ConfidenceInterval.of(selected.stream().map(ExperimentRunner.Row::service).toList())
                                 + " | "
-                                + beside
+                                + difference
                                 + " | "
-                                + (beside.isMoreThanNoise() ? "more than noise" : "")
+                                + (difference.isSignificant() ? "more than noise" : "")
                                 + " | "
-                                + Mean.of(some.stream().map(ExperimentRunner.Row::p99).toList())
+                                + ConfidenceInterval.of(selected.stream().map(ExperimentRunner.Row::firstTokenP99Ms).toList())
                                 + " | "
-                                + some.stream().mapToInt(ExperimentRunner.Row::breaches).sum());
+                                + selected.stream().mapToInt(ExperimentRunner.Row::breaches).sum());
             }
         }
         return lines;
@@ -123,35 +123,35 @@
     private static void chart(
             ExperimentPlan plan,
             List<ExperimentRunner.Row> rows,
-            String what,
-            ToDoubleFunction<ExperimentRunner.Row> of,
+            String metric,
+            ToDoubleFunction<ExperimentRunner.Row> metricOf,
             Path file)
             throws IOException {
         XYChart chart =
                 new XYChartBuilder()
                         .width(640)
                         .height(420)
-                        .title(what + " by load")
+                        .title(metric + " by load")
                         .xAxisTitle("times the script's load")
-                        .yAxisTitle(what)
+                        .yAxisTitle(metric)
                         .build();
         for (String policy : plan.policies) {
             List<Double> means = new ArrayList<>();
-            List<Double> halves = new ArrayList<>();
+            List<Double> halfWidths = new ArrayList<>();
             for (double rate : plan.rates) {
-                Mean mean =
-                        Mean.of(
+                ConfidenceInterval interval =
+                        ConfidenceInterval.of(
                                 rows.stream()
                                         .filter(
                                                 r ->
-                                                        r.point().policy().equals(policy)
-                                                                && r.point().rate() == rate)
-                                        .map(of::applyAsDouble)
+                                                        r.run().policy().equals(policy)
+                                                                && r.run().rateFactor() == rate)
+                                        .map(metricOf::applyAsDouble)
                                         .toList());
-                means.add(mean.value);
-                halves.add(mean.half);
+                means.add(interval.mean);
+                halfWidths.add(interval.halfWidth);
             }
-            chart.addSeries(policy, plan.rates, means, halves);
+            chart.addSeries(policy, plan.rates, means, halfWidths);
         }
         VectorGraphicsEncoder.saveVectorGraphic(
                 chart, file.toString(), VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
--- a/src/main/java/larchridge/simulation/SimulatedCluster.java
+++ b/src/main/java/larchridge/simulation/SimulatedCluster.java
@@ -31,124 +31,124 @@
  */
 final class SimulatedCluster {
     /** One way between a front and an engine, in its zone and out of it. */
-    private static final double NEAR_MS = 0.3;
+    private static final double SAME_ZONE_LATENCY_MS = 0.3;
 
-    private static final double FAR_MS = 1.2;
+    private static final double CROSS_ZONE_LATENCY_MS = 1.2;
 
     /**
      * A rack's link to the others carries so many times what one engine sends, a zone's to another
      * so many.
      */
-    private static final double RACK_LINK = 3;
+    private static final double RACK_LINK_CAPACITY = 3;
 
-    private static final double ZONE_LINK = 2;
-    private static final int BLOCK_TOKS = 32;
-    private static final double LAPSE_LOOK_MS = 500;
+    private static final double ZONE_LINK_CAPACITY = 2;
+    private static final int BLOCK_TOKENS = 32;
+    private static final double STATE_EXPIRY_CHECK_MS = 500;
 
-    final VirtualTimeScheduler world;
+    final VirtualTimeScheduler scheduler;
     final SimulationLog log;
     private final Random random;
-    private final Map<Long, Seat> seats = new TreeMap<>();
+    private final Map<Long, EmulatedEngine> engines = new TreeMap<>();
     private final SharedLinks links = new SharedLinks();
-    private long linkWake = -1;
-    private double linkWakeMs;
-    private final Map<String, Talk> talks = new HashMap<>();
+    private long linkTimer = -1;
+    private double linkTimerMs;
+    private final Map<String, SimulatedRequest> requests = new HashMap<>();
 
     /** What a prompt's text stands for here. */
-    record Talk(Prompt prompt, int length, String tag) {}
+    record SimulatedRequest(Prompt prompt, int answerTokens, String tag) {}
 
     /** Names a state: where it waits and under which name. */
-    private record Waiting(long engine, String rid) implements StateHandle {}
+    private record HeldState(long engineId, String attemptId) implements StateHandle {}
 
     SimulatedCluster(
-            VirtualTimeScheduler world, SimulationLog log, List<EngineProfile> makes, long seed) {
-        this.world = world;
+            VirtualTimeScheduler scheduler, SimulationLog log, List<EngineProfile> profiles, long seed) {
+        this.scheduler = scheduler;
         this.log = log;
         random = new Random(seed ^ 0x70EFL);
-        for (EngineProfile make : makes) {
-            Seat seat = new Seat(make);
-            seats.put(make.id(), seat);
-            seat.start(false);
+        for (EngineProfile profile : profiles) {
+            EmulatedEngine engine = new EmulatedEngine(profile);
+            engines.put(profile.id(), engine);
+            engine.start(false);
         }
     }
 
     /** An engine of a script's make: its speed and room, in the form of the emulator. */
-    static EngineHardware silicon(EngineProfile make) {
-        boolean reads = make.role() == Role.READER;
-        int batch = (int) Math.max(256, make.readTokensPerMs() * 12);
+    static EngineHardware hardware(EngineProfile profile) {
+        boolean isReader = profile.role() == Role.READER;
+        int batchTokens = (int) Math.max(256, profile.readTokensPerMs() * 12);
         return new EngineHardware(
-                reads ? 0.5 : 0.6 * make.tokenMs(),
-                1 / make.readTokensPerMs(),
-                0.4 * make.tokenMs() / make.streams(),
+                isReader ? 0.5 : 0.6 * profile.tokenMs(),
+                1 / profile.readTokensPerMs(),
+                0.4 * profile.tokenMs() / profile.streams(),
                 0,
                 0,
-                BLOCK_TOKS,
-                (int) (make.memoryTokens() / BLOCK_TOKS),
-                batch,
-                reads ? make.readsAtOnce() : make.streams(),
-                make.queue() + make.readsAtOnce(),
-                make.lapseMs(),
-                make.coldShare(),
-                make.coldMs(),
+                BLOCK_TOKENS,
+                (int) (profile.memoryTokens() / BLOCK_TOKENS),
+                batchTokens,
+                isReader ? profile.readsAtOnce() : profile.streams(),
+                profile.queue() + profile.readsAtOnce(),
+                profile.lapseMs(),
+                profile.coldShare(),
+                profile.coldMs(),
                 false);
     }
 
-    void talk(String text, Talk talk) {
-        talks.put(text, talk);
+    void registerRequest(String promptText, SimulatedRequest request) {
+        requests.put(promptText, request);
     }
 
-    void forget(String text) {
-        talks.remove(text);
+    void unregisterRequest(String promptText) {
+        requests.remove(promptText);
     }
 
     static int blockTokens() {
-        return BLOCK_TOKS;
+        return BLOCK_TOKENS;
     }
 
-    Seat seat(long id) {
-        return seats.get(id);
+    EmulatedEngine engine(long id) {
+        return engines.get(id);
     }
 
     /** The list as it is now. */
-    List<EngineEntry> rows() {
-        List<EngineEntry> rows = new ArrayList<>();
-        for (Seat seat : seats.values()) {
-            if (seat.listed) {
-                EngineProfile make = seat.make;
-                rows.add(
+    List<EngineEntry> engineEntries() {
+        List<EngineEntry> entries = new ArrayList<>();
+        for (EmulatedEngine engine : engines.values()) {
+            if (engine.listed) {
+                EngineProfile profile = engine.profile;
+                entries.add(
                         new EngineEntry(
-                                make.id(),
+                                profile.id(),
                                 "e",
-                                (int) make.id(),
-                                make.role(),
-                                make.zone(),
-                                make.rack(),
+                                (int) profile.id(),
+                                profile.role(),
+                                profile.zone(),
+                                profile.rack(),
                                 1,
-                                make.memoryTokens(),
-                                seat.listedStartMs,
-                                seat.drains ? EndpointState.DRAINING : EndpointState.READY));
+                                profile.memoryTokens(),
+                                engine.listedStartMs,
+                                engine.draining ? EndpointState.DRAINING : EndpointState.READY));
             }
         }
-        return rows;
+        return entries;
     }
 
-    List<EngineModel.Sums> sums() {
-        return seats.values().stream().map(seat -> seat.model.sums()).toList();
+    List<EngineModel.Totals> totals() {
+        return engines.values().stream().map(engine -> engine.model.totals()).toList();
     }
 
     // ------------------------------------------------------------------ engines
 
     /** One engine over its lives. */
-    final class Seat implements EngineModel.Ears {
-        final EngineProfile make;
+    final class EmulatedEngine implements EngineModel.Listener {
+        final EngineProfile profile;
         EngineModel model;
-        boolean up;
+        boolean running;
         boolean listed = true;
-        boolean drains;
+        boolean draining;
         double listedStartMs;
         double startedMs;
-        private int life;
-        private boolean stepping;
+        private int incarnation;
+        private boolean stepRunning;
         // Ailments.
         double pausedUntilMs;
         double lostShare;
@@ -157,190 +157,190 @@
         boolean faulty;
         boolean forgetful;
 
-        Seat(EngineProfile make) {
-            this.make = make;
+        EmulatedEngine(EngineProfile profile) {
+            this.profile = profile;
         }
 
         void start(boolean cold) {
-            life++;
-            up = true;
-            stepping = false;
-            startedMs = world.nowMs();
+            incarnation++;
+            running = true;
+            stepRunning = false;
+            startedMs = scheduler.nowMs();
             model =
                     new EngineModel(
-                            silicon(make), cold ? startedMs : startedMs - make.coldMs(), this);
-            log.add(TrafficEvent.Kind.STARTED, make.id(), null, null, cold ? 1 : 0, null);
-            int mine = life;
-            world.schedule(LAPSE_LOOK_MS, () -> lapse(mine));
+                            hardware(profile), cold ? startedMs : startedMs - profile.coldMs(), this);
+            log.add(TrafficEvent.Kind.STARTED, profile.id(), null, null, cold ? 1 : 0, null);
+            int expectedIncarnation = incarnation;
+            scheduler.schedule(STATE_EXPIRY_CHECK_MS, () -> expireStates(expectedIncarnation));
         }
 
         void crash() {
-            if (!up) {
+            if (!running) {
                 return;
             }
-            up = false;
-            life++;
-            List<Visit> here = new ArrayList<>(visits);
-            visits.clear();
-            for (Visit visit : here) {
+            running = false;
+            incarnation++;
+            List<SimulatedAttempt> interrupted = new ArrayList<>(attempts);
+            attempts.clear();
+            for (SimulatedAttempt attempt : interrupted) {
                 log.add(
                         TrafficEvent.Kind.LEG_OUT,
-                        make.id(),
-                        visit.order.attemptId(),
-                        visit.talk.tag,
-                        visit.job.made(),
+                        profile.id(),
+                        attempt.attemptRequest.attemptId(),
+                        attempt.request.tag,
+                        attempt.job.generatedTokens(),
                         null);
-                visit.back(() -> visit.over(AttemptOutcome.CUT));
+                attempt.sendBack(() -> attempt.end(AttemptOutcome.CUT));
             }
-            for (Job state : states.values()) {
+            for (Job state : heldStates.values()) {
                 log.add(
                         TrafficEvent.Kind.STATE_GONE,
-                        make.id(),
-                        state.rid,
-                        ((Visit) state.owner).talk.tag,
+                        profile.id(),
+                        state.attemptId,
+                        ((SimulatedAttempt) state.attachment).request.tag,
                         state.prompt.tokens,
                         null);
             }
-            states.clear();
-            log.add(TrafficEvent.Kind.STOPPED, make.id(), null, null, 0, null);
+            heldStates.clear();
+            log.add(TrafficEvent.Kind.STOPPED, profile.id(), null, null, 0, null);
         }
 
-        private final List<Visit> visits = new ArrayList<>();
-        private final Map<String, Job> states = new TreeMap<>();
+        private final List<SimulatedAttempt> attempts = new ArrayList<>();
+        private final Map<String, Job> heldStates = new TreeMap<>();
 
         /** Ails no more. */
-        void clear() {
+        void clearFaults() {
             pausedUntilMs = 0;
             lostShare = 0;
             brokenShare = 0;
             full = false;
             faulty = false;
             forgetful = false;
-            model.ails(1, Integer.MAX_VALUE, 1);
+            model.injectSlowdown(1, Integer.MAX_VALUE, 1);
         }
 
-        private void lapse(int mine) {
-            if (mine == life && up) {
-                model.lapse(world.nowMs());
-                world.schedule(LAPSE_LOOK_MS, () -> lapse(mine));
+        private void expireStates(int expectedIncarnation) {
+            if (expectedIncarnation == incarnation && running) {
+                model.releaseExpiredStates(scheduler.nowMs());
+                scheduler.schedule(STATE_EXPIRY_CHECK_MS, () -> expireStates(expectedIncarnation));
             }
         }
 
-        void kick() {
-            if (!up || stepping) {
+        void startStep() {
+            if (!running || stepRunning) {
                 return;
             }
-            double wait = pausedUntilMs - world.nowMs();
-            if (wait > 0) {
-                int mine = life;
-                world.schedule(
-                        wait,
+            double pauseMs = pausedUntilMs - scheduler.nowMs();
+            if (pauseMs > 0) {
+                int expectedIncarnation = incarnation;
+                scheduler.schedule(
+                        pauseMs,
                         () -> {
-                            if (mine == life) {
-                                kick();
+                            if (expectedIncarnation == incarnation) {
+                                startStep();
                             }
                         });
                 return;
             }
-            double ms = model.begin(world.nowMs());
-            if (!Double.isNaN(ms)) {
-                stepping = true;
-                int mine = life;
-                world.schedule(ms, () -> step(mine));
+            double stepMs = model.beginStep(scheduler.nowMs());
+            if (!Double.isNaN(stepMs)) {
+                stepRunning = true;
+                int expectedIncarnation = incarnation;
+                scheduler.schedule(stepMs, () -> finishStep(expectedIncarnation));
             }
         }
 
-        private void step(int mine) {
-            if (mine != life) {
+        private void finishStep(int expectedIncarnation) {
+            if (expectedIncarnation != incarnation) {
                 return;
             }
-            double wait = pausedUntilMs - world.nowMs();
-            if (wait > 0) {
-                world.schedule(wait, () -> step(mine));
+            double pauseMs = pausedUntilMs - scheduler.nowMs();
+            if (pauseMs > 0) {
+                scheduler.schedule(pauseMs, () -> finishStep(expectedIncarnation));
                 return;
             }
-            stepping = false;
-            model.end(world.nowMs());
-            kick();
+            stepRunning = false;
+            model.endStep(scheduler.nowMs());
+            startStep();
         }
 
-        LoadReport report() {
+        LoadReport loadReport() {
             return new LoadReport(
                     model.inflight(),
-                    model.queue(),
-                    Math.min(1, model.heldShare()),
-                    model.toRead());
+                    model.queueLength(),
+                    Math.min(1, model.memoryShare()),
+                    model.pendingPromptTokens());
         }
 
-        void arrive(Visit visit) {
-            if (visit.isOver) {
+        void receive(SimulatedAttempt attempt) {
+            if (attempt.ended) {
                 return;
             }
-            if (!up) {
-                visit.back(() -> visit.over(AttemptOutcome.UNREACHABLE));
+            if (!running) {
+                attempt.sendBack(() -> attempt.end(AttemptOutcome.UNREACHABLE));
                 return;
             }
             log.add(
-                    visit.job.kind == Job.Kind.READ
+                    attempt.job.kind == Job.Kind.READ
                             ? TrafficEvent.Kind.READ_IN
                             : TrafficEvent.Kind.WRITE_IN,
-                    make.id(),
-                    visit.order.attemptId(),
-                    visit.talk.tag,
-                    visit.talk.prompt.tokens,
+                    profile.id(),
+                    attempt.attemptRequest.attemptId(),
+                    attempt.request.tag,
+                    attempt.request.prompt.tokens,
                     null);
-            visits.add(visit);
-            boolean wrong =
-                    visit.job.kind == Job.Kind.READ
-                            ? make.role() == Role.WRITER
-                            : make.role() == Role.READER
-                                    || (visit.job.kind == Job.Kind.BOTH
-                                            && make.role() != Role.BOTH);
-            if (faulty || wrong) {
-                leave(visit, faulty ? AttemptOutcome.FAULT : AttemptOutcome.NO_STATE);
-            } else if (full || !model.submit(visit.job)) {
-                leave(visit, AttemptOutcome.FULL);
+            attempts.add(attempt);
+            boolean wrongRole =
+                    attempt.job.kind == Job.Kind.READ
+                            ? profile.role() == Role.WRITER
+                            : profile.role() == Role.READER
+                                    || (attempt.job.kind == Job.Kind.BOTH
+                                            && profile.role() != Role.BOTH);
+            if (faulty || wrongRole) {
+                endAttempt(attempt, faulty ? AttemptOutcome.FAULT : AttemptOutcome.NO_STATE);
+            } else if (full || !model.submit(attempt.job)) {
+                endAttempt(attempt, AttemptOutcome.FULL);
             } else {
-                visit.lost = random.nextDouble() < lostShare;
-                visit.breakAfter =
+                attempt.answerLost = random.nextDouble() < lostShare;
+                attempt.breakAfterTokens =
                         random.nextDouble() < brokenShare ? random.nextInt(12) : Integer.MAX_VALUE;
-                kick();
+                startStep();
             }
         }
 
         /** An attempt ends here with something else than what it came for. */
-        private void leave(Visit visit, AttemptOutcome outcome) {
-            if (visits.remove(visit)) {
-                if (!states.containsKey(visit.job.rid)) {
-                    model.drop(visit.job);
+        private void endAttempt(SimulatedAttempt attempt, AttemptOutcome outcome) {
+            if (attempts.remove(attempt)) {
+                if (!heldStates.containsKey(attempt.job.attemptId)) {
+                    model.cancel(attempt.job);
                 }
                 log.add(
                         TrafficEvent.Kind.LEG_OUT,
-                        make.id(),
-                        visit.order.attemptId(),
-                        visit.talk.tag,
-                        visit.job.made(),
+                        profile.id(),
+                        attempt.attemptRequest.attemptId(),
+                        attempt.request.tag,
+                        attempt.job.generatedTokens(),
                         null);
                 if (outcome != null) {
-                    LoadReport report = report();
-                    visit.back(() -> visit.over(outcome, report));
+                    LoadReport report = loadReport();
+                    attempt.sendBack(() -> attempt.end(outcome, report));
                 }
-                kick();
+                startStep();
             }
         }
 
-        private void release(String rid) {
-            Job state = states.remove(rid);
+        private void releaseState(String attemptId) {
+            Job state = heldStates.remove(attemptId);
             if (state != null) {
-                model.release(rid);
+                model.release(attemptId);
                 log.add(
                         TrafficEvent.Kind.STATE_GONE,
-                        make.id(),
-                        rid,
-                        ((Visit) state.owner).talk.tag,
+                        profile.id(),
+                        attemptId,
+                        ((SimulatedAttempt) state.attachment).request.tag,
                         state.prompt.tokens,
                         null);
-                kick();
+                startStep();
             }
         }
 
@@ -348,172 +348,172 @@
          * An attempt ends with its answer. One whose answer is lost stays open until its front
          * gives it up.
          */
-        private void answered(Visit visit) {
-            visits.remove(visit);
+        private void attemptAnswered(SimulatedAttempt attempt) {
+            attempts.remove(attempt);
             log.add(
                     TrafficEvent.Kind.LEG_OUT,
-                    make.id(),
-                    visit.order.attemptId(),
-                    visit.talk.tag,
-                    visit.job.made(),
+                    profile.id(),
+                    attempt.attemptRequest.attemptId(),
+                    attempt.request.tag,
+                    attempt.job.generatedTokens(),
                     null);
         }
 
         @Override
-        public void read(Job job) {
-            Visit visit = (Visit) job.owner;
+        public void readCompleted(Job job) {
+            SimulatedAttempt attempt = (SimulatedAttempt) job.attachment;
             log.add(
                     TrafficEvent.Kind.STATE_HELD,
-                    make.id(),
-                    job.rid,
-                    visit.talk.tag,
+                    profile.id(),
+                    job.attemptId,
+                    attempt.request.tag,
                     job.prompt.tokens,
                     null);
-            if (!visit.lost) {
-                answered(visit);
+            if (!attempt.answerLost) {
+                attemptAnswered(attempt);
             }
-            states.put(job.rid, job);
+            heldStates.put(job.attemptId, job);
             if (forgetful) {
-                release(job.rid);
+                releaseState(job.attemptId);
             }
-            LoadReport report = report();
-            if (!visit.lost) {
-                visit.back(
+            LoadReport report = loadReport();
+            if (!attempt.answerLost) {
+                attempt.sendBack(
                         () ->
-                                visit.read(
-                                        new Waiting(make.id(), job.rid),
-                                        job.kept(),
+                                attempt.readCompleted(
+                                        new HeldState(profile.id(), job.attemptId),
+                                        job.cachedTokens(),
                                         job.prompt.tokens,
                                         report));
             }
         }
 
         @Override
-        public void fetch(Job job) {
-            Visit visit = (Visit) job.owner;
-            Seat from = seats.get(visit.from.engine);
-            if (!from.up || !from.model.holds(visit.from.rid)) {
-                world.schedule(2 * NEAR_MS, () -> leave(visit, AttemptOutcome.NO_STATE));
+        public void fetchRequired(Job job) {
+            SimulatedAttempt attempt = (SimulatedAttempt) job.attachment;
+            EmulatedEngine source = engines.get(attempt.heldState.engineId);
+            if (!source.running || !source.model.holdsState(attempt.heldState.attemptId)) {
+                scheduler.schedule(2 * SAME_ZONE_LATENCY_MS, () -> endAttempt(attempt, AttemptOutcome.NO_STATE));
                 return;
             }
-            int mine = life;
-            visit.move =
-                    links.begin(
-                            world.nowMs(),
+            int expectedIncarnation = incarnation;
+            attempt.transfer =
+                    links.startTransfer(
+                            scheduler.nowMs(),
                             job.prompt.tokens,
-                            way(from.make, make),
+                            path(source.profile, profile),
                             () -> {
-                                visit.move = null;
-                                if (mine != life || !visits.contains(visit)) {
+                                attempt.transfer = null;
+                                if (expectedIncarnation != incarnation || !attempts.contains(attempt)) {
                                     return;
                                 }
-                                if (!from.up || !from.model.holds(visit.from.rid)) {
-                                    leave(visit, AttemptOutcome.NO_STATE);
+                                if (!source.running || !source.model.holdsState(attempt.heldState.attemptId)) {
+                                    endAttempt(attempt, AttemptOutcome.NO_STATE);
                                     return;
                                 }
-                                from.release(visit.from.rid);
+                                source.releaseState(attempt.heldState.attemptId);
                                 log.add(
                                         TrafficEvent.Kind.RAN,
-                                        make.id(),
-                                        job.rid,
-                                        visit.talk.tag,
+                                        profile.id(),
+                                        job.attemptId,
+                                        attempt.request.tag,
                                         job.prompt.tokens,
                                         null);
-                                model.fetched(job);
-                                kick();
+                                model.stateFetched(job);
+                                startStep();
                             });
-            wakeLinks();
+            scheduleLinkTimer();
         }
 
         @Override
-        public void token(Job job) {
-            Visit visit = (Visit) job.owner;
-            if (job.made() == 1 && job.kind == Job.Kind.BOTH) {
+        public void tokenGenerated(Job job) {
+            SimulatedAttempt attempt = (SimulatedAttempt) job.attachment;
+            if (job.generatedTokens() == 1 && job.kind == Job.Kind.BOTH) {
                 log.add(
                         TrafficEvent.Kind.RAN,
-                        make.id(),
-                        job.rid,
-                        visit.talk.tag,
+                        profile.id(),
+                        job.attemptId,
+                        attempt.request.tag,
                         job.prompt.tokens,
                         null);
             }
-            if (job.made() > visit.breakAfter) {
-                visits.remove(visit);
-                model.drop(job);
+            if (job.generatedTokens() > attempt.breakAfterTokens) {
+                attempts.remove(attempt);
+                model.cancel(job);
                 log.add(
                         TrafficEvent.Kind.LEG_OUT,
-                        make.id(),
-                        job.rid,
-                        visit.talk.tag,
-                        job.made(),
+                        profile.id(),
+                        job.attemptId,
+                        attempt.request.tag,
+                        job.generatedTokens(),
                         null);
-                visit.back(() -> visit.over(AttemptOutcome.CUT));
-            } else if (!visit.lost) {
-                int made = job.made();
-                visit.back(() -> visit.piece(made));
+                attempt.sendBack(() -> attempt.end(AttemptOutcome.CUT));
+            } else if (!attempt.answerLost) {
+                int tokenNumber = job.generatedTokens();
+                attempt.sendBack(() -> attempt.deliverToken(tokenNumber));
             }
         }
 
         @Override
-        public void done(Job job) {
-            Visit visit = (Visit) job.owner;
-            if (!visit.lost) {
-                answered(visit);
-                LoadReport report = report();
-                visit.back(() -> visit.done(job, report));
+        public void answerCompleted(Job job) {
+            SimulatedAttempt attempt = (SimulatedAttempt) job.attachment;
+            if (!attempt.answerLost) {
+                attemptAnswered(attempt);
+                LoadReport report = loadReport();
+                attempt.sendBack(() -> attempt.answerCompleted(job, report));
             }
         }
 
         @Override
-        public void lost(Job job) {
-            if (states.remove(job.rid) != null) {
+        public void stateLost(Job job) {
+            if (heldStates.remove(job.attemptId) != null) {
                 log.add(
                         TrafficEvent.Kind.STATE_GONE,
-                        make.id(),
-                        job.rid,
-                        ((Visit) job.owner).talk.tag,
+                        profile.id(),
+                        job.attemptId,
+                        ((SimulatedAttempt) job.attachment).request.tag,
                         job.prompt.tokens,
                         null);
             }
         }
     }
 
-    private List<SharedLinks.Link> way(EngineProfile from, EngineProfile to) {
-        List<SharedLinks.Link> way = new ArrayList<>();
-        way.add(links.link("engine " + from.id(), from.moveTokensPerMs()));
-        if (!from.zone().equals(to.zone())) {
-            way.add(
+    private List<SharedLinks.Link> path(EngineProfile source, EngineProfile target) {
+        List<SharedLinks.Link> path = new ArrayList<>();
+        path.add(links.link("engine " + source.id(), source.moveTokensPerMs()));
+        if (!source.zone().equals(target.zone())) {
+            path.add(
                     links.link(
-                            "zone " + from.zone() + " to " + to.zone(),
-                            ZONE_LINK * from.moveTokensPerMs()));
+                            "zone " + source.zone() + " to " + target.zone(),
+                            ZONE_LINK_CAPACITY * source.moveTokensPerMs()));
         }
-        if (from.rack() != to.rack() || !from.zone().equals(to.zone())) {
-            way.add(
+        if (source.rack() != target.rack() || !source.zone().equals(target.zone())) {
+            path.add(
                     links.link(
-                            "rack " + from.zone() + from.rack(),
-                            RACK_LINK * from.moveTokensPerMs()));
+                            "rack " + source.zone() + source.rack(),
+                            RACK_LINK_CAPACITY * source.moveTokensPerMs()));
         }
-        return way;
+        return path;
     }
 
-    private void wakeLinks() {
-        double next = links.nextMs();
-        if (linkWake >= 0 && linkWakeMs <= next) {
+    private void scheduleLinkTimer() {
+        double nextCompletionMs = links.nextCompletionMs();
+        if (linkTimer >= 0 && linkTimerMs <= nextCompletionMs) {
             return;
         }
-        if (linkWake >= 0) {
-            world.cancel(linkWake);
-            linkWake = -1;
+        if (linkTimer >= 0) {
+            scheduler.cancel(linkTimer);
+            linkTimer = -1;
         }
-        if (next < Double.POSITIVE_INFINITY) {
-            linkWakeMs = next;
-            linkWake =
-                    world.schedule(
-                            next - world.nowMs(),
+        if (nextCompletionMs < Double.POSITIVE_INFINITY) {
+            linkTimerMs = nextCompletionMs;
+            linkTimer =
+                    scheduler.schedule(
+                            nextCompletionMs - scheduler.nowMs(),
                             () -> {
-                                linkWake = -1;
-                                links.advance(world.nowMs());
-                                wakeLinks();
+                                linkTimer = -1;
+                                links.advance(scheduler.nowMs());
+                                scheduleLinkTimer();
                             });
         }
     }
@@ -521,49 +521,49 @@
     // ------------------------------------------------------------------ the way to them
 
     /** A front's link to the engines. */
-    UpstreamClient link(String zone) {
+    UpstreamClient upstreamClient(String zone) {
         return new UpstreamClient() {
             @Override
-            public AttemptHandle read(AttemptRequest order, AttemptListener hearing) {
-                return new Visit(order, hearing, zone, Job.Kind.READ);
+            public AttemptHandle read(AttemptRequest attemptRequest, AttemptListener listener) {
+                return new SimulatedAttempt(attemptRequest, listener, zone, Job.Kind.READ);
             }
 
             @Override
-            public AttemptHandle write(AttemptRequest order, AttemptListener hearing) {
-                return new Visit(
-                        order,
-                        hearing,
+            public AttemptHandle write(AttemptRequest attemptRequest, AttemptListener listener) {
+                return new SimulatedAttempt(
+                        attemptRequest,
+                        listener,
                         zone,
-                        order.state() == null ? Job.Kind.BOTH : Job.Kind.WRITE);
+                        attemptRequest.state() == null ? Job.Kind.BOTH : Job.Kind.WRITE);
             }
 
             @Override
-            public void release(Endpoint endpoint, String rid) {
-                Seat seat = seats.get((long) endpoint.port());
-                world.schedule(
-                        wayMs(zone, seat),
+            public void release(Endpoint endpoint, String attemptId) {
+                EmulatedEngine engine = engines.get((long) endpoint.port());
+                scheduler.schedule(
+                        latencyMs(zone, engine),
                         () -> {
-                            if (seat.up) {
-                                seat.release(rid);
+                            if (engine.running) {
+                                engine.releaseState(attemptId);
                             }
                         });
             }
 
             @Override
-            public void probe(Endpoint endpoint, ProbeListener told) {
-                Seat seat = seats.get((long) endpoint.port());
-                double ms = wayMs(zone, seat);
-                world.schedule(
-                        ms,
+            public void probe(Endpoint endpoint, ProbeListener listener) {
+                EmulatedEngine engine = engines.get((long) endpoint.port());
+                double latencyMs = latencyMs(zone, engine);
+                scheduler.schedule(
+                        latencyMs,
                         () -> {
-                            LoadReport report = seat.up ? seat.report() : null;
-                            double wait = Math.max(0, seat.pausedUntilMs - world.nowMs());
-                            world.schedule(
-                                    wait + ms,
+                            LoadReport report = engine.running ? engine.loadReport() : null;
+                            double pauseMs = Math.max(0, engine.pausedUntilMs - scheduler.nowMs());
+                            scheduler.schedule(
+                                    pauseMs + latencyMs,
                                     () ->
-                                            told.completed(
-                                                    wait <= 500 && report != null,
-                                                    wait > 500 ? null : report));
+                                            listener.completed(
+                                                    pauseMs <= 500 && report != null,
+                                                    pauseMs > 500 ? null : report));
                         });
             }
 
@@ -575,125 +575,125 @@
         };
     }
 
-    private static double wayMs(String zone, Seat seat) {
-        return seat.make.zone().equals(zone) ? NEAR_MS : FAR_MS;
+    private static double latencyMs(String zone, EmulatedEngine engine) {
+        return engine.profile.zone().equals(zone) ? SAME_ZONE_LATENCY_MS : CROSS_ZONE_LATENCY_MS;
     }
 
     /** An attempt on its way, at its engine, and on its way back. */
-    private final class Visit implements UpstreamClient.AttemptHandle {
-        final AttemptRequest order;
-        final Talk talk;
+    private final class SimulatedAttempt implements UpstreamClient.AttemptHandle {
+        final AttemptRequest attemptRequest;
+        final SimulatedRequest request;
         final Job job;
-        final Waiting from;
-        private final AttemptListener hearing;
-        private final Seat seat;
-        private final double ms;
-        SharedLinks.Move move;
-        boolean isOver;
-        boolean lost;
-        int breakAfter = Integer.MAX_VALUE;
-        private boolean begun;
-
-        Visit(AttemptRequest order, AttemptListener hearing, String zone, Job.Kind kind) {
-            this.order = order;
-            this.hearing = hearing;
-            talk = talks.get(order.prompt());
-            from = (Waiting) order.state();
-            seat = seats.get((long) order.endpoint().port());
-            ms = wayMs(zone, seat);
+        final HeldState heldState;
+        private final AttemptListener listener;
+        private final EmulatedEngine engine;
+        private final double latencyMs;
+        SharedLinks.Transfer transfer;
+        boolean ended;
+        boolean answerLost;
+        int breakAfterTokens = Integer.MAX_VALUE;
+        private boolean responseStarted;
+
+        SimulatedAttempt(AttemptRequest attemptRequest, AttemptListener listener, String zone, Job.Kind kind) {
+            this.attemptRequest = attemptRequest;
+            this.listener = listener;
+            request = requests.get(attemptRequest.prompt());
+            heldState = (HeldState) attemptRequest.state();
+            engine = engines.get((long) attemptRequest.endpoint().port());
+            latencyMs = latencyMs(zone, engine);
             job =
                     new Job(
-                            order.attemptId(),
+                            attemptRequest.attemptId(),
                             kind,
-                            talk.prompt,
-                            Math.min(order.maxTokens(), talk.length));
-            job.owner = this;
-            world.schedule(
+                            request.prompt,
+                            Math.min(attemptRequest.maxTokens(), request.answerTokens));
+            job.attachment = this;
+            scheduler.schedule(
                     0,
                     () -> {
-                        if (!isOver && order.sendCheck().rejection() != null) {
-                            over(AttemptOutcome.NOT_SENT);
+                        if (!ended && attemptRequest.sendCheck().rejection() != null) {
+                            end(AttemptOutcome.NOT_SENT);
                         } else {
-                            world.schedule(ms, () -> seat.arrive(this));
+                            scheduler.schedule(latencyMs, () -> engine.receive(this));
                         }
                     });
         }
 
         /** Back to the front, if that still listens then. */
-        void back(Runnable what) {
-            world.schedule(
-                    ms,
+        void sendBack(Runnable action) {
+            scheduler.schedule(
+                    latencyMs,
                     () -> {
-                        if (!isOver) {
-                            what.run();
+                        if (!ended) {
+                            action.run();
                         }
                     });
         }
 
-        void read(Waiting state, int kept, int tokens, LoadReport report) {
-            isOver = true;
-            hearing.readCompleted(state, kept, tokens, report);
+        void readCompleted(HeldState state, int cachedTokens, int promptTokens, LoadReport report) {
+            ended = true;
+            listener.readCompleted(state, cachedTokens, promptTokens, report);
         }
 
-        void piece(int number) {
-            if (!begun) {
-                begun = true;
-                hearing.responseStarted();
+        void deliverToken(int tokenNumber) {
+            if (!responseStarted) {
+                responseStarted = true;
+                listener.responseStarted();
             }
-            if (!isOver) {
-                hearing.textReceived("w" + number + " ");
-                hearing.socketReadCompleted();
+            if (!ended) {
+                listener.textReceived("w" + tokenNumber + " ");
+                listener.socketReadCompleted();
             }
         }
 
-        void done(Job job, LoadReport report) {
-            isOver = true;
-            hearing.attemptEnded(
+        void answerCompleted(Job job, LoadReport report) {
+            ended = true;
+            listener.attemptEnded(
                     AttemptOutcome.STREAMED,
                     report,
                     new AnswerSummary(
-                            job.length < order.maxTokens()
+                            job.answerTokens < attemptRequest.maxTokens()
                                     ? AnswerSummary.FinishReason.END_OF_TURN
                                     : AnswerSummary.FinishReason.MAX_TOKENS,
                             null,
-                            talk.prompt.tokens,
-                            job.made()));
+                            request.prompt.tokens,
+                            job.generatedTokens()));
         }
 
-        void over(AttemptOutcome outcome) {
-            over(outcome, null);
+        void end(AttemptOutcome outcome) {
+            end(outcome, null);
         }
 
-        void over(AttemptOutcome outcome, LoadReport report) {
-            isOver = true;
-            hearing.attemptEnded(outcome, report, null);
+        void end(AttemptOutcome outcome, LoadReport report) {
+            ended = true;
+            listener.attemptEnded(outcome, report, null);
         }
 
         @Override
         public void cancel() {
-            callOff(AttemptOutcome.CANCELLED);
+            abort(AttemptOutcome.CANCELLED);
         }
 
         @Override
         public void expire() {
-            callOff(AttemptOutcome.TIMED_OUT);
+            abort(AttemptOutcome.TIMED_OUT);
         }
 
-        private void callOff(AttemptOutcome outcome) {
-            if (isOver) {
+        private void abort(AttemptOutcome outcome) {
+            if (ended) {
                 return;
             }
-            isOver = true;
-            world.schedule(0, () -> hearing.attemptEnded(outcome, null, null));
-            world.schedule(
-                    ms,
+            ended = true;
+            scheduler.schedule(0, () -> listener.attemptEnded(outcome, null, null));
+            scheduler.schedule(
+                    latencyMs,
                     () -> {
-                        if (move != null) {
-                            links.stop(world.nowMs(), move);
-                            move = null;
-                            wakeLinks();
+                        if (transfer != null) {
+                            links.cancelTransfer(scheduler.nowMs(), transfer);
+                            transfer = null;
+                            scheduleLinkTimer();
                         }
-                        seat.leave(this, null);
+                        engine.endAttempt(this, null);
                     });
         }
 
--- a/src/main/java/larchridge/simulation/SimulationLog.java
+++ b/src/main/java/larchridge/simulation/SimulationLog.java
@@ -14,15 +14,15 @@
  * beyond that only digested.
  */
 final class SimulationLog {
-    static final int MOST = 20_000_000;
+    static final int MAX_EVENTS = 20_000_000;
 
-    private final VirtualTimeScheduler world;
-    private final List<TrafficEvent> sights = new ArrayList<>();
+    private final VirtualTimeScheduler scheduler;
+    private final List<TrafficEvent> events = new ArrayList<>();
     private final MessageDigest digest;
     private boolean full;
 
-    SimulationLog(VirtualTimeScheduler world) {
-        this.world = world;
+    SimulationLog(VirtualTimeScheduler scheduler) {
+        this.scheduler = scheduler;
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -37,20 +37,20 @@
             String tag,
             double amount,
             String word) {
-        TrafficEvent seen =
-                new TrafficEvent(world.elapsedMs(), kind, where, rid, tag, amount, word);
-        digest.update(seen.toString().getBytes(StandardCharsets.UTF_8));
-        full |= sights.size() >= MOST;
+        TrafficEvent event =
+                new TrafficEvent(scheduler.elapsedMs(), kind, where, rid, tag, amount, word);
+        digest.update(event.toString().getBytes(StandardCharsets.UTF_8));
+        full |= events.size() >= MAX_EVENTS;
         if (!full) {
-            sights.add(seen);
+            events.add(event);
         }
     }
 
-    List<TrafficEvent> all() {
+    List<TrafficEvent> events() {
         if (full) {
-            throw new IllegalStateException("over " + MOST + " sights; play a shorter script");
+            throw new IllegalStateException("over " + MAX_EVENTS + " sights; play a shorter script");
         }
-        return sights;
+        return events;
     }
 
     String digest() {
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -33,62 +33,62 @@
  * itself (torn, garbled, lag, bad_list).
  */
 public final class SimulationRun {
-    private static final double TAIL_MS = 15_000;
-    private static final double WAY_MS = 0.3;
-    private static final int MOST_SESSIONS = 500;
-    private static final double KEEP_TALK_MS = 30_000;
-    private static final int STALL = 20;
+    private static final double SETTLE_MS = 15_000;
+    private static final double CLIENT_LATENCY_MS = 0.3;
+    private static final int MAX_SESSIONS = 500;
+    private static final double REQUEST_RETENTION_MS = 30_000;
+    private static final int STALL_FACTOR = 20;
 
     /** What a run gave; digest is of all that was seen. */
     public record Result(
-            List<TrafficEvent> log,
+            List<TrafficEvent> events,
             List<RuleChecker.Breach> breaches,
             List<ResultCounts.Row> rows,
-            List<EngineModel.Sums> sums,
+            List<EngineModel.Totals> engineTotals,
             String digest,
-            long steps,
+            long tasksRun,
             double virtualMs,
             double realMs) {
-        public ResultCounts.Row all() {
+        public ResultCounts.Row overall() {
             return rows.get(0);
         }
     }
 
     private final TestScript script;
-    private final VirtualTimeScheduler world = new VirtualTimeScheduler();
-    private final SimulationLog log = new SimulationLog(world);
-    private final SimulatedCluster town;
+    private final VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
+    private final SimulationLog log = new SimulationLog(scheduler);
+    private final SimulatedCluster cluster;
     private final Site site;
-    private final List<Router> fronts = new ArrayList<>();
+    private final List<Router> routers = new ArrayList<>();
     private final Random random;
     private final List<Session> sessions = new ArrayList<>();
-    private double rate = 1;
-    private long operations;
-    private long texts;
+    private double rateFactor = 1;
+    private long operationCount;
+    private long promptCount;
 
     private static final class Session {
         final TestScript.Mix mix;
         final String tenant;
         final int prefix;
-        final List<Long> texts = new ArrayList<>();
-        final List<Integer> lengths = new ArrayList<>();
-        String last;
-        final String opening;
-        int left;
+        final List<Long> segmentIds = new ArrayList<>();
+        final List<Integer> segmentTokens = new ArrayList<>();
+        String lastTurnDigest;
+        final String id;
+        int remainingTurns;
 
-        Session(TestScript.Mix mix, String tenant, int prefix, int turns, String opening) {
+        Session(TestScript.Mix mix, String tenant, int prefix, int turns, String id) {
             this.mix = mix;
             this.tenant = tenant;
             this.prefix = prefix;
-            this.opening = opening;
-            left = turns;
+            this.id = id;
+            remainingTurns = turns;
         }
     }
 
-    private SimulationRun(TestScript script, PolicyEvents.Factory module) {
+    private SimulationRun(TestScript script, PolicyEvents.Factory policyFactory) {
         this.script = script;
         random = new Random(script.seed());
-        town = new SimulatedCluster(world, log, SystemTest.makes(script), script.seed());
+        cluster = new SimulatedCluster(scheduler, log, SystemTest.makes(script), script.seed());
         try {
             site =
                     SiteReader.read(
@@ -107,279 +107,279 @@
         String zone = script.engines().get(0).zones().get(0);
         for (int i = 0; i < script.fronts(); i++) {
             // Figures of so many fronts are nobody's; what was seen is the witness.
-            fronts.add(
+            routers.add(
                     new Router(
-                            world.routerScheduler(i, script.seed()),
+                            scheduler.routerScheduler(i, script.seed()),
                             site,
                             i,
-                            town.link(zone),
+                            cluster.upstreamClient(zone),
                             new RouterMetrics(new CompositeMeterRegistry()),
-                            module));
+                            policyFactory));
         }
     }
 
     /** Plays a script with the module of this program. */
-    public static Result play(TestScript script) {
-        return play(script, RoutingPolicy::new);
+    public static Result simulate(TestScript script) {
+        return simulate(script, RoutingPolicy::new);
     }
 
     /** Plays a script with fronts that decide otherwise. */
-    public static Result play(TestScript script, PolicyEvents.Factory module) {
-        return new SimulationRun(script, module).run();
+    public static Result simulate(TestScript script, PolicyEvents.Factory policyFactory) {
+        return new SimulationRun(script, policyFactory).run();
     }
 
     private Result run() {
-        long start = System.nanoTime();
-        tell();
-        for (TestScript.Trouble trouble : script.troubles()) {
-            world.schedule(trouble.atMs(), () -> begin(trouble));
+        long startNanos = System.nanoTime();
+        publishEndpoints();
+        for (TestScript.Trouble fault : script.troubles()) {
+            scheduler.schedule(fault.atMs(), () -> startFault(fault));
         }
-        next();
-        double end = script.durationMs() + TAIL_MS;
-        world.run(end);
-        double realMs = (System.nanoTime() - start) / 1e6;
-        List<TrafficEvent> all = log.all();
+        scheduleNextOperation();
+        double endMs = script.durationMs() + SETTLE_MS;
+        scheduler.run(endMs);
+        double realMs = (System.nanoTime() - startNanos) / 1e6;
+        List<TrafficEvent> events = log.events();
         return new Result(
-                all,
-                RuleChecker.judge(all, SystemTest.figures(script)),
-                ResultCounts.of(all, script),
-                town.sums(),
+                events,
+                RuleChecker.judge(events, SystemTest.figures(script)),
+                ResultCounts.of(events, script),
+                cluster.totals(),
                 log.digest(),
-                world.tasksRun(),
-                end,
+                scheduler.tasksRun(),
+                endMs,
                 realMs);
     }
 
-    private void tell() {
-        fronts.forEach(front -> front.endpointsChanged(town.rows()));
+    private void publishEndpoints() {
+        routers.forEach(router -> router.endpointsChanged(cluster.engineEntries()));
     }
 
     // ------------------------------------------------------------------ load
 
-    private void next() {
-        if (world.elapsedMs() >= script.durationMs()) {
+    private void scheduleNextOperation() {
+        if (scheduler.elapsedMs() >= script.durationMs()) {
             return;
         }
-        world.schedule(
-                -Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rate),
+        scheduler.schedule(
+                -Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rateFactor),
                 () -> {
-                    if (world.elapsedMs() < script.durationMs()) {
-                        operation();
-                        next();
+                    if (scheduler.elapsedMs() < script.durationMs()) {
+                        startOperation();
+                        scheduleNextOperation();
                     }
                 });
     }
 
-    private void operation() {
-        Session session = session();
-        String name = "op" + ++operations;
-        boolean whole = random.nextDouble() < script.clients().wholeShare();
-        int out = 1 + (int) (session.mix.outTokens() * (0.5 + random.nextDouble()));
-        int tokens =
+    private void startOperation() {
+        Session session = pickSession();
+        String name = "op" + ++operationCount;
+        boolean nonStreaming = random.nextDouble() < script.clients().wholeShare();
+        int answerTokens = 1 + (int) (session.mix.outTokens() * (0.5 + random.nextDouble()));
+        int promptTokens =
                 Math.max(
                         1,
                         session.mix.promptTokens() / 2
                                 + random.nextInt(session.mix.promptTokens() + 1));
-        new Try(session, name, 0, ++texts, tokens, whole, out, random.nextInt(fronts.size())).ask();
+        new ClientRequest(session, name, 0, ++promptCount, promptTokens, nonStreaming, answerTokens, random.nextInt(routers.size())).send();
     }
 
-    private Session session() {
+    private Session pickSession() {
         TestScript.Mix mix = script.anyMix(random);
         TestScript.Tenant tenant = script.anyTenant(random);
         if (random.nextDouble() < 1 - 1 / mix.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
-                Session one = sessions.get(i);
-                if (one.mix.equals(mix) && one.tenant.equals(tenant.name())) {
+                Session candidate = sessions.get(i);
+                if (candidate.mix.equals(mix) && candidate.tenant.equals(tenant.name())) {
                     return sessions.remove(i);
                 }
             }
         }
         int turns = (int) Math.max(1, Math.round(mix.turns() * (0.5 + random.nextDouble())));
         return new Session(
-                mix, tenant.name(), random.nextInt(mix.prefixes()), turns, "s" + operations);
+                mix, tenant.name(), random.nextInt(mix.prefixes()), turns, "s" + operationCount);
     }
 
     /** One try of one operation: the client's side of it. */
-    private final class Try implements ResponseSink {
+    private final class ClientRequest implements ResponseSink {
         private final Session session;
         private final String operation;
-        private final int number;
-        private final long text;
-        private final int tokens;
-        private final boolean whole;
-        private final int out;
-        private final int front;
+        private final int tryNumber;
+        private final long promptId;
+        private final int promptTokens;
+        private final boolean nonStreaming;
+        private final int answerTokens;
+        private final int routerIndex;
         private final String tag;
-        private InFlightRequest open;
-        private boolean begun;
+        private InFlightRequest inFlight;
+        private boolean started;
         private boolean finished;
-        private boolean left;
-        private int got;
+        private boolean disconnected;
+        private int tokensReceived;
 
-        Try(
+        ClientRequest(
                 Session session,
                 String operation,
-                int number,
-                long text,
-                int tokens,
-                boolean whole,
-                int out,
-                int front) {
+                int tryNumber,
+                long promptId,
+                int promptTokens,
+                boolean nonStreaming,
+                int answerTokens,
+                int routerIndex) {
             this.session = session;
             this.operation = operation;
-            this.number = number;
-            this.text = text;
-            this.tokens = tokens;
-            this.whole = whole;
-            this.out = out;
-            this.front = front;
-            tag = operation + "#" + number;
+            this.tryNumber = tryNumber;
+            this.promptId = promptId;
+            this.promptTokens = promptTokens;
+            this.nonStreaming = nonStreaming;
+            this.answerTokens = answerTokens;
+            this.routerIndex = routerIndex;
+            tag = operation + "#" + tryNumber;
         }
 
-        void ask() {
+        void send() {
             TestScript.Mix mix = session.mix;
-            log.add(TrafficEvent.Kind.ASKED, front, session.tenant, tag, mix.limitMs(), mix.name());
-            world.schedule(WAY_MS, this::arrive);
+            log.add(TrafficEvent.Kind.ASKED, routerIndex, session.tenant, tag, mix.limitMs(), mix.name());
+            scheduler.schedule(CLIENT_LATENCY_MS, this::arriveAtRouter);
             if (random.nextDouble() < script.clients().leaveShare()) {
-                world.schedule(1 + random.nextInt((int) mix.limitMs()), this::leave);
+                scheduler.schedule(1 + random.nextInt((int) mix.limitMs()), this::disconnect);
             }
         }
 
-        private void arrive() {
-            Router at = fronts.get(front);
-            if (!at.tryAdmitExchange()) {
-                answer("throttled");
+        private void arriveAtRouter() {
+            Router router = routers.get(routerIndex);
+            if (!router.tryAdmitExchange()) {
+                recordFinal("throttled");
                 return;
             }
             TestScript.Mix mix = session.mix;
-            int shared = mix.sharedTokens();
-            List<Long> of = new ArrayList<>();
-            List<Integer> lengths = new ArrayList<>();
-            if (shared > 0) {
-                of.add((long) mix.name().hashCode() * 1000 + session.prefix);
-                lengths.add(shared);
+            int sharedTokens = mix.sharedTokens();
+            List<Long> segmentIds = new ArrayList<>();
+            List<Integer> segmentTokens = new ArrayList<>();
+            if (sharedTokens > 0) {
+                segmentIds.add((long) mix.name().hashCode() * 1000 + session.prefix);
+                segmentTokens.add(sharedTokens);
             }
-            of.addAll(session.texts);
-            lengths.addAll(session.lengths);
-            of.add(1L << 40 | text);
-            lengths.add(tokens);
+            segmentIds.addAll(session.segmentIds);
+            segmentTokens.addAll(session.segmentTokens);
+            segmentIds.add(1L << 40 | promptId);
+            segmentTokens.add(promptTokens);
             Prompt prompt =
                     Prompt.of(
-                            of.stream().mapToLong(Long::longValue).toArray(),
-                            lengths.stream().mapToInt(Integer::intValue).toArray(),
+                            segmentIds.stream().mapToLong(Long::longValue).toArray(),
+                            segmentTokens.stream().mapToInt(Integer::intValue).toArray(),
                             SimulatedCluster.blockTokens());
-            String body = tag;
-            town.talk(body, new SimulatedCluster.Talk(prompt, out, tag));
-            world.schedule(KEEP_TALK_MS, () -> town.forget(body));
-            GenerationRequest ask =
+            String promptText = tag;
+            cluster.registerRequest(promptText, new SimulatedCluster.SimulatedRequest(prompt, answerTokens, tag));
+            scheduler.schedule(REQUEST_RETENTION_MS, () -> cluster.unregisterRequest(promptText));
+            GenerationRequest request =
                     GenerationRequest.builder()
                             .offering(
                                     site.offersByModel.get(mix.name()),
                                     site.tenantNamed(session.tenant))
                             .model(mix.name())
-                            .prompt(body, prompt.tokens)
-                            .sharedPrefix(shared > 0 ? mix.name() + session.prefix : null, shared)
+                            .prompt(promptText, prompt.tokens)
+                            .sharedPrefix(sharedTokens > 0 ? mix.name() + session.prefix : null, sharedTokens)
                             .limits(2 * mix.outTokens() + 2, List.of())
                             .sampling(new AttemptRequest.Sampling(null, null, null))
-                            .session(session.opening, session.last, session.opening + "/" + text)
-                            .nonStreaming(whole)
-                            .clientRetry(number > 0)
+                            .session(session.id, session.lastTurnDigest, session.id + "/" + promptId)
+                            .nonStreaming(nonStreaming)
+                            .clientRetry(tryNumber > 0)
                             .clientTimeoutMs(
-                                    mix.limitMs() + (whole ? (2 * mix.outTokens() + 2) * 60 : 0))
+                                    mix.limitMs() + (nonStreaming ? (2 * mix.outTokens() + 2) * 60 : 0))
                             .idempotencyKey(operation)
                             .build();
-            at.submit(ask, this, taken -> open = taken);
-            if (left && open != null) {
-                open.clientDisconnected();
+            router.submit(request, this, accepted -> inFlight = accepted);
+            if (disconnected && inFlight != null) {
+                inFlight.clientDisconnected();
             }
         }
 
-        private void leave() {
-            if (!finished && !left) {
-                left = true;
-                log.add(TrafficEvent.Kind.LEFT, front, session.tenant, tag, got, null);
-                world.schedule(
-                        WAY_MS,
+        private void disconnect() {
+            if (!finished && !disconnected) {
+                disconnected = true;
+                log.add(TrafficEvent.Kind.LEFT, routerIndex, session.tenant, tag, tokensReceived, null);
+                scheduler.schedule(
+                        CLIENT_LATENCY_MS,
                         () -> {
-                            if (!finished && open != null) {
+                            if (!finished && inFlight != null) {
                                 finished = true;
-                                open.clientDisconnected();
-                                fronts.get(front).exchangeEnded();
+                                inFlight.clientDisconnected();
+                                routers.get(routerIndex).exchangeEnded();
                             }
                         });
             }
         }
 
         /** The final answer, as it comes to the client. */
-        private void end(String word, boolean mayRetry) {
+        private void finish(String outcome, boolean mayRetry) {
             if (finished) {
-                if (!left) {
-                    log.add(TrafficEvent.Kind.AFTER_FINAL, front, null, tag, 1, word);
+                if (!disconnected) {
+                    log.add(TrafficEvent.Kind.AFTER_FINAL, routerIndex, null, tag, 1, outcome);
                 }
                 return;
             }
             finished = true;
-            fronts.get(front).exchangeEnded();
-            if (left) {
+            routers.get(routerIndex).exchangeEnded();
+            if (disconnected) {
                 return;
             }
-            world.schedule(
-                    WAY_MS,
+            scheduler.schedule(
+                    CLIENT_LATENCY_MS,
                     () -> {
-                        if (whole && word.equals("streamed")) {
-                            log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null);
+                        if (nonStreaming && outcome.equals("streamed")) {
+                            log.add(TrafficEvent.Kind.BEGUN, routerIndex, null, tag, 0, null);
                         }
-                        answer(word);
-                        if (!word.equals("streamed")
+                        recordFinal(outcome);
+                        if (!outcome.equals("streamed")
                                 && mayRetry
-                                && number < script.clients().retries()) {
-                            world.schedule(
-                                    Math.max(1, script.clients().retryMs() * (1 << number)),
+                                && tryNumber < script.clients().retries()) {
+                            scheduler.schedule(
+                                    Math.max(1, script.clients().retryMs() * (1 << tryNumber)),
                                     () ->
-                                            new Try(
+                                            new ClientRequest(
                                                             session,
                                                             operation,
-                                                            number + 1,
-                                                            text,
-                                                            tokens,
-                                                            whole,
-                                                            out,
-                                                            random.nextInt(fronts.size()))
-                                                    .ask());
+                                                            tryNumber + 1,
+                                                            promptId,
+                                                            promptTokens,
+                                                            nonStreaming,
+                                                            answerTokens,
+                                                            random.nextInt(routers.size()))
+                                                    .send());
                         }
                     });
         }
 
-        private void answer(String word) {
-            log.add(TrafficEvent.Kind.FINAL, front, session.tenant, tag, got, word);
-            if (word.equals("streamed") && --session.left > 0 && sessions.size() < MOST_SESSIONS) {
-                session.texts.add(1L << 40 | text);
-                session.lengths.add(tokens);
-                session.texts.add(1L << 41 | text);
-                session.lengths.add(Math.max(1, out));
-                session.last = session.opening + "/" + text;
+        private void recordFinal(String outcome) {
+            log.add(TrafficEvent.Kind.FINAL, routerIndex, session.tenant, tag, tokensReceived, outcome);
+            if (outcome.equals("streamed") && --session.remainingTurns > 0 && sessions.size() < MAX_SESSIONS) {
+                session.segmentIds.add(1L << 40 | promptId);
+                session.segmentTokens.add(promptTokens);
+                session.segmentIds.add(1L << 41 | promptId);
+                session.segmentTokens.add(Math.max(1, answerTokens));
+                session.lastTurnDigest = session.id + "/" + promptId;
                 sessions.add(session);
             }
         }
 
         @Override
-        public void responseStarted(int keptTokens) {
+        public void responseStarted(int cachedTokens) {
             // Told to clients with the first piece.
 
         }
 
         @Override
         public boolean textReceived(String text) {
-            if (left || finished) {
+            if (disconnected || finished) {
                 return false;
             }
-            got++;
-            if (!begun) {
-                begun = true;
-                if (!whole) {
-                    world.schedule(
-                            WAY_MS,
-                            () -> log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null));
+            tokensReceived++;
+            if (!started) {
+                started = true;
+                if (!nonStreaming) {
+                    scheduler.schedule(
+                            CLIENT_LATENCY_MS,
+                            () -> log.add(TrafficEvent.Kind.BEGUN, routerIndex, null, tag, 0, null));
                 }
             }
             return true;
@@ -387,127 +387,127 @@
 
         @Override
         public boolean isDisconnected() {
-            return left;
+            return disconnected;
         }
 
         @Override
-        public void rejectedOverBudget(BudgetDecision budget) {
-            end("throttled", true);
+        public void rejectedOverBudget(BudgetDecision decision) {
+            finish("throttled", true);
         }
 
         @Override
-        public void completed(AnswerSummary ending) {
-            end("streamed", false);
+        public void completed(AnswerSummary completion) {
+            finish("streamed", false);
         }
 
         @Override
-        public void rejected(double comeBackMs) {
-            end("throttled", true);
+        public void rejected(double retryAfterMs) {
+            finish("throttled", true);
         }
 
         @Override
         public void failed(FailureCause cause, boolean mayRetry) {
-            end("terminated", mayRetry && !begun);
+            finish("terminated", mayRetry && !started);
         }
 
         @Override
         public void aborted() {
-            end("terminated", false);
+            finish("terminated", false);
         }
     }
 
     // ------------------------------------------------------------------ troubles
 
-    private void begin(TestScript.Trouble trouble) {
-        log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
-        switch (trouble.kind()) {
+    private void startFault(TestScript.Trouble fault) {
+        log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, fault.size(), fault.kind());
+        switch (fault.kind()) {
             case "burst" -> {
-                rate = trouble.size();
-                world.schedule(trouble.forMs(), () -> rate = 1);
+                rateFactor = fault.size();
+                scheduler.schedule(fault.forMs(), () -> rateFactor = 1);
             }
             case "drain", "remove" -> {
-                boolean drains = trouble.kind().equals("drain");
-                for (long id : trouble.engines()) {
-                    town.seat(id).drains = drains;
-                    town.seat(id).listed = drains;
+                boolean draining = fault.kind().equals("drain");
+                for (long id : fault.engines()) {
+                    cluster.engine(id).draining = draining;
+                    cluster.engine(id).listed = draining;
                     log.add(
                             TrafficEvent.Kind.LISTED,
                             id,
                             null,
                             null,
                             0,
-                            drains ? "draining" : "gone");
+                            draining ? "draining" : "gone");
                 }
-                tell();
-                world.schedule(
-                        trouble.forMs(),
+                publishEndpoints();
+                scheduler.schedule(
+                        fault.forMs(),
                         () -> {
-                            for (long id : trouble.engines()) {
-                                town.seat(id).drains = false;
-                                town.seat(id).listed = true;
+                            for (long id : fault.engines()) {
+                                cluster.engine(id).draining = false;
+                                cluster.engine(id).listed = true;
                                 log.add(TrafficEvent.Kind.LISTED, id, null, null, 0, "ready");
                             }
-                            tell();
+                            publishEndpoints();
                         });
             }
-            case "crash" -> trouble.engines().forEach(id -> crash(trouble, town.seat(id)));
+            case "crash" -> fault.engines().forEach(id -> crash(fault, cluster.engine(id)));
             default -> {
-                for (long id : trouble.engines()) {
-                    SimulatedCluster.Seat seat = town.seat(id);
-                    ail(trouble, seat);
-                    world.schedule(
-                            trouble.forMs(),
+                for (long id : fault.engines()) {
+                    SimulatedCluster.EmulatedEngine engine = cluster.engine(id);
+                    applyFault(fault, engine);
+                    scheduler.schedule(
+                            fault.forMs(),
                             () -> {
-                                seat.clear();
-                                seat.kick();
+                                engine.clearFaults();
+                                engine.startStep();
                             });
                 }
             }
         }
     }
 
-    private void ail(TestScript.Trouble trouble, SimulatedCluster.Seat seat) {
-        switch (trouble.kind()) {
-            case "pause" -> seat.pausedUntilMs = world.nowMs() + trouble.forMs();
-            case "slow" -> seat.model.ails(trouble.size(), Integer.MAX_VALUE, 1);
-            case "stall" -> seat.model.ails(1, (int) trouble.size(), STALL);
-            case "lost" -> seat.lostShare = Math.min(1, trouble.size());
-            case "broken" -> seat.brokenShare = Math.min(1, trouble.size());
-            case "full" -> seat.full = true;
-            case "faulty" -> seat.faulty = true;
-            case "forgetful" -> seat.forgetful = true;
-            case "flush" -> seat.model.flush();
+    private void applyFault(TestScript.Trouble fault, SimulatedCluster.EmulatedEngine engine) {
+        switch (fault.kind()) {
+            case "pause" -> engine.pausedUntilMs = scheduler.nowMs() + fault.forMs();
+            case "slow" -> engine.model.injectSlowdown(fault.size(), Integer.MAX_VALUE, 1);
+            case "stall" -> engine.model.injectSlowdown(1, (int) fault.size(), STALL_FACTOR);
+            case "lost" -> engine.lostShare = Math.min(1, fault.size());
+            case "broken" -> engine.brokenShare = Math.min(1, fault.size());
+            case "full" -> engine.full = true;
+            case "faulty" -> engine.faulty = true;
+            case "forgetful" -> engine.forgetful = true;
+            case "flush" -> engine.model.flush();
             default -> {}
         }
     }
 
-    private void crash(TestScript.Trouble trouble, SimulatedCluster.Seat seat) {
-        seat.crash();
-        world.schedule(
+    private void crash(TestScript.Trouble fault, SimulatedCluster.EmulatedEngine engine) {
+        engine.crash();
+        scheduler.schedule(
                 script.listLagMs(),
                 () -> {
-                    seat.listed = false;
-                    log.add(TrafficEvent.Kind.LISTED, seat.make.id(), null, null, 0, "gone");
-                    tell();
+                    engine.listed = false;
+                    log.add(TrafficEvent.Kind.LISTED, engine.profile.id(), null, null, 0, "gone");
+                    publishEndpoints();
                 });
-        world.schedule(
-                Math.max(script.listLagMs() + 200, trouble.forMs()),
+        scheduler.schedule(
+                Math.max(script.listLagMs() + 200, fault.forMs()),
                 () -> {
-                    seat.start(true);
-                    seat.clear();
-                    world.schedule(
+                    engine.start(true);
+                    engine.clearFaults();
+                    scheduler.schedule(
                             50,
                             () -> {
-                                seat.listed = true;
-                                seat.listedStartMs = seat.startedMs;
+                                engine.listed = true;
+                                engine.listedStartMs = engine.startedMs;
                                 log.add(
                                         TrafficEvent.Kind.LISTED,
-                                        seat.make.id(),
+                                        engine.profile.id(),
                                         null,
                                         null,
                                         0,
                                         "ready");
-                                tell();
+                                publishEndpoints();
                             });
                 });
     }
--- a/src/test/java/larchridge/emulator/EmulatorTest.java
+++ b/src/test/java/larchridge/emulator/EmulatorTest.java
@@ -17,39 +17,39 @@
 
 /** The emulated engine: memory, batches, preemption, and whether it answers load as engines do. */
 class EmulatorTest {
-    private static final EngineHardware SILICON =
+    private static final EngineHardware HARDWARE =
             new EngineHardware(
                     2, 0.02, 0.05, 0.00002, 0, 16, 2000, 512, 32, 1000, 5000, 1, 0, false);
 
-    private static Prompt prompt(long text, int tokens) {
-        return Prompt.of(new long[] {text}, new int[] {tokens}, 16);
+    private static Prompt prompt(long segmentId, int tokens) {
+        return Prompt.of(new long[] {segmentId}, new int[] {tokens}, 16);
     }
 
     /** One engine, stepped to the end of its work, with what it told. */
-    private static final class Bench implements EngineModel.Ears {
-        final List<String> told = new ArrayList<>();
+    private static final class EngineDriver implements EngineModel.Listener {
+        final List<String> events = new ArrayList<>();
         final EngineModel model;
-        final List<Job> done = new ArrayList<>();
-        double now;
-        private int numbers;
+        final List<Job> completed = new ArrayList<>();
+        double nowMs;
+        private int jobCount;
 
-        Bench(EngineHardware silicon) {
-            model = new EngineModel(silicon, Double.NEGATIVE_INFINITY, this);
+        EngineDriver(EngineHardware hardware) {
+            model = new EngineModel(hardware, Double.NEGATIVE_INFINITY, this);
         }
 
-        Job submit(Job.Kind kind, Prompt prompt, int length) {
-            Job job = new Job("r" + numbers++, kind, prompt, length);
+        Job submit(Job.Kind kind, Prompt prompt, int answerTokens) {
+            Job job = new Job("r" + jobCount++, kind, prompt, answerTokens);
             assertTrue(model.submit(job));
             return job;
         }
 
         boolean step() {
-            double ms = model.begin(now);
-            if (Double.isNaN(ms)) {
+            double stepMs = model.beginStep(nowMs);
+            if (Double.isNaN(stepMs)) {
                 return false;
             }
-            now += ms;
-            model.end(now);
+            nowMs += stepMs;
+            model.endStep(nowMs);
             return true;
         }
 
@@ -61,125 +61,125 @@
         }
 
         @Override
-        public void read(Job job) {
-            told.add("read");
+        public void readCompleted(Job job) {
+            events.add("read");
         }
 
         @Override
-        public void fetch(Job job) {
-            told.add("fetch");
-            model.fetched(job);
+        public void fetchRequired(Job job) {
+            events.add("fetch");
+            model.stateFetched(job);
         }
 
         @Override
-        public void token(Job job) {
-            told.add("token");
+        public void tokenGenerated(Job job) {
+            events.add("token");
         }
 
         @Override
-        public void done(Job job) {
-            done.add(job);
+        public void answerCompleted(Job job) {
+            completed.add(job);
         }
 
         @Override
-        public void lost(Job job) {
-            told.add("lost");
+        public void stateLost(Job job) {
+            events.add("lost");
         }
     }
 
     @Test
-    void beginningsThatWereReadAreFoundAndTheOldestUnusedGoes() {
-        Bench bench = new Bench(SILICON.withBlocks(100));
-        bench.submit(Job.Kind.BOTH, prompt(1, 800), 1);
-        bench.run();
-        Job again =
-                bench.submit(
+    void readPrefixesAreCachedAndLeastRecentlyUsedIsEvicted() {
+        EngineDriver driver = new EngineDriver(HARDWARE.withBlocks(100));
+        driver.submit(Job.Kind.BOTH, prompt(1, 800), 1);
+        driver.run();
+        Job samePrefix =
+                driver.submit(
                         Job.Kind.BOTH, Prompt.of(new long[] {1, 2}, new int[] {640, 100}, 16), 1);
-        bench.run();
-        assertEquals(640, again.kept());
+        driver.run();
+        assertEquals(640, samePrefix.cachedTokens());
         // Another text takes the room of what was unused for longest.
-        bench.submit(Job.Kind.BOTH, prompt(3, 1500), 1);
-        bench.run();
-        assertTrue(bench.model.sums().evictions() > 0);
-        Job late = bench.submit(Job.Kind.BOTH, prompt(1, 800), 1);
-        bench.run();
-        assertTrue(late.kept() < 640, "kept " + late.kept());
+        driver.submit(Job.Kind.BOTH, prompt(3, 1500), 1);
+        driver.run();
+        assertTrue(driver.model.totals().evictions() > 0);
+        Job afterEviction = driver.submit(Job.Kind.BOTH, prompt(1, 800), 1);
+        driver.run();
+        assertTrue(afterEviction.cachedTokens() < 640, "kept " + afterEviction.cachedTokens());
     }
 
     @Test
-    void longPromptIsReadInChunksBesideAnswers() {
-        Bench bench = new Bench(SILICON);
-        Job answer = bench.submit(Job.Kind.BOTH, prompt(1, 16), 50);
-        bench.step();
-        Job log = bench.submit(Job.Kind.READ, prompt(2, 5000), 1);
+    void longPromptIsReadInChunksAlongsideAnswers() {
+        EngineDriver driver = new EngineDriver(HARDWARE);
+        Job answer = driver.submit(Job.Kind.BOTH, prompt(1, 16), 50);
+        driver.step();
+        Job longRead = driver.submit(Job.Kind.READ, prompt(2, 5000), 1);
         for (int i = 0; i < 5; i++) {
-            bench.step();
+            driver.step();
         }
-        assertEquals(6, answer.made());
-        assertFalse(bench.model.holds(log.rid));
-        bench.run();
-        assertTrue(bench.model.holds(log.rid));
+        assertEquals(6, answer.generatedTokens());
+        assertFalse(driver.model.holdsState(longRead.attemptId));
+        driver.run();
+        assertTrue(driver.model.holdsState(longRead.attemptId));
     }
 
     @Test
-    void newestGoesBackWhenMemoryRunsOutAndStillAnswersWhole() {
-        Bench bench = new Bench(SILICON.withBlocks(60));
+    void newestAnswerIsPreemptedWhenMemoryIsFullAndStillCompletes() {
+        EngineDriver driver = new EngineDriver(HARDWARE.withBlocks(60));
         List<Job> jobs = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            jobs.add(bench.submit(Job.Kind.BOTH, prompt(i, 160), 200));
+            jobs.add(driver.submit(Job.Kind.BOTH, prompt(i, 160), 200));
         }
-        bench.run();
-        assertEquals(4, bench.done.size());
-        jobs.forEach(job -> assertEquals(200, job.made()));
-        assertTrue(bench.model.sums().preemptions() > 0);
-        assertEquals(800, bench.model.sums().tokensOut());
-        assertEquals(0, bench.model.heldShare());
+        driver.run();
+        assertEquals(4, driver.completed.size());
+        jobs.forEach(job -> assertEquals(200, job.generatedTokens()));
+        assertTrue(driver.model.totals().preemptions() > 0);
+        assertEquals(800, driver.model.totals().outputTokens());
+        assertEquals(0, driver.model.memoryShare());
     }
 
     @Test
-    void stateWaitsUntilItIsLetGoOfOrLapses() {
-        Bench bench = new Bench(SILICON);
-        Job one = bench.submit(Job.Kind.READ, prompt(1, 100), 1);
-        Job other = bench.submit(Job.Kind.READ, prompt(2, 100), 1);
-        bench.run();
-        assertTrue(bench.model.heldShare() > 0);
-        assertTrue(bench.model.release(one.rid));
-        assertFalse(bench.model.release(one.rid));
-        assertEquals(Double.POSITIVE_INFINITY, bench.model.lapse(bench.now + 6000));
-        assertFalse(bench.model.holds(other.rid));
-        assertEquals(0, bench.model.heldShare());
+    void stateIsHeldUntilReleasedOrExpired() {
+        EngineDriver driver = new EngineDriver(HARDWARE);
+        Job first = driver.submit(Job.Kind.READ, prompt(1, 100), 1);
+        Job second = driver.submit(Job.Kind.READ, prompt(2, 100), 1);
+        driver.run();
+        assertTrue(driver.model.memoryShare() > 0);
+        assertTrue(driver.model.release(first.attemptId));
+        assertFalse(driver.model.release(first.attemptId));
+        assertEquals(Double.POSITIVE_INFINITY, driver.model.releaseExpiredStates(driver.nowMs + 6000));
+        assertFalse(driver.model.holdsState(second.attemptId));
+        assertEquals(0, driver.model.memoryShare());
     }
 
     @Test
-    void stallComesOnlyAboveItsNumber() {
-        double[] ms = new double[2];
+    void stallAppliesOnlyAboveThreshold() {
+        double[] stepMs = new double[2];
         for (int i = 0; i < 2; i++) {
-            Bench bench = new Bench(SILICON);
-            bench.model.ails(1, 10, 20);
+            EngineDriver driver = new EngineDriver(HARDWARE);
+            driver.model.injectSlowdown(1, 10, 20);
             for (int j = 0; j < (i == 0 ? 10 : 11); j++) {
-                bench.submit(Job.Kind.BOTH, prompt(j, 16), 10);
+                driver.submit(Job.Kind.BOTH, prompt(j, 16), 10);
             }
-            bench.step();
-            ms[i] = bench.model.begin(bench.now);
+            driver.step();
+            stepMs[i] = driver.model.beginStep(driver.nowMs);
         }
-        assertTrue(ms[1] > 15 * ms[0], ms[0] + " and " + ms[1]);
+        assertTrue(stepMs[1] > 15 * stepMs[0], stepMs[0] + " and " + stepMs[1]);
     }
 
     @Test
-    void linksAreSharedEvenlyAndTheSlowestCounts() {
+    void linksAreSharedEvenlyAndSlowestLinkLimitsTransfer() {
         SharedLinks links = new SharedLinks();
-        List<String> come = new ArrayList<>();
+        List<String> completed = new ArrayList<>();
         SharedLinks.Link fast = links.link("fast", 100);
         SharedLinks.Link slow = links.link("slow", 10);
-        links.begin(0, 1000, List.of(fast), () -> come.add("fast"));
-        links.begin(0, 100, List.of(fast, slow), () -> come.add("slow"));
+        links.startTransfer(0, 1000, List.of(fast), () -> completed.add("fast"));
+        links.startTransfer(0, 100, List.of(fast, slow), () -> completed.add("slow"));
         // Half of the fast one is 50; the slow one lets only 10 through.
-        assertEquals(10, links.nextMs(), 1e-6);
+        assertEquals(10, links.nextCompletionMs(), 1e-6);
         links.advance(10);
-        assertEquals(List.of("slow"), come);
-        assertEquals(15, links.nextMs(), 1e-6);
+        assertEquals(List.of("slow"), completed);
+        assertEquals(15, links.nextCompletionMs(), 1e-6);
         links.advance(15);
-        assertEquals(List.of("slow", "fast"), come);
+        assertEquals(List.of("slow", "fast"), completed);
     }
 
     /**
@@ -187,155 +187,155 @@
      * that was not called off is.
      */
     @Property(tries = 60, seed = "20261201")
-    void memoryComesBackWhole(
-            @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 5000) Integer> lengths,
+    void allMemoryIsReleased(
+            @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 5000) Integer> promptLengths,
             @ForAll long seed) {
         Random random = new Random(seed);
-        Bench bench = new Bench(SILICON.withBlocks(400));
+        EngineDriver driver = new EngineDriver(HARDWARE.withBlocks(400));
         List<Job> answers = new ArrayList<>();
-        for (int length : lengths) {
+        for (int promptTokens : promptLengths) {
             @SuppressWarnings("EnumOrdinal") // One of the three kinds by chance.
             Job.Kind kind = Job.Kind.values()[random.nextInt(3)];
             Job job =
-                    bench.submit(
-                            kind, prompt(random.nextInt(6), 1 + length), 1 + random.nextInt(60));
+                    driver.submit(
+                            kind, prompt(random.nextInt(6), 1 + promptTokens), 1 + random.nextInt(60));
             for (int i = random.nextInt(4); i > 0; i--) {
-                bench.step();
+                driver.step();
             }
             if (random.nextInt(5) == 0) {
-                bench.model.drop(job);
+                driver.model.cancel(job);
             } else if (kind != Job.Kind.READ) {
                 answers.add(job);
             }
         }
-        bench.run();
+        driver.run();
         // States that wait hold memory that others wait for; once they are let go of, all comes to
         // its end.
         for (int i = 0; i < 50; i++) {
-            bench.model.lapse(bench.now + 1e9);
-            bench.run();
+            driver.model.releaseExpiredStates(driver.nowMs + 1e9);
+            driver.run();
         }
-        answers.forEach(job -> assertEquals(job.length, job.made()));
-        bench.model.lapse(bench.now + 1e9);
-        assertEquals(0, bench.model.heldShare());
-        assertEquals(0, bench.model.inflight());
+        answers.forEach(job -> assertEquals(job.answerTokens, job.generatedTokens()));
+        driver.model.releaseExpiredStates(driver.nowMs + 1e9);
+        assertEquals(0, driver.model.memoryShare());
+        assertEquals(0, driver.model.inflight());
     }
 
     // ------------------------------------------------------------------ sense
 
     /** What one engine did of an open-loop load. */
-    private record Load(
-            double perS,
+    private record LoadResult(
+            double requestsPerS,
             double firstTokenMs,
             double tokenMs,
-            double inMean,
-            double awayMean,
+            double meanInFlight,
+            double meanResponseMs,
             long evictions) {}
 
-    private static Load load(
-            EngineHardware silicon,
-            double perS,
+    private static LoadResult runLoad(
+            EngineHardware hardware,
+            double requestsPerS,
             int promptTokens,
-            int length,
-            int texts,
+            int answerTokens,
+            int prefixCount,
             long seed) {
         Random random = new Random(seed);
-        Bench bench = new Bench(silicon);
+        EngineDriver driver = new EngineDriver(hardware);
         PriorityQueue<double[]> arrivals =
                 new PriorityQueue<>(Comparator.comparingDouble(a -> a[0]));
-        double at = 0;
-        double end = 60_000;
-        while (at < end) {
-            at += -Math.log(1 - random.nextDouble()) * 1000 / perS;
-            arrivals.add(new double[] {at, random.nextInt(texts)});
+        double nextArrivalMs = 0;
+        double loadEndMs = 60_000;
+        while (nextArrivalMs < loadEndMs) {
+            nextArrivalMs += -Math.log(1 - random.nextDouble()) * 1000 / requestsPerS;
+            arrivals.add(new double[] {nextArrivalMs, random.nextInt(prefixCount)});
         }
-        List<Job> here = new ArrayList<>();
-        List<Double> came = new ArrayList<>();
-        List<Double> first = new ArrayList<>();
-        double firstSum = 0;
-        double tokenSum = 0;
-        double awaySum = 0;
-        double inSum = 0;
-        int doneCount = 0;
-        while (!arrivals.isEmpty() || !here.isEmpty()) {
-            while (!arrivals.isEmpty() && arrivals.peek()[0] <= bench.now) {
-                double[] one = arrivals.poll();
+        List<Job> inFlight = new ArrayList<>();
+        List<Double> arrivalMs = new ArrayList<>();
+        List<Double> firstTokenAtMs = new ArrayList<>();
+        double firstTokenSumMs = 0;
+        double tokenSumMs = 0;
+        double responseSumMs = 0;
+        double inFlightSum = 0;
+        int completedCount = 0;
+        while (!arrivals.isEmpty() || !inFlight.isEmpty()) {
+            while (!arrivals.isEmpty() && arrivals.peek()[0] <= driver.nowMs) {
+                double[] arrival = arrivals.poll();
                 Job job =
                         new Job(
-                                "j" + one[0],
+                                "j" + arrival[0],
                                 Job.Kind.BOTH,
                                 Prompt.of(
-                                        new long[] {(long) one[1], (long) (1e6 + one[0] * 1000)},
+                                        new long[] {(long) arrival[1], (long) (1e6 + arrival[0] * 1000)},
                                         new int[] {promptTokens / 2, promptTokens / 2},
                                         16),
-                                length);
-                if (bench.model.submit(job)) {
-                    here.add(job);
-                    came.add(one[0]);
-                    first.add(0.0);
+                                answerTokens);
+                if (driver.model.submit(job)) {
+                    inFlight.add(job);
+                    arrivalMs.add(arrival[0]);
+                    firstTokenAtMs.add(0.0);
                 }
             }
-            double before = bench.now;
-            int in = here.size();
-            if (!bench.step()) {
-                bench.now = arrivals.peek()[0];
+            double beforeMs = driver.nowMs;
+            int inFlightCount = inFlight.size();
+            if (!driver.step()) {
+                driver.nowMs = arrivals.peek()[0];
             }
-            inSum += in * (bench.now - before);
-            for (int i = here.size() - 1; i >= 0; i--) {
-                if (first.get(i) == 0 && here.get(i).made() > 0) {
-                    first.set(i, bench.now);
+            inFlightSum += inFlightCount * (driver.nowMs - beforeMs);
+            for (int i = inFlight.size() - 1; i >= 0; i--) {
+                if (firstTokenAtMs.get(i) == 0 && inFlight.get(i).generatedTokens() > 0) {
+                    firstTokenAtMs.set(i, driver.nowMs);
                 }
-                if (here.get(i).made() >= length) {
-                    firstSum += first.get(i) - came.get(i);
-                    tokenSum += (bench.now - first.get(i)) / (length - 1);
-                    awaySum += bench.now - Math.max(came.get(i), 0);
-                    doneCount++;
-                    here.remove(i);
-                    came.remove(i);
-                    first.remove(i);
+                if (inFlight.get(i).generatedTokens() >= answerTokens) {
+                    firstTokenSumMs += firstTokenAtMs.get(i) - arrivalMs.get(i);
+                    tokenSumMs += (driver.nowMs - firstTokenAtMs.get(i)) / (answerTokens - 1);
+                    responseSumMs += driver.nowMs - Math.max(arrivalMs.get(i), 0);
+                    completedCount++;
+                    inFlight.remove(i);
+                    arrivalMs.remove(i);
+                    firstTokenAtMs.remove(i);
                 }
             }
         }
-        return new Load(
-                doneCount / bench.now * 1000,
-                firstSum / doneCount,
-                tokenSum / doneCount,
-                inSum / bench.now,
-                awaySum / doneCount,
-                bench.model.sums().evictions());
+        return new LoadResult(
+                completedCount / driver.nowMs * 1000,
+                firstTokenSumMs / completedCount,
+                tokenSumMs / completedCount,
+                inFlightSum / driver.nowMs,
+                responseSumMs / completedCount,
+                driver.model.totals().evictions());
     }
 
     @Test
-    void throughputSaturatesAndWaitsTurnUpAtTheKnee() {
-        Load calm = load(SILICON, 10, 800, 40, 4, 1);
-        Load busy = load(SILICON, 30, 800, 40, 4, 1);
-        Load over = load(SILICON, 150, 800, 40, 4, 1);
-        Load more = load(SILICON, 300, 800, 40, 4, 1);
+    void throughputSaturatesAndFirstTokenTimeRisesUnderOverload() {
+        LoadResult light = runLoad(HARDWARE, 10, 800, 40, 4, 1);
+        LoadResult moderate = runLoad(HARDWARE, 30, 800, 40, 4, 1);
+        LoadResult overload = runLoad(HARDWARE, 150, 800, 40, 4, 1);
+        LoadResult doubleOverload = runLoad(HARDWARE, 300, 800, 40, 4, 1);
         System.out.println(
-                "by load (simulated): " + calm + "\n" + busy + "\n" + over + "\n" + more);
-        assertEquals(10, calm.perS, 1.5);
-        assertEquals(30, busy.perS, 3);
-        assertTrue(more.perS < 1.15 * over.perS, "goes on growing");
-        assertTrue(over.firstTokenMs > 10 * calm.firstTokenMs, "no knee");
+                "by load (simulated): " + light + "\n" + moderate + "\n" + overload + "\n" + doubleOverload);
+        assertEquals(10, light.requestsPerS, 1.5);
+        assertEquals(30, moderate.requestsPerS, 3);
+        assertTrue(doubleOverload.requestsPerS < 1.15 * overload.requestsPerS, "goes on growing");
+        assertTrue(overload.firstTokenMs > 10 * light.firstTokenMs, "no knee");
     }
 
     @Test
     void littlesLawHolds() {
-        Load busy = load(SILICON, 40, 800, 40, 4, 2);
-        assertEquals(busy.inMean, busy.perS / 1000 * busy.awayMean, 0.03 * busy.inMean);
+        LoadResult moderate = runLoad(HARDWARE, 40, 800, 40, 4, 2);
+        assertEquals(moderate.meanInFlight, moderate.requestsPerS / 1000 * moderate.meanResponseMs, 0.03 * moderate.meanInFlight);
     }
 
     @Test
-    void evictionsBeginWhenTheWorkingSetPassesMemory() {
-        long few = load(SILICON.withBlocks(4000), 10, 1600, 10, 8, 3).evictions;
-        long many = load(SILICON.withBlocks(4000), 10, 1600, 10, 400, 3).evictions;
-        assertTrue(many > few, few + " and " + many);
+    void evictionsRiseWhenWorkingSetExceedsMemory() {
+        long fewPrefixes = runLoad(HARDWARE.withBlocks(4000), 10, 1600, 10, 8, 3).evictions;
+        long manyPrefixes = runLoad(HARDWARE.withBlocks(4000), 10, 1600, 10, 400, 3).evictions;
+        assertTrue(manyPrefixes > fewPrefixes, fewPrefixes + " and " + manyPrefixes);
     }
 
     @Test
-    void smallerChunksMakeTokensSteadierAndFirstOnesLater() {
-        Load large = load(SILICON.withBatchTokens(8192), 8, 8000, 60, 1000, 4);
-        Load small = load(SILICON.withBatchTokens(256), 8, 8000, 60, 1000, 4);
+    void smallerChunksDelayFirstTokens() {
+        LoadResult large = runLoad(HARDWARE.withBatchTokens(8192), 8, 8000, 60, 1000, 4);
+        LoadResult small = runLoad(HARDWARE.withBatchTokens(256), 8, 8000, 60, 1000, 4);
         System.out.println("chunks of 8192 and 256 (simulated): " + large + "\n" + small);
         assertTrue(small.firstTokenMs > large.firstTokenMs);
     }
--- a/src/test/java/larchridge/experiment/ExperimentTest.java
+++ b/src/test/java/larchridge/experiment/ExperimentTest.java
@@ -20,7 +20,7 @@
     private Path folder;
 
     @BeforeEach
-    void make() throws Exception {
+    void createFiles() throws Exception {
         folder = Files.createTempDirectory("larchridge-experiment");
         Files.writeString(
                 folder.resolve("s.yaml"),
@@ -44,7 +44,7 @@
     }
 
     @AfterEach
-    void remove() throws Exception {
+    void deleteFiles() throws Exception {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
@@ -53,56 +53,56 @@
     }
 
     @Test
-    void planThatWasStoppedGoesOnWhereItWas() throws Exception {
+    void interruptedPlanResumes() throws Exception {
         ExperimentPlan plan = ExperimentPlan.read(folder.resolve("p.yaml"));
         Path table = folder.resolve("results.csv");
         List<ExperimentRunner.Row> rows = ExperimentRunner.run(plan, table, 2);
         assertEquals(8, rows.size());
-        String whole = Files.readString(table);
+        String content = Files.readString(table);
         // Cut in the middle of its last line, as by a kill.
-        Files.writeString(table, whole.substring(0, whole.length() - 7));
-        List<ExperimentRunner.Row> again = ExperimentRunner.run(plan, table, 2);
+        Files.writeString(table, content.substring(0, content.length() - 7));
+        List<ExperimentRunner.Row> resumed = ExperimentRunner.run(plan, table, 2);
         assertEquals(
                 rows.stream().map(ExperimentRunner.Row::digest).toList(),
-                again.stream().map(ExperimentRunner.Row::digest).toList());
+                resumed.stream().map(ExperimentRunner.Row::digest).toList());
         assertEquals(9, Files.readAllLines(table).size());
         ReportPage.write(plan, rows, folder);
         assertTrue(Files.readString(folder.resolve("service.svg")).contains("<svg"));
     }
 
     @Test
-    void differencesAreTakenSeedBySeedAndNoiseIsCalledSo() {
-        ReportPage.Mean noise = ReportPage.Mean.of(List.of(0.1, -0.1, 0.05, -0.04));
-        ReportPage.Mean real = ReportPage.Mean.of(List.of(0.1, 0.11, 0.09, 0.1));
-        assertFalse(noise.isMoreThanNoise());
-        assertTrue(real.isMoreThanNoise());
-        assertEquals(0.1, real.value(), 1e-9);
+    void intervalAroundZeroIsNotSignificant() {
+        ReportPage.ConfidenceInterval noise = ReportPage.ConfidenceInterval.of(List.of(0.1, -0.1, 0.05, -0.04));
+        ReportPage.ConfidenceInterval real = ReportPage.ConfidenceInterval.of(List.of(0.1, 0.11, 0.09, 0.1));
+        assertFalse(noise.isSignificant());
+        assertTrue(real.isSignificant());
+        assertEquals(0.1, real.mean(), 1e-9);
         // t of 3 degrees at 97.5% is 3.182.
-        assertEquals(3.182 * 0.00816 / 2, real.half(), 1e-4);
+        assertEquals(3.182 * 0.00816 / 2, real.halfWidth(), 1e-4);
     }
 
     @Test
-    void searchFindsTheSameFromOneSeedAndItsScriptCanBePlayedAgain() throws Exception {
+    void searchIsDeterministicAndItsScriptCanBeReadBack() throws Exception {
         TestScript script = TestScriptReader.read(folder.resolve("s.yaml"));
-        FaultSearch.Found one = FaultSearch.run(script, 3, 6, 2);
-        assertEquals(one, FaultSearch.run(script, 3, 6, 2));
-        Files.writeString(folder.resolve("found.yaml"), FaultSearch.yaml(one.script()));
+        FaultSearch.Candidate found = FaultSearch.run(script, 3, 6, 2);
+        assertEquals(found, FaultSearch.run(script, 3, 6, 2));
+        Files.writeString(folder.resolve("found.yaml"), FaultSearch.yaml(found.script()));
         assertEquals(
-                one.script().troubles(),
+                found.script().troubles(),
                 TestScriptReader.read(folder.resolve("found.yaml")).troubles());
     }
 
     @Test
-    void badPlanNamesFileAndField() throws Exception {
+    void invalidPlanNamesFileAndField() throws Exception {
         Path bad = folder.resolve("bad.yaml");
         Files.writeString(bad, "script: s.yaml\npolicies: [best]\n");
         assertTrue(
-                assertThrows(ExperimentPlan.BadPlan.class, () -> ExperimentPlan.read(bad))
+                assertThrows(ExperimentPlan.InvalidPlanException.class, () -> ExperimentPlan.read(bad))
                         .getMessage()
                         .contains("bad.yaml: policies: 'best'"));
         Files.writeString(bad, "script: s.yaml\nseed: [1\n");
         assertTrue(
-                assertThrows(ExperimentPlan.BadPlan.class, () -> ExperimentPlan.read(bad))
+                assertThrows(ExperimentPlan.InvalidPlanException.class, () -> ExperimentPlan.read(bad))
                         .getMessage()
                         .contains("bad.yaml:"));
     }
--- a/src/test/java/larchridge/simulation/PolicyActionsTest.java
+++ b/src/test/java/larchridge/simulation/PolicyActionsTest.java
@@ -168,7 +168,7 @@
         StringBuilder actual = new StringBuilder();
         Map<String, Integer> kinds = new TreeMap<>();
         for (Run run : RUNS) {
-            PolicyRecorder recorder = play(run);
+            PolicyRecorder recorder = simulate(run);
             recorder.counts().forEach((kind, count) -> kinds.merge(kind, count, Integer::sum));
             String name = run.script + " " + run.seed + " " + run.variant + " ";
             expected.append(name).append(run.lines).append(' ').append(run.sha256).append('\n');
@@ -208,10 +208,10 @@
                 "every kind of event and action is played");
     }
 
-    private static PolicyRecorder play(Run run) throws Exception {
+    private static PolicyRecorder simulate(Run run) throws Exception {
         String directory = System.getProperty("policy.actions.dir");
         PolicyRecorder recorder = new PolicyRecorder(run.variant, directory != null);
-        SimulationRun.play(script(run), recorder);
+        SimulationRun.simulate(script(run), recorder);
         if (directory != null) {
             String file =
                     (run.script + "-" + run.seed + "-" + run.variant).replace('/', '-') + ".txt";
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -80,18 +80,18 @@
 
     @Override
     public PolicyEvents create(RoutingSettings settings, PolicyActions host) {
-        RoutingSettings.Builder own = settings.toBuilder();
+        RoutingSettings.Builder builder = settings.toBuilder();
         switch (variant) {
-            case NO_CANCELLING -> own.cancellationAllowed(false);
-            case NO_HEDGING -> own.hedgingAllowed(false);
+            case NO_CANCELLING -> builder.cancellationAllowed(false);
+            case NO_HEDGING -> builder.hedgingAllowed(false);
             case WRITERS_READ -> {
-                own.writersCanRead(true);
-                own.retryAfterMaxMs(0);
+                builder.writersCanRead(true);
+                builder.retryAfterMaxMs(0);
             }
-            case INJECTED_EVENTS -> own.endpointSubscriptionRequired(true);
+            case INJECTED_EVENTS -> builder.endpointSubscriptionRequired(true);
             default -> {}
         }
-        return new Recorded(routers++, own.build(), host);
+        return new Recorded(routers++, builder.build(), host);
     }
 
     long lines() {
@@ -132,7 +132,7 @@
         counts.merge(kind, 1, Integer::sum);
     }
 
-    private static String figures(LoadReport report) {
+    private static String format(LoadReport report) {
         return report == null
                 ? "none"
                 : report.inflight()
@@ -144,7 +144,7 @@
                         + report.pendingTokens();
     }
 
-    private static String named(AttemptOutcome outcome) {
+    private static String label(AttemptOutcome outcome) {
         return switch (outcome) {
             case STREAMED -> "streamed";
             case FAULT -> "fault";
@@ -158,7 +158,7 @@
         };
     }
 
-    private static String named(GiveUpReason reason) {
+    private static String label(GiveUpReason reason) {
         return reason == null
                 ? "none"
                 : switch (reason) {
@@ -169,7 +169,7 @@
                 };
     }
 
-    private static String named(Role role) {
+    private static String label(Role role) {
         return switch (role) {
             case READER -> "reader";
             case WRITER -> "writer";
@@ -177,15 +177,15 @@
         };
     }
 
-    private static String named(EndpointState mode) {
-        return switch (mode) {
+    private static String label(EndpointState state) {
+        return switch (state) {
             case READY -> "ready";
             case DRAINING -> "draining";
             case REMOVED -> "removed";
         };
     }
 
-    private static String kind(Attempt attempt) {
+    private static String attemptKind(Attempt attempt) {
         return attempt.readsOnly ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
     }
 
@@ -209,7 +209,7 @@
             line(router, host.nowMs(), kind, values);
         }
 
-        private LoadReport seen(LoadReport report) {
+        private LoadReport visibleReport(LoadReport report) {
             return variant == Variant.NO_REPORTS ? null : report;
         }
 
@@ -231,15 +231,15 @@
 
         @Override
         public void readCompleted(
-                Attempt attempt, int cachedTokens, LoadReport report, boolean over) {
+                Attempt attempt, int cachedTokens, LoadReport report, boolean finished) {
             record(
                     "in:read-done",
                     attempt.generation.id,
                     attempt.number,
                     cachedTokens,
-                    figures(seen(report)),
-                    over);
-            policy.readCompleted(attempt, cachedTokens, seen(report), over);
+                    format(visibleReport(report)),
+                    finished);
+            policy.readCompleted(attempt, cachedTokens, visibleReport(report), finished);
         }
 
         @Override
@@ -251,7 +251,7 @@
 
         @Override
         public void attemptEnded(
-                Attempt attempt, AttemptOutcome reported, LoadReport report, boolean over) {
+                Attempt attempt, AttemptOutcome reported, LoadReport report, boolean finished) {
             boolean injected =
                     variant == Variant.INJECTED_EVENTS && reported == AttemptOutcome.UNREACHABLE;
             AttemptOutcome outcome = injected ? AttemptOutcome.NOT_SENT : reported;
@@ -259,10 +259,10 @@
                     "in:ended",
                     attempt.generation.id,
                     attempt.number,
-                    named(outcome),
-                    figures(seen(report)),
-                    over);
-            policy.attemptEnded(attempt, outcome, seen(report), over);
+                    label(outcome),
+                    format(visibleReport(report)),
+                    finished);
+            policy.attemptEnded(attempt, outcome, visibleReport(report), finished);
         }
 
         @Override
@@ -279,8 +279,8 @@
 
         @Override
         public void loadProbed(Engine engine, boolean answered, LoadReport report) {
-            record("in:probed", engine.id, answered, figures(seen(report)));
-            policy.loadProbed(engine, answered, seen(report));
+            record("in:probed", engine.id, answered, format(visibleReport(report)));
+            policy.loadProbed(engine, answered, visibleReport(report));
         }
 
         @Override
@@ -290,8 +290,8 @@
                 record(
                         "in:entry",
                         entry.engine().id,
-                        named(entry.role()),
-                        named(entry.state()),
+                        label(entry.role()),
+                        label(entry.state()),
                         entry.startMs(),
                         entry.capacityWeight(),
                         entry.zone(),
@@ -340,7 +340,7 @@
                     "out:send",
                     attempt.generation.id,
                     attempt.number,
-                    kind(attempt),
+                    attemptKind(attempt),
                     attempt.engine.id,
                     attempt.sentMs,
                     attempt.heldTokens,
@@ -369,13 +369,13 @@
 
         @Override
         public void reject(Generation generation, double retryAfterMs) {
-            record("out:throttle", generation.id, retryAfterMs, named(generation.giveUpReason()));
+            record("out:throttle", generation.id, retryAfterMs, label(generation.giveUpReason()));
             host.reject(generation, retryAfterMs);
         }
 
         @Override
         public void fail(Generation generation) {
-            record("out:terminate", generation.id, named(generation.giveUpReason()));
+            record("out:terminate", generation.id, label(generation.giveUpReason()));
             host.fail(generation);
         }
 
