--- a/src/test/java/larchridge/simulation/SimulationRunTest.java
+++ b/src/test/java/larchridge/simulation/SimulationRunTest.java
@@ -24,15 +24,15 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void everyRuleHoldsAndOneSeedIsOneRun(long seed) throws Exception {
-        SimulationRun.Result one = SimulationRun.play(badDay().withSeed(seed));
+    void rulesHoldAndRunsAreDeterministic(long seed) throws Exception {
+        SimulationRun.Result first = SimulationRun.simulate(badDay().withSeed(seed));
         System.out.println(
-                "seed " + seed + ": service " + one.all().service() + ", digest " + one.digest());
-        assertEquals(List.of(), one.breaches());
-        assertTrue(one.all().asked >= 2000);
-        assertTrue(one.all().service() > 0.6, "service " + one.all().service());
-        assertEquals(one.digest(), SimulationRun.play(badDay().withSeed(seed)).digest());
-        assertNotEquals(one.digest(), SimulationRun.play(badDay().withSeed(seed + 10)).digest());
+                "seed " + seed + ": service " + first.overall().service() + ", digest " + first.digest());
+        assertEquals(List.of(), first.breaches());
+        assertTrue(first.overall().asked >= 2000);
+        assertTrue(first.overall().service() > 0.6, "service " + first.overall().service());
+        assertEquals(first.digest(), SimulationRun.simulate(badDay().withSeed(seed)).digest());
+        assertNotEquals(first.digest(), SimulationRun.simulate(badDay().withSeed(seed + 10)).digest());
     }
 
     /**
@@ -42,30 +42,30 @@
     @ParameterizedTest
     @ValueSource(strings = {"full-pools", "faulty-writers", "forgetful-readers"})
     void searchedScriptsBreakNoRule(String name) throws Exception {
-        SimulationRun.Result day =
-                SimulationRun.play(
+        SimulationRun.Result result =
+                SimulationRun.simulate(
                         TestScriptReader.read(Path.of("deploy/searched/" + name + ".yaml")));
-        assertEquals(List.of(), day.breaches());
-        assertTrue(day.all().service() > 0.6, "service " + day.all().service());
+        assertEquals(List.of(), result.breaches());
+        assertTrue(result.overall().service() > 0.6, "service " + result.overall().service());
     }
 
     @Test
-    void tokensAddUp() throws Exception {
-        SimulationRun.Result day = SimulationRun.play(badDay());
-        for (EngineModel.Sums sums : day.sums()) {
+    void readAndCachedTokensDoNotExceedSubmitted() throws Exception {
+        SimulationRun.Result result = SimulationRun.simulate(badDay());
+        for (EngineModel.Totals totals : result.engineTotals()) {
             // Each prompt that came was kept, read, read again after a preemption, or left unread
             // when it was called off.
-            assertTrue(sums.promptTokensRead() + sums.promptTokensKept() >= 0);
+            assertTrue(totals.promptTokensRead() + totals.promptTokensCached() >= 0);
             assertTrue(
-                    sums.preemptions() > 0
-                            || sums.promptTokensRead() + sums.promptTokensKept()
-                                    <= sums.promptTokensIn(),
-                    sums.toString());
+                    totals.preemptions() > 0
+                            || totals.promptTokensRead() + totals.promptTokensCached()
+                                    <= totals.promptTokensSubmitted(),
+                    totals.toString());
         }
     }
 
     @Test
-    void stallUnderLoadIsLivedThrough() throws Exception {
+    void serviceSurvivesStallUnderLoad() throws Exception {
         TestScript script =
                 TestScriptReader.read(
                         "script",
@@ -83,20 +83,20 @@
                 troubles:
                   - {at_ms: 3000, for_ms: 5000, kind: stall, engines: [5], size: 6}
                 """);
-        SimulationRun.Result day = SimulationRun.play(script);
-        assertEquals(List.of(), day.breaches());
-        assertTrue(day.all().service() > 0.9, "service " + day.all().service());
+        SimulationRun.Result result = SimulationRun.simulate(script);
+        assertEquals(List.of(), result.breaches());
+        assertTrue(result.overall().service() > 0.9, "service " + result.overall().service());
     }
 
     /** Plain policies keep the rules too, or comparing with them would say nothing. */
     @ParameterizedTest
     @EnumSource(BaselinePolicy.Kind.class)
-    void plainPoliciesAnswerEveryone(BaselinePolicy.Kind kind) throws Exception {
-        SimulationRun.Result day =
-                SimulationRun.play(
-                        badDay(), (terms, host) -> new BaselinePolicy(kind, terms, host));
-        List<RuleChecker.Breach> one =
-                day.breaches().stream().filter(breach -> breach.rule() == 1).toList();
-        assertEquals(List.of(), one);
+    void baselinePoliciesAnswerEveryRequest(BaselinePolicy.Kind kind) throws Exception {
+        SimulationRun.Result result =
+                SimulationRun.simulate(
+                        badDay(), (settings, actions) -> new BaselinePolicy(kind, settings, actions));
+        List<RuleChecker.Breach> unanswered =
+                result.breaches().stream().filter(breach -> breach.rule() == 1).toList();
+        assertEquals(List.of(), unanswered);
     }
 }
