--- a/src/main/java/larchridge/baseline/BaselinePolicy.java
+++ b/src/main/java/larchridge/baseline/BaselinePolicy.java
@@ -20,12 +20,13 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Plain policies that the module is compared with in experiments; never in the program's path. Each
- * takes one reader and, when that has read, one writer, waits for nothing, asks for no load, and
- * tries again elsewhere where an effect allows it.
+ * Simple routing policies with which experiments compare the routing policy; never used by a
+ * running service. Each sends the prompt to one reader and, when it was read, the state to one
+ * writer. They never wait for capacity or probe load, and choose an engine again after a failure if
+ * the effect of the traffic class allows another attempt.
  */
 public final class BaselinePolicy implements PolicyEvents {
-    /** How an engine is taken from its pool. */
+    /** How an engine is chosen from the readers or writers. */
     public enum Kind {
         RANDOM,
         ROUND_ROBIN,
@@ -34,7 +35,9 @@
         PREFIX_HASH
     }
 
+    /** How long before its deadline a generation is given up. */
     private static final double DEADLINE_MARGIN_MS = 30;
+
     private static final double DEADLINE_CHECK_INTERVAL_MS = 20;
 
     private final Kind kind;
@@ -46,6 +49,7 @@
     private boolean wakeUpScheduled;
     private int nextIndex;
 
+    /** Creates the policy of one router. */
     public BaselinePolicy(Kind kind, RoutingSettings settings, PolicyActions actions) {
         this.kind = kind;
         this.actions = actions;
@@ -61,12 +65,17 @@
     }
 
     private void sendNextAttempt(Generation generation) {
-        if (generation.readWithHeldState() != null && generation.readWithHeldState().isStateLost()) {
+        if (generation.readWithHeldState() != null
+                && generation.readWithHeldState().isStateLost()) {
             actions.releaseState(generation);
             generation.dropState();
         }
         Engine engine =
-                chooseEngine(generation, generation.readWithHeldState() == null ? engines.readers() : engines.writers());
+                chooseEngine(
+                        generation,
+                        generation.readWithHeldState() == null
+                                ? engines.readers()
+                                : engines.writers());
         if (engine == null
                 || generation.attempts().size() + (generation.readWithHeldState() == null ? 2 : 1)
                         > maxAttempts) {
@@ -105,16 +114,21 @@
             }
             case PREFIX_HASH -> {
                 CachedPrefix prefix =
-                        generation.sharedPrefix != null ? generation.sharedPrefix : generation.sessionPrefix;
+                        generation.sharedPrefix != null
+                                ? generation.sharedPrefix
+                                : generation.sessionPrefix;
                 yield generation.readWithHeldState() != null || prefix == null
                         ? pool.get(random.nextInt(pool.size()))
-                        : pool.stream().max(Comparator.comparingLong(prefix::rendezvousWeight)).get();
+                        : pool.stream()
+                                .max(Comparator.comparingLong(prefix::rendezvousWeight))
+                                .get();
             }
         };
     }
 
     @Override
-    public void readCompleted(Attempt attempt, int cachedTokens, LoadReport report, boolean finished) {
+    public void readCompleted(
+            Attempt attempt, int cachedTokens, LoadReport report, boolean finished) {
         Generation generation = attempt.generation;
         attempt.close();
         if (finished) {
@@ -188,7 +202,7 @@
 
     @Override
     public void loadProbed(Engine engine, boolean answered, LoadReport report) {
-        // Nothing is asked.
+        // Baselines never probe.
 
     }
 
@@ -203,7 +217,8 @@
         openGenerations.removeIf(
                 generation -> !generation.isUnanswered() && generation.attemptsInFlight() == 0);
         for (Generation generation : List.copyOf(openGenerations)) {
-            if (generation.isUnanswered() && actions.nowMs() >= generation.deadlineMs - DEADLINE_MARGIN_MS) {
+            if (generation.isUnanswered()
+                    && actions.nowMs() >= generation.deadlineMs - DEADLINE_MARGIN_MS) {
                 giveUp(generation);
             }
         }
--- a/src/main/java/larchridge/baseline/package-info.java
+++ b/src/main/java/larchridge/baseline/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Plain routing policies that the routing policy is compared with in experiments.
+ * Simple routing policies with which experiments compare the routing policy; never used by a
+ * running service.
  *
- * <p>{@link larchridge.baseline.BaselinePolicy} is the entry. Never part of a running service.
+ * <p>The entry point is {@link larchridge.baseline.BaselinePolicy}.
  */
 package larchridge.baseline;
--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -8,26 +8,30 @@
 
 /**
  * A serving engine as published work describes them, without clock, threads or sockets: continuous
- * batching in steps, prompts in chunks beside answers, memory in blocks with kept beginnings,
- * preemption of the newest by reading it anew, states that wait to be fetched. Whoever drives it
- * calls {@link #beginStep} when there may be work and {@link #endStep} when that step's time is over.
+ * batching in steps, chunked prompts alongside answers, block memory with a prefix cache,
+ * preemption of the newest attempt by recomputation, and held states that wait to be fetched. The
+ * caller calls {@link #beginStep} when there may be work and {@link #endStep} when that step's time
+ * has passed.
  */
 public final class EngineModel {
-    /** What it tells whoever drives it, from inside {@link #endStep} and {@link #beginStep}. */
+    /**
+     * Receives the engine's events; called from within {@link #beginStep}, {@link #endStep} and
+     * {@link #releaseExpiredStates}.
+     */
     public interface Listener {
-        /** The prompt is read; its state waits. */
+        /** The prompt was read; its state is held. */
         void readCompleted(Job job);
 
-        /** There is a place for an answer; its state may be fetched. */
+        /** Memory for an answer is allocated; the caller must now transfer its state. */
         void fetchRequired(Job job);
 
-        /** One token more; the first once for each answer. */
+        /** A token was generated; recomputation after a preemption reports no token again. */
         void tokenGenerated(Job job);
 
-        /** The answer has all its tokens. */
+        /** All tokens of the answer were generated. */
         void answerCompleted(Job job);
 
-        /** A state that waited is gone. */
+        /** A held state expired or was evicted. */
         void stateLost(Job job);
     }
 
@@ -39,11 +43,11 @@
     private final Map<String, Job> heldStates = new LinkedHashMap<>();
     private boolean stepInProgress;
     private double startedMs;
-    // Ailments.
+    // Injected faults.
     private double slowdown = 1;
     private int stallThreshold = Integer.MAX_VALUE;
     private double stallFactor = 1;
-    // What it did.
+    // Totals.
     private long promptTokensSubmitted;
     private long promptTokensRead;
     private long promptTokensCached;
@@ -52,7 +56,11 @@
     private long preemptions;
     private long steps;
 
-    /** StartedMs: when its process came up; minus infinity for a warm one. */
+    /**
+     * Creates an idle engine.
+     *
+     * @param startedMs when its process started; negative infinity for an engine at full speed
+     */
     public EngineModel(EngineHardware hardware, double startedMs, Listener listener) {
         this.hardware = hardware;
         this.startedMs = startedMs;
@@ -60,9 +68,9 @@
         memory = new KvBlockPool(hardware.blocks());
     }
 
-    // ------------------------------------------------------------------ what comes
+    // ------------------------------------------------------------------ attempts and states
 
-    /** Takes an attempt; false if as many wait as may. */
+    /** Queues an attempt; returns false if the queue is full. */
     public boolean submit(Job job) {
         if (waiting.size() >= hardware.maxQueued()) {
             return false;
@@ -72,14 +80,14 @@
         return true;
     }
 
-    /** The state of an answer has come. */
+    /** Called when the state that an attempt writes from has been transferred. */
     public void stateFetched(Job job) {
         job.fetchingState = false;
         job.computedTokens = job.prompt.tokens;
         memory.cacheFilledBlocks(job.prompt, job.blocks, 0, job.prompt.blockHashes.length);
     }
 
-    /** An attempt is called off, or its client has left. */
+    /** Cancels an attempt and frees its memory. */
     public void cancel(Job job) {
         if (!job.removed) {
             outputTokensDiscarded += job.generatedTokens;
@@ -87,7 +95,7 @@
         }
     }
 
-    /** A state is let go of, or was fetched; false if it is not here. */
+    /** Releases a held state; returns false if it is not held here. */
     public boolean release(String attemptId) {
         Job job = heldStates.remove(attemptId);
         if (job == null) {
@@ -97,11 +105,15 @@
         return true;
     }
 
+    /** Whether the state that this attempt read is held here. */
     public boolean holdsState(String attemptId) {
         return heldStates.containsKey(attemptId);
     }
 
-    /** States that nobody fetched go; when to look again, or infinite. */
+    /**
+     * Releases held states whose timeout has passed; returns when the next one expires, or
+     * infinity.
+     */
     public double releaseExpiredStates(double nowMs) {
         for (Job job : List.copyOf(heldStates.values())) {
             if (nowMs - job.heldSinceMs >= hardware.stateTimeoutMs()) {
@@ -114,13 +126,17 @@
                 : heldStates.values().iterator().next().heldSinceMs + hardware.stateTimeoutMs();
     }
 
-    /** So many times as slow, and so many times more when over so many are in work. */
+    /**
+     * Slows all steps down by a factor, and by a further one while more than a threshold of
+     * attempts are running.
+     */
     public void injectSlowdown(double newSlowdown, int newStallThreshold, double newStallFactor) {
         slowdown = newSlowdown;
         stallThreshold = newStallThreshold;
         stallFactor = newStallFactor;
     }
 
+    /** Empties the prefix cache, except for blocks in use. */
     public void flush() {
         memory.flush();
     }
@@ -135,8 +151,8 @@
     // ------------------------------------------------------------------ steps
 
     /**
-     * Begins a step where there is work; its length in milliseconds, or NaN where there is none or
-     * one is under way.
+     * Begins a step if there is work; returns its duration in milliseconds, or NaN if there is no
+     * work or a step is in progress.
      */
     public double beginStep(double nowMs) {
         if (stepInProgress) {
@@ -160,7 +176,10 @@
         double attendedTokens = 0;
         for (Job job : running) {
             if (!job.fetchingState && job.computedTokens < job.requiredTokens) {
-                job.chunkTokens = Math.max(0, Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
+                job.chunkTokens =
+                        Math.max(
+                                0,
+                                Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
                 tokenBudget -= job.chunkTokens;
                 promptTokens += job.chunkTokens;
                 attendedTokens += (double) job.chunkTokens * job.computedTokens;
@@ -179,7 +198,10 @@
             if (job.fetchingState) {
                 listener.fetchRequired(job);
             } else {
-                job.chunkTokens = Math.max(0, Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
+                job.chunkTokens =
+                        Math.max(
+                                0,
+                                Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
                 tokenBudget -= job.chunkTokens;
                 promptTokens += job.chunkTokens;
                 attendedTokens += (double) job.chunkTokens * job.computedTokens;
@@ -196,7 +218,10 @@
                         + hardware.sequenceMs() * answers
                         + hardware.contextTokenMs() * contextTokens
                         + hardware.attentionMs() * attendedTokens;
-        return ms * slowdown * (running.size() > stallThreshold ? stallFactor : 1) / relativeSpeed(nowMs);
+        return ms
+                * slowdown
+                * (running.size() > stallThreshold ? stallFactor : 1)
+                / relativeSpeed(nowMs);
     }
 
     private double relativeSpeed(double nowMs) {
@@ -208,7 +233,8 @@
     }
 
     /**
-     * Finds memory for the whole of an attempt's prompt; a state that waits may have to go for it.
+     * Allocates memory for an attempt's whole prompt, and evicts held states for it if the engine
+     * does so; returns false if there is not enough memory.
      */
     private boolean admit(Job job) {
         int cachedBlocks = memory.countCachedBlocks(job.prompt);
@@ -226,8 +252,9 @@
         }
         job.blocks = allocated;
         job.fetchingState = job.kind == Job.Kind.WRITE && !job.preempted;
-        // The last token is always read: it is what the next one is made of.
-        job.computedTokens = Math.min(cachedBlocks * hardware.blockTokens(), job.requiredTokens - 1);
+        // The last token is always computed, since its output gives the next token.
+        job.computedTokens =
+                Math.min(cachedBlocks * hardware.blockTokens(), job.requiredTokens - 1);
         if (!job.fetchingState && !job.preempted) {
             job.cachedTokens = job.computedTokens;
             promptTokensCached += job.cachedTokens;
@@ -236,11 +263,12 @@
     }
 
     /**
-     * A block for an answer's next token, if it needs one; where there is none the newest goes back
-     * to wait.
+     * Allocates a block for an answer's next token if it needs one. While memory is full, the
+     * newest running attempt is preempted; returns false if that is this one.
      */
     private boolean reserveNextToken(Job job) {
-        while (job.prompt.tokens + job.generatedTokens + 1 > job.blocks.size() * hardware.blockTokens()) {
+        while (job.prompt.tokens + job.generatedTokens + 1
+                > job.blocks.size() * hardware.blockTokens()) {
             KvBlockPool.Block block = memory.allocateBlock();
             if (block != null) {
                 job.blocks.add(block);
@@ -261,8 +289,8 @@
         memory.release(job.blocks);
         job.chunkTokens = 0;
         job.computedTokens = 0;
-        // One whose state was still to come waits for it anew; all others are read anew here, with
-        // what they had written.
+        // An attempt whose state was still being fetched fetches it again; any other recomputes its
+        // prompt and the tokens it had generated.
         if (!job.fetchingState) {
             job.preempted = true;
             job.requiredTokens = job.prompt.tokens + job.generatedTokens;
@@ -272,7 +300,7 @@
         waiting.addFirst(job);
     }
 
-    /** The step's time is over. */
+    /** Ends the current step, when its duration has passed. */
     public void endStep(double nowMs) {
         stepInProgress = false;
         for (Job job : List.copyOf(running)) {
@@ -284,7 +312,11 @@
                 job.computedTokens += job.chunkTokens;
                 promptTokensRead += job.chunkTokens;
                 job.chunkTokens = 0;
-                memory.cacheFilledBlocks(job.prompt, job.blocks, blocksBefore, job.computedTokens / hardware.blockTokens());
+                memory.cacheFilledBlocks(
+                        job.prompt,
+                        job.blocks,
+                        blocksBefore,
+                        job.computedTokens / hardware.blockTokens());
                 if (job.computedTokens < job.requiredTokens) {
                     continue;
                 }
@@ -295,7 +327,7 @@
                     listener.readCompleted(job);
                     continue;
                 }
-                // The last chunk gives the next token.
+                // The step that reads the last chunk also generates the next token.
                 generateToken(job);
             } else if (job.inCurrentStep) {
                 job.inCurrentStep = false;
@@ -314,35 +346,50 @@
         }
     }
 
-    // ------------------------------------------------------------------ what it tells
+    // ------------------------------------------------------------------ load and totals
 
-    /** Attempts here, states that wait included. */
+    /** Number of attempts at this engine, including held states. */
     public int inflight() {
         return running.size() + waiting.size() + heldStates.size();
     }
 
+    /** Number of queued attempts. */
     public int queueLength() {
         return waiting.size();
     }
 
-    /** Share of memory that somebody refers to. */
+    /** Fraction of memory in use; cached blocks without references are not in use. */
     public double memoryShare() {
         return memory.usedBlocks() / (double) memory.totalBlocks();
     }
 
-    /** Prompt tokens to be read or fetched. */
+    /** Number of prompt tokens still to be read or fetched. */
     public double pendingPromptTokens() {
         double tokens = 0;
         for (Job job : waiting) {
             tokens += job.requiredTokens;
         }
         for (Job job : running) {
-            tokens += job.fetchingState ? job.prompt.tokens : Math.max(0, job.requiredTokens - job.computedTokens);
+            tokens +=
+                    job.fetchingState
+                            ? job.prompt.tokens
+                            : Math.max(0, job.requiredTokens - job.computedTokens);
         }
         return tokens;
     }
 
-    /** What it has done so far. */
+    /**
+     * Totals since the engine was created.
+     *
+     * @param promptTokensSubmitted prompt tokens of attempts that read a prompt
+     * @param promptTokensRead tokens read, including tokens recomputed after preemptions
+     * @param promptTokensCached prompt tokens found in the prefix cache at first admission
+     * @param outputTokens tokens generated
+     * @param outputTokensDiscarded tokens generated for attempts that were cancelled
+     * @param preemptions number of preemptions
+     * @param evictions blocks evicted from the prefix cache to allocate others
+     * @param steps number of steps
+     */
     public record Totals(
             long promptTokensSubmitted,
             long promptTokensRead,
@@ -353,6 +400,7 @@
             long evictions,
             long steps) {}
 
+    /** Returns the totals so far. */
     public Totals totals() {
         return new Totals(
                 promptTokensSubmitted,
--- a/src/main/java/larchridge/emulator/Job.java
+++ b/src/main/java/larchridge/emulator/Job.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * One attempt at an engine: a prompt to be read, an answer to be written of a state fetched from
- * elsewhere, or both.
+ * One attempt at an engine: reads a prompt, writes an answer from a state fetched from a reader, or
+ * does both.
  */
 public final class Job {
-    /** What is done of an attempt here. */
+    /** Which part of the work the engine does. */
     public enum Kind {
         READ,
         WRITE,
@@ -19,30 +19,39 @@
     public final Kind kind;
     public final Prompt prompt;
 
-    /** Tokens that the answer will have. */
+    /** Number of tokens after which the answer is complete. */
     public final int answerTokens;
 
-    /** For whoever drives the engine. */
+    /** An object of the caller that drives the engine; not used by the emulator. */
     public Object attachment;
 
     List<KvBlockPool.Block> blocks = new ArrayList<>();
+
+    /** How many of the {@link #requiredTokens} were computed, fetched or found in the cache. */
     int computedTokens;
+
     int cachedTokens;
     int generatedTokens;
+
+    /** Prompt tokens that the current step reads. */
     int chunkTokens;
+
     boolean fetchingState;
     boolean removed;
     boolean preempted;
+
+    /** Whether the current step generates a token of this answer. */
     boolean inCurrentStep;
 
     /**
-     * What has to be read before the next token can be written: the prompt, after a preemption also
-     * what was written.
+     * Tokens that must be computed before the next token can be generated: the prompt and, after a
+     * preemption, the tokens generated so far.
      */
     int requiredTokens;
 
     double heldSinceMs;
 
+    /** Creates a job that has not been submitted. */
     public Job(String attemptId, Kind kind, Prompt prompt, int answerTokens) {
         this.attemptId = attemptId;
         this.kind = kind;
@@ -51,11 +60,12 @@
         requiredTokens = prompt.tokens;
     }
 
-    /** Prompt tokens that needed no reading. */
+    /** Number of prompt tokens that were cached and did not have to be read. */
     public int cachedTokens() {
         return cachedTokens;
     }
 
+    /** Number of answer tokens generated so far. */
     public int generatedTokens() {
         return generatedTokens;
     }
--- a/src/main/java/larchridge/emulator/KvBlockPool.java
+++ b/src/main/java/larchridge/emulator/KvBlockPool.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /**
- * An engine's memory in blocks. A whole block of a prompt is kept under its hash and shared by all
- * who begin alike, counted by who refers to it; one that nobody refers to stays until room is
- * needed, the one unused for longest going first.
+ * An engine's KV memory in blocks, with a prefix cache. Full blocks of prompts are cached by their
+ * prefix hash and shared, with a reference count, by all prompts with that prefix. A cached block
+ * without references stays until memory is needed; the least recently used one is evicted first.
  */
 final class KvBlockPool {
-    /** One block; hash is 0 while it is nobody's beginning. */
+    /** One block; its hash is 0 while it is not in the prefix cache. */
     static final class Block {
         long hash;
         int refCount;
@@ -23,7 +23,7 @@
     private int freeBlocks;
     private final Map<Long, Block> cachedBlocks = new HashMap<>();
 
-    /** Kept and referred to by nobody, the one unused for longest first. */
+    /** Cached blocks without references by hash, least recently used first. */
     private final LinkedHashMap<Long, Block> unreferenced = new LinkedHashMap<>();
 
     private long evictions;
@@ -33,18 +33,22 @@
         freeBlocks = totalBlocks;
     }
 
-    /** Whole blocks at the beginning of a prompt that are kept. */
+    /** Number of blocks at the start of a prompt that are cached. */
     int countCachedBlocks(Prompt prompt) {
         int cached = 0;
-        while (cached < prompt.blockHashes.length && cachedBlocks.containsKey(prompt.blockHashes[cached])) {
+        while (cached < prompt.blockHashes.length
+                && cachedBlocks.containsKey(prompt.blockHashes[cached])) {
             cached++;
         }
         return cached;
     }
 
     /**
-     * Blocks for so many tokens of a prompt, its kept beginning first; null, and nothing taken,
-     * where there is no room.
+     * Allocates blocks for a prompt, starting with its cached ones; returns null and allocates
+     * nothing if there is not enough memory.
+     *
+     * @param cached the number of cached blocks at the start of the prompt
+     * @param blockCount the number of blocks to allocate, including the cached ones
      */
     List<Block> allocate(Prompt prompt, int cached, int blockCount) {
         int unreferencedCached = 0;
@@ -68,7 +72,7 @@
         return allocated;
     }
 
-    /** One more block; null where there is no room. */
+    /** Allocates one block; returns null if there is no memory. */
     Block allocateBlock() {
         return freeBlocks + unreferenced.size() == 0 ? null : newBlock();
     }
@@ -88,7 +92,7 @@
         return block;
     }
 
-    /** Blocks up to here of a prompt are filled: from now on they are found. */
+    /** Adds the filled blocks {@code from} to {@code to} (exclusive) of a prompt to the cache. */
     void cacheFilledBlocks(Prompt prompt, List<Block> blocks, int from, int to) {
         for (int i = from; i < Math.min(to, prompt.blockHashes.length); i++) {
             Block block = blocks.get(i);
@@ -98,7 +102,10 @@
         }
     }
 
-    /** Nobody here refers to these any more; the end of a prompt goes before its beginning. */
+    /**
+     * Drops one reference to each block and clears the list. The blocks are released in reverse
+     * order, so that the end of a prompt is evicted before its start.
+     */
     void release(List<Block> blocks) {
         for (int i = blocks.size() - 1; i >= 0; i--) {
             Block block = blocks.get(i);
@@ -114,7 +121,7 @@
         blocks.clear();
     }
 
-    /** Forgets all that nobody refers to. */
+    /** Evicts all cached blocks without references. */
     void flush() {
         unreferenced.values().forEach(block -> cachedBlocks.remove(block.hash));
         freeBlocks += unreferenced.size();
--- a/src/main/java/larchridge/emulator/Prompt.java
+++ b/src/main/java/larchridge/emulator/Prompt.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * A prompt as an engine keeps it: for each whole block a hash of all up to its end, so that equal
- * beginnings are equal.
+ * A prompt as an engine caches it: each full block has a hash of the whole prompt up to its end, so
+ * that prompts with an equal prefix have equal hashes for it.
  */
 public final class Prompt {
     public final int tokens;
@@ -16,10 +16,11 @@
     }
 
     /**
-     * Of texts that follow each other.
+     * Creates a prompt from consecutive segments of text.
      *
-     * @param segmentIds what each text is, the same number for the same text
-     * @param segmentTokens tokens of each
+     * @param segmentIds an id for each segment; equal ids mean equal text
+     * @param segmentTokens the number of tokens of each segment
+     * @param blockTokens tokens per memory block
      */
     public static Prompt of(long[] segmentIds, int[] segmentTokens, int blockTokens) {
         int tokens = Arrays.stream(segmentTokens).sum();
@@ -33,13 +34,17 @@
             while (segmentStart + segmentTokens[segment] <= blockStart) {
                 segmentStart += segmentTokens[segment++];
             }
-            // What of which texts is in this block.
+            // Hash the part of each segment that lies in this block.
             int position = blockStart;
             int current = segment;
             int currentStart = segmentStart;
             while (position < blockEnd) {
                 int end = Math.min(blockEnd, currentStart + segmentTokens[current]);
-                hash = mix(hash ^ mix(segmentIds[current] * 31 + (position - currentStart)) + (end - position));
+                hash =
+                        mix(
+                                hash
+                                        ^ mix(segmentIds[current] * 31 + (position - currentStart))
+                                                + (end - position));
                 position = end;
                 currentStart += segmentTokens[current++];
             }
--- a/src/main/java/larchridge/emulator/SharedLinks.java
+++ b/src/main/java/larchridge/emulator/SharedLinks.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 
 /**
- * Links that states move over, each shared evenly by what moves on it; a move over several goes as
- * fast as the slowest lets it. Without clock: whoever drives it asks when the next one ends, and
- * again after every change.
+ * Network links over which states are transferred. Each link's bandwidth is shared evenly by its
+ * transfers; a transfer over several links is as fast as the slowest one allows. Has no clock: the
+ * caller asks for the time of the next completion, and again after every change.
  */
 public final class SharedLinks {
-    /** One link. */
+    /** A link with its bandwidth and its number of transfers. */
     public static final class Link {
         private double tokensPerMs;
         private int transfers;
 
-        /** From now on it carries so much. */
+        /** Changes the bandwidth. */
         void setTokensPerMs(double newTokensPerMs) {
             tokensPerMs = newTokensPerMs;
         }
     }
 
-    /** One state on its way. */
+    /** A state that is being transferred. */
     public static final class Transfer {
         private final List<Link> path;
         private final Runnable onCompleted;
@@ -47,7 +47,7 @@
     private final List<Transfer> transfers = new ArrayList<>();
     private double advancedToMs;
 
-    /** The link of this name, made with this speed when it is first asked for. */
+    /** Returns the link with this name; creates it with this bandwidth if there is none. */
     public Link link(String name, double tokensPerMs) {
         return links.computeIfAbsent(
                 name,
@@ -58,8 +58,9 @@
                 });
     }
 
-    /** Begins a move; done runs from {@link #advance} when all has come. */
-    public Transfer startTransfer(double nowMs, double tokens, List<Link> path, Runnable onCompleted) {
+    /** Starts a transfer; onCompleted runs in {@link #advance} when it is complete. */
+    public Transfer startTransfer(
+            double nowMs, double tokens, List<Link> path, Runnable onCompleted) {
         advance(nowMs);
         Transfer transfer = new Transfer(Math.max(1, tokens), path, onCompleted);
         path.forEach(link -> link.transfers++);
@@ -67,6 +68,7 @@
         return transfer;
     }
 
+    /** Cancels a transfer unless it is complete. */
     public void cancelTransfer(double nowMs, Transfer transfer) {
         advance(nowMs);
         if (transfers.remove(transfer)) {
@@ -74,13 +76,13 @@
         }
     }
 
-    /** Changes what a link carries. */
+    /** Changes the bandwidth of a link. */
     public void setTokensPerMs(double nowMs, String name, double tokensPerMs) {
         advance(nowMs);
         link(name, tokensPerMs).setTokensPerMs(tokensPerMs);
     }
 
-    /** When the next move ends as things are; infinite if none does. */
+    /** Time at which the next transfer completes if nothing changes; infinite if there is none. */
     public double nextCompletionMs() {
         double next = Double.POSITIVE_INFINITY;
         for (Transfer transfer : transfers) {
@@ -89,7 +91,7 @@
         return next;
     }
 
-    /** Moves on to a time; those that have come are told, in the order in which they began. */
+    /** Advances to a time; completed transfers are reported in the order in which they started. */
     public void advance(double nowMs) {
         double elapsedMs = nowMs - advancedToMs;
         advancedToMs = nowMs;
@@ -99,7 +101,8 @@
         List<Transfer> completed = new ArrayList<>();
         for (Transfer transfer : transfers) {
             transfer.remainingTokens -= elapsedMs * transfer.rate();
-            // Guards against: what is left may be less than time itself can tell apart.
+            // Guards against: a remainder that takes less time than a double can add to the
+            // current time would never complete.
             if (transfer.remainingTokens <= 1e-3 + 1e-6 * transfer.rate()) {
                 completed.add(transfer);
             }
--- a/src/main/java/larchridge/emulator/package-info.java
+++ b/src/main/java/larchridge/emulator/package-info.java
@@ -1,8 +1,8 @@
 /**
- * A model of a serving engine: batching, memory blocks, transfers. Without clock, threads or
- * sockets.
+ * A model of a serving engine: batching, memory blocks and state transfers, without clock, threads
+ * or sockets.
  *
- * <p>{@link larchridge.emulator.EngineModel} is the entry; whoever drives it passes the time in. It
- * knows no other package.
+ * <p>The entry point is {@link larchridge.emulator.EngineModel}; its caller passes in the time. The
+ * package depends on no other package of the program.
  */
 package larchridge.emulator;
--- a/src/main/java/larchridge/experiment/ExperimentPlan.java
+++ b/src/main/java/larchridge/experiment/ExperimentPlan.java
@@ -14,20 +14,22 @@
 import larchridge.systemtest.TestScriptReader;
 
 /**
- * What an experiment varies: policies, rates (times the script's), engines (times the script's
- * counts), fronts, and seeds. What is left out is as in the script. Policies are choice, the module
- * of this program, and the plain ones.
+ * The parameters that an experiment varies: routing policies, request rates and engine counts (both
+ * as factors of the script's), numbers of routers, and seeds. Rates, engines and routers that the
+ * plan omits are the script's. Policies are {@code choice}, the routing policy of this program, and
+ * the names of {@link BaselinePolicy.Kind} in lower case.
  */
 public final class ExperimentPlan {
     /** One run of a plan. */
-    public record RunParameters(String policy, double rateFactor, double engineFactor, int routers, long seed) {
-        /** Names the run in the table of results. */
+    public record RunParameters(
+            String policy, double rateFactor, double engineFactor, int routers, long seed) {
+        /** Identifies the run in the results file, as the first columns of its row. */
         String key() {
             return policy + "," + rateFactor + "," + engineFactor + "," + routers + "," + seed;
         }
     }
 
-    /** A plan that can't be run. */
+    /** Thrown for a plan that can't be run. */
     public static final class InvalidPlanException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -44,7 +46,9 @@
             @JsonProperty("engines") List<Double> engines,
             @JsonProperty("fronts") List<Integer> routers) {}
 
+    /** The name of this program's routing policy in plans and results. */
     static final String ROUTING_POLICY = "choice";
+
     public final TestScript script;
     final List<String> policies;
     final List<Double> rates;
@@ -60,7 +64,9 @@
                     for (int routers :
                             file.routers == null ? List.of(script.fronts()) : file.routers) {
                         for (long seed : file.seeds == null ? List.of(1L, 2L, 3L) : file.seeds) {
-                            runs.add(new RunParameters(policy, rateFactor, engineFactor, routers, seed));
+                            runs.add(
+                                    new RunParameters(
+                                            policy, rateFactor, engineFactor, routers, seed));
                         }
                     }
                 }
@@ -68,7 +74,7 @@
         }
     }
 
-    /** Reads a plan; its script's path is relative to its folder. */
+    /** Reads a plan; the path of its script is relative to the plan's folder. */
     public static ExperimentPlan read(Path path) throws InvalidPlanException {
         PlanFile file;
         try {
@@ -77,7 +83,8 @@
                             .readValue(Files.readString(path), PlanFile.class);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new InvalidPlanException(path + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
+            throw new InvalidPlanException(
+                    path + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
         } catch (IOException e) {
             throw new InvalidPlanException(path + ": can't be read (" + e.getMessage() + ")");
         }
@@ -102,7 +109,7 @@
         }
     }
 
-    /** The plain policy of this name, or null. */
+    /** Returns the baseline policy with this name, or null. */
     static BaselinePolicy.Kind baselineKind(String policy) {
         for (BaselinePolicy.Kind kind : BaselinePolicy.Kind.values()) {
             if (kind.name().equalsIgnoreCase(policy)) {
--- a/src/main/java/larchridge/experiment/ExperimentRunner.java
+++ b/src/main/java/larchridge/experiment/ExperimentRunner.java
@@ -21,15 +21,15 @@
 import larchridge.simulation.SimulationRun;
 
 /**
- * Runs a plan in virtual time, so many runs side by side; each row is written as its run ends, so
- * that a plan goes on where it was.
+ * Runs an experiment plan in virtual time, several runs in parallel. Each row of results is written
+ * when its run ends, so that an interrupted plan can be resumed.
  */
 public final class ExperimentRunner {
     static final String CSV_HEADER =
             "policy,rate,engines,fronts,seed,service,asked,streamed,throttled,terminated,p50_ms,p99_ms,"
                     + "read_toks,kept_toks,out_toks,preemptions,evictions,breaches,virtual_per_real,digest";
 
-    /** One row of the results. */
+    /** The results of one run; csvLine is its line in the results file. */
     public record Row(
             ExperimentPlan.RunParameters run,
             double service,
@@ -41,7 +41,7 @@
 
     private ExperimentRunner() {}
 
-    /** Runs what the table does not hold yet; returns all rows in the plan's order. */
+    /** Runs what the results file does not contain yet; returns all rows in the plan's order. */
     public static List<Row> run(ExperimentPlan plan, Path resultsFile, int parallelism)
             throws IOException, InterruptedException {
         Map<String, Row> completed = readCompletedRuns(plan, resultsFile);
@@ -72,7 +72,7 @@
                 completed.put(entry.getKey().key(), entry.getValue().get());
             }
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run failed", e.getCause());
+            throw new IllegalStateException("a simulation run failed", e.getCause());
         } finally {
             executor.shutdownNow();
         }
@@ -85,7 +85,9 @@
                         ? RoutingPolicy::new
                         : (settings, actions) ->
                                 new BaselinePolicy(
-                                        ExperimentPlan.baselineKind(run.policy()), settings, actions);
+                                        ExperimentPlan.baselineKind(run.policy()),
+                                        settings,
+                                        actions);
         SimulationRun.Result result =
                 SimulationRun.simulate(
                         plan.script
@@ -139,8 +141,12 @@
                 csvLine);
     }
 
-    /** Rows of runs that ended; a last line that was cut short is run again. */
-    private static Map<String, Row> readCompletedRuns(ExperimentPlan plan, Path resultsFile) throws IOException {
+    /**
+     * Reads the rows of completed runs. Removes a last line that was not written completely, so
+     * that its run is repeated.
+     */
+    private static Map<String, Row> readCompletedRuns(ExperimentPlan plan, Path resultsFile)
+            throws IOException {
         Map<String, Row> rows = new LinkedHashMap<>();
         if (!Files.exists(resultsFile)) {
             return rows;
--- a/src/main/java/larchridge/experiment/FaultSearch.java
+++ b/src/main/java/larchridge/experiment/FaultSearch.java
@@ -21,10 +21,10 @@
 import larchridge.systemtest.TestScript;
 
 /**
- * Looks for the troubles under which the module does worst: those that break a rule, else those
- * under which a plain policy serves most more than it does. A bounded random search that goes on
- * from the worst so far, then makes it small: every trouble, engine and length that is not needed
- * goes. From a seed; the same seed finds the same.
+ * Searches for the faults under which the routing policy performs worst: those that break a rule,
+ * else those under which a baseline policy outperforms it most. A bounded random search mutates the
+ * worst scripts found so far; the result is then minimized by removing faults and engines and
+ * shortening faults where the script stays nearly as bad. The same seed gives the same result.
  */
 public final class FaultSearch {
     private static final List<String> FAULT_KINDS =
@@ -43,15 +43,24 @@
                     "remove",
                     "burst");
     private static final int MAX_FAULTS = 5;
+
+    /** How many of the worst scripts found so far are mutated further. */
     private static final int MAX_CANDIDATES = 4;
+
+    /** The severity that a script must keep while it is minimized, as a share of the original's. */
     private static final double MIN_SHRUNK_SEVERITY = 0.8;
+
     private static final double VIOLATION_SEVERITY = 10;
     private static final List<BaselinePolicy.Kind> BASELINES =
             List.of(BaselinePolicy.Kind.LEAST_OPEN, BaselinePolicy.Kind.PREFIX_HASH);
 
     /**
-     * A script with how bad it is: {@value #VIOLATION_SEVERITY} and more for a broken rule, else what a plain
-     * policy serves more.
+     * A script and how badly the routing policy performs under it.
+     *
+     * @param severity {@value #VIOLATION_SEVERITY} plus the number of violations if rules were
+     *     broken, else by how much the best baseline's service exceeds the routing policy's
+     * @param service the routing policy's service
+     * @param breaches the number of rule violations
      */
     public record Candidate(TestScript script, double severity, double service, int breaches) {}
 
@@ -67,7 +76,7 @@
         executor = Executors.newFixedThreadPool(parallelism);
     }
 
-    /** Tries so many scripts, then shrinks the worst. */
+    /** Evaluates this many scripts, then minimizes the worst. */
     public static Candidate run(TestScript base, long seed, int scriptCount, int parallelism)
             throws InterruptedException {
         FaultSearch search = new FaultSearch(base, seed, parallelism);
@@ -94,7 +103,7 @@
                                                         .troubles())));
             }
             worst.addAll(evaluateAll(scripts));
-            // Ties by the order found: the same seed finds the same.
+            // The sort is stable: equal severities keep their order, so a seed gives one result.
             worst.sort(Comparator.comparingDouble(Candidate::severity).reversed());
             worst = new ArrayList<>(worst.subList(0, Math.min(MAX_CANDIDATES, worst.size())));
         }
@@ -142,8 +151,8 @@
     }
 
     /**
-     * Engines that fail together: some by chance, or a rack, or all of one role in a zone; never
-     * more than half.
+     * Picks engines that fail together: a random subset, a rack, or all engines of one role in a
+     * zone; at most half of all engines.
      */
     private List<Long> randomEngines() {
         EngineProfile first = profiles.get(random.nextInt(profiles.size()));
@@ -156,8 +165,10 @@
                     selection == 0
                             ? random.nextInt(6) == 0
                             : selection == 1
-                                    ? profile.zone().equals(first.zone()) && profile.rack() == first.rack()
-                                    : profile.zone().equals(first.zone()) && profile.role() == first.role();
+                                    ? profile.zone().equals(first.zone())
+                                            && profile.rack() == first.rack()
+                                    : profile.zone().equals(first.zone())
+                                            && profile.role() == first.role();
             if (selected && ids.size() < maxEngines) {
                 ids.add(profile.id());
             }
@@ -175,21 +186,24 @@
             try {
                 candidates.add(evaluation.get());
             } catch (ExecutionException e) {
-                throw new IllegalStateException("a run failed", e.getCause());
+                throw new IllegalStateException("a simulation run failed", e.getCause());
             }
         }
         return candidates;
     }
 
     /**
-     * Plays a script with the module, and where it breaks no rule with plain policies beside it.
+     * Runs a script with the routing policy and, if it breaks no rule, with the baseline policies.
      */
     static Candidate evaluate(TestScript script) {
         SimulationRun.Result result = SimulationRun.simulate(script);
         double service = result.overall().service();
         if (!result.breaches().isEmpty()) {
             return new Candidate(
-                    script, VIOLATION_SEVERITY + result.breaches().size(), service, result.breaches().size());
+                    script,
+                    VIOLATION_SEVERITY + result.breaches().size(),
+                    service,
+                    result.breaches().size());
         }
         double bestBaseline = 0;
         for (BaselinePolicy.Kind kind : BASELINES) {
@@ -198,14 +212,15 @@
                             bestBaseline,
                             SimulationRun.simulate(
                                             script,
-                                            (settings, actions) -> new BaselinePolicy(kind, settings, actions))
+                                            (settings, actions) ->
+                                                    new BaselinePolicy(kind, settings, actions))
                                     .overall()
                                     .service());
         }
         return new Candidate(script, bestBaseline - service, service, 0);
     }
 
-    /** Leaves out whatever can be left out while it stays nearly as bad. */
+    /** Removes and shortens faults as long as the script stays nearly as bad. */
     private Candidate shrink(Candidate original) throws InterruptedException {
         Candidate smallest = original;
         boolean smaller = true;
@@ -249,7 +264,8 @@
                 }
             }
             for (Candidate candidate : evaluateAll(variants)) {
-                if (candidate.severity >= MIN_SHRUNK_SEVERITY * original.severity && candidate.severity > 0) {
+                if (candidate.severity >= MIN_SHRUNK_SEVERITY * original.severity
+                        && candidate.severity > 0) {
                     smallest = candidate;
                     smaller = true;
                     break;
@@ -259,6 +275,7 @@
         return smallest;
     }
 
+    /** Returns a copy with one fault replaced, or removed if the replacement is null. */
     private static List<TestScript.Trouble> replaceOrRemoveFault(
             List<TestScript.Trouble> faults, int index, TestScript.Trouble replacement) {
         List<TestScript.Trouble> changed = new ArrayList<>(faults);
@@ -270,7 +287,7 @@
         return changed;
     }
 
-    /** A script as a file that can be played again. */
+    /** Returns a script as YAML that can be read back. */
     public static String yaml(TestScript script) throws IOException {
         return new ObjectMapper(
                         new YAMLFactory().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER))
--- a/src/main/java/larchridge/experiment/ReportPage.java
+++ b/src/main/java/larchridge/experiment/ReportPage.java
@@ -16,15 +16,15 @@
 import org.knowm.xchart.XYChartBuilder;
 
 /**
- * Results of a plan as one page: charts by rate with intervals, and each policy beside the first,
- * seed by seed.
+ * Writes the results of a plan as one page: charts by request rate with confidence intervals, and
+ * the difference of each policy from the plan's first one, paired by seed.
  */
 public final class ReportPage {
     private static final double CONFIDENCE = 0.95;
 
     private ReportPage() {}
 
-    /** A mean with the half of its interval; 0 where there is one value only. */
+    /** A mean with the half-width of its confidence interval, which is 0 for a single value. */
     public record ConfidenceInterval(double mean, double halfWidth) {
         static ConfidenceInterval of(List<Double> values) {
             SummaryStatistics statistics = new SummaryStatistics();
@@ -39,7 +39,7 @@
             return new ConfidenceInterval(statistics.getMean(), halfWidth);
         }
 
-        /** Whether it differs from 0 by more than chance would have it. */
+        /** Whether the mean differs significantly from 0. */
         boolean isSignificant() {
             return halfWidth > 0 && Math.abs(mean) > halfWidth;
         }
@@ -51,7 +51,8 @@
     }
 
     /**
-     * Differences of a policy from the first of the plan, seed by seed, where all else is the same.
+     * The mean difference in service between a policy and the baseline at one rate, over pairs of
+     * runs that have all other parameters in common.
      */
     static ConfidenceInterval difference(
             List<ExperimentRunner.Row> rows, String baseline, String policy, double rate) {
@@ -61,7 +62,10 @@
                 .forEach(r -> baselineService.put(keyWithoutPolicy(r.run()), r.service()));
         return ConfidenceInterval.of(
                 rows.stream()
-                        .filter(r -> r.run().policy().equals(policy) && r.run().rateFactor() == rate)
+                        .filter(
+                                r ->
+                                        r.run().policy().equals(policy)
+                                                && r.run().rateFactor() == rate)
                         .map(r -> r.service() - baselineService.get(keyWithoutPolicy(r.run())))
                         .toList());
     }
@@ -70,16 +74,24 @@
         return run.key().substring(run.policy().length());
     }
 
+    /** Writes the charts and the page into a folder. */
     public static void write(ExperimentPlan plan, List<ExperimentRunner.Row> rows, Path folder)
             throws IOException {
         chart(plan, rows, "service", ExperimentRunner.Row::service, folder.resolve("service"));
-        chart(plan, rows, "first token p99, ms", ExperimentRunner.Row::firstTokenP99Ms, folder.resolve("p99"));
+        chart(
+                plan,
+                rows,
+                "first token p99, ms",
+                ExperimentRunner.Row::firstTokenP99Ms,
+                folder.resolve("p99"));
         StringBuilder html =
                 new StringBuilder(
                         "<!doctype html><meta charset=\"utf-8\"><title>Experiment</title>"
                                 + "<style>body{font-family:sans-serif}td,th{padding:2px 10px;text-align:right}</style>"
-                                + "<p>Engines are emulated, in virtual time; intervals are 95% over seeds.</p>"
-                                + "<img src=\"service.svg\"><img src=\"p99.svg\"><table><tr><th>policy<th>rate<th>service<th>beside "
+                                + "<p>Engines are emulated in virtual time; intervals are 95% confidence "
+                                + "intervals over seeds.</p>"
+                                + "<img src=\"service.svg\"><img src=\"p99.svg\"><table><tr><th>policy"
+                                + "<th>rate<th>service<th>difference from "
                                 + plan.policies.get(0)
                                 + "<th><th>p99 ms<th>broken rules</tr>\n");
         for (String line : lines(plan, rows)) {
@@ -88,7 +100,7 @@
         Files.writeString(folder.resolve("index.html"), html.append("</table>\n"));
     }
 
-    /** The table in words, a policy and rate a line. */
+    /** The rows of the page's table as text, one for each policy and rate. */
     public static List<String> lines(ExperimentPlan plan, List<ExperimentRunner.Row> rows) {
         List<String> lines = new ArrayList<>();
         for (String policy : plan.policies) {
@@ -100,19 +112,26 @@
                                                 r.run().policy().equals(policy)
                                                         && r.run().rateFactor() == rate)
                                 .toList();
-                ConfidenceInterval difference = difference(rows, plan.policies.get(0), policy, rate);
+                ConfidenceInterval difference =
+                        difference(rows, plan.policies.get(0), policy, rate);
                 lines.add(
                         policy
                                 + " | "
                                 + rate
                                 + " | "
-                                + ConfidenceInterval.of(selected.stream().map(ExperimentRunner.Row::service).toList())
+                                + ConfidenceInterval.of(
+                                        selected.stream()
+                                                .map(ExperimentRunner.Row::service)
+                                                .toList())
                                 + " | "
                                 + difference
                                 + " | "
-                                + (difference.isSignificant() ? "more than noise" : "")
+                                + (difference.isSignificant() ? "statistically significant" : "")
                                 + " | "
-                                + ConfidenceInterval.of(selected.stream().map(ExperimentRunner.Row::firstTokenP99Ms).toList())
+                                + ConfidenceInterval.of(
+                                        selected.stream()
+                                                .map(ExperimentRunner.Row::firstTokenP99Ms)
+                                                .toList())
                                 + " | "
                                 + selected.stream().mapToInt(ExperimentRunner.Row::breaches).sum());
             }
@@ -132,7 +151,7 @@
                         .width(640)
                         .height(420)
                         .title(metric + " by load")
-                        .xAxisTitle("times the script's load")
+                        .xAxisTitle("load, as a factor of the script's")
                         .yAxisTitle(metric)
                         .build();
         for (String policy : plan.policies) {
--- a/src/main/java/larchridge/experiment/package-info.java
+++ b/src/main/java/larchridge/experiment/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Plans of simulations, their results and the pages that show them.
+ * Experiments in virtual time: plans of simulation runs, their results and the report page.
  *
- * <p>{@link larchridge.experiment.ExperimentRunner} runs a plan, {@link
- * larchridge.experiment.FaultSearch} looks for faults under which the policy does worst. Everything
- * runs in virtual time.
+ * <p>{@link larchridge.experiment.ExperimentRunner} runs a plan, and {@link
+ * larchridge.experiment.FaultSearch} searches for faults under which the routing policy performs
+ * worst.
  */
 package larchridge.experiment;
--- a/src/main/java/larchridge/simulation/SimulatedCluster.java
+++ b/src/main/java/larchridge/simulation/SimulatedCluster.java
@@ -27,22 +27,25 @@
 import larchridge.upstream.UpstreamClient;
 
 /**
- * The emulated engines in virtual time, the links between them, and the way to them from fronts.
+ * Emulated engines in virtual time, the network links between them, and the upstream client through
+ * which routers reach them.
  */
 final class SimulatedCluster {
-    /** One way between a front and an engine, in its zone and out of it. */
+    /** One-way latency between a router and an engine in the same zone. */
     private static final double SAME_ZONE_LATENCY_MS = 0.3;
 
+    /** One-way latency between a router and an engine in another zone. */
     private static final double CROSS_ZONE_LATENCY_MS = 1.2;
 
-    /**
-     * A rack's link to the others carries so many times what one engine sends, a zone's to another
-     * so many.
-     */
+    /** Bandwidth of a rack's link to other racks, as a multiple of one engine's. */
     private static final double RACK_LINK_CAPACITY = 3;
 
+    /** Bandwidth of the link from one zone to another, as a multiple of one engine's. */
     private static final double ZONE_LINK_CAPACITY = 2;
+
     private static final int BLOCK_TOKENS = 32;
+
+    /** How often engines release held states whose timeout has passed. */
     private static final double STATE_EXPIRY_CHECK_MS = 500;
 
     final VirtualTimeScheduler scheduler;
@@ -54,14 +57,17 @@
     private double linkTimerMs;
     private final Map<String, SimulatedRequest> requests = new HashMap<>();
 
-    /** What a prompt's text stands for here. */
+    /** What a prompt text stands for: the tokens of the prompt and answer, and the client's tag. */
     record SimulatedRequest(Prompt prompt, int answerTokens, String tag) {}
 
-    /** Names a state: where it waits and under which name. */
+    /** Identifies a held state by its engine and the attempt that read it. */
     private record HeldState(long engineId, String attemptId) implements StateHandle {}
 
     SimulatedCluster(
-            VirtualTimeScheduler scheduler, SimulationLog log, List<EngineProfile> profiles, long seed) {
+            VirtualTimeScheduler scheduler,
+            SimulationLog log,
+            List<EngineProfile> profiles,
+            long seed) {
         this.scheduler = scheduler;
         this.log = log;
         random = new Random(seed ^ 0x70EFL);
@@ -72,7 +78,7 @@
         }
     }
 
-    /** An engine of a script's make: its speed and room, in the form of the emulator. */
+    /** Converts an engine profile of a script to the emulator's parameters. */
     static EngineHardware hardware(EngineProfile profile) {
         boolean isReader = profile.role() == Role.READER;
         int batchTokens = (int) Math.max(256, profile.readTokensPerMs() * 12);
@@ -93,6 +99,7 @@
                 false);
     }
 
+    /** Makes a request known to the engines under its prompt text. */
     void registerRequest(String promptText, SimulatedRequest request) {
         requests.put(promptText, request);
     }
@@ -109,7 +116,7 @@
         return engines.get(id);
     }
 
-    /** The list as it is now. */
+    /** The engine list as currently published. */
     List<EngineEntry> engineEntries() {
         List<EngineEntry> entries = new ArrayList<>();
         for (EmulatedEngine engine : engines.values()) {
@@ -138,7 +145,7 @@
 
     // ------------------------------------------------------------------ engines
 
-    /** One engine over its lives. */
+    /** One engine across crashes and restarts. */
     final class EmulatedEngine implements EngineModel.Listener {
         final EngineProfile profile;
         EngineModel model;
@@ -147,9 +154,12 @@
         boolean draining;
         double listedStartMs;
         double startedMs;
+
+        /** Changes with each start and crash, so that timers of an earlier process do nothing. */
         private int incarnation;
+
         private boolean stepRunning;
-        // Ailments.
+        // Injected faults.
         double pausedUntilMs;
         double lostShare;
         double brokenShare;
@@ -168,7 +178,9 @@
             startedMs = scheduler.nowMs();
             model =
                     new EngineModel(
-                            hardware(profile), cold ? startedMs : startedMs - profile.coldMs(), this);
+                            hardware(profile),
+                            cold ? startedMs : startedMs - profile.coldMs(),
+                            this);
             log.add(TrafficEvent.Kind.STARTED, profile.id(), null, null, cold ? 1 : 0, null);
             int expectedIncarnation = incarnation;
             scheduler.schedule(STATE_EXPIRY_CHECK_MS, () -> expireStates(expectedIncarnation));
@@ -208,7 +220,7 @@
         private final List<SimulatedAttempt> attempts = new ArrayList<>();
         private final Map<String, Job> heldStates = new TreeMap<>();
 
-        /** Ails no more. */
+        /** Ends all injected faults. */
         void clearFaults() {
             pausedUntilMs = 0;
             lostShare = 0;
@@ -308,7 +320,10 @@
             }
         }
 
-        /** An attempt ends here with something else than what it came for. */
+        /**
+         * Ends an attempt without the result it was sent for. If the outcome is null, the router
+         * has ended the attempt already and gets no response.
+         */
         private void endAttempt(SimulatedAttempt attempt, AttemptOutcome outcome) {
             if (attempts.remove(attempt)) {
                 if (!heldStates.containsKey(attempt.job.attemptId)) {
@@ -345,8 +360,8 @@
         }
 
         /**
-         * An attempt ends with its answer. One whose answer is lost stays open until its front
-         * gives it up.
+         * Ends an attempt that was answered. An attempt whose answer is lost stays open until its
+         * router gives it up.
          */
         private void attemptAnswered(SimulatedAttempt attempt) {
             attempts.remove(attempt);
@@ -393,7 +408,9 @@
             SimulatedAttempt attempt = (SimulatedAttempt) job.attachment;
             EmulatedEngine source = engines.get(attempt.heldState.engineId);
             if (!source.running || !source.model.holdsState(attempt.heldState.attemptId)) {
-                scheduler.schedule(2 * SAME_ZONE_LATENCY_MS, () -> endAttempt(attempt, AttemptOutcome.NO_STATE));
+                scheduler.schedule(
+                        2 * SAME_ZONE_LATENCY_MS,
+                        () -> endAttempt(attempt, AttemptOutcome.NO_STATE));
                 return;
             }
             int expectedIncarnation = incarnation;
@@ -404,10 +421,12 @@
                             path(source.profile, profile),
                             () -> {
                                 attempt.transfer = null;
-                                if (expectedIncarnation != incarnation || !attempts.contains(attempt)) {
+                                if (expectedIncarnation != incarnation
+                                        || !attempts.contains(attempt)) {
                                     return;
                                 }
-                                if (!source.running || !source.model.holdsState(attempt.heldState.attemptId)) {
+                                if (!source.running
+                                        || !source.model.holdsState(attempt.heldState.attemptId)) {
                                     endAttempt(attempt, AttemptOutcome.NO_STATE);
                                     return;
                                 }
@@ -478,6 +497,7 @@
         }
     }
 
+    /** The links that a state uses from one engine to another. */
     private List<SharedLinks.Link> path(EngineProfile source, EngineProfile target) {
         List<SharedLinks.Link> path = new ArrayList<>();
         path.add(links.link("engine " + source.id(), source.moveTokensPerMs()));
@@ -518,9 +538,9 @@
         }
     }
 
-    // ------------------------------------------------------------------ the way to them
+    // ------------------------------------------------------------------ upstream client
 
-    /** A front's link to the engines. */
+    /** Creates the client with which a router in this zone reaches the engines. */
     UpstreamClient upstreamClient(String zone) {
         return new UpstreamClient() {
             @Override
@@ -569,7 +589,7 @@
 
             @Override
             public void close() {
-                // Nothing is open.
+                // There are no connections.
 
             }
         };
@@ -579,7 +599,7 @@
         return engine.profile.zone().equals(zone) ? SAME_ZONE_LATENCY_MS : CROSS_ZONE_LATENCY_MS;
     }
 
-    /** An attempt on its way, at its engine, and on its way back. */
+    /** An attempt from when the router sends it until its last event has reached the router. */
     private final class SimulatedAttempt implements UpstreamClient.AttemptHandle {
         final AttemptRequest attemptRequest;
         final SimulatedRequest request;
@@ -594,7 +614,11 @@
         int breakAfterTokens = Integer.MAX_VALUE;
         private boolean responseStarted;
 
-        SimulatedAttempt(AttemptRequest attemptRequest, AttemptListener listener, String zone, Job.Kind kind) {
+        SimulatedAttempt(
+                AttemptRequest attemptRequest,
+                AttemptListener listener,
+                String zone,
+                Job.Kind kind) {
             this.attemptRequest = attemptRequest;
             this.listener = listener;
             request = requests.get(attemptRequest.prompt());
@@ -619,7 +643,7 @@
                     });
         }
 
-        /** Back to the front, if that still listens then. */
+        /** Runs an action after the latency to the router, unless the attempt has ended by then. */
         void sendBack(Runnable action) {
             scheduler.schedule(
                     latencyMs,
@@ -699,7 +723,7 @@
 
         @Override
         public void pause() {
-            // Clients of virtual drills take what they get.
+            // Simulated clients read at any rate, so the router needs no back pressure.
 
         }
 
--- a/src/main/java/larchridge/simulation/SimulationLog.java
+++ b/src/main/java/larchridge/simulation/SimulationLog.java
@@ -10,8 +10,8 @@
 import larchridge.systemtest.TrafficEvent;
 
 /**
- * What was seen in virtual time, in order, and a digest of all of it; at most so much is kept,
- * beyond that only digested.
+ * Records the events of a simulation in order, with a digest of all of them. Once {@link
+ * #MAX_EVENTS} events are recorded, further ones only enter the digest, and {@link #events} fails.
  */
 final class SimulationLog {
     static final int MAX_EVENTS = 20_000_000;
@@ -26,7 +26,7 @@
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform supports SHA-256", e);
         }
     }
 
@@ -48,7 +48,8 @@
 
     List<TrafficEvent> events() {
         if (full) {
-            throw new IllegalStateException("over " + MAX_EVENTS + " sights; play a shorter script");
+            throw new IllegalStateException(
+                    "more than " + MAX_EVENTS + " events; use a shorter script");
         }
         return events;
     }
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -27,19 +27,38 @@
 import larchridge.upstream.AttemptRequest;
 
 /**
- * Plays a drill script in virtual time: real fronts with their module over emulated engines, one
- * seed one run, to the byte. The rules are judged and service is counted from what both ends saw,
- * as on sockets. Not played here: batches, processes that are killed, and troubles of the wire
- * itself (torn, garbled, lag, bad_list).
+ * Runs a system test script in virtual time, with real routers and routing policies over emulated
+ * engines. Runs with the same seed are identical to the byte. As in system tests over sockets,
+ * rules are checked and results are counted from the events at clients and engines. Not supported:
+ * batches, killed processes, and faults of the communication itself (torn, garbled, lag, bad_list).
  */
 public final class SimulationRun {
+    /** Time after the end of the load until the run ends. */
     private static final double SETTLE_MS = 15_000;
+
+    /** One-way latency between a client and a router. */
     private static final double CLIENT_LATENCY_MS = 0.3;
+
     private static final int MAX_SESSIONS = 500;
+
+    /** How long engines know the prompt of a request after it reached its router. */
     private static final double REQUEST_RETENTION_MS = 30_000;
+
+    /** How many times as long a step takes at an engine that stalls. */
     private static final int STALL_FACTOR = 20;
 
-    /** What a run gave; digest is of all that was seen. */
+    /**
+     * The result of a run.
+     *
+     * @param events all events, in order
+     * @param breaches the rules that were broken
+     * @param rows results in total and by product, tenant and fault
+     * @param engineTotals the totals of each engine since its last start
+     * @param digest a digest of all events
+     * @param tasksRun number of scheduled tasks that ran
+     * @param virtualMs simulated duration
+     * @param realMs duration of the simulation itself
+     */
     public record Result(
             List<TrafficEvent> events,
             List<RuleChecker.Breach> breaches,
@@ -49,6 +68,7 @@
             long tasksRun,
             double virtualMs,
             double realMs) {
+        /** The results of the whole run. */
         public ResultCounts.Row overall() {
             return rows.get(0);
         }
@@ -66,6 +86,7 @@
     private long operationCount;
     private long promptCount;
 
+    /** A conversation: each answered turn extends the prompt of the next one. */
     private static final class Session {
         final TestScript.Mix mix;
         final String tenant;
@@ -102,11 +123,11 @@
                             null);
         } catch (InvalidSiteException e) {
             throw new IllegalStateException(
-                    "the drill's own site is not good: " + e.getMessage(), e);
+                    "the generated site configuration is invalid: " + e.getMessage(), e);
         }
         String zone = script.engines().get(0).zones().get(0);
         for (int i = 0; i < script.fronts(); i++) {
-            // Figures of so many fronts are nobody's; what was seen is the witness.
+            // The routers' metrics are not read; the results come from the event log.
             routers.add(
                     new Router(
                             scheduler.routerScheduler(i, script.seed()),
@@ -118,12 +139,12 @@
         }
     }
 
-    /** Plays a script with the module of this program. */
+    /** Runs a script with the routing policy of this program. */
     public static Result simulate(TestScript script) {
         return simulate(script, RoutingPolicy::new);
     }
 
-    /** Plays a script with fronts that decide otherwise. */
+    /** Runs a script with the routing policy that this factory creates. */
     public static Result simulate(TestScript script, PolicyEvents.Factory policyFactory) {
         return new SimulationRun(script, policyFactory).run();
     }
@@ -180,7 +201,16 @@
                         1,
                         session.mix.promptTokens() / 2
                                 + random.nextInt(session.mix.promptTokens() + 1));
-        new ClientRequest(session, name, 0, ++promptCount, promptTokens, nonStreaming, answerTokens, random.nextInt(routers.size())).send();
+        new ClientRequest(
+                        session,
+                        name,
+                        0,
+                        ++promptCount,
+                        promptTokens,
+                        nonStreaming,
+                        answerTokens,
+                        random.nextInt(routers.size()))
+                .send();
     }
 
     private Session pickSession() {
@@ -199,7 +229,7 @@
                 mix, tenant.name(), random.nextInt(mix.prefixes()), turns, "s" + operationCount);
     }
 
-    /** One try of one operation: the client's side of it. */
+    /** The client side of one try of an operation; a retry is another request. */
     private final class ClientRequest implements ResponseSink {
         private final Session session;
         private final String operation;
@@ -238,7 +268,13 @@
 
         void send() {
             TestScript.Mix mix = session.mix;
-            log.add(TrafficEvent.Kind.ASKED, routerIndex, session.tenant, tag, mix.limitMs(), mix.name());
+            log.add(
+                    TrafficEvent.Kind.ASKED,
+                    routerIndex,
+                    session.tenant,
+                    tag,
+                    mix.limitMs(),
+                    mix.name());
             scheduler.schedule(CLIENT_LATENCY_MS, this::arriveAtRouter);
             if (random.nextDouble() < script.clients().leaveShare()) {
                 scheduler.schedule(1 + random.nextInt((int) mix.limitMs()), this::disconnect);
@@ -269,7 +305,8 @@
                             segmentTokens.stream().mapToInt(Integer::intValue).toArray(),
                             SimulatedCluster.blockTokens());
             String promptText = tag;
-            cluster.registerRequest(promptText, new SimulatedCluster.SimulatedRequest(prompt, answerTokens, tag));
+            cluster.registerRequest(
+                    promptText, new SimulatedCluster.SimulatedRequest(prompt, answerTokens, tag));
             scheduler.schedule(REQUEST_RETENTION_MS, () -> cluster.unregisterRequest(promptText));
             GenerationRequest request =
                     GenerationRequest.builder()
@@ -278,14 +315,20 @@
                                     site.tenantNamed(session.tenant))
                             .model(mix.name())
                             .prompt(promptText, prompt.tokens)
-                            .sharedPrefix(sharedTokens > 0 ? mix.name() + session.prefix : null, sharedTokens)
+                            .sharedPrefix(
+                                    sharedTokens > 0 ? mix.name() + session.prefix : null,
+                                    sharedTokens)
                             .limits(2 * mix.outTokens() + 2, List.of())
                             .sampling(new AttemptRequest.Sampling(null, null, null))
-                            .session(session.id, session.lastTurnDigest, session.id + "/" + promptId)
+                            .session(
+                                    session.id,
+                                    session.lastTurnDigest,
+                                    session.id + "/" + promptId)
                             .nonStreaming(nonStreaming)
                             .clientRetry(tryNumber > 0)
                             .clientTimeoutMs(
-                                    mix.limitMs() + (nonStreaming ? (2 * mix.outTokens() + 2) * 60 : 0))
+                                    mix.limitMs()
+                                            + (nonStreaming ? (2 * mix.outTokens() + 2) * 60 : 0))
                             .idempotencyKey(operation)
                             .build();
             router.submit(request, this, accepted -> inFlight = accepted);
@@ -297,7 +340,13 @@
         private void disconnect() {
             if (!finished && !disconnected) {
                 disconnected = true;
-                log.add(TrafficEvent.Kind.LEFT, routerIndex, session.tenant, tag, tokensReceived, null);
+                log.add(
+                        TrafficEvent.Kind.LEFT,
+                        routerIndex,
+                        session.tenant,
+                        tag,
+                        tokensReceived,
+                        null);
                 scheduler.schedule(
                         CLIENT_LATENCY_MS,
                         () -> {
@@ -310,7 +359,7 @@
             }
         }
 
-        /** The final answer, as it comes to the client. */
+        /** Delivers the final answer to the client, which may retry unless it was served. */
         private void finish(String outcome, boolean mayRetry) {
             if (finished) {
                 if (!disconnected) {
@@ -351,8 +400,16 @@
         }
 
         private void recordFinal(String outcome) {
-            log.add(TrafficEvent.Kind.FINAL, routerIndex, session.tenant, tag, tokensReceived, outcome);
-            if (outcome.equals("streamed") && --session.remainingTurns > 0 && sessions.size() < MAX_SESSIONS) {
+            log.add(
+                    TrafficEvent.Kind.FINAL,
+                    routerIndex,
+                    session.tenant,
+                    tag,
+                    tokensReceived,
+                    outcome);
+            if (outcome.equals("streamed")
+                    && --session.remainingTurns > 0
+                    && sessions.size() < MAX_SESSIONS) {
                 session.segmentIds.add(1L << 40 | promptId);
                 session.segmentTokens.add(promptTokens);
                 session.segmentIds.add(1L << 41 | promptId);
@@ -364,7 +421,7 @@
 
         @Override
         public void responseStarted(int cachedTokens) {
-            // Told to clients with the first piece.
+            // The start is recorded with the first text, which is when the client sees it.
 
         }
 
@@ -379,7 +436,14 @@
                 if (!nonStreaming) {
                     scheduler.schedule(
                             CLIENT_LATENCY_MS,
-                            () -> log.add(TrafficEvent.Kind.BEGUN, routerIndex, null, tag, 0, null));
+                            () ->
+                                    log.add(
+                                            TrafficEvent.Kind.BEGUN,
+                                            routerIndex,
+                                            null,
+                                            tag,
+                                            0,
+                                            null));
                 }
             }
             return true;
@@ -416,7 +480,7 @@
         }
     }
 
-    // ------------------------------------------------------------------ troubles
+    // ------------------------------------------------------------------ faults
 
     private void startFault(TestScript.Trouble fault) {
         log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, fault.size(), fault.kind());
@@ -481,6 +545,10 @@
         }
     }
 
+    /**
+     * Crashes an engine and restarts it cold after the fault's duration; the engine list shows both
+     * with a delay.
+     */
     private void crash(TestScript.Trouble fault, SimulatedCluster.EmulatedEngine engine) {
         engine.crash();
         scheduler.schedule(
--- a/src/main/java/larchridge/simulation/package-info.java
+++ b/src/main/java/larchridge/simulation/package-info.java
@@ -1,6 +1,8 @@
 /**
- * System test scripts in virtual time: real routers and policies over emulated engines.
+ * Runs system test scripts in virtual time: real routers and routing policies over emulated
+ * engines.
  *
- * <p>{@link larchridge.simulation.SimulationRun} is the entry. One seed gives one run, to the byte.
+ * <p>The entry point is {@link larchridge.simulation.SimulationRun}. Runs with the same seed are
+ * identical to the byte.
  */
 package larchridge.simulation;
--- a/src/test/java/larchridge/emulator/EmulatorTest.java
+++ b/src/test/java/larchridge/emulator/EmulatorTest.java
@@ -15,7 +15,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The emulated engine: memory, batches, preemption, and whether it answers load as engines do. */
+/**
+ * Tests the emulated engine: memory, batching, preemption, state transfers, and whether throughput
+ * and latency respond to load as those of real engines do.
+ */
 class EmulatorTest {
     private static final EngineHardware HARDWARE =
             new EngineHardware(
@@ -25,7 +28,7 @@
         return Prompt.of(new long[] {segmentId}, new int[] {tokens}, 16);
     }
 
-    /** One engine, stepped to the end of its work, with what it told. */
+    /** Drives one engine step by step and records its events. */
     private static final class EngineDriver implements EngineModel.Listener {
         final List<String> events = new ArrayList<>();
         final EngineModel model;
@@ -56,7 +59,7 @@
         void run() {
             int steps = 0;
             while (step()) {
-                assertTrue(++steps < 1_000_000, "does not end");
+                assertTrue(++steps < 1_000_000, "the engine is still busy after a million steps");
             }
         }
 
@@ -97,13 +100,13 @@
                         Job.Kind.BOTH, Prompt.of(new long[] {1, 2}, new int[] {640, 100}, 16), 1);
         driver.run();
         assertEquals(640, samePrefix.cachedTokens());
-        // Another text takes the room of what was unused for longest.
+        // Another prompt needs memory, so that the least recently used blocks are evicted.
         driver.submit(Job.Kind.BOTH, prompt(3, 1500), 1);
         driver.run();
         assertTrue(driver.model.totals().evictions() > 0);
         Job afterEviction = driver.submit(Job.Kind.BOTH, prompt(1, 800), 1);
         driver.run();
-        assertTrue(afterEviction.cachedTokens() < 640, "kept " + afterEviction.cachedTokens());
+        assertTrue(afterEviction.cachedTokens() < 640, "cached " + afterEviction.cachedTokens());
     }
 
     @Test
@@ -145,7 +148,8 @@
         assertTrue(driver.model.memoryShare() > 0);
         assertTrue(driver.model.release(first.attemptId));
         assertFalse(driver.model.release(first.attemptId));
-        assertEquals(Double.POSITIVE_INFINITY, driver.model.releaseExpiredStates(driver.nowMs + 6000));
+        assertEquals(
+                Double.POSITIVE_INFINITY, driver.model.releaseExpiredStates(driver.nowMs + 6000));
         assertFalse(driver.model.holdsState(second.attemptId));
         assertEquals(0, driver.model.memoryShare());
     }
@@ -173,7 +177,7 @@
         SharedLinks.Link slow = links.link("slow", 10);
         links.startTransfer(0, 1000, List.of(fast), () -> completed.add("fast"));
         links.startTransfer(0, 100, List.of(fast, slow), () -> completed.add("slow"));
-        // Half of the fast one is 50; the slow one lets only 10 through.
+        // A half share of the fast link is 50 tokens per millisecond; the slow link allows 10.
         assertEquals(10, links.nextCompletionMs(), 1e-6);
         links.advance(10);
         assertEquals(List.of("slow"), completed);
@@ -183,8 +187,8 @@
     }
 
     /**
-     * Any row of attempts, some called off in between: memory comes back whole, and every answer
-     * that was not called off is.
+     * For any sequence of attempts, some of them cancelled, all memory is free at the end and every
+     * answer that was not cancelled is complete.
      */
     @Property(tries = 60, seed = "20261201")
     void allMemoryIsReleased(
@@ -194,11 +198,13 @@
         EngineDriver driver = new EngineDriver(HARDWARE.withBlocks(400));
         List<Job> answers = new ArrayList<>();
         for (int promptTokens : promptLengths) {
-            @SuppressWarnings("EnumOrdinal") // One of the three kinds by chance.
+            @SuppressWarnings("EnumOrdinal") // A random one of the three kinds.
             Job.Kind kind = Job.Kind.values()[random.nextInt(3)];
             Job job =
                     driver.submit(
-                            kind, prompt(random.nextInt(6), 1 + promptTokens), 1 + random.nextInt(60));
+                            kind,
+                            prompt(random.nextInt(6), 1 + promptTokens),
+                            1 + random.nextInt(60));
             for (int i = random.nextInt(4); i > 0; i--) {
                 driver.step();
             }
@@ -209,8 +215,7 @@
             }
         }
         driver.run();
-        // States that wait hold memory that others wait for; once they are let go of, all comes to
-        // its end.
+        // Held states occupy memory that queued attempts need; once they expire, the rest can run.
         for (int i = 0; i < 50; i++) {
             driver.model.releaseExpiredStates(driver.nowMs + 1e9);
             driver.run();
@@ -221,9 +226,9 @@
         assertEquals(0, driver.model.inflight());
     }
 
-    // ------------------------------------------------------------------ sense
+    // ------------------------------------------------------------------ load
 
-    /** What one engine did of an open-loop load. */
+    /** Means over an open-loop load on one engine. */
     private record LoadResult(
             double requestsPerS,
             double firstTokenMs,
@@ -265,7 +270,9 @@
                                 "j" + arrival[0],
                                 Job.Kind.BOTH,
                                 Prompt.of(
-                                        new long[] {(long) arrival[1], (long) (1e6 + arrival[0] * 1000)},
+                                        new long[] {
+                                            (long) arrival[1], (long) (1e6 + arrival[0] * 1000)
+                                        },
                                         new int[] {promptTokens / 2, promptTokens / 2},
                                         16),
                                 answerTokens);
@@ -312,17 +319,31 @@
         LoadResult overload = runLoad(HARDWARE, 150, 800, 40, 4, 1);
         LoadResult doubleOverload = runLoad(HARDWARE, 300, 800, 40, 4, 1);
         System.out.println(
-                "by load (simulated): " + light + "\n" + moderate + "\n" + overload + "\n" + doubleOverload);
+                "by load (simulated): "
+                        + light
+                        + "\n"
+                        + moderate
+                        + "\n"
+                        + overload
+                        + "\n"
+                        + doubleOverload);
         assertEquals(10, light.requestsPerS, 1.5);
         assertEquals(30, moderate.requestsPerS, 3);
-        assertTrue(doubleOverload.requestsPerS < 1.15 * overload.requestsPerS, "goes on growing");
-        assertTrue(overload.firstTokenMs > 10 * light.firstTokenMs, "no knee");
+        assertTrue(
+                doubleOverload.requestsPerS < 1.15 * overload.requestsPerS,
+                "throughput keeps growing under overload");
+        assertTrue(
+                overload.firstTokenMs > 10 * light.firstTokenMs,
+                "time to first token does not rise under overload");
     }
 
     @Test
     void littlesLawHolds() {
         LoadResult moderate = runLoad(HARDWARE, 40, 800, 40, 4, 2);
-        assertEquals(moderate.meanInFlight, moderate.requestsPerS / 1000 * moderate.meanResponseMs, 0.03 * moderate.meanInFlight);
+        assertEquals(
+                moderate.meanInFlight,
+                moderate.requestsPerS / 1000 * moderate.meanResponseMs,
+                0.03 * moderate.meanInFlight);
     }
 
     @Test
--- a/src/test/java/larchridge/experiment/ExperimentTest.java
+++ b/src/test/java/larchridge/experiment/ExperimentTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Tests plans, their resumption after an interruption, the report and the fault search. */
 class ExperimentTest {
     private Path folder;
 
@@ -59,7 +60,7 @@
         List<ExperimentRunner.Row> rows = ExperimentRunner.run(plan, table, 2);
         assertEquals(8, rows.size());
         String content = Files.readString(table);
-        // Cut in the middle of its last line, as by a kill.
+        // The last line is incomplete, as after the process was killed.
         Files.writeString(table, content.substring(0, content.length() - 7));
         List<ExperimentRunner.Row> resumed = ExperimentRunner.run(plan, table, 2);
         assertEquals(
@@ -72,12 +73,14 @@
 
     @Test
     void intervalAroundZeroIsNotSignificant() {
-        ReportPage.ConfidenceInterval noise = ReportPage.ConfidenceInterval.of(List.of(0.1, -0.1, 0.05, -0.04));
-        ReportPage.ConfidenceInterval real = ReportPage.ConfidenceInterval.of(List.of(0.1, 0.11, 0.09, 0.1));
+        ReportPage.ConfidenceInterval noise =
+                ReportPage.ConfidenceInterval.of(List.of(0.1, -0.1, 0.05, -0.04));
+        ReportPage.ConfidenceInterval real =
+                ReportPage.ConfidenceInterval.of(List.of(0.1, 0.11, 0.09, 0.1));
         assertFalse(noise.isSignificant());
         assertTrue(real.isSignificant());
         assertEquals(0.1, real.mean(), 1e-9);
-        // t of 3 degrees at 97.5% is 3.182.
+        // The 97.5% quantile of the t distribution with 3 degrees of freedom is 3.182.
         assertEquals(3.182 * 0.00816 / 2, real.halfWidth(), 1e-4);
     }
 
@@ -97,12 +100,16 @@
         Path bad = folder.resolve("bad.yaml");
         Files.writeString(bad, "script: s.yaml\npolicies: [best]\n");
         assertTrue(
-                assertThrows(ExperimentPlan.InvalidPlanException.class, () -> ExperimentPlan.read(bad))
+                assertThrows(
+                                ExperimentPlan.InvalidPlanException.class,
+                                () -> ExperimentPlan.read(bad))
                         .getMessage()
                         .contains("bad.yaml: policies: 'best'"));
         Files.writeString(bad, "script: s.yaml\nseed: [1\n");
         assertTrue(
-                assertThrows(ExperimentPlan.InvalidPlanException.class, () -> ExperimentPlan.read(bad))
+                assertThrows(
+                                ExperimentPlan.InvalidPlanException.class,
+                                () -> ExperimentPlan.read(bad))
                         .getMessage()
                         .contains("bad.yaml:"));
     }
--- a/src/test/java/larchridge/simulation/PolicyActionsTest.java
+++ b/src/test/java/larchridge/simulation/PolicyActionsTest.java
@@ -14,19 +14,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every event and every action of the routing policy over seeded simulated runs, as written down
- * when these digests were taken. A change of an action, of its time, of a random draw or of their
- * order changes a digest; where such a change is meant, the new digests belong in its commit. With
- * {@code -Dpolicy.actions.dir=DIR} the lines of each run are written there, to be compared.
+ * Compares every event and action of the routing policy in seeded simulated runs with recorded
+ * digests. A change of an action, of its time, of a random draw or of their order changes a digest;
+ * the commit that intends such a change updates the digests. With {@code
+ * -Dpolicy.actions.dir=DIR} the lines of each run are written to that directory for comparison.
  */
 class PolicyActionsTest {
     /**
-     * One run: a script of deploy/, its seed, the variant, the digest of its lines and their
-     * number.
+     * One run.
+     *
+     * @param script the name of a script in deploy/ or of a script in this class
+     * @param seed the seed
+     * @param variant the settings and events that differ from the script
+     * @param lines the number of recorded lines
+     * @param sha256 the digest of the lines
      */
     private record Run(String script, long seed, Variant variant, long lines, String sha256) {}
 
-    /** Long prompts read in one zone and answered in another: the link between them is full. */
+    /** Long prompts are read in one zone and answered in another, which saturates their link. */
     private static final String FULL_LINK =
             """
             seed: 1
@@ -45,7 +50,8 @@
             """;
 
     /**
-     * All engines slow at once, at little load: every estimate says too late, and nothing is sent.
+     * All engines are slow at once under low load, so that every estimate exceeds its deadline and
+     * nothing is sent.
      */
     private static final String ALL_SLOW =
             """
@@ -205,7 +211,7 @@
                                 "out:throttle",
                                 "out:wake")),
                 new TreeSet<>(kinds.keySet()),
-                "every kind of event and action is played");
+                "kinds of events and actions that occurred");
     }
 
     private static PolicyRecorder simulate(Run run) throws Exception {
@@ -236,7 +242,7 @@
                             parts[0],
                             Files.readString(file).replace("fronts: 3", "fronts: 3\nprobes: true"));
         } else if (parts.length > 1) {
-            // Many routers over many engines: each sees little of the load itself.
+            // With many routers and engines, each router sees only a small part of the load.
             script = script.scaled(2, 2, 8);
         }
         return script.withSeed(run.seed);
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -25,35 +25,36 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Wraps the routing policy of every router of one simulated run and writes down, in order, each
- * event that goes into it and each action that comes out, one a line. Times and amounts are written
- * to the last bit of the double. The words of the lines are this class's own, so that renaming a
- * type or a constant changes no line.
+ * Wraps the routing policy of every router of one simulated run and records, in order, each event
+ * that it receives and each action that it takes, one per line. Times and amounts are written with
+ * the full precision of a double. The lines use names of their own, so that renaming a type or a
+ * constant changes no line.
  */
 final class PolicyRecorder implements PolicyEvents.Factory {
     /**
-     * How long an attempt at a writer has been out before its state counts as released, where that
-     * is injected.
+     * How long an attempt at a writer has been in flight before the release of its state is
+     * injected.
      */
     private static final double STATE_RELEASED_AFTER_MS = 40;
 
-    /** How often the endpoint list fails, where that is injected. */
+    /** How many failures of the endpoint list are injected for each router. */
     private static final int LIST_FAILURES = 3;
 
-    /** Settings and events that the scripts of the simulator can't bring about. */
+    /** Settings and events that scripts of the simulator cannot produce. */
     enum Variant {
         AS_SCRIPTED,
         /** Engines report no load. */
         NO_REPORTS,
-        /** No cancelling, so neither hedged requests nor moves. */
+        /** Attempts are not cancelled, so requests are neither hedged nor moved. */
         NO_CANCELLING,
-        /** No two attempts of a generation side by side. */
+        /** A generation has one attempt at a time. */
         NO_HEDGING,
-        /** Writers that read prompts themselves, and clients that honour no Retry-After. */
+        /** Writers can read prompts, and the maximum Retry-After is 0: clients do not honour it. */
         WRITERS_READ,
         /**
-         * The endpoint list is requested and fails at first; held states are released while a
-         * writer queues; attempts at engines that can't be reached count as never sent.
+         * The policy subscribes to the endpoint list, which fails at first; held states are
+         * released while an attempt is queued at a writer; attempts at unreachable engines are
+         * reported as not sent.
          */
         INJECTED_EVENTS
     }
@@ -62,7 +63,7 @@
     private final MessageDigest digest;
     private final Map<String, Integer> counts = new TreeMap<>();
 
-    /** Null where only the digest is wanted. */
+    /** The recorded lines; null if only the digest is needed. */
     private final StringBuilder text;
 
     private long lines;
@@ -74,7 +75,7 @@
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform supports SHA-256", e);
         }
     }
 
@@ -98,7 +99,7 @@
         return lines;
     }
 
-    /** How many lines of each kind there were. */
+    /** Number of lines of each kind. */
     Map<String, Integer> counts() {
         return counts;
     }
@@ -107,7 +108,7 @@
         return text.toString();
     }
 
-    /** To be called once, at the end. */
+    /** Returns the digest of all lines; may be called only once, at the end. */
     String sha256() {
         return HexFormat.of().formatHex(digest.digest());
     }
@@ -186,10 +187,12 @@
     }
 
     private static String attemptKind(Attempt attempt) {
-        return attempt.readsOnly ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
+        return attempt.readsOnly
+                ? "read"
+                : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
     }
 
-    /** The policy of one router, with its events and actions written down. */
+    /** Records the events and actions of one router's policy. */
     private final class Recorded implements PolicyEvents, PolicyActions {
         private final int router;
         private final PolicyActions host;
@@ -400,7 +403,7 @@
 
         @Override
         public void log(String line) {
-            // The figures of the line count; its wording may change.
+            // Only the numbers are recorded, so that the wording of the line may change.
             record("out:log", line.replaceAll("[^0-9]+", " ").trim());
             host.log(line);
         }
--- a/src/test/java/larchridge/simulation/SimulationRunTest.java
+++ b/src/test/java/larchridge/simulation/SimulationRunTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Drills in virtual time. */
+/** Runs system test scripts in virtual time and checks the rules, determinism and service. */
 class SimulationRunTest {
     private static TestScript badDay() throws Exception {
         return TestScriptReader.read(Path.of("deploy/bad-day.yaml"));
@@ -27,17 +27,23 @@
     void rulesHoldAndRunsAreDeterministic(long seed) throws Exception {
         SimulationRun.Result first = SimulationRun.simulate(badDay().withSeed(seed));
         System.out.println(
-                "seed " + seed + ": service " + first.overall().service() + ", digest " + first.digest());
+                "seed "
+                        + seed
+                        + ": service "
+                        + first.overall().service()
+                        + ", digest "
+                        + first.digest());
         assertEquals(List.of(), first.breaches());
         assertTrue(first.overall().asked >= 2000);
         assertTrue(first.overall().service() > 0.6, "service " + first.overall().service());
         assertEquals(first.digest(), SimulationRun.simulate(badDay().withSeed(seed)).digest());
-        assertNotEquals(first.digest(), SimulationRun.simulate(badDay().withSeed(seed + 10)).digest());
+        assertNotEquals(
+                first.digest(), SimulationRun.simulate(badDay().withSeed(seed + 10)).digest());
     }
 
     /**
-     * Scripts that a search found: the module serves less there than plain policies do, and breaks
-     * no rule.
+     * Scripts found by {@link larchridge.experiment.FaultSearch}: the routing policy serves less
+     * than a baseline policy there, but must break no rule.
      */
     @ParameterizedTest
     @ValueSource(strings = {"full-pools", "faulty-writers", "forgetful-readers"})
@@ -53,8 +59,8 @@
     void readAndCachedTokensDoNotExceedSubmitted() throws Exception {
         SimulationRun.Result result = SimulationRun.simulate(badDay());
         for (EngineModel.Totals totals : result.engineTotals()) {
-            // Each prompt that came was kept, read, read again after a preemption, or left unread
-            // when it was called off.
+            // Each submitted prompt is cached or read. Preemptions read prompts again, and
+            // cancelled attempts may leave prompts unread.
             assertTrue(totals.promptTokensRead() + totals.promptTokensCached() >= 0);
             assertTrue(
                     totals.preemptions() > 0
@@ -88,13 +94,17 @@
         assertTrue(result.overall().service() > 0.9, "service " + result.overall().service());
     }
 
-    /** Plain policies keep the rules too, or comparing with them would say nothing. */
+    /**
+     * Baseline policies must give every request its one final answer, or comparisons with them
+     * would be meaningless.
+     */
     @ParameterizedTest
     @EnumSource(BaselinePolicy.Kind.class)
     void baselinePoliciesAnswerEveryRequest(BaselinePolicy.Kind kind) throws Exception {
         SimulationRun.Result result =
                 SimulationRun.simulate(
-                        badDay(), (settings, actions) -> new BaselinePolicy(kind, settings, actions));
+                        badDay(),
+                        (settings, actions) -> new BaselinePolicy(kind, settings, actions));
         List<RuleChecker.Breach> unanswered =
                 result.breaches().stream().filter(breach -> breach.rule() == 1).toList();
         assertEquals(List.of(), unanswered);
