--- a/src/main/java/larchridge/experiment/ReportPage.java
+++ b/src/main/java/larchridge/experiment/ReportPage.java
@@ -55,18 +55,18 @@
      * runs that have all other parameters in common.
      */
     static ConfidenceInterval difference(
-            List<ExperimentRunner.Row> rows, String baseline, String policy, double rate) {
-        Map<String, Double> baselineService = new TreeMap<>();
+            List<ExperimentRunner.Row> rows, String referencePolicy, String policy, double rate) {
+        Map<String, Double> referenceService = new TreeMap<>();
         rows.stream()
-                .filter(r -> r.run().policy().equals(baseline))
-                .forEach(r -> baselineService.put(keyWithoutPolicy(r.run()), r.service()));
+                .filter(r -> r.run().policy().equals(referencePolicy))
+                .forEach(r -> referenceService.put(keyWithoutPolicy(r.run()), r.service()));
         return ConfidenceInterval.of(
                 rows.stream()
                         .filter(
                                 r ->
                                         r.run().policy().equals(policy)
                                                 && r.run().rateFactor() == rate)
-                        .map(r -> r.service() - baselineService.get(keyWithoutPolicy(r.run())))
+                        .map(r -> r.service() - referenceService.get(keyWithoutPolicy(r.run())))
                         .toList());
     }
 
