--- a/src/main/java/larchridge/experiment/ReportPage.java
+++ b/src/main/java/larchridge/experiment/ReportPage.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * The mean difference in service between a policy and the baseline at one rate, over pairs of
-     * runs that have all other parameters in common.
+     * The mean difference in service between a policy and a reference policy at one rate, over
+     * pairs of runs that have all other parameters in common.
      */
     static ConfidenceInterval difference(
             List<ExperimentRunner.Row> rows, String referencePolicy, String policy, double rate) {
