--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -175,11 +175,11 @@
         double promptTokens = 0;
         double attendedTokens = 0;
         for (Job job : running) {
-            if (!job.fetchingState && job.computedTokens < job.requiredTokens) {
+            if (!job.fetchingState && job.computedTokens < job.targetTokens) {
                 job.chunkTokens =
                         Math.max(
                                 0,
-                                Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
+                                Math.min(tokenBudget, job.targetTokens - job.computedTokens));
                 tokenBudget -= job.chunkTokens;
                 promptTokens += job.chunkTokens;
                 attendedTokens += (double) job.chunkTokens * job.computedTokens;
@@ -201,7 +201,7 @@
                 job.chunkTokens =
                         Math.max(
                                 0,
-                                Math.min(tokenBudget, job.requiredTokens - job.computedTokens));
+                                Math.min(tokenBudget, job.targetTokens - job.computedTokens));
                 tokenBudget -= job.chunkTokens;
                 promptTokens += job.chunkTokens;
                 attendedTokens += (double) job.chunkTokens * job.computedTokens;
@@ -221,10 +221,10 @@
         return ms
                 * slowdown
                 * (running.size() > stallThreshold ? stallFactor : 1)
-                / relativeSpeed(nowMs);
+                / speedShare(nowMs);
     }
 
-    private double relativeSpeed(double nowMs) {
+    private double speedShare(double nowMs) {
         double ageMs = nowMs - startedMs;
         return ageMs >= hardware.coldMs()
                 ? 1
@@ -238,7 +238,7 @@
      */
     private boolean admit(Job job) {
         int cachedBlocks = memory.countCachedBlocks(job.prompt);
-        int blockCount = job.requiredTokens / hardware.blockTokens() + 1;
+        int blockCount = job.targetTokens / hardware.blockTokens() + 1;
         List<KvBlockPool.Block> allocated = memory.allocate(job.prompt, cachedBlocks, blockCount);
         while (allocated == null && hardware.evictsHeldStates() && !heldStates.isEmpty()) {
             Job oldest = heldStates.values().iterator().next();
@@ -254,7 +254,7 @@
         job.fetchingState = job.kind == Job.Kind.WRITE && !job.preempted;
         // The last token is always computed, since its output gives the next token.
         job.computedTokens =
-                Math.min(cachedBlocks * hardware.blockTokens(), job.requiredTokens - 1);
+                Math.min(cachedBlocks * hardware.blockTokens(), job.targetTokens - 1);
         if (!job.fetchingState && !job.preempted) {
             job.cachedTokens = job.computedTokens;
             promptTokensCached += job.cachedTokens;
@@ -293,7 +293,7 @@
         // prompt and the tokens it had generated.
         if (!job.fetchingState) {
             job.preempted = true;
-            job.requiredTokens = job.prompt.tokens + job.generatedTokens;
+            job.targetTokens = job.prompt.tokens + job.generatedTokens;
         }
         job.inCurrentStep = false;
         job.fetchingState = false;
@@ -317,7 +317,7 @@
                         job.blocks,
                         blocksBefore,
                         job.computedTokens / hardware.blockTokens());
-                if (job.computedTokens < job.requiredTokens) {
+                if (job.computedTokens < job.targetTokens) {
                     continue;
                 }
                 if (job.kind == Job.Kind.READ) {
@@ -367,13 +367,13 @@
     public double pendingPromptTokens() {
         double tokens = 0;
         for (Job job : waiting) {
-            tokens += job.requiredTokens;
+            tokens += job.targetTokens;
         }
         for (Job job : running) {
             tokens +=
                     job.fetchingState
                             ? job.prompt.tokens
-                            : Math.max(0, job.requiredTokens - job.computedTokens);
+                            : Math.max(0, job.targetTokens - job.computedTokens);
         }
         return tokens;
     }
--- a/src/main/java/larchridge/emulator/Job.java
+++ b/src/main/java/larchridge/emulator/Job.java
@@ -27,7 +27,7 @@
 
     List<KvBlockPool.Block> blocks = new ArrayList<>();
 
-    /** How many of the {@link #requiredTokens} were computed, fetched or found in the cache. */
+    /** How many of the {@link #targetTokens} were computed, fetched or found in the cache. */
     int computedTokens;
 
     int cachedTokens;
@@ -47,7 +47,7 @@
      * Tokens that must be computed before the next token can be generated: the prompt and, after a
      * preemption, the tokens generated so far.
      */
-    int requiredTokens;
+    int targetTokens;
 
     double heldSinceMs;
 
@@ -57,7 +57,7 @@
         this.kind = kind;
         this.prompt = prompt;
         this.answerTokens = answerTokens;
-        requiredTokens = prompt.tokens;
+        targetTokens = prompt.tokens;
     }
 
     /** Number of prompt tokens that were cached and did not have to be read. */
@@ -71,6 +71,6 @@
     }
 
     boolean isGenerating() {
-        return kind != Kind.READ && !fetchingState && computedTokens >= requiredTokens;
+        return kind != Kind.READ && !fetchingState && computedTokens >= targetTokens;
     }
 }
