--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -14,10 +14,7 @@
  * has passed.
  */
 public final class EngineModel {
-    /**
-     * Receives the engine's events; called from within {@link #beginStep}, {@link #endStep} and
-     * {@link #releaseExpiredStates}.
-     */
+    /** Receives the engine's events; called from within the engine's own methods. */
     public interface Listener {
         /** The prompt was read; its state is held. */
         void readCompleted(Job job);
@@ -56,11 +53,7 @@
     private long preemptions;
     private long steps;
 
-    /**
-     * Creates an idle engine.
-     *
-     * @param startedMs when its process started; negative infinity for an engine at full speed
-     */
+    /** Creates an idle engine; startedMs is negative infinity for one that runs at full speed. */
     public EngineModel(EngineHardware hardware, double startedMs, Listener listener) {
         this.hardware = hardware;
         this.startedMs = startedMs;
@@ -177,9 +170,7 @@
         for (Job job : running) {
             if (!job.fetchingState && job.computedTokens < job.targetTokens) {
                 job.chunkTokens =
-                        Math.max(
-                                0,
-                                Math.min(tokenBudget, job.targetTokens - job.computedTokens));
+                        Math.max(0, Math.min(tokenBudget, job.targetTokens - job.computedTokens));
                 tokenBudget -= job.chunkTokens;
                 promptTokens += job.chunkTokens;
                 attendedTokens += (double) job.chunkTokens * job.computedTokens;
@@ -199,9 +190,7 @@
                 listener.fetchRequired(job);
             } else {
                 job.chunkTokens =
-                        Math.max(
-                                0,
-                                Math.min(tokenBudget, job.targetTokens - job.computedTokens));
+                        Math.max(0, Math.min(tokenBudget, job.targetTokens - job.computedTokens));
                 tokenBudget -= job.chunkTokens;
                 promptTokens += job.chunkTokens;
                 attendedTokens += (double) job.chunkTokens * job.computedTokens;
@@ -218,12 +207,10 @@
                         + hardware.sequenceMs() * answers
                         + hardware.contextTokenMs() * contextTokens
                         + hardware.attentionMs() * attendedTokens;
-        return ms
-                * slowdown
-                * (running.size() > stallThreshold ? stallFactor : 1)
-                / speedShare(nowMs);
+        return ms * slowdown * (running.size() > stallThreshold ? stallFactor : 1) / speedShare(nowMs);
     }
 
+    /** Current speed as a fraction of full speed. */
     private double speedShare(double nowMs) {
         double ageMs = nowMs - startedMs;
         return ageMs >= hardware.coldMs()
@@ -379,16 +366,9 @@
     }
 
     /**
-     * Totals since the engine was created.
-     *
-     * @param promptTokensSubmitted prompt tokens of attempts that read a prompt
-     * @param promptTokensRead tokens read, including tokens recomputed after preemptions
-     * @param promptTokensCached prompt tokens found in the prefix cache at first admission
-     * @param outputTokens tokens generated
-     * @param outputTokensDiscarded tokens generated for attempts that were cancelled
-     * @param preemptions number of preemptions
-     * @param evictions blocks evicted from the prefix cache to allocate others
-     * @param steps number of steps
+     * Totals since the engine was created. Tokens recomputed after a preemption count as read
+     * again; cached tokens count only when an attempt is first admitted. Discarded output tokens
+     * were generated for attempts that were then cancelled.
      */
     public record Totals(
             long promptTokensSubmitted,
