--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -207,11 +207,11 @@
                         + hardware.sequenceMs() * answers
                         + hardware.contextTokenMs() * contextTokens
                         + hardware.attentionMs() * attendedTokens;
-        return ms * slowdown * (running.size() > stallThreshold ? stallFactor : 1) / speedShare(nowMs);
+        return ms * slowdown * (running.size() > stallThreshold ? stallFactor : 1) / speed(nowMs);
     }
 
     /** Current speed as a fraction of full speed. */
-    private double speedShare(double nowMs) {
+    private double speed(double nowMs) {
         double ageMs = nowMs - startedMs;
         return ageMs >= hardware.coldMs()
                 ? 1
