--- a/src/main/java/larchridge/emulator/EngineHardware.java
+++ b/src/main/java/larchridge/emulator/EngineHardware.java
@@ -1,70 +1,79 @@
 package larchridge.emulator;
 
 /**
- * What one engine is made of. A step of its batch takes {@code stepMs + promptTokMs x prompt tokens
- * + seqMs x answers + contextTokMs x tokens that the answers look back on + lookBackMs x prompt
- * tokens x tokens they look back on}. The form is the one that published work on chunked prefill
- * and continuous batching fits its engines with; docs/emulator.md names it.
+ * Step times and capacity of one engine.
  *
- * @param blockTokens tokens of a block of memory
- * @param blocks blocks of memory
- * @param batchTokens tokens that a step may work on, prompts in chunks and one for each answer
- * @param seqs prompts and answers in work at a time
- * @param queue attempts that may wait for that
- * @param lapseMs after which a state that nobody fetches goes
- * @param coldShare of its speed right after it started, growing evenly to all of it within coldMs
- * @param evictsHeld whether states that wait go when memory is short
+ * <p>A batch step takes {@code stepMs + promptTokenMs * P + sequenceMs * S + contextTokenMs * C +
+ * attentionMs * A}, where P is the number of prompt tokens that the step reads, S the number of
+ * answers it continues, C the total context length of these answers, and A the sum over prompt
+ * chunks of the chunk's length times the number of tokens before the chunk. Published work on
+ * chunked prefill and continuous batching fits this form to its engines; see docs/emulator.md.
+ *
+ * @param stepMs fixed time of a step
+ * @param promptTokenMs time per prompt token
+ * @param sequenceMs time per answer
+ * @param contextTokenMs time per token of an answer's context
+ * @param attentionMs time per pair of a prompt token and a token before its chunk
+ * @param blockTokens tokens per memory block
+ * @param blocks number of memory blocks
+ * @param batchTokens tokens that a step may process: prompt chunks, and one token for each answer
+ * @param maxSequences prompts and answers processed at a time
+ * @param maxQueued attempts that may be queued
+ * @param stateTimeoutMs time after which a held state that was not fetched is released
+ * @param coldShare fraction of full speed right after a start; rises linearly to 1 within coldMs
+ * @param coldMs time after a start until the engine has full speed
+ * @param evictsHeldStates whether held states are evicted when memory is short
  */
 public record EngineHardware(
         double stepMs,
         double promptTokenMs,
-        double seqMs,
+        double sequenceMs,
         double contextTokenMs,
-        double lookBackMs,
+        double attentionMs,
         int blockTokens,
         int blocks,
         int batchTokens,
-        int seqs,
-        int queue,
-        double lapseMs,
+        int maxSequences,
+        int maxQueued,
+        double stateTimeoutMs,
         double coldShare,
         double coldMs,
-        boolean evictsHeld) {
-    /** The same with another size of chunks. */
+        boolean evictsHeldStates) {
+    /** Returns a copy with another token limit per step. */
     public EngineHardware withBatchTokens(int tokens) {
         return new EngineHardware(
                 stepMs,
                 promptTokenMs,
-                seqMs,
+                sequenceMs,
                 contextTokenMs,
-                lookBackMs,
+                attentionMs,
                 blockTokens,
                 blocks,
                 tokens,
-                seqs,
-                queue,
-                lapseMs,
+                maxSequences,
+                maxQueued,
+                stateTimeoutMs,
                 coldShare,
                 coldMs,
-                evictsHeld);
+                evictsHeldStates);
     }
 
-    /** The same with so many blocks. */
-    public EngineHardware withBlocks(int other) {
+    /** Returns a copy with another number of memory blocks. */
+    public EngineHardware withBlocks(int blockCount) {
         return new EngineHardware(
                 stepMs,
                 promptTokenMs,
-                seqMs,
+                sequenceMs,
                 contextTokenMs,
-                lookBackMs,
+                attentionMs,
                 blockTokens,
-                other,
+                blockCount,
                 batchTokens,
-                seqs,
-                queue,
-                lapseMs,
+                maxSequences,
+                maxQueued,
+                stateTimeoutMs,
                 coldShare,
                 coldMs,
-                evictsHeld);
+                evictsHeldStates);
     }
 }
--- a/src/main/java/larchridge/emulator/SharedLinks.java
+++ b/src/main/java/larchridge/emulator/SharedLinks.java
@@ -6,48 +6,48 @@
 import java.util.Map;
 
 /**
- * Links that states move over, each shared evenly by what moves on it; a move over several goes as
- * fast as the slowest lets it. Without clock: whoever drives it asks when the next one ends, and
- * again after every change.
+ * Network links over which states are transferred. Each link's bandwidth is shared evenly by its
+ * transfers; a transfer over several links is as fast as the slowest one allows. Has no clock: the
+ * caller asks for the time of the next completion, and again after every change.
  */
 public final class SharedLinks {
-    /** One link. */
+    /** A link with its bandwidth and its number of transfers. */
     public static final class Link {
         private double tokensPerMs;
-        private int moves;
+        private int transfers;
 
-        /** From now on it carries so much. */
-        void carries(double more) {
-            tokensPerMs = more;
+        /** Changes the bandwidth. */
+        void setTokensPerMs(double newTokensPerMs) {
+            tokensPerMs = newTokensPerMs;
         }
     }
 
-    /** One state on its way. */
-    public static final class Move {
-        private final List<Link> way;
-        private final Runnable done;
-        private double left;
+    /** A state that is being transferred. */
+    public static final class Transfer {
+        private final List<Link> path;
+        private final Runnable onCompleted;
+        private double remainingTokens;
 
-        private Move(double left, List<Link> way, Runnable done) {
-            this.left = left;
-            this.way = way;
-            this.done = done;
+        private Transfer(double remainingTokens, List<Link> path, Runnable onCompleted) {
+            this.remainingTokens = remainingTokens;
+            this.path = path;
+            this.onCompleted = onCompleted;
         }
 
         private double rate() {
             double rate = Double.POSITIVE_INFINITY;
-            for (Link link : way) {
-                rate = Math.min(rate, link.tokensPerMs / link.moves);
+            for (Link link : path) {
+                rate = Math.min(rate, link.tokensPerMs / link.transfers);
             }
             return rate;
         }
     }
 
     private final Map<String, Link> links = new LinkedHashMap<>();
-    private final List<Move> moves = new ArrayList<>();
-    private double atMs;
+    private final List<Transfer> transfers = new ArrayList<>();
+    private double advancedToMs;
 
-    /** The link of this name, made with this speed when it is first asked for. */
+    /** Returns the link with this name; creates it with this bandwidth if there is none. */
     public Link link(String name, double tokensPerMs) {
         return links.computeIfAbsent(
                 name,
@@ -58,56 +58,59 @@
                 });
     }
 
-    /** Begins a move; done runs from {@link #advance} when all has come. */
-    public Move begin(double nowMs, double tokens, List<Link> way, Runnable done) {
+    /** Starts a transfer; onCompleted runs in {@link #advance} when it is complete. */
+    public Transfer startTransfer(
+            double nowMs, double tokens, List<Link> path, Runnable onCompleted) {
         advance(nowMs);
-        Move move = new Move(Math.max(1, tokens), way, done);
-        way.forEach(link -> link.moves++);
-        moves.add(move);
-        return move;
+        Transfer transfer = new Transfer(Math.max(1, tokens), path, onCompleted);
+        path.forEach(link -> link.transfers++);
+        transfers.add(transfer);
+        return transfer;
     }
 
-    public void stop(double nowMs, Move move) {
+    /** Cancels a transfer unless it is complete. */
+    public void cancelTransfer(double nowMs, Transfer transfer) {
         advance(nowMs);
-        if (moves.remove(move)) {
-            move.way.forEach(link -> link.moves--);
+        if (transfers.remove(transfer)) {
+            transfer.path.forEach(link -> link.transfers--);
         }
     }
 
-    /** Changes what a link carries. */
-    public void carries(double nowMs, String name, double tokensPerMs) {
+    /** Changes the bandwidth of a link. */
+    public void setTokensPerMs(double nowMs, String name, double tokensPerMs) {
         advance(nowMs);
-        link(name, tokensPerMs).carries(tokensPerMs);
+        link(name, tokensPerMs).setTokensPerMs(tokensPerMs);
     }
 
-    /** When the next move ends as things are; infinite if none does. */
-    public double nextMs() {
+    /** Time at which the next transfer completes if nothing changes; infinite if there is none. */
+    public double nextCompletionMs() {
         double next = Double.POSITIVE_INFINITY;
-        for (Move move : moves) {
-            next = Math.min(next, atMs + move.left / move.rate());
+        for (Transfer transfer : transfers) {
+            next = Math.min(next, advancedToMs + transfer.remainingTokens / transfer.rate());
         }
         return next;
     }
 
-    /** Moves on to a time; those that have come are told, in the order in which they began. */
+    /** Advances to a time; completed transfers are reported in the order in which they started. */
     public void advance(double nowMs) {
-        double ms = nowMs - atMs;
-        atMs = nowMs;
-        if (moves.isEmpty()) {
+        double elapsedMs = nowMs - advancedToMs;
+        advancedToMs = nowMs;
+        if (transfers.isEmpty()) {
             return;
         }
-        List<Move> come = new ArrayList<>();
-        for (Move move : moves) {
-            move.left -= ms * move.rate();
-            // Guards against: what is left may be less than time itself can tell apart.
-            if (move.left <= 1e-3 + 1e-6 * move.rate()) {
-                come.add(move);
+        List<Transfer> completed = new ArrayList<>();
+        for (Transfer transfer : transfers) {
+            transfer.remainingTokens -= elapsedMs * transfer.rate();
+            // Guards against: a remainder that takes less time than a double can add to the
+            // current time would never complete.
+            if (transfer.remainingTokens <= 1e-3 + 1e-6 * transfer.rate()) {
+                completed.add(transfer);
             }
         }
-        moves.removeAll(come);
-        for (Move move : come) {
-            move.way.forEach(link -> link.moves--);
+        transfers.removeAll(completed);
+        for (Transfer transfer : completed) {
+            transfer.path.forEach(link -> link.transfers--);
         }
-        come.forEach(move -> move.done.run());
+        completed.forEach(transfer -> transfer.onCompleted.run());
     }
 }
--- a/src/test/java/larchridge/simulation/PolicyRecorder.java
+++ b/src/test/java/larchridge/simulation/PolicyRecorder.java
@@ -25,35 +25,36 @@
 import larchridge.state.RoutingSettings;
 
 /**
- * Wraps the routing policy of every router of one simulated run and writes down, in order, each
- * event that goes into it and each action that comes out, one a line. Times and amounts are written
- * to the last bit of the double. The words of the lines are this class's own, so that renaming a
- * type or a constant changes no line.
+ * Wraps the routing policy of every router of one simulated run and records, in order, each event
+ * that it receives and each action that it takes, one per line. Times and amounts are written with
+ * the full precision of a double. The lines use names of their own, so that renaming a type or a
+ * constant changes no line.
  */
 final class PolicyRecorder implements PolicyEvents.Factory {
     /**
-     * How long an attempt at a writer has been out before its state counts as released, where that
-     * is injected.
+     * How long an attempt at a writer has been in flight before the release of its state is
+     * injected.
      */
     private static final double STATE_RELEASED_AFTER_MS = 40;
 
-    /** How often the endpoint list fails, where that is injected. */
+    /** How many failures of the endpoint list are injected for each router. */
     private static final int LIST_FAILURES = 3;
 
-    /** Settings and events that the scripts of the simulator can't bring about. */
+    /** Settings and events that scripts of the simulator cannot produce. */
     enum Variant {
         AS_SCRIPTED,
         /** Engines report no load. */
         NO_REPORTS,
-        /** No cancelling, so neither hedged requests nor moves. */
+        /** Attempts are not cancelled, so requests are neither hedged nor moved. */
         NO_CANCELLING,
-        /** No two attempts of a generation side by side. */
+        /** A generation has one attempt at a time. */
         NO_HEDGING,
-        /** Writers that read prompts themselves, and clients that honour no Retry-After. */
+        /** Writers can read prompts, and the maximum Retry-After is 0: clients do not honour it. */
         WRITERS_READ,
         /**
-         * The endpoint list is requested and fails at first; held states are released while a
-         * writer queues; attempts at engines that can't be reached count as never sent.
+         * The policy subscribes to the endpoint list, which fails at first; held states are
+         * released while an attempt is queued at a writer; attempts at unreachable engines are
+         * reported as not sent.
          */
         INJECTED_EVENTS
     }
@@ -62,7 +63,7 @@
     private final MessageDigest digest;
     private final Map<String, Integer> counts = new TreeMap<>();
 
-    /** Null where only the digest is wanted. */
+    /** The recorded lines; null if only the digest is needed. */
     private final StringBuilder text;
 
     private long lines;
@@ -74,31 +75,31 @@
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform supports SHA-256", e);
         }
     }
 
     @Override
     public PolicyEvents create(RoutingSettings settings, PolicyActions host) {
-        RoutingSettings.Builder own = settings.toBuilder();
+        RoutingSettings.Builder builder = settings.toBuilder();
         switch (variant) {
-            case NO_CANCELLING -> own.cancellationAllowed(false);
-            case NO_HEDGING -> own.hedgingAllowed(false);
+            case NO_CANCELLING -> builder.cancellationAllowed(false);
+            case NO_HEDGING -> builder.hedgingAllowed(false);
             case WRITERS_READ -> {
-                own.writersCanRead(true);
-                own.retryAfterMaxMs(0);
+                builder.writersCanRead(true);
+                builder.retryAfterMaxMs(0);
             }
-            case INJECTED_EVENTS -> own.endpointSubscriptionRequired(true);
+            case INJECTED_EVENTS -> builder.endpointSubscriptionRequired(true);
             default -> {}
         }
-        return new Recorded(routers++, own.build(), host);
+        return new Recorded(routers++, builder.build(), host);
     }
 
     long lines() {
         return lines;
     }
 
-    /** How many lines of each kind there were. */
+    /** Number of lines of each kind. */
     Map<String, Integer> counts() {
         return counts;
     }
@@ -107,7 +108,7 @@
         return text.toString();
     }
 
-    /** To be called once, at the end. */
+    /** Returns the digest of all lines; may be called only once, at the end. */
     String sha256() {
         return HexFormat.of().formatHex(digest.digest());
     }
@@ -132,7 +133,7 @@
         counts.merge(kind, 1, Integer::sum);
     }
 
-    private static String figures(LoadReport report) {
+    private static String format(LoadReport report) {
         return report == null
                 ? "none"
                 : report.inflight()
@@ -144,7 +145,7 @@
                         + report.pendingTokens();
     }
 
-    private static String named(AttemptOutcome outcome) {
+    private static String label(AttemptOutcome outcome) {
         return switch (outcome) {
             case STREAMED -> "streamed";
             case FAULT -> "fault";
@@ -158,7 +159,7 @@
         };
     }
 
-    private static String named(GiveUpReason reason) {
+    private static String label(GiveUpReason reason) {
         return reason == null
                 ? "none"
                 : switch (reason) {
@@ -169,7 +170,7 @@
                 };
     }
 
-    private static String named(Role role) {
+    private static String label(Role role) {
         return switch (role) {
             case READER -> "reader";
             case WRITER -> "writer";
@@ -177,19 +178,21 @@
         };
     }
 
-    private static String named(EndpointState mode) {
-        return switch (mode) {
+    private static String label(EndpointState state) {
+        return switch (state) {
             case READY -> "ready";
             case DRAINING -> "draining";
             case REMOVED -> "removed";
         };
     }
 
-    private static String kind(Attempt attempt) {
-        return attempt.readsOnly ? "read" : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
+    private static String attemptKind(Attempt attempt) {
+        return attempt.readsOnly
+                ? "read"
+                : attempt.engine.role() == Role.BOTH ? "write-both" : "write";
     }
 
-    /** The policy of one router, with its events and actions written down. */
+    /** Records the events and actions of one router's policy. */
     private final class Recorded implements PolicyEvents, PolicyActions {
         private final int router;
         private final PolicyActions host;
@@ -209,7 +212,7 @@
             line(router, host.nowMs(), kind, values);
         }
 
-        private LoadReport seen(LoadReport report) {
+        private LoadReport visibleReport(LoadReport report) {
             return variant == Variant.NO_REPORTS ? null : report;
         }
 
@@ -231,15 +234,15 @@
 
         @Override
         public void readCompleted(
-                Attempt attempt, int cachedTokens, LoadReport report, boolean over) {
+                Attempt attempt, int cachedTokens, LoadReport report, boolean finished) {
             record(
                     "in:read-done",
                     attempt.generation.id,
                     attempt.number,
                     cachedTokens,
-                    figures(seen(report)),
-                    over);
-            policy.readCompleted(attempt, cachedTokens, seen(report), over);
+                    format(visibleReport(report)),
+                    finished);
+            policy.readCompleted(attempt, cachedTokens, visibleReport(report), finished);
         }
 
         @Override
@@ -251,7 +254,7 @@
 
         @Override
         public void attemptEnded(
-                Attempt attempt, AttemptOutcome reported, LoadReport report, boolean over) {
+                Attempt attempt, AttemptOutcome reported, LoadReport report, boolean finished) {
             boolean injected =
                     variant == Variant.INJECTED_EVENTS && reported == AttemptOutcome.UNREACHABLE;
             AttemptOutcome outcome = injected ? AttemptOutcome.NOT_SENT : reported;
@@ -259,10 +262,10 @@
                     "in:ended",
                     attempt.generation.id,
                     attempt.number,
-                    named(outcome),
-                    figures(seen(report)),
-                    over);
-            policy.attemptEnded(attempt, outcome, seen(report), over);
+                    label(outcome),
+                    format(visibleReport(report)),
+                    finished);
+            policy.attemptEnded(attempt, outcome, visibleReport(report), finished);
         }
 
         @Override
@@ -279,8 +282,8 @@
 
         @Override
         public void loadProbed(Engine engine, boolean answered, LoadReport report) {
-            record("in:probed", engine.id, answered, figures(seen(report)));
-            policy.loadProbed(engine, answered, seen(report));
+            record("in:probed", engine.id, answered, format(visibleReport(report)));
+            policy.loadProbed(engine, answered, visibleReport(report));
         }
 
         @Override
@@ -290,8 +293,8 @@
                 record(
                         "in:entry",
                         entry.engine().id,
-                        named(entry.role()),
-                        named(entry.state()),
+                        label(entry.role()),
+                        label(entry.state()),
                         entry.startMs(),
                         entry.capacityWeight(),
                         entry.zone(),
@@ -340,7 +343,7 @@
                     "out:send",
                     attempt.generation.id,
                     attempt.number,
-                    kind(attempt),
+                    attemptKind(attempt),
                     attempt.engine.id,
                     attempt.sentMs,
                     attempt.heldTokens,
@@ -369,13 +372,13 @@
 
         @Override
         public void reject(Generation generation, double retryAfterMs) {
-            record("out:throttle", generation.id, retryAfterMs, named(generation.giveUpReason()));
+            record("out:throttle", generation.id, retryAfterMs, label(generation.giveUpReason()));
             host.reject(generation, retryAfterMs);
         }
 
         @Override
         public void fail(Generation generation) {
-            record("out:terminate", generation.id, named(generation.giveUpReason()));
+            record("out:terminate", generation.id, label(generation.giveUpReason()));
             host.fail(generation);
         }
 
@@ -400,7 +403,7 @@
 
         @Override
         public void log(String line) {
-            // The figures of the line count; its wording may change.
+            // Only the numbers are recorded, so that the wording of the line may change.
             record("out:log", line.replaceAll("[^0-9]+", " ").trim());
             host.log(line);
         }
