--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -163,7 +163,8 @@
                     checkQuota(store, tenant, Math.max(0, request.getLength() - MAX_BODY_BYTES));
                     return null;
                 });
-        try (MultipartUpload upload = new MultipartUpload(store::createIncomingFile, settings.fileBytes);
+        try (MultipartUpload upload =
+                        new MultipartUpload(store::createIncomingFile, settings.fileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -83,7 +83,8 @@
                                 "too_many_lines", null, "more than " + settings.lines + " lines");
                     }
                     LineRequest request = parseLine(line.bytes(), batch.getEndpoint());
-                    long firstIndex = store.recordCustomId(batch.getId(), request.customId, line.index());
+                    long firstIndex =
+                            store.recordCustomId(batch.getId(), request.customId, line.index());
                     if (firstIndex >= 0) {
                         throw new InvalidLineException(
                                 "duplicate_custom_id",
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -162,8 +162,7 @@
             newBatches.start();
             routers.forEach(
                     router ->
-                            loop.schedule(
-                                    LATENCY_SAMPLE_INTERVAL_MS, () -> sampleLatency(router)));
+                            loop.schedule(LATENCY_SAMPLE_INTERVAL_MS, () -> sampleLatency(router)));
             LOG.atInfo()
                     .addKeyValue("store", settings.folder)
                     .addKeyValue("epoch", openedStore.epoch())
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -26,10 +26,10 @@
 import larchridge.state.Effect;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.LineAnswer;
 import larchridge.store.form.BatchRecord;
-import larchridge.store.form.InputError;
 import larchridge.store.form.BatchState;
+import larchridge.store.form.InputError;
+import larchridge.store.form.LineAnswer;
 import larchridge.upstream.AnswerSummary;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -114,6 +114,7 @@
 
         /** Indexes of the lines of {@code readAhead} that have a record. */
         final Set<Long> recordedLines = new HashSet<>();
+
         int unwrittenRecords;
 
         ActiveBatch(BatchRecord form) {
@@ -462,7 +463,8 @@
                                 : " before this line was executed"));
     }
 
-    private void removeFinished(ActiveBatch batch, BatchRecord.Builder finalForm) throws IOException {
+    private void removeFinished(ActiveBatch batch, BatchRecord.Builder finalForm)
+            throws IOException {
         activeBatches.remove(batch.id());
         finishedCount++;
         if (batch.inputChannel != null) {
@@ -592,7 +594,8 @@
             return;
         }
         task.mayHaveRun = false;
-        store.recordAttempts(batch.id(), task.line.index(), task.attempts + 1, effect != Effect.IDEMPOTENT);
+        store.recordAttempts(
+                batch.id(), task.line.index(), task.attempts + 1, effect != Effect.IDEMPOTENT);
         task.attempts++;
         task.estimatedTokens =
                 generationRequest.promptTokens() + generationRequest.maxTokens() / 2.0;
--- a/src/main/java/larchridge/cli/ExperimentCommand.java
+++ b/src/main/java/larchridge/cli/ExperimentCommand.java
@@ -59,8 +59,7 @@
         ReportPage.lines(read, rows).forEach(System.out::println);
         boolean broken =
                 rows.stream()
-                        .anyMatch(
-                                row -> row.run().policy().equals("choice") && row.breaches() > 0);
+                        .anyMatch(row -> row.run().policy().equals("choice") && row.breaches() > 0);
         return broken ? 3 : 0;
     }
 }
--- a/src/main/java/larchridge/emulator/EngineModel.java
+++ b/src/main/java/larchridge/emulator/EngineModel.java
@@ -240,8 +240,7 @@
         job.blocks = allocated;
         job.fetchingState = job.kind == Job.Kind.WRITE && !job.preempted;
         // The last token is always computed, since its output gives the next token.
-        job.computedTokens =
-                Math.min(cachedBlocks * hardware.blockTokens(), job.targetTokens - 1);
+        job.computedTokens = Math.min(cachedBlocks * hardware.blockTokens(), job.targetTokens - 1);
         if (!job.fetchingState && !job.preempted) {
             job.cachedTokens = job.computedTokens;
             promptTokensCached += job.cachedTokens;
--- a/src/main/java/larchridge/experiment/FaultSearch.java
+++ b/src/main/java/larchridge/experiment/FaultSearch.java
@@ -233,8 +233,7 @@
                 if (faults.size() > 1) {
                     variants.add(scriptWithFaults(replaceOrRemoveFault(faults, i, null)));
                 }
-                for (Long engine :
-                        fault.engines().size() > 1 ? fault.engines() : List.<Long>of()) {
+                for (Long engine : fault.engines().size() > 1 ? fault.engines() : List.<Long>of()) {
                     variants.add(
                             scriptWithFaults(
                                     replaceOrRemoveFault(
--- a/src/main/java/larchridge/inventory/EngineListReader.java
+++ b/src/main/java/larchridge/inventory/EngineListReader.java
@@ -121,9 +121,7 @@
         }
         if (!(list instanceof SequenceNode items) || items.getValue().isEmpty()) {
             throw invalid(
-                    list == null ? root : list,
-                    "engines",
-                    "empty; expected at least one engine");
+                    list == null ? root : list, "engines", "empty; expected at least one engine");
         }
         return items;
     }
--- a/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
+++ b/src/main/java/larchridge/node/discovery/DiscoveryConnection.java
@@ -93,7 +93,8 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel openedChannel) {
-                                        openedChannel.pipeline()
+                                        openedChannel
+                                                .pipeline()
                                                 .addLast(
                                                         new ReadProgressHandler(
                                                                 DiscoveryConnection.this
--- a/src/main/java/larchridge/node/server/ClientConnection.java
+++ b/src/main/java/larchridge/node/server/ClientConnection.java
@@ -366,8 +366,7 @@
         if (!(cause instanceof IOException)) {
             LOG.atError()
                     .setCause(cause)
-                    .log(
-                            "closing a client connection: an event on it could not be handled");
+                    .log("closing a client connection: an event on it could not be handled");
         }
         closeNow(CloseReason.IO_FAILURE);
     }
--- a/src/main/java/larchridge/node/upstream/ConfiguredLoadReportParser.java
+++ b/src/main/java/larchridge/node/upstream/ConfiguredLoadReportParser.java
@@ -9,6 +9,7 @@
 /** Parses load reports, keeping the metrics that are named in the settings. */
 final class ConfiguredLoadReportParser {
     private static final int MAX_REPORT_CHARACTERS = 512;
+
     /** Values at or above this make the report invalid. */
     private static final double IMPLAUSIBLE_VALUE = 1e12;
 
@@ -44,6 +45,7 @@
         }
         return values.isEmpty()
                 ? null
-                : DeploymentSettingsReader.toLoadReport(name -> values.getOrDefault(name, Double.NaN));
+                : DeploymentSettingsReader.toLoadReport(
+                        name -> values.getOrDefault(name, Double.NaN));
     }
 }
--- a/src/main/java/larchridge/policy/AdmissionQueue.java
+++ b/src/main/java/larchridge/policy/AdmissionQueue.java
@@ -93,7 +93,8 @@
      */
     private boolean maySendLate(double nowMs) {
         return nowMs > lastLateSendMs + LATE_SEND_INTERVAL_MS
-                && openGenerations.stream().allMatch(generation -> generation.attemptsInFlight() == 0);
+                && openGenerations.stream()
+                        .allMatch(generation -> generation.attemptsInFlight() == 0);
     }
 
     private static double revenue(Generation generation) {
--- a/src/main/java/larchridge/policy/AttemptDispatcher.java
+++ b/src/main/java/larchridge/policy/AttemptDispatcher.java
@@ -36,9 +36,11 @@
         double unreadTokens = affinity.tokensToRead(generation, engine);
         boolean readsOnly = engine.role() == Role.READER;
         double heldTokens = readsOnly ? unreadTokens : WriterCapacity.neededTokens(generation);
-        Attempt attempt = new Attempt(generation, engine, readsOnly, nowMs, heldTokens, unreadTokens);
+        Attempt attempt =
+                new Attempt(generation, engine, readsOnly, nowMs, heldTokens, unreadTokens);
         double readMs =
-                (load.unreadTokens(engine, nowMs) + unreadTokens) * latency.msPerToken(engine, nowMs);
+                (load.unreadTokens(engine, nowMs) + unreadTokens)
+                        * latency.msPerToken(engine, nowMs);
         attempt.setSilenceTimeoutMs(
                 readsOnly
                         ? HedgingPolicy.readTimeoutMs(readMs)
--- a/src/main/java/larchridge/policy/IdempotencyRule.java
+++ b/src/main/java/larchridge/policy/IdempotencyRule.java
@@ -24,16 +24,21 @@
     /** Whether an engine may be selected now for one more attempt of a generation. */
     static boolean mayAttempt(
             Generation generation, Engine engine, double nowMs, boolean hedgingAllowed) {
-        double maxAgeByFractionMs = SELECTION_WINDOW_FRACTION * generation.trafficClass.deduplicationWindowMs;
+        double maxAgeByFractionMs =
+                SELECTION_WINDOW_FRACTION * generation.trafficClass.deduplicationWindowMs;
         double maxAgeMs =
-                Math.min(maxAgeByFractionMs, generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS);
+                Math.min(
+                        maxAgeByFractionMs,
+                        generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS);
         return mayRun(generation, engine, null, nowMs - maxAgeMs, hedgingAllowed);
     }
 
     /** Whether an attempt whose engine was selected earlier may be sent now. */
     public static boolean maySend(Attempt attempt, double nowMs, boolean hedgingAllowed) {
-        double maxAgeMs = attempt.generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS;
-        return mayRun(attempt.generation, attempt.engine, attempt, nowMs - maxAgeMs, hedgingAllowed);
+        double maxAgeMs =
+                attempt.generation.trafficClass.deduplicationWindowMs - PROCESS_PAUSE_MARGIN_MS;
+        return mayRun(
+                attempt.generation, attempt.engine, attempt, nowMs - maxAgeMs, hedgingAllowed);
     }
 
     /**
@@ -50,7 +55,8 @@
         if (effect == Effect.IDEMPOTENT && hedgingAllowed) {
             return true;
         }
-        int otherAttemptsInFlight = generation.attemptsInFlight() - (attempt != null && attempt.isInFlight() ? 1 : 0);
+        int otherAttemptsInFlight =
+                generation.attemptsInFlight() - (attempt != null && attempt.isInFlight() ? 1 : 0);
         if (otherAttemptsInFlight > 0) {
             return false;
         }
--- a/src/main/java/larchridge/policy/LatencyEstimator.java
+++ b/src/main/java/larchridge/policy/LatencyEstimator.java
@@ -80,7 +80,10 @@
      */
     double backlogMs(Engine engine, double nowMs) {
         double unreadSinceMs = engine.unreadSinceMs();
-        double silentMs = Double.isNaN(unreadSinceMs) ? 0 : nowMs - Math.max(engine.lastResponseMs(), unreadSinceMs);
+        double silentMs =
+                Double.isNaN(unreadSinceMs)
+                        ? 0
+                        : nowMs - Math.max(engine.lastResponseMs(), unreadSinceMs);
         return Math.max(load.unreadTokens(engine, nowMs) * msPerToken(engine, nowMs), silentMs);
     }
 }
--- a/src/main/java/larchridge/policy/LoadEstimator.java
+++ b/src/main/java/larchridge/policy/LoadEstimator.java
@@ -73,7 +73,9 @@
 
     /** Updates the estimates from a load report of an engine. */
     void recordReport(Engine engine, LoadReport report, double nowMs) {
-        double previousWeight = PREVIOUS_REPORT_WEIGHT * Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
+        double previousWeight =
+                PREVIOUS_REPORT_WEIGHT
+                        * Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
         engine.recordReport(nowMs);
         if (engine.role() == Role.READER) {
             recordReaderReport(engine, report, nowMs);
@@ -87,7 +89,8 @@
      * prompts that are being read. Both are corrected with this router's own measurements.
      */
     private void recordReaderReport(Engine engine, LoadReport report, double nowMs) {
-        double unreadPromptsInProgress = orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
+        double unreadPromptsInProgress =
+                orZero(report.inflight() - orZero(report.queue())) * UNREAD_FRACTION_DURING_READ;
         double unread =
                 orZero(report.pendingTokens()) * uncachedFractions.mean(nowMs)
                         + unreadPromptsInProgress * uncachedTokensPerRead.mean(nowMs);
@@ -95,7 +98,8 @@
         otherRoutersUnreadMean.add(nowMs, engine.otherRoutersUnreadTokens(), 1);
     }
 
-    private void recordWriterReport(Engine engine, LoadReport report, double previousWeight, double nowMs) {
+    private void recordWriterReport(
+            Engine engine, LoadReport report, double previousWeight, double nowMs) {
         double pending = orZero(report.pendingTokens());
         engine.setOtherRoutersUnreadTokens(Math.max(0, pending - engine.unreadTokens()));
         engine.countReportedStreams(nowMs);
@@ -104,8 +108,10 @@
         // for it, so pending tokens are added.
         double tokens = orZero(report.memoryShare() * engine.memoryTokens() + pending - own);
         double streams = orZero(report.inflight() - engine.reportedOwnStreams());
-        engine.adjustOtherRoutersLoad(Math.max(0, tokens), Math.max(0, streams), 1 - previousWeight);
-        otherRoutersHeldTokensMean.add(nowMs, engine.otherRoutersHeldTokens(), engine.capacityWeight());
+        engine.adjustOtherRoutersLoad(
+                Math.max(0, tokens), Math.max(0, streams), 1 - previousWeight);
+        otherRoutersHeldTokensMean.add(
+                nowMs, engine.otherRoutersHeldTokens(), engine.capacityWeight());
         otherRoutersStreamsMean.add(nowMs, engine.otherRoutersStreams(), engine.capacityWeight());
     }
 
@@ -115,7 +121,10 @@
      */
     double unreadTokens(Engine engine, double nowMs) {
         double weight = Math.exp((engine.lastReportMs() - nowMs) / READER_REPORT_DECAY_MS);
-        double typical = engine.role() == Role.READER ? (1 - weight) * otherRoutersUnreadMean.mean(nowMs) : 0;
+        double typical =
+                engine.role() == Role.READER
+                        ? (1 - weight) * otherRoutersUnreadMean.mean(nowMs)
+                        : 0;
         return engine.unreadTokens() + weight * engine.otherRoutersUnreadTokens() + typical;
     }
 
@@ -123,12 +132,17 @@
     double heldTokens(Engine engine) {
         double meanPerSend = sentWrites.mean(actions.nowMs());
         return estimate(
-                engine, engine.ownHeldTokens(), engine.otherRoutersHeldTokens(), otherRoutersHeldTokensMean, meanPerSend);
+                engine,
+                engine.ownHeldTokens(),
+                engine.otherRoutersHeldTokens(),
+                otherRoutersHeldTokensMean,
+                meanPerSend);
     }
 
     /** Number of answers that an engine streams. */
     double streams(Engine engine) {
-        return estimate(engine, engine.streams(), engine.otherRoutersStreams(), otherRoutersStreamsMean, 1);
+        return estimate(
+                engine, engine.streams(), engine.otherRoutersStreams(), otherRoutersStreamsMean, 1);
     }
 
     /** Number of answers that an engine streams, per unit of capacity weight. */
@@ -151,15 +165,29 @@
      * extrapolation is damped by {@link #EXTRAPOLATION_HALF_WEIGHT_SENDS}.
      */
     private double estimate(
-            Engine engine, double own, double otherRouters, SlidingWindowMean reported, double meanPerSend) {
+            Engine engine,
+            double own,
+            double otherRouters,
+            SlidingWindowMean reported,
+            double meanPerSend) {
         double nowMs = actions.nowMs();
         double weight = Math.exp((engine.lastReportMs() - nowMs) / WRITER_REPORT_DECAY_MS);
         double typical = reported.mean(nowMs) * engine.capacityWeight();
         double reportAgeMs = Math.min(nowMs - engine.lastReportMs(), WRITER_REPORT_DECAY_MS);
-        double expectedSends = sentWrites.weight(nowMs) / sentWrites.spanMs() * reportAgeMs / writers.size();
+        double expectedSends =
+                sentWrites.weight(nowMs) / sentWrites.spanMs() * reportAgeMs / writers.size();
         double ownSends = Math.max(0, engine.streams() - engine.reportedOwnStreams());
-        double otherRoutersExtraSends = (routers - 1) * expectedSends * (ownSends - expectedSends) / (EXTRAPOLATION_HALF_WEIGHT_SENDS + expectedSends);
-        return own + Math.max(0, weight * otherRouters + (1 - weight) * typical + otherRoutersExtraSends * meanPerSend);
+        double otherRoutersExtraSends =
+                (routers - 1)
+                        * expectedSends
+                        * (ownSends - expectedSends)
+                        / (EXTRAPOLATION_HALF_WEIGHT_SENDS + expectedSends);
+        return own
+                + Math.max(
+                        0,
+                        weight * otherRouters
+                                + (1 - weight) * typical
+                                + otherRoutersExtraSends * meanPerSend);
     }
 
     private static double orZero(double value) {
--- a/src/main/java/larchridge/policy/LoadProbes.java
+++ b/src/main/java/larchridge/policy/LoadProbes.java
@@ -55,7 +55,9 @@
             List<Engine> readers = affinity.readersOf(generation);
             generation
                     .probedReaders()
-                    .addAll(readers.subList(0, Math.min(READER_PROBES_PER_GENERATION, readers.size())));
+                    .addAll(
+                            readers.subList(
+                                    0, Math.min(READER_PROBES_PER_GENERATION, readers.size())));
             generation.probedReaders().forEach(this::probe);
         }
         return probesAllowed
--- a/src/main/java/larchridge/policy/OutlierDetector.java
+++ b/src/main/java/larchridge/policy/OutlierDetector.java
@@ -5,9 +5,9 @@
 import larchridge.state.Role;
 
 /**
- * Ejects engines that are unreachable, stop responding or return errors. An ejected engine
- * gets no attempts for a while, then one at a time on probation, and is unejected as soon as it
- * responds, unless its error rate is still too high.
+ * Ejects engines that are unreachable, stop responding or return errors. An ejected engine gets no
+ * attempts for a while, then one at a time on probation, and is unejected as soon as it responds,
+ * unless its error rate is still too high.
  */
 final class OutlierDetector {
     /** Duration of the first ejection; it doubles with each further one up to the maximum. */
@@ -81,7 +81,8 @@
 
     /** Records that an engine had no capacity, so that it is avoided for a while. */
     void recordFull(Engine engine, double nowMs) {
-        engine.recordFull(nowMs + (engine.hasReported() ? FULL_BACKOFF_WITH_REPORTS_MS : FULL_BACKOFF_MS));
+        engine.recordFull(
+                nowMs + (engine.hasReported() ? FULL_BACKOFF_WITH_REPORTS_MS : FULL_BACKOFF_MS));
     }
 
     /** Ejects an engine unless it is already ejected. */
--- a/src/main/java/larchridge/policy/PrefixAffinity.java
+++ b/src/main/java/larchridge/policy/PrefixAffinity.java
@@ -49,18 +49,24 @@
      * caller must not modify the list, which belongs to the generation.
      */
     List<Engine> readersOf(Generation generation) {
-        CachedPrefix selectingPrefix = generation.sharedPrefix != null ? generation.sharedPrefix : generation.sessionPrefix;
+        CachedPrefix selectingPrefix =
+                generation.sharedPrefix != null
+                        ? generation.sharedPrefix
+                        : generation.sessionPrefix;
         if (generation.affinityRevision() != registry.revision() && selectingPrefix != null) {
             generation.setAffinityRevision(registry.revision());
             generation.affinityReaders().clear();
             addReaders(selectingPrefix, generation.affinityReaders());
-            CachedPrefix orderingPrefix = generation.sessionPrefix != null ? generation.sessionPrefix : selectingPrefix;
+            CachedPrefix orderingPrefix =
+                    generation.sessionPrefix != null ? generation.sessionPrefix : selectingPrefix;
             generation
                     .affinityReaders()
                     .sort(
                             Comparator.comparing((Engine engine) -> !engine.zone().equals(zone))
                                     .thenComparing(
-                                            Comparator.comparingLong(orderingPrefix::rendezvousWeight).reversed()));
+                                            Comparator.comparingLong(
+                                                            orderingPrefix::rendezvousWeight)
+                                                    .reversed()));
         }
         return generation.affinityReaders();
     }
--- a/src/main/java/larchridge/policy/ReaderSelection.java
+++ b/src/main/java/larchridge/policy/ReaderSelection.java
@@ -74,13 +74,16 @@
         List<Engine> eligibleReaders = eligible.of(readers, generation);
         List<Engine> candidates = new ArrayList<>(affinity.readersOf(generation));
         candidates.retainAll(eligibleReaders);
-        Engine preferredReader = generation.sessionPrefix == null ? null : generation.sessionPrefix.lastReader();
+        Engine preferredReader =
+                generation.sessionPrefix == null ? null : generation.sessionPrefix.lastReader();
         if (preferredReader == null || !eligibleReaders.contains(preferredReader)) {
             preferredReader = candidates.isEmpty() ? null : candidates.get(0);
         } else if (!candidates.contains(preferredReader)) {
             candidates.add(preferredReader);
         }
-        if (preferredReader != null && hasShortBacklog(preferredReader, nowMs) && !StateTransfers.areLate(preferredReader, nowMs)) {
+        if (preferredReader != null
+                && hasShortBacklog(preferredReader, nowMs)
+                && !StateTransfers.areLate(preferredReader, nowMs)) {
             return preferredReader;
         }
         // Deviation from the paper: while any affinity reader is eligible, no other reader is used.
@@ -105,7 +108,9 @@
                     && capacity.hasCapacity(engine, generation)
                     && hasShortBacklog(engine, nowMs)
                     && load.streams(engine)
-                            <= (transfersLate ? SELF_READ_STREAMS_FACTOR_LATE : SELF_READ_STREAMS_FACTOR)
+                            <= (transfersLate
+                                            ? SELF_READ_STREAMS_FACTOR_LATE
+                                            : SELF_READ_STREAMS_FACTOR)
                                     * meanStreams
                                     * engine.capacityWeight()) {
                 candidates.add(engine);
@@ -113,7 +118,11 @@
         }
     }
 
-    private Engine selectBest(List<Engine> candidates, Engine preferredReader, Generation generation, boolean transfersLate) {
+    private Engine selectBest(
+            List<Engine> candidates,
+            Engine preferredReader,
+            Generation generation,
+            boolean transfersLate) {
         double nowMs = actions.nowMs();
         double limitMs = backlogLimitMs(generation);
         Engine best = null;
@@ -138,7 +147,9 @@
                 bestRank = rank;
             }
         }
-        return best != null && preferredReader != null && isCheaper(preferredReader, bestTokens, generation, limitMs)
+        return best != null
+                        && preferredReader != null
+                        && isCheaper(preferredReader, bestTokens, generation, limitMs)
                 ? preferredReader
                 : best;
     }
@@ -153,7 +164,8 @@
      */
     private static double backlogLimitMs(Generation generation) {
         return SHORT_BACKLOG_MS
-                + (generation.clientRetry ? 0 : generation.randomFraction()) * (OVERLOADED_BACKLOG_MS - SHORT_BACKLOG_MS);
+                + (generation.clientRetry ? 0 : generation.randomFraction())
+                        * (OVERLOADED_BACKLOG_MS - SHORT_BACKLOG_MS);
     }
 
     /** Preference of an engine, lowest first; tokens decide between equal ranks. */
@@ -177,7 +189,8 @@
             Engine preferredReader, double bestTokens, Generation generation, double limitMs) {
         double nowMs = actions.nowMs();
         return latency.backlogMs(preferredReader, nowMs) <= limitMs
-                && load.unreadTokens(preferredReader, nowMs) + affinity.tokensToRead(generation, preferredReader)
+                && load.unreadTokens(preferredReader, nowMs)
+                                + affinity.tokensToRead(generation, preferredReader)
                         < bestTokens;
     }
 }
--- a/src/main/java/larchridge/policy/RetryPolicy.java
+++ b/src/main/java/larchridge/policy/RetryPolicy.java
@@ -39,7 +39,10 @@
 
     /** Whether a generation has enough attempts left for its next stage and those after it. */
     boolean hasAttemptsLeft(Generation generation) {
-        int needed = generation.readWithHeldState() == null ? ATTEMPTS_NEEDED_FOR_READ : ATTEMPTS_NEEDED_FOR_WRITE;
+        int needed =
+                generation.readWithHeldState() == null
+                        ? ATTEMPTS_NEEDED_FOR_READ
+                        : ATTEMPTS_NEEDED_FOR_WRITE;
         return generation.attemptsSent() + needed <= maxAttempts;
     }
 
--- a/src/main/java/larchridge/policy/RoutingPolicy.java
+++ b/src/main/java/larchridge/policy/RoutingPolicy.java
@@ -183,7 +183,8 @@
         wakeUpScheduled = false;
         double nowMs = actions.nowMs();
         endpointWatch.retryIfDue(nowMs);
-        openGenerations.removeIf(generation -> generation.isFinished() && generation.attemptsInFlight() == 0);
+        openGenerations.removeIf(
+                generation -> generation.isFinished() && generation.attemptsInFlight() == 0);
         try {
             for (int i = 0; i < openGenerations.size(); i++) {
                 sweep(openGenerations.get(i), nowMs);
@@ -235,7 +236,8 @@
             giveUp(generation, GiveUpReason.TIME_UP);
             return;
         }
-        if (generation.readWithHeldState() != null && generation.readWithHeldState().isStateLost()) {
+        if (generation.readWithHeldState() != null
+                && generation.readWithHeldState().isStateLost()) {
             heldStates.release(generation);
         }
         if (!retryPolicy.hasAttemptsLeft(generation)) {
--- a/src/main/java/larchridge/policy/SlowStart.java
+++ b/src/main/java/larchridge/policy/SlowStart.java
@@ -35,7 +35,8 @@
         this.registry = registry;
         this.random = random;
         slowStartMs = settings.slowStartMs();
-        effectiveShare = settings.slowStartShare() * settings.overloadMultiple() * ALLOWED_RATE_FRACTION;
+        effectiveShare =
+                settings.slowStartShare() * settings.overloadMultiple() * ALLOWED_RATE_FRACTION;
         createdMs = nowMs;
     }
 
@@ -77,9 +78,13 @@
                         .sum();
         SlidingWindow warmUses = isReader ? warmReads : warmWrites;
         double spanMs = Math.min(warmUses.spanMs(), nowMs - createdMs + 1);
-        double warmRatePerMs = warmUses.sum(nowMs) / spanMs / Math.max(warmCapacityWeight, engine.capacityWeight());
+        double warmRatePerMs =
+                warmUses.sum(nowMs)
+                        / spanMs
+                        / Math.max(warmCapacityWeight, engine.capacityWeight());
         double sinceLastDrawMs = nowMs - Math.max(engine.lastSlowStartDrawMs(), engine.startMs());
         engine.recordSlowStartDraw(nowMs);
-        return random.nextDouble() < effectiveShare * warmRatePerMs * engine.capacityWeight() * sinceLastDrawMs;
+        return random.nextDouble()
+                < effectiveShare * warmRatePerMs * engine.capacityWeight() * sinceLastDrawMs;
     }
 }
--- a/src/main/java/larchridge/policy/StateTransfers.java
+++ b/src/main/java/larchridge/policy/StateTransfers.java
@@ -59,7 +59,10 @@
                 && nowMs - newest.sentMs > LATE_START_DELAY_MS
                 && transferDistance(generation.readWithHeldState().engine, newest.engine) > 0) {
             newest.countAsLateTransfer();
-            generation.readWithHeldState().engine.recordTransferStartDelay(OVERDUE_START_DELAY_MS, nowMs);
+            generation
+                    .readWithHeldState()
+                    .engine
+                    .recordTransferStartDelay(OVERDUE_START_DELAY_MS, nowMs);
         }
     }
 }
--- a/src/main/java/larchridge/policy/WriterSelection.java
+++ b/src/main/java/larchridge/policy/WriterSelection.java
@@ -78,7 +78,8 @@
     private double tokenLimit(List<Engine> withCapacity, Generation generation) {
         double free = withCapacity.stream().mapToDouble(capacity::freeTokens).sum();
         double held = withCapacity.stream().mapToDouble(load::heldTokens).sum();
-        double capacityWeight = withCapacity.stream().mapToDouble(writer -> writer.capacityWeight()).sum();
+        double capacityWeight =
+                withCapacity.stream().mapToDouble(writer -> writer.capacityWeight()).sum();
         double reserved = capacity.reservedTokens() + WriterCapacity.neededTokens(generation);
         return TOKEN_LIMIT_MARGIN * ((free < reserved ? free : reserved) + held) / capacityWeight;
     }
@@ -92,7 +93,8 @@
         sameRack.removeIf(
                 writer ->
                         StateTransfers.transferDistance(reader, writer) > 0
-                                || load.heldTokensPerUnit(writer) > SAME_RACK_TOKEN_LIMIT_FACTOR * tokenLimit);
+                                || load.heldTokensPerUnit(writer)
+                                        > SAME_RACK_TOKEN_LIMIT_FACTOR * tokenLimit);
         return sameRack.isEmpty()
                 ? null
                 : Collections.min(sameRack, Comparator.comparingDouble(load::streamsPerUnit));
@@ -113,7 +115,8 @@
         withinLimit.removeIf(writer -> load.streamsPerUnit(writer) > maxStreams);
         return Collections.min(
                 withinLimit,
-                Comparator.comparingInt((Engine writer) -> StateTransfers.transferDistance(reader, writer))
+                Comparator.comparingInt(
+                                (Engine writer) -> StateTransfers.transferDistance(reader, writer))
                         .thenComparingDouble(load::streamsPerUnit));
     }
 
--- a/src/main/java/larchridge/router/ResponseDeadlines.java
+++ b/src/main/java/larchridge/router/ResponseDeadlines.java
@@ -42,7 +42,10 @@
         // A non-streaming response is late when its last token is late, so its first token is due
         // while enough time remains to generate the rest.
         double completionMs =
-                Math.min(productDeadlineMs + maxTokens * offering.product.targetTokenIntervalMs, clientTimeoutMs)
+                Math.min(
+                                productDeadlineMs
+                                        + maxTokens * offering.product.targetTokenIntervalMs,
+                                clientTimeoutMs)
                         - DELIVERY_MARGIN_MS;
         return new ResponseDeadlines(
                 Math.max(0, Math.min(productDeadlineMs, completionMs)), Math.max(0, completionMs));
--- a/src/main/java/larchridge/settings/DeploymentSettingsReader.java
+++ b/src/main/java/larchridge/settings/DeploymentSettingsReader.java
@@ -109,7 +109,8 @@
 
     private TrafficClass readTrafficClass(JsonNode node, String name, double sloMs, int i)
             throws InvalidSettingsException {
-        double usPerThousand = servingInfo.path("aim_us_per_1000_prompt_tokens").path(i).asDouble(0);
+        double usPerThousand =
+                servingInfo.path("aim_us_per_1000_prompt_tokens").path(i).asDouble(0);
         return new TrafficClass(
                 name,
                 effect(node),
@@ -150,7 +151,8 @@
         for (JsonNode node : engineTypes) {
             String engineType = node.asText();
             roles.put(engineType, role(servingInfo.path("stage_of_kind").path(i).asText("both")));
-            memoryTokens.put(engineType, servingInfo.path("kv_tokens").path(i).asDouble(Double.NaN));
+            memoryTokens.put(
+                    engineType, servingInfo.path("kv_tokens").path(i).asDouble(Double.NaN));
             i++;
         }
     }
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -321,9 +321,7 @@
                             .limits(2 * mix.outTokens() + 2, List.of())
                             .sampling(new AttemptRequest.Sampling(null, null, null))
                             .session(
-                                    session.id,
-                                    session.lastTurnDigest,
-                                    session.id + "/" + promptId)
+                                    session.id, session.lastTurnDigest, session.id + "/" + promptId)
                             .nonStreaming(nonStreaming)
                             .clientRetry(tryNumber > 0)
                             .clientTimeoutMs(
--- a/src/main/java/larchridge/state/CachedPrefix.java
+++ b/src/main/java/larchridge/state/CachedPrefix.java
@@ -22,7 +22,8 @@
 
     /** Records that this many tokens were sent to an engine, which becomes the last reader. */
     public void recordSent(Engine engine, int tokens, double nowMs) {
-        copies.removeIf(copy -> copy.engine == engine || copy.sentMs < copy.engine.cacheValidSinceMs());
+        copies.removeIf(
+                copy -> copy.engine == engine || copy.sentMs < copy.engine.cacheValidSinceMs());
         copies.add(new Copy(engine, nowMs, tokens));
     }
 
--- a/src/main/java/larchridge/state/Engine.java
+++ b/src/main/java/larchridge/state/Engine.java
@@ -186,7 +186,8 @@
     void closed(Attempt attempt) {
         attempts.remove(attempt);
         if (!attempt.readsOnly) {
-            ownHeldTokens = attempts.isEmpty() ? 0 : Math.max(0, ownHeldTokens - attempt.heldTokens);
+            ownHeldTokens =
+                    attempts.isEmpty() ? 0 : Math.max(0, ownHeldTokens - attempt.heldTokens);
             streams = Math.max(0, streams - 1);
         }
     }
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -148,7 +148,8 @@
     @Test
     void cancelledBatchKeepsAnswersAndRecordsTheOtherLinesAsCancelled() throws Exception {
         try (BatchFixture fixture = new BatchFixture()) {
-            BatchRecord batch = fixture.createBatch(fixture.upload(BatchFixture.inputOf(400)), HOUR);
+            BatchRecord batch =
+                    fixture.createBatch(fixture.upload(BatchFixture.inputOf(400)), HOUR);
             fixture.loop.run(300);
             assertEquals(BatchState.CANCELLING, fixture.batches.cancel(batch.getId()).getState());
             fixture.loop.run(5000);
--- a/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
+++ b/src/test/java/larchridge/budget/BudgetsPropertiesTest.java
@@ -67,7 +67,8 @@
         double sum = 0;
         for (int i = 0; i < 4000; i++) {
             now += 10;
-            if (routerBudgets.get(random.nextInt(routers))
+            if (routerBudgets
+                    .get(random.nextInt(routers))
                     .requestAdmission("a", "p", generationTokens, now)
                     .isAdmitted()) {
                 sum += generationTokens;
--- a/src/test/java/larchridge/budget/SharingSimulationTest.java
+++ b/src/test/java/larchridge/budget/SharingSimulationTest.java
@@ -71,8 +71,7 @@
         for (double now = 0; now < DURATION_MS; now += STEP_MS) {
             if (withFaults && random.nextDouble() < STEP_MS / 5000) {
                 routerBudgets.set(
-                        random.nextInt(routers),
-                        router(sharing, routers, 1000 + (int) now, now));
+                        random.nextInt(routers), router(sharing, routers, 1000 + (int) now, now));
             }
             if (withFaults && random.nextDouble() < STEP_MS / 10_000) {
                 lender = lender(now);
--- a/src/test/java/larchridge/lease/LeaseClientTest.java
+++ b/src/test/java/larchridge/lease/LeaseClientTest.java
@@ -75,7 +75,8 @@
 
     @Test
     void grantedTokensAreReported() throws Exception {
-        LeaseClient client = clientOfLenderResponding("{\"lent\":[{\"tokens\":100,\"back_ms\":0}]}");
+        LeaseClient client =
+                clientOfLenderResponding("{\"lent\":[{\"tokens\":100,\"back_ms\":0}]}");
         assertTrue(request(client, 1));
         assertEquals("100 0", nextGrant());
         assertTrue(request(client, 1));
--- a/src/test/java/larchridge/node/StateReleaseTest.java
+++ b/src/test/java/larchridge/node/StateReleaseTest.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * The timely release frees nothing that a queued attempt waits for, so the attempt stays
-     * in flight.
+     * The timely release frees nothing that a queued attempt waits for, so the attempt stays in
+     * flight.
      */
     @Test
     void attemptThatWaitsInItsEnginesQueueIsServedAfterTheReleaseOfItsState() throws Exception {
--- a/src/test/java/larchridge/policy/HedgingPolicyTest.java
+++ b/src/test/java/larchridge/policy/HedgingPolicyTest.java
@@ -61,7 +61,8 @@
         fixture.nowMs += 1500;
         policy.wakeUp();
         assertSame(write, fixture.last());
-        EngineFixture.setOtherRoutersHeldTokens(write.engine == engines[1] ? engines[2] : engines[1], 0);
+        EngineFixture.setOtherRoutersHeldTokens(
+                write.engine == engines[1] ? engines[2] : engines[1], 0);
         policy.wakeUp();
         assertEquals(3, fixture.sent.size());
     }
--- a/src/test/java/larchridge/policy/IdempotencyRuleTest.java
+++ b/src/test/java/larchridge/policy/IdempotencyRuleTest.java
@@ -27,7 +27,16 @@
 
     private Generation generationWithOneCutAttempt(Effect effect) {
         TrafficClass trafficClass =
-                new TrafficClass("p", effect, DeduplicationScope.ALL, DEDUPLICATION_WINDOW_MS, 1, 0, 1000, 0, 60);
+                new TrafficClass(
+                        "p",
+                        effect,
+                        DeduplicationScope.ALL,
+                        DEDUPLICATION_WINDOW_MS,
+                        1,
+                        0,
+                        1000,
+                        0,
+                        60);
         Generation generation =
                 new Generation(
                         "g",
--- a/src/test/java/larchridge/policy/LoadEstimatorTest.java
+++ b/src/test/java/larchridge/policy/LoadEstimatorTest.java
@@ -23,7 +23,8 @@
         for (int i = 1; i <= 3; i++) {
             EngineFixture.setLastReportMs(engines[i], fixture.nowMs);
             EngineFixture.setOtherRoutersStreams(engines[i], engines[i] == first ? 4 : 30);
-            EngineFixture.setOtherRoutersHeldTokens(engines[i], 1000 * engines[i].otherRoutersStreams());
+            EngineFixture.setOtherRoutersHeldTokens(
+                    engines[i], 1000 * engines[i].otherRoutersStreams());
         }
         policyWithManyRouters.requestArrived(fixture.generation("b"));
         policyWithManyRouters.readCompleted(fixture.last(), 0, null, false);
--- a/src/test/java/larchridge/simulation/PolicyActionsTest.java
+++ b/src/test/java/larchridge/simulation/PolicyActionsTest.java
@@ -16,8 +16,8 @@
 /**
  * Compares every event and action of the routing policy in seeded simulated runs with recorded
  * digests. A change of an action, of its time, of a random draw or of their order changes a digest;
- * the commit that intends such a change updates the digests. With {@code
- * -Dpolicy.actions.dir=DIR} the lines of each run are written to that directory for comparison.
+ * the commit that intends such a change updates the digests. With {@code -Dpolicy.actions.dir=DIR}
+ * the lines of each run are written to that directory for comparison.
  */
 class PolicyActionsTest {
     /**
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -115,8 +115,7 @@
     void snapshotIsCompleteAndIndependent() throws IOException {
         FileRecord file = addFile(store, "a", "before");
         BatchRecord batch =
-                store.createBatch(
-                        BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
+                store.createBatch(BatchRecord.newBuilder().setTenant("a").setInput(file.getId()));
         store.snapshot(folder.resolve("copy"));
         FileRecord later = addFile(store, "a", "after");
         try (Store copy = Store.open(folder.resolve("copy"), CrashPoints.NONE)) {
--- a/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/LedgerCompatibilityTest.java
@@ -66,15 +66,7 @@
             long wasted,
             int attempts) {
         return new Usage(
-                billId,
-                tenant,
-                product,
-                endedAtMs,
-                outcome,
-                prompt,
-                cached,
-                output,
-                wasted,
+                billId, tenant, product, endedAtMs, outcome, prompt, cached, output, wasted,
                 attempts);
     }
 
--- a/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
+++ b/src/test/java/larchridge/storeddata/StoreCompatibilityTest.java
@@ -330,8 +330,7 @@
             FileRecord added = store.addFile(incoming.sync(), "acme", "new.jsonl", "batch", 9000);
             assertEquals("file-3-f", added.getId());
             assertEquals(
-                    "batch_3-g",
-                    store.createBatch(acme(BatchRecord.newBuilder(), 9000)).getId());
+                    "batch_3-g", store.createBatch(acme(BatchRecord.newBuilder(), 9000)).getId());
             assertEquals(List.of(), store.verify());
         }
     }
