--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -58,7 +58,7 @@
     BatchEndpoint(Site site, BatchService service) {
         this.site = site;
         this.service = service;
-        terms = site.batch;
+        terms = site.batchSettings;
     }
 
     @Override
@@ -140,7 +140,7 @@
                 key != null && key.regionMatches(true, 0, "Bearer ", 0, 7)
                         ? key.substring(7).strip()
                         : request.getHeaders().get("x-api-key");
-        Site.Tenant tenant = key == null && site.guest == null ? null : site.tenant(key);
+        Site.Tenant tenant = key == null && site.guest == null ? null : site.tenantByKey(key);
         if (tenant == null) {
             throw BatchApiException.unknownKey();
         }
@@ -151,8 +151,8 @@
 
     private void upload(Request request, Response response, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        if (request.getLength() > terms.fileBytes + MOST_BODY) {
-            throw BatchApiException.tooLarge("the file is over " + terms.fileBytes + " bytes");
+        if (request.getLength() > terms.maxFileBytes + MOST_BODY) {
+            throw BatchApiException.tooLarge("the file is over " + terms.maxFileBytes + " bytes");
         }
         Store store = service.store();
         onLoop(
@@ -160,7 +160,7 @@
                     room(store, tenant, Math.max(0, request.getLength() - MOST_BODY));
                     return null;
                 });
-        try (MultipartUpload upload = new MultipartUpload(store::receive, terms.fileBytes);
+        try (MultipartUpload upload = new MultipartUpload(store::receive, terms.maxFileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
@@ -185,17 +185,17 @@
     }
 
     private void room(Store store, Site.Tenant tenant, long bytes) throws BatchApiException {
-        if (store.bytesOf(tenant.name()) + bytes > terms.tenantBytes
-                || store.filesOf(tenant.name()) >= terms.tenantFiles) {
+        if (store.bytesOf(tenant.name()) + bytes > terms.maxTenantBytes
+                || store.filesOf(tenant.name()) >= terms.maxTenantFiles) {
             throw BatchApiException.overQuota(
                     "kept are "
                             + store.bytesOf(tenant.name())
                             + " bytes in "
                             + store.filesOf(tenant.name())
                             + " files; allowed are "
-                            + terms.tenantBytes
+                            + terms.maxTenantBytes
                             + " in "
-                            + terms.tenantFiles
+                            + terms.maxTenantFiles
                             + "; delete some");
         }
     }
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -57,7 +57,7 @@
                                         .streamReadConstraints(
                                                 StreamReadConstraints.builder()
                                                         .maxNestingDepth(nesting + 1)
-                                                        .maxStringLength(terms.lineBytes)
+                                                        .maxStringLength(terms.maxLineBytes)
                                                         .maxNumberLength(100)
                                                         .maxNameLength(10_000)
                                                         .build())
@@ -73,14 +73,14 @@
         long count = 0;
         store.unname(batch.getId());
         try (FileChannel channel = store.content(file);
-                LineReader lines = new LineReader(channel, terms.lineBytes, 0, 0)) {
+                LineReader lines = new LineReader(channel, terms.maxLineBytes, 0, 0)) {
             for (LineReader.Line line = lines.next();
                     line != null && faults.size() < MOST_FAULTS;
                     line = lines.next()) {
                 try {
-                    if (++count > terms.lines) {
+                    if (++count > terms.maxLines) {
                         throw new BadLine(
-                                "too_many_lines", null, "more than " + terms.lines + " lines");
+                                "too_many_lines", null, "more than " + terms.maxLines + " lines");
                     }
                     Call call = read(line.bytes(), batch.getEndpoint());
                     long before = store.name(batch.getId(), call.customId, line.number());
@@ -117,7 +117,7 @@
     /** Reads one line. */
     Call read(byte[] bytes, String endpoint) throws BadLine {
         if (bytes == null) {
-            throw new BadLine("line_too_long", null, "over " + terms.lineBytes + " bytes");
+            throw new BadLine("line_too_long", null, "over " + terms.maxLineBytes + " bytes");
         }
         JsonNode json;
         try {
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -59,18 +59,18 @@
         this.fronts = fronts;
         this.counters = counters;
         this.points = points;
-        terms = site.batch;
-        QueuedThreadPool threads = new QueuedThreadPool(terms.threads + 4, 4, 60_000);
+        terms = site.batchSettings;
+        QueuedThreadPool threads = new QueuedThreadPool(terms.requestThreads + 4, 4, 60_000);
         threads.setName("batch-api");
         threads.setDaemon(true);
         server = new Server(threads);
         HttpConfiguration http = new HttpConfiguration();
         http.setSendServerVersion(false);
-        http.setRequestHeaderSize(site.limit.headerBytes);
+        http.setRequestHeaderSize(site.limits.maxHeaderBytes);
         connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
         connector.setHost(terms.host);
         connector.setPort(terms.port);
-        connector.setIdleTimeout((long) site.limit.idleConnectionMs);
+        connector.setIdleTimeout((long) site.limits.idleConnectionTimeoutMs);
         server.addConnector(connector);
         // What waits for a thread is bounded by who may be connected.
         server.addBean(new NetworkConnectionLimit(MOST_CONNECTIONS, connector));
@@ -112,9 +112,9 @@
         } catch (Exception e) {
             throw new IOException(
                     "the batch API can't listen on "
-                            + site.batch.host
+                            + site.batchSettings.host
                             + ":"
-                            + site.batch.port
+                            + site.batchSettings.port
                             + ": "
                             + e.getMessage(),
                     e);
@@ -144,8 +144,8 @@
                             site,
                             new RouterSubmitter(fronts, loop),
                             loop,
-                            new BatchPlanner(terms.openLines),
-                            new BatchRetryPolicy(terms.attempts, new Random(site.seed ^ 0xBA7C4L)),
+                            new BatchPlanner(terms.maxOpenLines),
+                            new BatchRetryPolicy(terms.maxAttempts, new Random(site.seed ^ 0xBA7C4L)),
                             new MessageBodies(site, counters, loop));
             store = opened;
             batches = taken;
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -81,13 +81,13 @@
             MessageBodies bodies) {
         this.store = store;
         this.site = site;
-        terms = site.batch;
+        terms = site.batchSettings;
         this.desk = desk;
         this.loop = loop;
         this.planner = planner;
         this.attempts = attempts;
         this.bodies = bodies;
-        check = new BatchInputValidator(store, terms, site.limit.nesting);
+        check = new BatchInputValidator(store, terms, site.limits.maxNesting);
     }
 
     /** One batch that is not over. */
@@ -290,11 +290,11 @@
      * among them.
      */
     private void plan(Job job) throws IOException {
-        Site.Tenant tenant = site.tenantNamed(job.form.getTenant());
+        Site.Tenant tenant = site.tenantByName(job.form.getTenant());
         job.input = store.content(store.file(job.form.getInput()));
         job.lines =
                 new LineReader(
-                        job.input, terms.lineBytes, job.form.getLowLine(), job.form.getLowOffset());
+                        job.input, terms.maxLineBytes, job.form.getLowLine(), job.form.getLowOffset());
         job.work =
                 planner.addBatch(
                         job.id(),
@@ -402,7 +402,7 @@
         long good = 0;
         long bad = 0;
         try (FileChannel input = store.content(store.file(form.getInput()));
-                LineReader lines = new LineReader(input, terms.lineBytes, 0, 0)) {
+                LineReader lines = new LineReader(input, terms.maxLineBytes, 0, 0)) {
             errors = store.receive();
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
                 AnswerForm answer = store.answer(form.getId(), line.number());
@@ -531,7 +531,7 @@
             byte[] bytes =
                     trip.bytes != null
                             ? trip.bytes
-                            : LineReader.again(job.input, trip.line, terms.lineBytes);
+                            : LineReader.again(job.input, trip.line, terms.maxLineBytes);
             trip.bytes = null;
             call = check.read(bytes, endpoint);
         } catch (BatchInputValidator.BadLine e) {
@@ -581,7 +581,7 @@
     }
 
     private GenerationRequest ask(Job job, BatchInputValidator.Call call) throws ApiException {
-        Site.Tenant tenant = site.tenantNamed(job.form.getTenant());
+        Site.Tenant tenant = site.tenantByName(job.form.getTenant());
         if (tenant == null) {
             throw ApiException.invalid(
                     "the tenant '" + job.form.getTenant() + "' is no longer served");
@@ -595,7 +595,7 @@
                 body,
                 chat ? 2 : 1,
                 tenant,
-                offer -> offer.asBatch(terms.revenue, terms.lineMs),
+                offer -> offer.asBatch(terms.revenueFactor, terms.lineTimeoutMs),
                 key);
     }
 
@@ -655,7 +655,7 @@
                                 lineId,
                                 call.customId(),
                                 "answer_too_large",
-                                "The answer is over " + site.limit.answerBytes + " bytes"));
+                                "The answer is over " + site.limits.maxResponseBytes + " bytes"));
                 pump();
             }
         }
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -91,7 +91,7 @@
 
         @Override
         public boolean textReceived(String piece) {
-            tooLarge |= text.length() + piece.length() > front.site().limit.answerBytes;
+            tooLarge |= text.length() + piece.length() > front.site().limits.maxResponseBytes;
             if (!tooLarge) {
                 text.append(piece);
             }
--- a/src/main/java/larchridge/cli/BillCommand.java
+++ b/src/main/java/larchridge/cli/BillCommand.java
@@ -60,11 +60,11 @@
         }
         try {
             Site read = SiteReader.read(site);
-            if (read.ledger == null) {
+            if (read.ledgerFolder == null) {
                 System.err.println(site + ": ledger: missing");
                 return 1;
             }
-            try (Ledger ledger = Ledger.look(read.ledger)) {
+            try (Ledger ledger = Ledger.look(read.ledgerFolder)) {
                 print(read, ledger.totals(of));
             }
             return 0;
--- a/src/main/java/larchridge/cli/CheckCommand.java
+++ b/src/main/java/larchridge/cli/CheckCommand.java
@@ -24,13 +24,13 @@
     public Integer call() {
         try {
             Site site = SiteReader.read(file);
-            int engines = new EngineListWatcher(site.inventory, null).readInitial().size();
+            int engines = new EngineListWatcher(site.engineListFile, null).readInitial().size();
             System.out.println(
                     file
                             + ": good; "
-                            + site.fronts
+                            + site.routers
                             + " fronts, "
-                            + site.offersByModel.size()
+                            + site.offeringsByModel.size()
                             + " models, "
                             + engines
                             + " engines");
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -90,7 +90,7 @@
         if (key == null && site.guest == null) {
             throw ApiException.authentication("x-api-key header is required");
         }
-        Site.Tenant tenant = site.tenant(key);
+        Site.Tenant tenant = site.tenantByKey(key);
         if (tenant == null) {
             throw ApiException.authentication("invalid x-api-key");
         }
@@ -154,27 +154,27 @@
         }
 
         void read() {
-            SiteLimits limit = site.limit;
+            SiteLimits limit = site.limits;
             // Once: the exchange is over when its answer has been handed over or its connection is
             // gone.
             request.response().closeHandler(closed -> leave());
             request.response().endHandler(ended -> leave());
             request.response().exceptionHandler(e -> leave());
             request.exceptionHandler(e -> leave());
-            if (length(request) > limit.bodyBytes) {
-                fault(ApiException.tooLarge("body: over " + limit.bodyBytes + " bytes"));
+            if (length(request) > limit.maxBodyBytes) {
+                fault(ApiException.tooLarge("body: over " + limit.maxBodyBytes + " bytes"));
                 return;
             }
             timer =
                     front.vertx()
                             .setTimer(
-                                    (long) limit.bodyMs,
+                                    (long) limit.bodyTimeoutMs,
                                     late -> {
                                         if (!whole) {
                                             fault(
                                                     ApiException.slowBody(
                                                             "body: not received within "
-                                                                    + (long) limit.bodyMs
+                                                                    + (long) limit.bodyTimeoutMs
                                                                     + " ms"));
                                         }
                                     });
@@ -184,11 +184,11 @@
                             return;
                         }
                         bytes.appendBuffer(part);
-                        if (bytes.length() > limit.bodyBytes) {
+                        if (bytes.length() > limit.maxBodyBytes) {
                             request.handler(ignored -> {});
                             fault(
                                     ApiException.tooLarge(
-                                            "body: over " + limit.bodyBytes + " bytes"));
+                                            "body: over " + limit.maxBodyBytes + " bytes"));
                         }
                     });
             request.endHandler(end -> complete());
@@ -262,7 +262,7 @@
             long waits =
                     front.vertx()
                             .setTimer(
-                                    (long) site.limit.bodyMs,
+                                    (long) site.limits.bodyTimeoutMs,
                                     late -> done.tryFail(ApiException.overloaded("Overloaded")));
             boolean taken =
                     lengths.counters.workers.take(
--- a/src/main/java/larchridge/messages/MessagesReader.java
+++ b/src/main/java/larchridge/messages/MessagesReader.java
@@ -84,14 +84,14 @@
 
     MessagesReader(Site site) {
         this.site = site;
-        SiteLimits limit = site.limit;
+        SiteLimits limit = site.limits;
         JsonFactory factory =
                 JsonFactory.builder()
                         .streamReadConstraints(
                                 StreamReadConstraints.builder()
-                                        .maxNestingDepth(limit.nesting)
+                                        .maxNestingDepth(limit.maxNesting)
                                         .maxStringLength(
-                                                (int) Math.min(Integer.MAX_VALUE, limit.bodyBytes))
+                                                (int) Math.min(Integer.MAX_VALUE, limit.maxBodyBytes))
                                         .maxNumberLength(100)
                                         .maxNameLength(10_000)
                                         .build())
@@ -132,14 +132,14 @@
             throw ApiException.invalid("body: expected a JSON object");
         }
         String model = text(root, "model", "model");
-        ProductOffering offer = site.offersByModel.get(model);
+        ProductOffering offer = site.offeringsByModel.get(model);
         if (offer == null) {
             throw ApiException.notFound("model: " + model);
         }
         int most = onlyCounted ? 1 : whole(root, "max_tokens", 1, Integer.MAX_VALUE);
-        if (most > offer.mostTokens) {
+        if (most > offer.maxTokens) {
             throw ApiException.invalid(
-                    "max_tokens: " + most + " > " + offer.mostTokens + ", the most of " + model);
+                    "max_tokens: " + most + " > " + offer.maxTokens + ", the most of " + model);
         }
         Rendered rendered = new Rendered();
         tools(root.path("tools"), rendered);
@@ -189,7 +189,7 @@
             return 0;
         }
         int bytes = prompt.substring(0, chars).getBytes(StandardCharsets.UTF_8).length;
-        return Math.max(1, (int) Math.ceil(bytes / site.limit.bytesPerToken));
+        return Math.max(1, (int) Math.ceil(bytes / site.limits.bytesPerToken));
     }
 
     /** The prompt as it grows, with the places that name prefix and session. */
@@ -296,7 +296,7 @@
         if (system.isTextual()) {
             rendered.text.append(system.asText());
         } else {
-            List<JsonNode> items = items(system, "system", site.limit.messages);
+            List<JsonNode> items = items(system, "system", site.limits.maxMessages);
             for (int i = 0; i < items.size(); i++) {
                 String path = "system." + i;
                 object(items.get(i), path);
@@ -317,7 +317,7 @@
         if (messages.isMissingNode()) {
             throw ApiException.invalid("messages: Field required");
         }
-        List<JsonNode> items = items(messages, "messages", site.limit.messages);
+        List<JsonNode> items = items(messages, "messages", site.limits.maxMessages);
         if (items.isEmpty()) {
             throw ApiException.invalid("messages: at least one message is required");
         }
@@ -360,7 +360,7 @@
         if (content.isMissingNode()) {
             throw ApiException.invalid(path + ": Field required");
         }
-        List<JsonNode> blocks = items(content, path, site.limit.messages);
+        List<JsonNode> blocks = items(content, path, site.limits.maxMessages);
         for (int i = 0; i < blocks.size(); i++) {
             block(blocks.get(i), path + "." + i, rendered);
         }
--- a/src/main/java/larchridge/messages/MessagesResponseSink.java
+++ b/src/main/java/larchridge/messages/MessagesResponseSink.java
@@ -84,7 +84,7 @@
             return true;
         }
         wholeBytes += text.length();
-        if (wholeBytes <= front.site().limit.answerBytes) {
+        if (wholeBytes <= front.site().limits.maxResponseBytes) {
             whole.append(text);
         }
         return true;
@@ -152,11 +152,11 @@
             handedOn();
             return;
         }
-        if (wholeBytes > front.site().limit.answerBytes) {
+        if (wholeBytes > front.site().limits.maxResponseBytes) {
             fail(
                     ApiException.internal(
                             "The answer is over "
-                                    + front.site().limit.answerBytes
+                                    + front.site().limits.maxResponseBytes
                                     + " bytes; ask for a "
                                     + "stream"),
                     false);
@@ -240,7 +240,7 @@
         pingTimer =
                 front.vertx()
                         .setPeriodic(
-                                (long) front.site().limit.pingMs,
+                                (long) front.site().limits.pingIntervalMs,
                                 timer -> {
                                     if (!waitsForDrain) {
                                         write(MessageEvents.ping());
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -125,14 +125,14 @@
     }
 
     private Site site() {
-        Site site = Site.plain(settings.routing());
+        Site site = Site.ofRoutingSettings(settings.routing());
         site.releaseMs = settings.releaseMs();
         site.drainGraceMs = settings.drainGraceMs();
-        site.limit.openGenerations =
+        site.limits.maxOpenGenerations =
                 (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
-        site.limit.slowClientMs = SLOW_CLIENT_TIMEOUT_MS;
-        site.limit.quietStreamMs = SILENT_STREAM_TIMEOUT_MS;
-        site.limit.stopMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
+        site.limits.slowClientTimeoutMs = SLOW_CLIENT_TIMEOUT_MS;
+        site.limits.streamIdleTimeoutMs = SILENT_STREAM_TIMEOUT_MS;
+        site.limits.shutdownTimeoutMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
         return site;
     }
 
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -86,11 +86,11 @@
     }
 
     private static Site site(DeploymentSettings settings) {
-        Site site = Site.plain(settings.routing());
-        site.limit.openGenerations = MAX_OPEN_GENERATIONS;
-        site.limit.slowClientMs = NO_TIMEOUT_MS;
-        site.limit.quietStreamMs = NO_TIMEOUT_MS;
-        site.limit.stopMs = NO_TIMEOUT_MS;
+        Site site = Site.ofRoutingSettings(settings.routing());
+        site.limits.maxOpenGenerations = MAX_OPEN_GENERATIONS;
+        site.limits.slowClientTimeoutMs = NO_TIMEOUT_MS;
+        site.limits.streamIdleTimeoutMs = NO_TIMEOUT_MS;
+        site.limits.shutdownTimeoutMs = NO_TIMEOUT_MS;
         site.releaseMs = settings.releaseMs();
         return site;
     }
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -63,7 +63,7 @@
         boolean ledgerBehind = usageRecorder.isBehind();
         if (shutdown.isStopping()
                 || ledgerBehind
-                || shutdown.exchanges() >= context.site.limit.openGenerations) {
+                || shutdown.exchanges() >= context.site.limits.maxOpenGenerations) {
             String reason =
                     shutdown.isStopping() ? "stopping" : ledgerBehind ? "ledger" : "too_many";
             context.metrics.exchangeRejected(context.routerNumber, reason);
@@ -131,7 +131,7 @@
                     budgets.addLease(
                             quotaRequest.budgetName(),
                             grantedTokens,
-                            context.nowMs() + context.site.lapseMs);
+                            context.nowMs() + context.site.leaseDurationMs);
                     if (!responseSink.isDisconnected()) {
                         BudgetDecision newDecision = checkBudget(generationRequest);
                         admitOrReject(
@@ -199,7 +199,7 @@
         Generation generation =
                 new Generation(
                         generationIdOf(generationRequest),
-                        decision.charge().isBorrowed() ? offering.borrowed : offering.product,
+                        decision.charge().isBorrowed() ? offering.borrowedProduct : offering.product,
                         tenantQuotaOf(generationRequest.tenant()),
                         sessions.sessionOf(generationRequest),
                         sessions.sharedPrefixOf(generationRequest),
@@ -227,6 +227,6 @@
     }
 
     private TenantQuota tenantQuotaOf(Site.Tenant tenant) {
-        return tenantQuotas.computeIfAbsent(tenant.name(), name -> tenant.account());
+        return tenantQuotas.computeIfAbsent(tenant.name(), name -> tenant.quota());
     }
 }
--- a/src/main/java/larchridge/router/RequestTimeouts.java
+++ b/src/main/java/larchridge/router/RequestTimeouts.java
@@ -75,7 +75,7 @@
         double sinceMs = context.nowMs();
         request.pauseStream(sinceMs);
         context.scheduler.schedule(
-                context.site.limit.slowClientMs,
+                context.site.limits.slowClientTimeoutMs,
                 () -> {
                     // Guards against: a client that never reads its response would occupy its
                     // writer's memory indefinitely.
@@ -97,7 +97,7 @@
 
     /** Ends the stream, which has just started, if it is idle for too long. */
     void watchStreamIdle(InFlightRequest request) {
-        scheduleStreamIdleCheck(request, context.site.limit.quietStreamMs);
+        scheduleStreamIdleCheck(request, context.site.limits.streamIdleTimeoutMs);
     }
 
     private void scheduleStreamIdleCheck(InFlightRequest request, double delayMs) {
@@ -111,7 +111,7 @@
             return;
         }
         context.updateClock();
-        double idleTimeoutMs = context.site.limit.quietStreamMs;
+        double idleTimeoutMs = context.site.limits.streamIdleTimeoutMs;
         double remainingMs = request.lastChunkMs() + idleTimeoutMs - context.nowMs();
         if (request.isPaused()) {
             scheduleStreamIdleCheck(request, idleTimeoutMs);
--- a/src/main/java/larchridge/router/ResponseDeadlines.java
+++ b/src/main/java/larchridge/router/ResponseDeadlines.java
@@ -33,7 +33,7 @@
             int maxTokens,
             boolean nonStreaming,
             double clientTimeoutMs) {
-        double productDeadlineMs = offering.patienceMs(promptTokens);
+        double productDeadlineMs = offering.timeLimitMs(promptTokens);
         if (!nonStreaming) {
             return new ResponseDeadlines(
                     Math.max(0, Math.min(productDeadlineMs, clientTimeoutMs - DELIVERY_MARGIN_MS)),
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -92,8 +92,8 @@
         loop = context.scheduler instanceof VertxScheduler own ? own.loop() : null;
         final String idPrefix = context.scheduler.uniqueIdPrefix();
         context.updateClock();
-        budgets = context.site.budgetsOf(context.routerNumber, context.nowMs());
-        final RoutingSettings settings = context.site.termsOf(context.routerNumber);
+        budgets = context.site.createBudgets(context.routerNumber, context.nowMs());
+        final RoutingSettings settings = context.site.routingSettingsOf(context.routerNumber);
 
         shutdown = new GracefulShutdown(context);
         readStates = new ReadStateReleases(context);
@@ -158,7 +158,7 @@
     /** Replaces the budgets; requests in flight stay charged. */
     public void updateBudgets(Site changed) {
         context.updateClock();
-        changed.budgetsTo(budgets, context.nowMs());
+        changed.configureBudgets(budgets, context.nowMs());
     }
 
     /**
@@ -243,7 +243,7 @@
     public void shutDown(Runnable onStopped) {
         shutdown.begin(onStopped);
         context.scheduler.schedule(
-                context.site.limit.stopMs,
+                context.site.limits.shutdownTimeoutMs,
                 () -> {
                     context.updateClock();
                     closer.failAll(ResponseSink.FailureCause.SHUTTING_DOWN);
--- a/src/main/java/larchridge/router/UsageRecorder.java
+++ b/src/main/java/larchridge/router/UsageRecorder.java
@@ -94,7 +94,7 @@
      * delays it no longer than the site allows, nor past the client's deadline.
      */
     void recordThen(InFlightRequest request, Runnable finish) {
-        double maxWaitMs = context.site.answerWaitsMs;
+        double maxWaitMs = context.site.maxLedgerWaitMs;
         if (ledger == null || maxWaitMs <= 0) {
             finish.run();
             return;
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -84,16 +84,16 @@
         }
         counters =
                 new TokenCounters(
-                        site.limit.countCacheBytes,
-                        site.limit.countThreads,
-                        site.limit.countWaits,
-                        site.limit.bytesPerToken);
+                        site.limits.countCacheBytes,
+                        site.limits.countThreads,
+                        site.limits.maxWaitingCounts,
+                        site.limits.bytesPerToken);
         RouterMetrics.registerTokenCountCache(
                 registry, counters.cache::size, counters.cache::found, counters.cache::missed);
         vertx =
                 Vertx.vertx(
                         new VertxOptions()
-                                .setEventLoopPoolSize(Math.max(2, site.fronts + 1))
+                                .setEventLoopPoolSize(Math.max(2, site.routers + 1))
                                 .setPreferNativeTransport(true));
     }
 
@@ -127,7 +127,7 @@
                     TimeoutException {
         follower =
                 new EngineListWatcher(
-                        site.inventory,
+                        site.engineListFile,
                         rows ->
                                 fronts.forEach(
                                         front ->
@@ -137,16 +137,16 @@
                                                                         front.endpointsChanged(
                                                                                 rows))));
         List<EngineEntry> first = follower.readInitial();
-        if (site.ledger != null) {
-            ledger = Ledger.open(site.ledger, site.ledgerWaits);
+        if (site.ledgerFolder != null) {
+            ledger = Ledger.open(site.ledgerFolder, site.maxWaitingLedgerRecords);
             used = ledger.totals(YearMonth.now(ZoneOffset.UTC));
         }
-        for (int i = 0; i < site.fronts; i++) {
+        for (int i = 0; i < site.routers; i++) {
             Seat seat = new Seat(i, first);
             seats.add(seat);
             await(vertx.deployVerticle((Deployable) seat, new DeploymentOptions()));
         }
-        follower.start(vertx, site.pollMs);
+        follower.start(vertx, site.engineListPollMs);
         if (site.adminHost != null) {
             adminLoop = vertx.getOrCreateContext();
             Promise<HttpServer> listening = Promise.promise();
@@ -165,9 +165,9 @@
                                                                     vertx,
                                                                     site.lenderHost,
                                                                     port,
-                                                                    site.loanMs))));
+                                                                    site.leaseCallTimeoutMs))));
         }
-        if (site.batch != null) {
+        if (site.batchSettings != null) {
             try {
                 batch = BatchService.start(site, List.copyOf(fronts), counters, registry, points);
             } catch (IOException e) {
@@ -175,7 +175,7 @@
             }
         }
         LOG.atInfo()
-                .addKeyValue("fronts", site.fronts)
+                .addKeyValue("fronts", site.routers)
                 .addKeyValue("engines", first.size())
                 .addKeyValue("ports", ports())
                 .addKeyValue("seed", site.seed)
@@ -184,9 +184,9 @@
 
     /** Figures, health and, where this process lends, leases; all on one loop. */
     private Future<HttpServer> listenToOperators() {
-        if (site.lends) {
+        if (site.isLender) {
             lender = new QuotaLender(site.lentShare());
-            site.budgetsTo(lender, monotonicMs());
+            site.configureBudgets(lender, monotonicMs());
         }
         LeaseEndpoint leases =
                 lender == null ? null : new LeaseEndpoint(lender, Service::monotonicMs);
@@ -225,9 +225,9 @@
             return;
         }
         Path to =
-                site.batch
+                site.batchSettings
                         .folder
-                        .resolveSibling(site.batch.folder.getFileName() + ".snapshots")
+                        .resolveSibling(site.batchSettings.folder.getFileName() + ".snapshots")
                         .resolve(name);
         vertx.executeBlocking(
                         () -> {
@@ -265,8 +265,8 @@
     /** Takes the budgets of a changed site file; the rest of it counts from the next start. */
     public void budgets(Site changed) {
         fronts.forEach(front -> front.loop().runOnContext(v -> front.updateBudgets(changed)));
-        if (site.lends) {
-            adminLoop.runOnContext(v -> changed.budgetsTo(lender, monotonicMs()));
+        if (site.isLender) {
+            adminLoop.runOnContext(v -> changed.configureBudgets(lender, monotonicMs()));
         }
     }
 
@@ -291,7 +291,7 @@
                     .runOnContext(
                             v -> {
                                 seat.server.shutdown(
-                                        (long) site.limit.stopMs + 1000, TimeUnit.MILLISECONDS);
+                                        (long) site.limits.shutdownTimeoutMs + 1000, TimeUnit.MILLISECONDS);
                                 seat.front.shutDown(ended::tryComplete);
                             });
             ends.add(ended.future());
@@ -300,7 +300,7 @@
             Future.all(ends)
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get((long) site.limit.stopMs + 5000, TimeUnit.MILLISECONDS);
+                    .get((long) site.limits.shutdownTimeoutMs + 5000, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             LOG.error("not all fronts came to their end", e);
         }
@@ -345,7 +345,7 @@
                             vertx,
                             site,
                             number,
-                            new CompletionsUpstreamClient(vertx, site.limit),
+                            new CompletionsUpstreamClient(vertx, site.limits),
                             meters,
                             ledger);
             used.forEach(
@@ -359,9 +359,9 @@
             server =
                     vertx.createHttpServer(
                             new HttpServerOptions()
-                                    .setMaxHeaderSize(site.limit.headerBytes)
+                                    .setMaxHeaderSize(site.limits.maxHeaderBytes)
                                     .setMaxInitialLineLength(4096)
-                                    .setIdleTimeout((int) site.limit.idleConnectionMs)
+                                    .setIdleTimeout((int) site.limits.idleConnectionTimeoutMs)
                                     .setIdleTimeoutUnit(TimeUnit.MILLISECONDS)
                                     .setTcpNoDelay(true)
                                     .setHttp2ClearTextEnabled(true)
@@ -369,7 +369,7 @@
             int[] connections = new int[1];
             server.connectionHandler(
                     connection -> {
-                        if (++connections[0] > site.limit.connections) {
+                        if (++connections[0] > site.limits.maxConnections) {
                             connection.close();
                         }
                         connection.closeHandler(closed -> connections[0]--);
@@ -377,7 +377,7 @@
             server.requestHandler(new MessagesEndpoint(front, counters));
             server.invalidRequestHandler(
                     io.vertx.core.http.HttpServerRequest.DEFAULT_INVALID_REQUEST_HANDLER);
-            int port = site.port == 0 ? 0 : site.ownPorts ? site.port + number : site.port;
+            int port = site.port == 0 ? 0 : site.portPerRouter ? site.port + number : site.port;
             return server.listen(port, site.host);
         }
     }
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -274,8 +274,8 @@
             GenerationRequest ask =
                     GenerationRequest.builder()
                             .product(
-                                    site.offersByModel.get(mix.name()),
-                                    site.tenantNamed(session.tenant))
+                                    site.offeringsByModel.get(mix.name()),
+                                    site.tenantByName(session.tenant))
                             .model(mix.name())
                             .prompt(body, prompt.tokens)
                             .sharedPrefix(shared > 0 ? mix.name() + session.prefix : null, shared)
--- a/src/main/java/larchridge/site/BatchSettings.java
+++ b/src/main/java/larchridge/site/BatchSettings.java
@@ -7,17 +7,17 @@
     public String host;
     public int port;
     public Path folder;
-    public long fileBytes;
-    public int lineBytes;
-    public long lines;
-    public long tenantBytes;
-    public long tenantFiles;
-    public int openLines;
-    public int attempts;
-    public double lineMs;
+    public long maxFileBytes;
+    public int maxLineBytes;
+    public long maxLines;
+    public long maxTenantBytes;
+    public long maxTenantFiles;
+    public int maxOpenLines;
+    public int maxAttempts;
+    public double lineTimeoutMs;
 
     /** What a line is worth in the wait, beside 1 of its product. */
-    public double revenue;
+    public double revenueFactor;
 
-    public int threads;
+    public int requestThreads;
 }
--- a/src/main/java/larchridge/site/InvalidSiteException.java
+++ b/src/main/java/larchridge/site/InvalidSiteException.java
@@ -6,10 +6,10 @@
 public final class InvalidSiteException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public final transient List<String> faults;
+    public final transient List<String> errors;
 
-    public InvalidSiteException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.faults = List.copyOf(faults);
+    public InvalidSiteException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.errors = List.copyOf(errors);
     }
 }
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -8,14 +8,14 @@
     public final TrafficClass product;
 
     /** The same product for a tenant beyond its own means: worth less while it waits. */
-    public final TrafficClass borrowed;
+    public final TrafficClass borrowedProduct;
 
     /** The model's name at the engines, or null for the client's word. */
     public final String engineModel;
 
-    public final double limitMs;
-    public final double limitMsPerToken;
-    public final int mostTokens;
+    public final double timeLimitMs;
+    public final double timeLimitMsPerPromptToken;
+    public final int maxTokens;
     public final Measure measure;
 
     /** Whether it is batch work, for which nobody waits. */
@@ -23,64 +23,64 @@
 
     public ProductOffering(
             TrafficClass product,
-            TrafficClass borrowed,
+            TrafficClass borrowedProduct,
             String engineModel,
-            double limitMs,
-            double limitMsPerToken,
-            int mostTokens,
+            double timeLimitMs,
+            double timeLimitMsPerPromptToken,
+            int maxTokens,
             Measure measure) {
-        this(product, borrowed, engineModel, limitMs, limitMsPerToken, mostTokens, measure, false);
+        this(product, borrowedProduct, engineModel, timeLimitMs, timeLimitMsPerPromptToken, maxTokens, measure, false);
     }
 
     private ProductOffering(
             TrafficClass product,
-            TrafficClass borrowed,
+            TrafficClass borrowedProduct,
             String engineModel,
-            double limitMs,
-            double limitMsPerToken,
-            int mostTokens,
+            double timeLimitMs,
+            double timeLimitMsPerPromptToken,
+            int maxTokens,
             Measure measure,
             boolean isBatch) {
         this.isBatch = isBatch;
         this.product = product;
-        this.borrowed = borrowed;
+        this.borrowedProduct = borrowedProduct;
         this.engineModel = engineModel;
-        this.limitMs = limitMs;
-        this.limitMsPerToken = limitMsPerToken;
-        this.mostTokens = mostTokens;
+        this.timeLimitMs = timeLimitMs;
+        this.timeLimitMsPerPromptToken = timeLimitMsPerPromptToken;
+        this.maxTokens = maxTokens;
         this.measure = measure;
     }
 
     /** The same as batch work: worth so much less in the wait, and with this time for a try. */
-    public ProductOffering asBatch(double worth, double lineMs) {
-        TrafficClass slow =
+    public ProductOffering asBatch(double revenueFactor, double attemptTimeoutMs) {
+        TrafficClass batchProduct =
                 new TrafficClass(
                         product.name,
                         product.effect,
                         product.deduplicationScope,
                         product.deduplicationWindowMs,
-                        product.revenue * worth,
+                        product.revenue * revenueFactor,
                         1,
-                        lineMs / 2,
+                        attemptTimeoutMs / 2,
                         product.sloMsPerToken,
                         product.targetTokenIntervalMs);
-        TrafficClass slower =
+        TrafficClass borrowedBatchProduct =
                 new TrafficClass(
                         product.name,
                         product.effect,
                         product.deduplicationScope,
                         product.deduplicationWindowMs,
-                        borrowed.revenue * worth,
+                        borrowedProduct.revenue * revenueFactor,
                         1,
-                        lineMs / 2,
+                        attemptTimeoutMs / 2,
                         product.sloMsPerToken,
                         product.targetTokenIntervalMs);
         return new ProductOffering(
-                slow, slower, engineModel, lineMs, limitMsPerToken, mostTokens, measure, true);
+                batchProduct, borrowedBatchProduct, engineModel, attemptTimeoutMs, timeLimitMsPerPromptToken, maxTokens, measure, true);
     }
 
     /** How long a client waits for the first token of a prompt, in milliseconds. */
-    public double patienceMs(int promptTokens) {
-        return limitMs + limitMsPerToken * promptTokens;
+    public double timeLimitMs(int promptTokens) {
+        return timeLimitMs + timeLimitMsPerPromptToken * promptTokens;
     }
 }
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -27,15 +27,15 @@
     public String adminHost;
 
     public int adminPort;
-    public int fronts;
-    public boolean ownPorts;
+    public int routers;
+    public boolean portPerRouter;
     public long seed;
-    public Path inventory;
-    public double pollMs;
+    public Path engineListFile;
+    public double engineListPollMs;
     public double drainGraceMs;
     public double releaseMs;
-    public final SiteLimits limit = new SiteLimits();
-    public final Map<String, ProductOffering> offersByModel = new HashMap<>();
+    public final SiteLimits limits = new SiteLimits();
+    public final Map<String, ProductOffering> offeringsByModel = new HashMap<>();
 
     /** Tenants by the SHA-256 of a key, in hex. */
     final Map<String, Tenant> tenantsByKey = new HashMap<>();
@@ -43,19 +43,19 @@
     /** The tenant of clients with an unlisted key, or null where they are turned away. */
     public Tenant guest;
 
-    RoutingSettings terms = RoutingSettings.builder().build();
+    RoutingSettings routingSettings = RoutingSettings.builder().build();
 
     /** Where usage is written; null if it is not. */
-    public Path ledger;
+    public Path ledgerFolder;
 
-    public int ledgerWaits;
+    public int maxWaitingLedgerRecords;
 
     /** How long the end of an answer may wait for its record; 0 is not at all. */
-    public double answerWaitsMs;
+    public double maxLedgerWaitMs;
 
     public String currency;
     public final Map<String, Price> prices = new LinkedHashMap<>();
-    BudgetLimits budget = BudgetLimits.UNLIMITED;
+    BudgetLimits serviceBudget = BudgetLimits.UNLIMITED;
     double giveBackMs;
 
     /** Where what is not in fixed parts is lent; null if nothing is. */
@@ -64,43 +64,43 @@
     public int lenderPort;
 
     /** Whether this process lends. */
-    public boolean lends;
+    public boolean isLender;
 
     double fixedShare = 1;
-    public double lapseMs;
-    public double loanMs;
+    public double leaseDurationMs;
+    public double leaseCallTimeoutMs;
 
     /** The batch API; null where it is not served. */
-    public BatchSettings batch;
+    public BatchSettings batchSettings;
 
-    final Map<String, BudgetLimits> groups = new LinkedHashMap<>();
-    final List<TenantGrant> tenantGrants = new ArrayList<>();
+    final Map<String, BudgetLimits> groupBudgets = new LinkedHashMap<>();
+    final List<TenantBudget> tenantBudgets = new ArrayList<>();
 
     /**
      * A front's surroundings without a site file: no budgets, no ledger, no batches. The limits are
      * the caller's to set.
      */
-    public static Site plain(RoutingSettings terms) {
+    public static Site ofRoutingSettings(RoutingSettings routingSettings) {
         Site site = new Site();
-        site.terms = terms;
-        site.seed = terms.seed();
-        site.fronts = 1;
+        site.routingSettings = routingSettings;
+        site.seed = routingSettings.seed();
+        site.routers = 1;
         site.guest = new Tenant("", 0, 0);
         return site;
     }
 
-    record TenantGrant(
-            String tenant, String group, BudgetLimits grant, Map<String, BudgetLimits> products) {}
+    record TenantBudget(
+            String tenant, String group, BudgetLimits limits, Map<String, BudgetLimits> productLimits) {}
 
     /** Whom a generation is done for; each front counts an account of its own. */
     public record Tenant(String name, double quotaPerSecond, double batchShare) {
-        public TenantQuota account() {
+        public TenantQuota quota() {
             return new TenantQuota(name, quotaPerSecond);
         }
     }
 
     /** The tenant of this name, or null; files outlive keys. */
-    public Tenant tenantNamed(String name) {
+    public Tenant tenantByName(String name) {
         if (guest != null && guest.name().equals(name)) {
             return guest;
         }
@@ -111,37 +111,37 @@
     }
 
     /** The tenant whose key this is, the guest, or null. */
-    public Tenant tenant(String key) {
-        Tenant known = key == null ? null : tenantsByKey.get(sha256(key));
-        return known != null ? known : guest;
+    public Tenant tenantByKey(String key) {
+        Tenant listed = key == null ? null : tenantsByKey.get(sha256(key));
+        return listed != null ? listed : guest;
     }
 
     /** The terms of one front: all alike but for the seed of its chance. */
-    public RoutingSettings termsOf(int front) {
-        return terms.withSeed(seed * 0x9E3779B97F4A7C15L + front);
+    public RoutingSettings routingSettingsOf(int routerNumber) {
+        return routingSettings.withSeed(seed * 0x9E3779B97F4A7C15L + routerNumber);
     }
 
     /** One front's part of all budgets. */
-    public Budgets budgetsOf(int front, double nowMs) {
+    public Budgets createBudgets(int routerNumber, double nowMs) {
         Budgets budgets =
                 new Budgets(
-                        budget,
-                        terms.routers(),
+                        serviceBudget,
+                        routingSettings.routers(),
                         fixedShare,
                         giveBackMs,
-                        new Random(termsOf(front).seed() ^ 0x5DEECE66DL));
-        budgetsTo(budgets, nowMs);
+                        new Random(routingSettingsOf(routerNumber).seed() ^ 0x5DEECE66DL));
+        configureBudgets(budgets, nowMs);
         return budgets;
     }
 
     /** Sets the budgets as this site file says, also in place of others. */
-    public void budgetsTo(BudgetConfigurer taker, double nowMs) {
-        taker.configureService(budget, nowMs);
-        groups.forEach((name, grant) -> taker.configureGroup(name, grant, nowMs));
-        for (TenantGrant tenant : tenantGrants) {
-            taker.configureTenant(tenant.tenant, tenant.group, tenant.grant, nowMs);
-            tenant.products.forEach(
-                    (name, grant) -> taker.configureProduct(tenant.tenant, name, grant, nowMs));
+    public void configureBudgets(BudgetConfigurer configurer, double nowMs) {
+        configurer.configureService(serviceBudget, nowMs);
+        groupBudgets.forEach((name, limits) -> configurer.configureGroup(name, limits, nowMs));
+        for (TenantBudget tenant : tenantBudgets) {
+            configurer.configureTenant(tenant.tenant, tenant.group, tenant.limits, nowMs);
+            tenant.productLimits.forEach(
+                    (name, limits) -> configurer.configureProduct(tenant.tenant, name, limits, nowMs));
         }
     }
 
--- a/src/main/java/larchridge/site/SiteLimits.java
+++ b/src/main/java/larchridge/site/SiteLimits.java
@@ -2,26 +2,26 @@
 
 /** Bounds of the doors, the links and the waits. Times are milliseconds, sizes bytes. */
 public final class SiteLimits {
-    public int openGenerations;
-    public int connections;
+    public int maxOpenGenerations;
+    public int maxConnections;
     public long countCacheBytes;
     public int countThreads;
-    public int countWaits;
-    public long bodyBytes;
-    public int headerBytes;
-    public int nesting;
-    public int messages;
-    public double bodyMs;
-    public double idleConnectionMs;
-    public double slowClientMs;
-    public double pingMs;
-    public double quietStreamMs;
-    public double stopMs;
-    public int answerBytes;
+    public int maxWaitingCounts;
+    public long maxBodyBytes;
+    public int maxHeaderBytes;
+    public int maxNesting;
+    public int maxMessages;
+    public double bodyTimeoutMs;
+    public double idleConnectionTimeoutMs;
+    public double slowClientTimeoutMs;
+    public double pingIntervalMs;
+    public double streamIdleTimeoutMs;
+    public double shutdownTimeoutMs;
+    public int maxResponseBytes;
     public double bytesPerToken;
-    public double connectMs;
-    public double keepAliveMs;
-    public int connectionsPerEngine;
-    public int connectionWaits;
-    public double probeMs;
+    public double connectTimeoutMs;
+    public double keepAliveTimeoutMs;
+    public int maxConnectionsPerEngine;
+    public int maxWaitingForConnection;
+    public double probeTimeoutMs;
 }
--- a/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
+++ b/src/main/java/larchridge/upstream/CompletionsUpstreamClient.java
@@ -33,19 +33,19 @@
         loop = vertx.getOrCreateContext();
         HttpClientOptions clientOptions =
                 new HttpClientOptions()
-                        .setConnectTimeout((int) limits.connectMs)
+                        .setConnectTimeout((int) limits.connectTimeoutMs)
                         .setKeepAlive(true)
-                        .setKeepAliveTimeout((int) Math.max(1, limits.keepAliveMs / 1000))
+                        .setKeepAliveTimeout((int) Math.max(1, limits.keepAliveTimeoutMs / 1000))
                         .setTcpNoDelay(true)
                         .setMaxHeaderSize(MAX_HEADER_BYTES);
         PoolOptions poolOptions =
                 new PoolOptions()
-                        .setHttp1MaxSize(limits.connectionsPerEngine)
-                        .setMaxWaitQueueSize(limits.connectionWaits)
+                        .setHttp1MaxSize(limits.maxConnectionsPerEngine)
+                        .setMaxWaitQueueSize(limits.maxWaitingForConnection)
                         .setCleanerPeriod(POOL_CLEANER_PERIOD_MS);
         client = vertx.createHttpClient(clientOptions, poolOptions);
-        requestOptions = new RequestOptionsFactory((long) limits.connectMs);
-        probeTimeoutMs = (long) limits.probeMs;
+        requestOptions = new RequestOptionsFactory((long) limits.connectTimeoutMs);
+        probeTimeoutMs = (long) limits.probeTimeoutMs;
         stateReleaser = new CompletionsStateReleaser(vertx, client, requestOptions, probeTimeoutMs);
     }
 
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -87,8 +87,8 @@
                         site,
                         new Engines(),
                         loop,
-                        new BatchPlanner(site.batch.openLines),
-                        new BatchRetryPolicy(site.batch.attempts, new Random(1)),
+                        new BatchPlanner(site.batchSettings.maxOpenLines),
+                        new BatchRetryPolicy(site.batchSettings.maxAttempts, new Random(1)),
                         new MessageBodies(site, counters, loop));
         batches.start();
     }
--- a/src/test/java/larchridge/site/SiteReaderTest.java
+++ b/src/test/java/larchridge/site/SiteReaderTest.java
@@ -28,7 +28,7 @@
     private static List<String> faults(String text) {
         return assertThrows(
                         InvalidSiteException.class, () -> SiteReader.read("s", text, Path.of("/x")))
-                .faults;
+                .errors;
     }
 
     private static void fault(String text, String expected) {
@@ -39,10 +39,10 @@
     @Test
     void goodFileBecomesTermsOfEachFront() throws InvalidSiteException {
         Site site = SiteReader.read("s", GOOD, Path.of("/x"));
-        assertEquals(9, site.termsOf(0).routers());
-        assertTrue(site.termsOf(0).seed() != site.termsOf(1).seed());
-        assertEquals(Path.of("/x/engines.yaml"), site.inventory);
-        assertEquals(5000, site.offersByModel.get("c").patienceMs(100));
+        assertEquals(9, site.routingSettingsOf(0).routers());
+        assertTrue(site.routingSettingsOf(0).seed() != site.routingSettingsOf(1).seed());
+        assertEquals(Path.of("/x/engines.yaml"), site.engineListFile);
+        assertEquals(5000, site.offeringsByModel.get("c").timeLimitMs(100));
     }
 
     @Test
@@ -100,7 +100,7 @@
                                 "guest: \"all\"",
                                 "tenant { name: \"t\" key_sha256: \"" + key + "\" }"),
                         Path.of("/x"));
-        assertEquals("t", site.tenant("secret").name());
-        assertEquals(null, site.tenant("other"));
+        assertEquals("t", site.tenantByKey("secret").name());
+        assertEquals(null, site.tenantByKey("other"));
     }
 }
--- a/src/test/java/larchridge/systemtest/FaultyRouter.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouter.java
@@ -54,7 +54,7 @@
 
     FaultyRouter(Site site, Wrong wrong) throws InvalidEngineListException, InterruptedException {
         this.wrong = wrong;
-        list = site.inventory;
+        list = site.engineListFile;
         look();
         if (wrong != Wrong.FORGETS_DRAINS) {
             vertx.setPeriodic(
--- a/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
+++ b/src/test/java/larchridge/upstream/CompletionsUpstreamFixture.java
@@ -43,11 +43,11 @@
     private CompletionsUpstreamClient client;
 
     CompletionsUpstreamFixture() throws Exception {
-        limits.connectMs = 400;
-        limits.keepAliveMs = 5000;
-        limits.connectionsPerEngine = 1;
-        limits.connectionWaits = 1;
-        limits.probeMs = 300;
+        limits.connectTimeoutMs = 400;
+        limits.keepAliveTimeoutMs = 5000;
+        limits.maxConnectionsPerEngine = 1;
+        limits.maxWaitingForConnection = 1;
+        limits.probeTimeoutMs = 300;
         server = vertx.createNetServer().connectHandler(this::connected);
         server.listen(0, "127.0.0.1")
                 .toCompletionStage()
