--- a/src/main/java/larchridge/messages/MessagesCodec.java
+++ b/src/main/java/larchridge/messages/MessagesCodec.java
@@ -36,7 +36,7 @@
             JsonNode json,
             double maxTemperature,
             Site.Tenant tenant,
-            OfferingAdapter offeringAdapter,
+            OfferingAdapter adapter,
             String idempotencyKey)
             throws ApiException {
         MessagesReader.Body body = reader.read(json, false, maxTemperature);
@@ -51,7 +51,7 @@
         int expectedTokens = countedTokens;
         String model = body.engineModel();
         return GenerationRequest.builder()
-                .product(offeringAdapter.adapt(body.offering()), tenant)
+                .product(adapter.adapt(body.offering()), tenant)
                 .model(model)
                 .prompt(body.prompt(), body.promptTokens())
                 .sharedPrefix(body.sharedPrefixId(), body.sharedPrefixTokens())
@@ -76,10 +76,10 @@
             int cachedTokens,
             String text,
             Completion completion) {
-        int cachedPromptTokens = Math.min(cachedTokens, generationRequest.promptTokens());
-        int cacheCreationTokens =
-                generationRequest.sharedPrefixId() == null ? 0 : Math.max(0, generationRequest.sharedPrefixTokens() - cachedPromptTokens);
+        int cached = Math.min(cachedTokens, generationRequest.promptTokens());
+        int created =
+                generationRequest.sharedPrefixId() == null ? 0 : Math.max(0, generationRequest.sharedPrefixTokens() - cached);
         return MessageEvents.withResponse(
-                MessageEvents.message(id, model, generationRequest.promptTokens(), cachedPromptTokens, cacheCreationTokens), text, completion);
+                MessageEvents.message(id, model, generationRequest.promptTokens(), cached, created), text, completion);
     }
 }
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -206,28 +206,28 @@
                 runOnWorker(
                         body.length / PARSED_BYTES_PER_MS,
                         () -> {
-                            MessagesReader.Body parsedBody = reader.read(body, countOnly);
-                            if (startMeasurement(parsedBody)) {
+                            MessagesReader.Body parsed = reader.read(body, countOnly);
+                            if (startMeasurement(parsed)) {
                                 finishMeasurement(true);
                             }
-                            return parsedBody;
+                            return parsed;
                         });
                 return;
             }
             try {
-                MessagesReader.Body parsedBody = reader.read(body, countOnly);
-                if (!startMeasurement(parsedBody)) {
-                    countOrSubmit(parsedBody);
+                MessagesReader.Body parsed = reader.read(body, countOnly);
+                if (!startMeasurement(parsed)) {
+                    countOrSubmit(parsed);
                 } else if (countingWay() == CountingPolicy.Way.ASIDE) {
                     runOnWorker(
                             measurement.costMs(),
                             () -> {
                                 measurement.finish();
-                                return parsedBody;
+                                return parsed;
                             });
                 } else {
                     finishMeasurement(false);
-                    countOrSubmit(parsedBody);
+                    countOrSubmit(parsed);
                 }
             } catch (ApiException error) {
                 fail(error);
@@ -235,20 +235,20 @@
         }
 
         /** Whether there is anything to count. */
-        private boolean startMeasurement(MessagesReader.Body parsedBody) {
-            measurement = parsedBody.countInput() == null ? null : lengths.new Measurement(parsedBody);
+        private boolean startMeasurement(MessagesReader.Body parsed) {
+            measurement = parsed.countInput() == null ? null : lengths.new Measurement(parsed);
             return measurement != null;
         }
 
         /** Who asks for a count gets it, be it long; for a generation a guess may do. */
         private CountingPolicy.Way countingWay() {
-            CountingPolicy.Way countingWay = measurement.countingWay();
-            return countOnly && countingWay == CountingPolicy.Way.GUESS ? CountingPolicy.Way.ASIDE : countingWay;
+            CountingPolicy.Way way = measurement.countingWay();
+            return countOnly && way == CountingPolicy.Way.GUESS ? CountingPolicy.Way.ASIDE : way;
         }
 
         private void finishMeasurement(boolean onWorker) {
-            CountingPolicy.Way countingWay = countingWay();
-            if (countingWay == CountingPolicy.Way.NOW || (onWorker && countingWay == CountingPolicy.Way.ASIDE)) {
+            CountingPolicy.Way way = countingWay();
+            if (way == CountingPolicy.Way.NOW || (onWorker && way == CountingPolicy.Way.ASIDE)) {
                 measurement.finish();
             }
         }
@@ -272,8 +272,8 @@
                                     return;
                                 }
                                 try {
-                                    MessagesReader.Body parsedBody = work.call();
-                                    router.loop().runOnContext(v -> done.tryComplete(parsedBody));
+                                    MessagesReader.Body parsed = work.call();
+                                    router.loop().runOnContext(v -> done.tryComplete(parsed));
                                 } catch (Exception e) {
                                     router.loop().runOnContext(v -> done.tryFail(e));
                                 }
@@ -303,9 +303,9 @@
                             });
         }
 
-        private void countOrSubmit(MessagesReader.Body parsedBody) throws ApiException {
-            PromptLengths.Measurement currentMeasurement = measurement;
-            MessagesReader.Body body = currentMeasurement == null ? parsedBody : lengths.withLengths(currentMeasurement, countOnly);
+        private void countOrSubmit(MessagesReader.Body parsed) throws ApiException {
+            PromptLengths.Measurement current = measurement;
+            MessagesReader.Body body = current == null ? parsed : lengths.withLengths(current, countOnly);
             if (countOnly) {
                 request.response()
                         .putHeader("content-type", "application/json")
@@ -314,7 +314,7 @@
             }
             // Only the number is kept: the text would be held a second time for as long as the
             // generation is open.
-            int expectedTokens = currentMeasurement == null ? -1 : PromptLengths.expectedEngineTokens(currentMeasurement);
+            int expectedTokens = current == null ? -1 : PromptLengths.expectedEngineTokens(current);
             String key = request.getHeader("idempotency-key");
             GenerationRequest generationRequest =
                     GenerationRequest.builder()
@@ -372,9 +372,9 @@
                 return;
             }
             finished = true;
-            PromptLengths.Measurement currentMeasurement = measurement;
-            if (currentMeasurement != null) {
-                currentMeasurement.cancel();
+            PromptLengths.Measurement current = measurement;
+            if (current != null) {
+                current.cancel();
             }
             if (timer >= 0) {
                 router.vertx().cancelTimer(timer);
--- a/src/main/java/larchridge/messages/MessagesResponseSink.java
+++ b/src/main/java/larchridge/messages/MessagesResponseSink.java
@@ -50,11 +50,11 @@
 
     @Override
     public void responseStarted(int cachedTokens) {
-        int cachedPromptTokens = Math.min(cachedTokens, body.promptTokens());
-        int cacheCreationTokens = body.sharedPrefixId() == null ? 0 : Math.max(0, body.sharedPrefixTokens() - cachedPromptTokens);
+        int cached = Math.min(cachedTokens, body.promptTokens());
+        int created = body.sharedPrefixId() == null ? 0 : Math.max(0, body.sharedPrefixTokens() - cached);
         message =
                 MessageEvents.message(
-                        requestId.substring(4), body.model(), body.promptTokens(), cachedPromptTokens, cacheCreationTokens);
+                        requestId.substring(4), body.model(), body.promptTokens(), cached, created);
         if (!body.stream()) {
             responseText = new StringBuilder();
             return;
--- a/src/test/java/larchridge/serve/BillingTest.java
+++ b/src/test/java/larchridge/serve/BillingTest.java
@@ -32,9 +32,9 @@
     @Test
     void billedTokensAreThoseTheEnginesReported() throws Exception {
         try (ServiceFixture fixture = new ServiceFixture(LEDGER_SETTINGS)) {
-            ServiceFixture.Response answer =
+            ServiceFixture.Response response =
                     fixture.post(fixture.options(), ServiceFixture.requestBody("free", true, 7));
-            EventStreamChecker checker = ServiceFixture.checkEvents(answer.body());
+            EventStreamChecker checker = ServiceFixture.checkEvents(response.body());
             UsageTotal total = ledgerTotal(fixture);
             assertEquals(checker.outputTokens(), total.outTokens());
             assertEquals(7, total.outTokens());
@@ -58,8 +58,8 @@
                             response -> {
                                 response.exceptionHandler(e -> {});
                                 response.handler(
-                                        part -> {
-                                            if (received.appendBuffer(part).toString().contains("w9 ")) {
+                                        chunk -> {
+                                            if (received.appendBuffer(chunk).toString().contains("w9 ")) {
                                                 request.reset();
                                             }
                                         });
@@ -167,7 +167,7 @@
             request.send(Buffer.buffer(ServiceFixture.requestBody("free", true, 60)))
                     .onSuccess(
                             response -> {
-                                response.handler(part -> started.complete(null));
+                                response.handler(chunk -> started.complete(null));
                                 response.endHandler(v -> ended.complete(null));
                             });
             started.get(5, TimeUnit.SECONDS);
