--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -46,39 +46,39 @@
 
     @Override
     public void handle(HttpServerRequest request) {
-        String requestId =
+        String id =
                 "req_"
                         + HexFormat.of().toHexDigits(requestIds.nextLong())
                         + HexFormat.of().toHexDigits(requestIds.nextInt());
         HttpServerResponse response = request.response();
-        response.putHeader("request-id", requestId);
+        response.putHeader("request-id", id);
         boolean countOnly = request.path().equals("/v1/messages/count_tokens");
         if (!countOnly && !request.path().equals("/v1/messages")) {
-            sendError(request, requestId, ApiException.notFound("no such path: " + request.path()), -1);
+            sendError(request, id, ApiException.notFound("no such path: " + request.path()), -1);
             return;
         }
         if (!request.method().equals(HttpMethod.POST)) {
             response.putHeader("allow", "POST");
-            sendError(request, requestId, ApiException.methodNotAllowed("expected POST"), -1);
+            sendError(request, id, ApiException.methodNotAllowed("expected POST"), -1);
             return;
         }
         Site.Tenant tenant;
         try {
             tenant = authenticate(request);
         } catch (ApiException error) {
-            sendError(request, requestId, error, -1);
+            sendError(request, id, error, -1);
             return;
         }
         if (!router.tryAdmit()) {
             sendError(
                     request,
-                    requestId,
+                    id,
                     ApiException.overloaded(
                             router.isStopping() ? "This front is stopping" : "Overloaded"),
                     1);
             return;
         }
-        new Exchange(request, requestId, tenant, countOnly).readBody();
+        new Exchange(request, id, tenant, countOnly).readBody();
     }
 
     private Site.Tenant authenticate(HttpServerRequest request) throws ApiException {
@@ -104,29 +104,29 @@
 
     /** Answers before anything was taken; the connection closes, since its body was not read. */
     private static void sendError(
-            HttpServerRequest request, String requestId, ApiException error, int retryAfterSeconds) {
+            HttpServerRequest request, String id, ApiException error, int retryAfterS) {
         HttpServerResponse response = request.response();
         if (response.ended() || response.closed()) {
             return;
         }
-        if (retryAfterSeconds >= 0) {
-            response.putHeader("retry-after", Integer.toString(retryAfterSeconds));
+        if (retryAfterS >= 0) {
+            response.putHeader("retry-after", Integer.toString(retryAfterS));
         }
-        long contentLength = contentLength(request);
-        if (contentLength > 0 && contentLength <= 64 << 10 && error.status != 413) {
+        long length = contentLength(request);
+        if (length > 0 && length <= 64 << 10 && error.status != 413) {
             request.resume();
-        } else if (contentLength != 0 && request.version() != io.vertx.core.http.HttpVersion.HTTP_2) {
+        } else if (length != 0 && request.version() != io.vertx.core.http.HttpVersion.HTTP_2) {
             response.putHeader("connection", "close");
         }
         response.setStatusCode(error.status)
                 .putHeader("content-type", "application/json")
-                .end(MessageEvents.error(error, requestId).toString());
+                .end(MessageEvents.error(error, id).toString());
     }
 
     private static long contentLength(HttpServerRequest request) {
-        String contentLength = request.getHeader("content-length");
+        String length = request.getHeader("content-length");
         try {
-            return contentLength == null ? -1 : Long.parseLong(contentLength);
+            return length == null ? -1 : Long.parseLong(length);
         } catch (NumberFormatException e) {
             return -1;
         }
@@ -135,7 +135,7 @@
     /** One exchange from its body to the generation that it becomes. */
     private final class Exchange {
         private final HttpServerRequest request;
-        private final String requestId;
+        private final String id;
         private final Site.Tenant tenant;
         private final Buffer bodyBuffer = Buffer.buffer();
         private long timer = -1;
@@ -146,10 +146,10 @@
         private long bodyReceivedNs;
         private volatile PromptLengths.Measurement measurement;
 
-        Exchange(HttpServerRequest request, String requestId, Site.Tenant tenant, boolean countOnly) {
+        Exchange(HttpServerRequest request, String id, Site.Tenant tenant, boolean countOnly) {
             this.countOnly = countOnly;
             this.request = request;
-            this.requestId = requestId;
+            this.id = id;
             this.tenant = tenant;
         }
 
@@ -337,7 +337,7 @@
                             .build();
             measurement = null;
             MessagesResponseSink responseSink =
-                    new MessagesResponseSink(router, request.response(), requestId, body);
+                    new MessagesResponseSink(router, request.response(), id, body);
             router.submit(
                     generationRequest,
                     responseSink,
@@ -364,7 +364,7 @@
             if (timer >= 0) {
                 router.vertx().cancelTimer(timer);
             }
-            sendError(request, requestId, error, -1);
+            sendError(request, id, error, -1);
         }
 
         private void finish() {
