--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -44,7 +44,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running service: the fronts of one site file in this process, each on a loop of its own. */
+/** A running service: the routers of a site in this process, each on its own event loop. */
 public final class Service {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
     private static final long LIFECYCLE_TIMEOUT_MS = 20_000;
@@ -55,7 +55,7 @@
     private final PrometheusMeterRegistry registry = RouterMetrics.registry();
     private final List<RouterVerticle> verticles = new ArrayList<>();
 
-    /** What each front is told of lists; a list goes to all, each on its own loop. */
+    /** The routers that are started; each gets every new engine list, on its own loop. */
     private final List<Router> routers = new CopyOnWriteArrayList<>();
 
     private boolean stopped;
@@ -65,10 +65,13 @@
     private Map<Ledger.Line, UsageTotal> initialUsage = Map.of();
     private EngineListWatcher engineListWatcher;
 
-    /** Null where no batches are served. */
+    /** Null if the batch API is not served. */
     private BatchService batchService;
 
-    /** Lends what is not in fixed parts; used on the admin listener's loop only. */
+    /**
+     * Leases the quota that is not in fixed shares; null if another process does. Used only on the
+     * admin listener's loop.
+     */
     private QuotaLender quotaLender;
 
     private Context adminContext;
@@ -77,9 +80,8 @@
         this.site = site;
         this.crashPoints = crashPoints;
         if (site.seed == 0) {
-            // Guards against: with the same chance draws at every front, fronts that see the same
-            // would all
-            // choose the same.
+            // Guards against: with the same random draws, all routers that see the same state would
+            // make the same choices.
             site.seed = System.nanoTime() ^ ProcessHandle.current().pid() << 40;
         }
         counters =
@@ -97,13 +99,13 @@
                                 .setPreferNativeTransport(true));
     }
 
-    /** Starts all fronts; a list that can't be believed keeps the service from starting. */
+    /** Starts all routers; fails if the engine list is invalid. */
     public static Service start(Site site)
             throws InvalidEngineListException, LedgerException, InterruptedException {
         return start(site, CrashPoints.NONE);
     }
 
-    /** The same, with a listener at the places where the store writes. */
+    /** Starts all routers, with a listener for the points at which the store writes. */
     public static Service start(Site site, CrashPoints crashPoints)
             throws InvalidEngineListException, LedgerException, InterruptedException {
         Service service = new Service(site, crashPoints);
@@ -169,7 +171,9 @@
         }
         if (site.batchSettings != null) {
             try {
-                batchService = BatchService.start(site, List.copyOf(routers), counters, registry, crashPoints);
+                batchService =
+                        BatchService.start(
+                                site, List.copyOf(routers), counters, registry, crashPoints);
             } catch (IOException e) {
                 throw new IllegalStateException(e.getMessage(), e);
             }
@@ -182,7 +186,7 @@
                 .log("serving");
     }
 
-    /** Figures, health and, where this process lends, leases; all on one loop. */
+    /** Serves metrics, health, snapshots and, if this process is the lender, leases on one loop. */
     private Future<HttpServer> listenForAdmin() {
         if (site.isLender) {
             quotaLender = new QuotaLender(site.lentShare());
@@ -214,7 +218,8 @@
     }
 
     /**
-     * Copies the store into a new folder beside its own; the copy takes a while and runs elsewhere.
+     * Copies the store to a new folder next to its own. Runs on a worker thread, since the copy
+     * takes a while.
      */
     private void snapshot(HttpServerRequest request) {
         String name = request.getParam("name");
@@ -243,7 +248,7 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** The port of each front, in their order; with one shared listener all are the same. */
+    /** The port of each router, in order; all are the same if the routers share one. */
     public List<Integer> ports() {
         return verticles.stream().map(verticle -> verticle.server.actualPort()).toList();
     }
@@ -253,26 +258,29 @@
         return batchService.port();
     }
 
+    /** The registry of all metrics. */
     public PrometheusMeterRegistry metricsRegistry() {
         return registry;
     }
 
-    /** Records that are on disk since the start; 0 without a ledger. */
+    /** Number of usage records written to disk since the start; 0 without a ledger. */
     public long ledgerRecordsWritten() {
         return ledger == null ? 0 : ledger.written();
     }
 
-    /** Takes the budgets of a changed site file; the rest of it counts from the next start. */
+    /** Applies the budgets of a changed site file; its other settings apply at the next start. */
     public void updateBudgets(Site changedSite) {
-        routers.forEach(router -> router.loop().runOnContext(v -> router.updateBudgets(changedSite)));
+        routers.forEach(
+                router -> router.loop().runOnContext(v -> router.updateBudgets(changedSite)));
         if (site.isLender) {
-            adminContext.runOnContext(v -> changedSite.configureBudgets(quotaLender, monotonicMs()));
+            adminContext.runOnContext(
+                    v -> changedSite.configureBudgets(quotaLender, monotonicMs()));
         }
     }
 
     /**
-     * Stops as the site file says: what is open may end until the stop time. Returns when all is
-     * over.
+     * Shuts down gracefully: open generations may end within the site's shutdown timeout. Returns
+     * when everything has stopped.
      */
     public void stop() throws InterruptedException {
         if (stopped) {
@@ -291,7 +299,8 @@
                     .runOnContext(
                             v -> {
                                 verticle.server.shutdown(
-                                        (long) site.limits.shutdownTimeoutMs + 1000, TimeUnit.MILLISECONDS);
+                                        (long) site.limits.shutdownTimeoutMs + 1000,
+                                        TimeUnit.MILLISECONDS);
                                 verticle.router.shutDown(ended::tryComplete);
                             });
             shutdowns.add(ended.future());
@@ -302,7 +311,7 @@
                     .toCompletableFuture()
                     .get((long) site.limits.shutdownTimeoutMs + 5000, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            LOG.error("not all fronts came to their end", e);
+            LOG.error("not all routers stopped in time", e);
         }
         if (batchService != null) {
             batchService.close();
@@ -310,7 +319,7 @@
         try {
             await(vertx.close());
         } catch (ExecutionException | TimeoutException e) {
-            LOG.error("the loops did not close", e);
+            LOG.error("the event loops did not close", e);
         }
         counters.close();
         if (ledger != null) {
@@ -325,7 +334,7 @@
                 .get(LIFECYCLE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** One front with its listener, on the loop it is deployed to. */
+    /** One router with its listener, on the event loop to which it is deployed. */
     private final class RouterVerticle extends VerticleBase {
         private final int routerNumber;
         private final List<EngineEntry> initialEngines;
@@ -377,7 +386,8 @@
             server.requestHandler(new MessagesEndpoint(router, counters));
             server.invalidRequestHandler(
                     io.vertx.core.http.HttpServerRequest.DEFAULT_INVALID_REQUEST_HANDLER);
-            int port = site.port == 0 ? 0 : site.portPerRouter ? site.port + routerNumber : site.port;
+            int port =
+                    site.port == 0 ? 0 : site.portPerRouter ? site.port + routerNumber : site.port;
             return server.listen(port, site.host);
         }
     }
--- a/src/main/java/larchridge/serve/ServiceWarmup.java
+++ b/src/main/java/larchridge/serve/ServiceWarmup.java
@@ -22,10 +22,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plays some generations through a front of its own before the real ones listen, on loopback,
- * against an engine that answers at once. A process that has just started runs its first calls a
- * hundred times slower than later ones; a front that met its first storm so would take its engines
- * for slow, and give up what they could well do.
+ * Runs generations through a service of its own before the real one listens, over loopback and
+ * against an engine that responds at once. A new process runs its first calls a hundred times
+ * slower than later ones. A router that met its first burst of requests in that state would take
+ * its engines for slow and give up generations that they could serve in time.
  */
 public final class ServiceWarmup {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceWarmup.class);
@@ -50,7 +50,7 @@
         completed = new CountDownLatch(generations);
     }
 
-    /** Plays so many; takes at most some seconds, and a failure only costs the practice. */
+    /** Runs this many generations for at most some seconds. A failure is logged and ignored. */
     public static void warmUp(int generations) throws InterruptedException {
         long start = System.nanoTime();
         ServiceWarmup warmup = new ServiceWarmup(generations);
@@ -59,13 +59,13 @@
             LOG.atInfo()
                     .addKeyValue("generations", generations - warmup.completed.getCount())
                     .addKeyValue("ms", (System.nanoTime() - start) / 1_000_000)
-                    .log("rehearsed");
+                    .log("warmed up");
         } catch (InvalidSiteException
                 | InvalidEngineListException
                 | LedgerException
                 | IOException
                 | IllegalStateException e) {
-            LOG.warn("not rehearsed", e);
+            LOG.warn("warm-up failed", e);
         } finally {
             warmup.vertx.close();
         }
@@ -79,7 +79,8 @@
                     LedgerException {
         Path folder = Files.createTempDirectory("larchridge-rehearsal");
         Path engineList = folder.resolve("engines.yaml");
-        HttpServer engine = vertx.createHttpServer().requestHandler(ServiceWarmup::handleEngineRequest);
+        HttpServer engine =
+                vertx.createHttpServer().requestHandler(ServiceWarmup::handleEngineRequest);
         CountDownLatch listening = new CountDownLatch(1);
         engine.listen(0, "127.0.0.1").onComplete(result -> listening.countDown());
         listening.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/larchridge/serve/package-info.java
+++ b/src/main/java/larchridge/serve/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One process that serves a site: its routers, listeners, followed engine list and admin port.
+ * One process that serves a site: its routers, listeners, engine list watcher and admin port.
  *
  * <p>{@link larchridge.serve.Service} is the entry.
  */
--- a/src/main/java/larchridge/site/BatchSettings.java
+++ b/src/main/java/larchridge/site/BatchSettings.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** How batches are served. Times are milliseconds, sizes bytes. */
+/** Settings of the batch API. Times are milliseconds, sizes bytes. */
 public final class BatchSettings {
     public String host;
     public int port;
@@ -16,7 +16,7 @@
     public int maxAttempts;
     public double lineTimeoutMs;
 
-    /** What a line is worth in the wait, beside 1 of its product. */
+    /** Revenue of a queued line, relative to 1 for a request of its product. */
     public double revenueFactor;
 
     public int requestThreads;
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -3,14 +3,14 @@
 import larchridge.state.TrafficClass;
 import larchridge.tokens.Measure;
 
-/** A product as clients ask for it: its models and how long a client waits for a first token. */
+/** A product as clients request it: its traffic classes, engine model, time limit and lengths. */
 public final class ProductOffering {
     public final TrafficClass product;
 
-    /** The same product for a tenant beyond its own means: worth less while it waits. */
+    /** The product for a tenant over its own budget; it has a lower revenue while it is queued. */
     public final TrafficClass borrowedProduct;
 
-    /** The model's name at the engines, or null for the client's word. */
+    /** The model's name at the engines, or empty if it is the one that clients use. */
     public final String engineModel;
 
     public final double timeLimitMs;
@@ -18,9 +18,10 @@
     public final int maxTokens;
     public final Measure measure;
 
-    /** Whether it is batch work, for which nobody waits. */
+    /** Whether its generations are batch work, which no client waits for. */
     public final boolean isBatch;
 
+    /** Creates an offering for requests that clients wait for. */
     public ProductOffering(
             TrafficClass product,
             TrafficClass borrowedProduct,
@@ -29,7 +30,15 @@
             double timeLimitMsPerPromptToken,
             int maxTokens,
             Measure measure) {
-        this(product, borrowedProduct, engineModel, timeLimitMs, timeLimitMsPerPromptToken, maxTokens, measure, false);
+        this(
+                product,
+                borrowedProduct,
+                engineModel,
+                timeLimitMs,
+                timeLimitMsPerPromptToken,
+                maxTokens,
+                measure,
+                false);
     }
 
     private ProductOffering(
@@ -51,7 +60,7 @@
         this.measure = measure;
     }
 
-    /** The same as batch work: worth so much less in the wait, and with this time for a try. */
+    /** Returns this offering as batch work, with its revenue multiplied by a factor. */
     public ProductOffering asBatch(double revenueFactor, double attemptTimeoutMs) {
         TrafficClass batchProduct =
                 new TrafficClass(
@@ -76,10 +85,17 @@
                         product.sloMsPerToken,
                         product.targetTokenIntervalMs);
         return new ProductOffering(
-                batchProduct, borrowedBatchProduct, engineModel, attemptTimeoutMs, timeLimitMsPerPromptToken, maxTokens, measure, true);
+                batchProduct,
+                borrowedBatchProduct,
+                engineModel,
+                attemptTimeoutMs,
+                timeLimitMsPerPromptToken,
+                maxTokens,
+                measure,
+                true);
     }
 
-    /** How long a client waits for the first token of a prompt, in milliseconds. */
+    /** How long a client waits for the first token of a prompt of this length. */
     public double timeLimitMs(int promptTokens) {
         return timeLimitMs + timeLimitMsPerPromptToken * promptTokens;
     }
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -18,12 +18,12 @@
 import larchridge.state.RoutingSettings;
 import larchridge.state.TenantQuota;
 
-/** What a site file says, checked and turned into the few holders that the program uses. */
+/** The settings of a site file, validated and in the form that the program uses. */
 public final class Site {
     public String host;
     public int port;
 
-    /** Where operators read figures; null if nowhere. */
+    /** Address of the admin listener; null if there is none. */
     public String adminHost;
 
     public int adminPort;
@@ -40,17 +40,17 @@
     /** Tenants by the SHA-256 of a key, in hex. */
     final Map<String, Tenant> tenantsByKey = new HashMap<>();
 
-    /** The tenant of clients with an unlisted key, or null where they are turned away. */
+    /** The tenant of clients whose key is not listed; null if they are rejected. */
     public Tenant guest;
 
     RoutingSettings routingSettings = RoutingSettings.builder().build();
 
-    /** Where usage is written; null if it is not. */
+    /** The folder in which usage is recorded; null if it is not. */
     public Path ledgerFolder;
 
     public int maxWaitingLedgerRecords;
 
-    /** How long the end of an answer may wait for its record; 0 is not at all. */
+    /** How long the end of a response may wait until its usage is on disk; 0 for no wait. */
     public double maxLedgerWaitMs;
 
     public String currency;
@@ -58,27 +58,27 @@
     BudgetLimits serviceBudget = BudgetLimits.UNLIMITED;
     double giveBackMs;
 
-    /** Where what is not in fixed parts is lent; null if nothing is. */
+    /** The lender of the quota that is not in fixed shares; null if all of it is. */
     public String lenderHost;
 
     public int lenderPort;
 
-    /** Whether this process lends. */
+    /** Whether this process is the lender. */
     public boolean isLender;
 
     double fixedShare = 1;
     public double leaseDurationMs;
     public double leaseCallTimeoutMs;
 
-    /** The batch API; null where it is not served. */
+    /** Settings of the batch API; null if it is not served. */
     public BatchSettings batchSettings;
 
     final Map<String, BudgetLimits> groupBudgets = new LinkedHashMap<>();
     final List<TenantBudget> tenantBudgets = new ArrayList<>();
 
     /**
-     * A front's surroundings without a site file: no budgets, no ledger, no batches. The limits are
-     * the caller's to set.
+     * Settings of a router without a site file: no budgets, no ledger, no batches. The caller sets
+     * the limits.
      */
     public static Site ofRoutingSettings(RoutingSettings routingSettings) {
         Site site = new Site();
@@ -90,16 +90,20 @@
     }
 
     record TenantBudget(
-            String tenant, String group, BudgetLimits limits, Map<String, BudgetLimits> productLimits) {}
+            String tenant,
+            String group,
+            BudgetLimits limits,
+            Map<String, BudgetLimits> productLimits) {}
 
-    /** Whom a generation is done for; each front counts an account of its own. */
+    /** The tenant that a generation runs for; each router counts its quota separately. */
     public record Tenant(String name, double quotaPerSecond, double batchShare) {
+        /** The tenant's quota in the form that routing policies use. */
         public TenantQuota quota() {
             return new TenantQuota(name, quotaPerSecond);
         }
     }
 
-    /** The tenant of this name, or null; files outlive keys. */
+    /** The tenant with this name, or null. Stored files name their tenant, since keys change. */
     public Tenant tenantByName(String name) {
         if (guest != null && guest.name().equals(name)) {
             return guest;
@@ -110,18 +114,18 @@
                 .orElse(null);
     }
 
-    /** The tenant whose key this is, the guest, or null. */
+    /** The tenant with this key, else the guest, else null. */
     public Tenant tenantByKey(String key) {
         Tenant listed = key == null ? null : tenantsByKey.get(sha256(key));
         return listed != null ? listed : guest;
     }
 
-    /** The terms of one front: all alike but for the seed of its chance. */
+    /** The routing settings of one router; only the random seed differs between routers. */
     public RoutingSettings routingSettingsOf(int routerNumber) {
         return routingSettings.withSeed(seed * 0x9E3779B97F4A7C15L + routerNumber);
     }
 
-    /** One front's part of all budgets. */
+    /** Creates one router's part of all budgets. */
     public Budgets createBudgets(int routerNumber, double nowMs) {
         Budgets budgets =
                 new Budgets(
@@ -134,22 +138,24 @@
         return budgets;
     }
 
-    /** Sets the budgets as this site file says, also in place of others. */
+    /** Configures the budgets of this site file, also in place of earlier ones. */
     public void configureBudgets(BudgetConfigurer configurer, double nowMs) {
         configurer.configureService(serviceBudget, nowMs);
         groupBudgets.forEach((name, limits) -> configurer.configureGroup(name, limits, nowMs));
         for (TenantBudget tenant : tenantBudgets) {
             configurer.configureTenant(tenant.tenant, tenant.group, tenant.limits, nowMs);
             tenant.productLimits.forEach(
-                    (name, limits) -> configurer.configureProduct(tenant.tenant, name, limits, nowMs));
+                    (name, limits) ->
+                            configurer.configureProduct(tenant.tenant, name, limits, nowMs));
         }
     }
 
-    /** What is lent of all budgets. */
+    /** The share of all rates that is leased. */
     public double lentShare() {
         return 1 - fixedShare;
     }
 
+    /** The SHA-256 digest of a text, in hex. */
     public static String sha256(String text) {
         try {
             byte[] digest =
@@ -157,7 +163,7 @@
                             .digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform supports SHA-256", e);
         }
     }
 }
--- a/src/main/java/larchridge/site/SiteLimits.java
+++ b/src/main/java/larchridge/site/SiteLimits.java
@@ -1,6 +1,6 @@
 package larchridge.site;
 
-/** Bounds of the doors, the links and the waits. Times are milliseconds, sizes bytes. */
+/** Limits of listeners, requests and engine connections. Times are milliseconds, sizes bytes. */
 public final class SiteLimits {
     public int maxOpenGenerations;
     public int maxConnections;
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -36,8 +36,8 @@
 import larchridge.tokens.VocabularyReader;
 
 /**
- * Reads a site file (protobuf text format, form in {@code site.proto}), checks it and derives a
- * {@link Site}. All faults are told at once, each with file, line and field.
+ * Reads a site file (protobuf text format, schema in {@code site.proto}), validates it and converts
+ * it to a {@link Site}. All errors are reported at once, each with file, line and field.
  */
 public final class SiteReader {
     private final String fileName;
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Reads the text of a file under the name that faults are to give. */
+    /** Reads the text of a site file; errors name the file as given. */
     public static Site read(String fileName, String text, Path folder) throws InvalidSiteException {
         return new SiteReader(fileName, folder).parse(text);
     }
@@ -71,7 +71,10 @@
     private Site parse(String text) throws InvalidSiteException {
         SiteText.Builder siteText = SiteText.newBuilder();
         try {
-            TextFormat.Parser.newBuilder().setParseInfoTreeBuilder(parseInfo).build().merge(text, siteText);
+            TextFormat.Parser.newBuilder()
+                    .setParseInfoTreeBuilder(parseInfo)
+                    .build()
+                    .merge(text, siteText);
         } catch (TextFormat.ParseException e) {
             throw new InvalidSiteException(
                     List.of(
@@ -107,7 +110,8 @@
         site.seed = siteText.getSeed();
         Section inventory = root.section("inventory", true);
         String engineList = inventory.string("file", null);
-        site.engineListFile = engineList == null || folder == null ? null : folder.resolve(engineList);
+        site.engineListFile =
+                engineList == null || folder == null ? null : folder.resolve(engineList);
         site.engineListPollMs = inventory.number("poll_ms", 50, 5, 60_000);
         readProducts(root, siteText, site);
         readTenants(root, siteText, site);
@@ -144,7 +148,8 @@
                     };
             boolean deduplicated = text.getEffect() == EffectText.DEDUPLICATED;
             if (deduplicated && text.getDedupSpan() == SpanText.SPAN_UNSET) {
-                section.addError("dedup_span", "missing; a deduplicated product needs ALL, ZONE or RACK");
+                section.addError(
+                        "dedup_span", "missing; a deduplicated product needs ALL, ZONE or RACK");
             }
             DeduplicationScope scope =
                     switch (text.getDedupSpan()) {
@@ -152,7 +157,8 @@
                         case ZONE -> DeduplicationScope.ZONE;
                         default -> DeduplicationScope.RACK;
                     };
-            double deduplicationWindowMs = deduplicated ? section.number("dedup_memory_ms", Double.NaN, 1, 1e9) : 0;
+            double deduplicationWindowMs =
+                    deduplicated ? section.number("dedup_memory_ms", Double.NaN, 1, 1e9) : 0;
             TrafficClass product =
                     new TrafficClass(
                             name,
@@ -193,7 +199,8 @@
                             readMeasure(section, text, vocabularies));
             if (offering.timeLimitMs < product.sloMs) {
                 section.addError(
-                        "time_limit_ms", "is " + offering.timeLimitMs + ", under slo_ms " + product.sloMs);
+                        "time_limit_ms",
+                        "is " + offering.timeLimitMs + ", under slo_ms " + product.sloMs);
             }
             if (text.getModelCount() == 0) {
                 section.addError("model", "missing; at least one is needed");
@@ -210,12 +217,15 @@
         }
     }
 
-    private Measure readMeasure(Section section, ProductText text, Map<String, Vocabulary> vocabularies) {
+    private Measure readMeasure(
+            Section section, ProductText text, Map<String, Vocabulary> vocabularies) {
         Vocabulary vocabulary = vocabularies.get(text.getVocabulary());
         if (vocabulary == null
                 && !text.getVocabulary().isEmpty()
                 && !vocabularies.containsKey(text.getVocabulary())) {
-            section.addError("vocabulary", "'" + text.getVocabulary() + "' is no vocabulary of this file");
+            section.addError(
+                    "vocabulary",
+                    "'" + text.getVocabulary() + "' is not a vocabulary of this file");
         }
         return new Measure(
                 vocabulary,
@@ -224,7 +234,7 @@
                 (int) section.number("message_tokens", 0, 0, 1000));
     }
 
-    /** By name; null for one that can't be used, which has been told. */
+    /** Reads the vocabularies by name; null for an invalid one, whose error is reported. */
     private Map<String, Vocabulary> readVocabularies(Section root, SiteText siteText) {
         Map<String, Vocabulary> vocabularies = new HashMap<>();
         for (int i = 0; i < siteText.getVocabularyCount(); i++) {
@@ -235,7 +245,7 @@
                 section.addError("name", "'" + name + "' is the name of two vocabularies");
             }
             if (text.getEncoding().isEmpty() == text.getFile().isEmpty()) {
-                section.addError("encoding", "either encoding or file is expected");
+                section.addError("encoding", "expected either encoding or file");
                 continue;
             }
             PretokenizerPattern pattern =
@@ -257,7 +267,8 @@
                                                 : folder.resolve(text.getFile()),
                                         pattern));
             } catch (InvalidVocabularyException e) {
-                section.addError(text.getEncoding().isEmpty() ? "file" : "encoding", e.getMessage());
+                section.addError(
+                        text.getEncoding().isEmpty() ? "file" : "encoding", e.getMessage());
                 vocabularies.put(name, null);
             }
         }
@@ -293,7 +304,7 @@
         } else if (siteText.getTenantCount() == 0) {
             errors.add(
                     fileName
-                            + ":1: tenant: missing; without tenants and without guest nobody is served");
+                            + ":1: tenant: missing; without tenant and guest all clients are rejected");
         }
     }
 
@@ -321,7 +332,7 @@
             BudgetLimits limits = section.budget("budget");
             String group = text.getGroup().isEmpty() ? null : text.getGroup();
             if (group != null && !site.groupBudgets.containsKey(group)) {
-                section.addError("group", "'" + group + "' is no group of this file");
+                section.addError("group", "'" + group + "' is not a group of this file");
                 group = null;
             }
             checkRateSum(
@@ -337,25 +348,36 @@
                 String product = productSection.string("name", null);
                 if (site.offeringsByModel.values().stream()
                         .noneMatch(o -> o.product.name.equals(product))) {
-                    productSection.addError("name", "'" + product + "' is no product of this file");
+                    productSection.addError(
+                            "name", "'" + product + "' is not a product of this file");
                 }
                 BudgetLimits partLimits = productSection.budget("budget");
                 productLimits.put(product, partLimits);
-                checkRateSum(productSection, rates, "t" + i, partLimits, limits, "tenant " + text.getName());
+                checkRateSum(
+                        productSection,
+                        rates,
+                        "t" + i,
+                        partLimits,
+                        limits,
+                        "tenant " + text.getName());
             }
-            site.tenantBudgets.add(new Site.TenantBudget(text.getName(), group, limits, productLimits));
+            site.tenantBudgets.add(
+                    new Site.TenantBudget(text.getName(), group, limits, productLimits));
         }
         if (siteText.hasLeases()) {
             Section section = root.section("leases", true);
             site.isLender = siteText.getLeases().getLends();
             site.lenderHost =
-                    section.string("host", site.isLender && site.adminHost != null ? site.adminHost : null);
+                    section.string(
+                            "host",
+                            site.isLender && site.adminHost != null ? site.adminHost : null);
             site.lenderPort = (int) section.number("port", site.adminPort, 0, 65535);
             site.fixedShare = section.number("fixed_share", 0.2, 0.01, 1);
             site.leaseDurationMs = section.number("lapse_ms", 1000, 50, 1e6);
             site.leaseCallTimeoutMs = section.number("answer_ms", 200, 5, 1e4);
             if (site.isLender && site.adminHost == null) {
-                section.addError("lends", "needs an admin address, where it is asked");
+                section.addError(
+                        "lends", "needs an admin address, at which routers request leases");
             }
         }
         if (siteText.hasLedger()) {
@@ -363,11 +385,12 @@
             String folderName = section.string("folder", null);
             site.ledgerFolder = folder == null ? null : folder.resolve(folderName);
             site.maxLedgerWaitMs = section.number("answer_waits_ms", 0, 0, 60_000);
-            site.maxWaitingLedgerRecords = (int) section.number("waiting_records", 65_536, 16, 1 << 24);
+            site.maxWaitingLedgerRecords =
+                    (int) section.number("waiting_records", 65_536, 16, 1 << 24);
         }
     }
 
-    /** Shares that add up to more than what they are shares of can't be kept. */
+    /** Reports an error if the rates of the parts add up to more than the rate of the whole. */
     private void checkRateSum(
             Section section,
             Map<String, Double> rates,
@@ -426,7 +449,8 @@
 
     private void readLimits(Section section, SiteLimits limits) {
         limits.maxOpenGenerations = (int) section.number("open_generations", 10_000, 1, 1e7);
-        limits.countCacheBytes = (long) section.number("count_cache_bytes", 64 << 20, 1 << 16, 1e11);
+        limits.countCacheBytes =
+                (long) section.number("count_cache_bytes", 64 << 20, 1 << 16, 1e11);
         limits.countThreads = (int) section.number("count_threads", 2, 1, 64);
         limits.maxWaitingCounts = (int) section.number("count_waits", 2048, 1, 1e6);
         limits.maxConnections = (int) section.number("connections", 20_000, 1, 1e7);
@@ -451,7 +475,10 @@
                         .routers(
                                 (int)
                                         root.number(
-                                                "fronts_of_service", site.routers, site.routers, 1e6))
+                                                "fronts_of_service",
+                                                site.routers,
+                                                site.routers,
+                                                1e6))
                         .zone(root.string("zone", ""))
                         .maxAttempts((int) section.number("attempts", 5, 2, 100))
                         .cancellationAllowed(true)
@@ -473,7 +500,8 @@
         site.releaseMs = section.number("release_ms", 1000, 10, 1e6);
         site.limits.connectTimeoutMs = section.number("connect_ms", 500, 1, 1e6);
         site.limits.keepAliveTimeoutMs = section.number("keep_alive_ms", 30_000, 1000, 1e7);
-        site.limits.maxConnectionsPerEngine = (int) section.number("connections_per_engine", 4096, 1, 1e5);
+        site.limits.maxConnectionsPerEngine =
+                (int) section.number("connections_per_engine", 4096, 1, 1e5);
         site.limits.maxWaitingForConnection = (int) section.number("connection_waits", 256, 0, 1e5);
         site.limits.probeTimeoutMs = section.number("probe_ms", 500, 1, 1e6);
         if (site.engineListPollMs > site.drainGraceMs / 2) {
@@ -487,7 +515,7 @@
         }
     }
 
-    /** One message of the file with the place at which it stands. */
+    /** One message of the file, with the locations of its fields and its path in error messages. */
     private final class Section {
         private final TextFormatParseInfoTree tree;
         private final String path;
@@ -506,7 +534,9 @@
             }
             Message child = (Message) message.getField(descriptor);
             return new Section(
-                    message.hasField(descriptor) && tree != null ? tree.getNestedTree(descriptor, 0) : null,
+                    message.hasField(descriptor) && tree != null
+                            ? tree.getNestedTree(descriptor, 0)
+                            : null,
                     path + field + ".",
                     child);
         }
@@ -529,7 +559,7 @@
             return defaultValue == null ? "" : defaultValue;
         }
 
-        /** The value, or what stands in where it is absent (NaN: it must not be), within bounds. */
+        /** A number within bounds, or the default if it is not set; NaN makes it required. */
         double number(String field, double defaultValue, double min, double max) {
             FieldDescriptor descriptor = descriptorOf(field);
             double value = ((Number) message.getField(descriptor)).doubleValue();
@@ -542,13 +572,20 @@
                 return defaultValue;
             }
             if (!(value >= min && value <= max)) {
-                addError(field, "is " + value + "; expected " + formatNumber(min) + " to " + formatNumber(max));
+                addError(
+                        field,
+                        "is "
+                                + value
+                                + "; expected "
+                                + formatNumber(min)
+                                + " to "
+                                + formatNumber(max));
                 return min;
             }
             return value;
         }
 
-        /** A budget; what is not written is not limited. */
+        /** The limits of a budget; one that is not set does not apply. */
         BudgetLimits budget(String field) {
             if (!message.hasField(descriptorOf(field))) {
                 return BudgetLimits.UNLIMITED;
@@ -562,7 +599,8 @@
                             Double.POSITIVE_INFINITY);
             return new BudgetLimits(
                     tokensPerSecond / 1000,
-                    section.number("burst_tokens", tokensPerSecond * 10, 0, Double.POSITIVE_INFINITY),
+                    section.number(
+                            "burst_tokens", tokensPerSecond * 10, 0, Double.POSITIVE_INFINITY),
                     section.number(
                             "tokens_at_once",
                             Double.POSITIVE_INFINITY,
@@ -575,7 +613,7 @@
                             Double.POSITIVE_INFINITY));
         }
 
-        /** A price; 0 where it is not written. */
+        /** A price; 0 if it is not set. */
         BigDecimal price(String field) {
             String value = string(field, "0");
             if (!value.matches("\\d{1,9}(\\.\\d{1,9})?")) {
@@ -585,6 +623,7 @@
             return new BigDecimal(value);
         }
 
+        /** The line of a field, or of the message's first field if it is not set. */
         int lineOf(String field) {
             if (tree == null) {
                 return 1;
--- a/src/main/java/larchridge/site/package-info.java
+++ b/src/main/java/larchridge/site/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The site file (protobuf text format): read, checked and turned into settings.
+ * The site file (protobuf text format): parsed, validated and converted to settings.
  *
- * <p>{@link larchridge.site.SiteReader} is the entry; all faults are reported at once with file,
+ * <p>{@link larchridge.site.SiteReader} is the entry; all errors are reported at once with file,
  * line and field.
  */
 package larchridge.site;
