--- a/src/test/java/larchridge/serve/BatchTest.java
+++ b/src/test/java/larchridge/serve/BatchTest.java
@@ -26,7 +26,7 @@
 import larchridge.store.Store;
 import org.junit.jupiter.api.Test;
 
-/** The batch API on the whole path, spoken to by a client library of that API. */
+/** Tests the batch API end to end with a client library for that API. */
 class BatchTest {
     private static final String BATCH_SETTINGS =
             "} batch { listen { host: \"127.0.0.1\" port: 0 } folder: \"store\" file_bytes: 100000 "
--- a/src/test/java/larchridge/serve/BillingTest.java
+++ b/src/test/java/larchridge/serve/BillingTest.java
@@ -16,7 +16,7 @@
 import larchridge.systemtest.EventStreamChecker;
 import org.junit.jupiter.api.Test;
 
-/** Budgets and bills on the whole path. */
+/** Tests budgets and billing end to end. */
 class BillingTest {
     private static final String LEDGER_SETTINGS = "} ledger { folder: \"ledger\" waiting_records: 100 ";
 
@@ -109,8 +109,8 @@
 
     @Test
     void routerShortOfQuotaLeasesFromTheLender() throws Exception {
-        // Of the burst a front's fixed part is 0.2 x 400 / 4 = 20 tokens; the lender gathers 320
-        // tokens a second.
+        // A router's fixed part of the burst is 0.2 x 400 / 4 = 20 tokens; the lender accumulates
+        // 320 tokens per second.
         try (ServiceFixture fixture =
                 new ServiceFixture(
                         "} fronts: 4 budget { tokens_per_second: 400 burst_tokens: 400 } "
@@ -123,7 +123,7 @@
                                         fixture.options(), ServiceFixture.requestBody("free", false, 100));
                         return last[0].status() == 200;
                     });
-            // All at once: most are told when to come back, none waits and none is lost.
+            // Of concurrent requests most are rejected for now; none hangs and none is lost.
             HttpClient http2Client = fixture.http2();
             List<CompletableFuture<ServiceFixture.Response>> responses = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
@@ -135,7 +135,7 @@
                 assertTrue(status == 200 || status == 429, "status " + status);
                 admitted += status == 200 ? 1 : 0;
             }
-            assertTrue(admitted >= 1 && admitted < 30, admitted + " came in");
+            assertTrue(admitted >= 1 && admitted < 30, admitted + " admitted");
         }
     }
 
@@ -189,7 +189,7 @@
                 fixture.post(fixture.options(), ServiceFixture.requestBody("free", i % 2 == 0, 3 + i));
                 assertTrue(
                         fixture.service.ledgerRecordsWritten() >= i,
-                        fixture.service.ledgerRecordsWritten() + " records when answer " + i + " ended");
+                        fixture.service.ledgerRecordsWritten() + " records when response " + i + " ended");
             }
             UsageTotal total = ledgerTotal(fixture);
             assertEquals(6, total.generations());
--- a/src/test/java/larchridge/serve/CountingTest.java
+++ b/src/test/java/larchridge/serve/CountingTest.java
@@ -14,7 +14,7 @@
 import larchridge.tokens.VocabularyReader;
 import org.junit.jupiter.api.Test;
 
-/** Prompts that are counted, on the whole path. */
+/** Tests the counting of prompts end to end. */
 class CountingTest {
     private static final String SITE_SETTINGS =
             "count_waits: 4 count_threads: 1 } vocabulary { name: \"v\" encoding: \"cl100k_base\" } "
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Guards against: the time in which a body is read and counted is the client's time too. */
+    /** Guards against: the time to read and count a body must count towards the client's timeout. */
     @Test
     void clientTimeoutDuringCountingPreventsAnyAttempt() throws Exception {
         String largeText = "El caudal del Nalón sube. ".repeat(300_000);
@@ -109,7 +109,7 @@
             }
             CompletableFuture.anyOf(countRequests.toArray(CompletableFuture[]::new))
                     .get(20, TimeUnit.SECONDS);
-            // Read aside, since it is over 64 kB, and so behind those that are being counted.
+            // Parsed on a worker thread, since it is over 64 KiB, and so after the queued counts.
             ServiceFixture.Response response =
                     fixture.post(
                             fixture.options().putHeader("x-stainless-timeout", "0.3"),
--- a/src/test/java/larchridge/serve/ServiceFixture.java
+++ b/src/test/java/larchridge/serve/ServiceFixture.java
@@ -24,7 +24,7 @@
 import larchridge.systemtest.EventStreamChecker;
 import larchridge.systemtest.SimulatedFleet;
 
-/** A real service over stand-ins, with a client to talk to it. */
+/** A real service with simulated engines, and a client for it. */
 final class ServiceFixture implements AutoCloseable {
     static final String REQUEST_BODY =
             "{\"model\":\"%s\",\"max_tokens\":%d,\"stream\":%b,\"messages\":["
@@ -33,7 +33,7 @@
     final SimulatedFleet fleet;
     final Service service;
 
-    /** Its site file. */
+    /** The service's site file. */
     final String siteText;
 
     final Path folder = Files.createTempDirectory("larchridge-town");
@@ -41,8 +41,8 @@
     final HttpClient http = vertx.createHttpClient();
 
     /**
-     * Clients are asked on this loop: from a thread that is none they now and then lose an answer,
-     * or wait for ever.
+     * All requests are sent on this event loop. Sent from another thread, they occasionally lose
+     * the response or wait forever.
      */
     private final Context clientContext = vertx.getOrCreateContext();
 
@@ -99,7 +99,7 @@
         return post(http, options, body);
     }
 
-    /** The same for places that may not throw. */
+    /** Like {@link #post}, for callers that may not throw checked exceptions. */
     Response postUnchecked(RequestOptions options, String body) {
         try {
             return post(options, body);
@@ -159,12 +159,12 @@
         return checker;
     }
 
-    /** Waits for something that must come to be; fails after some seconds. */
+    /** Waits until a condition is met; fails after 8 s. */
     static void await(BooleanSupplier condition) throws Exception {
         long end = System.nanoTime() + 8_000_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("did not come to be");
+                throw new AssertionError("condition not met within 8 s");
             }
             Thread.onSpinWait();
         }
--- a/src/test/java/larchridge/serve/ServiceTest.java
+++ b/src/test/java/larchridge/serve/ServiceTest.java
@@ -16,7 +16,7 @@
 import larchridge.systemtest.EventStreamChecker;
 import org.junit.jupiter.api.Test;
 
-/** The whole path over sockets: clients, the service, stand-in engines. */
+/** Tests the service end to end over sockets, with clients and simulated engines. */
 class ServiceTest {
     @Test
     void streamedAndNonStreamingResponsesHaveTheSameText() throws Exception {
@@ -213,8 +213,8 @@
                                 received.complete(response);
                             });
             HttpClientResponse response = fixture.get(received);
-            // The writer's attempt ends because the client is cut, not because all 900,000 tokens
-            // were taken.
+            // The writer's attempt ends because the client is disconnected, not because the client
+            // has received all 900,000 tokens.
             ServiceFixture.await(() -> fixture.hasEvent("LEG_OUT 2"));
             response.resume();
             fixture.get(disconnected);
