--- a/src/test/java/larchridge/serve/CountingTest.java
+++ b/src/test/java/larchridge/serve/CountingTest.java
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Guards against: the time to read and count a body must count towards the client's timeout. */
+    /** Guards against: ignoring the time to read and count a body in the client's timeout. */
     @Test
     void clientTimeoutDuringCountingPreventsAnyAttempt() throws Exception {
         String largeText = "El caudal del Nalón sube. ".repeat(300_000);
--- a/src/test/java/larchridge/serve/ServiceFixture.java
+++ b/src/test/java/larchridge/serve/ServiceFixture.java
@@ -99,7 +99,7 @@
         return post(http, options, body);
     }
 
-    /** Like {@link #post}, for callers that may not throw checked exceptions. */
+    /** Like {@code post}, for callers that may not throw checked exceptions. */
     Response postUnchecked(RequestOptions options, String body) {
         try {
             return post(options, body);
