--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -189,7 +189,7 @@
     /** Serves metrics, health, snapshots and, if this process is the lender, leases on one loop. */
     private Future<HttpServer> listenForAdmin() {
         if (site.isLender) {
-            quotaLender = new QuotaLender(site.lentShare());
+            quotaLender = new QuotaLender(site.leasedShare());
             site.configureBudgets(quotaLender, monotonicMs());
         }
         LeaseEndpoint leaseEndpoint =
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -151,7 +151,7 @@
     }
 
     /** The share of all rates that is leased. */
-    public double lentShare() {
+    public double leasedShare() {
         return 1 - fixedShare;
     }
 
