--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -89,6 +89,7 @@
         return site;
     }
 
+    /** The limits of a tenant and of its products; the group is null if it is in none. */
     record TenantBudget(
             String tenant,
             String group,
