--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -47,7 +47,7 @@
     private TextFormatParseInfoTree locations;
 
     private SiteReader(String fileName, Path folder) {
-        this.file = fileName;
+        this.fileName = fileName;
         this.folder = folder;
     }
 
