--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -59,7 +59,7 @@
     BatchEndpoint(Site site, BatchService service) {
         this.site = site;
         this.service = service;
-        settings = site.batch;
+        settings = site.batchSettings;
     }
 
     @Override
@@ -143,7 +143,7 @@
                 key != null && key.regionMatches(true, 0, "Bearer ", 0, 7)
                         ? key.substring(7).strip()
                         : request.getHeaders().get("x-api-key");
-        Site.Tenant tenant = key == null && site.guest == null ? null : site.tenant(key);
+        Site.Tenant tenant = key == null && site.guest == null ? null : site.tenantByKey(key);
         if (tenant == null) {
             throw BatchApiException.invalidApiKey();
         }
@@ -154,8 +154,9 @@
 
     private void upload(Request request, Response response, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        if (request.getLength() > settings.fileBytes + MAX_BODY_BYTES) {
-            throw BatchApiException.tooLarge("the file is over " + settings.fileBytes + " bytes");
+        if (request.getLength() > settings.maxFileBytes + MAX_BODY_BYTES) {
+            throw BatchApiException.tooLarge(
+                    "the file is over " + settings.maxFileBytes + " bytes");
         }
         Store store = service.store();
         callOnLoop(
@@ -163,7 +164,8 @@
                     checkQuota(store, tenant, Math.max(0, request.getLength() - MAX_BODY_BYTES));
                     return null;
                 });
-        try (MultipartUpload upload = new MultipartUpload(store::createIncomingFile, settings.fileBytes);
+        try (MultipartUpload upload =
+                        new MultipartUpload(store::createIncomingFile, settings.maxFileBytes);
                 InputStream body = Content.Source.asInputStream(request)) {
             upload.read(request.getHeaders().get(HttpHeader.CONTENT_TYPE), body);
             if (!upload.purpose().equals("batch")) {
@@ -189,17 +191,17 @@
 
     private void checkQuota(Store store, Site.Tenant tenant, long addedBytes)
             throws BatchApiException {
-        if (store.storedBytes(tenant.name()) + addedBytes > settings.tenantBytes
-                || store.storedFiles(tenant.name()) >= settings.tenantFiles) {
+        if (store.storedBytes(tenant.name()) + addedBytes > settings.maxTenantBytes
+                || store.storedFiles(tenant.name()) >= settings.maxTenantFiles) {
             throw BatchApiException.overQuota(
                     "kept are "
                             + store.storedBytes(tenant.name())
                             + " bytes in "
                             + store.storedFiles(tenant.name())
                             + " files; allowed are "
-                            + settings.tenantBytes
+                            + settings.maxTenantBytes
                             + " in "
-                            + settings.tenantFiles
+                            + settings.maxTenantFiles
                             + "; delete some");
         }
     }
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -57,7 +57,7 @@
                                         .streamReadConstraints(
                                                 StreamReadConstraints.builder()
                                                         .maxNestingDepth(nesting + 1)
-                                                        .maxStringLength(settings.lineBytes)
+                                                        .maxStringLength(settings.maxLineBytes)
                                                         .maxNumberLength(100)
                                                         .maxNameLength(10_000)
                                                         .build())
@@ -73,14 +73,16 @@
         long lineCount = 0;
         store.forgetCustomIds(batch.getId());
         try (FileChannel channel = store.openContent(file);
-                LineReader lines = new LineReader(channel, settings.lineBytes, 0, 0)) {
+                LineReader lines = new LineReader(channel, settings.maxLineBytes, 0, 0)) {
             for (LineReader.Line line = lines.next();
                     line != null && faults.size() < MAX_FAULTS;
                     line = lines.next()) {
                 try {
-                    if (++lineCount > settings.lines) {
+                    if (++lineCount > settings.maxLines) {
                         throw new InvalidLineException(
-                                "too_many_lines", null, "more than " + settings.lines + " lines");
+                                "too_many_lines",
+                                null,
+                                "more than " + settings.maxLines + " lines");
                     }
                     LineRequest request = parseLine(line.bytes(), batch.getEndpoint());
                     long firstIndex = store.recordCustomId(batch.getId(), request.customId, line.index());
@@ -118,7 +120,7 @@
     LineRequest parseLine(byte[] bytes, String endpoint) throws InvalidLineException {
         if (bytes == null) {
             throw new InvalidLineException(
-                    "line_too_long", null, "over " + settings.lineBytes + " bytes");
+                    "line_too_long", null, "over " + settings.maxLineBytes + " bytes");
         }
         JsonNode json;
         try {
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.ToDoubleFunction;
-import larchridge.messages.MessageBodies;
+import larchridge.messages.MessagesCodec;
 import larchridge.planner.BatchPlanner;
 import larchridge.planner.BatchRetryPolicy;
 import larchridge.planner.LatencySample;
@@ -60,18 +60,18 @@
         this.routers = routers;
         this.tokenCounters = tokenCounters;
         this.crashPoints = crashPoints;
-        settings = site.batch;
-        QueuedThreadPool threads = new QueuedThreadPool(settings.threads + 4, 4, 60_000);
+        settings = site.batchSettings;
+        QueuedThreadPool threads = new QueuedThreadPool(settings.requestThreads + 4, 4, 60_000);
         threads.setName("batch-api");
         threads.setDaemon(true);
         server = new Server(threads);
         HttpConfiguration httpConfiguration = new HttpConfiguration();
         httpConfiguration.setSendServerVersion(false);
-        httpConfiguration.setRequestHeaderSize(site.limit.headerBytes);
+        httpConfiguration.setRequestHeaderSize(site.limits.maxHeaderBytes);
         connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(httpConfiguration));
         connector.setHost(settings.host);
         connector.setPort(settings.port);
-        connector.setIdleTimeout((long) site.limit.idleConnectionMs);
+        connector.setIdleTimeout((long) site.limits.idleConnectionTimeoutMs);
         server.addConnector(connector);
         // Bounds the number of requests that wait for a thread.
         server.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, connector));
@@ -120,9 +120,9 @@
         } catch (Exception e) {
             throw new IOException(
                     "the batch API cannot listen on "
-                            + site.batch.host
+                            + site.batchSettings.host
                             + ":"
-                            + site.batch.port
+                            + site.batchSettings.port
                             + ": "
                             + e.getMessage(),
                     e);
@@ -153,10 +153,10 @@
                             site,
                             new RouterSubmitter(routers, loop),
                             loop,
-                            new BatchPlanner(settings.openLines),
+                            new BatchPlanner(settings.maxOpenLines),
                             new BatchRetryPolicy(
-                                    settings.attempts, new Random(site.seed ^ 0xBA7C4L)),
-                            new MessageBodies(site, tokenCounters, loop));
+                                    settings.maxAttempts, new Random(site.seed ^ 0xBA7C4L)),
+                            new MessagesCodec(site, tokenCounters, loop));
             store = openedStore;
             batches = newBatches;
             newBatches.start();
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -13,141 +13,142 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The lengths of one front's prompts: counted where a model has a vocabulary, corrected by what
- * engines report.
+ * Measures the prompts of one router: counts their tokens if the product has a vocabulary, and
+ * corrects the counts by the lengths that engines report.
  */
 final class PromptLengths {
     private static final Logger LOG = LoggerFactory.getLogger(PromptLengths.class);
 
     /**
-     * How fast readers read as far as the worth of counting goes; a faster one makes a guess
-     * cheaper.
+     * Speed of reading that is assumed when the benefit of counting is weighed against its cost; a
+     * wrong estimate costs a faster reader less.
      */
-    private static final double READ_TOKS_PER_MS = 10;
+    private static final double READER_TOKENS_PER_MS = 10;
 
     final TokenCounters counters;
-    private final Map<String, TokenCountCorrection> drifts = new HashMap<>();
+    private final Map<String, TokenCountCorrection> corrections = new HashMap<>();
 
     PromptLengths(TokenCounters counters) {
         this.counters = counters;
     }
 
-    /** One body on its way to its lengths; looking up may run on any thread. */
-    final class Measuring {
+    /** The measurement of one body; it may be created and finished on any thread. */
+    final class Measurement {
         final MessagesReader.Body body;
         private final PromptLengthSettings measure;
-        private final CountingRate pace;
+        private final CountingRate rate;
         private final TokenCountTask counting;
 
-        Measuring(MessagesReader.Body body) {
+        Measurement(MessagesReader.Body body) {
             this.body = body;
-            measure = body.offer().measure;
-            pace = counters.rate(measure.vocabulary());
+            measure = body.offering().measure;
+            rate = counters.rate(measure.vocabulary());
             counting =
                     new TokenCountTask(
-                            body.countable().prompt(),
-                            body.countable().sharedChars(),
+                            body.countInput().prompt(),
+                            body.countInput().sharedChars(),
                             measure.vocabulary(),
                             counters.cache);
         }
 
         double costMs() {
-            return pace.expectedMs(counting.uncountedChars());
+            return rate.expectedMs(counting.uncountedChars());
         }
 
-        CountingPolicy.Mode way() {
+        CountingPolicy.Mode countingWay() {
             return CountingPolicy.choose(
                     costMs(),
                     counters.workers.expectedWaitMs(),
-                    pace.tokensPerChar() * counting.uncountedChars(),
-                    READ_TOKS_PER_MS,
-                    body.offer().product.sloMs);
+                    rate.tokensPerChar() * counting.uncountedChars(),
+                    READER_TOKENS_PER_MS,
+                    body.offering().product.sloMs);
         }
 
         boolean finish() {
-            return counting.countMissing(pace);
+            return counting.countMissing(rate);
         }
 
-        void callOff() {
+        void cancel() {
             counting.cancel();
         }
 
-        /** What engines would count, without correction. */
+        /** The tokens that engines would count, without correction. */
         TokenCount count() {
-            return counting.tokenCount(pace.tokensPerChar());
+            return counting.tokenCount(rate.tokensPerChar());
         }
 
         int extraTokens() {
-            return body.countable().images() * measure.imageTokens()
-                    + body.countable().messages() * measure.messageTokens();
+            return body.countInput().images() * measure.imageTokens()
+                    + body.countInput().messages() * measure.messageTokens();
         }
     }
 
-    /** The body with its lengths, on the front's loop. */
-    MessagesReader.Body measured(Measuring measuring, boolean onlyCounted) throws ApiException {
-        TokenCount count = measuring.count();
-        MessagesReader.Body body = measuring.body;
-        PromptLengthSettings measure = measuring.measure;
-        double factor = drift(body.engineModel()).factor();
-        int tokens = (int) Math.round(factor * (count.tokens() + measuring.extraTokens()));
-        // Guards against: a guess or a drift must not turn away what fits; only what surely does
-        // not is.
-        long least = count.exact() ? tokens : count.lowerBound();
-        if (!onlyCounted && least + body.maxTokens() > measure.windowTokens()) {
+    /** Returns the body with its measured lengths. Runs on the router's loop. */
+    MessagesReader.Body withLengths(Measurement measurement, boolean countOnly)
+            throws ApiException {
+        TokenCount count = measurement.count();
+        MessagesReader.Body body = measurement.body;
+        PromptLengthSettings measure = measurement.measure;
+        double factor = correctionOf(body.engineModel()).factor();
+        int tokens = (int) Math.round(factor * (count.tokens() + measurement.extraTokens()));
+        // Guards against: an estimate or a correction that is off must not reject a prompt that
+        // fits. Only what certainly does not fit is rejected.
+        long minTokens = count.exact() ? tokens : count.lowerBound();
+        if (!countOnly && minTokens + body.maxTokens() > measure.windowTokens()) {
             throw ApiException.invalid(
                     "prompt is too long: "
-                            + least
+                            + minTokens
                             + " tokens and max_tokens "
                             + body.maxTokens()
                             + " > "
                             + measure.windowTokens()
                             + " maximum");
         }
-        int shared =
-                body.prefix() == null
+        int sharedPrefixTokens =
+                body.sharedPrefixId() == null
                         ? 0
                         : (int)
                                 Math.round(
                                         factor
-                                                * (measuring
+                                                * (measurement
                                                                 .counting
                                                                 .prefixTokenCount(
-                                                                        measuring.pace
+                                                                        measurement.rate
                                                                                 .tokensPerChar())
                                                                 .tokens()
-                                                        + body.countable().sharedImages()
+                                                        + body.countInput().sharedImages()
                                                                 * measure.imageTokens()));
-        return body.withTokens(tokens, shared);
+        return body.withTokens(tokens, sharedPrefixTokens);
     }
 
-    /** What engines should report of a prompt, or -1 where it was not counted. */
-    static int expected(Measuring measuring) {
-        TokenCount count = measuring.count();
-        return count.exact() ? count.tokens() + measuring.extraTokens() : -1;
+    /** The length that engines should report for a prompt, or -1 if it was not counted. */
+    static int expectedEngineTokens(Measurement measurement) {
+        TokenCount count = measurement.count();
+        return count.exact() ? count.tokens() + measurement.extraTokens() : -1;
     }
 
-    /** An engine reports the length of a prompt. */
-    void reported(String model, int expected, int reported) {
-        if (expected < 0) {
+    /** An engine has reported the length of a prompt; later counts are corrected by it. */
+    void tokensReported(String model, int expectedTokens, int reportedTokens) {
+        if (expectedTokens < 0) {
             return;
         }
-        TokenCountCorrection drift = drift(model);
-        switch (drift.recordReport(expected, reported)) {
+        TokenCountCorrection correction = correctionOf(model);
+        switch (correction.recordReport(expectedTokens, reportedTokens)) {
             case COUNT_DRIFT ->
                     LOG.atWarn()
                             .addKeyValue("model", model)
-                            .addKeyValue("factor", drift.factor())
-                            .log("engines count prompts otherwise; counts are corrected");
+                            .addKeyValue("factor", correction.factor())
+                            .log("engines report other lengths than counted; counts are corrected");
             case WRONG_VOCABULARY ->
                     LOG.atError()
                             .addKeyValue("model", model)
-                            .addKeyValue("factor", drift.factor())
-                            .log("the vocabulary of this model can't be its engines'");
+                            .addKeyValue("factor", correction.factor())
+                            .log("the vocabulary of this model does not match its engines");
             default -> {}
         }
     }
 
-    private TokenCountCorrection drift(String model) {
-        return drifts.computeIfAbsent(model, name -> new TokenCountCorrection());
+    private TokenCountCorrection correctionOf(String model) {
+        return corrections.computeIfAbsent(model, name -> new TokenCountCorrection());
     }
 }
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -44,69 +44,71 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running service: the fronts of one site file in this process, each on a loop of its own. */
+/** A running service: the routers of a site in this process, each on its own event loop. */
 public final class Service {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
-    private static final long START_MS = 20_000;
+    private static final long LIFECYCLE_TIMEOUT_MS = 20_000;
 
     private final Vertx vertx;
     private final Site site;
-    private final CrashPoints points;
+    private final CrashPoints crashPoints;
     private final PrometheusMeterRegistry registry = RouterMetrics.newRegistry();
-    private final List<Seat> seats = new ArrayList<>();
+    private final List<RouterVerticle> verticles = new ArrayList<>();
 
-    /** What each front is told of lists; a list goes to all, each on its own loop. */
-    private final List<Router> fronts = new CopyOnWriteArrayList<>();
+    /** The routers that are started; each gets every new engine list, on its own loop. */
+    private final List<Router> routers = new CopyOnWriteArrayList<>();
 
     private boolean stopped;
     private HttpServer admin;
     private Ledger ledger;
     private final TokenCounters counters;
-    private Map<Ledger.TotalKey, UsageTotal> used = Map.of();
-    private EngineListWatcher follower;
+    private Map<Ledger.TotalKey, UsageTotal> initialUsage = Map.of();
+    private EngineListWatcher engineListWatcher;
 
-    /** Null where no batches are served. */
-    private BatchService batch;
+    /** Null if the batch API is not served. */
+    private BatchService batchService;
 
-    /** Lends what is not in fixed parts; used on the admin listener's loop only. */
-    private QuotaLender lender;
+    /**
+     * Leases the quota that is not in fixed shares; null if another process does. Used only on the
+     * admin listener's loop.
+     */
+    private QuotaLender quotaLender;
 
-    private Context adminLoop;
+    private Context adminContext;
 
-    private Service(Site site, CrashPoints points) {
+    private Service(Site site, CrashPoints crashPoints) {
         this.site = site;
-        this.points = points;
+        this.crashPoints = crashPoints;
         if (site.seed == 0) {
-            // Guards against: with the same chance draws at every front, fronts that see the same
-            // would all
-            // choose the same.
+            // Guards against: with the same random draws, all routers that see the same state would
+            // make the same choices.
             site.seed = System.nanoTime() ^ ProcessHandle.current().pid() << 40;
         }
         counters =
                 new TokenCounters(
-                        site.limit.countCacheBytes,
-                        site.limit.countThreads,
-                        site.limit.countWaits,
-                        site.limit.bytesPerToken);
+                        site.limits.countCacheBytes,
+                        site.limits.countThreads,
+                        site.limits.maxWaitingCounts,
+                        site.limits.bytesPerToken);
         RouterMetrics.registerTokenCountCache(
                 registry, counters.cache::size, counters.cache::hits, counters.cache::misses);
         vertx =
                 Vertx.vertx(
                         new VertxOptions()
-                                .setEventLoopPoolSize(Math.max(2, site.fronts + 1))
+                                .setEventLoopPoolSize(Math.max(2, site.routers + 1))
                                 .setPreferNativeTransport(true));
     }
 
-    /** Starts all fronts; a list that can't be believed keeps the service from starting. */
+    /** Starts all routers; fails if the engine list is invalid. */
     public static Service start(Site site)
             throws InvalidEngineListException, LedgerException, InterruptedException {
         return start(site, CrashPoints.NONE);
     }
 
-    /** The same, with a listener at the places where the store writes. */
-    public static Service start(Site site, CrashPoints points)
+    /** Starts all routers, with a listener for the points at which the store writes. */
+    public static Service start(Site site, CrashPoints crashPoints)
             throws InvalidEngineListException, LedgerException, InterruptedException {
-        Service service = new Service(site, points);
+        Service service = new Service(site, crashPoints);
         try {
             service.run();
         } catch (LedgerException | InvalidEngineListException e) {
@@ -125,71 +127,73 @@
                     InterruptedException,
                     ExecutionException,
                     TimeoutException {
-        follower =
+        engineListWatcher =
                 new EngineListWatcher(
-                        site.inventory,
-                        rows ->
-                                fronts.forEach(
-                                        front ->
-                                                front.loop()
+                        site.engineListFile,
+                        entries ->
+                                routers.forEach(
+                                        router ->
+                                                router.loop()
                                                         .runOnContext(
                                                                 v ->
-                                                                        front.endpointsChanged(
-                                                                                rows))));
-        List<EngineEntry> first = follower.readInitial();
-        if (site.ledger != null) {
-            ledger = Ledger.open(site.ledger, site.ledgerWaits);
-            used = ledger.totals(YearMonth.now(ZoneOffset.UTC));
+                                                                        router.endpointsChanged(
+                                                                                entries))));
+        List<EngineEntry> initialEngines = engineListWatcher.readInitial();
+        if (site.ledgerFolder != null) {
+            ledger = Ledger.open(site.ledgerFolder, site.maxWaitingLedgerRecords);
+            initialUsage = ledger.totals(YearMonth.now(ZoneOffset.UTC));
         }
-        for (int i = 0; i < site.fronts; i++) {
-            Seat seat = new Seat(i, first);
-            seats.add(seat);
-            await(vertx.deployVerticle((Deployable) seat, new DeploymentOptions()));
+        for (int i = 0; i < site.routers; i++) {
+            RouterVerticle verticle = new RouterVerticle(i, initialEngines);
+            verticles.add(verticle);
+            await(vertx.deployVerticle((Deployable) verticle, new DeploymentOptions()));
         }
-        follower.start(vertx, site.pollMs);
+        engineListWatcher.start(vertx, site.engineListPollMs);
         if (site.adminHost != null) {
-            adminLoop = vertx.getOrCreateContext();
+            adminContext = vertx.getOrCreateContext();
             Promise<HttpServer> listening = Promise.promise();
-            adminLoop.runOnContext(v -> listenToOperators().onComplete(listening));
+            adminContext.runOnContext(v -> listenForAdmin().onComplete(listening));
             admin = await(listening.future());
         }
         if (site.lenderHost != null) {
             int port = site.lenderPort == 0 ? admin.actualPort() : site.lenderPort;
-            fronts.forEach(
-                    front ->
-                            front.loop()
+            routers.forEach(
+                    router ->
+                            router.loop()
                                     .runOnContext(
                                             v ->
-                                                    front.setTokenLeaseClient(
+                                                    router.setTokenLeaseClient(
                                                             new LeaseClient(
                                                                     vertx,
                                                                     site.lenderHost,
                                                                     port,
-                                                                    site.loanMs))));
+                                                                    site.leaseCallTimeoutMs))));
         }
-        if (site.batch != null) {
+        if (site.batchSettings != null) {
             try {
-                batch = BatchService.start(site, List.copyOf(fronts), counters, registry, points);
+                batchService =
+                        BatchService.start(
+                                site, List.copyOf(routers), counters, registry, crashPoints);
             } catch (IOException e) {
                 throw new IllegalStateException(e.getMessage(), e);
             }
         }
         LOG.atInfo()
-                .addKeyValue("fronts", site.fronts)
-                .addKeyValue("engines", first.size())
+                .addKeyValue("fronts", site.routers)
+                .addKeyValue("engines", initialEngines.size())
                 .addKeyValue("ports", ports())
                 .addKeyValue("seed", site.seed)
                 .log("serving");
     }
 
-    /** Figures, health and, where this process lends, leases; all on one loop. */
-    private Future<HttpServer> listenToOperators() {
-        if (site.lends) {
-            lender = new QuotaLender(site.lentShare());
-            site.budgetsTo(lender, monotonicMs());
+    /** Serves metrics, health, snapshots and, if this process is the lender, leases on one loop. */
+    private Future<HttpServer> listenForAdmin() {
+        if (site.isLender) {
+            quotaLender = new QuotaLender(site.leasedShare());
+            site.configureBudgets(quotaLender, monotonicMs());
         }
-        LeaseEndpoint leases =
-                lender == null ? null : new LeaseEndpoint(lender, Service::monotonicMs);
+        LeaseEndpoint leaseEndpoint =
+                quotaLender == null ? null : new LeaseEndpoint(quotaLender, Service::monotonicMs);
         return vertx.createHttpServer()
                 .requestHandler(
                         request -> {
@@ -199,13 +203,13 @@
                                         .end(registry.scrape());
                             } else if (request.path().equals("/health")) {
                                 request.response().end("ok\n");
-                            } else if (batch != null
+                            } else if (batchService != null
                                     && request.path().equals("/store/snapshot")
                                     && request.method().equals(HttpMethod.POST)) {
                                 snapshot(request);
-                            } else if (leases != null
+                            } else if (leaseEndpoint != null
                                     && request.path().equals(LeaseEndpoint.PATH)) {
-                                leases.handle(request);
+                                leaseEndpoint.handle(request);
                             } else {
                                 request.response().setStatusCode(404).end();
                             }
@@ -214,7 +218,8 @@
     }
 
     /**
-     * Copies the store into a new folder beside its own; the copy takes a while and runs elsewhere.
+     * Copies the store to a new folder next to its own. Runs on a worker thread, since the copy
+     * takes a while.
      */
     private void snapshot(HttpServerRequest request) {
         String name = request.getParam("name");
@@ -224,15 +229,15 @@
                     .end("name: expected 1 to 64 letters, digits, - and _\n");
             return;
         }
-        Path to =
-                site.batch
+        Path target =
+                site.batchSettings
                         .folder
-                        .resolveSibling(site.batch.folder.getFileName() + ".snapshots")
+                        .resolveSibling(site.batchSettings.folder.getFileName() + ".snapshots")
                         .resolve(name);
         vertx.executeBlocking(
                         () -> {
-                            batch.snapshot(to);
-                            return to;
+                            batchService.snapshot(target);
+                            return target;
                         },
                         false)
                 .onSuccess(done -> request.response().end(done + "\n"))
@@ -243,74 +248,78 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** The port of each front, in their order; with one shared listener all are the same. */
+    /** The port of each router, in order; all are the same if the routers share one. */
     public List<Integer> ports() {
-        return seats.stream().map(seat -> seat.server.actualPort()).toList();
+        return verticles.stream().map(verticle -> verticle.server.actualPort()).toList();
     }
 
     /** The port of the batch API. */
     public int batchPort() {
-        return batch.port();
+        return batchService.port();
     }
 
-    public PrometheusMeterRegistry figures() {
+    /** The registry of all metrics. */
+    public PrometheusMeterRegistry metricsRegistry() {
         return registry;
     }
 
-    /** Records that are on disk since the start; 0 without a ledger. */
-    public long written() {
+    /** Number of usage records written to disk since the start; 0 without a ledger. */
+    public long ledgerRecordsWritten() {
         return ledger == null ? 0 : ledger.writtenRecords();
     }
 
-    /** Takes the budgets of a changed site file; the rest of it counts from the next start. */
-    public void budgets(Site changed) {
-        fronts.forEach(front -> front.loop().runOnContext(v -> front.updateBudgets(changed)));
-        if (site.lends) {
-            adminLoop.runOnContext(v -> changed.budgetsTo(lender, monotonicMs()));
+    /** Applies the budgets of a changed site file; its other settings apply at the next start. */
+    public void updateBudgets(Site changedSite) {
+        routers.forEach(
+                router -> router.loop().runOnContext(v -> router.updateBudgets(changedSite)));
+        if (site.isLender) {
+            adminContext.runOnContext(
+                    v -> changedSite.configureBudgets(quotaLender, monotonicMs()));
         }
     }
 
     /**
-     * Stops as the site file says: what is open may end until the stop time. Returns when all is
-     * over.
+     * Shuts down gracefully: open generations may end within the site's shutdown timeout. Returns
+     * when everything has stopped.
      */
     public void stop() throws InterruptedException {
         if (stopped) {
             return;
         }
         stopped = true;
-        follower.stop();
-        if (batch != null) {
-            batch.drain();
+        engineListWatcher.stop();
+        if (batchService != null) {
+            batchService.drain();
         }
-        List<Future<Void>> ends = new ArrayList<>();
-        for (Seat seat : seats) {
+        List<Future<Void>> shutdowns = new ArrayList<>();
+        for (RouterVerticle verticle : verticles) {
             Promise<Void> ended = Promise.promise();
-            seat.front
+            verticle.router
                     .loop()
                     .runOnContext(
                             v -> {
-                                seat.server.shutdown(
-                                        (long) site.limit.stopMs + 1000, TimeUnit.MILLISECONDS);
-                                seat.front.shutDown(ended::tryComplete);
+                                verticle.server.shutdown(
+                                        (long) site.limits.shutdownTimeoutMs + 1000,
+                                        TimeUnit.MILLISECONDS);
+                                verticle.router.shutDown(ended::tryComplete);
                             });
-            ends.add(ended.future());
+            shutdowns.add(ended.future());
         }
         try {
-            Future.all(ends)
+            Future.all(shutdowns)
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get((long) site.limit.stopMs + 5000, TimeUnit.MILLISECONDS);
+                    .get((long) site.limits.shutdownTimeoutMs + 5000, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            LOG.error("not all fronts came to their end", e);
+            LOG.error("not all routers stopped in time", e);
         }
-        if (batch != null) {
-            batch.close();
+        if (batchService != null) {
+            batchService.close();
         }
         try {
             await(vertx.close());
         } catch (ExecutionException | TimeoutException e) {
-            LOG.error("the loops did not close", e);
+            LOG.error("the event loops did not close", e);
         }
         counters.close();
         if (ledger != null) {
@@ -322,62 +331,63 @@
             throws InterruptedException, ExecutionException, TimeoutException {
         return future.toCompletionStage()
                 .toCompletableFuture()
-                .get(START_MS, TimeUnit.MILLISECONDS);
+                .get(LIFECYCLE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** One front with its listener, on the loop it is deployed to. */
-    private final class Seat extends VerticleBase {
-        private final int number;
-        private final List<EngineEntry> first;
-        private Router front;
+    /** One router with its listener, on the event loop to which it is deployed. */
+    private final class RouterVerticle extends VerticleBase {
+        private final int routerNumber;
+        private final List<EngineEntry> initialEngines;
+        private Router router;
         private HttpServer server;
 
-        Seat(int number, List<EngineEntry> first) {
-            this.number = number;
-            this.first = first;
+        RouterVerticle(int routerNumber, List<EngineEntry> initialEngines) {
+            this.routerNumber = routerNumber;
+            this.initialEngines = initialEngines;
         }
 
         @Override
         public Future<?> start() {
-            RouterMetrics meters = new RouterMetrics(registry);
-            front =
+            RouterMetrics metrics = new RouterMetrics(registry);
+            router =
                     new Router(
                             vertx,
                             site,
-                            number,
-                            new CompletionsUpstreamClient(vertx, site.limit),
-                            meters,
+                            routerNumber,
+                            new CompletionsUpstreamClient(vertx, site.limits),
+                            metrics,
                             ledger);
-            used.forEach(
+            initialUsage.forEach(
                     (line, total) ->
-                            front.restoreUsage(
+                            router.restoreUsage(
                                     line.tenant(),
                                     line.product(),
                                     (double) (total.promptTokens() + total.outputTokens())));
-            front.endpointsChanged(first);
-            fronts.add(front);
+            router.endpointsChanged(initialEngines);
+            routers.add(router);
             server =
                     vertx.createHttpServer(
                             new HttpServerOptions()
-                                    .setMaxHeaderSize(site.limit.headerBytes)
+                                    .setMaxHeaderSize(site.limits.maxHeaderBytes)
                                     .setMaxInitialLineLength(4096)
-                                    .setIdleTimeout((int) site.limit.idleConnectionMs)
+                                    .setIdleTimeout((int) site.limits.idleConnectionTimeoutMs)
                                     .setIdleTimeoutUnit(TimeUnit.MILLISECONDS)
                                     .setTcpNoDelay(true)
                                     .setHttp2ClearTextEnabled(true)
                                     .setAcceptBacklog(4096));
-            int[] connections = new int[1];
+            int[] openConnections = new int[1];
             server.connectionHandler(
                     connection -> {
-                        if (++connections[0] > site.limit.connections) {
+                        if (++openConnections[0] > site.limits.maxConnections) {
                             connection.close();
                         }
-                        connection.closeHandler(closed -> connections[0]--);
+                        connection.closeHandler(closed -> openConnections[0]--);
                     });
-            server.requestHandler(new MessagesEndpoint(front, counters));
+            server.requestHandler(new MessagesEndpoint(router, counters));
             server.invalidRequestHandler(
                     io.vertx.core.http.HttpServerRequest.DEFAULT_INVALID_REQUEST_HANDLER);
-            int port = site.port == 0 ? 0 : site.ownPorts ? site.port + number : site.port;
+            int port =
+                    site.port == 0 ? 0 : site.portPerRouter ? site.port + routerNumber : site.port;
             return server.listen(port, site.host);
         }
     }
