--- a/src/main/java/larchridge/batch/BatchLineCodec.java
+++ b/src/main/java/larchridge/batch/BatchLineCodec.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import larchridge.messages.ApiException;
-import larchridge.messages.MessageBodies;
+import larchridge.messages.MessagesCodec;
 import larchridge.router.GenerationRequest;
 import larchridge.upstream.AnswerSummary;
 
@@ -119,7 +119,7 @@
             AnswerSummary completion,
             long nowMs) {
         if (endpoint.equals(MESSAGES_ENDPOINT)) {
-            return MessageBodies.message(id, model, request, cachedTokens, text, completion);
+            return MessagesCodec.toMessage(id, model, request, cachedTokens, text, completion);
         }
         ObjectNode chat =
                 MAPPER.createObjectNode()
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -15,7 +15,7 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import larchridge.messages.ApiException;
-import larchridge.messages.MessageBodies;
+import larchridge.messages.MessagesCodec;
 import larchridge.planner.BatchPlanner;
 import larchridge.planner.BatchRetryPolicy;
 import larchridge.planner.LatencySample;
@@ -60,7 +60,7 @@
     private final EventLoop loop;
     private final BatchPlanner planner;
     private final BatchRetryPolicy retryPolicy;
-    private final MessageBodies messageBodies;
+    private final MessagesCodec messageBodies;
     private final BatchInputValidator validator;
     private final Map<String, ActiveBatch> activeBatches = new LinkedHashMap<>();
     private final List<Store.Answer> pendingRecords = new ArrayList<>();
@@ -79,16 +79,16 @@
             EventLoop loop,
             BatchPlanner planner,
             BatchRetryPolicy retryPolicy,
-            MessageBodies messageBodies) {
+            MessagesCodec messageBodies) {
         this.store = store;
         this.site = site;
-        settings = site.batch;
+        settings = site.batchSettings;
         this.submitter = submitter;
         this.loop = loop;
         this.planner = planner;
         this.retryPolicy = retryPolicy;
         this.messageBodies = messageBodies;
-        validator = new BatchInputValidator(store, settings, site.limit.nesting);
+        validator = new BatchInputValidator(store, settings, site.limits.maxNesting);
     }
 
     /** A batch that has not ended. */
@@ -297,12 +297,12 @@
      * which decides when its lines start.
      */
     private void addToPlanner(ActiveBatch batch) throws IOException {
-        Site.Tenant tenant = site.tenantNamed(batch.form.getTenant());
+        Site.Tenant tenant = site.tenantByName(batch.form.getTenant());
         batch.inputChannel = store.openContent(store.file(batch.form.getInput()));
         batch.lineReader =
                 new LineReader(
                         batch.inputChannel,
-                        settings.lineBytes,
+                        settings.maxLineBytes,
                         batch.form.getLowLine(),
                         batch.form.getLowOffset());
         batch.planned =
@@ -420,7 +420,7 @@
         long completedLines = 0;
         long failedLines = 0;
         try (FileChannel input = store.openContent(store.file(form.getInput()));
-                LineReader lines = new LineReader(input, settings.lineBytes, 0, 0)) {
+                LineReader lines = new LineReader(input, settings.maxLineBytes, 0, 0)) {
             errors = store.createIncomingFile();
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
                 LineAnswer answer = store.answer(form.getId(), line.index());
@@ -550,7 +550,8 @@
             byte[] bytes =
                     task.bytes != null
                             ? task.bytes
-                            : LineReader.reread(batch.inputChannel, task.line, settings.lineBytes);
+                            : LineReader.reread(
+                                    batch.inputChannel, task.line, settings.maxLineBytes);
             task.bytes = null;
             lineRequest = validator.parseLine(bytes, endpoint);
         } catch (BatchInputValidator.InvalidLineException e) {
@@ -608,7 +609,7 @@
 
     private GenerationRequest toGenerationRequest(
             ActiveBatch batch, BatchInputValidator.LineRequest lineRequest) throws ApiException {
-        Site.Tenant tenant = site.tenantNamed(batch.form.getTenant());
+        Site.Tenant tenant = site.tenantByName(batch.form.getTenant());
         if (tenant == null) {
             throw ApiException.invalid(
                     "the tenant '" + batch.form.getTenant() + "' is no longer served");
@@ -619,11 +620,11 @@
         // All attempts of a line have the same key: it is billed once, and engines drop repeated
         // requests of a deduplicated product.
         String idempotencyKey = Site.sha256(batch.id() + '\n' + lineRequest.customId());
-        return messageBodies.ask(
+        return messageBodies.toGenerationRequest(
                 body,
                 isChat ? 2 : 1,
                 tenant,
-                offering -> offering.asBatch(settings.revenue, settings.lineMs),
+                offering -> offering.asBatch(settings.revenueFactor, settings.lineTimeoutMs),
                 idempotencyKey);
     }
 
@@ -689,7 +690,7 @@
                                 lineId,
                                 lineRequest.customId(),
                                 "answer_too_large",
-                                "The answer is over " + site.limit.answerBytes + " bytes"));
+                                "The answer is over " + site.limits.maxResponseBytes + " bytes"));
                 startLines();
             }
         }
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -91,7 +91,8 @@
 
         @Override
         public boolean textReceived(String chunk) {
-            responseTooLarge |= text.length() + chunk.length() > router.site().limit.answerBytes;
+            responseTooLarge |=
+                    text.length() + chunk.length() > router.site().limits.maxResponseBytes;
             if (!responseTooLarge) {
                 text.append(chunk);
             }
--- a/src/main/java/larchridge/router/Router.java
+++ b/src/main/java/larchridge/router/Router.java
@@ -96,8 +96,8 @@
                         : null;
         final String idPrefix = context.scheduler.uniqueIdPrefix();
         context.updateClock();
-        budgets = context.site.budgetsOf(context.routerNumber, context.nowMs());
-        final RoutingSettings settings = context.site.termsOf(context.routerNumber);
+        budgets = context.site.createBudgets(context.routerNumber, context.nowMs());
+        final RoutingSettings settings = context.site.routingSettingsOf(context.routerNumber);
 
         shutdown = new GracefulShutdown(context);
         readStateReleaser = new ReadStateReleaser(context);
@@ -165,7 +165,7 @@
     /** Replaces the budgets; requests in flight stay charged. */
     public void updateBudgets(Site newSite) {
         context.updateClock();
-        newSite.budgetsTo(budgets, context.nowMs());
+        newSite.configureBudgets(budgets, context.nowMs());
     }
 
     /**
@@ -253,7 +253,7 @@
     public void shutDown(Runnable onStopped) {
         shutdown.begin(onStopped);
         context.scheduler.schedule(
-                context.site.limit.stopMs,
+                context.site.limits.shutdownTimeoutMs,
                 () -> {
                     context.updateClock();
                     closer.failAll(ResponseSink.FailureCause.SHUTTING_DOWN);
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -311,8 +311,8 @@
             GenerationRequest request =
                     GenerationRequest.builder()
                             .offering(
-                                    site.offersByModel.get(mix.name()),
-                                    site.tenantNamed(session.tenant))
+                                    site.offeringsByModel.get(mix.name()),
+                                    site.tenantByName(session.tenant))
                             .model(mix.name())
                             .prompt(promptText, prompt.tokens)
                             .sharedPrefix(
--- a/src/main/java/larchridge/site/BatchSettings.java
+++ b/src/main/java/larchridge/site/BatchSettings.java
@@ -2,22 +2,22 @@
 
 import java.nio.file.Path;
 
-/** How batches are served. Times are milliseconds, sizes bytes. */
+/** Settings of the batch API. Times are milliseconds, sizes bytes. */
 public final class BatchSettings {
     public String host;
     public int port;
     public Path folder;
-    public long fileBytes;
-    public int lineBytes;
-    public long lines;
-    public long tenantBytes;
-    public long tenantFiles;
-    public int openLines;
-    public int attempts;
-    public double lineMs;
+    public long maxFileBytes;
+    public int maxLineBytes;
+    public long maxLines;
+    public long maxTenantBytes;
+    public long maxTenantFiles;
+    public int maxOpenLines;
+    public int maxAttempts;
+    public double lineTimeoutMs;
 
-    /** What a line is worth in the wait, beside 1 of its product. */
-    public double revenue;
+    /** Revenue of a queued line, relative to 1 for a request of its product. */
+    public double revenueFactor;
 
-    public int threads;
+    public int requestThreads;
 }
--- a/src/main/java/larchridge/site/InvalidSiteException.java
+++ b/src/main/java/larchridge/site/InvalidSiteException.java
@@ -2,14 +2,15 @@
 
 import java.util.List;
 
-/** A site file that can't be served; each fault names file, line and field. */
+/** Thrown for an invalid site file; each error names file, line and field. */
 public final class InvalidSiteException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public final transient List<String> faults;
+    public final transient List<String> errors;
 
-    public InvalidSiteException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.faults = List.copyOf(faults);
+    /** Creates an exception whose message lists all errors. */
+    public InvalidSiteException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.errors = List.copyOf(errors);
     }
 }
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.Callable;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import larchridge.messages.MessageBodies;
+import larchridge.messages.MessagesCodec;
 import larchridge.planner.BatchPlanner;
 import larchridge.planner.BatchRetryPolicy;
 import larchridge.router.GenerationRequest;
@@ -87,9 +87,9 @@
                         site,
                         new ScriptedSubmitter(),
                         loop,
-                        new BatchPlanner(site.batch.openLines),
-                        new BatchRetryPolicy(site.batch.attempts, new Random(1)),
-                        new MessageBodies(site, tokenCounters, loop));
+                        new BatchPlanner(site.batchSettings.maxOpenLines),
+                        new BatchRetryPolicy(site.batchSettings.maxAttempts, new Random(1)),
+                        new MessagesCodec(site, tokenCounters, loop));
         batches.start();
     }
 
