--- a/src/main/java/larchridge/batch/BatchLineCodec.java
+++ b/src/main/java/larchridge/batch/BatchLineCodec.java
@@ -116,10 +116,10 @@
             GenerationRequest request,
             int cachedTokens,
             String text,
-            AnswerSummary completion,
+            AnswerSummary summary,
             long nowMs) {
         if (endpoint.equals(MESSAGES_ENDPOINT)) {
-            return MessagesCodec.toMessage(id, model, request, cachedTokens, text, completion);
+            return MessagesCodec.toMessage(id, model, request, cachedTokens, text, summary);
         }
         ObjectNode chat =
                 MAPPER.createObjectNode()
@@ -135,14 +135,14 @@
         choice.putNull("logprobs")
                 .put(
                         "finish_reason",
-                        completion.finishReason() == AnswerSummary.FinishReason.MAX_TOKENS
+                        summary.finishReason() == AnswerSummary.FinishReason.MAX_TOKENS
                                 ? "length"
                                 : "stop");
         ObjectNode usage =
                 chat.putObject("usage")
                         .put("prompt_tokens", request.promptTokens())
-                        .put("completion_tokens", completion.outputTokens())
-                        .put("total_tokens", request.promptTokens() + completion.outputTokens());
+                        .put("completion_tokens", summary.outputTokens())
+                        .put("total_tokens", request.promptTokens() + summary.outputTokens());
         usage.putObject("prompt_tokens_details")
                 .put("cached_tokens", Math.min(cachedTokens, request.promptTokens()));
         return chat;
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -660,7 +660,7 @@
         }
 
         @Override
-        public void completed(String text, int cachedTokens, AnswerSummary completion) {
+        public void completed(String text, int cachedTokens, AnswerSummary summary) {
             if (removeOpenLine(true)) {
                 ObjectNode body =
                         BatchLineCodec.responseBody(
@@ -670,7 +670,7 @@
                                 generationRequest,
                                 cachedTokens,
                                 text,
-                                completion,
+                                summary,
                                 (long) loop.nowMs());
                 addRecord(
                         task,
@@ -708,7 +708,7 @@
         }
 
         @Override
-        public void notAccepted() {
+        public void notAdmitted() {
             notRun(BatchRetryPolicy.Outcome.NOT_ACCEPTED, 0);
         }
 
--- a/src/main/java/larchridge/batch/GenerationSubmitter.java
+++ b/src/main/java/larchridge/batch/GenerationSubmitter.java
@@ -20,7 +20,7 @@
     /** Receives the outcome of a generation. */
     interface Listener {
         /** The response is complete. */
-        void completed(String text, int cachedTokens, AnswerSummary completion);
+        void completed(String text, int cachedTokens, AnswerSummary summary);
 
         /** The response is larger than the site's limit for a non-streaming response. */
         void responseTooLarge();
@@ -32,7 +32,7 @@
         void rejectedOverBudget(double retryAfterMs);
 
         /** The router did not admit the generation. */
-        void notAccepted();
+        void notAdmitted();
 
         /** The generation failed or was aborted; it may have run. */
         void terminated();
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -48,7 +48,7 @@
                 return;
             }
             if (!router.tryAdmitExchange()) {
-                end(listener::notAccepted);
+                end(listener::notAdmitted);
                 return;
             }
             admitted = true;
@@ -110,12 +110,12 @@
         }
 
         @Override
-        public void completed(AnswerSummary completion) {
+        public void completed(AnswerSummary summary) {
             String fullText = text.toString();
             end(
                     responseTooLarge
                             ? listener::responseTooLarge
-                            : () -> listener.completed(fullText, cachedPromptTokens, completion));
+                            : () -> listener.completed(fullText, cachedPromptTokens, summary));
         }
 
         @Override
