--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -51,7 +51,7 @@
     /** No more lines are started while this many records wait to be written in one change. */
     private static final int MAX_PENDING_RECORDS = 512;
 
-    private static final int MAX_READ_AHEAD_LINES = 10_000;
+    private static final int MAX_TRACKED_LINES = 10_000;
 
     private final Store store;
     private final BatchSettings settings;
@@ -93,7 +93,7 @@
 
     /** A batch that has not ended. */
     private static final class ActiveBatch {
-        BatchRecord.Builder form;
+        BatchRecord.Builder record;
         PlannedBatch planned;
         FileChannel inputChannel;
         LineReader lineReader;
@@ -110,19 +110,19 @@
                                 .thenComparingLong(task -> task.line.index()));
 
         /** Lines that were read, from the first one that has no record. */
-        final ArrayDeque<LineReader.Line> readAhead = new ArrayDeque<>();
+        final ArrayDeque<LineReader.Line> trackedLines = new ArrayDeque<>();
 
-        /** Indexes of the lines of {@code readAhead} that have a record. */
+        /** Indexes of the lines of {@code trackedLines} that have a record. */
         final Set<Long> recordedLines = new HashSet<>();
 
-        int unwrittenRecords;
+        int pendingRecordCount;
 
-        ActiveBatch(BatchRecord form) {
-            this.form = form.toBuilder();
+        ActiveBatch(BatchRecord record) {
+            this.record = record.toBuilder();
         }
 
         String id() {
-            return form.getId();
+            return record.getId();
         }
     }
 
@@ -135,7 +135,7 @@
         byte[] bytes;
 
         int attempts;
-        int timesNotRun;
+        int timesRejected;
 
         /** Whether the line was open when the previous owner of the store ended. */
         boolean mayHaveRun;
@@ -154,19 +154,19 @@
 
     /** Resumes the batches that the previous owner of the store left, and starts the ticks. */
     void start() throws IOException {
-        for (BatchRecord form : store.activeBatches()) {
-            ActiveBatch batch = new ActiveBatch(form);
+        for (BatchRecord record : store.activeBatches()) {
+            ActiveBatch batch = new ActiveBatch(record);
             batch.resumed = true;
             activeBatches.put(batch.id(), batch);
-            switch (form.getState()) {
+            switch (record.getState()) {
                 case VALIDATING, CANCELLING -> {
-                    if (form.getTotal() == 0) {
+                    if (record.getTotal() == 0) {
                         validate(batch);
                     } else {
                         startFinalizing(batch, BatchState.CANCELLED);
                     }
                 }
-                case IN_PROGRESS -> addToPlanner(batch);
+                case IN_PROGRESS -> startExecution(batch);
                 default -> finish(batch);
             }
         }
@@ -185,11 +185,11 @@
 
     /** Creates a batch and validates its input in the background. */
     BatchRecord create(BatchRecord.Builder template) throws IOException {
-        BatchRecord form = store.createBatch(template);
-        ActiveBatch batch = new ActiveBatch(form);
+        BatchRecord record = store.createBatch(template);
+        ActiveBatch batch = new ActiveBatch(record);
         activeBatches.put(batch.id(), batch);
         validate(batch);
-        return form;
+        return record;
     }
 
     /** Cancels a batch and returns its new state, or null if it can no longer be cancelled. */
@@ -198,26 +198,26 @@
         if (batch == null || batch.finalizing) {
             return null;
         }
-        if (batch.form.getState() != BatchState.CANCELLING) {
+        if (batch.record.getState() != BatchState.CANCELLING) {
             BatchRecord.Builder updated =
-                    batch.form
+                    batch.record
                             .clone()
                             .setState(BatchState.CANCELLING)
                             .setCancellingMs((long) loop.nowMs());
             store.updateBatch(updated.build());
-            batch.form = updated;
+            batch.record = updated;
             if (batch.planned != null) {
                 planner.removeBatch(batch.planned);
                 finalizeIfCancelled(batch);
             }
         }
-        return batch.form.build();
+        return batch.record.build();
     }
 
     /** The current state of a batch, or null if there is no such batch. */
     BatchRecord batch(String id) throws IOException {
         ActiveBatch batch = activeBatches.get(id);
-        return batch == null ? store.batch(id) : batch.form.build();
+        return batch == null ? store.batch(id) : batch.record.build();
     }
 
     boolean isAtRisk(String id) {
@@ -245,9 +245,9 @@
     // ------------------------------------------------------------------ lifecycle of a batch
 
     private void validate(ActiveBatch batch) {
-        BatchRecord form = batch.form.build();
+        BatchRecord record = batch.record.build();
         loop.runBlocking(
-                () -> validator.validate(form),
+                () -> validator.validate(record),
                 (result, failure) ->
                         runStoreOperation(
                                 () -> validationDone(batch, result, failure),
@@ -272,7 +272,7 @@
         if (failure != null) {
             LOG.error("failed to validate the input of a batch", failure);
         }
-        BatchRecord.Builder updated = batch.form.clone();
+        BatchRecord.Builder updated = batch.record.clone();
         if (!faults.isEmpty()) {
             updated.setState(BatchState.FAILED).setEndedMs((long) loop.nowMs()).addAllFault(faults);
             store.updateBatch(updated.build());
@@ -282,41 +282,41 @@
         updated.setTotal(result.lineCount());
         if (updated.getState() == BatchState.CANCELLING) {
             store.updateBatch(updated.build());
-            batch.form = updated;
+            batch.record = updated;
             startFinalizing(batch, BatchState.CANCELLED);
             return;
         }
         updated.setState(BatchState.IN_PROGRESS).setInProgressMs((long) loop.nowMs());
         store.updateBatch(updated.build());
-        batch.form = updated;
-        addToPlanner(batch);
+        batch.record = updated;
+        startExecution(batch);
     }
 
     /**
      * Opens the input at the first line that has no record, and adds the batch to the planner,
      * which decides when its lines start.
      */
-    private void addToPlanner(ActiveBatch batch) throws IOException {
-        Site.Tenant tenant = site.tenantByName(batch.form.getTenant());
-        batch.inputChannel = store.openContent(store.file(batch.form.getInput()));
+    private void startExecution(ActiveBatch batch) throws IOException {
+        Site.Tenant tenant = site.tenantByName(batch.record.getTenant());
+        batch.inputChannel = store.openContent(store.file(batch.record.getInput()));
         batch.lineReader =
                 new LineReader(
                         batch.inputChannel,
                         settings.maxLineBytes,
-                        batch.form.getLowLine(),
-                        batch.form.getLowOffset());
+                        batch.record.getLowLine(),
+                        batch.record.getLowOffset());
         batch.planned =
                 planner.addBatch(
                         batch.id(),
-                        batch.form.getTenant(),
+                        batch.record.getTenant(),
                         tenant == null ? 1 : tenant.batchShare(),
-                        (double) batch.form.getExpiresMs(),
-                        batch.form.getNumber(),
+                        (double) batch.record.getExpiresMs(),
+                        batch.record.getNumber(),
                         (double)
-                                (batch.form.getTotal()
-                                        - batch.form.getDone()
-                                        - batch.form.getFailed()));
-        loop.schedule(Math.max(0, batch.form.getExpiresMs() - loop.nowMs()), () -> expire(batch));
+                                (batch.record.getTotal()
+                                        - batch.record.getDone()
+                                        - batch.record.getFailed()));
+        loop.schedule(Math.max(0, batch.record.getExpiresMs() - loop.nowMs()), () -> expire(batch));
         if (isComplete(batch)) {
             startFinalizing(batch, BatchState.COMPLETED);
         } else {
@@ -327,7 +327,7 @@
     private void expire(ActiveBatch batch) {
         if (!activeBatches.containsValue(batch)
                 || batch.finalizing
-                || batch.form.getState() != BatchState.IN_PROGRESS) {
+                || batch.record.getState() != BatchState.IN_PROGRESS) {
             return;
         }
         for (LineTask task : List.copyOf(batch.openLines.values())) {
@@ -339,13 +339,13 @@
     }
 
     private boolean isComplete(ActiveBatch batch) {
-        return batch.form.getDone() + batch.form.getFailed() == batch.form.getTotal();
+        return batch.record.getDone() + batch.record.getFailed() == batch.record.getTotal();
     }
 
     private void finalizeIfCancelled(ActiveBatch batch) {
-        if (batch.form.getState() == BatchState.CANCELLING
+        if (batch.record.getState() == BatchState.CANCELLING
                 && batch.openLines.isEmpty()
-                && batch.unwrittenRecords == 0
+                && batch.pendingRecordCount == 0
                 && !batch.finalizing) {
             startFinalizing(batch, BatchState.CANCELLED);
         }
@@ -361,7 +361,7 @@
                 () -> {
                     flush();
                     BatchRecord.Builder updated =
-                            batch.form
+                            batch.record
                                     .clone()
                                     .setEnding(endState)
                                     .setFinalizingMs((long) loop.nowMs());
@@ -369,7 +369,7 @@
                         updated.setState(BatchState.FINALIZING);
                     }
                     store.updateBatch(updated.build());
-                    batch.form = updated;
+                    batch.record = updated;
                     finish(batch);
                 },
                 () -> startFinalizing(batch, endState));
@@ -381,9 +381,9 @@
 
     private void finish(ActiveBatch batch) {
         batch.finalizing = true;
-        BatchRecord form = batch.form.build();
+        BatchRecord record = batch.record.build();
         loop.runBlocking(
-                () -> writeResultFiles(form),
+                () -> writeResultFiles(record),
                 (files, failure) ->
                         runStoreOperation(
                                 () -> {
@@ -396,37 +396,40 @@
                                     try (IncomingFile output = files.output;
                                             IncomingFile errors = files.errors) {
                                         BatchRecord.Builder updated =
-                                                batch.form
+                                                batch.record
                                                         .clone()
-                                                        .setState(form.getEnding())
+                                                        .setState(record.getEnding())
                                                         .setEndedMs((long) loop.nowMs())
                                                         .setDone(files.completedLines)
                                                         .setFailed(files.failedLines);
-                                        BatchRecord done =
+                                        BatchRecord finishedRecord =
                                                 store.finishBatch(
                                                         updated,
                                                         files.completedLines > 0 ? output : null,
                                                         files.failedLines > 0 ? errors : null,
                                                         (long) loop.nowMs());
-                                        removeFinished(batch, done.toBuilder());
+                                        removeFinished(batch, finishedRecord.toBuilder());
                                     }
                                 },
                                 () -> finish(batch)));
     }
 
-    private ResultFiles writeResultFiles(BatchRecord form) throws IOException {
+    private ResultFiles writeResultFiles(BatchRecord batchRecord) throws IOException {
         IncomingFile output = store.createIncomingFile();
         IncomingFile errors = null;
         long completedLines = 0;
         long failedLines = 0;
-        try (FileChannel input = store.openContent(store.file(form.getInput()));
+        try (FileChannel input = store.openContent(store.file(batchRecord.getInput()));
                 LineReader lines = new LineReader(input, settings.maxLineBytes, 0, 0)) {
             errors = store.createIncomingFile();
             for (LineReader.Line line = lines.next(); line != null; line = lines.next()) {
-                LineAnswer answer = store.answer(form.getId(), line.index());
-                boolean isCompleted = answer != null && answer.getGood();
+                LineAnswer lineRecord = store.answer(batchRecord.getId(), line.index());
+                boolean isCompleted = lineRecord != null && lineRecord.getGood();
                 byte[] recordBytes =
-                        ((answer == null ? unansweredRecord(form, line) : answer.getText()) + "\n")
+                        ((lineRecord == null
+                                                ? unfinishedLineRecord(batchRecord, line)
+                                                : lineRecord.getText())
+                                        + "\n")
                                 .getBytes(java.nio.charset.StandardCharsets.UTF_8);
                 (isCompleted ? output : errors).write(recordBytes, 0, recordBytes.length);
                 completedLines += isCompleted ? 1 : 0;
@@ -443,27 +446,28 @@
     }
 
     /** The record of a line that had none when its batch ended. */
-    private String unansweredRecord(BatchRecord form, LineReader.Line line) throws IOException {
-        boolean wasOpen = store.attempts(form.getId(), line.index()) > 0;
-        boolean expired = form.getEnding() == BatchState.EXPIRED;
+    private String unfinishedLineRecord(BatchRecord batchRecord, LineReader.Line line)
+            throws IOException {
+        boolean mayHaveRun = store.attempts(batchRecord.getId(), line.index()) > 0;
+        boolean expired = batchRecord.getEnding() == BatchState.EXPIRED;
         String customId;
         try {
-            customId = validator.parseLine(line.bytes(), form.getEndpoint()).customId();
+            customId = validator.parseLine(line.bytes(), batchRecord.getEndpoint()).customId();
         } catch (BatchInputValidator.InvalidLineException e) {
             customId = "";
         }
         return BatchLineCodec.errorRecord(
-                lineId(form.getId(), line.index()),
+                lineId(batchRecord.getId(), line.index()),
                 customId,
                 expired ? "batch_expired" : "batch_cancelled",
                 "The batch "
                         + (expired ? "expired" : "was cancelled")
-                        + (wasOpen
+                        + (mayHaveRun
                                 ? " while this line was out; it may have run"
                                 : " before this line was executed"));
     }
 
-    private void removeFinished(ActiveBatch batch, BatchRecord.Builder finalForm)
+    private void removeFinished(ActiveBatch batch, BatchRecord.Builder finalRecord)
             throws IOException {
         activeBatches.remove(batch.id());
         finishedCount++;
@@ -472,9 +476,9 @@
         }
         LOG.atInfo()
                 .addKeyValue("batch", batch.id())
-                .addKeyValue("state", finalForm.getState())
-                .addKeyValue("done", finalForm.getDone())
-                .addKeyValue("failed", finalForm.getFailed())
+                .addKeyValue("state", finalRecord.getState())
+                .addKeyValue("done", finalRecord.getDone())
+                .addKeyValue("failed", finalRecord.getFailed())
                 .log("batch ended");
     }
 
@@ -520,7 +524,7 @@
         }
         // Guards against: while one line is retried again and again, all later lines of a large
         // file would be read ahead into memory.
-        while (!batch.inputExhausted && batch.readAhead.size() < MAX_READ_AHEAD_LINES) {
+        while (!batch.inputExhausted && batch.trackedLines.size() < MAX_TRACKED_LINES) {
             LineReader.Line line = batch.lineReader.next();
             if (line == null) {
                 batch.inputExhausted = true;
@@ -528,7 +532,7 @@
             }
             LineReader.Line position =
                     new LineReader.Line(line.index(), line.offset(), line.nextOffset(), null);
-            batch.readAhead.add(position);
+            batch.trackedLines.add(position);
             if (!batch.resumed || !store.isAnswered(batch.id(), line.index())) {
                 LineTask task = new LineTask(batch, position);
                 task.bytes = line.bytes();
@@ -544,7 +548,7 @@
     private void submit(LineTask task) throws IOException {
         ActiveBatch batch = task.batch;
         String lineId = lineId(batch.id(), task.line.index());
-        String endpoint = batch.form.getEndpoint();
+        String endpoint = batch.record.getEndpoint();
         BatchInputValidator.LineRequest lineRequest;
         try {
             byte[] bytes =
@@ -609,12 +613,13 @@
 
     private GenerationRequest toGenerationRequest(
             ActiveBatch batch, BatchInputValidator.LineRequest lineRequest) throws ApiException {
-        Site.Tenant tenant = site.tenantByName(batch.form.getTenant());
+        Site.Tenant tenant = site.tenantByName(batch.record.getTenant());
         if (tenant == null) {
             throw ApiException.invalid(
-                    "the tenant '" + batch.form.getTenant() + "' is no longer served");
+                    "the tenant '" + batch.record.getTenant() + "' is no longer served");
         }
-        boolean isChat = batch.form.getEndpoint().equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT);
+        boolean isChat =
+                batch.record.getEndpoint().equals(BatchLineCodec.CHAT_COMPLETIONS_ENDPOINT);
         JsonNode body =
                 isChat ? BatchLineCodec.chatToMessages(lineRequest.body()) : lineRequest.body();
         // All attempts of a line have the same key: it is billed once, and engines drop repeated
@@ -664,7 +669,7 @@
             if (removeOpenLine(true)) {
                 ObjectNode body =
                         BatchLineCodec.responseBody(
-                                task.batch.form.getEndpoint(),
+                                task.batch.record.getEndpoint(),
                                 lineId,
                                 lineRequest.body().path("model").asText(),
                                 generationRequest,
@@ -698,24 +703,24 @@
         @Override
         public void throttled(double retryAfterMs) {
             planner.recordThrottled(loop.nowMs());
-            notRun(BatchRetryPolicy.Outcome.THROTTLED, retryAfterMs);
+            rejected(BatchRetryPolicy.Outcome.THROTTLED, retryAfterMs);
         }
 
         @Override
         public void rejectedOverBudget(double retryAfterMs) {
             planner.pauseTenant(task.batch.planned, loop.nowMs() + retryAfterMs);
-            notRun(BatchRetryPolicy.Outcome.OVER_BUDGET, retryAfterMs);
+            rejected(BatchRetryPolicy.Outcome.OVER_BUDGET, retryAfterMs);
         }
 
         @Override
         public void notAdmitted() {
-            notRun(BatchRetryPolicy.Outcome.NOT_ACCEPTED, 0);
+            rejected(BatchRetryPolicy.Outcome.NOT_ACCEPTED, 0);
         }
 
         /** The line did not run, or a retry is harmless: the attempt is not counted. */
-        private void notRun(BatchRetryPolicy.Outcome outcome, double retryAfterMs) {
+        private void rejected(BatchRetryPolicy.Outcome outcome, double retryAfterMs) {
             if (removeOpenLine(false)) {
-                task.timesNotRun++;
+                task.timesRejected++;
                 task.attempts--;
                 runStoreOperation(
                         () -> store.recordNotRun(task.batch.id(), task.line.index(), task.attempts),
@@ -725,7 +730,7 @@
                                 outcome,
                                 generationRequest.offering().product.effect,
                                 task.attempts,
-                                task.timesNotRun,
+                                task.timesRejected,
                                 retryAfterMs));
             }
         }
@@ -767,14 +772,15 @@
             ActiveBatch batch = task.batch;
             task.dueMs = loop.nowMs() + delayMs;
             batch.retryQueue.add(task);
-            if (batch.form.getState() != BatchState.IN_PROGRESS || batch.finalizing) {
+            if (batch.record.getState() != BatchState.IN_PROGRESS || batch.finalizing) {
                 finalizeIfCancelled(batch);
                 return;
             }
             loop.schedule(
                     delayMs,
                     () -> {
-                        if (!batch.finalizing && batch.form.getState() == BatchState.IN_PROGRESS) {
+                        if (!batch.finalizing
+                                && batch.record.getState() == BatchState.IN_PROGRESS) {
                             planner.setReady(batch.planned, true);
                             startLines();
                         }
@@ -786,18 +792,18 @@
     // ------------------------------------------------------------------ records
 
     /** Adds the record of a line; the next flush writes it together with other pending records. */
-    private void addRecord(LineTask task, boolean completed, String text) {
+    private void addRecord(LineTask task, boolean completed, String recordJson) {
         pendingRecords.add(
                 new Store.Answer(
                         task.batch.id(),
                         task.line.index(),
-                        LineAnswer.newBuilder().setGood(completed).setText(text).build()));
+                        LineAnswer.newBuilder().setGood(completed).setText(recordJson).build()));
         ActiveBatch batch = task.batch;
-        batch.unwrittenRecords++;
+        batch.pendingRecordCount++;
         planner.lineRecorded(batch.planned);
-        batch.form
-                .setDone(batch.form.getDone() + (completed ? 1 : 0))
-                .setFailed(batch.form.getFailed() + (completed ? 0 : 1));
+        batch.record
+                .setDone(batch.record.getDone() + (completed ? 1 : 0))
+                .setFailed(batch.record.getFailed() + (completed ? 0 : 1));
         markRecorded(batch, task.line);
         if (!flushScheduled) {
             flushScheduled = true;
@@ -808,13 +814,15 @@
     /** Marks a line as recorded and advances the position before which all lines have a record. */
     private void markRecorded(ActiveBatch batch, LineReader.Line line) {
         batch.recordedLines.add(line.index());
-        boolean wasFull = batch.readAhead.size() >= MAX_READ_AHEAD_LINES;
-        while (!batch.readAhead.isEmpty()
-                && batch.recordedLines.remove(batch.readAhead.peek().index())) {
-            LineReader.Line recordedLine = batch.readAhead.poll();
-            batch.form.setLowLine(recordedLine.index() + 1).setLowOffset(recordedLine.nextOffset());
-        }
-        if (wasFull && !batch.finalizing && batch.form.getState() == BatchState.IN_PROGRESS) {
+        boolean wasFull = batch.trackedLines.size() >= MAX_TRACKED_LINES;
+        while (!batch.trackedLines.isEmpty()
+                && batch.recordedLines.remove(batch.trackedLines.peek().index())) {
+            LineReader.Line recordedLine = batch.trackedLines.poll();
+            batch.record
+                    .setLowLine(recordedLine.index() + 1)
+                    .setLowOffset(recordedLine.nextOffset());
+        }
+        if (wasFull && !batch.finalizing && batch.record.getState() == BatchState.IN_PROGRESS) {
             planner.setReady(batch.planned, true);
         }
     }
@@ -830,21 +838,21 @@
             return;
         }
         Set<ActiveBatch> flushedBatches = new LinkedHashSet<>();
-        List<BatchRecord> forms = new ArrayList<>();
-        for (Store.Answer answer : pendingRecords) {
-            ActiveBatch batch = activeBatches.get(answer.batch());
+        List<BatchRecord> batchRecords = new ArrayList<>();
+        for (Store.Answer lineRecord : pendingRecords) {
+            ActiveBatch batch = activeBatches.get(lineRecord.batch());
             if (flushedBatches.add(batch)) {
-                forms.add(batch.form.build());
+                batchRecords.add(batch.record.build());
             }
         }
-        store.recordAnswers(pendingRecords, forms);
+        store.recordAnswers(pendingRecords, batchRecords);
         pendingRecords.clear();
         for (ActiveBatch batch : flushedBatches) {
-            batch.unwrittenRecords = 0;
+            batch.pendingRecordCount = 0;
             if (!batch.finalizing && isComplete(batch)) {
                 startFinalizing(
                         batch,
-                        batch.form.getState() == BatchState.CANCELLING
+                        batch.record.getState() == BatchState.CANCELLING
                                 ? BatchState.CANCELLED
                                 : BatchState.COMPLETED);
             } else {
