--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -37,9 +37,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The HTTP endpoint of the Files and Batches API, according to the public specification. Each
- * request occupies one thread; it accesses batches and changes records of the store on the batch
- * event loop.
+ * The HTTP endpoint of the Files and Batches API, as OpenAI's API reference describes it. Each
+ * request occupies one thread, which runs all accesses to batches and all changes of the store's
+ * records on the batch event loop and waits for them.
  */
 final class BatchEndpoint extends Handler.Abstract {
     private static final Logger LOG = LoggerFactory.getLogger(BatchEndpoint.class);
@@ -469,7 +469,7 @@
         }
         ObjectNode metadata = json.putObject("metadata");
         new TreeMap<>(batch.getMetadataMap()).forEach(metadata::put);
-        // Not in the specification: reports a miss of the completion window as soon as it is
+        // An addition to OpenAI's API: reports a miss of the completion window as soon as it is
         // predicted, not only when the window ends.
         return json.put("window_at_risk", batches.isAtRisk(batch.getId()));
     }
--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -18,8 +18,8 @@
 import larchridge.store.form.InputError;
 
 /**
- * Validates the whole input of a batch before any of its lines runs. Each fault names its line,
- * counted from 1, and its field.
+ * Validates the lines of a batch's input, but not the request bodies in them, before any line runs;
+ * stops at the maximum number of faults. Each fault names its line, counted from 1, and its field.
  */
 final class BatchInputValidator {
     private static final int MAX_FAULTS = 100;
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -35,12 +35,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All batches of one store, from their creation to their end, on one event loop. Each line of an
- * input has exactly one record, in the output or in the error file, whatever crashes happen: its
- * record is written once, under batch and line, before anything depends on it, and the files are
- * written from the records when none is missing. A line may be submitted to engines more than once
- * if the effect of its product allows that. Each submission is recorded in the store before it is
- * made, so that the store's next owner knows which lines may have run.
+ * All batches of one store, from their creation to their end, on one event loop.
+ *
+ * <p>Each line of an input has exactly one record, in the output or in the error file, whatever
+ * crashes happen: its record is stored once, keyed by batch and line, in one synced change with
+ * the batch's counts and before the batch can end. When all lines have a record, or the batch has
+ * expired or been cancelled, the files are written from the stored records, with an error record
+ * for each line that has none.
+ *
+ * <p>A line that may have run is submitted again only if its product's {@link Effect} is
+ * IDEMPOTENT, and only up to the maximum number of attempts. A line whose submission was rejected
+ * is submitted again whatever the effect of its product. Each submission is recorded in the store
+ * before it is made, so that the store's next owner knows which lines may have run.
  */
 final class Batches {
     private static final Logger LOG = LoggerFactory.getLogger(Batches.class);
@@ -48,9 +54,10 @@
     private static final double RISK_CHECK_INTERVAL_MS = 1000;
     private static final double STORE_RETRY_DELAY_MS = 500;
 
-    /** No more lines are started while this many records wait to be written in one change. */
+    /** No more lines are started while this many records wait for the next flush. */
     private static final int MAX_PENDING_RECORDS = 512;
 
+    /** The maximum size of {@link ActiveBatch#trackedLines}. */
     private static final int MAX_TRACKED_LINES = 10_000;
 
     private final Store store;
@@ -93,7 +100,9 @@
 
     /** A batch that has not ended. */
     private static final class ActiveBatch {
+        /** The stored record of the batch, with changes that the next flush stores. */
         BatchRecord.Builder record;
+
         PlannedBatch planned;
         FileChannel inputChannel;
         LineReader lineReader;
@@ -103,18 +112,22 @@
         boolean resumed;
 
         boolean finalizing;
+
+        /** The lines that have been submitted and whose outcome is not known, by index. */
         final Map<Long, LineTask> openLines = new LinkedHashMap<>();
+
         final PriorityQueue<LineTask> retryQueue =
                 new PriorityQueue<>(
                         Comparator.comparingDouble((LineTask task) -> task.dueMs)
                                 .thenComparingLong(task -> task.line.index()));
 
-        /** Lines that were read, from the first one that has no record. */
+        /** The positions of the lines that have been read, from the first one without a record. */
         final ArrayDeque<LineReader.Line> trackedLines = new ArrayDeque<>();
 
         /** Indexes of the lines of {@code trackedLines} that have a record. */
         final Set<Long> recordedLines = new HashSet<>();
 
+        /** The number of records of this batch in {@link Batches#pendingRecords}. */
         int pendingRecordCount;
 
         ActiveBatch(BatchRecord record) {
@@ -137,7 +150,10 @@
         int attempts;
         int timesRejected;
 
-        /** Whether the line was open when the previous owner of the store ended. */
+        /**
+         * Whether a previous owner of the store recorded an attempt that may have run, and no
+         * result; false once this process has submitted the line.
+         */
         boolean mayHaveRun;
 
         double dueMs;
@@ -293,8 +309,9 @@
     }
 
     /**
-     * Opens the input at the first line that has no record, and adds the batch to the planner,
-     * which decides when its lines start.
+     * Opens the input at the first line that has no record, adds the batch to the planner, which
+     * decides when its lines start, and schedules the batch's expiry. Finalizes the batch if all
+     * its lines have a record.
      */
     private void startExecution(ActiveBatch batch) throws IOException {
         Site.Tenant tenant = site.tenantByName(batch.record.getTenant());
@@ -445,7 +462,7 @@
         }
     }
 
-    /** The record of a line that had none when its batch ended. */
+    /** An error record for a line that had no record when its batch expired or was cancelled. */
     private String unfinishedLineRecord(BatchRecord batchRecord, LineReader.Line line)
             throws IOException {
         boolean mayHaveRun = store.attempts(batchRecord.getId(), line.index()) > 0;
@@ -522,8 +539,8 @@
         if (!batch.retryQueue.isEmpty() && batch.retryQueue.peek().dueMs <= nowMs) {
             return batch.retryQueue.poll();
         }
-        // Guards against: while one line is retried again and again, all later lines of a large
-        // file would be read ahead into memory.
+        // Guards against: while one line is retried again and again, the positions of all later
+        // lines of a large file would be kept in memory.
         while (!batch.inputExhausted && batch.trackedLines.size() < MAX_TRACKED_LINES) {
             LineReader.Line line = batch.lineReader.next();
             if (line == null) {
@@ -717,7 +734,7 @@
             rejected(BatchRetryPolicy.Outcome.NOT_ACCEPTED, 0);
         }
 
-        /** The line did not run, or a retry is harmless: the attempt is not counted. */
+        /** The line did not run, or is harmless to run again: the attempt is not counted. */
         private void rejected(BatchRetryPolicy.Outcome outcome, double retryAfterMs) {
             if (removeOpenLine(false)) {
                 task.timesRejected++;
--- a/src/main/java/larchridge/batch/GenerationSubmitter.java
+++ b/src/main/java/larchridge/batch/GenerationSubmitter.java
@@ -25,10 +25,10 @@
         /** The response is larger than the site's limit for a non-streaming response. */
         void responseTooLarge();
 
-        /** Rejected for now. A retry is harmless, after this time if it is more than 0. */
+        /** Rejected for now; safe to retry. {@code retryAfterMs} is the advised delay, or 0. */
         void throttled(double retryAfterMs);
 
-        /** The tenant is over its budget. A retry after this time is harmless. */
+        /** The tenant is over its budget; safe to retry, after the advised delay. */
         void rejectedOverBudget(double retryAfterMs);
 
         /** The router did not admit the generation. */
--- a/src/main/java/larchridge/batch/LineReader.java
+++ b/src/main/java/larchridge/batch/LineReader.java
@@ -27,7 +27,8 @@
 
     /**
      * A line: its index in the file from 0, its offset and that of the next line, and its bytes
-     * without the line ending, or null if it is over the size limit.
+     * without the line ending. The bytes are null if the line is over the size limit or if only its
+     * position is kept.
      */
     @SuppressWarnings("ArrayRecordComponent") // Lines are not compared.
     record Line(long index, long offset, long nextOffset, byte[] bytes) {}
--- a/src/main/java/larchridge/batch/MultipartUpload.java
+++ b/src/main/java/larchridge/batch/MultipartUpload.java
@@ -36,7 +36,12 @@
         this.maxFileBytes = maxFileBytes;
     }
 
-    /** Reads the form to its end; the file is synced when this method returns. */
+    /**
+     * Reads the form up to its end or its first fault; the file is synced when this method returns.
+     *
+     * @throws BatchApiException if the form is rejected; the rest of it may be unread
+     * @throws IOException if the form cannot be read or the file cannot be written
+     */
     void read(String contentType, InputStream body) throws IOException, BatchApiException {
         String boundary =
                 contentType == null || !contentType.startsWith("multipart/form-data")
--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -27,7 +27,10 @@
         return submission;
     }
 
-    /** A line at its router. Except for calls of {@link #cancel}, it runs on the router's loop. */
+    /**
+     * One line's submission to a router, and the sink of its response. All methods except {@link
+     * #cancel} are called on the router's loop.
+     */
     private final class LineSubmission implements ResponseSink, Submission {
         private final Router router;
         private final Listener listener;
--- a/src/main/java/larchridge/batch/ThreadEventLoop.java
+++ b/src/main/java/larchridge/batch/ThreadEventLoop.java
@@ -54,8 +54,9 @@
         try {
             loopExecutor.execute(() -> runAndLogFailure(task));
         } catch (RejectedExecutionException e) {
-            // The loop is closing. Lines whose outcome routers report now are found as in flight at
-            // the next start.
+            // The loop is closing. An outcome that a router reports now is lost: the line's attempt
+            // is recorded without a result, and the next owner of the store treats the line as one
+            // that may have run.
             LOG.debug("ignored a task that was submitted after the event loop had closed");
         }
     }
