--- a/src/main/java/larchridge/batch/BatchEndpoint.java
+++ b/src/main/java/larchridge/batch/BatchEndpoint.java
@@ -44,7 +44,11 @@
 final class BatchEndpoint extends Handler.Abstract {
     private static final Logger LOG = LoggerFactory.getLogger(BatchEndpoint.class);
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final int MAX_JSON_BODY_BYTES = 64 << 10;
+
+    /** The most bytes of an upload that are not the file: boundaries, headers, other parts. */
+    private static final int MAX_FORM_OVERHEAD_BYTES = 64 << 10;
+
     private static final int MAX_METADATA_ENTRIES = 16;
     private static final long LOOP_CALL_TIMEOUT_MS = 30_000;
     private static final long MAX_WINDOW_MS = 30L * 24 * 3600 * 1000;
@@ -154,14 +158,17 @@
 
     private void upload(Request request, Response response, Site.Tenant tenant)
             throws BatchApiException, IOException {
-        if (request.getLength() > settings.maxFileBytes + MAX_BODY_BYTES) {
+        if (request.getLength() > settings.maxFileBytes + MAX_FORM_OVERHEAD_BYTES) {
             throw BatchApiException.tooLarge(
                     "the file is over " + settings.maxFileBytes + " bytes");
         }
         Store store = service.store();
         callOnLoop(
                 batches -> {
-                    checkQuota(store, tenant, Math.max(0, request.getLength() - MAX_BODY_BYTES));
+                    checkQuota(
+                            store,
+                            tenant,
+                            Math.max(0, request.getLength() - MAX_FORM_OVERHEAD_BYTES));
                     return null;
                 });
         try (MultipartUpload upload =
@@ -488,10 +495,10 @@
 
     private static JsonNode readBody(Request request) throws BatchApiException, IOException {
         try (InputStream in = Content.Source.asInputStream(request)) {
-            byte[] bytes = in.readNBytes(MAX_BODY_BYTES + 1);
-            if (bytes.length > MAX_BODY_BYTES) {
+            byte[] bytes = in.readNBytes(MAX_JSON_BODY_BYTES + 1);
+            if (bytes.length > MAX_JSON_BODY_BYTES) {
                 throw BatchApiException.invalid(
-                        null, "the body is over " + MAX_BODY_BYTES + " bytes");
+                        null, "the body is over " + MAX_JSON_BODY_BYTES + " bytes");
             }
             JsonNode body = MAPPER.readTree(bytes);
             if (body == null || !body.isObject()) {
