--- a/src/main/java/larchridge/batch/RouterSubmitter.java
+++ b/src/main/java/larchridge/batch/RouterSubmitter.java
@@ -27,7 +27,10 @@
         return submission;
     }
 
-    /** A line at its router. Except for calls of {@link #cancel}, it runs on the router's loop. */
+    /**
+     * One line's submission to a router, and the sink of its response. All methods except {@link
+     * #cancel} are called on the router's loop.
+     */
     private final class LineSubmission implements ResponseSink, Submission {
         private final Router router;
         private final Listener listener;
@@ -48,7 +51,7 @@
                 return;
             }
             if (!router.tryAdmitExchange()) {
-                end(listener::notAccepted);
+                end(listener::notAdmitted);
                 return;
             }
             admitted = true;
@@ -110,12 +113,12 @@
         }
 
         @Override
-        public void completed(AnswerSummary completion) {
+        public void completed(AnswerSummary summary) {
             String fullText = text.toString();
             end(
                     responseTooLarge
                             ? listener::responseTooLarge
-                            : () -> listener.completed(fullText, cachedPromptTokens, completion));
+                            : () -> listener.completed(fullText, cachedPromptTokens, summary));
         }
 
         @Override
