--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import larchridge.site.BatchSettings;
 import larchridge.store.Store;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.FileRecord;
-import larchridge.store.form.InputError;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.FileRecord;
+import larchridge.store.proto.InputError;
 
 /**
  * Validates the whole input of a batch before any of its lines runs. Each fault names its line,
--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -26,10 +26,10 @@
 import larchridge.state.Effect;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.BatchState;
-import larchridge.store.form.InputError;
-import larchridge.store.form.LineAnswer;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.BatchState;
+import larchridge.store.proto.InputError;
+import larchridge.store.proto.LineAnswer;
 import larchridge.upstream.AnswerSummary;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -63,7 +63,7 @@
     private final MessagesCodec messageBodies;
     private final BatchInputValidator validator;
     private final Map<String, ActiveBatch> activeBatches = new LinkedHashMap<>();
-    private final List<Store.Answer> pendingRecords = new ArrayList<>();
+    private final List<Store.AnsweredLine> pendingRecords = new ArrayList<>();
     private boolean flushScheduled;
     private boolean storeFailing;
     private boolean storeFailureLogged;
@@ -718,7 +718,9 @@
                 task.timesNotRun++;
                 task.attempts--;
                 runStoreOperation(
-                        () -> store.recordNotRun(task.batch.id(), task.line.index(), task.attempts),
+                        () ->
+                                store.removeLastAttempt(
+                                        task.batch.id(), task.line.index(), task.attempts),
                         () -> {});
                 scheduleRetry(
                         retryPolicy.retryDelayMs(
@@ -788,7 +790,7 @@
     /** Adds the record of a line; the next flush writes it together with other pending records. */
     private void addRecord(LineTask task, boolean completed, String text) {
         pendingRecords.add(
-                new Store.Answer(
+                new Store.AnsweredLine(
                         task.batch.id(),
                         task.line.index(),
                         LineAnswer.newBuilder().setGood(completed).setText(text).build()));
@@ -831,8 +833,8 @@
         }
         Set<ActiveBatch> flushedBatches = new LinkedHashSet<>();
         List<BatchRecord> forms = new ArrayList<>();
-        for (Store.Answer answer : pendingRecords) {
-            ActiveBatch batch = activeBatches.get(answer.batch());
+        for (Store.AnsweredLine answer : pendingRecords) {
+            ActiveBatch batch = activeBatches.get(answer.batchId());
             if (flushedBatches.add(batch)) {
                 forms.add(batch.form.build());
             }
--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import larchridge.ledger.form.UsageRecord;
-import larchridge.ledger.form.UsageTotalRecord;
+import larchridge.ledger.proto.UsageRecord;
+import larchridge.ledger.proto.UsageTotalRecord;
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 import org.rocksdb.ColumnFamilyHandle;
 import org.rocksdb.RocksDBException;
@@ -182,7 +182,7 @@
         }
     }
 
-    private LedgerDatabase openDatabase() throws RocksDBException {
+    private LedgerDatabase requireDatabase() throws RocksDBException {
         if (database == null) {
             throw new RocksDBException("the ledger's database is closed after a failure");
         }
@@ -231,7 +231,7 @@
                         entry.getKey().getBytes(StandardCharsets.UTF_8),
                         entry.getValue().toBytes());
             }
-            database.database().write(syncedWrite, writeBatch);
+            database.rocksDb().write(syncedWrite, writeBatch);
             if (writeFailing) {
                 writeFailing = false;
                 LOG.info("the ledger is writable again");
@@ -250,18 +250,20 @@
 
     private Usage readUsage(String id) throws RocksDBException, InvalidProtocolBufferException {
         byte[] bytes =
-                openDatabase()
-                        .database()
-                        .get(openDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
+                requireDatabase()
+                        .rocksDb()
+                        .get(requireDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
         return bytes == null ? null : Usage.fromProto(id, UsageRecord.parseFrom(bytes));
     }
 
     private UsageTotal readTotal(String key)
             throws RocksDBException, InvalidProtocolBufferException {
         byte[] bytes =
-                openDatabase()
-                        .database()
-                        .get(openDatabase().totalsFamily(), key.getBytes(StandardCharsets.UTF_8));
+                requireDatabase()
+                        .rocksDb()
+                        .get(
+                                requireDatabase().totalsFamily(),
+                                key.getBytes(StandardCharsets.UTF_8));
         return bytes == null
                 ? UsageTotal.ZERO
                 : UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
@@ -358,7 +360,7 @@
             BiConsumer<String, byte[]> consumer) {
         synchronized (databaseLock) {
             try (RocksIterator iterator =
-                    openDatabase().database().newIterator(family.apply(openDatabase()))) {
+                    requireDatabase().rocksDb().newIterator(family.apply(requireDatabase()))) {
                 for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
                     consumer.accept(
                             new String(iterator.key(), StandardCharsets.UTF_8), iterator.value());
@@ -390,7 +392,7 @@
     public void compact() throws LedgerException {
         try {
             synchronized (databaseLock) {
-                openDatabase().compact();
+                requireDatabase().compact();
             }
         } catch (RocksDBException e) {
             throw new LedgerException("the ledger can't be compacted: " + e.getMessage(), e);
--- a/src/main/java/larchridge/ledger/LedgerDatabase.java
+++ b/src/main/java/larchridge/ledger/LedgerDatabase.java
@@ -26,7 +26,7 @@
     private final DBOptions options;
     private final ColumnFamilyOptions familyOptions = new ColumnFamilyOptions();
     private final List<ColumnFamilyHandle> families = new ArrayList<>();
-    private final RocksDB database;
+    private final RocksDB rocksDb;
 
     private LedgerDatabase(Path folder, boolean writable) throws RocksDBException {
         options =
@@ -41,7 +41,7 @@
                         new ColumnFamilyDescriptor(RocksDB.DEFAULT_COLUMN_FAMILY, familyOptions),
                         new ColumnFamilyDescriptor(USAGES, familyOptions),
                         new ColumnFamilyDescriptor(TOTALS, familyOptions));
-        database =
+        rocksDb =
                 writable
                         ? RocksDB.open(options, folder.toString(), descriptors, families)
                         : RocksDB.openReadOnly(options, folder.toString(), descriptors, families);
@@ -51,8 +51,8 @@
         return new LedgerDatabase(folder, writable);
     }
 
-    RocksDB database() {
-        return database;
+    RocksDB rocksDb() {
+        return rocksDb;
     }
 
     ColumnFamilyHandle usagesFamily() {
@@ -65,14 +65,14 @@
 
     void compact() throws RocksDBException {
         for (ColumnFamilyHandle family : families) {
-            database.compactRange(family);
+            rocksDb.compactRange(family);
         }
     }
 
     @Override
     public void close() {
         families.forEach(ColumnFamilyHandle::close);
-        database.close();
+        rocksDb.close();
         options.close();
         familyOptions.close();
     }
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.time.YearMonth;
 import java.time.ZoneOffset;
-import larchridge.ledger.form.UsageRecord;
+import larchridge.ledger.proto.UsageRecord;
 
 /**
  * The usage record of one generation.
--- a/src/main/java/larchridge/ledger/UsageTotal.java
+++ b/src/main/java/larchridge/ledger/UsageTotal.java
@@ -1,6 +1,6 @@
 package larchridge.ledger;
 
-import larchridge.ledger.form.UsageTotalRecord;
+import larchridge.ledger.proto.UsageTotalRecord;
 
 /** The sum of several usage records. */
 public record UsageTotal(
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -19,11 +19,11 @@
 import java.util.UUID;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.BatchState;
-import larchridge.store.form.FileRecord;
-import larchridge.store.form.LineAnswer;
-import larchridge.store.form.LineAttempts;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.BatchState;
+import larchridge.store.proto.FileRecord;
+import larchridge.store.proto.LineAnswer;
+import larchridge.store.proto.LineAttempts;
 import org.rocksdb.Checkpoint;
 import org.rocksdb.ColumnFamilyDescriptor;
 import org.rocksdb.ColumnFamilyHandle;
@@ -63,7 +63,7 @@
     private final RocksDB db;
     private final boolean writable;
     private long epoch;
-    private long lastNumber;
+    private long lastSequenceNumber;
 
     /** The number of bytes and the number of files stored, by tenant. */
     private final Map<String, long[]> tenantUsage = new HashMap<>();
@@ -187,7 +187,8 @@
         }
         try (RocksIterator iterator = db.newIterator(handle(Family.ORDER))) {
             for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
-                lastNumber = Math.max(lastNumber, Long.MAX_VALUE - trailingLong(iterator.key()));
+                lastSequenceNumber =
+                        Math.max(lastSequenceNumber, Long.MAX_VALUE - trailingLong(iterator.key()));
             }
         }
         forEachFile((id, file) -> addToTenantUsage(file, 1));
@@ -274,7 +275,7 @@
             Files.move(incoming.path, target, StandardCopyOption.ATOMIC_MOVE);
         }
         syncDirectory(target.getParent());
-        long number = ++lastNumber;
+        long number = ++lastSequenceNumber;
         FileRecord file =
                 FileRecord.newBuilder()
                         .setId("file-" + Long.toString(epoch, 36) + "-" + Long.toString(number, 36))
@@ -358,7 +359,7 @@
 
     /** Creates a batch in state VALIDATING; synced. */
     public BatchRecord createBatch(BatchRecord.Builder builder) throws IOException {
-        long number = ++lastNumber;
+        long number = ++lastSequenceNumber;
         BatchRecord batch =
                 builder.setNumber(number)
                         .setState(BatchState.VALIDATING)
@@ -471,15 +472,15 @@
      * Records the custom id of a line during validation. Returns the number of an earlier line with
      * the same custom id, or -1. Not durable: a crash may lose it.
      */
-    public long recordCustomId(String batch, String customId, long line) throws IOException {
-        byte[] key = Arrays.copyOf(key(batch + '\0'), batch.length() + 17);
-        System.arraycopy(sha256(customId), 0, key, batch.length() + 1, 16);
+    public long recordCustomId(String batchId, String customId, long lineIndex) throws IOException {
+        byte[] key = Arrays.copyOf(key(batchId + '\0'), batchId.length() + 17);
+        System.arraycopy(sha256(customId), 0, key, batchId.length() + 1, 16);
         byte[] previous = get(Family.NAMES, key);
         if (previous != null) {
             return decodeLong(previous);
         }
         try (WriteOptions withoutLog = new WriteOptions().setDisableWAL(true)) {
-            db.put(handle(Family.NAMES), withoutLog, key, encodeLong(line));
+            db.put(handle(Family.NAMES), withoutLog, key, encodeLong(lineIndex));
             return -1;
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
@@ -487,10 +488,10 @@
     }
 
     /** Deletes the custom ids recorded for a batch. */
-    public void forgetCustomIds(String batch) throws IOException {
+    public void forgetCustomIds(String batchId) throws IOException {
         commit(
                 "forget custom ids",
-                new Change().deleteRange(Family.NAMES, lineKey(batch, 0), lineKey(batch, -1)));
+                new Change().deleteRange(Family.NAMES, lineKey(batchId, 0), lineKey(batchId, -1)));
     }
 
     /**
@@ -498,14 +499,14 @@
      *
      * @param sync whether to sync first, required if a line that may have run must not be repeated
      */
-    public void recordAttempts(String batch, long line, int attempts, boolean sync)
+    public void recordAttempts(String batchId, long lineIndex, int attempts, boolean sync)
             throws IOException {
         crashPoints.reached("record attempts");
         try (WriteOptions writeOptions = new WriteOptions().setSync(sync)) {
             db.put(
                     handle(Family.FLIGHTS),
                     writeOptions,
-                    lineKey(batch, line),
+                    lineKey(batchId, lineIndex),
                     LineAttempts.newBuilder().setAttempts(attempts).build().toByteArray());
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
@@ -517,48 +518,49 @@
      *
      * @param attempts the attempts that remain counted
      */
-    public void recordNotRun(String batch, long line, int attempts) throws IOException {
+    public void removeLastAttempt(String batchId, long lineIndex, int attempts) throws IOException {
         if (attempts > 0) {
-            recordAttempts(batch, line, attempts, false);
+            recordAttempts(batchId, lineIndex, attempts, false);
             return;
         }
         crashPoints.reached("record not run");
         try {
-            db.delete(handle(Family.FLIGHTS), lineKey(batch, line));
+            db.delete(handle(Family.FLIGHTS), lineKey(batchId, lineIndex));
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
         }
     }
 
     /** The recorded attempts of a line. */
-    public int attempts(String batch, long line) throws IOException {
-        byte[] bytes = get(Family.FLIGHTS, lineKey(batch, line));
+    public int attempts(String batchId, long lineIndex) throws IOException {
+        byte[] bytes = get(Family.FLIGHTS, lineKey(batchId, lineIndex));
         return bytes == null ? 0 : LineAttempts.parseFrom(bytes).getAttempts();
     }
 
     /** Whether a line has an answer. */
-    public boolean isAnswered(String batch, long line) throws IOException {
-        return get(Family.ANSWERS, lineKey(batch, line)) != null;
+    public boolean isAnswered(String batchId, long lineIndex) throws IOException {
+        return get(Family.ANSWERS, lineKey(batchId, lineIndex)) != null;
     }
 
     /** The answer to a line, or null if there is none. */
-    public LineAnswer answer(String batch, long line) throws IOException {
-        byte[] bytes = get(Family.ANSWERS, lineKey(batch, line));
+    public LineAnswer answer(String batchId, long lineIndex) throws IOException {
+        byte[] bytes = get(Family.ANSWERS, lineKey(batchId, lineIndex));
         return bytes == null ? null : LineAnswer.parseFrom(bytes);
     }
 
     /** The answer to one line of a batch, for {@link #recordAnswers}. */
-    public record Answer(String batch, long line, LineAnswer answer) {}
+    public record AnsweredLine(String batchId, long lineIndex, LineAnswer answer) {}
 
     /** Stores answers and the updated records of their batches in one synced change. */
-    public void recordAnswers(List<Answer> answers, List<BatchRecord> batches) throws IOException {
+    public void recordAnswers(List<AnsweredLine> lines, List<BatchRecord> batches)
+            throws IOException {
         Change change = new Change();
-        for (Answer answer : answers) {
+        for (AnsweredLine line : lines) {
             change.put(
                     Family.ANSWERS,
-                    lineKey(answer.batch(), answer.line()),
-                    answer.answer().toByteArray());
-            change.delete(Family.FLIGHTS, lineKey(answer.batch(), answer.line()));
+                    lineKey(line.batchId(), line.lineIndex()),
+                    line.answer().toByteArray());
+            change.delete(Family.FLIGHTS, lineKey(line.batchId(), line.lineIndex()));
         }
         for (BatchRecord batch : batches) {
             change.put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
@@ -649,22 +651,22 @@
                 });
     }
 
-    boolean isActive(String batch) throws IOException {
-        return get(Family.ACTIVE, key(batch)) != null;
+    boolean isActive(String batchId) throws IOException {
+        return get(Family.ACTIVE, key(batchId)) != null;
     }
 
     /** Counts the answers of a batch: for the output file at index 0, for the error file at 1. */
-    long[] countAnswers(String batch) throws IOException {
+    long[] countAnswers(String batchId) throws IOException {
         long[] counts = new long[2];
         forEachEntry(
                 Family.ANSWERS,
-                key(batch + '\0'),
+                key(batchId + '\0'),
                 (key, value) -> {
                     try {
                         counts[LineAnswer.parseFrom(value).getGood() ? 0 : 1]++;
                     } catch (InvalidProtocolBufferException e) {
                         throw new IllegalStateException(
-                                "a line answer of " + batch + " can't be parsed", e);
+                                "a line answer of " + batchId + " can't be parsed", e);
                     }
                 });
         return counts;
@@ -717,18 +719,18 @@
 
     /** A set of updates that is written atomically. */
     private final class Change {
-        private final WriteBatch batch = new WriteBatch();
+        private final WriteBatch writeBatch = new WriteBatch();
 
         Change put(Family family, byte[] key, byte[] value) {
-            return apply(() -> batch.put(handle(family), key, value));
+            return apply(() -> writeBatch.put(handle(family), key, value));
         }
 
         Change delete(Family family, byte[] key) {
-            return apply(() -> batch.delete(handle(family), key));
+            return apply(() -> writeBatch.delete(handle(family), key));
         }
 
         Change deleteRange(Family family, byte[] from, byte[] to) {
-            return apply(() -> batch.deleteRange(handle(family), from, to));
+            return apply(() -> writeBatch.deleteRange(handle(family), from, to));
         }
 
         /** Adds {@code delta} to the number of files that refer to a blob. */
@@ -745,7 +747,7 @@
 
         private final Map<String, Long> referenceDeltas = new HashMap<>();
 
-        private Change apply(BatchOperation operation) {
+        private Change apply(WriteBatchOperation operation) {
             try {
                 operation.run();
                 return this;
@@ -755,7 +757,7 @@
         }
     }
 
-    private interface BatchOperation {
+    private interface WriteBatchOperation {
         void run() throws RocksDBException;
     }
 
@@ -763,10 +765,10 @@
         if (!writable) {
             throw new IllegalStateException("the store is open for reading only");
         }
-        try (WriteBatch batch = change.batch;
+        try (WriteBatch writeBatch = change.writeBatch;
                 WriteOptions syncedWrite = new WriteOptions().setSync(true)) {
             crashPoints.reached(crashPoint);
-            db.write(syncedWrite, batch);
+            db.write(syncedWrite, writeBatch);
             crashPoints.reached("after: " + crashPoint);
         } catch (RocksDBException e) {
             throw new StoreException("the store can't be written: " + e.getMessage(), e);
@@ -823,9 +825,9 @@
     }
 
     /** The key of a line; line -1 sorts after all lines of the batch. Ids contain no NUL. */
-    private static byte[] lineKey(String batch, long line) {
-        byte[] id = key(batch);
-        return ByteBuffer.allocate(id.length + 9).put(id).put((byte) 0).putLong(line).array();
+    private static byte[] lineKey(String batchId, long lineIndex) {
+        byte[] id = key(batchId);
+        return ByteBuffer.allocate(id.length + 9).put(id).put((byte) 0).putLong(lineIndex).array();
     }
 
     /**
--- a/src/main/java/larchridge/store/StoreVerifier.java
+++ b/src/main/java/larchridge/store/StoreVerifier.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.BatchState;
-import larchridge.store.form.FileRecord;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.BatchState;
+import larchridge.store.proto.FileRecord;
 
 /**
  * Checks a whole store for consistency: blobs against their digests and sizes, reference counts
@@ -113,17 +113,18 @@
                             + (ended ? "" : "not ")
                             + "listed as active");
         }
-        long[] answers = store.countAnswers(id);
-        if (ended && answers[0] + answers[1] > 0) {
+        long[] answerCounts = store.countAnswers(id);
+        if (ended && answerCounts[0] + answerCounts[1] > 0) {
             faults.add(id + ": has ended but still has line answers");
         }
-        if (!ended && (answers[0] != batch.getDone() || answers[1] != batch.getFailed())) {
+        if (!ended
+                && (answerCounts[0] != batch.getDone() || answerCounts[1] != batch.getFailed())) {
             faults.add(
                     id
                             + ": has "
-                            + answers[0]
+                            + answerCounts[0]
                             + " and "
-                            + answers[1]
+                            + answerCounts[1]
                             + " line answers (good, failed), but its record says "
                             + batch.getDone()
                             + " and "
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -11,9 +11,9 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.BatchState;
-import larchridge.store.form.LineAnswer;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.BatchState;
+import larchridge.store.proto.LineAnswer;
 
 /**
  * What records of lines cost a store: to write, on disk, and when it is opened after an end that
@@ -45,11 +45,11 @@
             batch = batch.toBuilder().setState(BatchState.IN_PROGRESS).build();
             long start = System.nanoTime();
             for (int from = 0; from < lines; from += GROUP) {
-                List<Store.Answer> group = new ArrayList<>();
+                List<Store.AnsweredLine> group = new ArrayList<>();
                 for (int i = from; i < Math.min(lines, from + GROUP); i++) {
                     store.recordAttempts(batch.getId(), i, 1, false);
                     group.add(
-                            new Store.Answer(
+                            new Store.AnsweredLine(
                                     batch.getId(),
                                     i,
                                     LineAnswer.newBuilder().setGood(true).setText(ANSWER).build()));
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -28,8 +28,8 @@
 import larchridge.store.CrashPoints;
 import larchridge.store.IncomingFile;
 import larchridge.store.Store;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.FileRecord;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.FileRecord;
 import larchridge.tokens.TokenCounters;
 import larchridge.upstream.AnswerSummary;
 
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.BatchState;
-import larchridge.store.form.FileRecord;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.BatchState;
+import larchridge.store.proto.FileRecord;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/larchridge/store/StoreTest.java
+++ b/src/test/java/larchridge/store/StoreTest.java
@@ -18,10 +18,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.BatchState;
-import larchridge.store.form.FileRecord;
-import larchridge.store.form.LineAnswer;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.BatchState;
+import larchridge.store.proto.FileRecord;
+import larchridge.store.proto.LineAnswer;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
@@ -221,7 +221,7 @@
             store.recordAttempts(id, line, 1, random.nextBoolean());
             BatchRecord batch = store.batch(id);
             store.recordAnswers(
-                    List.of(new Store.Answer(id, line, answer)),
+                    List.of(new Store.AnsweredLine(id, line, answer)),
                     List.of(
                             isNew
                                     ? batch.toBuilder().setDone(batch.getDone() + 1).build()
