--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -24,13 +24,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Durable usage records in RocksDB: one per generation, keyed by bill id, and totals per month,
- * tenant and product. A batch of records and the totals that it changes are written atomically.
+ * Durable usage records in RocksDB: one per bill, keyed by bill id, and totals per month, tenant
+ * and product. A batch of records and the totals that it changes are written atomically.
  *
  * <p>Event loops queue records without blocking; a single thread writes them in order, with one
  * disk sync per batch. The next opening drops an incomplete tail of the write-ahead log, which was
- * never acknowledged. While the disk is slow or full, up to {@code maxQueuedRecords} records wait
- * in memory; beyond that {@link #offer} returns false and routers admit no more requests.
+ * never acknowledged. While the disk is slow or full, records wait in memory: once three quarters
+ * of {@code maxQueuedRecords} are queued ({@link #isBacklogged}), routers admit no more requests;
+ * once the queue is full, {@link #offer} returns false.
  */
 public final class Ledger implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
--- a/src/main/java/larchridge/ledger/Usage.java
+++ b/src/main/java/larchridge/ledger/Usage.java
@@ -6,13 +6,14 @@
 import larchridge.ledger.proto.UsageRecord;
 
 /**
- * The usage record of one generation.
+ * The usage record of one generation, or of several that share a bill.
  *
- * @param billId identifies the bill, one per generation: the client's idempotency key, or the
- *     generation's own id
+ * @param billId the id of the bill: {@code "key "} and the idempotency key, or without a key {@code
+ *     "gen "} and the id of the generation, or of the first of identical ones in flight
  * @param endedAtMs when the generation ended, in milliseconds of Unix time
- * @param outcome the recorded name of the final response, or {@code waste} for a record that only
- *     adds waste to a bill
+ * @param outcome how the generation ended, by the {@code recordedName} of the router's {@code
+ *     FinalResponse}: streamed, throttled, terminated or gone; {@code waste} for a later record
+ *     that only adds unbilled tokens
  * @param promptTokens billed prompt tokens, including the cached ones
  * @param cachedTokens prompt tokens that were cached
  * @param outputTokens response tokens written to the client's socket
@@ -36,8 +37,10 @@
     }
 
     /**
-     * Merges two records of the same bill. A client that retries with its idempotency key pays
-     * once, for the longer response that it received; the tokens of the other one are waste.
+     * Merges two records of the same bill: the second is of a retry with the same idempotency key,
+     * of an identical concurrent request, or of waste recorded later. The client pays once, for the
+     * response with more output tokens, in the month of the earlier record; the tokens of the other
+     * one are waste.
      */
     static Usage merge(Usage earlier, Usage later) {
         boolean laterIsLonger = later.outputTokens > earlier.outputTokens;
--- a/src/main/java/larchridge/store/IncomingFile.java
+++ b/src/main/java/larchridge/store/IncomingFile.java
@@ -13,8 +13,9 @@
 import java.util.HexFormat;
 
 /**
- * An upload that is not yet a file of the store. Its content is written to a temporary file and
- * digested as it arrives, and must be synced before {@link Store#addFile}.
+ * Content that is not yet a file of the store: an upload, or the output or error file of a batch.
+ * It is written to a temporary file and digested as it arrives, and must be synced before it is
+ * passed to {@link Store#addFile} or {@link Store#finishBatch}.
  */
 public final class IncomingFile implements AutoCloseable {
     final Path path;
--- a/src/main/java/larchridge/store/Store.java
+++ b/src/main/java/larchridge/store/Store.java
@@ -39,8 +39,9 @@
 /**
  * Durable, crash-safe storage of files and batches. File contents are immutable blobs in the folder
  * {@code blobs}, named by their SHA-256; everything else is in one RocksDB, so that related changes
- * are written atomically. Records that are acknowledged to a client are synced first. An operation
- * that a crash interrupts is either absent at the next opening or can be repeated.
+ * are written atomically. Records that are acknowledged to a client are synced first. After a
+ * crash, an interrupted operation is either complete or absent, and an absent one can be repeated;
+ * files that it left behind are deleted at the next opening.
  *
  * <p>One process owns a store through the operating system's lock on its database, which is
  * released when the process ends. Each owner has a higher epoch than the one before. All writes,
@@ -85,9 +86,9 @@
         ACTIVE,
         /** Answers to lines of active batches, by batch and line. */
         ANSWERS,
-        /** Attempts of unanswered lines that were sent and may have run, by batch and line. */
+        /** Counted attempts of unanswered lines, which may have run, by batch and line. */
         FLIGHTS,
-        /** Line numbers by batch and digest of the custom id, while the input is validated. */
+        /** Line indexes by batch and digest of the custom id, while the input is validated. */
         NAMES,
         /** The number of files that refer to a blob, by its digest. */
         BLOBS
@@ -180,7 +181,7 @@
     private void becomeOwner() throws IOException {
         epoch = decodeLong(get(Family.META, EPOCH)) + 1;
         try (Stream<Path> unfinished = Files.list(incomingFolder)) {
-            // Uploads that the previous owner did not complete were never acknowledged.
+            // Incoming files that the previous owner left behind were never acknowledged.
             for (Path path : unfinished.toList()) {
                 Files.delete(path);
             }
@@ -227,7 +228,10 @@
 
     // ------------------------------------------------------------------ files
 
-    /** Creates an empty file to receive an upload; may be called on any thread. */
+    /**
+     * Creates an empty file to receive an upload or the results of a batch; may be called on any
+     * thread.
+     */
     public IncomingFile createIncomingFile() throws IOException {
         return new IncomingFile(incomingFolder.resolve(UUID.randomUUID() + ".in"), crashPoints);
     }
@@ -338,7 +342,8 @@
      * Lists ids of a tenant's files or batches, newest first.
      *
      * @param kind {@code 'f'} for files, {@code 'b'} for batches
-     * @param afterNumber the number of the last item of the previous page, or -1 for the first page
+     * @param afterNumber the sequence number of the last item of the previous page, or -1 for the
+     *     first page
      * @param limit the most ids to return
      */
     public List<String> listIds(String tenant, char kind, long afterNumber, int limit)
@@ -400,7 +405,11 @@
         return batches;
     }
 
-    /** Replaces the record of a batch; synced. A batch in state FAILED has ended. */
+    /**
+     * Replaces the record of a batch; synced. State FAILED ends the batch: what is stored only
+     * while it is active is deleted, and its input is no longer in use. The other final states are
+     * set by {@link #finishBatch}.
+     */
     public void updateBatch(BatchRecord batch) throws IOException {
         Change change = new Change().put(Family.BATCHES, key(batch.getId()), batch.toByteArray());
         if (batch.getState() == BatchState.FAILED) {
@@ -469,8 +478,8 @@
     // ------------------------------------------------------------------ lines
 
     /**
-     * Records the custom id of a line during validation. Returns the number of an earlier line with
-     * the same custom id, or -1. Not durable: a crash may lose it.
+     * Records the custom id of a line during validation. Returns the index, from 0, of an earlier
+     * line with the same custom id, or -1. Not durable: a crash may lose it.
      */
     public long recordCustomId(String batchId, String customId, long lineIndex) throws IOException {
         byte[] key = Arrays.copyOf(key(batchId + '\0'), batchId.length() + 17);
@@ -514,7 +523,8 @@
     }
 
     /**
-     * Records that the last attempt of a line certainly did not run, or is harmless to repeat.
+     * Takes the last attempt of a line off its recorded attempts, because it certainly did not run
+     * or is harmless to repeat.
      *
      * @param attempts the attempts that remain counted
      */
@@ -531,7 +541,7 @@
         }
     }
 
-    /** The recorded attempts of a line. */
+    /** The number of recorded attempts of a line. */
     public int attempts(String batchId, long lineIndex) throws IOException {
         byte[] bytes = get(Family.FLIGHTS, lineKey(batchId, lineIndex));
         return bytes == null ? 0 : LineAttempts.parseFrom(bytes).getAttempts();
@@ -548,7 +558,7 @@
         return bytes == null ? null : LineAnswer.parseFrom(bytes);
     }
 
-    /** The answer to one line of a batch, for {@link #recordAnswers}. */
+    /** A line of a batch, by its index from 0, and its answer; for {@link #recordAnswers}. */
     public record AnsweredLine(String batchId, long lineIndex, LineAnswer answer) {}
 
     /** Stores answers and the updated records of their batches in one synced change. */
@@ -824,7 +834,11 @@
         return new String(key, StandardCharsets.UTF_8);
     }
 
-    /** The key of a line; line -1 sorts after all lines of the batch. Ids contain no NUL. */
+    /**
+     * The key of a line: the batch id, NUL and the line's index; -1 sorts after all lines of the
+     * batch. Ids contain no NUL. Indexes 0 and -1 also bound the keys of the batch in NAMES, which
+     * have a digest in place of the index.
+     */
     private static byte[] lineKey(String batchId, long lineIndex) {
         byte[] id = key(batchId);
         return ByteBuffer.allocate(id.length + 9).put(id).put((byte) 0).putLong(lineIndex).array();
--- a/src/main/java/larchridge/store/StoreVerifier.java
+++ b/src/main/java/larchridge/store/StoreVerifier.java
@@ -47,10 +47,11 @@
         }
         if (!store.referenceCounts().equals(referenceCounts)) {
             faults.add(
-                    "the stored reference counts, of "
+                    "the stored reference counts ("
                             + store.referenceCounts().size()
-                            + " blobs, differ from those of the files, of "
-                            + referenceCounts.size());
+                            + " blobs) differ from those counted from the file records ("
+                            + referenceCounts.size()
+                            + " blobs)");
         }
         for (Path path : unreferencedBlobs()) {
             faults.add(path.getFileName() + ": blob is not referenced by any file");
@@ -123,12 +124,13 @@
                     id
                             + ": has "
                             + answerCounts[0]
-                            + " and "
+                            + " good and "
                             + answerCounts[1]
-                            + " line answers (good, failed), but its record says "
+                            + " failed line answers, but its record says "
                             + batch.getDone()
-                            + " and "
-                            + batch.getFailed());
+                            + " done and "
+                            + batch.getFailed()
+                            + " failed");
         }
         if (!ended && !files.containsKey(batch.getInput())) {
             faults.add(id + ": its input file " + batch.getInput() + " is missing");
@@ -159,6 +161,7 @@
     }
 
     List<String> repair() throws IOException {
+        // Fills referenceCounts; the faults that it returns are not needed.
         findFaults();
         List<String> actions = new ArrayList<>();
         for (Path path : unreferencedBlobs()) {
