--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import larchridge.ledger.form.UsageRecord;
-import larchridge.ledger.form.UsageTotalRecord;
+import larchridge.ledger.proto.UsageRecord;
+import larchridge.ledger.proto.UsageTotalRecord;
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 import org.rocksdb.ColumnFamilyHandle;
 import org.rocksdb.RocksDBException;
@@ -24,13 +24,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Durable usage records in RocksDB: one per generation, keyed by bill id, and totals per month,
- * tenant and product. A batch of records and the totals that it changes are written atomically.
+ * Durable usage records in RocksDB: one per bill, keyed by bill id, and totals per month, tenant
+ * and product. A batch of records and the totals that it changes are written atomically.
  *
  * <p>Event loops queue records without blocking; a single thread writes them in order, with one
  * disk sync per batch. The next opening drops an incomplete tail of the write-ahead log, which was
- * never acknowledged. While the disk is slow or full, up to {@code maxQueuedRecords} records wait
- * in memory; beyond that {@link #offer} returns false and routers admit no more requests.
+ * never acknowledged. While the disk is slow or full, records wait in memory: once three quarters
+ * of {@code maxQueuedRecords} are queued ({@link #isBacklogged}), routers admit no more requests;
+ * once the queue is full, {@link #offer} returns false.
  */
 public final class Ledger implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
@@ -182,7 +183,7 @@
         }
     }
 
-    private LedgerDatabase openDatabase() throws RocksDBException {
+    private LedgerDatabase requireDatabase() throws RocksDBException {
         if (database == null) {
             throw new RocksDBException("the ledger's database is closed after a failure");
         }
@@ -231,7 +232,7 @@
                         entry.getKey().getBytes(StandardCharsets.UTF_8),
                         entry.getValue().toBytes());
             }
-            database.database().write(syncedWrite, writeBatch);
+            database.rocksDb().write(syncedWrite, writeBatch);
             if (writeFailing) {
                 writeFailing = false;
                 LOG.info("the ledger is writable again");
@@ -250,18 +251,20 @@
 
     private Usage readUsage(String id) throws RocksDBException, InvalidProtocolBufferException {
         byte[] bytes =
-                openDatabase()
-                        .database()
-                        .get(openDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
+                requireDatabase()
+                        .rocksDb()
+                        .get(requireDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
         return bytes == null ? null : Usage.fromProto(id, UsageRecord.parseFrom(bytes));
     }
 
     private UsageTotal readTotal(String key)
             throws RocksDBException, InvalidProtocolBufferException {
         byte[] bytes =
-                openDatabase()
-                        .database()
-                        .get(openDatabase().totalsFamily(), key.getBytes(StandardCharsets.UTF_8));
+                requireDatabase()
+                        .rocksDb()
+                        .get(
+                                requireDatabase().totalsFamily(),
+                                key.getBytes(StandardCharsets.UTF_8));
         return bytes == null
                 ? UsageTotal.ZERO
                 : UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
@@ -358,7 +361,7 @@
             BiConsumer<String, byte[]> consumer) {
         synchronized (databaseLock) {
             try (RocksIterator iterator =
-                    openDatabase().database().newIterator(family.apply(openDatabase()))) {
+                    requireDatabase().rocksDb().newIterator(family.apply(requireDatabase()))) {
                 for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
                     consumer.accept(
                             new String(iterator.key(), StandardCharsets.UTF_8), iterator.value());
@@ -390,7 +393,7 @@
     public void compact() throws LedgerException {
         try {
             synchronized (databaseLock) {
-                openDatabase().compact();
+                requireDatabase().compact();
             }
         } catch (RocksDBException e) {
             throw new LedgerException("the ledger can't be compacted: " + e.getMessage(), e);
--- a/src/main/java/larchridge/store/StoreVerifier.java
+++ b/src/main/java/larchridge/store/StoreVerifier.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import larchridge.store.form.BatchRecord;
-import larchridge.store.form.BatchState;
-import larchridge.store.form.FileRecord;
+import larchridge.store.proto.BatchRecord;
+import larchridge.store.proto.BatchState;
+import larchridge.store.proto.FileRecord;
 
 /**
  * Checks a whole store for consistency: blobs against their digests and sizes, reference counts
@@ -47,10 +47,11 @@
         }
         if (!store.referenceCounts().equals(referenceCounts)) {
             faults.add(
-                    "the stored reference counts, of "
+                    "the stored reference counts ("
                             + store.referenceCounts().size()
-                            + " blobs, differ from those of the files, of "
-                            + referenceCounts.size());
+                            + " blobs) differ from those counted from the file records ("
+                            + referenceCounts.size()
+                            + " blobs)");
         }
         for (Path path : unreferencedBlobs()) {
             faults.add(path.getFileName() + ": blob is not referenced by any file");
@@ -113,21 +114,23 @@
                             + (ended ? "" : "not ")
                             + "listed as active");
         }
-        long[] answers = store.countAnswers(id);
-        if (ended && answers[0] + answers[1] > 0) {
+        long[] answerCounts = store.countAnswers(id);
+        if (ended && answerCounts[0] + answerCounts[1] > 0) {
             faults.add(id + ": has ended but still has line answers");
         }
-        if (!ended && (answers[0] != batch.getDone() || answers[1] != batch.getFailed())) {
+        if (!ended
+                && (answerCounts[0] != batch.getDone() || answerCounts[1] != batch.getFailed())) {
             faults.add(
                     id
                             + ": has "
-                            + answers[0]
-                            + " and "
-                            + answers[1]
-                            + " line answers (good, failed), but its record says "
+                            + answerCounts[0]
+                            + " good and "
+                            + answerCounts[1]
+                            + " failed line answers, but its record says "
                             + batch.getDone()
-                            + " and "
-                            + batch.getFailed());
+                            + " done and "
+                            + batch.getFailed()
+                            + " failed");
         }
         if (!ended && !files.containsKey(batch.getInput())) {
             faults.add(id + ": its input file " + batch.getInput() + " is missing");
@@ -158,6 +161,7 @@
     }
 
     List<String> repair() throws IOException {
+        // Fills referenceCounts; the faults that it returns are not needed.
         findFaults();
         List<String> actions = new ArrayList<>();
         for (Path path : unreferencedBlobs()) {
