--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -19,7 +19,7 @@
 import larchridge.site.Site;
 import larchridge.store.CrashPoints;
 import larchridge.store.Store;
-import larchridge.tokens.TokenCounters;
+import larchridge.tokens.CountingResources;
 import org.eclipse.jetty.server.HttpConfiguration;
 import org.eclipse.jetty.server.HttpConnectionFactory;
 import org.eclipse.jetty.server.NetworkConnectionLimit;
@@ -44,7 +44,7 @@
     private final Site site;
     private final BatchSettings settings;
     private final List<Router> routers;
-    private final TokenCounters tokenCounters;
+    private final CountingResources tokenCounters;
     private final CrashPoints crashPoints;
     private final ThreadEventLoop loop = new ThreadEventLoop();
     private final Server server;
@@ -55,7 +55,7 @@
     private boolean stopping;
 
     private BatchService(
-            Site site, List<Router> routers, TokenCounters tokenCounters, CrashPoints crashPoints) {
+            Site site, List<Router> routers, CountingResources tokenCounters, CrashPoints crashPoints) {
         this.site = site;
         this.routers = routers;
         this.tokenCounters = tokenCounters;
@@ -85,7 +85,7 @@
     public static BatchService start(
             Site site,
             List<Router> routers,
-            TokenCounters tokenCounters,
+            CountingResources tokenCounters,
             MeterRegistry registry,
             CrashPoints crashPoints)
             throws IOException {
--- a/src/main/java/larchridge/benchlink/BenchActions.java
+++ b/src/main/java/larchridge/benchlink/BenchActions.java
@@ -86,10 +86,10 @@
     }
 
     /** Reports an exception of the policy, so that the bench ends the run and shows the cause. */
-    void reportFailure(RuntimeException failure) {
-        StackTraceElement[] trace = failure.getStackTrace();
+    void reportException(RuntimeException exception) {
+        StackTraceElement[] trace = exception.getStackTrace();
         String location = trace.length > 0 ? " at " + trace[0] : "";
-        line("BROKEN").text(" message=").text(toSingleLine(failure + location)).end();
+        line("BROKEN").text(" message=").text(toSingleLine(exception + location)).end();
     }
 
     private ReplyWriter line(String name) {
--- a/src/main/java/larchridge/benchlink/BenchProtocol.java
+++ b/src/main/java/larchridge/benchlink/BenchProtocol.java
@@ -13,14 +13,14 @@
 public final class BenchProtocol {
     private static final double MS_PER_SECOND = 1000;
 
-    private final MessageReader message;
+    private final MessageReader messageReader;
     private final OutputStream out;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Long, BenchRouter> routers = new HashMap<>();
 
     /** Serves the protocol over two streams; closes neither. */
     public BenchProtocol(InputStream in, OutputStream out) {
-        this.message = new MessageReader(in);
+        this.messageReader = new MessageReader(in);
         this.out = out;
     }
 
@@ -30,14 +30,14 @@
      * @throws InvalidMessageException if a message violates the protocol
      */
     public void run() throws IOException, InvalidMessageException {
-        while (message.advance()) {
-            if (message.isEmpty()) {
+        while (messageReader.advance()) {
+            if (messageReader.isEmpty()) {
                 continue;
             }
-            if (!message.is("SYNC")) {
-                throw message.invalid("a batch begins with SYNC");
+            if (!messageReader.is("SYNC")) {
+                throw messageReader.invalid("a batch begins with SYNC");
             }
-            readBatch(message.decimal("at_time_s") * MS_PER_SECOND);
+            readBatch(messageReader.decimal("at_time_s") * MS_PER_SECOND);
             reply.finish();
             reply.writeTo(out);
             out.flush();
@@ -47,22 +47,22 @@
     private void readBatch(double nowMs) throws IOException, InvalidMessageException {
         BenchRouter router = null;
         while (true) {
-            if (!message.advance()) {
+            if (!messageReader.advance()) {
                 throw new InvalidMessageException(
-                        message.lineNumber() + 1, "the input ends inside a batch; expected FLUSH");
+                        messageReader.lineNumber() + 1, "the input ends inside a batch; expected FLUSH");
             }
-            if (message.is("FLUSH")) {
+            if (messageReader.is("FLUSH")) {
                 return;
             }
-            if (message.isEmpty()) {
+            if (messageReader.isEmpty()) {
                 continue;
             }
-            if (message.is("INSTANCE")) {
-                router = router(message.integer("who"));
+            if (messageReader.is("INSTANCE")) {
+                router = router(messageReader.integer("who"));
             } else if (router == null) {
-                throw message.invalid("no INSTANCE line before it; expected INSTANCE who=...");
+                throw messageReader.invalid("no INSTANCE line before it; expected INSTANCE who=...");
             } else {
-                router.handle(message, nowMs);
+                router.handle(messageReader, nowMs);
             }
         }
     }
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -47,8 +47,8 @@
 
     private final Map<String, Generation> generations = new HashMap<>();
     private final Map<Long, Engine> engines = new HashMap<>();
-    private final Map<String, CachedPrefix> sessions = new PrefixRegistry();
-    private final Map<String, CachedPrefix> prefixes = new PrefixRegistry();
+    private final Map<String, CachedPrefix> sessionPrefixes = new PrefixRegistry();
+    private final Map<String, CachedPrefix> sharedPrefixes = new PrefixRegistry();
 
     BenchRouter(long instance, ReplyWriter reply) {
         this.instance = instance;
@@ -56,47 +56,47 @@
     }
 
     /** Handles one message; the current time is that of its batch. */
-    void handle(MessageReader message, double batchMs) throws InvalidMessageException {
+    void handle(MessageReader messageReader, double batchMs) throws InvalidMessageException {
         nowMs = batchMs;
         actions.setNowMs(batchMs);
-        if (message.is("ENLIST")) {
+        if (messageReader.is("ENLIST")) {
             tearDown();
-            settings = readSettings(message);
+            settings = readSettings(messageReader);
             callPolicy(() -> policy = new RoutingPolicy(settings.routing(), actions));
             return;
         }
-        if (message.is("TEARDOWN")) {
+        if (messageReader.is("TEARDOWN")) {
             tearDown();
             return;
         }
         if (policy == null) {
-            throw message.invalid(
+            throw messageReader.invalid(
                     "instance " + instance + " is not started; expected ENLIST first");
         }
-        switch (message.name()) {
-            case "CALL" -> requestArrived(message);
-            case "REPLY" -> attemptReplied(message);
-            case "BEGUN" -> responseStarted(message);
+        switch (messageReader.name()) {
+            case "CALL" -> requestArrived(messageReader);
+            case "REPLY" -> attemptReplied(messageReader);
+            case "BEGUN" -> responseStarted(messageReader);
             case "ELAPSED" -> callPolicy(policy::wakeUp);
-            case "TIMED_OUT_CLIENT" -> clientDisconnected(message);
-            case "BACKENDS_CHANGED" -> endpointsChanged(message);
-            case "PROBED" -> loadProbed(message);
+            case "TIMED_OUT_CLIENT" -> clientDisconnected(messageReader);
+            case "BACKENDS_CHANGED" -> endpointsChanged(messageReader);
+            case "PROBED" -> loadProbed(messageReader);
             default -> {}
         }
     }
 
-    private static DeploymentSettings readSettings(MessageReader message)
+    private static DeploymentSettings readSettings(MessageReader messageReader)
             throws InvalidMessageException {
         try {
             return DeploymentSettingsReader.read(
-                    MAPPER.readTree(message.textToLineEnd("env")), message.integer("seed"));
+                    MAPPER.readTree(messageReader.textToLineEnd("env")), messageReader.integer("seed"));
         } catch (JsonProcessingException e) {
-            throw message.invalid(
+            throw messageReader.invalid(
                     "member env is not valid JSON; expected an object ("
                             + e.getOriginalMessage()
                             + ")");
         } catch (InvalidSettingsException e) {
-            throw message.invalid("member env: " + e.getMessage());
+            throw messageReader.invalid("member env: " + e.getMessage());
         }
     }
 
@@ -104,8 +104,8 @@
         policy = null;
         generations.clear();
         engines.clear();
-        sessions.clear();
-        prefixes.clear();
+        sessionPrefixes.clear();
+        sharedPrefixes.clear();
     }
 
     /** Calls the policy and reports its exceptions, so that the run ends and its cause is known. */
@@ -113,24 +113,24 @@
         try {
             policyCall.run();
         } catch (RuntimeException e) {
-            actions.reportFailure(e);
+            actions.reportException(e);
         }
     }
 
-    private void requestArrived(MessageReader message) throws InvalidMessageException {
-        String id = message.text("job");
-        TrafficClass trafficClass = settings.trafficClasses().get(message.text("service"));
+    private void requestArrived(MessageReader messageReader) throws InvalidMessageException {
+        String id = messageReader.text("job");
+        TrafficClass trafficClass = settings.trafficClasses().get(messageReader.text("service"));
         if (trafficClass == null) {
-            throw message.invalid(
+            throw messageReader.invalid(
                     "member service is '"
-                            + message.text("service")
+                            + messageReader.text("service")
                             + "'; expected a name in request_classes");
         }
-        TenantQuota tenantQuota = settings.tenants().get(message.textOr("tenant", ""));
-        CachedPrefix session = cachedPrefix(sessions, message.textOr("talk", null));
-        CachedPrefix prefix = cachedPrefix(prefixes, message.textOr("prefix", null));
+        TenantQuota tenantQuota = settings.tenants().get(messageReader.textOr("tenant", ""));
+        CachedPrefix sessionPrefix = cachedPrefix(sessionPrefixes, messageReader.textOr("talk", null));
+        CachedPrefix sharedPrefix = cachedPrefix(sharedPrefixes, messageReader.textOr("prefix", null));
         double expectedOutputTokens =
-                message.decimalOr("expected_s", Double.NaN)
+                messageReader.decimalOr("expected_s", Double.NaN)
                         * MS_PER_SECOND
                         / trafficClass.targetTokenIntervalMs;
         Generation generation =
@@ -138,15 +138,15 @@
                         id,
                         trafficClass,
                         tenantQuota,
-                        session,
-                        prefix,
-                        (int) message.integerOr("n_prompt", 0),
-                        (int) message.integerOr("shared_len", 0),
-                        (int) message.integerOr("n_max", 0),
+                        sessionPrefix,
+                        sharedPrefix,
+                        (int) messageReader.integerOr("n_prompt", 0),
+                        (int) messageReader.integerOr("shared_len", 0),
+                        (int) messageReader.integerOr("n_max", 0),
                         expectedOutputTokens,
-                        message.flag("resent"),
+                        messageReader.flag("resent"),
                         nowMs,
-                        message.decimal("not_after_s") * MS_PER_SECOND);
+                        messageReader.decimal("not_after_s") * MS_PER_SECOND);
         generations.put(id, generation);
         callPolicy(() -> policy.requestArrived(generation));
         removeIfEnded(id, generation);
@@ -159,56 +159,56 @@
                 : registry.computeIfAbsent(id, CachedPrefix::new);
     }
 
-    private void attemptReplied(MessageReader message) throws InvalidMessageException {
-        String id = message.text("job");
+    private void attemptReplied(MessageReader messageReader) throws InvalidMessageException {
+        String id = messageReader.text("job");
         Generation generation = generations.get(id);
-        int number = (int) message.integer("round_no");
+        int number = (int) messageReader.integer("round_no");
         if (generation == null || number < 0 || number >= generation.attempts().size()) {
             return;
         }
         Attempt attempt = generation.attempts().get(number);
-        boolean finished = message.flag("no_more");
-        LoadReport report = loadReport(message);
-        String disposition = message.text("disposition");
-        int note = (int) message.decimalOr("note", 0);
+        boolean generationFinished = messageReader.flag("no_more");
+        LoadReport report = loadReport(messageReader);
+        String disposition = messageReader.text("disposition");
+        int note = (int) messageReader.decimalOr("note", 0);
         if (disposition.equals("half_done")) {
-            callPolicy(() -> policy.readCompleted(attempt, note, report, finished));
+            callPolicy(() -> policy.readCompleted(attempt, note, report, generationFinished));
         } else {
-            AttemptOutcome outcome = outcome(message, disposition, note);
-            callPolicy(() -> policy.attemptEnded(attempt, outcome, report, finished));
+            AttemptOutcome outcome = outcome(messageReader, disposition, note);
+            callPolicy(() -> policy.attemptEnded(attempt, outcome, report, generationFinished));
         }
         removeIfEnded(id, generation);
     }
 
-    private static AttemptOutcome outcome(MessageReader message, String disposition, int note)
+    private static AttemptOutcome outcome(MessageReader messageReader, String disposition, int rejectionReason)
             throws InvalidMessageException {
         return switch (disposition) {
             case "pass" -> AttemptOutcome.STREAMED;
             case "fault" -> AttemptOutcome.FAULT;
-            case "no_room" -> note == NOTE_NO_STATE ? AttemptOutcome.NO_STATE : AttemptOutcome.FULL;
+            case "no_room" -> rejectionReason == NOTE_NO_STATE ? AttemptOutcome.NO_STATE : AttemptOutcome.FULL;
             case "too_slow" -> AttemptOutcome.TIMED_OUT;
             case "no_route" -> AttemptOutcome.UNREACHABLE;
             case "cut" -> AttemptOutcome.CUT;
             case "undone" -> AttemptOutcome.CANCELLED;
             case "stale_send" -> AttemptOutcome.NOT_SENT;
             default ->
-                    throw message.invalid(
+                    throw messageReader.invalid(
                             "member disposition is '"
                                     + disposition
                                     + "'; expected a known outcome");
         };
     }
 
-    private void responseStarted(MessageReader message) throws InvalidMessageException {
-        Generation generation = generations.get(message.text("job"));
-        int number = (int) message.integer("round_no");
+    private void responseStarted(MessageReader messageReader) throws InvalidMessageException {
+        Generation generation = generations.get(messageReader.text("job"));
+        int number = (int) messageReader.integer("round_no");
         if (generation != null && number >= 0 && number < generation.attempts().size()) {
             callPolicy(() -> policy.responseStarted(generation.attempts().get(number)));
         }
     }
 
-    private void clientDisconnected(MessageReader message) throws InvalidMessageException {
-        String id = message.text("job");
+    private void clientDisconnected(MessageReader messageReader) throws InvalidMessageException {
+        String id = messageReader.text("job");
         Generation generation = generations.get(id);
         if (generation != null) {
             callPolicy(() -> policy.generationAbandoned(generation));
@@ -216,32 +216,32 @@
         }
     }
 
-    private void loadProbed(MessageReader message) throws InvalidMessageException {
-        Engine engine = engines.get(message.integer("engine"));
+    private void loadProbed(MessageReader messageReader) throws InvalidMessageException {
+        Engine engine = engines.get(messageReader.integer("engine"));
         if (engine != null) {
-            boolean answered = message.valueIs("disposition", "pass");
-            LoadReport report = loadReport(message);
+            boolean answered = messageReader.valueIs("disposition", "pass");
+            LoadReport report = loadReport(messageReader);
             callPolicy(() -> policy.loadProbed(engine, answered, report));
         }
     }
 
-    private void endpointsChanged(MessageReader message) throws InvalidMessageException {
-        String kind = message.text("kind");
-        long count = message.integerOr("entries", 0);
+    private void endpointsChanged(MessageReader messageReader) throws InvalidMessageException {
+        String kind = messageReader.text("kind");
+        long count = messageReader.integerOr("entries", 0);
         List<EndpointUpdate> updates = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            if (!advance(message) || !message.is("ENTRY")) {
-                throw message.invalid(
+            if (!advance(messageReader) || !messageReader.is("ENTRY")) {
+                throw messageReader.invalid(
                         "expected " + count + " ENTRY lines after BACKENDS_CHANGED, found " + i);
             }
-            updates.add(endpointUpdate(message));
+            updates.add(endpointUpdate(messageReader));
         }
         switch (kind) {
             case "INCREMENTAL" -> callPolicy(() -> policy.endpointsChanged(updates, false));
             case "FULL", "SAVED" -> callPolicy(() -> policy.endpointsChanged(updates, true));
             case "FAILED" -> callPolicy(policy::endpointWatchFailed);
             default ->
-                    throw message.invalid(
+                    throw messageReader.invalid(
                             "member kind is '"
                                     + kind
                                     + "'; expected INCREMENTAL, FULL, SAVED or FAILED");
@@ -253,18 +253,18 @@
                                         && engine.attempts().isEmpty());
     }
 
-    private static boolean advance(MessageReader message) throws InvalidMessageException {
+    private static boolean advance(MessageReader messageReader) throws InvalidMessageException {
         try {
-            return message.advance();
+            return messageReader.advance();
         } catch (IOException e) {
-            throw message.invalid("could not read the input: " + e.getMessage());
+            throw messageReader.invalid("could not read the input: " + e.getMessage());
         }
     }
 
-    private EndpointUpdate endpointUpdate(MessageReader message) throws InvalidMessageException {
-        long id = message.integer("engine");
-        String hostType = message.textOr("class_of_host", "");
-        EndpointState state = endpointState(message);
+    private EndpointUpdate endpointUpdate(MessageReader messageReader) throws InvalidMessageException {
+        long id = messageReader.integer("engine");
+        String hostType = messageReader.textOr("class_of_host", "");
+        EndpointState state = endpointState(messageReader);
         Engine engine = engines.get(id);
         if (engine == null) {
             engine = new Engine(id);
@@ -273,34 +273,34 @@
         return new EndpointUpdate(
                 engine,
                 state,
-                message.decimalOr("start_time_s", 0) * MS_PER_SECOND,
-                message.decimalOr("units", 1),
-                message.textOr("zone", ""),
-                message.integerOr("group", 0),
+                messageReader.decimalOr("start_time_s", 0) * MS_PER_SECOND,
+                messageReader.decimalOr("units", 1),
+                messageReader.textOr("zone", ""),
+                messageReader.integerOr("group", 0),
                 settings.roles().getOrDefault(hostType, Role.BOTH),
                 settings.memoryTokens().getOrDefault(hostType, Double.NaN));
     }
 
-    private static EndpointState endpointState(MessageReader message)
+    private static EndpointState endpointState(MessageReader messageReader)
             throws InvalidMessageException {
-        return switch (message.text("mode")) {
+        return switch (messageReader.text("mode")) {
             case "healthy" -> EndpointState.READY;
             case "cordoned" -> EndpointState.DRAINING;
             case "deregistered" -> EndpointState.REMOVED;
             default ->
-                    throw message.invalid(
+                    throw messageReader.invalid(
                             "member mode is '"
-                                    + message.text("mode")
+                                    + messageReader.text("mode")
                                     + "'; expected healthy, cordoned or deregistered");
         };
     }
 
     /** The load report of a message, or null if it carries none. */
-    private static LoadReport loadReport(MessageReader message) throws InvalidMessageException {
-        if (!message.has("pressure")) {
+    private static LoadReport loadReport(MessageReader messageReader) throws InvalidMessageException {
+        if (!messageReader.has("pressure")) {
             return null;
         }
-        return DeploymentSettingsReader.toLoadReport(name -> message.pair("pressure", name));
+        return DeploymentSettingsReader.toLoadReport(name -> messageReader.pair("pressure", name));
     }
 
     /** Removes a generation if no later message can refer to it. */
--- a/src/main/java/larchridge/benchlink/MessageReader.java
+++ b/src/main/java/larchridge/benchlink/MessageReader.java
@@ -19,7 +19,7 @@
     private static final int MAX_INTEGER_DIGITS = 18;
 
     /** With more digits, scaling a long is less exact than {@link Double#parseDouble}. */
-    private static final long MAX_FAST_DIGITS = 100_000_000_000_000L;
+    private static final long MAX_FAST_VALUE = 100_000_000_000_000L;
 
     private final InputStream in;
     private final byte[] buffer = new byte[BUFFER_BYTES];
@@ -277,14 +277,14 @@
         if (negative) {
             at++;
         }
-        long digits = 0;
+        long unscaledValue = 0;
         double scale = 1;
         boolean pointSeen = false;
         boolean anyDigit = false;
         for (; at < to; at++) {
             byte b = line[at];
-            if (b >= '0' && b <= '9' && digits < MAX_FAST_DIGITS) {
-                digits = digits * 10 + (b - '0');
+            if (b >= '0' && b <= '9' && unscaledValue < MAX_FAST_VALUE) {
+                unscaledValue = unscaledValue * 10 + (b - '0');
                 anyDigit = true;
                 if (pointSeen) {
                     scale *= 10;
@@ -298,7 +298,7 @@
         if (!anyDigit) {
             return Double.NaN;
         }
-        double value = digits / scale;
+        double value = unscaledValue / scale;
         return negative ? -value : value;
     }
 
--- a/src/main/java/larchridge/inventory/EngineListWatcher.java
+++ b/src/main/java/larchridge/inventory/EngineListWatcher.java
@@ -25,7 +25,7 @@
     private final Consumer<List<EngineEntry>> listener;
     private byte[] lastContent = new byte[0];
     private String lastError = "";
-    private boolean polling;
+    private boolean pollInProgress;
     private Vertx vertx;
     private long timer;
 
@@ -52,7 +52,7 @@
     /** Starts polling the file. */
     public void start(Vertx pollingVertx, double pollMs) {
         vertx = pollingVertx;
-        timer = vertx.setPeriodic(Math.max(1, (long) pollMs), due -> startPoll());
+        timer = vertx.setPeriodic(Math.max(1, (long) pollMs), timerId -> startPoll());
     }
 
     /** Stops polling the file; a version that is being read is dropped. */
@@ -63,14 +63,14 @@
     }
 
     private void startPoll() {
-        if (!polling) {
-            polling = true;
+        if (!pollInProgress) {
+            pollInProgress = true;
             vertx.executeBlocking(this::readIfChanged, false).onComplete(this::pollEnded);
         }
     }
 
     private void pollEnded(AsyncResult<List<EngineEntry>> poll) {
-        polling = false;
+        pollInProgress = false;
         if (poll.failed()) {
             LOG.error("failed to poll the engine list", poll.cause());
         } else if (poll.result() != null) {
--- a/src/main/java/larchridge/messages/MessagesCodec.java
+++ b/src/main/java/larchridge/messages/MessagesCodec.java
@@ -6,7 +6,7 @@
 import larchridge.router.GenerationRequest;
 import larchridge.site.ProductOffering;
 import larchridge.site.Site;
-import larchridge.tokens.TokenCounters;
+import larchridge.tokens.CountingResources;
 import larchridge.upstream.AnswerSummary;
 
 /**
@@ -26,7 +26,7 @@
      * @param executor runs tasks on the codec's thread; prompt lengths that engines report are
      *     processed there
      */
-    public MessagesCodec(Site site, TokenCounters counters, Executor executor) {
+    public MessagesCodec(Site site, CountingResources counters, Executor executor) {
         reader = new MessagesReader(site);
         lengths = new PromptLengths(counters);
         this.executor = executor;
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -16,7 +16,7 @@
 import larchridge.site.Site;
 import larchridge.site.SiteLimits;
 import larchridge.tokens.CountingPolicy;
-import larchridge.tokens.TokenCounters;
+import larchridge.tokens.CountingResources;
 
 /**
  * The HTTP endpoint of the messages API: {@code POST /v1/messages}, streaming and non-streaming,
@@ -39,7 +39,7 @@
     private final Random requestIds = new Random(new SecureRandom().nextLong());
 
     /** Creates the endpoint of a router. */
-    public MessagesEndpoint(Router router, TokenCounters counters) {
+    public MessagesEndpoint(Router router, CountingResources counters) {
         this.router = router;
         site = router.site();
         lengths = new PromptLengths(counters);
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import larchridge.tokens.CountingPolicy;
-import larchridge.tokens.CountingRate;
+import larchridge.tokens.CountingStatistics;
 import larchridge.tokens.PromptLengthSettings;
 import larchridge.tokens.TokenCount;
 import larchridge.tokens.TokenCountCorrection;
 import larchridge.tokens.TokenCountTask;
-import larchridge.tokens.TokenCounters;
+import larchridge.tokens.CountingResources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,10 +25,10 @@
      */
     private static final double READER_TOKENS_PER_MS = 10;
 
-    final TokenCounters counters;
+    final CountingResources counters;
     private final Map<String, TokenCountCorrection> corrections = new HashMap<>();
 
-    PromptLengths(TokenCounters counters) {
+    PromptLengths(CountingResources counters) {
         this.counters = counters;
     }
 
@@ -36,13 +36,13 @@
     final class Measurement {
         final MessagesReader.Body body;
         private final PromptLengthSettings measure;
-        private final CountingRate rate;
+        private final CountingStatistics rate;
         private final TokenCountTask counting;
 
         Measurement(MessagesReader.Body body) {
             this.body = body;
             measure = body.offering().measure;
-            rate = counters.rate(measure.vocabulary());
+            rate = counters.statistics(measure.vocabulary());
             counting =
                     new TokenCountTask(
                             body.countInput().prompt(),
@@ -52,14 +52,14 @@
         }
 
         double costMs() {
-            return rate.expectedMs(counting.uncountedChars());
+            return rate.expectedMs(counting.charsToCount());
         }
 
         CountingPolicy.Mode countingWay() {
             return CountingPolicy.choose(
                     costMs(),
                     counters.workers.expectedWaitMs(),
-                    rate.tokensPerChar() * counting.uncountedChars(),
+                    rate.tokensPerChar() * counting.charsToCount(),
                     READER_TOKENS_PER_MS,
                     body.offering().product.sloMs);
         }
@@ -134,7 +134,7 @@
         }
         TokenCountCorrection correction = correctionOf(model);
         switch (correction.recordReport(expectedTokens, reportedTokens)) {
-            case COUNT_DRIFT ->
+            case COUNTS_DIFFER ->
                     LOG.atWarn()
                             .addKeyValue("model", model)
                             .addKeyValue("factor", correction.factor())
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -39,7 +39,7 @@
 import larchridge.router.Router;
 import larchridge.site.Site;
 import larchridge.store.CrashPoints;
-import larchridge.tokens.TokenCounters;
+import larchridge.tokens.CountingResources;
 import larchridge.upstream.CompletionsUpstreamClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -61,7 +61,7 @@
     private boolean stopped;
     private HttpServer admin;
     private Ledger ledger;
-    private final TokenCounters counters;
+    private final CountingResources counters;
     private Map<Ledger.TotalKey, UsageTotal> initialUsage = Map.of();
     private EngineListWatcher engineListWatcher;
 
@@ -85,7 +85,7 @@
             site.seed = System.nanoTime() ^ ProcessHandle.current().pid() << 40;
         }
         counters =
-                new TokenCounters(
+                new CountingResources(
                         site.limits.countCacheBytes,
                         site.limits.countThreads,
                         site.limits.maxWaitingCounts,
--- a/src/main/java/larchridge/tokens/CountingWorkers.java
+++ b/src/main/java/larchridge/tokens/BlockingTaskPool.java
@@ -10,13 +10,13 @@
  * A fixed pool of threads for tasks that would block an event loop. Its queue is bounded; tasks
  * that find it full are rejected.
  */
-public final class CountingWorkers implements AutoCloseable {
+public final class BlockingTaskPool implements AutoCloseable {
     private final ThreadPoolExecutor executor;
     private final int threadCount;
     private final AtomicLong pendingUs = new AtomicLong();
 
     /** Creates a pool; its threads start as tasks arrive. */
-    public CountingWorkers(int threadCount, int queueCapacity) {
+    public BlockingTaskPool(int threadCount, int queueCapacity) {
         this.threadCount = threadCount;
         executor =
                 new ThreadPoolExecutor(
--- a/src/main/java/larchridge/tokens/TokenCounters.java
+++ b/src/main/java/larchridge/tokens/CountingResources.java
@@ -7,15 +7,15 @@
  * What the routers of one process share for counting: the cache, the worker threads and the
  * counting rate of each vocabulary.
  */
-public final class TokenCounters implements AutoCloseable {
+public final class CountingResources implements AutoCloseable {
     /** The counts of chunks. */
     public final TokenCountCache cache;
 
     /** The threads for counts that would block an event loop. */
-    public final CountingWorkers workers;
+    public final BlockingTaskPool workers;
 
     private final double tokensPerChar;
-    private final Map<String, CountingRate> rates = new ConcurrentHashMap<>();
+    private final Map<String, CountingStatistics> statistics = new ConcurrentHashMap<>();
 
     /**
      * Creates an empty cache and the worker threads.
@@ -23,15 +23,15 @@
      * @param queueCapacity how many tasks may wait for a thread
      * @param bytesPerToken estimate from which the rates start
      */
-    public TokenCounters(long cacheBytes, int threads, int queueCapacity, double bytesPerToken) {
+    public CountingResources(long cacheBytes, int threads, int queueCapacity, double bytesPerToken) {
         cache = new TokenCountCache(cacheBytes);
-        workers = new CountingWorkers(threads, queueCapacity);
+        workers = new BlockingTaskPool(threads, queueCapacity);
         tokensPerChar = 1 / bytesPerToken;
     }
 
     /** The counting rate of a vocabulary, common to all routers. */
-    public CountingRate rate(Vocabulary vocabulary) {
-        return rates.computeIfAbsent(vocabulary.name(), name -> new CountingRate(tokensPerChar));
+    public CountingStatistics statistics(Vocabulary vocabulary) {
+        return statistics.computeIfAbsent(vocabulary.name(), name -> new CountingStatistics(tokensPerChar));
     }
 
     @Override
--- a/src/main/java/larchridge/tokens/MergesVocabulary.java
+++ b/src/main/java/larchridge/tokens/MergesVocabulary.java
@@ -62,8 +62,8 @@
                 throw new InvalidVocabularyException(
                         "merges[" + i + "]: '" + joined + "' is not in vocab");
             }
-            long pair = pair(symbolId(pairs.get(i)[0]), symbolId(pairs.get(i)[1]));
-            merges.putIfAbsent(pair, new long[] {i, symbolId(joined)});
+            long pairKey = pairKey(symbolId(pairs.get(i)[0]), symbolId(pairs.get(i)[1]));
+            merges.putIfAbsent(pairKey, new long[] {i, symbolId(joined)});
         }
         specialTokenPattern =
                 specialTokens.isEmpty()
@@ -90,7 +90,7 @@
         return symbolIds.computeIfAbsent(symbol, s -> symbolIds.size());
     }
 
-    private static long pair(int left, int right) {
+    private static long pairKey(int left, int right) {
         return (long) left << 32 | right;
     }
 
@@ -211,7 +211,7 @@
 
     private void addCandidate(
             PriorityQueue<MergeCandidate> candidates, int[] symbols, int left, int right) {
-        long[] merge = merges.get(pair(symbols[left], symbols[right]));
+        long[] merge = merges.get(pairKey(symbols[left], symbols[right]));
         if (merge != null) {
             candidates.add(
                     new MergeCandidate(
--- a/src/main/java/larchridge/tokens/TokenCountCorrection.java
+++ b/src/main/java/larchridge/tokens/TokenCountCorrection.java
@@ -15,20 +15,20 @@
     private static final double MAX_IGNORED_DEVIATION = 0.02;
 
     private static final double MAX_PLAUSIBLE_RATIO = 1.25;
-    private static final double MAX_MEAN_DEVIATION = 0.1;
+    private static final double MAX_RATIO_SPREAD = 0.1;
 
     /** A result worth logging, ordered by severity. Each is returned at most once for a model. */
     public enum Finding {
         /** Nothing new. */
         NONE,
         /** The engines' counts differ by a steady factor; counts are corrected. */
-        COUNT_DRIFT,
+        COUNTS_DIFFER,
         /** The ratio is too far off or varies too much for the vocabulary to be the engines'. */
         WRONG_VOCABULARY
     }
 
     private double meanRatio = 1;
-    private double meanDeviation;
+    private double ratioSpread;
     private int reports;
     private Finding highestFinding = Finding.NONE;
 
@@ -45,18 +45,18 @@
         reports++;
         double previousWeight = reports < MIN_REPORTS ? 1 - 1.0 / reports : PREVIOUS_WEIGHT;
         meanRatio = previousWeight * meanRatio + (1 - previousWeight) * ratio;
-        meanDeviation =
-                previousWeight * meanDeviation + (1 - previousWeight) * Math.abs(ratio - meanRatio);
+        ratioSpread =
+                previousWeight * ratioSpread + (1 - previousWeight) * Math.abs(ratio - meanRatio);
         if (reports < MIN_REPORTS) {
             return Finding.NONE;
         }
         Finding finding =
                 meanRatio > MAX_PLAUSIBLE_RATIO
                                 || meanRatio < 1 / MAX_PLAUSIBLE_RATIO
-                                || meanDeviation > MAX_MEAN_DEVIATION
+                                || ratioSpread > MAX_RATIO_SPREAD
                         ? Finding.WRONG_VOCABULARY
                         : Math.abs(meanRatio - 1) > MAX_IGNORED_DEVIATION
-                                ? Finding.COUNT_DRIFT
+                                ? Finding.COUNTS_DIFFER
                                 : Finding.NONE;
         boolean isNew = finding.compareTo(highestFinding) > 0;
         highestFinding = finding.compareTo(highestFinding) > 0 ? finding : highestFinding;
--- a/src/main/java/larchridge/tokens/TokenCountTask.java
+++ b/src/main/java/larchridge/tokens/TokenCountTask.java
@@ -14,7 +14,7 @@
      * A longer chunk has no boundary at which it could be split. It is not counted, because
      * counting a chunk can't be cancelled.
      */
-    static final int MAX_CHUNK_CHARS = 256 << 10;
+    static final int MAX_COUNTED_CHUNK_CHARS = 256 << 10;
 
     private final String text;
     private final Vocabulary vocabulary;
@@ -42,7 +42,7 @@
             this.key = key;
         }
 
-        int uncountedChars() {
+        int charsToCount() {
             return tokens < 0 && key != null ? to - from : 0;
         }
     }
@@ -71,7 +71,7 @@
     }
 
     private Chunk chunk(int from, int to) {
-        if (from == to || to - from > MAX_CHUNK_CHARS) {
+        if (from == to || to - from > MAX_COUNTED_CHUNK_CHARS) {
             return new Chunk(from, to, null);
         }
         Chunk chunk =
@@ -82,8 +82,8 @@
     }
 
     /** The number of characters whose tokens are still to be counted. */
-    public int uncountedChars() {
-        return chunks.stream().mapToInt(Chunk::uncountedChars).sum() + prefixTail.uncountedChars();
+    public int charsToCount() {
+        return chunks.stream().mapToInt(Chunk::charsToCount).sum() + prefixTail.charsToCount();
     }
 
     /**
@@ -91,28 +91,28 @@
      *
      * @return false if the task was cancelled
      */
-    public boolean countMissing(CountingRate rate) {
+    public boolean countMissing(CountingStatistics statistics) {
         long start = System.nanoTime();
-        int newChars = 0;
+        int countedChars = 0;
         for (int i = 0; i <= chunks.size(); i++) {
             if (cancelled) {
                 return false;
             }
             Chunk chunk = i < chunks.size() ? chunks.get(i) : prefixTail;
-            if (chunk.uncountedChars() > 0) {
+            if (chunk.charsToCount() > 0) {
                 chunk.tokens = vocabulary.count(text.substring(chunk.from, chunk.to));
                 cache.put(chunk.key, chunk.tokens);
-                newChars += chunk.to - chunk.from;
+                countedChars += chunk.to - chunk.from;
             }
         }
-        if (newChars > 0) {
-            int tokens = 0;
-            int textChars = 0;
+        if (countedChars > 0) {
+            int knownTokens = 0;
+            int knownChars = 0;
             for (Chunk chunk : chunks) {
-                tokens += Math.max(0, chunk.tokens);
-                textChars += chunk.tokens < 0 ? 0 : chunk.to - chunk.from;
+                knownTokens += Math.max(0, chunk.tokens);
+                knownChars += chunk.tokens < 0 ? 0 : chunk.to - chunk.from;
             }
-            rate.recordCount(newChars, System.nanoTime() - start, tokens, textChars);
+            statistics.recordCount(countedChars, System.nanoTime() - start, knownTokens, knownChars);
         }
         return true;
     }
--- a/src/test/java/larchridge/batch/BatchFixture.java
+++ b/src/test/java/larchridge/batch/BatchFixture.java
@@ -30,7 +30,7 @@
 import larchridge.store.Store;
 import larchridge.store.form.BatchRecord;
 import larchridge.store.form.FileRecord;
-import larchridge.tokens.TokenCounters;
+import larchridge.tokens.CountingResources;
 import larchridge.upstream.AnswerSummary;
 
 /**
@@ -41,7 +41,7 @@
     static final ObjectMapper MAPPER = new ObjectMapper();
     final Path folder = Files.createTempDirectory("larchridge-batch");
     final Site site;
-    final TokenCounters tokenCounters = new TokenCounters(1 << 20, 1, 10, 4);
+    final CountingResources tokenCounters = new CountingResources(1 << 20, 1, 10, 4);
 
     /** How often engines ran each line, by custom id; kept when the process restarts. */
     final Map<String, Integer> runsByCustomId = new TreeMap<>();
--- a/src/test/java/larchridge/tokens/TokenCountCorrectionTest.java
+++ b/src/test/java/larchridge/tokens/TokenCountCorrectionTest.java
@@ -28,10 +28,10 @@
     }
 
     @Test
-    void driftIsCorrectedAndReportedOnce() {
+    void steadyDifferenceIsCorrectedAndReportedOnce() {
         recordReports(100, 1000, 1080);
         assertEquals(1.08, correction.factor(), 1e-9);
-        assertEquals(List.of(TokenCountCorrection.Finding.COUNT_DRIFT), findings);
+        assertEquals(List.of(TokenCountCorrection.Finding.COUNTS_DIFFER), findings);
     }
 
     @Test
--- a/src/test/java/larchridge/tokens/TokenCountTaskTest.java
+++ b/src/test/java/larchridge/tokens/TokenCountTaskTest.java
@@ -12,7 +12,7 @@
 
 class TokenCountTaskTest {
     private final TokenCountCache cache = new TokenCountCache(1 << 20);
-    private final CountingRate rate = new CountingRate(0.25);
+    private final CountingStatistics statistics = new CountingStatistics(0.25);
 
     /** Counts one token per space; records how many characters it was asked to count. */
     private static final class WordVocabulary implements Vocabulary {
@@ -47,14 +47,14 @@
     void nextTurnCountsOnlyTheAddedText() {
         WordVocabulary vocabulary = new WordVocabulary();
         String first = repeatWord(20_000, "caudal");
-        assertTrue(new TokenCountTask(first, 0, vocabulary, cache).countMissing(rate));
+        assertTrue(new TokenCountTask(first, 0, vocabulary, cache).countMissing(statistics));
         int charsOfFirst = vocabulary.countedChars;
         String second = first + repeatWord(100, "nivel");
         TokenCountTask nextTask = new TokenCountTask(second, 0, vocabulary, cache);
         assertTrue(
-                nextTask.uncountedChars() < 2 * TextChunker.MIN_CHUNK_CHARS,
-                nextTask.uncountedChars() + " characters not counted");
-        nextTask.countMissing(rate);
+                nextTask.charsToCount() < 2 * TextChunker.MIN_CHUNK_CHARS,
+                nextTask.charsToCount() + " characters not counted");
+        nextTask.countMissing(statistics);
         assertTrue(vocabulary.countedChars - charsOfFirst < 2 * TextChunker.MIN_CHUNK_CHARS);
         assertEquals(20_100, nextTask.tokenCount(0.25).tokens());
     }
@@ -67,7 +67,7 @@
             TokenCountTask task =
                     new TokenCountTask(
                             text, prefixChars, new WordVocabulary(), new TokenCountCache(1 << 20));
-            task.countMissing(rate);
+            task.countMissing(statistics);
             assertEquals(3000, task.tokenCount(0).tokens());
             assertEquals(
                     (int) text.substring(0, prefixChars).chars().filter(c -> c == ' ').count(),
@@ -80,7 +80,7 @@
     void estimateStaysWithinItsBounds() {
         TokenCountTask task =
                 new TokenCountTask("x".repeat(300_000), 0, new WordVocabulary(), cache);
-        task.countMissing(rate);
+        task.countMissing(statistics);
         TokenCount low = task.tokenCount(0);
         TokenCount high = task.tokenCount(99);
         assertFalse(low.exact());
@@ -93,7 +93,7 @@
         WordVocabulary vocabulary = new WordVocabulary();
         TokenCountTask task = new TokenCountTask(repeatWord(50_000, "aviso"), 0, vocabulary, cache);
         task.cancel();
-        assertFalse(task.countMissing(rate));
+        assertFalse(task.countMissing(statistics));
         assertEquals(0, vocabulary.countedChars);
     }
 
@@ -155,7 +155,7 @@
     void workersRejectTasksOverTheQueueCapacity() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(3);
-        try (CountingWorkers workers = new CountingWorkers(1, 2)) {
+        try (BlockingTaskPool workers = new BlockingTaskPool(1, 2)) {
             for (int i = 0; i < 3; i++) {
                 assertTrue(
                         workers.trySubmit(
--- a/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
+++ b/src/test/java/larchridge/tokens/VocabularyExactnessTest.java
@@ -133,9 +133,9 @@
         String text = unit.repeat(200_000 / unit.length());
         TokenCountCache cache = new TokenCountCache(1 << 20);
         TokenCountTask task = new TokenCountTask(text, 0, vocabulary, cache);
-        CountingRate rate = new CountingRate(0.25);
-        assertTrue(task.countMissing(rate));
-        TokenCount count = task.tokenCount(rate.tokensPerChar());
+        CountingStatistics statistics = new CountingStatistics(0.25);
+        assertTrue(task.countMissing(statistics));
+        TokenCount count = task.tokenCount(statistics.tokensPerChar());
         assertTrue(
                 count.lowerBound() <= count.tokens() && count.tokens() <= count.upperBound(),
                 count.toString());
