--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -55,7 +55,10 @@
     private boolean stopping;
 
     private BatchService(
-            Site site, List<Router> routers, CountingResources tokenCounters, CrashPoints crashPoints) {
+            Site site,
+            List<Router> routers,
+            CountingResources tokenCounters,
+            CrashPoints crashPoints) {
         this.site = site;
         this.routers = routers;
         this.tokenCounters = tokenCounters;
--- a/src/main/java/larchridge/benchlink/BenchProtocol.java
+++ b/src/main/java/larchridge/benchlink/BenchProtocol.java
@@ -49,7 +49,8 @@
         while (true) {
             if (!messageReader.advance()) {
                 throw new InvalidMessageException(
-                        messageReader.lineNumber() + 1, "the input ends inside a batch; expected FLUSH");
+                        messageReader.lineNumber() + 1,
+                        "the input ends inside a batch; expected FLUSH");
             }
             if (messageReader.is("FLUSH")) {
                 return;
@@ -60,7 +61,8 @@
             if (messageReader.is("INSTANCE")) {
                 router = router(messageReader.integer("who"));
             } else if (router == null) {
-                throw messageReader.invalid("no INSTANCE line before it; expected INSTANCE who=...");
+                throw messageReader.invalid(
+                        "no INSTANCE line before it; expected INSTANCE who=...");
             } else {
                 router.handle(messageReader, nowMs);
             }
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -89,7 +89,8 @@
             throws InvalidMessageException {
         try {
             return DeploymentSettingsReader.read(
-                    MAPPER.readTree(messageReader.textToLineEnd("env")), messageReader.integer("seed"));
+                    MAPPER.readTree(messageReader.textToLineEnd("env")),
+                    messageReader.integer("seed"));
         } catch (JsonProcessingException e) {
             throw messageReader.invalid(
                     "member env is not valid JSON; expected an object ("
@@ -127,8 +128,10 @@
                             + "'; expected a name in request_classes");
         }
         TenantQuota tenantQuota = settings.tenants().get(messageReader.textOr("tenant", ""));
-        CachedPrefix sessionPrefix = cachedPrefix(sessionPrefixes, messageReader.textOr("talk", null));
-        CachedPrefix sharedPrefix = cachedPrefix(sharedPrefixes, messageReader.textOr("prefix", null));
+        CachedPrefix sessionPrefix =
+                cachedPrefix(sessionPrefixes, messageReader.textOr("talk", null));
+        CachedPrefix sharedPrefix =
+                cachedPrefix(sharedPrefixes, messageReader.textOr("prefix", null));
         double expectedOutputTokens =
                 messageReader.decimalOr("expected_s", Double.NaN)
                         * MS_PER_SECOND
@@ -180,12 +183,16 @@
         removeIfEnded(id, generation);
     }
 
-    private static AttemptOutcome outcome(MessageReader messageReader, String disposition, int rejectionReason)
+    private static AttemptOutcome outcome(
+            MessageReader messageReader, String disposition, int rejectionReason)
             throws InvalidMessageException {
         return switch (disposition) {
             case "pass" -> AttemptOutcome.STREAMED;
             case "fault" -> AttemptOutcome.FAULT;
-            case "no_room" -> rejectionReason == NOTE_NO_STATE ? AttemptOutcome.NO_STATE : AttemptOutcome.FULL;
+            case "no_room" ->
+                    rejectionReason == NOTE_NO_STATE
+                            ? AttemptOutcome.NO_STATE
+                            : AttemptOutcome.FULL;
             case "too_slow" -> AttemptOutcome.TIMED_OUT;
             case "no_route" -> AttemptOutcome.UNREACHABLE;
             case "cut" -> AttemptOutcome.CUT;
@@ -261,7 +268,8 @@
         }
     }
 
-    private EndpointUpdate endpointUpdate(MessageReader messageReader) throws InvalidMessageException {
+    private EndpointUpdate endpointUpdate(MessageReader messageReader)
+            throws InvalidMessageException {
         long id = messageReader.integer("engine");
         String hostType = messageReader.textOr("class_of_host", "");
         EndpointState state = endpointState(messageReader);
@@ -296,7 +304,8 @@
     }
 
     /** The load report of a message, or null if it carries none. */
-    private static LoadReport loadReport(MessageReader messageReader) throws InvalidMessageException {
+    private static LoadReport loadReport(MessageReader messageReader)
+            throws InvalidMessageException {
         if (!messageReader.has("pressure")) {
             return null;
         }
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import larchridge.tokens.CountingPolicy;
+import larchridge.tokens.CountingResources;
 import larchridge.tokens.CountingStatistics;
 import larchridge.tokens.PromptLengthSettings;
 import larchridge.tokens.TokenCount;
 import larchridge.tokens.TokenCountCorrection;
 import larchridge.tokens.TokenCountTask;
-import larchridge.tokens.CountingResources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/larchridge/tokens/CountingResources.java
+++ b/src/main/java/larchridge/tokens/CountingResources.java
@@ -23,7 +23,8 @@
      * @param queueCapacity how many tasks may wait for a thread
      * @param bytesPerToken estimate from which the rates start
      */
-    public CountingResources(long cacheBytes, int threads, int queueCapacity, double bytesPerToken) {
+    public CountingResources(
+            long cacheBytes, int threads, int queueCapacity, double bytesPerToken) {
         cache = new TokenCountCache(cacheBytes);
         workers = new BlockingTaskPool(threads, queueCapacity);
         tokensPerChar = 1 / bytesPerToken;
@@ -31,7 +32,8 @@
 
     /** The counting rate of a vocabulary, common to all routers. */
     public CountingStatistics statistics(Vocabulary vocabulary) {
-        return statistics.computeIfAbsent(vocabulary.name(), name -> new CountingStatistics(tokensPerChar));
+        return statistics.computeIfAbsent(
+                vocabulary.name(), name -> new CountingStatistics(tokensPerChar));
     }
 
     @Override
--- a/src/main/java/larchridge/tokens/TokenCountTask.java
+++ b/src/main/java/larchridge/tokens/TokenCountTask.java
@@ -112,7 +112,8 @@
                 knownTokens += Math.max(0, chunk.tokens);
                 knownChars += chunk.tokens < 0 ? 0 : chunk.to - chunk.from;
             }
-            statistics.recordCount(countedChars, System.nanoTime() - start, knownTokens, knownChars);
+            statistics.recordCount(
+                    countedChars, System.nanoTime() - start, knownTokens, knownChars);
         }
         return true;
     }
