--- a/src/main/java/larchridge/tokens/BlockingTaskPool.java
+++ b/src/main/java/larchridge/tokens/BlockingTaskPool.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A fixed pool of threads for tasks that would block an event loop. Its queue is bounded; tasks
- * that find it full are rejected.
+ * A fixed pool of threads for tasks that would block an event loop, such as counting tokens or
+ * parsing a long request body. Its queue is bounded; tasks that find it full are rejected.
  */
 public final class BlockingTaskPool implements AutoCloseable {
     private final ThreadPoolExecutor executor;
--- a/src/main/java/larchridge/tokens/CountingPolicy.java
+++ b/src/main/java/larchridge/tokens/CountingPolicy.java
@@ -1,9 +1,10 @@
 package larchridge.tokens;
 
 /**
- * Decides whether a text is counted on the event loop, on a worker thread, or not at all. An
- * estimate of a prompt's length costs about the time in which a reader processes the tokens by
- * which it is wrong; counting may take a fraction of that time. Uses no I/O, clock or threads.
+ * Decides whether a text is counted on the event loop, on a worker thread, or not at all. If an
+ * estimate is wrong by n tokens, its cost is taken to be the time in which a reader processes n
+ * tokens. A text that takes too long for the event loop is counted only if the wait for a worker
+ * thread and the counting take at most a fraction of that cost. Uses no I/O, clock or threads.
  */
 public final class CountingPolicy {
     /** The longest time for which counting one text may block the event loop. */
@@ -14,10 +15,15 @@
      */
     static final double ESTIMATE_ERROR_FRACTION = 0.25;
 
-    /** Counting may take up to this fraction of the time that the estimate's error costs. */
+    /**
+     * Expected queue wait and counting time together may be at most this fraction of the cost of
+     * the estimate's error.
+     */
     static final double MAX_FRACTION_OF_ERROR_COST = 0.2;
 
-    /** No client waits for a count longer than this fraction of its SLO time. */
+    /**
+     * Expected queue wait and counting time together may be at most this fraction of the SLO time.
+     */
     static final double MAX_FRACTION_OF_SLO = 0.05;
 
     /** How the length of a text is determined. */
@@ -39,7 +45,7 @@
      * @param queueWaitMs expected wait for a worker thread
      * @param estimatedTokens estimated tokens of the part that is not counted yet
      * @param readTokensPerMs reading rate of an idle reader
-     * @param sloMs the generation's SLO time
+     * @param sloMs SLO time: the fixed part of the generation's target time to the first token
      */
     public static Mode choose(
             double countMs,
--- a/src/main/java/larchridge/tokens/CountingResources.java
+++ b/src/main/java/larchridge/tokens/CountingResources.java
@@ -5,13 +5,13 @@
 
 /**
  * What the routers of one process share for counting: the cache, the worker threads and the
- * counting rate of each vocabulary.
+ * counting statistics of each vocabulary.
  */
 public final class CountingResources implements AutoCloseable {
     /** The counts of chunks. */
     public final TokenCountCache cache;
 
-    /** The threads for counts that would block an event loop. */
+    /** The threads for tasks that would block an event loop. */
     public final BlockingTaskPool workers;
 
     private final double tokensPerChar;
@@ -21,7 +21,8 @@
      * Creates an empty cache and the worker threads.
      *
      * @param queueCapacity how many tasks may wait for a thread
-     * @param bytesPerToken estimate from which the rates start
+     * @param bytesPerToken gives the initial estimate of the tokens per character; a character is
+     *     taken to be one byte
      */
     public CountingResources(
             long cacheBytes, int threads, int queueCapacity, double bytesPerToken) {
@@ -30,7 +31,7 @@
         tokensPerChar = 1 / bytesPerToken;
     }
 
-    /** The counting rate of a vocabulary, common to all routers. */
+    /** The counting statistics of a vocabulary, common to all routers. */
     public CountingStatistics statistics(Vocabulary vocabulary) {
         return statistics.computeIfAbsent(
                 vocabulary.name(), name -> new CountingStatistics(tokensPerChar));
--- a/src/main/java/larchridge/tokens/CountingStatistics.java
+++ b/src/main/java/larchridge/tokens/CountingStatistics.java
@@ -10,7 +10,11 @@
     private volatile double nsPerChar = 100;
     private volatile double tokensPerChar;
 
-    /** Starts from the tokens per character that the site's settings give. */
+    /**
+     * Creates statistics without any recorded count.
+     *
+     * @param tokensPerChar initial value of the average number of tokens per character
+     */
     public CountingStatistics(double tokensPerChar) {
         this.tokensPerChar = tokensPerChar;
     }
@@ -18,7 +22,7 @@
     /**
      * Records one count.
      *
-     * @param countedChars characters that had to be counted
+     * @param countedChars characters that were counted now, not taken from the cache
      * @param elapsedNs time that counting them took
      * @param knownTokens known tokens of the whole text, cached ones included
      * @param knownChars characters of the text whose tokens are known
--- a/src/main/java/larchridge/tokens/InvalidVocabularyException.java
+++ b/src/main/java/larchridge/tokens/InvalidVocabularyException.java
@@ -1,8 +1,8 @@
 package larchridge.tokens;
 
 /**
- * Thrown for a vocabulary that can't be used; the message names the file and, where known, the line
- * or field, and the problem.
+ * Thrown for a vocabulary that can't be used; the message names the file or the vocabulary, where
+ * known the line or field, and the problem.
  */
 public final class InvalidVocabularyException extends Exception {
     private static final long serialVersionUID = 1;
--- a/src/main/java/larchridge/tokens/MergesVocabulary.java
+++ b/src/main/java/larchridge/tokens/MergesVocabulary.java
@@ -20,13 +20,21 @@
     private final Pattern pretokenizer;
     private final boolean normalizesToNfc;
     private final boolean ignoreMerges;
+
+    /**
+     * Ids of the symbols by their text in the byte-level alphabet. A symbol is a single byte or the
+     * result of a merge.
+     */
     private final Map<String, Integer> symbolIds;
+
     private final Set<String> tokens;
 
-    /** By pair of symbols: the rank of their merge and the resulting symbol. */
+    /** By {@link #pairKey}: the rank of the pair's merge and the id of the resulting symbol. */
     private final Map<Long, long[]> merges = new HashMap<>();
 
+    /** The symbol id of each byte. */
     private final int[] byteSymbols = new int[256];
+
     private final Pattern specialTokenPattern;
     private final int maxTokenBytes;
 
@@ -90,6 +98,7 @@
         return symbolIds.computeIfAbsent(symbol, s -> symbolIds.size());
     }
 
+    /** Packs the ids of two symbols into a key of {@link #merges}. */
     private static long pairKey(int left, int right) {
         return (long) left << 32 | right;
     }
@@ -155,7 +164,10 @@
         return count + (from < text.length() ? countPiece(text.substring(from)) : 0);
     }
 
-    /** Two adjacent symbols that may be merged; ordered by rank, then from left to right. */
+    /**
+     * Two adjacent symbols that may be merged; ordered by rank, then from left to right. Left and
+     * right are the indexes of their first bytes in the piece; symbols are given by their ids.
+     */
     private record MergeCandidate(
             long rank, int left, int right, int mergedSymbol, int leftSymbol, int rightSymbol)
             implements Comparable<MergeCandidate> {
@@ -172,6 +184,8 @@
         if (utf8.length < 2 || (ignoreMerges && tokens.contains(toByteLevel(utf8)))) {
             return Math.min(1, utf8.length);
         }
+        // Ids of the symbols by the index of their first byte; -1 marks a symbol that was merged
+        // into the one on its left.
         int[] symbols = new int[utf8.length];
         int[] next = new int[utf8.length];
         int[] previous = new int[utf8.length];
--- a/src/main/java/larchridge/tokens/PretokenizerPattern.java
+++ b/src/main/java/larchridge/tokens/PretokenizerPattern.java
@@ -4,8 +4,9 @@
 
 /**
  * The patterns with which the published encodings split a text into pieces before byte pairs are
- * merged. No pattern uses lookbehind, and none matches a piece in which a space follows a letter;
- * {@link TextChunker} depends on both.
+ * merged. None of these patterns uses lookbehind, and none matches a piece in which a space follows
+ * a letter; {@link TextChunker} depends on both. The pattern of a {@code tokenizer.json} is not
+ * checked for either.
  */
 public enum PretokenizerPattern {
     GPT2("'s|'t|'re|'ve|'m|'ll|'d| ?\\p{L}+| ?\\p{N}+| ?[^\\s\\p{L}\\p{N}]+|\\s+(?!\\S)|\\s+"),
--- a/src/main/java/larchridge/tokens/TextChunker.java
+++ b/src/main/java/larchridge/tokens/TextChunker.java
@@ -1,10 +1,12 @@
 package larchridge.tokens;
 
 /**
- * Splits a text into chunks before a space that follows a letter. No token crosses such a boundary,
- * so the tokens of the chunks add up to those of the text. Where a chunk ends does not depend on
- * the text after it, so texts with a common prefix share the chunks of that prefix, and the next
- * turn of a conversation finds the chunks of earlier turns in the cache. Stateless.
+ * Splits a text into chunks before a space that follows a letter. With the patterns of {@link
+ * PretokenizerPattern}, no token crosses such a boundary, so the tokens of the chunks add up to
+ * those of the text. For the pattern and the special tokens of a {@code tokenizer.json} this is not
+ * checked. Where a chunk ends does not depend on the text after it, so texts with a common prefix
+ * share the chunks of that prefix, and the next turn of a conversation finds the chunks of earlier
+ * turns in the cache. Stateless.
  */
 public final class TextChunker {
     /** Minimum length of each chunk but the last. */
@@ -22,7 +24,7 @@
         return text.length();
     }
 
-    /** Whether a chunk may end before this index, which no token crosses. */
+    /** Whether a chunk may end just before this index: no token spans the two sides. */
     public static boolean isChunkBoundary(String text, int index) {
         char before = text.charAt(index - 1);
         // No chunk ends after a letter outside the basic multilingual plane: neither of its two
--- a/src/main/java/larchridge/tokens/TokenCountCorrection.java
+++ b/src/main/java/larchridge/tokens/TokenCountCorrection.java
@@ -15,9 +15,14 @@
     private static final double MAX_IGNORED_DEVIATION = 0.02;
 
     private static final double MAX_PLAUSIBLE_RATIO = 1.25;
+
+    /** With a larger {@link #ratioSpread}, the vocabulary is taken not to be the engines'. */
     private static final double MAX_RATIO_SPREAD = 0.1;
 
-    /** A result worth logging, ordered by severity. Each is returned at most once for a model. */
+    /**
+     * What a report reveals, ordered by severity. Each but NONE is returned at most once for a
+     * model.
+     */
     public enum Finding {
         /** Nothing new. */
         NONE,
@@ -27,8 +32,12 @@
         WRONG_VOCABULARY
     }
 
+    /** Moving average of the ratio of reported to counted tokens. */
     private double meanRatio = 1;
+
+    /** Moving average of the absolute deviation of single ratios from the mean ratio. */
     private double ratioSpread;
+
     private int reports;
     private Finding highestFinding = Finding.NONE;
 
--- a/src/main/java/larchridge/tokens/TokenCountTask.java
+++ b/src/main/java/larchridge/tokens/TokenCountTask.java
@@ -6,13 +6,13 @@
 /**
  * Counts the tokens of one text and of a prefix of it, chunk by chunk: keeps the counts known from
  * the cache, counts the missing chunks and estimates those not counted. The prefix consists of the
- * text's own chunks, except for the chunk in which the prefix ends: its first part is counted as a
- * chunk of its own.
+ * text's own chunks, except for the chunk in which the prefix ends: the part of that chunk that
+ * belongs to the prefix is counted separately, in addition to the whole chunk.
  */
 public final class TokenCountTask {
     /**
-     * A longer chunk has no boundary at which it could be split. It is not counted, because
-     * counting a chunk can't be cancelled.
+     * Longer chunks are estimated, not counted, because counting a chunk can't be cancelled. Such a
+     * chunk is a long stretch of text without a chunk boundary.
      */
     static final int MAX_COUNTED_CHUNK_CHARS = 256 << 10;
 
@@ -29,7 +29,10 @@
 
     private volatile boolean cancelled;
 
-    /** A chunk; key is null if it can't be counted, tokens is negative until it is known. */
+    /**
+     * A chunk; key is null if the chunk is empty or longer than MAX_COUNTED_CHUNK_CHARS, tokens is
+     * negative until its count is known.
+     */
     private static final class Chunk {
         final int from;
         final int to;
@@ -48,7 +51,8 @@
     }
 
     /**
-     * Looks up the chunks of a text in the cache, which computes a digest of each chunk.
+     * Looks up the chunks of a text in the cache. The keys are digests of the chunks, so that this
+     * takes time in proportion to the length of the text.
      *
      * @param prefixChars length of the prefix that is counted, too
      */
@@ -81,13 +85,17 @@
         return chunk;
     }
 
-    /** The number of characters whose tokens are still to be counted. */
+    /**
+     * The number of characters that {@link #countMissing} would count. Chunks that are too long to
+     * be counted are not included.
+     */
     public int charsToCount() {
         return chunks.stream().mapToInt(Chunk::charsToCount).sum() + prefixTail.charsToCount();
     }
 
     /**
-     * Counts the missing chunks and reports the time taken to the rate. May run on any thread.
+     * Counts the missing chunks and records the time taken and the tokens per character of the text
+     * in the statistics. May run on any thread.
      *
      * @return false if the task was cancelled
      */
--- a/src/main/java/larchridge/tokens/VocabularyReader.java
+++ b/src/main/java/larchridge/tokens/VocabularyReader.java
@@ -67,9 +67,10 @@
             throws InvalidVocabularyException {
         if (pretokenizer == null) {
             throw new InvalidVocabularyException(
-                    file + ": a rank file needs split: GPT2, CL100K or O200K");
+                    file + ": a rank file requires the field split (GPT2, CL100K or O200K)");
         }
-        // The library requires such a map; nothing is looked up in it by the array.
+        // The library takes a map with arrays as keys. Arrays are compared by identity, which does
+        // no harm, since nothing is looked up in this map.
         @SuppressWarnings("ArrayAsKeyOfSetOrMap")
         Map<byte[], Integer> ranks = new HashMap<>();
         Map<String, Integer> lineByToken = new HashMap<>();
@@ -104,7 +105,7 @@
             ranks.put(token, Integer.parseInt(fields[1]));
         }
         // Guards against: a truncated file would give far too high counts. The format has no end
-        // mark; tokens of a single byte come first.
+        // mark. Tokens of a single byte come first, so a file that lacks one ends very early.
         for (int i = 0; i < 256; i++) {
             if (!lineByToken.containsKey(
                     Base64.getEncoder().encodeToString(new byte[] {(byte) i}))) {
@@ -118,13 +119,15 @@
             }
         }
         int highestRank = usedRanks.stream().mapToInt(i -> i).max().orElse(0);
+        // A file that ends inside a line lacks the last line feed. A file that lacks lines may have
+        // ranks that are too high for its number of tokens.
         if (!text.endsWith("\n") || highestRank > 2 * usedRanks.size()) {
             throw new InvalidVocabularyException(
                     file
                             + ":"
                             + lineNumber
-                            + ": the last line has no line end, or ranks are missing;"
-                            + " the file may be truncated");
+                            + ": the last line does not end in a line feed, or the highest rank is"
+                            + " over twice the number of tokens; the file may be truncated");
         }
         return JtokkitVocabulary.fromRanks(name, pretokenizer, ranks);
     }
