--- a/src/main/java/larchridge/benchlink/BenchProtocol.java
+++ b/src/main/java/larchridge/benchlink/BenchProtocol.java
@@ -13,7 +13,9 @@
 public final class BenchProtocol {
     private static final double MS_PER_SECOND = 1000;
 
+    /** Positioned at the current message. */
     private final MessageReader messageReader;
+
     private final OutputStream out;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Long, BenchRouter> routers = new HashMap<>();
--- a/src/main/java/larchridge/benchlink/BenchRouter.java
+++ b/src/main/java/larchridge/benchlink/BenchRouter.java
@@ -32,7 +32,7 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final double MS_PER_SECOND = 1000;
 
-    /** Note of a rejection because the state to be fetched is missing. */
+    /** Value of member note in a rejection because the state to be fetched is missing. */
     private static final int NOTE_NO_STATE = 1;
 
     private final long instance;
@@ -55,7 +55,7 @@
         this.actions = new BenchActions(instance, reply);
     }
 
-    /** Handles one message; the current time is that of its batch. */
+    /** Handles the current message and its ENTRY lines; the current time is that of the batch. */
     void handle(MessageReader messageReader, double batchMs) throws InvalidMessageException {
         nowMs = batchMs;
         actions.setNowMs(batchMs);
@@ -109,7 +109,7 @@
         sharedPrefixes.clear();
     }
 
-    /** Calls the policy and reports its exceptions, so that the run ends and its cause is known. */
+    /** Calls the policy; reports an exception to the bench, which ends the run and shows it. */
     private void callPolicy(Runnable policyCall) {
         try {
             policyCall.run();
@@ -173,6 +173,7 @@
         boolean generationFinished = messageReader.flag("no_more");
         LoadReport report = loadReport(messageReader);
         String disposition = messageReader.text("disposition");
+        // The number of cached tokens if the read completed; otherwise the reason of a rejection.
         int note = (int) messageReader.decimalOr("note", 0);
         if (disposition.equals("half_done")) {
             callPolicy(() -> policy.readCompleted(attempt, note, report, generationFinished));
@@ -202,7 +203,8 @@
                     throw messageReader.invalid(
                             "member disposition is '"
                                     + disposition
-                                    + "'; expected a known outcome");
+                                    + ("'; expected half_done, pass, fault, no_room, too_slow,"
+                                            + " no_route, cut, undone or stale_send"));
         };
     }
 
--- a/src/main/java/larchridge/benchlink/InvalidMessageException.java
+++ b/src/main/java/larchridge/benchlink/InvalidMessageException.java
@@ -1,6 +1,9 @@
 package larchridge.benchlink;
 
-/** Thrown for a message that violates the protocol; the message names line and member. */
+/**
+ * Thrown for a message that violates the protocol. The text of the exception gives the line number
+ * and the problem.
+ */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/larchridge/benchlink/MessageReader.java
+++ b/src/main/java/larchridge/benchlink/MessageReader.java
@@ -18,7 +18,10 @@
     /** Integers with more digits could overflow a long. */
     private static final int MAX_INTEGER_DIGITS = 18;
 
-    /** With more digits, scaling a long is less exact than {@link Double#parseDouble}. */
+    /**
+     * No digit is added to a value that has reached this: with more digits, scaling a long is less
+     * exact than {@link Double#parseDouble}.
+     */
     private static final long MAX_FAST_VALUE = 100_000_000_000_000L;
 
     private final InputStream in;
@@ -254,7 +257,8 @@
             at++;
         }
         if (at == memberEnds[index] || memberEnds[index] - at > MAX_INTEGER_DIGITS) {
-            throw unexpected(member, index, "a whole number");
+            throw unexpected(
+                    member, index, "a whole number of at most " + MAX_INTEGER_DIGITS + " digits");
         }
         long value = 0;
         for (; at < memberEnds[index]; at++) {
--- a/src/main/java/larchridge/inventory/EngineListReader.java
+++ b/src/main/java/larchridge/inventory/EngineListReader.java
@@ -25,7 +25,7 @@
 
 /**
  * Reads and validates an engine list in YAML: the key {@code engines} with a sequence of one
- * mapping for each engine. An error names file, line and field.
+ * mapping for each engine. An error names the file and, where known, line and field.
  */
 public final class EngineListReader {
     private static final Set<String> FIELDS =
@@ -102,7 +102,7 @@
             int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
             throw new InvalidEngineListException(file + ":" + line + ": " + e.getProblem(), e);
         } catch (YAMLException e) {
-            throw new InvalidEngineListException(file + ":1: " + e.getMessage(), e);
+            throw new InvalidEngineListException(file + ": " + e.getMessage(), e);
         }
     }
 
@@ -121,7 +121,9 @@
         }
         if (!(list instanceof SequenceNode items) || items.getValue().isEmpty()) {
             throw invalid(
-                    list == null ? root : list, "engines", "empty; expected at least one engine");
+                    list == null ? root : list,
+                    "engines",
+                    "expected a sequence of at least one engine");
         }
         return items;
     }
@@ -208,7 +210,7 @@
         if (node instanceof ScalarNode scalar && !scalar.getValue().isEmpty()) {
             return scalar.getValue();
         }
-        throw invalid(node, field, "expected a single value");
+        throw invalid(node, field, "expected a scalar that is not empty");
     }
 
     private InvalidEngineListException invalid(Node node, String field, String problem) {
--- a/src/main/java/larchridge/inventory/EngineListWatcher.java
+++ b/src/main/java/larchridge/inventory/EngineListWatcher.java
@@ -32,7 +32,8 @@
     /**
      * Creates a watcher that does not poll yet.
      *
-     * @param listener receives each new version, on an event loop of its own
+     * @param listener receives each new version; called on the event loop of the poll timer, not on
+     *     those of the routers
      */
     public EngineListWatcher(Path file, Consumer<List<EngineEntry>> listener) {
         this.file = file;
@@ -55,7 +56,7 @@
         timer = vertx.setPeriodic(Math.max(1, (long) pollMs), timerId -> startPoll());
     }
 
-    /** Stops polling the file; a version that is being read is dropped. */
+    /** Stops polling the file; a version that is being read may still be delivered. */
     public void stop() {
         if (vertx != null) {
             vertx.cancelTimer(timer);
--- a/src/main/java/larchridge/inventory/InvalidEngineListException.java
+++ b/src/main/java/larchridge/inventory/InvalidEngineListException.java
@@ -1,6 +1,9 @@
 package larchridge.inventory;
 
-/** Thrown for an engine list that can't be read or is invalid; names file, line and field. */
+/**
+ * Thrown for an engine list that can't be read or is invalid. The message names the file and, where
+ * known, line and field.
+ */
 public final class InvalidEngineListException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/larchridge/logging/JsonLogConfigurator.java
+++ b/src/main/java/larchridge/logging/JsonLogConfigurator.java
@@ -12,9 +12,9 @@
 /**
  * Configures logging: one JSON object per line on standard error. Events of this program are logged
  * from the level that the environment variable {@code LARCHRIDGE_LOG} names (INFO by default),
- * events of libraries from WARN. The configuration is in code because reading it from XML took a
- * third of a node's startup time. If the system property {@code logback.configurationFile} names a
- * file, that file is used instead.
+ * events of libraries from WARN. The configuration is in code because reading it from XML takes a
+ * third of the startup time of the {@code node} command. If the system property {@code
+ * logback.configurationFile} names a file, that file is used instead.
  */
 public final class JsonLogConfigurator extends ContextAwareBase implements Configurator {
     @Override
--- a/src/test/java/larchridge/benchlink/BenchProtocolTest.java
+++ b/src/test/java/larchridge/benchlink/BenchProtocolTest.java
@@ -78,7 +78,8 @@
                 "REPLY job=g round_no=x|line 9: REPLY: member round_no is 'x'; expected a whole number",
                 "REPLY round_no=0|line 9: REPLY: member job is missing; expected text",
                 "REPLY job=g round_no=0 disposition=odd|"
-                        + "line 9: REPLY: member disposition is 'odd'; expected a known outcome",
+                        + "line 9: REPLY: member disposition is 'odd'; expected half_done, pass, "
+                        + "fault, no_room, too_slow, no_route, cut, undone or stale_send",
                 "REPLY job=g round_no=0 no_more=2 disposition=pass|"
                         + "line 9: REPLY: member no_more is '2'; expected 1 or 0",
                 "REPLY job=g round_no=0 disposition=pass pressure=depth:x|"
--- a/src/test/java/larchridge/inventory/EngineListReaderTest.java
+++ b/src/test/java/larchridge/inventory/EngineListReaderTest.java
@@ -84,7 +84,7 @@
 
     @Test
     void emptyListIsRejected() {
-        assertError("engines: []", "e:1: engines: empty");
+        assertError("engines: []", "e:1: engines: expected a sequence of at least one engine");
         assertError("", "e:1: engines: missing");
     }
 
