--- a/src/main/java/larchridge/benchlink/MessageReader.java
+++ b/src/main/java/larchridge/benchlink/MessageReader.java
@@ -18,8 +18,11 @@
     /** Integers with more digits could overflow a long. */
     private static final int MAX_INTEGER_DIGITS = 18;
 
-    /** With more digits, scaling a long is less exact than {@link Double#parseDouble}. */
-    private static final long MAX_FAST_DIGITS = 100_000_000_000_000L;
+    /**
+     * No digit is added to a value that has reached this: with more digits, scaling a long is less
+     * exact than {@link Double#parseDouble}.
+     */
+    private static final long MAX_FAST_VALUE = 100_000_000_000_000L;
 
     private final InputStream in;
     private final byte[] buffer = new byte[BUFFER_BYTES];
@@ -254,7 +257,8 @@
             at++;
         }
         if (at == memberEnds[index] || memberEnds[index] - at > MAX_INTEGER_DIGITS) {
-            throw unexpected(member, index, "a whole number");
+            throw unexpected(
+                    member, index, "a whole number of at most " + MAX_INTEGER_DIGITS + " digits");
         }
         long value = 0;
         for (; at < memberEnds[index]; at++) {
@@ -277,14 +281,14 @@
         if (negative) {
             at++;
         }
-        long digits = 0;
+        long unscaledValue = 0;
         double scale = 1;
         boolean pointSeen = false;
         boolean anyDigit = false;
         for (; at < to; at++) {
             byte b = line[at];
-            if (b >= '0' && b <= '9' && digits < MAX_FAST_DIGITS) {
-                digits = digits * 10 + (b - '0');
+            if (b >= '0' && b <= '9' && unscaledValue < MAX_FAST_VALUE) {
+                unscaledValue = unscaledValue * 10 + (b - '0');
                 anyDigit = true;
                 if (pointSeen) {
                     scale *= 10;
@@ -298,7 +302,7 @@
         if (!anyDigit) {
             return Double.NaN;
         }
-        double value = digits / scale;
+        double value = unscaledValue / scale;
         return negative ? -value : value;
     }
 
--- a/src/main/java/larchridge/inventory/EngineListReader.java
+++ b/src/main/java/larchridge/inventory/EngineListReader.java
@@ -121,7 +121,9 @@
         }
         if (!(list instanceof SequenceNode items) || items.getValue().isEmpty()) {
             throw invalid(
-                    list == null ? root : list, "engines", "empty; expected at least one engine");
+                    list == null ? root : list,
+                    "engines",
+                    "expected a sequence of at least one engine");
         }
         return items;
     }
@@ -208,7 +210,7 @@
         if (node instanceof ScalarNode scalar && !scalar.getValue().isEmpty()) {
             return scalar.getValue();
         }
-        throw invalid(node, field, "expected a single value");
+        throw invalid(node, field, "expected a scalar that is not empty");
     }
 
     private InvalidEngineListException invalid(Node node, String field, String problem) {
--- a/src/main/java/larchridge/inventory/EngineListWatcher.java
+++ b/src/main/java/larchridge/inventory/EngineListWatcher.java
@@ -25,14 +25,15 @@
     private final Consumer<List<EngineEntry>> listener;
     private byte[] lastContent = new byte[0];
     private String lastError = "";
-    private boolean polling;
+    private boolean pollInProgress;
     private Vertx vertx;
     private long timer;
 
     /**
      * Creates a watcher that does not poll yet.
      *
-     * @param listener receives each new version, on an event loop of its own
+     * @param listener receives each new version; called on the event loop of the poll timer, not on
+     *     those of the routers
      */
     public EngineListWatcher(Path file, Consumer<List<EngineEntry>> listener) {
         this.file = file;
@@ -52,10 +53,10 @@
     /** Starts polling the file. */
     public void start(Vertx pollingVertx, double pollMs) {
         vertx = pollingVertx;
-        timer = vertx.setPeriodic(Math.max(1, (long) pollMs), due -> startPoll());
+        timer = vertx.setPeriodic(Math.max(1, (long) pollMs), timerId -> startPoll());
     }
 
-    /** Stops polling the file; a version that is being read is dropped. */
+    /** Stops polling the file; a version that is being read may still be delivered. */
     public void stop() {
         if (vertx != null) {
             vertx.cancelTimer(timer);
@@ -63,14 +64,14 @@
     }
 
     private void startPoll() {
-        if (!polling) {
-            polling = true;
+        if (!pollInProgress) {
+            pollInProgress = true;
             vertx.executeBlocking(this::readIfChanged, false).onComplete(this::pollEnded);
         }
     }
 
     private void pollEnded(AsyncResult<List<EngineEntry>> poll) {
-        polling = false;
+        pollInProgress = false;
         if (poll.failed()) {
             LOG.error("failed to poll the engine list", poll.cause());
         } else if (poll.result() != null) {
--- a/src/main/java/larchridge/tokens/TokenCountTask.java
+++ b/src/main/java/larchridge/tokens/TokenCountTask.java
@@ -6,15 +6,15 @@
 /**
  * Counts the tokens of one text and of a prefix of it, chunk by chunk: keeps the counts known from
  * the cache, counts the missing chunks and estimates those not counted. The prefix consists of the
- * text's own chunks, except for the chunk in which the prefix ends: its first part is counted as a
- * chunk of its own.
+ * text's own chunks, except for the chunk in which the prefix ends: the part of that chunk that
+ * belongs to the prefix is counted separately, in addition to the whole chunk.
  */
 public final class TokenCountTask {
     /**
-     * A longer chunk has no boundary at which it could be split. It is not counted, because
-     * counting a chunk can't be cancelled.
+     * Longer chunks are estimated, not counted, because counting a chunk can't be cancelled. Such a
+     * chunk is a long stretch of text without a chunk boundary.
      */
-    static final int MAX_CHUNK_CHARS = 256 << 10;
+    static final int MAX_COUNTED_CHUNK_CHARS = 256 << 10;
 
     private final String text;
     private final Vocabulary vocabulary;
@@ -29,7 +29,10 @@
 
     private volatile boolean cancelled;
 
-    /** A chunk; key is null if it can't be counted, tokens is negative until it is known. */
+    /**
+     * A chunk; key is null if the chunk is empty or longer than MAX_COUNTED_CHUNK_CHARS, tokens is
+     * negative until its count is known.
+     */
     private static final class Chunk {
         final int from;
         final int to;
@@ -42,13 +45,14 @@
             this.key = key;
         }
 
-        int uncountedChars() {
+        int charsToCount() {
             return tokens < 0 && key != null ? to - from : 0;
         }
     }
 
     /**
-     * Looks up the chunks of a text in the cache, which computes a digest of each chunk.
+     * Looks up the chunks of a text in the cache. The keys are digests of the chunks, so that this
+     * takes time in proportion to the length of the text.
      *
      * @param prefixChars length of the prefix that is counted, too
      */
@@ -71,7 +75,7 @@
     }
 
     private Chunk chunk(int from, int to) {
-        if (from == to || to - from > MAX_CHUNK_CHARS) {
+        if (from == to || to - from > MAX_COUNTED_CHUNK_CHARS) {
             return new Chunk(from, to, null);
         }
         Chunk chunk =
@@ -81,38 +85,43 @@
         return chunk;
     }
 
-    /** The number of characters whose tokens are still to be counted. */
-    public int uncountedChars() {
-        return chunks.stream().mapToInt(Chunk::uncountedChars).sum() + prefixTail.uncountedChars();
+    /**
+     * The number of characters that {@link #countMissing} would count. Chunks that are too long to
+     * be counted are not included.
+     */
+    public int charsToCount() {
+        return chunks.stream().mapToInt(Chunk::charsToCount).sum() + prefixTail.charsToCount();
     }
 
     /**
-     * Counts the missing chunks and reports the time taken to the rate. May run on any thread.
+     * Counts the missing chunks and records the time taken and the tokens per character of the text
+     * in the statistics. May run on any thread.
      *
      * @return false if the task was cancelled
      */
-    public boolean countMissing(CountingRate rate) {
+    public boolean countMissing(CountingStatistics statistics) {
         long start = System.nanoTime();
-        int newChars = 0;
+        int countedChars = 0;
         for (int i = 0; i <= chunks.size(); i++) {
             if (cancelled) {
                 return false;
             }
             Chunk chunk = i < chunks.size() ? chunks.get(i) : prefixTail;
-            if (chunk.uncountedChars() > 0) {
+            if (chunk.charsToCount() > 0) {
                 chunk.tokens = vocabulary.count(text.substring(chunk.from, chunk.to));
                 cache.put(chunk.key, chunk.tokens);
-                newChars += chunk.to - chunk.from;
+                countedChars += chunk.to - chunk.from;
             }
         }
-        if (newChars > 0) {
-            int tokens = 0;
-            int textChars = 0;
+        if (countedChars > 0) {
+            int knownTokens = 0;
+            int knownChars = 0;
             for (Chunk chunk : chunks) {
-                tokens += Math.max(0, chunk.tokens);
-                textChars += chunk.tokens < 0 ? 0 : chunk.to - chunk.from;
+                knownTokens += Math.max(0, chunk.tokens);
+                knownChars += chunk.tokens < 0 ? 0 : chunk.to - chunk.from;
             }
-            rate.recordCount(newChars, System.nanoTime() - start, tokens, textChars);
+            statistics.recordCount(
+                    countedChars, System.nanoTime() - start, knownTokens, knownChars);
         }
         return true;
     }
