--- a/src/main/java/larchridge/cli/BillCommand.java
+++ b/src/main/java/larchridge/cli/BillCommand.java
@@ -51,21 +51,21 @@
 
     @Override
     public Integer call() {
-        YearMonth of;
+        YearMonth billedMonth;
         try {
-            of = month == null ? YearMonth.now(ZoneOffset.UTC) : YearMonth.parse(month);
+            billedMonth = month == null ? YearMonth.now(ZoneOffset.UTC) : YearMonth.parse(month);
         } catch (DateTimeParseException e) {
             System.err.println("--month: '" + month + "' is no month like 2026-12");
             return 2;
         }
         try {
-            Site read = SiteReader.read(site);
-            if (read.ledgerFolder == null) {
+            Site loadedSite = SiteReader.read(site);
+            if (loadedSite.ledgerFolder == null) {
                 System.err.println(site + ": ledger: missing");
                 return 1;
             }
-            try (Ledger ledger = Ledger.openReadOnly(read.ledgerFolder)) {
-                print(read, ledger.totals(of));
+            try (Ledger ledger = Ledger.openReadOnly(loadedSite.ledgerFolder)) {
+                print(loadedSite, ledger.totals(billedMonth));
             }
             return 0;
         } catch (InvalidSiteException | LedgerException e) {
@@ -74,7 +74,7 @@
         }
     }
 
-    private void print(Site read, Map<Ledger.TotalKey, UsageTotal> totals) {
+    private void print(Site loadedSite, Map<Ledger.TotalKey, UsageTotal> totals) {
         BigDecimal sum = BigDecimal.ZERO;
         if (format == Format.TABLE) {
             System.out.printf(
@@ -87,21 +87,21 @@
                     "kept",
                     "answer",
                     "wasted",
-                    read.currency);
+                    loadedSite.currency);
         } else if (format == Format.CSV) {
             System.out.println(
                     "month,tenant,product,generations,prompt_tokens,kept_tokens,answer_tokens,"
                             + "wasted_tokens,cost,currency");
         }
         for (Map.Entry<Ledger.TotalKey, UsageTotal> entry : totals.entrySet()) {
-            Ledger.TotalKey line = entry.getKey();
-            if (tenant != null && !tenant.equals(line.tenant())) {
+            Ledger.TotalKey key = entry.getKey();
+            if (tenant != null && !tenant.equals(key.tenant())) {
                 continue;
             }
             UsageTotal total = entry.getValue();
             Price price =
-                    read.prices.getOrDefault(
-                            line.product(),
+                    loadedSite.prices.getOrDefault(
+                            key.product(),
                             new Price(BigDecimal.ZERO, BigDecimal.ZERO, BigDecimal.ZERO));
             BigDecimal cost = price.costOf(total);
             sum = sum.add(cost);
@@ -110,8 +110,8 @@
                         System.out.printf(
                                 Locale.ROOT,
                                 "%-20s %-20s %11d %12d %12d %12d %12d %12s%n",
-                                line.tenant(),
-                                line.product(),
+                                key.tenant(),
+                                key.product(),
                                 total.generations(),
                                 total.promptTokens(),
                                 total.cachedTokens(),
@@ -122,35 +122,35 @@
                         System.out.println(
                                 String.join(
                                         ",",
-                                        line.month().toString(),
-                                        quoted(line.tenant()),
-                                        quoted(line.product()),
+                                        key.month().toString(),
+                                        quoted(key.tenant()),
+                                        quoted(key.product()),
                                         Long.toString(total.generations()),
                                         Long.toString(total.promptTokens()),
                                         Long.toString(total.cachedTokens()),
                                         Long.toString(total.outputTokens()),
                                         Long.toString(total.wastedTokens()),
                                         cost.toPlainString(),
-                                        read.currency));
+                                        loadedSite.currency));
                 case JSON -> {
                     ObjectNode json = new ObjectMapper().createObjectNode();
-                    json.put("month", line.month().toString())
-                            .put("tenant", line.tenant())
-                            .put("product", line.product())
+                    json.put("month", key.month().toString())
+                            .put("tenant", key.tenant())
+                            .put("product", key.product())
                             .put("generations", total.generations())
                             .put("prompt_tokens", total.promptTokens())
                             .put("kept_tokens", total.cachedTokens())
                             .put("answer_tokens", total.outputTokens())
                             .put("wasted_tokens", total.wastedTokens())
                             .put("cost", cost.toPlainString())
-                            .put("currency", read.currency);
+                            .put("currency", loadedSite.currency);
                     System.out.println(json);
                 }
                 default -> throw new IllegalStateException(format.name());
             }
         }
         if (format == Format.TABLE) {
-            System.out.println("sum " + Price.formatMoney(sum) + " " + read.currency);
+            System.out.println("sum " + Price.formatMoney(sum) + " " + loadedSite.currency);
         }
     }
 
--- a/src/main/java/larchridge/cli/DemoCommand.java
+++ b/src/main/java/larchridge/cli/DemoCommand.java
@@ -25,7 +25,7 @@
 
     @Override
     public Integer call() throws Exception {
-        List<EngineProfile> makes =
+        List<EngineProfile> profiles =
                 List.of(
                         EngineProfile.of(1, Role.READER, "west", 1),
                         EngineProfile.of(2, Role.READER, "west", 2),
@@ -34,7 +34,7 @@
                         EngineProfile.of(5, Role.BOTH, "west", 1),
                         EngineProfile.of(6, Role.WRITER, "west", 2));
         try (SimulatedFleet fleet =
-                SimulatedFleet.start(makes, (sight, engine, rid, tag, amount) -> {}, 1)) {
+                SimulatedFleet.start(profiles, (kind, engine, rid, tag, amount) -> {}, 1)) {
             Path folder = Files.createTempDirectory("larchridge-demo");
             fleet.writeList(folder.resolve("engines.yaml"));
             Service service = Service.start(SiteReader.read("demo", SITE.formatted(port), folder));
--- a/src/main/java/larchridge/cli/EngineCommand.java
+++ b/src/main/java/larchridge/cli/EngineCommand.java
@@ -62,17 +62,17 @@
         vertx.runOnContext(
                 v ->
                         new SimulatedEngine(
-                                        vertx, make(), (sight, engine, rid, tag, amount) -> {}, id)
+                                        vertx, profile(), (kind, engine, rid, tag, amount) -> {}, id)
                                 .start(port, false)
                                 .onSuccess(
-                                        at ->
+                                        boundPort ->
                                                 System.out.println(
                                                         "stand-in "
                                                                 + role
                                                                 + " "
                                                                 + id
                                                                 + " on 127.0.0.1:"
-                                                                + at))
+                                                                + boundPort))
                                 .onFailure(
                                         e -> {
                                             System.err.println("larchridge: " + e.getMessage());
@@ -82,23 +82,23 @@
         return 0;
     }
 
-    private EngineProfile make() {
-        EngineProfile usual = EngineProfile.of(id, role, zone, rack);
+    private EngineProfile profile() {
+        EngineProfile defaults = EngineProfile.of(id, role, zone, rack);
         return new EngineProfile(
                         id,
                         role,
                         zone,
                         rack,
-                        usual.readTokensPerMs(),
-                        Math.max(usual.readsAtOnce(), streams / 10),
+                        defaults.readTokensPerMs(),
+                        Math.max(defaults.readsAtOnce(), streams / 10),
                         streams,
-                        Math.max(usual.queue(), streams),
-                        usual.memoryTokens() * Math.max(1, streams / 60.0),
+                        Math.max(defaults.queue(), streams),
+                        defaults.memoryTokens() * Math.max(1, streams / 60.0),
                         tokenMs,
-                        usual.moveTokensPerMs(),
-                        usual.coldShare(),
-                        usual.coldMs(),
-                        usual.lapseMs())
+                        defaults.moveTokensPerMs(),
+                        defaults.coldShare(),
+                        defaults.coldMs(),
+                        defaults.lapseMs())
                 .scaled(speed);
     }
 }
--- a/src/main/java/larchridge/cli/ExperimentCommand.java
+++ b/src/main/java/larchridge/cli/ExperimentCommand.java
@@ -43,23 +43,23 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        ExperimentPlan read;
+        ExperimentPlan loadedPlan;
         try {
-            read = ExperimentPlan.read(plan);
+            loadedPlan = ExperimentPlan.read(plan);
         } catch (ExperimentPlan.InvalidPlanException e) {
             System.err.println(e.getMessage());
             return 1;
         }
         Files.createDirectories(folder);
         List<ExperimentRunner.Row> rows =
-                ExperimentRunner.run(read, folder.resolve("results.csv"), sideBySide);
-        ReportPage.write(read, rows, folder);
+                ExperimentRunner.run(loadedPlan, folder.resolve("results.csv"), sideBySide);
+        ReportPage.write(loadedPlan, rows, folder);
         System.out.println(
                 "policy | times load | service | beside the first | | p99 ms | broken rules (engines emulated)");
-        ReportPage.lines(read, rows).forEach(System.out::println);
-        boolean broken =
+        ReportPage.lines(loadedPlan, rows).forEach(System.out::println);
+        boolean violated =
                 rows.stream()
                         .anyMatch(row -> row.run().policy().equals("choice") && row.breaches() > 0);
-        return broken ? 3 : 0;
+        return violated ? 3 : 0;
     }
 }
--- a/src/main/java/larchridge/cli/FaultInjectionCommand.java
+++ b/src/main/java/larchridge/cli/FaultInjectionCommand.java
@@ -12,9 +12,9 @@
 import larchridge.faultinjection.FaultInjectionRun;
 import larchridge.faultinjection.FaultKind;
 import larchridge.faultinjection.FaultScript;
-import larchridge.faultinjection.FaultScripts;
 import larchridge.faultinjection.FaultTestResult;
 import larchridge.faultinjection.PlantedFault;
+import larchridge.faultinjection.SupportedFaultKinds;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -102,32 +102,32 @@
             return 2;
         }
         Files.createDirectories(folder);
-        List<FaultKind> played = FaultScripts.playable(kinds, FaultInjectionRun.canShim(folder));
-        boolean broken = false;
+        List<FaultKind> supportedKinds = SupportedFaultKinds.supported(kinds, FaultInjectionRun.canBuildShim(folder));
+        boolean violated = false;
         for (int i = 0; i < runs; i++) {
-            FaultScript one =
+            FaultScript runScript =
                     script != null
                             ? FaultScript.read(script)
-                            : FaultScript.draw(
-                                    seed + i, nodes, readers, writers, seconds, perSecond, played);
-            FaultTestResult judgement =
-                    new FaultInjectionRun(one, plant, folder.resolve("seed" + one.seed())).run();
-            broken |= !judgement.passed();
-            report(one, judgement);
+                            : FaultScript.generate(
+                                    seed + i, nodes, readers, writers, seconds, perSecond, supportedKinds);
+            FaultTestResult result =
+                    new FaultInjectionRun(runScript, plant, folder.resolve("seed" + runScript.seed())).run();
+            violated |= !result.passed();
+            report(runScript, result);
         }
-        return broken ? 3 : 0;
+        return violated ? 3 : 0;
     }
 
-    private void report(FaultScript one, FaultTestResult judgement) throws IOException {
+    private void report(FaultScript runScript, FaultTestResult result) throws IOException {
         System.out.printf(
                 Locale.ROOT,
                 "seed %d: %d requests, %d served whole, the rig late by %.0f ms at most: %s%n",
-                one.seed(),
-                judgement.requests(),
-                judgement.whole(),
-                judgement.lateMs(),
-                judgement.passed() ? "passed" : "FAILED");
-        judgement.faults().stream().limit(10).forEach(fault -> System.out.println("  " + fault));
+                runScript.seed(),
+                result.requests(),
+                result.completed(),
+                result.maxLagMs(),
+                result.passed() ? "passed" : "FAILED");
+        result.violations().stream().limit(10).forEach(violation -> System.out.println("  " + violation));
         Path table = folder.resolve("table.tsv");
         if (!Files.exists(table)) {
             Files.writeString(table, TABLE_HEAD);
@@ -137,16 +137,16 @@
                 String.format(
                         Locale.ROOT,
                         "%d\t%s\t%d\t%.0f\t%s\t%d\t%d\t%.0f\t%s\t%d%n",
-                        one.seed(),
+                        runScript.seed(),
                         build,
-                        one.nodes(),
-                        one.seconds(),
+                        runScript.nodes(),
+                        runScript.seconds(),
                         plant,
-                        judgement.requests(),
-                        judgement.whole(),
-                        judgement.lateMs(),
-                        judgement.passed() ? "passed" : "failed",
-                        judgement.faults().size()),
+                        result.requests(),
+                        result.completed(),
+                        result.maxLagMs(),
+                        result.passed() ? "passed" : "failed",
+                        result.violations().size()),
                 StandardOpenOption.APPEND);
     }
 }
--- a/src/main/java/larchridge/cli/LedgerCommand.java
+++ b/src/main/java/larchridge/cli/LedgerCommand.java
@@ -21,11 +21,11 @@
                             + "they differ.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Ledger ledger = Ledger.openReadOnly(folder)) {
-            List<String> faults = ledger.verify();
-            faults.forEach(System.out::println);
+            List<String> differences = ledger.verify();
+            differences.forEach(System.out::println);
             System.out.println(
-                    folder + ": " + (faults.isEmpty() ? "good" : faults.size() + " differences"));
-            return faults.isEmpty() ? 0 : 1;
+                    folder + ": " + (differences.isEmpty() ? "good" : differences.size() + " differences"));
+            return differences.isEmpty() ? 0 : 1;
         } catch (LedgerException e) {
             System.err.println(e.getMessage());
             return 1;
@@ -41,27 +41,27 @@
             System.out.println(
                     "id,tenant,product,at_ms,kind,prompt_tokens,kept_tokens,answer_tokens,wasted_tokens,attempts");
             ledger.forEachRecord(
-                    u ->
+                    usage ->
                             System.out.println(
-                                    u.billId()
+                                    usage.billId()
                                             + ","
-                                            + u.tenant()
+                                            + usage.tenant()
                                             + ","
-                                            + u.product()
+                                            + usage.product()
                                             + ","
-                                            + u.endedAtMs()
+                                            + usage.endedAtMs()
                                             + ","
-                                            + u.outcome()
+                                            + usage.outcome()
                                             + ","
-                                            + u.promptTokens()
+                                            + usage.promptTokens()
                                             + ","
-                                            + u.cachedTokens()
+                                            + usage.cachedTokens()
                                             + ","
-                                            + u.outputTokens()
+                                            + usage.outputTokens()
                                             + ","
-                                            + u.wastedTokens()
+                                            + usage.wastedTokens()
                                             + ","
-                                            + u.attempts()));
+                                            + usage.attempts()));
             return 0;
         } catch (LedgerException e) {
             System.err.println(e.getMessage());
--- a/src/main/java/larchridge/cli/LoadCommand.java
+++ b/src/main/java/larchridge/cli/LoadCommand.java
@@ -61,21 +61,21 @@
     @Override
     public Integer call() throws InterruptedException {
         double[] cpu = new double[2];
-        LoadGenerator.Gain gain =
+        LoadGenerator.Gain result =
                 new LoadGenerator("127.0.0.1", ports, clients, prompt, out, multiplexed, over)
                         .run(warm, seconds, () -> cpu[0] = cpuMs(), () -> cpu[1] = cpuMs());
-        double streamed = Math.max(1, gain.streamed.sum());
+        double completed = Math.max(1, result.streamed.sum());
         System.out.printf(
                 Locale.ROOT,
                 "clients %d streamed/s %.0f pieces/s %.0f failed %d first token p50 %.2f ms"
                         + " p99 %.2f ms cpu/generation %.3f ms%n",
                 clients,
-                streamed / gain.seconds,
-                gain.pieces.sum() / gain.seconds,
-                gain.failed.sum(),
-                gain.firstToken.getValueAtPercentile(50) / 1000.0,
-                gain.firstToken.getValueAtPercentile(99) / 1000.0,
-                (cpu[1] - cpu[0]) / streamed);
+                completed / result.seconds,
+                result.pieces.sum() / result.seconds,
+                result.failed.sum(),
+                result.firstToken.getValueAtPercentile(50) / 1000.0,
+                result.firstToken.getValueAtPercentile(99) / 1000.0,
+                (cpu[1] - cpu[0]) / completed);
         return 0;
     }
 
--- a/src/main/java/larchridge/cli/SearchCommand.java
+++ b/src/main/java/larchridge/cli/SearchCommand.java
@@ -52,24 +52,24 @@
 
     @Override
     public Integer call() throws InterruptedException, IOException {
-        TestScript read;
+        TestScript loadedScript;
         try {
-            read = TestScriptReader.read(script);
+            loadedScript = TestScriptReader.read(script);
         } catch (TestScriptReader.BadScript e) {
             System.err.println(e.getMessage());
             return 1;
         }
-        FaultSearch.Candidate found = FaultSearch.run(read, seed, tries, sideBySide);
-        Files.writeString(into, FaultSearch.yaml(found.script()));
+        FaultSearch.Candidate worst = FaultSearch.run(loadedScript, seed, tries, sideBySide);
+        Files.writeString(into, FaultSearch.yaml(worst.script()));
         System.out.printf(
                 Locale.ROOT,
                 "seed %d, %d scripts: service %.3f, %d broken rules, a plain policy serves %.3f more%n",
                 seed,
                 tries,
-                found.service(),
-                found.breaches(),
-                found.breaches() > 0 ? 0 : found.severity());
-        found.script().troubles().forEach(System.out::println);
-        return found.breaches() > 0 ? 3 : 0;
+                worst.service(),
+                worst.breaches(),
+                worst.breaches() > 0 ? 0 : worst.severity());
+        worst.script().troubles().forEach(System.out::println);
+        return worst.breaches() > 0 ? 3 : 0;
     }
 }
--- a/src/main/java/larchridge/cli/ServeCommand.java
+++ b/src/main/java/larchridge/cli/ServeCommand.java
@@ -28,7 +28,7 @@
                 "Serve a site until SIGTERM; open generations may end within the site's stop time.")
 final class ServeCommand implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
-    private static final long WATCH_MS = 500;
+    private static final long POLL_INTERVAL_MS = 500;
 
     @Option(
             names = "--site",
@@ -43,7 +43,7 @@
             paramLabel = "N",
             description =
                     "generations played to itself before it listens; 0 for none (default: ${DEFAULT-VALUE})")
-    private int rehearsals;
+    private int warmupGenerations;
 
     @Option(
             names = "--halt-at-write",
@@ -51,10 +51,10 @@
             description = "for drills: end the process at the store's write of " + "this number")
     private int haltAtWrite;
 
-    private CrashPoints halt() {
-        AtomicInteger left = new AtomicInteger(haltAtWrite);
+    private CrashPoints haltAtConfiguredWrite() {
+        AtomicInteger writesLeft = new AtomicInteger(haltAtWrite);
         return name -> {
-            if (left.decrementAndGet() == 0) {
+            if (writesLeft.decrementAndGet() == 0) {
                 Runtime.getRuntime().halt(137);
             }
         };
@@ -62,14 +62,14 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Site read;
+        Site loadedSite;
         Service service;
         try {
-            read = SiteReader.read(site);
-            if (rehearsals > 0) {
-                ServiceWarmup.warmUp(rehearsals);
+            loadedSite = SiteReader.read(site);
+            if (warmupGenerations > 0) {
+                ServiceWarmup.warmUp(warmupGenerations);
             }
-            service = Service.start(read, haltAtWrite > 0 ? halt() : CrashPoints.NONE);
+            service = Service.start(loadedSite, haltAtWrite > 0 ? haltAtConfiguredWrite() : CrashPoints.NONE);
         } catch (InvalidSiteException | InvalidEngineListException | LedgerException e) {
             System.err.println(e.getMessage());
             return 1;
@@ -77,7 +77,7 @@
             System.err.println("larchridge: " + e.getMessage());
             return 1;
         }
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
@@ -87,30 +87,30 @@
                                     } catch (InterruptedException e) {
                                         Thread.currentThread().interrupt();
                                     }
-                                    over.countDown();
+                                    stopped.countDown();
                                 },
                                 "stop"));
         watchBudgets(service);
-        System.out.println("serving on " + read.host + " ports " + service.ports());
-        over.await();
+        System.out.println("serving on " + loadedSite.host + " ports " + service.ports());
+        stopped.await();
         return 0;
     }
 
     /** A changed site file gives new budgets while the service runs; a bad one changes nothing. */
     private void watchBudgets(Service service) {
-        Thread watch =
+        Thread watcher =
                 new Thread(
                         () -> {
-                            FileTime seen = modified();
+                            FileTime lastModified = modified();
                             while (true) {
                                 try {
-                                    Thread.sleep(WATCH_MS);
+                                    Thread.sleep(POLL_INTERVAL_MS);
                                 } catch (InterruptedException e) {
                                     return;
                                 }
-                                FileTime now = modified();
-                                if (now != null && !now.equals(seen)) {
-                                    seen = now;
+                                FileTime modifiedNow = modified();
+                                if (modifiedNow != null && !modifiedNow.equals(lastModified)) {
+                                    lastModified = modifiedNow;
                                     try {
                                         service.updateBudgets(SiteReader.read(site));
                                         LOG.info("budgets taken anew");
@@ -126,8 +126,8 @@
                             }
                         },
                         "budgets");
-        watch.setDaemon(true);
-        watch.start();
+        watcher.setDaemon(true);
+        watcher.start();
     }
 
     private FileTime modified() {
--- a/src/main/java/larchridge/cli/StoreCommand.java
+++ b/src/main/java/larchridge/cli/StoreCommand.java
@@ -36,7 +36,7 @@
                     folder + ": " + (faults.isEmpty() ? "good" : faults.size() + " faults"));
             return faults.isEmpty() ? 0 : 1;
         } catch (IOException e) {
-            return failed(e);
+            return printError(e);
         }
     }
 
@@ -49,11 +49,11 @@
     int repair(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Store store = Store.open(folder, CrashPoints.NONE)) {
             store.repair().forEach(System.out::println);
-            List<String> left = store.verify();
-            left.forEach(System.out::println);
-            return left.isEmpty() ? 0 : 1;
+            List<String> remaining = store.verify();
+            remaining.forEach(System.out::println);
+            return remaining.isEmpty() ? 0 : 1;
         } catch (IOException e) {
-            return failed(e);
+            return printError(e);
         }
     }
 
@@ -72,7 +72,7 @@
             @Parameters(paramLabel = "NAME") String name)
             throws InterruptedException {
         try {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     HttpClient.newHttpClient()
                             .send(
                                     HttpRequest.newBuilder(
@@ -85,8 +85,8 @@
                                             .POST(HttpRequest.BodyPublishers.noBody())
                                             .build(),
                                     HttpResponse.BodyHandlers.ofString());
-            System.out.print(answer.body());
-            return answer.statusCode() == 200 ? 0 : 1;
+            System.out.print(response.body());
+            return response.statusCode() == 200 ? 0 : 1;
         } catch (IOException | IllegalArgumentException e) {
             System.err.println("larchridge: " + admin + " does not answer: " + e.getMessage());
             return 1;
@@ -107,7 +107,7 @@
         try {
             Store.copyFolder(from, to);
         } catch (IOException e) {
-            return failed(e);
+            return printError(e);
         }
         return verify(to);
     }
@@ -129,11 +129,11 @@
             System.out.println(StoreBenchmark.measure(folder, lines));
             return 0;
         } catch (IOException e) {
-            return failed(e);
+            return printError(e);
         }
     }
 
-    private static int failed(IOException e) {
+    private static int printError(IOException e) {
         System.err.println(e.getMessage());
         return 1;
     }
--- a/src/main/java/larchridge/cli/SystemTestCommand.java
+++ b/src/main/java/larchridge/cli/SystemTestCommand.java
@@ -57,7 +57,7 @@
                     "of a bench day's load and engines' speed " + "(default: ${DEFAULT-VALUE})")
     private double scale;
 
-    private int playVirtually(TestScript script) throws IOException {
+    private int runInVirtualTime(TestScript script) throws IOException {
         SimulationRun.Result result = SimulationRun.simulate(script);
         System.out.print(ResultCounts.table(result.rows()));
         if (log != null) {
@@ -93,7 +93,7 @@
             if (source.day != null) {
                 BenchDayReader day = BenchDayReader.read(source.day, scale);
                 script = day.script();
-                day.leftOut().forEach(what -> System.out.println("not carried over: " + what));
+                day.leftOut().forEach(omission -> System.out.println("not carried over: " + omission));
             } else {
                 script = TestScriptReader.read(source.script);
             }
@@ -114,7 +114,7 @@
                         + script.fronts()
                         + " fronts, engines are simulated");
         if (virtual) {
-            return playVirtually(script);
+            return runInVirtualTime(script);
         }
         SystemTest.Result result = SystemTest.play(script);
         System.out.print(ResultCounts.table(result.rows()));
--- a/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -27,72 +27,72 @@
  * ends by itself.
  */
 public final class FaultInjectionRun {
-    private static final int RACK_ENGINES = 4;
-    private static final double LOOK_MS = 20;
-    private static final double START_MS = 30_000;
-    private static final double END_MS = 8000;
-    private static final int KEPT_LINES = 200;
+    private static final int ENGINES_PER_RACK = 4;
+    private static final double POLL_INTERVAL_MS = 20;
+    private static final double STARTUP_TIMEOUT_MS = 30_000;
+    private static final double SHUTDOWN_TIMEOUT_MS = 8000;
+    private static final int MAX_REPORTED_VIOLATIONS = 200;
     private static final int FIRST_PORT = 18_000;
     private static final int LAST_PORT = 30_000;
-    private static final int STEP_PORTS = 100;
+    private static final int PORT_STEP = 100;
 
     final FaultScript script;
-    final PlantedFault plant;
+    final PlantedFault plantedFault;
     final Path folder;
     final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = (EventLoop) group.next();
-    final ScheduledExecutorService signals = Executors.newSingleThreadScheduledExecutor();
+    final ScheduledExecutorService signalExecutor = Executors.newSingleThreadScheduledExecutor();
     final TrafficLog log = new TrafficLog();
-    final TestReservations states = new TestReservations(log);
+    final TestReadStates readStates = new TestReadStates(log);
     final List<TestEngine> engines = new ArrayList<>();
     final List<TestNode> nodes = new ArrayList<>();
 
     /** By node, then engine. */
-    final List<List<FaultProxy>> links = new ArrayList<>();
+    final List<List<FaultProxy>> proxies = new ArrayList<>();
 
-    final TestEndpointLists lists;
-    final List<String> faults = new ArrayList<>();
+    final TestEndpointLists endpointLists;
+    final List<String> violations = new ArrayList<>();
     TestClients clients;
     private final Random random;
-    private double lookedMs;
-    private double lateMs;
+    private double lastPollMs;
+    private double maxLagMs;
     private double startMs;
-    private boolean over;
+    private boolean finished;
 
     /**
      * Plant is what goes wrong outside the nodes on purpose, so that the judgement can be judged.
      */
-    public FaultInjectionRun(FaultScript script, PlantedFault plant, Path folder) {
+    public FaultInjectionRun(FaultScript script, PlantedFault plantedFault, Path folder) {
         this.script = script;
-        this.plant = plant;
+        this.plantedFault = plantedFault;
         this.folder = folder;
         random = new Random(script.seed() ^ 0x5DEECE66DL);
-        lists = new TestEndpointLists(this);
+        endpointLists = new TestEndpointLists(this);
     }
 
     /** Whether the machine has what the script's troubles need; tells what is missing. */
-    public static boolean canShim(Path folder) throws IOException, InterruptedException {
+    public static boolean canBuildShim(Path folder) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        return SystemCallShim.build(folder) != null;
+        return SystemCallShim.compile(folder) != null;
     }
 
     public FaultTestResult run() throws IOException, InterruptedException, ExecutionException {
         Files.createDirectories(folder);
         script.write(folder.resolve("script.yaml"));
         try {
-            build();
-            if (!awaitReady()) {
-                faults.add("not all nodes were ready after " + Math.round(START_MS) + " ms");
-                return judge();
+            setUp();
+            if (!awaitNodesReady()) {
+                violations.add("not all nodes were ready after " + Math.round(STARTUP_TIMEOUT_MS) + " ms");
+                return evaluate();
             }
-            loop.submit(this::begin).get();
+            loop.submit(this::startLoadAndFaults).get();
             TimeUnit.MILLISECONDS.sleep((long) (script.seconds() * 1000));
-            loop.submit(() -> over = true).get();
+            loop.submit(() -> finished = true).get();
             // Requests under way get their answers.
             TimeUnit.MILLISECONDS.sleep(TestSettings.LONGEST_DEADLINE_MS + 1000);
-            endNodes();
-            return judge();
+            stopNodes();
+            return evaluate();
         } finally {
             nodes.forEach(
                     node -> {
@@ -100,40 +100,40 @@
                             node.kill();
                         }
                     });
-            signals.shutdownNow();
+            signalExecutor.shutdownNow();
             group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).await(2000);
         }
     }
 
-    private void build() throws IOException, InterruptedException {
-        Path library = SystemCallShim.build(folder);
+    private void setUp() throws IOException, InterruptedException {
+        Path library = SystemCallShim.compile(folder);
         for (int i = 0; i < script.readers() + script.writers(); i++) {
-            EngineProfile make =
+            EngineProfile profile =
                     EngineProfile.of(
                             i,
                             i < script.readers() ? Role.READER : Role.WRITER,
                             i % 2 == 0 ? "a" : "b",
-                            i / RACK_ENGINES);
-            TestEngine engine = new TestEngine(make, group, log, states, script.seed() * 1000 + i);
-            engine.ignoresReleases = plant == PlantedFault.RELEASES_IGNORED;
-            engine.runsTwice = plant == PlantedFault.RUNS_TWICE;
+                            i / ENGINES_PER_RACK);
+            TestEngine engine = new TestEngine(profile, group, log, readStates, script.seed() * 1000 + i);
+            engine.ignoresReleases = plantedFault == PlantedFault.RELEASES_IGNORED;
+            engine.runsTwice = plantedFault == PlantedFault.RUNS_TWICE;
             engines.add(engine);
         }
         List<TestDiscoveryAgent> agents = new ArrayList<>();
         List<SystemCallShim> shims = new ArrayList<>();
         for (int i = 0; i < script.nodes(); i++) {
             int number = i;
-            List<FaultProxy> own = new ArrayList<>();
+            List<FaultProxy> nodeProxies = new ArrayList<>();
             for (TestEngine engine : engines) {
-                own.add(
+                nodeProxies.add(
                         new FaultProxy(
                                 group,
                                 engine.port(),
                                 script.seed() * 7919 + i * 100L + engine.number));
             }
-            links.add(own);
+            proxies.add(nodeProxies);
             TestDiscoveryAgent agent =
-                    new TestDiscoveryAgent(group, lists::index, () -> lists.text(number));
+                    new TestDiscoveryAgent(group, endpointLists::index, () -> endpointLists.listJson(number));
             SystemCallShim shim =
                     library == null
                             ? null
@@ -146,18 +146,18 @@
             nodes.add(
                     new TestNode(
                             i,
-                            nodePort(i),
+                            freeNodePort(i),
                             agents.get(i),
                             shims.get(i),
                             folder,
                             TestSettings.JSON));
         }
-        clients = new TestClients(group, log, nodes, TestSettings.CLASSES, script.seed() + 17);
-        clients.dropsAnswers(plant == PlantedFault.ANSWERS_DROPPED);
+        clients = new TestClients(group, log, nodes, TestSettings.REQUEST_CLASSES, script.seed() + 17);
+        clients.setDropResponses(plantedFault == PlantedFault.ANSWERS_DROPPED);
         for (TestNode node : nodes) {
-            node.configure(lists.text(node.number));
+            node.configure(endpointLists.listJson(node.number));
             node.start();
-            lists.started(node);
+            endpointLists.recordStart(node);
         }
     }
 
@@ -165,8 +165,8 @@
      * A free port below those that the system gives to outgoing connections, which would take it
      * while its node is down.
      */
-    private static int nodePort(int node) throws IOException {
-        for (int port = FIRST_PORT + node; port < LAST_PORT; port += STEP_PORTS) {
+    private static int freeNodePort(int node) throws IOException {
+        for (int port = FIRST_PORT + node; port < LAST_PORT; port += PORT_STEP) {
             try (ServerSocket socket =
                     new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
@@ -177,74 +177,74 @@
         throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
     }
 
-    private boolean awaitReady() throws InterruptedException {
+    private boolean awaitNodesReady() throws InterruptedException {
         CountDownLatch ready = new CountDownLatch(nodes.size());
         nodes.forEach(
-                node -> loop.execute(() -> awaitUp(node, log.now() + START_MS, ready::countDown)));
-        return ready.await((long) START_MS, TimeUnit.MILLISECONDS);
+                node -> loop.execute(() -> pollUntilReady(node, log.now() + STARTUP_TIMEOUT_MS, ready::countDown)));
+        return ready.await((long) STARTUP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Asks a node until it can serve, or its time is up. */
-    private void awaitUp(TestNode node, double untilMs, Runnable then) {
+    private void pollUntilReady(TestNode node, double deadlineMs, Runnable onReady) {
         new TestHealthCheck(group)
-                .isUp(
+                .check(
                         node.port,
                         up -> {
                             if (up) {
                                 node.state = TestNode.State.UP;
-                                then.run();
-                            } else if (log.now() < untilMs
+                                onReady.run();
+                            } else if (log.now() < deadlineMs
                                     && node.state == TestNode.State.STARTING
-                                    && !over) {
-                                in(100, () -> awaitUp(node, untilMs, then));
-                            } else if (!over && node.state == TestNode.State.STARTING) {
-                                faults.add(
+                                    && !finished) {
+                                schedule(100, () -> pollUntilReady(node, deadlineMs, onReady));
+                            } else if (!finished && node.state == TestNode.State.STARTING) {
+                                violations.add(
                                         "node "
                                                 + node.number
                                                 + ": not ready "
-                                                + Math.round(START_MS)
+                                                + Math.round(STARTUP_TIMEOUT_MS)
                                                 + " ms after its start");
                             }
                         });
     }
 
-    void in(double ms, Runnable step) {
+    void schedule(double ms, Runnable task) {
         loop.schedule(
                 () -> {
                     try {
-                        step.run();
+                        task.run();
                     } catch (RuntimeException e) {
-                        faults.add("the rig itself failed: " + e);
+                        violations.add("the rig itself failed: " + e);
                     }
                 },
                 (long) (Math.max(0, ms) * 1e6),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void begin() {
+    private void startLoadAndFaults() {
         startMs = log.now();
-        lookedMs = startMs;
-        look();
-        request();
-        FaultInjector player = new FaultInjector(this);
-        for (Fault trouble : script.troubles()) {
-            in(trouble.atMs(), () -> player.begin(trouble));
-            in(trouble.endMs(), () -> player.end(trouble));
+        lastPollMs = startMs;
+        poll();
+        sendNextRequest();
+        FaultInjector injector = new FaultInjector(this);
+        for (Fault fault : script.faults()) {
+            schedule(fault.atMs(), () -> injector.start(fault));
+            schedule(fault.endMs(), () -> injector.stop(fault));
         }
-        in(script.seconds() * 1000 - FaultScript.CALM_S * 500, player::lastLook);
+        schedule(script.seconds() * 1000 - FaultScript.QUIET_SECONDS * 500, injector::checkRecovery);
     }
 
     /** The regular look: crashes, ends of nodes that were told to end, the rig's own lateness. */
-    private void look() {
+    private void poll() {
         double now = log.now();
-        lateMs = Math.max(lateMs, now - lookedMs - LOOK_MS);
-        lookedMs = now;
+        maxLagMs = Math.max(maxLagMs, now - lastPollMs - POLL_INTERVAL_MS);
+        lastPollMs = now;
         for (TestNode node : nodes) {
             if (node.isAlive()) {
                 continue;
             }
             if (node.state == TestNode.State.UP || node.state == TestNode.State.STARTING) {
-                faults.add(
+                violations.add(
                         "node "
                                 + node.number
                                 + ": the process ended by itself at "
@@ -254,43 +254,43 @@
             if (node.state != TestNode.State.DOWN) {
                 node.state = TestNode.State.DOWN;
             }
-            if (!over && !node.restarting) {
+            if (!finished && !node.restarting) {
                 node.restarting = true;
-                in(200 + random.nextInt(500), () -> restart(node));
+                schedule(200 + random.nextInt(500), () -> restart(node));
             }
         }
-        if (!over) {
-            in(LOOK_MS, this::look);
+        if (!finished) {
+            schedule(POLL_INTERVAL_MS, this::poll);
         }
     }
 
     private void restart(TestNode node) {
         node.restarting = false;
-        if (over) {
+        if (finished) {
             return;
         }
         try {
             node.configure(
-                    random.nextBoolean() ? lists.text(node.number) : lists.older(node.number));
+                    random.nextBoolean() ? endpointLists.listJson(node.number) : endpointLists.previousListJson(node.number));
             node.start();
         } catch (IOException e) {
-            faults.add("node " + node.number + ": can't be started: " + e.getMessage());
+            violations.add("node " + node.number + ": can't be started: " + e.getMessage());
             return;
         }
-        lists.started(node);
-        in(200, () -> awaitUp(node, log.now() + START_MS, () -> {}));
+        endpointLists.recordStart(node);
+        schedule(200, () -> pollUntilReady(node, log.now() + STARTUP_TIMEOUT_MS, () -> {}));
     }
 
     /** Open loop: the next request comes whether or not the last one was answered. */
-    private void request() {
-        if (over || log.now() - startMs > script.seconds() * 1000) {
+    private void sendNextRequest() {
+        if (finished || log.now() - startMs > script.seconds() * 1000) {
             return;
         }
         clients.send();
-        in(-Math.log(1 - random.nextDouble()) * 1000 / script.perSecond(), this::request);
+        schedule(-Math.log(1 - random.nextDouble()) * 1000 / script.perSecond(), this::sendNextRequest);
     }
 
-    private void endNodes() throws InterruptedException, ExecutionException {
+    private void stopNodes() throws InterruptedException, ExecutionException {
         loop.submit(
                         () ->
                                 nodes.stream()
@@ -298,43 +298,43 @@
                                         .forEach(node -> node.terminate(log.now())))
                 .get();
         for (TestNode node : nodes) {
-            if (!node.awaitEnd((long) END_MS)) {
-                faults.add(
+            if (!node.awaitExit((long) SHUTDOWN_TIMEOUT_MS)) {
+                violations.add(
                         "node "
                                 + node.number
                                 + ": still there "
-                                + Math.round(END_MS)
+                                + Math.round(SHUTDOWN_TIMEOUT_MS)
                                 + " ms after the word to end");
             }
         }
     }
 
-    private FaultTestResult judge() throws IOException, InterruptedException, ExecutionException {
+    private FaultTestResult evaluate() throws IOException, InterruptedException, ExecutionException {
         loop.submit(() -> {}).get();
-        Map<Long, EngineProfile> makes = new HashMap<>();
-        engines.forEach(engine -> makes.put(engine.number, engine.judgedMake(plant)));
+        Map<Long, EngineProfile> profiles = new HashMap<>();
+        engines.forEach(engine -> profiles.put(engine.number, engine.profileForChecks(plantedFault)));
         TrafficLog.write(log.all(), folder.resolve("traffic.jsonl"));
-        faults.addAll(clients == null ? List.of() : clients.stoppedTooLong());
-        faults.addAll(
-                TrafficJudge.judge(
+        violations.addAll(clients == null ? List.of() : clients.stalledClientViolations());
+        violations.addAll(
+                TrafficChecker.check(
                         log.all(),
-                        lists.told(),
+                        endpointLists.notices(),
                         script.nodes(),
-                        TrafficJudge.figures(
+                        TrafficChecker.figures(
                                 TestSettings.DRAIN_GRACE_MS,
                                 TestSettings.RELEASE_MS,
-                                TestSettings.products(),
-                                makes),
-                        lateMs));
+                                TestSettings.trafficClasses(),
+                                profiles),
+                        maxLagMs));
         for (TestNode node : nodes) {
-            faults.addAll(node.faults());
+            violations.addAll(node.reportedFaults());
         }
-        Files.write(folder.resolve("faults.txt"), faults);
-        List<String> kept = List.copyOf(faults.subList(0, Math.min(KEPT_LINES, faults.size())));
+        Files.write(folder.resolve("faults.txt"), violations);
+        List<String> reported = List.copyOf(violations.subList(0, Math.min(MAX_REPORTED_VIOLATIONS, violations.size())));
         return new FaultTestResult(
-                kept,
+                reported,
                 clients == null ? 0 : clients.requests(),
-                clients == null ? 0 : clients.answeredWhole,
-                lateMs);
+                clients == null ? 0 : clients.completedResponses,
+                maxLagMs);
     }
 }
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -7,178 +7,178 @@
 
 /** Begins and ends the troubles of a script. On the rig's loop. */
 final class FaultInjector {
-    private static final double MOST_DELAY_MS = 80;
-    private static final double MOST_RESET_BYTES = 1500;
-    private static final double MOST_PAUSE_MS = 150;
+    private static final double MAX_DELAY_MS = 80;
+    private static final double MAX_RESET_BYTES = 1500;
+    private static final double MAX_PAUSE_MS = 150;
     private static final double LONG_PAUSE_MS = 6000;
-    private static final double PAUSE_EACH_MS = 500;
+    private static final double PAUSE_INTERVAL_MS = 500;
 
     /** A start is told so much later. */
-    private static final double START_TOLD_MS = 300;
+    private static final double START_ANNOUNCEMENT_DELAY_MS = 300;
 
-    private static final double HOUR_MS = 3_600_000;
+    private static final double MAX_CLOCK_STEP_MS = 3_600_000;
 
     /** After the longest deadline and 0.7 s the platform kills a node that was told to end. */
-    private static final double KILLED_MS = TestSettings.LONGEST_DEADLINE_MS + 700 + 100;
+    private static final double KILL_DELAY_MS = TestSettings.LONGEST_DEADLINE_MS + 700 + 100;
 
-    private static final int CALLS_MOST = 700;
-    private static final int SHORT_MOST = 500;
+    private static final int MAX_FAILED_CALLS_PER_MILLE = 700;
+    private static final int MAX_SHORT_CALLS_PER_MILLE = 500;
 
     /**
      * Of the last look: when its requests begin, and the part of a node's that has to be served
      * whole.
      */
-    private static final double LAST_REQUESTS_MS = 2000;
+    private static final double RECOVERY_REQUESTS_DELAY_MS = 2000;
 
-    private final FaultInjectionRun rig;
+    private final FaultInjectionRun run;
 
-    FaultInjector(FaultInjectionRun rig) {
-        this.rig = rig;
+    FaultInjector(FaultInjectionRun run) {
+        this.run = run;
     }
 
-    private void links(Fault trouble, FaultProxy.Fault fault, double size) {
-        for (int engine : trouble.engines()) {
-            rig.links.forEach(own -> own.get(engine).set(fault, size));
+    private void setLinkFault(Fault fault, FaultProxy.LinkFault linkFault, double size) {
+        for (int engine : fault.engines()) {
+            run.proxies.forEach(nodeProxies -> nodeProxies.get(engine).set(linkFault, size));
         }
     }
 
-    private void engines(Fault trouble, Consumer<TestEngine> step) {
-        trouble.engines().forEach(engine -> step.accept(rig.engines.get(engine)));
+    private void forEngines(Fault fault, Consumer<TestEngine> action) {
+        fault.engines().forEach(engine -> action.accept(run.engines.get(engine)));
     }
 
-    private void nodes(Fault trouble, Consumer<TestNode> step) {
-        trouble.nodes().forEach(node -> step.accept(rig.nodes.get(node)));
+    private void forNodes(Fault fault, Consumer<TestNode> action) {
+        fault.nodes().forEach(node -> action.accept(run.nodes.get(node)));
     }
 
-    void begin(Fault trouble) {
-        double now = rig.log.now();
-        rig.log.add(
-                TrafficEvent.Kind.TROUBLE, -1, null, null, trouble.lengthMs(), trouble.toString());
-        switch (trouble.kind()) {
-            case LINK_SILENT -> links(trouble, FaultProxy.Fault.SILENT, 0);
-            case LINK_CUT -> links(trouble, FaultProxy.Fault.CUT, 0);
-            case LINK_DRIBBLE -> links(trouble, FaultProxy.Fault.DRIBBLE, 0);
+    void start(Fault fault) {
+        double now = run.log.now();
+        run.log.add(
+                TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
+        switch (fault.kind()) {
+            case LINK_SILENT -> setLinkFault(fault, FaultProxy.LinkFault.SILENT, 0);
+            case LINK_CUT -> setLinkFault(fault, FaultProxy.LinkFault.CUT, 0);
+            case LINK_DRIBBLE -> setLinkFault(fault, FaultProxy.LinkFault.DRIBBLE, 0);
             case LINK_DELAY ->
-                    links(trouble, FaultProxy.Fault.DELAY, 1 + trouble.size() * MOST_DELAY_MS);
+                    setLinkFault(fault, FaultProxy.LinkFault.DELAY, 1 + fault.size() * MAX_DELAY_MS);
             case LINK_RESET ->
-                    links(trouble, FaultProxy.Fault.RESET, trouble.size() * MOST_RESET_BYTES);
+                    setLinkFault(fault, FaultProxy.LinkFault.RESET, fault.size() * MAX_RESET_BYTES);
             case LINK_CLOSE_CROSSING ->
-                    links(trouble, FaultProxy.Fault.CLOSE_CROSSING, 0.2 + 0.8 * trouble.size());
-            case ENGINE_RESTART -> engines(trouble, this::restart);
-            case ENGINE_DRAIN -> engines(trouble, engine -> status(engine, "DRAINING", "draining"));
-            case ENGINE_HANG -> engines(trouble, engine -> engine.mood = TestEngine.Mood.HANGS);
+                    setLinkFault(fault, FaultProxy.LinkFault.CLOSE_CROSSING, 0.2 + 0.8 * fault.size());
+            case ENGINE_RESTART -> forEngines(fault, this::restart);
+            case ENGINE_DRAIN -> forEngines(fault, engine -> setStatus(engine, "DRAINING", "draining"));
+            case ENGINE_HANG -> forEngines(fault, engine -> engine.behavior = TestEngine.Behavior.HANGING);
             case ENGINE_ERRORS ->
-                    engines(
-                            trouble,
+                    forEngines(
+                            fault,
                             engine ->
-                                    engine.mood =
-                                            trouble.size() < 0.5
-                                                    ? TestEngine.Mood.ERRS
-                                                    : TestEngine.Mood.DECLINES);
+                                    engine.behavior =
+                                            fault.size() < 0.5
+                                                    ? TestEngine.Behavior.FAILING
+                                                    : TestEngine.Behavior.DECLINING);
             case AGENT_SILENT ->
-                    nodes(
-                            trouble,
+                    forNodes(
+                            fault,
                             node -> {
-                                node.agent.mood(TestDiscoveryAgent.Mood.SILENT);
-                                rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
+                                node.agent.setBehavior(TestDiscoveryAgent.Behavior.SILENT);
+                                run.endpointLists.recordAgentSilence(node.number, now, now + fault.lengthMs());
                             });
             case AGENT_RESET ->
-                    nodes(
-                            trouble,
+                    forNodes(
+                            fault,
                             node -> {
-                                node.agent.mood(TestDiscoveryAgent.Mood.RESETS);
-                                rig.lists.agentSilent(node.number, now, now + trouble.lengthMs());
+                                node.agent.setBehavior(TestDiscoveryAgent.Behavior.RESETTING);
+                                run.endpointLists.recordAgentSilence(node.number, now, now + fault.lengthMs());
                             });
             case AGENT_PIECES ->
-                    nodes(
-                            trouble,
+                    forNodes(
+                            fault,
                             node -> {
-                                node.agent.mood(TestDiscoveryAgent.Mood.PIECES);
-                                rig.lists.watchesBroken(node.number, now, now + trouble.lengthMs());
+                                node.agent.setBehavior(TestDiscoveryAgent.Behavior.FRAGMENTED);
+                                run.endpointLists.recordBrokenWatches(node.number, now, now + fault.lengthMs());
                             });
-            case NODE_TERM -> nodes(trouble, this::terminate);
-            case NODE_KILL -> nodes(trouble, this::kill);
+            case NODE_TERM -> forNodes(fault, this::terminate);
+            case NODE_KILL -> forNodes(fault, this::kill);
             case NODE_PAUSE ->
-                    nodes(trouble, node -> pause(node, trouble, now + trouble.lengthMs()));
-            case CONFIG_MOVE -> nodes(trouble, node -> move(node, false));
-            case CONFIG_BROKEN -> nodes(trouble, node -> move(node, true));
-            case CLIENT_LEAVES -> rig.clients.leaving(true);
-            case CLIENT_STOPS -> nodes(trouble, rig.clients::stopInTheMiddle);
+                    forNodes(fault, node -> pause(node, fault, now + fault.lengthMs()));
+            case CONFIG_MOVE -> forNodes(fault, node -> moveDiscovery(node, false));
+            case CONFIG_BROKEN -> forNodes(fault, node -> moveDiscovery(node, true));
+            case CLIENT_LEAVES -> run.clients.setDisconnecting(true);
+            case CLIENT_STOPS -> forNodes(fault, run.clients::startStalledClients);
             case CLIENT_CROWD ->
-                    nodes(trouble, node -> rig.clients.crowd(node, trouble.lengthMs()));
+                    forNodes(fault, node -> run.clients.openIdleConnections(node, fault.lengthMs()));
             case CALLS_FAIL ->
-                    shims(
-                            trouble,
+                    forShims(
+                            fault,
                             shim ->
                                     shim.failCalls(
-                                            rig.plant == PlantedFault.CALLS_STAY_BROKEN
+                                            run.plantedFault == PlantedFault.CALLS_STAY_BROKEN
                                                     ? 1000
                                                     : 50
                                                             + (int)
-                                                                    (trouble.size()
-                                                                            * (CALLS_MOST - 50)),
-                                            (int) (trouble.size() * 1000)));
+                                                                    (fault.size()
+                                                                            * (MAX_FAILED_CALLS_PER_MILLE - 50)),
+                                            (int) (fault.size() * 1000)));
             case CALLS_SHORT ->
-                    shims(trouble, shim -> shim.shorten((int) (trouble.size() * SHORT_MOST)));
+                    forShims(fault, shim -> shim.shortenCalls((int) (fault.size() * MAX_SHORT_CALLS_PER_MILLE)));
             case CLOCK_STEP ->
-                    shims(
-                            trouble,
+                    forShims(
+                            fault,
                             shim ->
-                                    shim.stepWallClock(
-                                            (long) ((2 * trouble.size() - 1) * HOUR_MS)));
-            default -> throw new IllegalStateException(trouble.kind().name());
+                                    shim.setWallClockOffset(
+                                            (long) ((2 * fault.size() - 1) * MAX_CLOCK_STEP_MS)));
+            default -> throw new IllegalStateException(fault.kind().name());
         }
     }
 
-    void end(Fault trouble) {
-        switch (trouble.kind()) {
+    void stop(Fault fault) {
+        switch (fault.kind()) {
             case LINK_SILENT, LINK_CUT, LINK_DRIBBLE, LINK_DELAY, LINK_RESET, LINK_CLOSE_CROSSING ->
-                    links(trouble, FaultProxy.Fault.NONE, 0);
-            case ENGINE_DRAIN -> engines(trouble, engine -> status(engine, "SERVING", "ready"));
+                    setLinkFault(fault, FaultProxy.LinkFault.NONE, 0);
+            case ENGINE_DRAIN -> forEngines(fault, engine -> setStatus(engine, "SERVING", "ready"));
             case ENGINE_HANG, ENGINE_ERRORS ->
-                    engines(trouble, engine -> engine.mood = TestEngine.Mood.GOOD);
+                    forEngines(fault, engine -> engine.behavior = TestEngine.Behavior.NORMAL);
             case AGENT_SILENT, AGENT_RESET, AGENT_PIECES ->
-                    nodes(
-                            trouble,
+                    forNodes(
+                            fault,
                             node -> {
-                                node.agent.mood(TestDiscoveryAgent.Mood.GOOD);
-                                node.agent.changed();
+                                node.agent.setBehavior(TestDiscoveryAgent.Behavior.NORMAL);
+                                node.agent.notifyWatches();
                             });
-            case CLIENT_LEAVES -> rig.clients.leaving(false);
+            case CLIENT_LEAVES -> run.clients.setDisconnecting(false);
             case CALLS_FAIL -> {
-                if (rig.plant != PlantedFault.CALLS_STAY_BROKEN) {
-                    shims(trouble, shim -> shim.failCalls(0, 0));
+                if (run.plantedFault != PlantedFault.CALLS_STAY_BROKEN) {
+                    forShims(fault, shim -> shim.failCalls(0, 0));
                 }
             }
-            case CALLS_SHORT -> shims(trouble, shim -> shim.shorten(0));
-            case CLOCK_STEP -> shims(trouble, shim -> shim.stepWallClock(0));
+            case CALLS_SHORT -> forShims(fault, shim -> shim.shortenCalls(0));
+            case CLOCK_STEP -> forShims(fault, shim -> shim.setWallClockOffset(0));
             default -> {}
         }
     }
 
-    private void shims(Fault trouble, Consumer<SystemCallShim> step) {
-        nodes(
-                trouble,
+    private void forShims(Fault fault, Consumer<SystemCallShim> action) {
+        forNodes(
+                fault,
                 node -> {
                     if (node.shim != null) {
-                        step.accept(node.shim);
+                        action.accept(node.shim);
                     }
                 });
     }
 
-    private void status(TestEngine engine, String status, String word) {
+    private void setStatus(TestEngine engine, String status, String announcedStatus) {
         engine.status = status;
-        rig.lists.changed(engine, word);
+        run.endpointLists.recordChange(engine, announcedStatus);
     }
 
     private void restart(TestEngine engine) {
         engine.restart();
-        rig.in(
-                START_TOLD_MS,
+        run.schedule(
+                START_ANNOUNCEMENT_DELAY_MS,
                 () -> {
-                    engine.toldSinceMs =
-                            rig.plant == PlantedFault.COLD_STARTS_HIDDEN ? 0 : engine.sinceMs;
-                    rig.lists.changed(engine, "started");
+                    engine.announcedStartTimeMs =
+                            run.plantedFault == PlantedFault.COLD_STARTS_HIDDEN ? 0 : engine.startTimeMs;
+                    run.endpointLists.recordChange(engine, "started");
                 });
     }
 
@@ -186,17 +186,17 @@
         if (node.state != TestNode.State.UP) {
             return;
         }
-        if (rig.plant == PlantedFault.KILLED_FOR_TERM) {
-            node.terminatedMs = rig.log.now();
+        if (run.plantedFault == PlantedFault.KILLED_FOR_TERM) {
+            node.terminatedMs = run.log.now();
             node.kill();
             return;
         }
-        int life = node.starts;
-        node.terminate(rig.log.now());
-        rig.in(
-                KILLED_MS,
+        int startCount = node.startCount;
+        node.terminate(run.log.now());
+        run.schedule(
+                KILL_DELAY_MS,
                 () -> {
-                    if (node.starts == life && node.isAlive()) {
+                    if (node.startCount == startCount && node.isAlive()) {
                         node.kill();
                     }
                 });
@@ -206,11 +206,11 @@
         if (node.state != TestNode.State.UP && node.state != TestNode.State.TERMINATING) {
             return;
         }
-        if (rig.plant != PlantedFault.CRASHES) {
-            rig.log.add(TrafficEvent.Kind.FRONT_KILLED, node.number, null, null, 0, null);
+        if (run.plantedFault != PlantedFault.CRASHES) {
+            run.log.add(TrafficEvent.Kind.FRONT_KILLED, node.number, null, null, 0, null);
             node.kill();
         } else {
-            node.signal("KILL");
+            node.sendSignal("KILL");
         }
     }
 
@@ -218,46 +218,46 @@
      * Stops the process for a moment, again and again. Signals are sent off the loop, one after the
      * other.
      */
-    private void pause(TestNode node, Fault trouble, double untilMs) {
+    private void pause(TestNode node, Fault fault, double untilMs) {
         double ms =
-                rig.plant == PlantedFault.LONG_PAUSES
+                run.plantedFault == PlantedFault.LONG_PAUSES
                         ? LONG_PAUSE_MS
-                        : trouble.size() * MOST_PAUSE_MS;
-        rig.signals.execute(() -> node.signal("STOP"));
-        rig.signals.schedule(() -> node.signal("CONT"), (long) (ms * 1000), TimeUnit.MICROSECONDS);
-        rig.in(
-                PAUSE_EACH_MS + ms,
+                        : fault.size() * MAX_PAUSE_MS;
+        run.signalExecutor.execute(() -> node.sendSignal("STOP"));
+        run.signalExecutor.schedule(() -> node.sendSignal("CONT"), (long) (ms * 1000), TimeUnit.MICROSECONDS);
+        run.schedule(
+                PAUSE_INTERVAL_MS + ms,
                 () -> {
-                    if (rig.log.now() < untilMs) {
-                        pause(node, trouble, untilMs);
+                    if (run.log.now() < untilMs) {
+                        pause(node, fault, untilMs);
                     }
                 });
     }
 
-    private void move(TestNode node, boolean broken) {
-        rig.lists.moved(node.number, rig.log.now());
-        node.agent.move(
+    private void moveDiscovery(TestNode node, boolean broken) {
+        run.endpointLists.recordMove(node.number, run.log.now());
+        node.agent.moveAddress(
                 () -> {
                     try {
-                        node.configure(rig.lists.text(node.number));
-                        if (rig.plant == PlantedFault.NO_SIGNAL) {
+                        node.configure(run.endpointLists.listJson(node.number));
+                        if (run.plantedFault == PlantedFault.NO_SIGNAL) {
                             return;
                         }
                         if (broken) {
                             node.breakConfiguration();
-                            rig.signals.execute(() -> node.signal("HUP"));
-                            rig.in(150, () -> repair(node));
+                            run.signalExecutor.execute(() -> node.sendSignal("HUP"));
+                            run.schedule(150, () -> restoreConfiguration(node));
                         }
-                        rig.signals.execute(() -> node.signal("HUP"));
+                        run.signalExecutor.execute(() -> node.sendSignal("HUP"));
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
     }
 
-    private void repair(TestNode node) {
+    private void restoreConfiguration(TestNode node) {
         try {
-            node.configure(rig.lists.text(node.number));
+            node.configure(run.endpointLists.listJson(node.number));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -269,28 +269,28 @@
      * All troubles are over: an engine drains, so that a node that follows no list is seen, and
      * each node gets requests of its own, which it has to serve.
      */
-    void lastLook() {
-        for (TestEngine engine : rig.engines) {
-            engine.mood = TestEngine.Mood.GOOD;
+    void checkRecovery() {
+        for (TestEngine engine : run.engines) {
+            engine.behavior = TestEngine.Behavior.NORMAL;
         }
-        status(rig.engines.get(0), "DRAINING", "draining");
-        rig.in(
-                LAST_REQUESTS_MS,
+        setStatus(run.engines.get(0), "DRAINING", "draining");
+        run.schedule(
+                RECOVERY_REQUESTS_DELAY_MS,
                 () -> {
-                    for (TestNode node : rig.nodes) {
+                    for (TestNode node : run.nodes) {
                         if (node.state == TestNode.State.UP) {
-                            rig.clients.lastLook(
+                            run.clients.checkServing(
                                     node,
                                     served -> {
                                         if (!served) {
-                                            rig.faults.add(
+                                            run.violations.add(
                                                     "node "
                                                             + node.number
                                                             + ": serves nothing after all troubles are over");
                                         }
                                     });
                         } else {
-                            rig.faults.add(
+                            run.violations.add(
                                     "node "
                                             + node.number
                                             + ": is not up after all troubles are over");
--- a/src/main/java/larchridge/faultinjection/FaultProxy.java
+++ b/src/main/java/larchridge/faultinjection/FaultProxy.java
@@ -26,7 +26,7 @@
  */
 final class FaultProxy {
     /** What the link does with what it carries. */
-    enum Fault {
+    enum LinkFault {
         NONE,
         SILENT,
         CUT,
@@ -36,18 +36,18 @@
         CLOSE_CROSSING
     }
 
-    private static final double DRIBBLE_MS = 1;
-    private static final int DRIBBLE_BYTES = 24;
+    private static final double DRIBBLE_INTERVAL_MS = 1;
+    private static final int MAX_DRIBBLE_BYTES = 24;
 
     private final EventLoopGroup loop;
     private final int targetPort;
     private final Random random;
     private final Channel listener;
     private final Set<Side> sides = new HashSet<>();
-    private Fault fault = Fault.NONE;
+    private LinkFault fault = LinkFault.NONE;
 
     /** Milliseconds of a delay, or bytes after which connections are reset. */
-    private double size;
+    private double magnitude;
 
     FaultProxy(EventLoopGroup loop, int targetPort, long seed) throws InterruptedException {
         this.loop = loop;
@@ -77,54 +77,54 @@
     }
 
     /** Begins a fault, or ends the one there is. */
-    void set(Fault next, double nextSize) {
-        boolean wasSilent = fault == Fault.SILENT;
+    void set(LinkFault next, double nextMagnitude) {
+        boolean wasSilent = fault == LinkFault.SILENT;
         fault = next;
-        size = nextSize;
-        if (next == Fault.CUT || (wasSilent && next != Fault.SILENT)) {
+        magnitude = nextMagnitude;
+        if (next == LinkFault.CUT || (wasSilent && next != LinkFault.SILENT)) {
             Set.copyOf(sides).forEach(Side::reset);
         }
     }
 
     /** One side of a connection that is carried. */
     private final class Side extends ChannelInboundHandlerAdapter {
-        private Channel own;
-        private Side other;
-        private final Deque<ByteBuf> waiting = new ArrayDeque<>();
-        private boolean sending;
-        private boolean ends;
-        private int carried;
-        private boolean answered;
-
-        Side(Side other) {
-            this.other = other;
+        private Channel channel;
+        private Side peer;
+        private final Deque<ByteBuf> pending = new ArrayDeque<>();
+        private boolean sendScheduled;
+        private boolean closed;
+        private int carriedBytes;
+        private boolean responseSeen;
+
+        Side(Side peer) {
+            this.peer = peer;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            own = context.channel();
-            if (other != null) {
+            channel = context.channel();
+            if (peer != null) {
                 sides.add(this);
                 return;
             }
-            if (fault == Fault.CUT) {
+            if (fault == LinkFault.CUT) {
                 reset();
                 return;
             }
             sides.add(this);
-            Side far = new Side(this);
-            other = far;
-            ChannelFuture opening =
+            Side upstream = new Side(this);
+            peer = upstream;
+            ChannelFuture connecting =
                     new Bootstrap()
                             .group(loop)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.TCP_NODELAY, true)
-                            .handler(far)
+                            .handler(upstream)
                             .connect("127.0.0.1", targetPort);
-            opening.addListener(
+            connecting.addListener(
                     done -> {
                         if (done.isSuccess()) {
-                            own.config().setAutoRead(true);
+                            channel.config().setAutoRead(true);
                         } else {
                             reset();
                         }
@@ -134,75 +134,75 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            boolean fromNode = other != null && other.other == this && own.parent() != null;
-            if (fault == Fault.SILENT) {
+            boolean fromNode = peer != null && peer.peer == this && channel.parent() != null;
+            if (fault == LinkFault.SILENT) {
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            if (fault == Fault.CLOSE_CROSSING
+            if (fault == LinkFault.CLOSE_CROSSING
                     && fromNode
-                    && other.answered
-                    && random.nextDouble() < size) {
+                    && peer.responseSeen
+                    && random.nextDouble() < magnitude) {
                 ReferenceCountUtil.release(bytes);
                 reset();
                 return;
             }
-            answered |= !fromNode;
-            carried += bytes.readableBytes();
-            if (fault == Fault.RESET && carried > size) {
+            responseSeen |= !fromNode;
+            carriedBytes += bytes.readableBytes();
+            if (fault == LinkFault.RESET && carriedBytes > magnitude) {
                 ReferenceCountUtil.release(bytes);
                 reset();
                 return;
             }
-            if (fault == Fault.DRIBBLE) {
-                while (bytes.readableBytes() > DRIBBLE_BYTES) {
-                    waiting.add(bytes.readRetainedSlice(1 + random.nextInt(DRIBBLE_BYTES)));
+            if (fault == LinkFault.DRIBBLE) {
+                while (bytes.readableBytes() > MAX_DRIBBLE_BYTES) {
+                    pending.add(bytes.readRetainedSlice(1 + random.nextInt(MAX_DRIBBLE_BYTES)));
                 }
             }
-            waiting.add(bytes);
+            pending.add(bytes);
             send();
         }
 
         private void send() {
-            if (sending || waiting.isEmpty() || other == null || other.own == null) {
+            if (sendScheduled || pending.isEmpty() || peer == null || peer.channel == null) {
                 return;
             }
-            double ms = fault == Fault.DELAY ? size : fault == Fault.DRIBBLE ? DRIBBLE_MS : 0;
+            double ms = fault == LinkFault.DELAY ? magnitude : fault == LinkFault.DRIBBLE ? DRIBBLE_INTERVAL_MS : 0;
             if (ms <= 0) {
-                while (!waiting.isEmpty()) {
-                    other.own.write(waiting.poll());
+                while (!pending.isEmpty()) {
+                    peer.channel.write(pending.poll());
                 }
-                other.own.flush();
-                finish();
+                peer.channel.flush();
+                closePeerIfDrained();
                 return;
             }
-            sending = true;
+            sendScheduled = true;
             loop.next()
                     .schedule(
                             () -> {
-                                sending = false;
-                                if (!waiting.isEmpty()) {
-                                    other.own.writeAndFlush(waiting.poll());
+                                sendScheduled = false;
+                                if (!pending.isEmpty()) {
+                                    peer.channel.writeAndFlush(pending.poll());
                                 }
-                                finish();
+                                closePeerIfDrained();
                                 send();
                             },
                             (long) (ms * 1e6),
                             TimeUnit.NANOSECONDS);
         }
 
-        private void finish() {
-            if (ends && waiting.isEmpty() && fault != Fault.SILENT) {
-                other.own.close();
+        private void closePeerIfDrained() {
+            if (closed && pending.isEmpty() && fault != LinkFault.SILENT) {
+                peer.channel.close();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             sides.remove(this);
-            ends = true;
-            if (other != null && other.own != null) {
-                finish();
+            closed = true;
+            if (peer != null && peer.channel != null) {
+                closePeerIfDrained();
             }
         }
 
@@ -213,11 +213,11 @@
 
         private void reset() {
             sides.remove(this);
-            waiting.forEach(ReferenceCountUtil::release);
-            waiting.clear();
-            TestChannels.reset(own);
-            if (other != null && other.own != null && other.own.isOpen()) {
-                TestChannels.reset(other.own);
+            pending.forEach(ReferenceCountUtil::release);
+            pending.clear();
+            TestChannels.reset(channel);
+            if (peer != null && peer.channel != null && peer.channel.isOpen()) {
+                TestChannels.reset(peer.channel);
             }
         }
     }
--- a/src/main/java/larchridge/faultinjection/FaultScript.java
+++ b/src/main/java/larchridge/faultinjection/FaultScript.java
@@ -19,7 +19,7 @@
  * What one run plays: sizes, traffic and troubles. Drawn from a seed, written as YAML, and read
  * again to be played again.
  *
- * @param seconds the run's length; the last {@value #CALM_S} s have no trouble
+ * @param seconds the run's length; the last {@value #QUIET_SECONDS} s have no trouble
  * @param perSecond requests a second over all nodes
  */
 public record FaultScript(
@@ -29,20 +29,20 @@
         int writers,
         double seconds,
         double perSecond,
-        List<Fault> troubles) {
+        List<Fault> faults) {
     /** Nothing begins before, and everything is over for so long at the end. */
-    static final double CALM_S = 10;
+    static final double QUIET_SECONDS = 10;
 
-    private static final double FIRST_MS = 2500;
+    private static final double FIRST_FAULT_MS = 2500;
 
     /** On average so many troubles run at a time. */
-    private static final double AT_ONCE = 2.5;
+    private static final double MEAN_CONCURRENT_FAULTS = 2.5;
 
-    private static final double SHORTEST_MS = 1000;
-    private static final double LONGEST_MS = 6000;
+    private static final double MIN_DURATION_MS = 1000;
+    private static final double MAX_DURATION_MS = 6000;
 
     /** A script of a seed, with kinds out of those given. */
-    public static FaultScript draw(
+    public static FaultScript generate(
             long seed,
             int nodes,
             int readers,
@@ -51,51 +51,51 @@
             double perSecond,
             List<FaultKind> kinds) {
         Random random = new Random(seed);
-        double spanMs = Math.max(0, (seconds - CALM_S) * 1000 - FIRST_MS);
-        List<Fault> troubles = new ArrayList<>();
-        double mean = (SHORTEST_MS + LONGEST_MS) / 2;
-        int count = (int) Math.round(AT_ONCE * spanMs / mean);
+        double faultSpanMs = Math.max(0, (seconds - QUIET_SECONDS) * 1000 - FIRST_FAULT_MS);
+        List<Fault> faults = new ArrayList<>();
+        double meanDurationMs = (MIN_DURATION_MS + MAX_DURATION_MS) / 2;
+        int count = (int) Math.round(MEAN_CONCURRENT_FAULTS * faultSpanMs / meanDurationMs);
         for (int i = 0; i < count; i++) {
             FaultKind kind = kinds.get(random.nextInt(kinds.size()));
-            double length = SHORTEST_MS + random.nextDouble() * (LONGEST_MS - SHORTEST_MS);
-            double at = FIRST_MS + random.nextDouble() * Math.max(0, spanMs - length);
-            troubles.add(
+            double durationMs = MIN_DURATION_MS + random.nextDouble() * (MAX_DURATION_MS - MIN_DURATION_MS);
+            double startMs = FIRST_FAULT_MS + random.nextDouble() * Math.max(0, faultSpanMs - durationMs);
+            faults.add(
                     new Fault(
                             kind,
-                            Math.round(at),
-                            Math.round(Math.min(length, spanMs)),
-                            some(
+                            Math.round(startMs),
+                            Math.round(Math.min(durationMs, faultSpanMs)),
+                            sample(
                                     random,
                                     readers + writers,
                                     1 + random.nextInt(Math.max(1, (readers + writers) / 3))),
-                            some(random, nodes, 1 + random.nextInt(Math.max(1, nodes / 3))),
+                            sample(random, nodes, 1 + random.nextInt(Math.max(1, nodes / 3))),
                             Math.round(random.nextDouble() * 1000) / 1000.0));
         }
-        troubles.sort(Comparator.comparingDouble(Fault::atMs));
+        faults.sort(Comparator.comparingDouble(Fault::atMs));
         return new FaultScript(
-                seed, nodes, readers, writers, seconds, perSecond, List.copyOf(troubles));
+                seed, nodes, readers, writers, seconds, perSecond, List.copyOf(faults));
     }
 
-    private static List<Integer> some(Random random, int of, int count) {
+    private static List<Integer> sample(Random random, int total, int count) {
         List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < of; i++) {
+        for (int i = 0; i < total; i++) {
             all.add(i);
         }
         java.util.Collections.shuffle(all, random);
-        return all.subList(0, Math.min(count, of)).stream().sorted().toList();
+        return all.subList(0, Math.min(count, total)).stream().sorted().toList();
     }
 
     void write(Path file) throws IOException {
         List<Map<String, Object>> list = new ArrayList<>();
-        for (Fault trouble : troubles) {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("kind", trouble.kind().name());
-            one.put("at_ms", trouble.atMs());
-            one.put("length_ms", trouble.lengthMs());
-            one.put("engines", new ArrayList<>(trouble.engines()));
-            one.put("nodes", new ArrayList<>(trouble.nodes()));
-            one.put("size", trouble.size());
-            list.add(one);
+        for (Fault fault : faults) {
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("kind", fault.kind().name());
+            entry.put("at_ms", fault.atMs());
+            entry.put("length_ms", fault.lengthMs());
+            entry.put("engines", new ArrayList<>(fault.engines()));
+            entry.put("nodes", new ArrayList<>(fault.nodes()));
+            entry.put("size", fault.size());
+            list.add(entry);
         }
         Map<String, Object> root = new LinkedHashMap<>();
         root.put("seed", seed);
@@ -117,27 +117,27 @@
             if (!(root instanceof Map<?, ?> map)) {
                 throw new IOException(file + ": expected a map");
             }
-            List<Fault> troubles = new ArrayList<>();
+            List<Fault> faults = new ArrayList<>();
             if (!(map.get("troubles") instanceof List<?> list)) {
                 throw new IOException(file + ": troubles is missing; expected a list");
             }
-            for (Object one : list) {
-                troubles.add(trouble(file, troubles.size(), one));
+            for (Object entry : list) {
+                faults.add(readFault(file, faults.size(), entry));
             }
             return new FaultScript(
-                    (long) number(file, map, "seed"),
-                    (int) number(file, map, "nodes"),
-                    (int) number(file, map, "readers"),
-                    (int) number(file, map, "writers"),
-                    number(file, map, "seconds"),
-                    number(file, map, "per_second"),
-                    List.copyOf(troubles));
+                    (long) readNumber(file, map, "seed"),
+                    (int) readNumber(file, map, "nodes"),
+                    (int) readNumber(file, map, "readers"),
+                    (int) readNumber(file, map, "writers"),
+                    readNumber(file, map, "seconds"),
+                    readNumber(file, map, "per_second"),
+                    List.copyOf(faults));
         }
     }
 
-    private static Fault trouble(Path file, int index, Object one) throws IOException {
+    private static Fault readFault(Path file, int index, Object entry) throws IOException {
         String where = file + ": troubles[" + index + "]";
-        if (!(one instanceof Map<?, ?> map)) {
+        if (!(entry instanceof Map<?, ?> map)) {
             throw new IOException(where + ": expected a map");
         }
         FaultKind kind;
@@ -154,29 +154,29 @@
         }
         return new Fault(
                 kind,
-                number(file, map, "at_ms"),
-                number(file, map, "length_ms"),
-                numbers(where, map, "engines"),
-                numbers(where, map, "nodes"),
-                number(file, map, "size"));
+                readNumber(file, map, "at_ms"),
+                readNumber(file, map, "length_ms"),
+                readIntegers(where, map, "engines"),
+                readIntegers(where, map, "nodes"),
+                readNumber(file, map, "size"));
     }
 
-    private static double number(Path file, Map<?, ?> map, String member) throws IOException {
-        if (map.get(member) instanceof Number value) {
+    private static double readNumber(Path file, Map<?, ?> map, String field) throws IOException {
+        if (map.get(field) instanceof Number value) {
             return value.doubleValue();
         }
         throw new IOException(
-                file + ": " + member + " is " + map.get(member) + "; expected a number");
+                file + ": " + field + " is " + map.get(field) + "; expected a number");
     }
 
-    private static List<Integer> numbers(String where, Map<?, ?> map, String member)
+    private static List<Integer> readIntegers(String where, Map<?, ?> map, String field)
             throws IOException {
         List<Integer> numbers = new ArrayList<>();
-        if (map.get(member) instanceof List<?> list) {
-            for (Object one : list) {
-                if (!(one instanceof Integer value)) {
+        if (map.get(field) instanceof List<?> list) {
+            for (Object entry : list) {
+                if (!(entry instanceof Integer value)) {
                     throw new IOException(
-                            where + "." + member + " holds " + one + "; expected whole numbers");
+                            where + "." + field + " holds " + entry + "; expected whole numbers");
                 }
                 numbers.add(value);
             }
--- a/src/main/java/larchridge/faultinjection/SystemCallShim.java
+++ b/src/main/java/larchridge/faultinjection/SystemCallShim.java
@@ -20,22 +20,22 @@
 
     private static final int[] SOCKET_ERRORS = {23, 24, 105};
     private static final int[] CONNECT_ERRORS = {99, 101, 105};
-    private static final int BYTES = 40;
-    private static final int WALL_OFFSET_AT = 32;
-    private static final long COMPILE_SECONDS = 60;
+    private static final int CONTROL_BYTES = 40;
+    private static final int WALL_OFFSET_POSITION = 32;
+    private static final long COMPILE_TIMEOUT_SECONDS = 60;
 
     private final Path library;
-    private final Path file;
+    private final Path controlFile;
     private final MappedByteBuffer control;
 
-    private SystemCallShim(Path library, Path file, MappedByteBuffer control) {
+    private SystemCallShim(Path library, Path controlFile, MappedByteBuffer control) {
         this.library = library;
-        this.file = file;
+        this.controlFile = controlFile;
         this.control = control;
     }
 
     /** Builds the library with the machine's C compiler; null where there is none. */
-    static Path build(Path folder) throws IOException, InterruptedException {
+    static Path compile(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("shim.c");
         try (InputStream in = SystemCallShim.class.getResourceAsStream("/faults/shim.c")) {
             Files.write(source, in.readAllBytes());
@@ -55,7 +55,7 @@
                             .redirectErrorStream(true)
                             .redirectOutput(folder.resolve("shim.log").toFile())
                             .start();
-            boolean done = compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS);
+            boolean done = compiler.waitFor(COMPILE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return done && compiler.exitValue() == 0 ? library : null;
         } catch (IOException e) {
             return null;
@@ -63,39 +63,39 @@
     }
 
     /** A control file for one node. */
-    static SystemCallShim forNode(Path library, Path file) throws IOException {
-        Files.write(file, new byte[BYTES]);
+    static SystemCallShim forNode(Path library, Path controlFile) throws IOException {
+        Files.write(controlFile, new byte[CONTROL_BYTES]);
         try (FileChannel channel =
-                FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            MappedByteBuffer control = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
+                FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+            MappedByteBuffer control = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES);
             control.order(ByteOrder.nativeOrder());
-            return new SystemCallShim(library, file, control);
+            return new SystemCallShim(library, controlFile, control);
         }
     }
 
     void addTo(java.util.Map<String, String> environment) {
         environment.put("LD_PRELOAD", library.toAbsolutePath().toString());
-        environment.put("LARCHRIDGE_SHIM", file.toAbsolutePath().toString());
+        environment.put("LARCHRIDGE_SHIM", controlFile.toAbsolutePath().toString());
     }
 
     /** So many in a thousand calls of accept, socket and connect fail; which chooses the errors. */
-    void failCalls(int share, int which) {
-        put(0, share, ACCEPT_ERRORS[which % ACCEPT_ERRORS.length]);
-        put(8, share, SOCKET_ERRORS[which % SOCKET_ERRORS.length]);
-        put(16, share, CONNECT_ERRORS[which % CONNECT_ERRORS.length]);
+    void failCalls(int perMille, int errorIndex) {
+        put(0, perMille, ACCEPT_ERRORS[errorIndex % ACCEPT_ERRORS.length]);
+        put(8, perMille, SOCKET_ERRORS[errorIndex % SOCKET_ERRORS.length]);
+        put(16, perMille, CONNECT_ERRORS[errorIndex % CONNECT_ERRORS.length]);
     }
 
     /** So many in a thousand reads and writes are short, and half as many waits are interrupted. */
-    void shorten(int share) {
-        put(24, share, share / 2);
+    void shortenCalls(int perMille) {
+        put(24, perMille, perMille / 2);
     }
 
-    void stepWallClock(long milliseconds) {
-        control.putLong(WALL_OFFSET_AT, milliseconds * 1_000_000);
+    void setWallClockOffset(long offsetMs) {
+        control.putLong(WALL_OFFSET_POSITION, offsetMs * 1_000_000);
     }
 
-    private void put(int at, int first, int second) {
-        control.putInt(at + 4, second);
-        control.putInt(at, first);
+    private void put(int position, int first, int second) {
+        control.putInt(position + 4, second);
+        control.putInt(position, first);
     }
 }
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -36,15 +36,15 @@
      * New connections go to a node for so long after it was told to end; kept ones are used as long
      * as they stay.
      */
-    private static final double COMING_MS = 400;
+    private static final double NEW_CONNECTION_GRACE_MS = 400;
 
-    private static final int CROWD = 60;
-    private static final int STOPPED = 5;
-    private static final int LAST_REQUESTS = 3;
-    private static final long LAST_WAIT_MS = 4500;
+    private static final int IDLE_CONNECTIONS = 60;
+    private static final int STALLED_CLIENTS = 5;
+    private static final int RECOVERY_REQUESTS = 3;
+    private static final long RECOVERY_TIMEOUT_MS = 4500;
 
     /** A client that stops is owed its error or close in this time, and the rig's own lateness. */
-    static final double STOPPED_OWED_MS = 3000;
+    static final double STALLED_CLIENT_TIMEOUT_MS = 3000;
 
     private static final String BODY =
             "{\"model\":\"m\",\"stream\":true,\"max_tokens\":40,\"messages\":[]}";
@@ -58,11 +58,11 @@
     private final List<RequestClass> classes;
     private final Random random;
     private final List<Deque<Connection>> idle = new ArrayList<>();
-    private final List<String> stoppedTooLong = new ArrayList<>();
-    private boolean leaving;
-    private boolean dropsAnswers;
+    private final List<String> stalledClientViolations = new ArrayList<>();
+    private boolean disconnecting;
+    private boolean dropResponses;
     private long requests;
-    int answeredWhole;
+    int completedResponses;
 
     TestClients(
             EventLoopGroup loop,
@@ -79,27 +79,27 @@
     }
 
     /** Whether some clients close before they are answered. */
-    void leaving(boolean on) {
-        leaving = on;
+    void setDisconnecting(boolean on) {
+        disconnecting = on;
     }
 
     /** Planted: every other answer never reaches its client. */
-    void dropsAnswers(boolean on) {
-        dropsAnswers = on;
+    void setDropResponses(boolean on) {
+        dropResponses = on;
     }
 
     /** Asks one node a few times; tells whether one of these was served whole. */
-    void lastLook(TestNode node, java.util.function.Consumer<Boolean> told) {
-        int[] left = {LAST_REQUESTS};
+    void checkServing(TestNode node, java.util.function.Consumer<Boolean> callback) {
+        int[] left = {RECOVERY_REQUESTS};
         boolean[] served = new boolean[1];
-        for (int i = 0; i < LAST_REQUESTS; i++) {
+        for (int i = 0; i < RECOVERY_REQUESTS; i++) {
             Exchange exchange =
                     new Exchange(String.format("%016x", random.nextLong()), classes.get(0), node);
-            exchange.ended =
+            exchange.onFinished =
                     whole -> {
                         served[0] |= whole;
                         if (--left[0] == 0) {
-                            told.accept(served[0]);
+                            callback.accept(served[0]);
                         }
                     };
             requests++;
@@ -109,98 +109,98 @@
                 .schedule(
                         () -> {
                             if (left[0] > 0) {
-                                told.accept(served[0]);
+                                callback.accept(served[0]);
                             }
                         },
-                        LAST_WAIT_MS,
+                        RECOVERY_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
-    List<String> stoppedTooLong() {
-        return stoppedTooLong;
+    List<String> stalledClientViolations() {
+        return stalledClientViolations;
     }
 
     /** Sends one request to some node that takes them. */
     void send() {
         double now = log.now();
-        Predicate<TestNode> takes =
+        Predicate<TestNode> acceptsRequests =
                 node ->
                         node.state == TestNode.State.UP
                                 || (node.state == TestNode.State.TERMINATING
-                                        && (now < node.terminatedMs + COMING_MS
+                                        && (now < node.terminatedMs + NEW_CONNECTION_GRACE_MS
                                                 || !idle.get(node.number).isEmpty()));
-        List<TestNode> up = nodes.stream().filter(takes).toList();
-        if (!up.isEmpty()) {
-            TestNode node = up.get(random.nextInt(up.size()));
+        List<TestNode> candidates = nodes.stream().filter(acceptsRequests).toList();
+        if (!candidates.isEmpty()) {
+            TestNode node = candidates.get(random.nextInt(candidates.size()));
             double draw = random.nextDouble();
-            RequestClass kind = classes.get(classes.size() - 1);
-            for (RequestClass one : classes) {
-                draw -= one.share;
+            RequestClass requestClass = classes.get(classes.size() - 1);
+            for (RequestClass candidate : classes) {
+                draw -= candidate.share;
                 if (draw < 0) {
-                    kind = one;
+                    requestClass = candidate;
                     break;
                 }
             }
             requests++;
-            new Exchange(String.format("%016x", random.nextLong()), kind, node).begin();
+            new Exchange(String.format("%016x", random.nextLong()), requestClass, node).begin();
         }
     }
 
     /** One request, over one connection, or two where the first closed as it was written. */
     private final class Exchange {
         private final String id;
-        private final RequestClass kind;
+        private final RequestClass requestClass;
         private final TestNode node;
-        private final boolean leaves = leaving && random.nextInt(3) == 0;
-        private boolean asked;
-        private boolean begun;
-        private boolean over;
-        private boolean second;
-        private java.util.function.Consumer<Boolean> ended = whole -> {};
-
-        Exchange(String id, RequestClass kind, TestNode node) {
+        private final boolean disconnects = disconnecting && random.nextInt(3) == 0;
+        private boolean sentOnce;
+        private boolean responseStarted;
+        private boolean finished;
+        private boolean retried;
+        private java.util.function.Consumer<Boolean> onFinished = whole -> {};
+
+        Exchange(String id, RequestClass requestClass, TestNode node) {
             this.id = id;
-            this.kind = kind;
+            this.requestClass = requestClass;
             this.node = node;
         }
 
         void begin() {
-            Connection kept = second ? null : idle.get(node.number).pollFirst();
-            if (kept != null && kept.channel.isActive()) {
-                kept.start(this);
+            Connection reused = retried ? null : idle.get(node.number).pollFirst();
+            if (reused != null && reused.channel.isActive()) {
+                reused.start(this);
                 return;
             }
-            Connection fresh = new Connection(node);
-            fresh.open()
+            Connection newConnection = new Connection(node);
+            newConnection.open()
                     .addListener(
                             (ChannelFuture done) -> {
                                 if (done.isSuccess()) {
-                                    fresh.start(this);
-                                } else if (asked) {
+                                    newConnection.start(this);
+                                } else if (sentOnce) {
                                     // It was sent before on a kept connection that closed; nobody
                                     // takes it now.
-                                    saw(TrafficEvent.Kind.LEFT, null);
-                                    over = true;
+                                    logEvent(TrafficEvent.Kind.LEFT, null);
+                                    finished = true;
                                 }
                             });
         }
 
-        void saw(TrafficEvent.Kind seen, String word) {
-            log.add(seen, node.number, null, TestEngine.tag(id), kind.deadlineMs, word);
+        void logEvent(TrafficEvent.Kind eventKind, String detail) {
+            log.add(eventKind, node.number, null, TestEngine.tag(id), requestClass.deadlineMs, detail);
         }
 
-        void sent(Connection connection) {
-            if (!asked) {
-                asked = true;
-                saw(TrafficEvent.Kind.ASKED, kind.name);
+        void onSent(Connection connection) {
+            if (!sentOnce) {
+                sentOnce = true;
+                logEvent(TrafficEvent.Kind.ASKED, requestClass.name);
             }
-            if (leaves) {
+            if (disconnects) {
                 loop.next()
                         .schedule(
                                 () -> {
-                                    if (!over) {
-                                        over = true;
-                                        saw(TrafficEvent.Kind.LEFT, null);
+                                    if (!finished) {
+                                        finished = true;
+                                        logEvent(TrafficEvent.Kind.LEFT, null);
                                         connection.close();
                                     }
                                 },
@@ -209,32 +209,32 @@
             }
         }
 
-        void finish(String word) {
-            if (over) {
-                saw(TrafficEvent.Kind.AFTER_FINAL, word);
+        void finish(String outcome) {
+            if (finished) {
+                logEvent(TrafficEvent.Kind.AFTER_FINAL, outcome);
                 return;
             }
-            over = true;
-            ended.accept(word.equals("streamed"));
-            answeredWhole += word.equals("streamed") ? 1 : 0;
-            saw(TrafficEvent.Kind.FINAL, word);
+            finished = true;
+            onFinished.accept(outcome.equals("streamed"));
+            completedResponses += outcome.equals("streamed") ? 1 : 0;
+            logEvent(TrafficEvent.Kind.FINAL, outcome);
         }
 
         /** The connection ended before the answer's end. */
-        void broke(boolean kept) {
-            if (over) {
+        void onConnectionClosed(boolean reused) {
+            if (finished) {
                 return;
             }
-            if (begun) {
+            if (responseStarted) {
                 finish("terminated");
-            } else if (kept && !second) {
-                second = true;
+            } else if (reused && !retried) {
+                retried = true;
                 begin();
             } else {
-                over = true;
+                finished = true;
                 // A node that ends may close a second, new connection unread.
-                saw(
-                        second && node.state != TestNode.State.UP
+                logEvent(
+                        retried && node.state != TestNode.State.UP
                                 ? TrafficEvent.Kind.LEFT
                                 : TrafficEvent.Kind.LOST,
                         null);
@@ -249,15 +249,15 @@
         private Exchange exchange;
         private int served;
         private int status;
-        private boolean closes;
-        private final StringBuilder tail = new StringBuilder();
+        private boolean closeAfterResponse;
+        private final StringBuilder responseTail = new StringBuilder();
 
         Connection(TestNode node) {
             this.node = node;
         }
 
         ChannelFuture open() {
-            ChannelFuture opening =
+            ChannelFuture connecting =
                     new Bootstrap()
                             .group(loop)
                             .channel(NioSocketChannel.class)
@@ -273,23 +273,23 @@
                                         }
                                     })
                             .connect("127.0.0.1", node.port);
-            channel = opening.channel();
-            return opening;
+            channel = connecting.channel();
+            return connecting;
         }
 
         void start(Exchange next) {
             exchange = next;
             status = 0;
-            tail.setLength(0);
+            responseTail.setLength(0);
             String head =
                     "POST /v1/chat/completions HTTP/1.1\r\nHost: service.internal\r\nReq-Id: "
                             + next.id
                             + "\r\nReq-Kind: "
-                            + next.kind.name
+                            + next.requestClass.name
                             + "\r\nReq-Key: k"
                             + next.id.charAt(3)
                             + "\r\nReq-Deadline-Ms: "
-                            + next.kind.deadlineMs
+                            + next.requestClass.deadlineMs
                             + "\r\nReq-Extra: prefix=p"
                             + next.id.charAt(5)
                             + ",prompt_len=400,prefix_len=100,max_out=40\r\nContent-Length: "
@@ -300,7 +300,7 @@
                     .addListener(
                             done -> {
                                 if (done.isSuccess()) {
-                                    next.sent(this);
+                                    next.onSent(this);
                                 }
                             });
         }
@@ -311,17 +311,17 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (exchange == null || (dropsAnswers && exchange.id.charAt(0) % 2 == 0)) {
+            if (exchange == null || (dropResponses && exchange.id.charAt(0) % 2 == 0)) {
                 return;
             }
             if (part.decoderResult().isFailure()) {
-                exchange.saw(TrafficEvent.Kind.MALFORMED, "answer");
+                exchange.logEvent(TrafficEvent.Kind.MALFORMED, "answer");
                 close();
                 return;
             }
             if (part instanceof HttpResponse response) {
                 status = response.status().code();
-                closes = "close".equalsIgnoreCase(response.headers().get("Connection"));
+                closeAfterResponse = "close".equalsIgnoreCase(response.headers().get("Connection"));
             }
             if (part instanceof HttpContent content) {
                 body(content);
@@ -330,23 +330,23 @@
 
         private void body(HttpContent content) {
             if (status == 200 && content.content().isReadable()) {
-                if (!exchange.begun && !exchange.over) {
-                    exchange.begun = true;
-                    exchange.saw(TrafficEvent.Kind.BEGUN, null);
+                if (!exchange.responseStarted && !exchange.finished) {
+                    exchange.responseStarted = true;
+                    exchange.logEvent(TrafficEvent.Kind.BEGUN, null);
                 }
-                tail.append(content.content().toString(StandardCharsets.ISO_8859_1));
-                if (tail.length() > 64) {
-                    tail.delete(0, tail.length() - 64);
+                responseTail.append(content.content().toString(StandardCharsets.ISO_8859_1));
+                if (responseTail.length() > 64) {
+                    responseTail.delete(0, responseTail.length() - 64);
                 }
             }
             if (content instanceof LastHttpContent) {
                 Exchange ended = exchange;
                 exchange = null;
                 if (status == 200) {
-                    if (tail.toString().endsWith("data: [DONE]\n\n")) {
+                    if (responseTail.toString().endsWith("data: [DONE]\n\n")) {
                         ended.finish("streamed");
                     } else {
-                        ended.saw(
+                        ended.logEvent(
                                 TrafficEvent.Kind.MALFORMED,
                                 "a stream that is not whole was ended as one");
                         ended.finish("terminated");
@@ -355,7 +355,7 @@
                     ended.finish(status == 503 || status == 429 ? "throttled" : "terminated");
                 }
                 served++;
-                if (!closes) {
+                if (!closeAfterResponse) {
                     idle.get(node.number).addFirst(this);
                 }
             }
@@ -367,7 +367,7 @@
             Exchange ended = exchange;
             exchange = null;
             if (ended != null) {
-                ended.broke(served > 0 && status == 0);
+                ended.onConnectionClosed(served > 0 && status == 0);
             }
         }
 
@@ -380,91 +380,91 @@
     // ------------------------------------------------------------------ clients that misbehave
 
     /** Clients that send a part of a request and stay. */
-    void stopInTheMiddle(TestNode node) {
+    void startStalledClients(TestNode node) {
         if (node.state != TestNode.State.UP) {
             return;
         }
-        for (int i = 0; i < STOPPED; i++) {
+        for (int i = 0; i < STALLED_CLIENTS; i++) {
             String head =
                     "POST /v1/chat/completions HTTP/1.1\r\nReq-Id: "
                             + String.format("%016x", random.nextLong())
                             + "\r\nReq-Kind: "
                             + classes.get(0).name
                             + "\r\nReq-Deadline-Ms: 4000\r\nContent-Length: 500\r\n\r\n{\"model\"";
-            int first = random.nextInt(head.length());
-            double from = log.now();
+            int firstPartLength = random.nextInt(head.length());
+            double startedMs = log.now();
             boolean[] ended = new boolean[1];
-            Bystander bystander = new Bystander(() -> ended[0] = true);
-            bystander.connect(
+            RawConnection connection = new RawConnection(() -> ended[0] = true);
+            connection.connect(
                     node.port,
                     channel -> {
                         channel.writeAndFlush(
                                 Unpooled.copiedBuffer(
-                                        head.substring(0, first), StandardCharsets.ISO_8859_1));
+                                        head.substring(0, firstPartLength), StandardCharsets.ISO_8859_1));
                         loop.next()
                                 .schedule(
                                         () ->
                                                 channel.writeAndFlush(
                                                         Unpooled.copiedBuffer(
-                                                                head.substring(first),
+                                                                head.substring(firstPartLength),
                                                                 StandardCharsets.ISO_8859_1)),
                                         200 + random.nextInt(1700),
                                         TimeUnit.MILLISECONDS);
                     });
-            int life = node.starts;
+            int startCount = node.startCount;
             loop.next()
                     .schedule(
                             () -> {
                                 if (!ended[0]
                                         && node.state == TestNode.State.UP
-                                        && node.starts == life) {
-                                    stoppedTooLong.add(
+                                        && node.startCount == startCount) {
+                                    stalledClientViolations.add(
                                             "node "
                                                     + node.number
                                                     + ": a client that stopped at "
-                                                    + Math.round(from)
+                                                    + Math.round(startedMs)
                                                     + " ms has no error and no close 3.3 s later");
                                 }
-                                bystander.close();
+                                connection.close();
                             },
-                            (long) STOPPED_OWED_MS + 300,
+                            (long) STALLED_CLIENT_TIMEOUT_MS + 300,
                             TimeUnit.MILLISECONDS);
         }
     }
 
     /** Clients that connect at once and say nothing. */
-    void crowd(TestNode node, double lengthMs) {
-        for (int i = 0; i < CROWD; i++) {
-            Bystander bystander = new Bystander(() -> {});
-            bystander.connect(node.port, channel -> {});
-            loop.next().schedule(bystander::close, (long) lengthMs, TimeUnit.MILLISECONDS);
+    void openIdleConnections(TestNode node, double lengthMs) {
+        for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+            RawConnection connection = new RawConnection(() -> {});
+            connection.connect(node.port, channel -> {});
+            loop.next().schedule(connection::close, (long) lengthMs, TimeUnit.MILLISECONDS);
         }
     }
 
     /** A client that only wants to be there; its end is any byte or the close. */
-    private final class Bystander extends io.netty.channel.ChannelInboundHandlerAdapter {
-        private final Runnable ended;
+    private final class RawConnection extends io.netty.channel.ChannelInboundHandlerAdapter {
+        private final Runnable onFinished;
         private Channel channel;
 
-        Bystander(Runnable ended) {
-            this.ended = ended;
+        RawConnection(Runnable onFinished) {
+            this.onFinished = onFinished;
         }
 
         void connect(int port, java.util.function.Consumer<Channel> connected) {
-            ChannelFuture opening =
+            ChannelFuture connecting =
                     new Bootstrap()
                             .group(loop)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.TCP_NODELAY, true)
                             .handler(this)
                             .connect("127.0.0.1", port);
-            channel = opening.channel();
-            opening.addListener(
+            channel = connecting.channel();
+            connecting.addListener(
                     done -> {
                         if (done.isSuccess()) {
                             connected.accept(channel);
                         } else {
-                            ended.run();
+                            onFinished.run();
                         }
                     });
         }
@@ -476,12 +476,12 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             io.netty.util.ReferenceCountUtil.release(message);
-            ended.run();
+            onFinished.run();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended.run();
+            onFinished.run();
         }
 
         @Override
--- a/src/main/java/larchridge/faultinjection/TestDiscoveryAgent.java
+++ b/src/main/java/larchridge/faultinjection/TestDiscoveryAgent.java
@@ -25,16 +25,16 @@
 /** One node's discovery agent: whole lists and watches. All methods run on the rig's loop. */
 final class TestDiscoveryAgent {
     /** How the agent answers. */
-    enum Mood {
-        GOOD,
+    enum Behavior {
+        NORMAL,
         SILENT,
-        RESETS,
-        PIECES
+        RESETTING,
+        FRAGMENTED
     }
 
-    private static final double MOVED_CLOSES_MS = 1500;
-    private static final int PIECES = 12;
-    private static final double PIECE_MS = 8;
+    private static final double OLD_CONNECTION_CLOSE_DELAY_MS = 1500;
+    private static final int FRAGMENT_COUNT = 12;
+    private static final double FRAGMENT_INTERVAL_MS = 8;
 
     private final EventLoopGroup loop;
     private final IntSupplier index;
@@ -42,7 +42,7 @@
     private final Set<Watch> watches = new HashSet<>();
     private Channel listener;
     private final Set<Channel> connections = new HashSet<>();
-    private Mood mood = Mood.GOOD;
+    private Behavior behavior = Behavior.NORMAL;
     private int calls;
 
     private record Watch(Channel channel, int after) {}
@@ -84,19 +84,19 @@
         return calls;
     }
 
-    void mood(Mood next) {
-        mood = next;
-        if (next == Mood.SILENT) {
+    void setBehavior(Behavior next) {
+        behavior = next;
+        if (next == Behavior.SILENT) {
             // What was asked is dropped, and its connections stay open.
             watches.clear();
         }
-        if (next == Mood.RESETS) {
+        if (next == Behavior.RESETTING) {
             Set.copyOf(connections).forEach(TestChannels::reset);
         }
     }
 
     /** Listens at another address; the old one takes nothing new and closes after a while. */
-    void move(Runnable moved) {
+    void moveAddress(Runnable onMoved) {
         Channel old = listener;
         Set<Channel> before = Set.copyOf(connections);
         listen().addListener(
@@ -106,21 +106,21 @@
                             loop.next()
                                     .schedule(
                                             () -> before.forEach(Channel::close),
-                                            (long) MOVED_CLOSES_MS,
+                                            (long) OLD_CONNECTION_CLOSE_DELAY_MS,
                                             TimeUnit.MILLISECONDS);
-                            moved.run();
+                            onMoved.run();
                         });
     }
 
     /** The list has changed: open watches are answered. */
-    void changed() {
-        if (mood == Mood.SILENT) {
+    void notifyWatches() {
+        if (behavior == Behavior.SILENT) {
             return;
         }
         for (Watch watch : List.copyOf(watches)) {
             if (index.getAsInt() > watch.after) {
                 watches.remove(watch);
-                answer(watch.channel);
+                respond(watch.channel);
             }
         }
     }
@@ -135,17 +135,17 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             calls++;
-            if (mood == Mood.SILENT) {
+            if (behavior == Behavior.SILENT) {
                 return;
             }
-            if (mood == Mood.RESETS) {
+            if (behavior == Behavior.RESETTING) {
                 TestChannels.reset(context.channel());
                 return;
             }
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             List<String> after = query.parameters().get("after");
             if (after == null || index.getAsInt() > Integer.parseInt(after.get(0))) {
-                answer(context.channel());
+                respond(context.channel());
                 return;
             }
             Watch watch = new Watch(context.channel(), Integer.parseInt(after.get(0)));
@@ -154,7 +154,7 @@
             loop.next()
                     .schedule(
                             () -> {
-                                if (watches.remove(watch) && mood != Mood.SILENT) {
+                                if (watches.remove(watch) && behavior != Behavior.SILENT) {
                                     write(
                                             watch.channel,
                                             "{\"index\":"
@@ -178,31 +178,31 @@
         }
     }
 
-    private void answer(Channel channel) {
+    private void respond(Channel channel) {
         write(channel, list.get());
     }
 
     private void write(Channel channel, String body) {
-        ByteBuf all =
+        ByteBuf response =
                 Unpooled.copiedBuffer(
                         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
                                 + body.length()
                                 + "\r\n\r\n"
                                 + body,
                         StandardCharsets.ISO_8859_1);
-        if (mood != Mood.PIECES) {
-            channel.writeAndFlush(all);
+        if (behavior != Behavior.FRAGMENTED) {
+            channel.writeAndFlush(response);
             return;
         }
-        int piece = Math.max(1, all.readableBytes() / PIECES);
-        for (int i = 0; all.isReadable(); i++) {
-            ByteBuf part = all.readRetainedSlice(Math.min(piece, all.readableBytes()));
+        int fragmentBytes = Math.max(1, response.readableBytes() / FRAGMENT_COUNT);
+        for (int i = 0; response.isReadable(); i++) {
+            ByteBuf fragment = response.readRetainedSlice(Math.min(fragmentBytes, response.readableBytes()));
             loop.next()
                     .schedule(
-                            () -> channel.writeAndFlush(part),
-                            (long) (i * PIECE_MS * 1e6),
+                            () -> channel.writeAndFlush(fragment),
+                            (long) (i * FRAGMENT_INTERVAL_MS * 1e6),
                             TimeUnit.NANOSECONDS);
         }
-        all.release();
+        response.release();
     }
 }
--- a/src/main/java/larchridge/faultinjection/TestEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -41,33 +41,33 @@
  */
 final class TestEngine {
     /** How an engine behaves. */
-    enum Mood {
-        GOOD,
-        HANGS,
-        ERRS,
-        DECLINES
+    enum Behavior {
+        NORMAL,
+        HANGING,
+        FAILING,
+        DECLINING
     }
 
-    private static final int BODY_BYTES = 1 << 20;
-    private static final int EVENTS = 6;
-    private static final String EVENT =
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int EVENT_COUNT = 6;
+    private static final String EVENT_TEXT =
             "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abcd\"},\"finish_reason\":null}]}\n\n";
-    private static final String END =
+    private static final String FINAL_EVENTS_TEXT =
             "data: {\"choices\":[],\"usage\":{\"completion_tokens\":24}}\n\ndata: [DONE]\n\n";
 
     final long number;
-    final EngineProfile make;
+    final EngineProfile profile;
     private final EventLoopGroup loop;
     private final TrafficLog log;
-    private final TestReservations states;
+    private final TestReadStates readStates;
     private final Random random;
     private final Set<Channel> connections = new HashSet<>();
     private final Deque<Job> queue = new ArrayDeque<>();
     private final Channel listener;
     private int running;
     private double startedMs = Double.NEGATIVE_INFINITY;
-    private long life;
-    Mood mood = Mood.GOOD;
+    private long incarnation;
+    Behavior behavior = Behavior.NORMAL;
 
     /** Planted: releases are answered and nothing is released. */
     boolean ignoresReleases;
@@ -76,10 +76,10 @@
     boolean runsTwice;
 
     /** Unix time of its last start, or 0 for long ago. */
-    long sinceMs;
+    long startTimeMs;
 
     /** The start that the list tells. */
-    long toldSinceMs;
+    long announcedStartTimeMs;
 
     String status = "SERVING";
 
@@ -87,28 +87,28 @@
     private static final class Job {
         final String id;
         final Channel channel;
-        final long life;
-        boolean over;
+        final long incarnation;
+        boolean finished;
 
-        Job(String id, Channel channel, long life) {
+        Job(String id, Channel channel, long incarnation) {
             this.id = id;
             this.channel = channel;
-            this.life = life;
+            this.incarnation = incarnation;
         }
     }
 
     TestEngine(
-            EngineProfile make,
+            EngineProfile profile,
             EventLoopGroup loop,
             TrafficLog log,
-            TestReservations states,
+            TestReadStates readStates,
             long seed)
             throws InterruptedException {
-        number = make.id();
-        this.make = make;
+        number = profile.id();
+        this.profile = profile;
         this.loop = loop;
         this.log = log;
-        this.states = states;
+        this.readStates = readStates;
         random = new Random(seed);
         listener =
                 new ServerBootstrap()
@@ -123,7 +123,7 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(BODY_BYTES),
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES),
                                                         new Handler());
                                     }
                                 })
@@ -144,24 +144,24 @@
 
     /** Ends the process and starts a new one, cold and empty. */
     void restart() {
-        life++;
+        incarnation++;
         queue.clear();
         running = 0;
-        states.forget(this);
+        readStates.dropHeldBy(this);
         Set.copyOf(connections).forEach(Channel::close);
         startedMs = log.now();
-        sinceMs = System.currentTimeMillis();
+        startTimeMs = System.currentTimeMillis();
         log.add(TrafficEvent.Kind.STARTED, number, null, null, 1, null);
     }
 
     private double speed() {
         double age = log.now() - startedMs;
-        return age >= make.coldMs()
+        return age >= profile.coldMs()
                 ? 1
-                : make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
+                : profile.coldShare() + (1 - profile.coldShare()) * age / profile.coldMs();
     }
 
-    private void in(double ms, Runnable step) {
+    private void schedule(double ms, Runnable step) {
         loop.next().schedule(step, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
     }
 
@@ -179,27 +179,27 @@
             Channel channel = context.channel();
             String path = request.uri();
             if (request.method().equals(HttpMethod.DELETE)) {
-                if (mood != Mood.HANGS) {
+                if (behavior != Behavior.HANGING) {
                     if (!ignoresReleases) {
-                        states.release(path.substring(path.lastIndexOf('/') + 1));
+                        readStates.release(path.substring(path.lastIndexOf('/') + 1));
                     }
-                    answer(channel, HttpResponseStatus.NO_CONTENT, "", false);
+                    respond(channel, HttpResponseStatus.NO_CONTENT, "", false);
                 }
                 return;
             }
             if (!request.method().equals(HttpMethod.POST)) {
-                answer(channel, HttpResponseStatus.NOT_FOUND, "", false);
+                respond(channel, HttpResponseStatus.NOT_FOUND, "", false);
                 return;
             }
-            job = new Job(request.headers().get("Req-Id"), channel, life);
-            arrive(job);
+            job = new Job(request.headers().get("Req-Id"), channel, incarnation);
+            handleRequest(job);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(context.channel());
             if (job != null) {
-                end(job);
+                finish(job);
             }
         }
 
@@ -209,148 +209,148 @@
         }
     }
 
-    private void arrive(Job job) {
-        boolean reads = make.role() == Role.READER;
+    private void handleRequest(Job job) {
+        boolean isReader = profile.role() == Role.READER;
         log.add(
-                reads ? TrafficEvent.Kind.READ_IN : TrafficEvent.Kind.WRITE_IN,
+                isReader ? TrafficEvent.Kind.READ_IN : TrafficEvent.Kind.WRITE_IN,
                 number,
                 job.id,
                 tag(job.id),
                 400,
                 null);
-        if (mood == Mood.HANGS) {
+        if (behavior == Behavior.HANGING) {
             return;
         }
-        if (mood == Mood.DECLINES || queue.size() >= make.queue()) {
-            end(job);
-            answer(job.channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
+        if (behavior == Behavior.DECLINING || queue.size() >= profile.queue()) {
+            finish(job);
+            respond(job.channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
             return;
         }
-        if (mood == Mood.ERRS && random.nextBoolean()) {
-            if (!reads) {
-                ran(job);
+        if (behavior == Behavior.FAILING && random.nextBoolean()) {
+            if (!isReader) {
+                logExecution(job);
             }
-            end(job);
-            answer(job.channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false);
+            finish(job);
+            respond(job.channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false);
             return;
         }
-        if (!reads) {
-            states.waits(job.id, true);
+        if (!isReader) {
+            readStates.updateQueued(job.id, true);
         }
         queue.add(job);
-        next();
+        startQueuedJobs();
     }
 
-    private void next() {
-        int slots = make.role() == Role.READER ? make.readsAtOnce() : make.streams();
+    private void startQueuedJobs() {
+        int slots = profile.role() == Role.READER ? profile.readsAtOnce() : profile.streams();
         while (running < slots && !queue.isEmpty()) {
             Job job = queue.poll();
-            if (make.role() != Role.READER) {
-                states.waits(job.id, false);
+            if (profile.role() != Role.READER) {
+                readStates.updateQueued(job.id, false);
             }
-            if (job.over) {
+            if (job.finished) {
                 continue;
             }
             running++;
-            if (make.role() == Role.READER) {
-                in(400 / make.readTokensPerMs() / speed(), () -> readEnded(job));
+            if (profile.role() == Role.READER) {
+                schedule(400 / profile.readTokensPerMs() / speed(), () -> finishRead(job));
             } else {
-                write(job);
+                startWrite(job);
             }
         }
     }
 
-    private void leaveSlot(Job job) {
-        if (job.life == life) {
+    private void releaseSlot(Job job) {
+        if (job.incarnation == incarnation) {
             running--;
-            next();
+            startQueuedJobs();
         }
     }
 
-    private void readEnded(Job job) {
-        if (!job.over && job.life == life && mood != Mood.HANGS) {
-            states.hold(job.id, this);
-            end(job);
-            answer(job.channel, HttpResponseStatus.ACCEPTED, "{\"cached_tokens\":0}", false);
+    private void finishRead(Job job) {
+        if (!job.finished && job.incarnation == incarnation && behavior != Behavior.HANGING) {
+            readStates.hold(job.id, this);
+            finish(job);
+            respond(job.channel, HttpResponseStatus.ACCEPTED, "{\"cached_tokens\":0}", false);
         }
-        leaveSlot(job);
+        releaseSlot(job);
     }
 
-    private void write(Job job) {
-        if (!states.isHeld(job.id)) {
-            end(job);
-            answer(job.channel, HttpResponseStatus.GONE, "", true);
-            leaveSlot(job);
+    private void startWrite(Job job) {
+        if (!readStates.isHeld(job.id)) {
+            finish(job);
+            respond(job.channel, HttpResponseStatus.GONE, "", true);
+            releaseSlot(job);
             return;
         }
-        in(
+        schedule(
                 5,
                 () -> {
-                    if (job.over || job.life != life || mood == Mood.HANGS) {
-                        leaveSlot(job);
+                    if (job.finished || job.incarnation != incarnation || behavior == Behavior.HANGING) {
+                        releaseSlot(job);
                         return;
                     }
-                    states.drop(job.id);
-                    ran(job);
+                    readStates.drop(job.id);
+                    logExecution(job);
                     DefaultHttpResponse head =
                             new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                     head.headers()
                             .set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
                             .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
                     job.channel.write(head);
-                    stream(job, 0);
+                    streamEvents(job, 0);
                 });
     }
 
-    private void ran(Job job) {
+    private void logExecution(Job job) {
         for (int i = 0; i < (runsTwice ? 2 : 1); i++) {
             log.add(TrafficEvent.Kind.RAN, number, job.id, tag(job.id), 0, null);
         }
     }
 
     /** What the engine is judged as. */
-    EngineProfile judgedMake(PlantedFault plant) {
-        return plant != PlantedFault.COLD_STARTS_HIDDEN
-                ? make
+    EngineProfile profileForChecks(PlantedFault plantedFault) {
+        return plantedFault != PlantedFault.COLD_STARTS_HIDDEN
+                ? profile
                 : new EngineProfile(
-                        make.id(),
-                        make.role(),
-                        make.zone(),
-                        make.rack(),
-                        make.readTokensPerMs(),
-                        make.readsAtOnce(),
-                        make.streams(),
-                        make.queue(),
-                        make.memoryTokens(),
-                        make.tokenMs(),
-                        make.moveTokensPerMs(),
+                        profile.id(),
+                        profile.role(),
+                        profile.zone(),
+                        profile.rack(),
+                        profile.readTokensPerMs(),
+                        profile.readsAtOnce(),
+                        profile.streams(),
+                        profile.queue(),
+                        profile.memoryTokens(),
+                        profile.tokenMs(),
+                        profile.moveTokensPerMs(),
                         0,
                         1e9,
-                        make.lapseMs());
+                        profile.lapseMs());
     }
 
-    private void stream(Job job, int event) {
-        if (job.over || job.life != life) {
-            leaveSlot(job);
+    private void streamEvents(Job job, int event) {
+        if (job.finished || job.incarnation != incarnation) {
+            releaseSlot(job);
             return;
         }
-        if (event < EVENTS) {
-            job.channel.writeAndFlush(new DefaultHttpContent(bytes(EVENT)));
-            in(4 * make.tokenMs() / speed(), () -> stream(job, event + 1));
+        if (event < EVENT_COUNT) {
+            job.channel.writeAndFlush(new DefaultHttpContent(bytes(EVENT_TEXT)));
+            schedule(4 * profile.tokenMs() / speed(), () -> streamEvents(job, event + 1));
             return;
         }
-        job.channel.write(new DefaultHttpContent(bytes(END)));
+        job.channel.write(new DefaultHttpContent(bytes(FINAL_EVENTS_TEXT)));
         job.channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-        end(job);
-        leaveSlot(job);
+        finish(job);
+        releaseSlot(job);
     }
 
-    private void end(Job job) {
-        if (!job.over) {
-            job.over = true;
+    private void finish(Job job) {
+        if (!job.finished) {
+            job.finished = true;
             log.add(TrafficEvent.Kind.LEG_OUT, number, job.id, tag(job.id), 0, null);
-            if (queue.remove(job) && make.role() != Role.READER) {
-                states.waits(job.id, false);
+            if (queue.remove(job) && profile.role() != Role.READER) {
+                readStates.updateQueued(job.id, false);
             }
         }
     }
@@ -359,7 +359,7 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private static void answer(
+    private static void respond(
             Channel channel, HttpResponseStatus status, String body, boolean declined) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes(body));
--- a/src/main/java/larchridge/faultinjection/TestHealthCheck.java
+++ b/src/main/java/larchridge/faultinjection/TestHealthCheck.java
@@ -13,53 +13,53 @@
 
 /** Asks a node whether it can serve. */
 final class TestHealthCheck extends SimpleChannelInboundHandler<ByteBuf> {
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n";
+    private static final String REQUEST = "GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n";
 
     private final EventLoopGroup loop;
-    private Consumer<Boolean> told;
+    private Consumer<Boolean> callback;
 
     TestHealthCheck(EventLoopGroup loop) {
         this.loop = loop;
     }
 
-    void isUp(int port, Consumer<Boolean> then) {
-        told = then;
-        ChannelFuture opening =
+    void check(int port, Consumer<Boolean> onResult) {
+        callback = onResult;
+        ChannelFuture connecting =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .handler(this)
                         .connect("127.0.0.1", port);
-        opening.addListener(
+        connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        tell(false);
+                        complete(false);
                     }
                 });
     }
 
-    private void tell(boolean up) {
-        Consumer<Boolean> then = told;
-        told = null;
-        if (then != null) {
-            then.accept(up);
+    private void complete(boolean ready) {
+        Consumer<Boolean> onResult = callback;
+        callback = null;
+        if (onResult != null) {
+            onResult.accept(ready);
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        context.writeAndFlush(Unpooled.copiedBuffer(UP, StandardCharsets.ISO_8859_1));
+        context.writeAndFlush(Unpooled.copiedBuffer(REQUEST, StandardCharsets.ISO_8859_1));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf bytes) {
-        tell(bytes.toString(StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 200 "));
+        complete(bytes.toString(StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 200 "));
         context.close();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        tell(false);
+        complete(false);
     }
 
     @Override
--- a/src/main/java/larchridge/faultinjection/TestNode.java
+++ b/src/main/java/larchridge/faultinjection/TestNode.java
@@ -34,8 +34,8 @@
                     "OutOfMemoryError");
 
     private static final int MEMORY_MB = 192;
-    private static final int SOCKETS = 600;
-    private static final long SIGNAL_SECONDS = 5;
+    private static final int MAX_SOCKETS = 600;
+    private static final long SIGNAL_TIMEOUT_SECONDS = 5;
 
     final int number;
     final int port;
@@ -50,7 +50,7 @@
     private Process process;
     State state = State.DOWN;
     double terminatedMs = Double.NaN;
-    int starts;
+    int startCount;
 
     /** It has ended, and will be started again. */
     boolean restarting;
@@ -72,7 +72,7 @@
     }
 
     /** Writes the configuration with the agent's address as it is now. */
-    void configure(String list) throws IOException {
+    void configure(String listJson) throws IOException {
         Files.writeString(
                 config,
                 "{\"name\":\"n"
@@ -82,14 +82,14 @@
                         + "\",\"discovery\":\"127.0.0.1:"
                         + agent.port()
                         + "\",\"seed\":\""
-                        + Integer.toHexString(1000 * number + starts)
+                        + Integer.toHexString(1000 * number + startCount)
                         + "\",\"limits\":{\"cores\":1.0,"
                         + "\"memory_mb\":"
                         + MEMORY_MB
                         + ",\"sockets\":"
-                        + SOCKETS
+                        + MAX_SOCKETS
                         + "},\"known\":"
-                        + list
+                        + listJson
                         + ",\"settings\":"
                         + settings
                         + "}");
@@ -97,12 +97,12 @@
 
     /** Leaves half a configuration in the place of the good one. */
     void breakConfiguration() throws IOException {
-        String good = Files.readString(config);
-        Files.writeString(config, good.substring(0, good.length() / 2));
+        String valid = Files.readString(config);
+        Files.writeString(config, valid.substring(0, valid.length() / 2));
     }
 
     void start() throws IOException {
-        starts++;
+        startCount++;
         state = State.STARTING;
         terminatedMs = Double.NaN;
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -149,14 +149,14 @@
     }
 
     /** Sends a signal by name. */
-    void signal(String name) {
+    void sendSignal(String name) {
         if (!isAlive()) {
             return;
         }
         try {
             Process sender =
                     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
-            sender.waitFor(SIGNAL_SECONDS, TimeUnit.SECONDS);
+            sender.waitFor(SIGNAL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (IOException e) {
             throw new IllegalStateException("signals can't be sent", e);
         } catch (InterruptedException e) {
@@ -165,7 +165,7 @@
     }
 
     /** Waits for the end of the process; not on the loop. */
-    boolean awaitEnd(long ms) throws InterruptedException {
+    boolean awaitExit(long ms) throws InterruptedException {
         return process == null || process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
@@ -176,7 +176,7 @@
     /**
      * Lines of the log that tell of a fault in the node: violated invariants, steps that failed.
      */
-    List<String> faults() throws IOException {
+    List<String> reportedFaults() throws IOException {
         if (!Files.exists(log)) {
             return List.of();
         }
--- a/src/main/java/larchridge/faultinjection/TestReservations.java
+++ b/src/main/java/larchridge/faultinjection/TestReadStates.java
@@ -11,32 +11,32 @@
  * The read states that the simulated engines hold, by request; a state waits at its reader until it
  * is fetched or released.
  */
-final class TestReservations {
+final class TestReadStates {
     private final TrafficLog log;
-    private final Map<String, Set<TestEngine>> holders = new HashMap<>();
+    private final Map<String, Set<TestEngine>> holdersByRequest = new HashMap<>();
 
     /** How many requests wait in writers' queues for a state. */
-    private final Map<String, Integer> waiting = new HashMap<>();
+    private final Map<String, Integer> queuedWriters = new HashMap<>();
 
-    TestReservations(TrafficLog log) {
+    TestReadStates(TrafficLog log) {
         this.log = log;
     }
 
     void hold(String id, TestEngine engine) {
-        if (holders.computeIfAbsent(id, key -> new HashSet<>()).add(engine)) {
+        if (holdersByRequest.computeIfAbsent(id, key -> new HashSet<>()).add(engine)) {
             log.add(TrafficEvent.Kind.STATE_HELD, engine.number, id, TestEngine.tag(id), 0, null);
         }
     }
 
     boolean isHeld(String id) {
-        return holders.containsKey(id);
+        return holdersByRequest.containsKey(id);
     }
 
     /** All that is held for a request is fetched, or gone otherwise. */
     void drop(String id) {
-        Set<TestEngine> all = holders.remove(id);
-        if (all != null) {
-            all.forEach(
+        Set<TestEngine> engines = holdersByRequest.remove(id);
+        if (engines != null) {
+            engines.forEach(
                     engine ->
                             log.add(
                                     TrafficEvent.Kind.STATE_GONE,
@@ -49,10 +49,10 @@
     }
 
     /** An engine has lost its memory. */
-    void forget(TestEngine engine) {
-        for (String id : Set.copyOf(holders.keySet())) {
-            Set<TestEngine> all = holders.get(id);
-            if (all.remove(engine)) {
+    void dropHeldBy(TestEngine engine) {
+        for (String id : Set.copyOf(holdersByRequest.keySet())) {
+            Set<TestEngine> engines = holdersByRequest.get(id);
+            if (engines.remove(engine)) {
                 log.add(
                         TrafficEvent.Kind.STATE_GONE,
                         engine.number,
@@ -60,21 +60,21 @@
                         TestEngine.tag(id),
                         0,
                         null);
-                if (all.isEmpty()) {
-                    holders.remove(id);
+                if (engines.isEmpty()) {
+                    holdersByRequest.remove(id);
                 }
             }
         }
     }
 
-    void waits(String id, boolean begins) {
-        waiting.merge(id, begins ? 1 : -1, Integer::sum);
-        waiting.remove(id, 0);
+    void updateQueued(String id, boolean added) {
+        queuedWriters.merge(id, added ? 1 : -1, Integer::sum);
+        queuedWriters.remove(id, 0);
     }
 
     /** A release frees what no request in a queue waits for. */
     void release(String id) {
-        if (!waiting.containsKey(id)) {
+        if (!queuedWriters.containsKey(id)) {
             drop(id);
         }
     }
--- a/src/main/java/larchridge/faultinjection/TestSettings.java
+++ b/src/main/java/larchridge/faultinjection/TestSettings.java
@@ -14,9 +14,9 @@
 final class TestSettings {
     static final double DRAIN_GRACE_MS = 250;
     static final double RELEASE_MS = 500;
-    static final double REPEAT_WINDOW_MS = 1200;
+    static final double DEDUPLICATION_WINDOW_MS = 1200;
     static final int LONGEST_DEADLINE_MS = 4000;
-    static final List<TestClients.RequestClass> CLASSES =
+    static final List<TestClients.RequestClass> REQUEST_CLASSES =
             List.of(
                     new TestClients.RequestClass("consulta", LONGEST_DEADLINE_MS, 0.6),
                     new TestClients.RequestClass("registro", 3000, 0.25),
@@ -36,9 +36,9 @@
 
     private TestSettings() {}
 
-    static Map<String, TrafficClass> products() {
-        Map<String, TrafficClass> products = new LinkedHashMap<>();
-        products.put(
+    static Map<String, TrafficClass> trafficClasses() {
+        Map<String, TrafficClass> trafficClasses = new LinkedHashMap<>();
+        trafficClasses.put(
                 "consulta",
                 new TrafficClass(
                         "consulta",
@@ -50,19 +50,19 @@
                         1200,
                         0,
                         60));
-        products.put(
+        trafficClasses.put(
                 "registro",
                 new TrafficClass(
                         "registro",
                         Effect.DEDUPLICATED,
                         DeduplicationScope.ALL,
-                        REPEAT_WINDOW_MS,
+                        DEDUPLICATION_WINDOW_MS,
                         1,
                         0.2,
                         1200,
                         0,
                         60));
-        products.put(
+        trafficClasses.put(
                 "pago",
                 new TrafficClass(
                         "pago",
@@ -74,6 +74,6 @@
                         1200,
                         0,
                         60));
-        return products;
+        return trafficClasses;
     }
 }
--- /dev/null
+++ b/src/main/java/larchridge/faultinjection/TrafficChecker.java
@@ -0,0 +1,185 @@
+package larchridge.faultinjection;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import larchridge.simulatedengine.EngineProfile;
+import larchridge.state.TrafficClass;
+import larchridge.systemtest.RuleChecker;
+import larchridge.systemtest.TrafficEvent;
+
+/**
+ * Judges a run from its traffic, by the rules of the drills. Each node is judged by the requests
+ * that it took and by what its own agent had told; the budget of cold engines by what all nodes
+ * sent that had been told of the start. Pure functions.
+ */
+final class TrafficChecker {
+    /**
+     * Slack of a final answer, a send after a drain and a release: the platform's, and the way over
+     * slow links.
+     */
+    private static final double RESPONSE_SLACK_MS = 500;
+
+    private static final double DRAIN_SLACK_MS = 200;
+    private static final double RELEASE_SLACK_MS = 500;
+
+    /**
+     * An attempt may arrive so long after its client's close: 0.1 s by the platform, and the way
+     * over slow links.
+     */
+    private static final double CLOSE_SLACK_MS = 350;
+
+    /** When a node was told that an engine serves, drains, or has started. */
+    record StatusNotice(double ms, int node, long engine, String status) {}
+
+    private TrafficChecker() {}
+
+    static List<String> check(
+            List<TrafficEvent> log,
+            List<StatusNotice> notices,
+            int nodes,
+            RuleChecker.Figures figures,
+            double maxLagMs) {
+        Map<String, Integer> nodeByTag = new HashMap<>();
+        for (TrafficEvent event : log) {
+            if (event.kind() == TrafficEvent.Kind.ASKED) {
+                nodeByTag.put(event.tag(), (int) event.where());
+            }
+        }
+        List<String> violations = new ArrayList<>();
+        for (int node = 0; node < nodes; node++) {
+            checkNode(node, eventsOfNode(log, notices, nodeByTag, node), figures, maxLagMs, violations);
+        }
+        checkColdStarts(log, notices, nodeByTag, figures, maxLagMs, violations);
+        checkAttemptsAfterClose(log, maxLagMs, violations);
+        return violations;
+    }
+
+    private static RuleChecker.Figures withSlack(RuleChecker.Figures figures, double slackMs) {
+        return new RuleChecker.Figures(
+                figures.drainGraceMs(),
+                figures.releaseMs(),
+                figures.tipMultiple(),
+                figures.tipMs(),
+                slackMs,
+                figures.products(),
+                figures.makes());
+    }
+
+    private static List<TrafficEvent> eventsOfNode(
+            List<TrafficEvent> log, List<StatusNotice> notices, Map<String, Integer> nodeByTag, int node) {
+        List<TrafficEvent> nodeEvents = new ArrayList<>();
+        for (TrafficEvent event : log) {
+            boolean killed = event.kind() == TrafficEvent.Kind.FRONT_KILLED && event.where() == node;
+            if (killed || (event.tag() != null && nodeByTag.getOrDefault(event.tag(), -1) == node)) {
+                nodeEvents.add(event);
+            }
+        }
+        for (StatusNotice notice : notices) {
+            if (notice.node == node && !notice.status.equals("started")) {
+                nodeEvents.add(
+                        new TrafficEvent(
+                                notice.ms,
+                                TrafficEvent.Kind.LISTED,
+                                notice.engine,
+                                null,
+                                null,
+                                0,
+                                notice.status));
+            }
+        }
+        return nodeEvents;
+    }
+
+    private static void checkNode(
+            int node,
+            List<TrafficEvent> nodeEvents,
+            RuleChecker.Figures figures,
+            double maxLagMs,
+            List<String> violations) {
+        double[] slackMsByRule = {0, RESPONSE_SLACK_MS, 0, DRAIN_SLACK_MS, 0, RELEASE_SLACK_MS};
+        for (int rule : new int[] {1, 2, 3, 5}) {
+            for (RuleChecker.Breach breach :
+                    RuleChecker.judge(nodeEvents, withSlack(figures, slackMsByRule[rule] + maxLagMs))) {
+                if (breach.rule() == rule) {
+                    violations.add("node " + node + ": " + breach);
+                }
+            }
+        }
+    }
+
+    private static void checkColdStarts(
+            List<TrafficEvent> log,
+            List<StatusNotice> notices,
+            Map<String, Integer> nodeByTag,
+            RuleChecker.Figures figures,
+            double maxLagMs,
+            List<String> violations) {
+        List<TrafficEvent> notifiedEvents = new ArrayList<>();
+        for (TrafficEvent event : log) {
+            boolean attempt =
+                    event.kind() == TrafficEvent.Kind.READ_IN
+                            || event.kind() == TrafficEvent.Kind.WRITE_IN;
+            if (event.kind() == TrafficEvent.Kind.STARTED
+                    || (attempt && wasNotified(notices, nodeByTag.getOrDefault(event.tag(), -1), event))) {
+                notifiedEvents.add(event);
+            }
+        }
+        for (RuleChecker.Breach breach :
+                RuleChecker.judge(notifiedEvents, withSlack(figures, maxLagMs))) {
+            if (breach.rule() == 4) {
+                violations.add(breach.toString());
+            }
+        }
+    }
+
+    /**
+     * Whether a node had been told of the engine's newest start, or of none since there was none.
+     */
+    private static boolean wasNotified(List<StatusNotice> notices, int node, TrafficEvent attempt) {
+        double latestStartMs = Double.NEGATIVE_INFINITY;
+        double notifiedMs = Double.NEGATIVE_INFINITY;
+        for (StatusNotice notice : notices) {
+            if (notice.engine == attempt.where()
+                    && notice.status.equals("started")
+                    && notice.ms <= attempt.ms()) {
+                latestStartMs = Math.max(latestStartMs, notice.ms);
+                notifiedMs = notice.node == node ? Math.max(notifiedMs, notice.ms) : notifiedMs;
+            }
+        }
+        return latestStartMs == Double.NEGATIVE_INFINITY || notifiedMs > Double.NEGATIVE_INFINITY;
+    }
+
+    private static void checkAttemptsAfterClose(List<TrafficEvent> log, double maxLagMs, List<String> violations) {
+        Map<String, Double> closedMsByTag = new HashMap<>();
+        for (TrafficEvent event : log) {
+            if (event.kind() == TrafficEvent.Kind.LEFT) {
+                closedMsByTag.put(event.tag(), event.ms());
+            }
+        }
+        for (TrafficEvent event : log) {
+            Double closedMs = closedMsByTag.get(event.tag());
+            if (closedMs != null
+                    && (event.kind() == TrafficEvent.Kind.READ_IN
+                            || event.kind() == TrafficEvent.Kind.WRITE_IN)
+                    && event.ms() > closedMs + CLOSE_SLACK_MS + maxLagMs) {
+                violations.add(
+                        String.format(
+                                Locale.ROOT,
+                                "rule 1: %s: an attempt came %.0f ms after the client's close",
+                                event.tag(),
+                                event.ms() - closedMs));
+            }
+        }
+    }
+
+    static RuleChecker.Figures figures(
+            double drainGraceMs,
+            double releaseMs,
+            Map<String, TrafficClass> products,
+            Map<Long, EngineProfile> profiles) {
+        return new RuleChecker.Figures(drainGraceMs, releaseMs, 4, 1500, 0, products, profiles);
+    }
+}
--- a/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
+++ b/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
@@ -23,63 +23,63 @@
 
     @TempDir Path folder;
 
-    private FaultTestResult play(PlantedFault plant, Fault... troubles) throws Exception {
+    private FaultTestResult run(PlantedFault plantedFault, Fault... faults) throws Exception {
         FaultScript script =
-                new FaultScript(7, NODES, 2, 3, SECONDS, PER_SECOND, List.of(troubles));
-        FaultTestResult judgement = new FaultInjectionRun(script, plant, folder).run();
-        assertTrue(judgement.requests() > SECONDS * PER_SECOND / 2, judgement.toString());
-        return judgement;
+                new FaultScript(7, NODES, 2, 3, SECONDS, PER_SECOND, List.of(faults));
+        FaultTestResult result = new FaultInjectionRun(script, plantedFault, folder).run();
+        assertTrue(result.requests() > SECONDS * PER_SECOND / 2, result.toString());
+        return result;
     }
 
     @Test
-    void overlappingTroublesBreakNothing() throws Exception {
-        FaultTestResult judgement =
-                play(
+    void overlappingFaultsCauseNoViolation() throws Exception {
+        FaultTestResult result =
+                run(
                         PlantedFault.NONE,
                         new Fault(FaultKind.LINK_SILENT, 1000, 3000, List.of(2, 3), List.of(), 0),
                         new Fault(FaultKind.NODE_TERM, 1500, 1000, List.of(), List.of(0), 0),
                         new Fault(FaultKind.CONFIG_BROKEN, 2000, 1000, List.of(), List.of(1), 0),
                         new Fault(FaultKind.ENGINE_DRAIN, 2500, 2000, List.of(0), List.of(), 0),
                         new Fault(FaultKind.CLIENT_LEAVES, 2000, 2000, List.of(), List.of(), 0));
-        assertEquals(List.of(), judgement.faults());
+        assertEquals(List.of(), result.violations());
     }
 
     @Test
-    void releasesThatReleaseNothingAreSeen() throws Exception {
-        FaultTestResult judgement =
-                play(
+    void ignoredReleasesAreDetected() throws Exception {
+        FaultTestResult result =
+                run(
                         PlantedFault.RELEASES_IGNORED,
                         new Fault(FaultKind.CLIENT_LEAVES, 500, 8000, List.of(), List.of(), 0),
                         new Fault(
                                 FaultKind.ENGINE_HANG, 1000, 4000, List.of(2, 3, 4), ALL_NODES, 0));
         assertTrue(
-                judgement.faults().stream().anyMatch(fault -> fault.contains("rule 5")),
-                judgement.toString());
+                result.violations().stream().anyMatch(fault -> fault.contains("rule 5")),
+                result.toString());
     }
 
     @Test
-    void scriptIsDrawnAlikeFromItsSeedAndReadAsItWasWritten() throws IOException {
+    void scriptIsReproducibleFromSeedAndSurvivesRoundTrip() throws IOException {
         List<FaultKind> kinds = List.of(FaultKind.values());
-        FaultScript drawn = FaultScript.draw(5, 24, 4, 6, 40, 80, kinds);
-        assertEquals(drawn, FaultScript.draw(5, 24, 4, 6, 40, 80, kinds));
-        drawn.write(folder.resolve("script.yaml"));
-        assertEquals(drawn, FaultScript.read(folder.resolve("script.yaml")));
+        FaultScript script = FaultScript.generate(5, 24, 4, 6, 40, 80, kinds);
+        assertEquals(script, FaultScript.generate(5, 24, 4, 6, 40, 80, kinds));
+        script.write(folder.resolve("script.yaml"));
+        assertEquals(script, FaultScript.read(folder.resolve("script.yaml")));
         assertTrue(
-                drawn.troubles().stream()
-                        .allMatch(one -> one.endMs() <= (40 - FaultScript.CALM_S) * 1000));
+                script.faults().stream()
+                        .allMatch(fault -> fault.endMs() <= (40 - FaultScript.QUIET_SECONDS) * 1000));
     }
 
     @Test
-    void faultInAScriptIsToldWithItsPlace() throws IOException {
+    void scriptErrorNamesFileAndField() throws IOException {
         Path file = folder.resolve("bad.yaml");
         Files.writeString(
                 file,
                 "seed: 1\nnodes: 1\nreaders: 1\nwriters: 1\nseconds: 12\nper_second: 1\ntroubles:\n- {kind: NOISE}\n");
-        IOException fault =
+        IOException error =
                 org.junit.jupiter.api.Assertions.assertThrows(
                         IOException.class, () -> FaultScript.read(file));
         assertTrue(
-                fault.getMessage().contains("bad.yaml: troubles[0].kind is 'NOISE'"),
-                fault.getMessage());
+                error.getMessage().contains("bad.yaml: troubles[0].kind is 'NOISE'"),
+                error.getMessage());
     }
 }
--- a/src/test/java/larchridge/faultinjection/TestNodeTest.java
+++ b/src/test/java/larchridge/faultinjection/TestNodeTest.java
@@ -17,30 +17,30 @@
  */
 class TestNodeTest {
     private static final Path SOURCES = Path.of("src/main/java/larchridge");
-    private static final String FROM_THE_JAVA_VIRTUAL_MACHINE = "OutOfMemoryError";
+    private static final String JVM_MESSAGE = "OutOfMemoryError";
 
     @TempDir Path folder;
 
     @Test
     void eachFaultMessageIsLoggedSomewhereInTheNode() throws IOException {
-        String sources = sourcesOfTheNode();
+        String sources = nodeSources();
         for (String message : TestNode.FAULT_MESSAGES) {
-            if (!message.equals(FROM_THE_JAVA_VIRTUAL_MACHINE)) {
+            if (!message.equals(JVM_MESSAGE)) {
                 assertTrue(sources.contains(message), message);
             }
         }
     }
 
     @Test
-    void aFailureOfThePolicyIsAFault() throws IOException {
+    void policyExceptionIsReportedAsFault() throws IOException {
         TestNode node = new TestNode(0, 1, null, null, folder, "{}");
         Files.write(
                 folder.resolve("node0.log"),
                 List.of("routing policy threw an exception", "serving"));
-        assertEquals(List.of("node 0: routing policy threw an exception"), node.faults());
+        assertEquals(List.of("node 0: routing policy threw an exception"), node.reportedFaults());
     }
 
-    private static String sourcesOfTheNode() throws IOException {
+    private static String nodeSources() throws IOException {
         StringBuilder text = new StringBuilder();
         try (Stream<Path> files = Files.walk(SOURCES)) {
             for (Path file : files.filter(Files::isRegularFile).sorted().toList()) {
