--- a/src/main/java/larchridge/faultinjection/Fault.java
+++ b/src/main/java/larchridge/faultinjection/Fault.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * One trouble of a script.
+ * One fault of a script. Its string form is written to the traffic log.
  *
- * @param atMs when it begins, from the script's start
- * @param lengthMs how long it lasts
- * @param engines engines that it meets, by number; empty where it meets nodes alone
- * @param nodes nodes that it meets, by number
- * @param size how strong it is; what that means depends on the kind
+ * @param atMs start time, relative to the start of the script
+ * @param lengthMs duration
+ * @param engines indices of the affected engines; empty if only nodes are affected
+ * @param nodes indices of the affected nodes
+ * @param size strength, from 0 to 1 in generated scripts; its meaning depends on the kind
  */
 public record Fault(
         FaultKind kind,
--- a/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -23,8 +23,8 @@
 import larchridge.systemtest.TrafficLog;
 
 /**
- * Plays one script over real node processes and judges it. Bounded in time, processes and requests;
- * ends by itself.
+ * Runs one script against real node processes and checks the result. Bounded in time, processes and
+ * requests; ends by itself.
  */
 public final class FaultInjectionRun {
     private static final int ENGINES_PER_RACK = 4;
@@ -48,7 +48,7 @@
     final List<TestEngine> engines = new ArrayList<>();
     final List<TestNode> nodes = new ArrayList<>();
 
-    /** By node, then engine. */
+    /** Indexed by node, then by engine. */
     final List<List<FaultProxy>> proxies = new ArrayList<>();
 
     final TestEndpointLists endpointLists;
@@ -61,7 +61,8 @@
     private boolean finished;
 
     /**
-     * Plant is what goes wrong outside the nodes on purpose, so that the judgement can be judged.
+     * Creates a run. The planted fault goes wrong outside the nodes on purpose, to show that the
+     * checks detect it.
      */
     public FaultInjectionRun(FaultScript script, PlantedFault plantedFault, Path folder) {
         this.script = script;
@@ -71,7 +72,9 @@
         endpointLists = new TestEndpointLists(this);
     }
 
-    /** Whether the machine has what the script's troubles need; tells what is missing. */
+    /**
+     * Returns whether the system call shim, which some kinds of faults need, can be compiled here.
+     */
     public static boolean canBuildShim(Path folder) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         return SystemCallShim.compile(folder) != null;
@@ -89,7 +92,7 @@
             loop.submit(this::startLoadAndFaults).get();
             TimeUnit.MILLISECONDS.sleep((long) (script.seconds() * 1000));
             loop.submit(() -> finished = true).get();
-            // Requests under way get their answers.
+            // Pending requests receive their responses.
             TimeUnit.MILLISECONDS.sleep(TestSettings.LONGEST_DEADLINE_MS + 1000);
             stopNodes();
             return evaluate();
@@ -141,7 +144,7 @@
             agents.add(agent);
             shims.add(shim);
         }
-        // Only now, so that no listener of the rig is given a node's address.
+        // Ports are chosen after all listeners of the harness are bound, so that none takes one.
         for (int i = 0; i < script.nodes(); i++) {
             nodes.add(
                     new TestNode(
@@ -162,8 +165,8 @@
     }
 
     /**
-     * A free port below those that the system gives to outgoing connections, which would take it
-     * while its node is down.
+     * Returns a free port below the range that the system assigns to outgoing connections; one of
+     * these could otherwise take the port while its node is down.
      */
     private static int freeNodePort(int node) throws IOException {
         for (int port = FIRST_PORT + node; port < LAST_PORT; port += PORT_STEP) {
@@ -171,7 +174,7 @@
                     new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (IOException e) {
-                // The port is taken: the next one is tried.
+                // The port is in use; try the next one.
             }
         }
         throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
@@ -184,7 +187,7 @@
         return ready.await((long) STARTUP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Asks a node until it can serve, or its time is up. */
+    /** Polls the health endpoint of a node until it is ready or the deadline has passed. */
     private void pollUntilReady(TestNode node, double deadlineMs, Runnable onReady) {
         new TestHealthCheck(group)
                 .check(
@@ -214,7 +217,7 @@
                     try {
                         task.run();
                     } catch (RuntimeException e) {
-                        violations.add("the rig itself failed: " + e);
+                        violations.add("a task of the fault injection harness failed: " + e);
                     }
                 },
                 (long) (Math.max(0, ms) * 1e6),
@@ -234,7 +237,10 @@
         schedule(script.seconds() * 1000 - FaultScript.QUIET_SECONDS * 500, injector::checkRecovery);
     }
 
-    /** The regular look: crashes, ends of nodes that were told to end, the rig's own lateness. */
+    /**
+     * Runs periodically: detects crashes, restarts nodes that have exited, and measures the lag of
+     * the event loop.
+     */
     private void poll() {
         double now = log.now();
         maxLagMs = Math.max(maxLagMs, now - lastPollMs - POLL_INTERVAL_MS);
@@ -247,7 +253,7 @@
                 violations.add(
                         "node "
                                 + node.number
-                                + ": the process ended by itself at "
+                                + ": the process exited unexpectedly at "
                                 + Math.round(now - startMs)
                                 + " ms");
             }
@@ -274,14 +280,14 @@
                     random.nextBoolean() ? endpointLists.listJson(node.number) : endpointLists.previousListJson(node.number));
             node.start();
         } catch (IOException e) {
-            violations.add("node " + node.number + ": can't be started: " + e.getMessage());
+            violations.add("node " + node.number + ": could not be started: " + e.getMessage());
             return;
         }
         endpointLists.recordStart(node);
         schedule(200, () -> pollUntilReady(node, log.now() + STARTUP_TIMEOUT_MS, () -> {}));
     }
 
-    /** Open loop: the next request comes whether or not the last one was answered. */
+    /** Open loop: the next request is sent whether or not the previous one was answered. */
     private void sendNextRequest() {
         if (finished || log.now() - startMs > script.seconds() * 1000) {
             return;
@@ -302,9 +308,9 @@
                 violations.add(
                         "node "
                                 + node.number
-                                + ": still there "
+                                + ": still running "
                                 + Math.round(SHUTDOWN_TIMEOUT_MS)
-                                + " ms after the word to end");
+                                + " ms after SIGTERM");
             }
         }
     }
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -5,7 +5,9 @@
 import java.util.function.Consumer;
 import larchridge.systemtest.TrafficEvent;
 
-/** Begins and ends the troubles of a script. On the rig's loop. */
+/**
+ * Starts and stops the faults of a script. All methods run on the event loop of the test harness.
+ */
 final class FaultInjector {
     private static final double MAX_DELAY_MS = 80;
     private static final double MAX_RESET_BYTES = 1500;
@@ -13,21 +15,21 @@
     private static final double LONG_PAUSE_MS = 6000;
     private static final double PAUSE_INTERVAL_MS = 500;
 
-    /** A start is told so much later. */
+    /** The restart of an engine appears in the endpoint lists after this delay. */
     private static final double START_ANNOUNCEMENT_DELAY_MS = 300;
 
     private static final double MAX_CLOCK_STEP_MS = 3_600_000;
 
-    /** After the longest deadline and 0.7 s the platform kills a node that was told to end. */
+    /**
+     * The platform kills a terminating node 0.7 s after the longest request deadline; 0.1 s is
+     * added as slack.
+     */
     private static final double KILL_DELAY_MS = TestSettings.LONGEST_DEADLINE_MS + 700 + 100;
 
     private static final int MAX_FAILED_CALLS_PER_MILLE = 700;
     private static final int MAX_SHORT_CALLS_PER_MILLE = 500;
 
-    /**
-     * Of the last look: when its requests begin, and the part of a node's that has to be served
-     * whole.
-     */
+    /** Delay between the drain and the requests of the recovery check. */
     private static final double RECOVERY_REQUESTS_DELAY_MS = 2000;
 
     private final FaultInjectionRun run;
@@ -215,8 +217,8 @@
     }
 
     /**
-     * Stops the process for a moment, again and again. Signals are sent off the loop, one after the
-     * other.
+     * Pauses the process repeatedly. Signals are sent from another thread, one at a time, since
+     * sending one blocks.
      */
     private void pause(TestNode node, Fault fault, double untilMs) {
         double ms =
@@ -263,11 +265,12 @@
         }
     }
 
-    // ------------------------------------------------------------------ the last look
+    // ------------------------------------------------------------------ recovery check
 
     /**
-     * All troubles are over: an engine drains, so that a node that follows no list is seen, and
-     * each node gets requests of its own, which it has to serve.
+     * Checks the recovery after the last fault. One engine drains, which exposes a node that no
+     * longer follows the endpoint lists, and each node receives requests of its own, at least one
+     * of which it has to complete.
      */
     void checkRecovery() {
         for (TestEngine engine : run.engines) {
@@ -286,14 +289,14 @@
                                             run.violations.add(
                                                     "node "
                                                             + node.number
-                                                            + ": serves nothing after all troubles are over");
+                                                            + ": completed no request after the last fault");
                                         }
                                     });
                         } else {
                             run.violations.add(
                                     "node "
                                             + node.number
-                                            + ": is not up after all troubles are over");
+                                            + ": not ready after the last fault");
                         }
                     }
                 });
--- a/src/main/java/larchridge/faultinjection/FaultKind.java
+++ b/src/main/java/larchridge/faultinjection/FaultKind.java
@@ -1,54 +1,63 @@
 package larchridge.faultinjection;
 
-/** The kinds of troubles that the rig plays. */
+/** The kinds of faults that a run can inject. */
 public enum FaultKind {
-    /** Links to some engines fall silent with their connections open; they are reset at the end. */
+    /**
+     * Links to some engines discard all data while their connections stay open; the connections are
+     * reset when the fault ends.
+     */
     LINK_SILENT,
-    /** Links to some engines are reset, and new connections too. */
+    /** Connections to some engines are reset, and so are new ones. */
     LINK_CUT,
-    /** Bytes to and from some engines come one by one. */
+    /** Data to and from some engines arrives in small chunks. */
     LINK_DRIBBLE,
-    /** What goes over some links is late. */
+    /** Data on some links is delayed. */
     LINK_DELAY,
-    /** Connections to some engines are reset in the middle of a request or of an answer. */
+    /** Connections to some engines are reset in the middle of a request or response. */
     LINK_RESET,
-    /** Resting connections are reset as a request is written to them. */
+    /** Idle connections are reset while a request is being written to them. */
     LINK_CLOSE_CROSSING,
-    /** Engines end and start anew: cold, without their states. */
+    /** Engines restart: cold, and without the read states that they held. */
     ENGINE_RESTART,
-    /** Engines are told to drain, and serve again later. */
+    /** Engines are marked as draining and return to service later. */
     ENGINE_DRAIN,
-    /** Engines take what comes and answer nothing. */
+    /** Engines accept requests and never respond. */
     ENGINE_HANG,
-    /** Engines answer with errors, or decline. */
+    /** Engines respond with errors, or decline requests. */
     ENGINE_ERRORS,
-    /** Agents say nothing and learn nothing. */
+    /** Discovery agents do not respond, so that their nodes receive no updates. */
     AGENT_SILENT,
-    /** Agents reset their connections. */
+    /** Discovery agents reset their connections. */
     AGENT_RESET,
-    /** Agents answer in small pieces. */
+    /** Discovery agents send their responses in small fragments. */
     AGENT_PIECES,
-    /** Nodes are told to end, killed when their time is over, and started again. */
+    /**
+     * Nodes receive SIGTERM, are killed if they outlive the termination grace period, and are
+     * restarted.
+     */
     NODE_TERM,
-    /** Nodes are killed and started again. */
+    /** Nodes are killed and restarted. */
     NODE_KILL,
-    /** Nodes are stopped for up to 0.15 s, again and again. */
+    /** Nodes are repeatedly paused for up to 0.15 s. */
     NODE_PAUSE,
-    /** Discovery moves, with one signal. */
+    /** The discovery agent moves to another address; the node receives one SIGHUP. */
     CONFIG_MOVE,
-    /** Discovery moves with several signals, the first of which find a broken file. */
+    /**
+     * The discovery agent moves to another address; the node receives several SIGHUPs, and the
+     * first ones find an invalid configuration file.
+     */
     CONFIG_BROKEN,
-    /** Clients close before their answer. */
+    /** Clients disconnect before their response is complete. */
     CLIENT_LEAVES,
-    /** Clients stop in the middle of a request and stay. */
+    /** Clients stop sending in the middle of a request and keep the connection open. */
     CLIENT_STOPS,
-    /** Clients connect in a crowd and say nothing. */
+    /** Many clients connect at the same time and send nothing. */
     CLIENT_CROWD,
-    /** The calls accept, socket and connect fail with errors of this machine. */
+    /** The system calls accept, socket and connect fail with local errors. */
     CALLS_FAIL,
-    /** Reads and writes are short, waits are interrupted. */
+    /** Reads and writes on sockets are short, and waits are interrupted. */
     CALLS_SHORT,
-    /** The wall clock steps by up to an hour. */
+    /** The wall clock steps by up to one hour. */
     CLOCK_STEP;
 
     boolean needsShim() {
--- a/src/main/java/larchridge/faultinjection/FaultProxy.java
+++ b/src/main/java/larchridge/faultinjection/FaultProxy.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP proxy between one node and one engine, with faults that can be set. All methods run on the
- * rig's loop.
+ * A TCP proxy between one node and one engine with configurable faults. All methods run on the
+ * event loop of the test harness.
  */
 final class FaultProxy {
-    /** What the link does with what it carries. */
+    /** How the proxy treats the data that it forwards. */
     enum LinkFault {
         NONE,
         SILENT,
@@ -46,7 +46,10 @@
     private final Set<Side> sides = new HashSet<>();
     private LinkFault fault = LinkFault.NONE;
 
-    /** Milliseconds of a delay, or bytes after which connections are reset. */
+    /**
+     * Strength of the fault: milliseconds for {@code DELAY}, bytes until the reset for {@code
+     * RESET}, and a probability for {@code CLOSE_CROSSING}.
+     */
     private double magnitude;
 
     FaultProxy(EventLoopGroup loop, int targetPort, long seed) throws InterruptedException {
@@ -76,7 +79,7 @@
         return ((java.net.InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** Begins a fault, or ends the one there is. */
+    /** Sets the fault, which replaces the current one; {@code NONE} ends it. */
     void set(LinkFault next, double nextMagnitude) {
         boolean wasSilent = fault == LinkFault.SILENT;
         fault = next;
@@ -86,7 +89,7 @@
         }
     }
 
-    /** One side of a connection that is carried. */
+    /** One side of a proxied connection. */
     private final class Side extends ChannelInboundHandlerAdapter {
         private Channel channel;
         private Side peer;
--- a/src/main/java/larchridge/faultinjection/FaultScript.java
+++ b/src/main/java/larchridge/faultinjection/FaultScript.java
@@ -16,11 +16,11 @@
 import org.yaml.snakeyaml.constructor.SafeConstructor;
 
 /**
- * What one run plays: sizes, traffic and troubles. Drawn from a seed, written as YAML, and read
- * again to be played again.
+ * The sizes, load and faults of one run. Generated from a seed, written as YAML, and read back to
+ * repeat a run.
  *
- * @param seconds the run's length; the last {@value #QUIET_SECONDS} s have no trouble
- * @param perSecond requests a second over all nodes
+ * @param seconds length of the run; the last {@value #QUIET_SECONDS} s have no faults
+ * @param perSecond requests per second over all nodes
  */
 public record FaultScript(
         long seed,
@@ -30,18 +30,19 @@
         double seconds,
         double perSecond,
         List<Fault> faults) {
-    /** Nothing begins before, and everything is over for so long at the end. */
+    /** Length of the interval at the end of a run in which no fault is active. */
     static final double QUIET_SECONDS = 10;
 
+    /** No fault starts earlier. */
     private static final double FIRST_FAULT_MS = 2500;
 
-    /** On average so many troubles run at a time. */
+    /** Mean number of faults that are active at the same time. */
     private static final double MEAN_CONCURRENT_FAULTS = 2.5;
 
     private static final double MIN_DURATION_MS = 1000;
     private static final double MAX_DURATION_MS = 6000;
 
-    /** A script of a seed, with kinds out of those given. */
+    /** Generates the script of a seed from the given kinds of faults. */
     public static FaultScript generate(
             long seed,
             int nodes,
@@ -110,7 +111,7 @@
         Files.writeString(file, new Yaml(options).dump(root));
     }
 
-    /** Reads a script; a fault is told with its file and member. */
+    /** Reads a script. The message of the exception names the file and the field. */
     public static FaultScript read(Path file) throws IOException {
         try (Reader in = Files.newBufferedReader(file)) {
             Object root = new Yaml(new SafeConstructor(new LoaderOptions())).load(in);
@@ -176,7 +177,7 @@
             for (Object entry : list) {
                 if (!(entry instanceof Integer value)) {
                     throw new IOException(
-                            where + "." + field + " holds " + entry + "; expected whole numbers");
+                            where + "." + field + " holds " + entry + "; expected integers");
                 }
                 numbers.add(value);
             }
--- a/src/main/java/larchridge/faultinjection/SystemCallShim.java
+++ b/src/main/java/larchridge/faultinjection/SystemCallShim.java
@@ -11,11 +11,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The preloaded library that makes a node's system calls fail and its wall clock step, and its
+ * The preloaded library that makes system calls of a node fail and shifts its wall clock, with its
  * control file.
  */
 final class SystemCallShim {
-    /** Errors of accept, socket and connect that are this machine's and pass. */
+    /**
+     * Transient local errors. accept: ECONNABORTED, ENFILE, EMFILE, ENOBUFS; socket: ENFILE,
+     * EMFILE, ENOBUFS; connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS.
+     */
     private static final int[] ACCEPT_ERRORS = {103, 23, 24, 105};
 
     private static final int[] SOCKET_ERRORS = {23, 24, 105};
@@ -34,7 +37,7 @@
         this.control = control;
     }
 
-    /** Builds the library with the machine's C compiler; null where there is none. */
+    /** Compiles the library with the machine's C compiler. Returns null if this fails. */
     static Path compile(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("shim.c");
         try (InputStream in = SystemCallShim.class.getResourceAsStream("/faults/shim.c")) {
@@ -62,7 +65,7 @@
         }
     }
 
-    /** A control file for one node. */
+    /** Creates the control file of one node. */
     static SystemCallShim forNode(Path library, Path controlFile) throws IOException {
         Files.write(controlFile, new byte[CONTROL_BYTES]);
         try (FileChannel channel =
@@ -78,14 +81,19 @@
         environment.put("LARCHRIDGE_SHIM", controlFile.toAbsolutePath().toString());
     }
 
-    /** So many in a thousand calls of accept, socket and connect fail; which chooses the errors. */
+    /**
+     * Sets how many in a thousand calls of accept, socket and connect fail; the index selects the
+     * error of each.
+     */
     void failCalls(int perMille, int errorIndex) {
         put(0, perMille, ACCEPT_ERRORS[errorIndex % ACCEPT_ERRORS.length]);
         put(8, perMille, SOCKET_ERRORS[errorIndex % SOCKET_ERRORS.length]);
         put(16, perMille, CONNECT_ERRORS[errorIndex % CONNECT_ERRORS.length]);
     }
 
-    /** So many in a thousand reads and writes are short, and half as many waits are interrupted. */
+    /**
+     * Sets how many in a thousand reads and writes are short; half as many waits are interrupted.
+     */
     void shortenCalls(int perMille) {
         put(24, perMille, perMille / 2);
     }
--- a/src/main/java/larchridge/faultinjection/TestChannels.java
+++ b/src/main/java/larchridge/faultinjection/TestChannels.java
@@ -4,16 +4,16 @@
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelOption;
 
-/** What the rig's listeners and proxies do to connections. */
+/** Channel operations shared by the listeners and proxies of the test harness. */
 final class TestChannels {
     private TestChannels() {}
 
-    /** Ends a connection with a reset. */
+    /** Closes a connection with a TCP reset. */
     static void reset(Channel channel) {
         try {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         } catch (ChannelException e) {
-            // It is closed already.
+            // The channel is already closed.
             return;
         }
         channel.close();
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -27,14 +27,14 @@
 import larchridge.systemtest.TrafficLog;
 
 /**
- * Clients of the nodes: an open loop of requests over kept connections, clients that leave, stop in
- * the middle or only connect. What they see goes into the traffic log. All methods run on the rig's
- * loop.
+ * Clients of the nodes: an open loop of requests over persistent connections, and clients that
+ * disconnect, stall in the middle of a request or only connect. They record what they see in the
+ * traffic log. All methods run on the event loop of the test harness.
  */
 final class TestClients {
     /**
-     * New connections go to a node for so long after it was told to end; kept ones are used as long
-     * as they stay.
+     * New connections are opened to a node for this long after SIGTERM; persistent ones are used as
+     * long as they stay open.
      */
     private static final double NEW_CONNECTION_GRACE_MS = 400;
 
@@ -43,13 +43,16 @@
     private static final int RECOVERY_REQUESTS = 3;
     private static final long RECOVERY_TIMEOUT_MS = 4500;
 
-    /** A client that stops is owed its error or close in this time, and the rig's own lateness. */
+    /**
+     * A stalled client has to receive an error or a close within this time, plus the slack of its
+     * check.
+     */
     static final double STALLED_CLIENT_TIMEOUT_MS = 3000;
 
     private static final String BODY =
             "{\"model\":\"m\",\"stream\":true,\"max_tokens\":40,\"messages\":[]}";
 
-    /** A class of requests. */
+    /** A class of requests, with its share of the load. */
     record RequestClass(String name, int deadlineMs, double share) {}
 
     private final EventLoopGroup loop;
@@ -78,17 +81,20 @@
         nodes.forEach(node -> idle.add(new ArrayDeque<>()));
     }
 
-    /** Whether some clients close before they are answered. */
+    /** Sets whether some clients disconnect before their response is complete. */
     void setDisconnecting(boolean on) {
         disconnecting = on;
     }
 
-    /** Planted: every other answer never reaches its client. */
+    /** Planted fault: every other response is discarded before its client sees it. */
     void setDropResponses(boolean on) {
         dropResponses = on;
     }
 
-    /** Asks one node a few times; tells whether one of these was served whole. */
+    /**
+     * Sends a few requests to one node. Reports whether at least one of them received a complete
+     * response.
+     */
     void checkServing(TestNode node, java.util.function.Consumer<Boolean> callback) {
         int[] left = {RECOVERY_REQUESTS};
         boolean[] served = new boolean[1];
@@ -120,7 +126,7 @@
         return stalledClientViolations;
     }
 
-    /** Sends one request to some node that takes them. */
+    /** Sends one request to a random node that accepts requests. */
     void send() {
         double now = log.now();
         Predicate<TestNode> acceptsRequests =
@@ -146,7 +152,10 @@
         }
     }
 
-    /** One request, over one connection, or two where the first closed as it was written. */
+    /**
+     * One request, sent over one connection, or over a second one if the first closed while the
+     * request was being written.
+     */
     private final class Exchange {
         private final String id;
         private final RequestClass requestClass;
@@ -177,8 +186,8 @@
                                 if (done.isSuccess()) {
                                     newConnection.start(this);
                                 } else if (sentOnce) {
-                                    // It was sent before on a kept connection that closed; nobody
-                                    // takes it now.
+                                    // The request was sent before, on a persistent connection
+                                    // that closed; no node accepts it now.
                                     logEvent(TrafficEvent.Kind.LEFT, null);
                                     finished = true;
                                 }
@@ -220,7 +229,7 @@
             logEvent(TrafficEvent.Kind.FINAL, outcome);
         }
 
-        /** The connection ended before the answer's end. */
+        /** Handles a connection that closed before the end of the response. */
         void onConnectionClosed(boolean reused) {
             if (finished) {
                 return;
@@ -232,7 +241,7 @@
                 begin();
             } else {
                 finished = true;
-                // A node that ends may close a second, new connection unread.
+                // A terminating node may close a second, new connection without reading from it.
                 logEvent(
                         retried && node.state != TestNode.State.UP
                                 ? TrafficEvent.Kind.LEFT
@@ -242,7 +251,7 @@
         }
     }
 
-    /** One connection to a node. */
+    /** One HTTP connection to a node. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final TestNode node;
         private Channel channel;
@@ -348,7 +357,7 @@
                     } else {
                         ended.logEvent(
                                 TrafficEvent.Kind.MALFORMED,
-                                "a stream that is not whole was ended as one");
+                                "an incomplete stream was ended like a complete one");
                         ended.finish("terminated");
                     }
                 } else {
@@ -377,9 +386,9 @@
         }
     }
 
-    // ------------------------------------------------------------------ clients that misbehave
+    // ------------------------------------------------------------------ misbehaving clients
 
-    /** Clients that send a part of a request and stay. */
+    /** Starts clients that send a part of a request and then stall. */
     void startStalledClients(TestNode node) {
         if (node.state != TestNode.State.UP) {
             return;
@@ -421,9 +430,9 @@
                                     stalledClientViolations.add(
                                             "node "
                                                     + node.number
-                                                    + ": a client that stopped at "
+                                                    + ": a client that stalled at "
                                                     + Math.round(startedMs)
-                                                    + " ms has no error and no close 3.3 s later");
+                                                    + " ms received neither an error nor a close within 3.3 s");
                                 }
                                 connection.close();
                             },
@@ -432,7 +441,7 @@
         }
     }
 
-    /** Clients that connect at once and say nothing. */
+    /** Opens many connections at the same time and sends nothing on them. */
     void openIdleConnections(TestNode node, double lengthMs) {
         for (int i = 0; i < IDLE_CONNECTIONS; i++) {
             RawConnection connection = new RawConnection(() -> {});
@@ -441,7 +450,10 @@
         }
     }
 
-    /** A client that only wants to be there; its end is any byte or the close. */
+    /**
+     * A connection that does not read responses; it counts as finished at the first byte or at the
+     * close.
+     */
     private final class RawConnection extends io.netty.channel.ChannelInboundHandlerAdapter {
         private final Runnable onFinished;
         private Channel channel;
--- a/src/main/java/larchridge/faultinjection/TestDiscoveryAgent.java
+++ b/src/main/java/larchridge/faultinjection/TestDiscoveryAgent.java
@@ -22,9 +22,12 @@
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
 
-/** One node's discovery agent: whole lists and watches. All methods run on the rig's loop. */
+/**
+ * The discovery agent of one node, which serves complete lists and watches. All methods run on the
+ * event loop of the test harness.
+ */
 final class TestDiscoveryAgent {
-    /** How the agent answers. */
+    /** How the agent responds. */
     enum Behavior {
         NORMAL,
         SILENT,
@@ -79,7 +82,7 @@
         return ((java.net.InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** Calls so far. */
+    /** Returns the number of requests so far. */
     int calls() {
         return calls;
     }
@@ -87,7 +90,7 @@
     void setBehavior(Behavior next) {
         behavior = next;
         if (next == Behavior.SILENT) {
-            // What was asked is dropped, and its connections stay open.
+            // Pending watches are dropped, and their connections stay open.
             watches.clear();
         }
         if (next == Behavior.RESETTING) {
@@ -95,7 +98,10 @@
         }
     }
 
-    /** Listens at another address; the old one takes nothing new and closes after a while. */
+    /**
+     * Listens at another address. The old one accepts no new connections, and its connections are
+     * closed after a delay.
+     */
     void moveAddress(Runnable onMoved) {
         Channel old = listener;
         Set<Channel> before = Set.copyOf(connections);
@@ -112,7 +118,7 @@
                         });
     }
 
-    /** The list has changed: open watches are answered. */
+    /** Responds to the watches that wait for a change, after the list has changed. */
     void notifyWatches() {
         if (behavior == Behavior.SILENT) {
             return;
@@ -125,7 +131,7 @@
         }
     }
 
-    /** Serves one connection. */
+    /** Handles one connection. */
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
--- a/src/main/java/larchridge/faultinjection/TestEndpointLists.java
+++ b/src/main/java/larchridge/faultinjection/TestEndpointLists.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * The engine lists as discovery has them, and when each node counts as told of a change. On the
- * rig's loop.
+ * The endpoint lists of service discovery, and the time at which each node counts as notified of a
+ * change. All methods run on the event loop of the test harness.
  */
 final class TestEndpointLists {
     /**
-     * A new configuration counts so much later, and a watch that fell silent so much after that.
+     * After a move of the agent, and after a fault that can leave a watch without responses,
+     * changes count as delivered only after these delays.
      */
     private static final double MOVE_GRACE_MS = 4000;
 
@@ -21,14 +22,14 @@
     private int index = 1;
     private final List<Change> changes = new ArrayList<>();
 
-    /** Spans in which a node's agent learns nothing, or its changes count later. */
+    /** Intervals in which a node receives no changes, or in which they count as delivered later. */
     private final List<DelayedSpan> delayedSpans = new ArrayList<>();
 
     private final Map<Integer, String> listAtStart = new HashMap<>();
 
     private record Change(double ms, long engine, String status) {}
 
-    /** What changes in the span counts as told at its end. */
+    /** A change within the interval counts as delivered at its end. */
     private record DelayedSpan(int node, double fromMs, double toMs) {}
 
     TestEndpointLists(FaultInjectionRun run) {
@@ -39,7 +40,7 @@
         return index;
     }
 
-    /** The whole list with the addresses that are set aside for one node. */
+    /** Returns the complete list, with the proxy addresses of one node. */
     String listJson(int node) {
         StringBuilder rows = new StringBuilder();
         for (TestEngine engine : run.engines) {
@@ -66,12 +67,12 @@
         return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + rows + "]}";
     }
 
-    /** The list that the node had at its last start. */
+    /** Returns the list from the last start of the node. */
     String previousListJson(int node) {
         return listAtStart.getOrDefault(node, listJson(node));
     }
 
-    /** Something about an engine has changed, and discovery has it. */
+    /** Records a change of an engine that service discovery now publishes. */
     void recordChange(TestEngine engine, String status) {
         index++;
         changes.add(new Change(run.log.now(), engine.number, status));
@@ -79,7 +80,10 @@
         run.schedule(delayed ? 1000 : 0, () -> run.nodes.forEach(node -> node.agent.notifyWatches()));
     }
 
-    /** A process of a node has started; its next start may be given the list of this one. */
+    /**
+     * Records the start of a node process. The next start may use the list of this one, which is
+     * then stale.
+     */
     void recordStart(TestNode node) {
         listAtStart.put(node.number, listJson(node.number));
     }
@@ -96,7 +100,7 @@
         delayedSpans.add(new DelayedSpan(node, ms, ms + MOVE_GRACE_MS));
     }
 
-    /** Whether the engine served again before a node counts as told of this change. */
+    /** Whether the engine was ready again before the node counts as notified of this change. */
     private boolean isSuperseded(Change change, double notifiedMs) {
         return changes.stream()
                 .anyMatch(
@@ -107,14 +111,14 @@
                                         && later.status.equals("ready"));
     }
 
-    /** When each node counts as told of each change. */
+    /** Returns when each node counts as notified of each change. */
     List<TrafficChecker.StatusNotice> notices() {
         List<TrafficChecker.StatusNotice> notices = new ArrayList<>();
         for (TestNode node : run.nodes) {
             for (Change change : changes) {
                 double ms = change.ms;
-                // Late news of an engine that serves again never stands against a node that uses
-                // it.
+                // A delayed "ready" notice must not count against a node that already uses the
+                // engine again, so it is never postponed.
                 boolean extended = !change.status.equals("ready");
                 while (extended) {
                     extended = false;
--- a/src/main/java/larchridge/faultinjection/TestEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -35,12 +35,12 @@
 import larchridge.systemtest.TrafficLog;
 
 /**
- * A simulated engine that speaks the platform's protocol: it reads prompts and holds their states,
- * or fetches a state and streams an answer. What its sockets see goes into the traffic log. All
- * methods run on the rig's loop.
+ * A simulated engine that speaks the protocol of the platform: as a reader it processes prompts and
+ * holds their read states; as a writer it fetches a state and streams a response. It records what
+ * its sockets see in the traffic log. All methods run on the event loop of the test harness.
  */
 final class TestEngine {
-    /** How an engine behaves. */
+    /** How the engine treats requests. */
     enum Behavior {
         NORMAL,
         HANGING,
@@ -69,21 +69,21 @@
     private long incarnation;
     Behavior behavior = Behavior.NORMAL;
 
-    /** Planted: releases are answered and nothing is released. */
+    /** Planted fault: releases are acknowledged, but nothing is released. */
     boolean ignoresReleases;
 
-    /** Planted: every request runs twice. */
+    /** Planted fault: every request runs twice. */
     boolean runsTwice;
 
-    /** Unix time of its last start, or 0 for long ago. */
+    /** Unix time of the last start; 0 if the engine has not restarted. */
     long startTimeMs;
 
-    /** The start that the list tells. */
+    /** The start time that the endpoint list announces. */
     long announcedStartTimeMs;
 
     String status = "SERVING";
 
-    /** One request that has arrived and has not ended. */
+    /** A request that has arrived and is not finished. */
     private static final class Job {
         final String id;
         final Channel channel;
@@ -137,12 +137,12 @@
         return ((java.net.InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** The mark of a request in the traffic log; each is an operation of its own. */
+    /** The tag of a request in the traffic log. Each request is a separate operation. */
     static String tag(String id) {
         return id + "#0";
     }
 
-    /** Ends the process and starts a new one, cold and empty. */
+    /** Simulates a restart: the engine is cold and holds no read states. */
     void restart() {
         incarnation++;
         queue.clear();
@@ -165,7 +165,7 @@
         loop.next().schedule(step, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    /** Serves one connection. */
+    /** Handles one connection. */
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private Job job;
 
@@ -308,7 +308,7 @@
         }
     }
 
-    /** What the engine is judged as. */
+    /** Returns the profile that the rules are checked with. */
     EngineProfile profileForChecks(PlantedFault plantedFault) {
         return plantedFault != PlantedFault.COLD_STARTS_HIDDEN
                 ? profile
--- a/src/main/java/larchridge/faultinjection/TestHealthCheck.java
+++ b/src/main/java/larchridge/faultinjection/TestHealthCheck.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Asks a node whether it can serve. */
+/** Requests the health endpoint of a node to find out whether it is ready. */
 final class TestHealthCheck extends SimpleChannelInboundHandler<ByteBuf> {
     private static final String REQUEST = "GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n";
 
--- a/src/main/java/larchridge/faultinjection/TestNode.java
+++ b/src/main/java/larchridge/faultinjection/TestNode.java
@@ -11,11 +11,11 @@
 import larchridge.audit.Violations;
 
 /**
- * A real node process: its configuration, its signals, its log. All methods run on the rig's loop
- * but those that say so.
+ * A node process with its configuration, signals and log. Methods run on the event loop of the test
+ * harness unless their comments say otherwise.
  */
 final class TestNode {
-    /** What the rig has done to the process. */
+    /** State of the process as the harness has set it. */
     enum State {
         STARTING,
         UP,
@@ -23,7 +23,7 @@
         DOWN
     }
 
-    /** Parts of the log messages with which a node reports a fault of its own. */
+    /** Substrings of the log messages with which a node reports a fault of its own. */
     static final List<String> FAULT_MESSAGES =
             List.of(
                     Violations.MESSAGE,
@@ -41,7 +41,7 @@
     final int port;
     final TestDiscoveryAgent agent;
 
-    /** Null where there is no C compiler. */
+    /** Null if there is no C compiler. */
     final SystemCallShim shim;
 
     private final Path config;
@@ -52,7 +52,7 @@
     double terminatedMs = Double.NaN;
     int startCount;
 
-    /** It has ended, and will be started again. */
+    /** The process has exited and a restart is scheduled. */
     boolean restarting;
 
     TestNode(
@@ -71,7 +71,7 @@
         log = folder.resolve("node" + number + ".log");
     }
 
-    /** Writes the configuration with the agent's address as it is now. */
+    /** Writes the configuration with the current address of the agent. */
     void configure(String listJson) throws IOException {
         Files.writeString(
                 config,
@@ -95,7 +95,7 @@
                         + "}");
     }
 
-    /** Leaves half a configuration in the place of the good one. */
+    /** Truncates the configuration file to half of its length. */
     void breakConfiguration() throws IOException {
         String valid = Files.readString(config);
         Files.writeString(config, valid.substring(0, valid.length() / 2));
@@ -148,7 +148,7 @@
         process.destroyForcibly();
     }
 
-    /** Sends a signal by name. */
+    /** Sends a signal by name. Blocks, so it may run on any thread. */
     void sendSignal(String name) {
         if (!isAlive()) {
             return;
@@ -158,13 +158,13 @@
                     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
             sender.waitFor(SIGNAL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (IOException e) {
-            throw new IllegalStateException("signals can't be sent", e);
+            throw new IllegalStateException("could not run the kill command", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits for the end of the process; not on the loop. */
+    /** Waits for the process to exit. Not to be called on the event loop. */
     boolean awaitExit(long ms) throws InterruptedException {
         return process == null || process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
@@ -174,7 +174,7 @@
     }
 
     /**
-     * Lines of the log that tell of a fault in the node: violated invariants, steps that failed.
+     * Returns the log lines that report a fault in the node: violated invariants and failed tasks.
      */
     List<String> reportedFaults() throws IOException {
         if (!Files.exists(log)) {
--- a/src/main/java/larchridge/faultinjection/TestReadStates.java
+++ b/src/main/java/larchridge/faultinjection/TestReadStates.java
@@ -8,14 +8,14 @@
 import larchridge.systemtest.TrafficLog;
 
 /**
- * The read states that the simulated engines hold, by request; a state waits at its reader until it
- * is fetched or released.
+ * The read states that the simulated engines hold, by request. A reader holds a state until it is
+ * fetched or released.
  */
 final class TestReadStates {
     private final TrafficLog log;
     private final Map<String, Set<TestEngine>> holdersByRequest = new HashMap<>();
 
-    /** How many requests wait in writers' queues for a state. */
+    /** Number of requests in the queues of writers that need the state. */
     private final Map<String, Integer> queuedWriters = new HashMap<>();
 
     TestReadStates(TrafficLog log) {
@@ -32,7 +32,7 @@
         return holdersByRequest.containsKey(id);
     }
 
-    /** All that is held for a request is fetched, or gone otherwise. */
+    /** Drops all states of a request, after they were fetched or lost. */
     void drop(String id) {
         Set<TestEngine> engines = holdersByRequest.remove(id);
         if (engines != null) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** An engine has lost its memory. */
+    /** Drops all states that an engine holds, since it has restarted. */
     void dropHeldBy(TestEngine engine) {
         for (String id : Set.copyOf(holdersByRequest.keySet())) {
             Set<TestEngine> engines = holdersByRequest.get(id);
@@ -72,7 +72,7 @@
         queuedWriters.remove(id, 0);
     }
 
-    /** A release frees what no request in a queue waits for. */
+    /** Releases the states of a request unless a queued request still needs them. */
     void release(String id) {
         if (!queuedWriters.containsKey(id)) {
             drop(id);
--- a/src/main/java/larchridge/faultinjection/TestSettings.java
+++ b/src/main/java/larchridge/faultinjection/TestSettings.java
@@ -8,8 +8,8 @@
 import larchridge.state.TrafficClass;
 
 /**
- * The settings that the rig's nodes get: three classes, one of each effect, with short windows and
- * deadlines.
+ * Settings of the nodes under test: three request classes, one of each effect, with short windows
+ * and deadlines.
  */
 final class TestSettings {
     static final double DRAIN_GRACE_MS = 250;
--- a/src/main/java/larchridge/faultinjection/TrafficChecker.java
+++ b/src/main/java/larchridge/faultinjection/TrafficChecker.java
@@ -11,14 +11,15 @@
 import larchridge.systemtest.TrafficEvent;
 
 /**
- * Judges a run from its traffic, by the rules of the drills. Each node is judged by the requests
- * that it took and by what its own agent had told; the budget of cold engines by what all nodes
- * sent that had been told of the start. Pure functions.
+ * Checks a run from its traffic log against the rules of the system tests. Each node is checked
+ * with the requests that it received and the notices of its own discovery agent. The load limit of
+ * cold engines is checked over all nodes, with the attempts of nodes that had been notified of the
+ * start. Pure functions.
  */
 final class TrafficChecker {
     /**
-     * Slack of a final answer, a send after a drain and a release: the platform's, and the way over
-     * slow links.
+     * Slack for a final response, for a send after a drain and for a release: the slack of the
+     * platform plus the transfer over delayed links.
      */
     private static final double RESPONSE_SLACK_MS = 500;
 
@@ -26,12 +27,14 @@
     private static final double RELEASE_SLACK_MS = 500;
 
     /**
-     * An attempt may arrive so long after its client's close: 0.1 s by the platform, and the way
-     * over slow links.
+     * How long after the disconnect of its client an attempt may arrive: 0.1 s allowed by the
+     * platform, plus the transfer over delayed links.
      */
     private static final double CLOSE_SLACK_MS = 350;
 
-    /** When a node was told that an engine serves, drains, or has started. */
+    /**
+     * The time at which a node was notified that an engine is ready, is draining or has started.
+     */
     record StatusNotice(double ms, int node, long engine, String status) {}
 
     private TrafficChecker() {}
@@ -136,7 +139,8 @@
     }
 
     /**
-     * Whether a node had been told of the engine's newest start, or of none since there was none.
+     * Whether the node had been notified of a start of the engine before the attempt; also true if
+     * no node had been notified of any start.
      */
     private static boolean wasNotified(List<StatusNotice> notices, int node, TrafficEvent attempt) {
         double latestStartMs = Double.NEGATIVE_INFINITY;
@@ -168,7 +172,7 @@
                 violations.add(
                         String.format(
                                 Locale.ROOT,
-                                "rule 1: %s: an attempt came %.0f ms after the client's close",
+                                "rule 1: %s: attempt arrived %.0f ms after the client disconnected",
                                 event.tag(),
                                 event.ms() - closedMs));
             }
