--- a/src/main/resources/faults/shim.c
+++ b/src/main/resources/faults/shim.c
@@ -18,32 +18,32 @@
 
 /* The rig writes these; a share is a chance in a thousand. */
 struct control {
-    volatile int32_t accept_share, accept_errno;
-    volatile int32_t socket_share, socket_errno;
-    volatile int32_t connect_share, connect_errno;
-    volatile int32_t short_share, interrupt_share;
+    volatile int32_t accept_per_mille, accept_errno;
+    volatile int32_t socket_per_mille, socket_errno;
+    volatile int32_t connect_per_mille, connect_errno;
+    volatile int32_t short_per_mille, interrupt_per_mille;
     volatile int64_t wall_offset_ns;
 };
 
 static struct control *control;
 
 static struct control *settings(void) {
-    static struct control none;
+    static struct control no_faults;
     if (!control) {
         const char *path = getenv("LARCHRIDGE_SHIM");
         int fd = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
-        void *at = fd < 0 ? MAP_FAILED : mmap(NULL, sizeof(struct control), PROT_READ, MAP_SHARED, fd, 0);
+        void *mapping = fd < 0 ? MAP_FAILED : mmap(NULL, sizeof(struct control), PROT_READ, MAP_SHARED, fd, 0);
         if (fd >= 0) {
             close(fd);
         }
-        control = at == MAP_FAILED ? &none : at;
+        control = mapping == MAP_FAILED ? &no_faults : mapping;
     }
     return control;
 }
 
-static int hits(int32_t share) {
+static int should_inject(int32_t per_mille) {
     static __thread uint64_t state;
-    if (share <= 0) {
+    if (per_mille <= 0) {
         return 0;
     }
     if (!state) {
@@ -52,7 +52,7 @@
     state ^= state << 13;
     state ^= state >> 7;
     state ^= state << 17;
-    return (int32_t) (state % 1000) < share;
+    return (int32_t) (state % 1000) < per_mille;
 }
 
 #define REAL(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
@@ -60,7 +60,7 @@
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     static __typeof__(&accept) real;
     real = real ? real : REAL(accept);
-    if (hits(settings()->accept_share)) {
+    if (should_inject(settings()->accept_per_mille)) {
         errno = control->accept_errno;
         return -1;
     }
@@ -70,7 +70,7 @@
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     static __typeof__(&accept4) real;
     real = real ? real : REAL(accept4);
-    if (hits(settings()->accept_share)) {
+    if (should_inject(settings()->accept_per_mille)) {
         errno = control->accept_errno;
         return -1;
     }
@@ -80,7 +80,7 @@
 int socket(int domain, int type, int protocol) {
     static __typeof__(&socket) real;
     real = real ? real : REAL(socket);
-    if (domain == AF_INET && hits(settings()->socket_share)) {
+    if (domain == AF_INET && should_inject(settings()->socket_per_mille)) {
         errno = control->socket_errno;
         return -1;
     }
@@ -90,33 +90,33 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static __typeof__(&connect) real;
     real = real ? real : REAL(connect);
-    if (address && address->sa_family == AF_INET && hits(settings()->connect_share)) {
+    if (address && address->sa_family == AF_INET && should_inject(settings()->connect_per_mille)) {
         errno = control->connect_errno;
         return -1;
     }
     return real(fd, address, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     static __typeof__(&epoll_wait) real;
     real = real ? real : REAL(epoll_wait);
-    if (hits(settings()->interrupt_share)) {
+    if (should_inject(settings()->interrupt_per_mille)) {
         errno = EINTR;
         return -1;
     }
-    return real(fd, events, most, timeout);
+    return real(fd, events, max_events, timeout);
 }
 
 static int is_socket(int fd) {
-    int kind;
-    socklen_t length = sizeof kind;
-    return getsockopt(fd, SOL_SOCKET, SO_TYPE, &kind, &length) == 0;
+    int type;
+    socklen_t length = sizeof type;
+    return getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0;
 }
 
 ssize_t write(int fd, const void *bytes, size_t count) {
     static __typeof__(&write) real;
     real = real ? real : REAL(write);
-    if (count > 1 && hits(settings()->short_share) && is_socket(fd)) {
+    if (count > 1 && should_inject(settings()->short_per_mille) && is_socket(fd)) {
         count = 1 + count / 3;
     }
     return real(fd, bytes, count);
@@ -125,19 +125,19 @@
 ssize_t read(int fd, void *bytes, size_t count) {
     static __typeof__(&read) real;
     real = real ? real : REAL(read);
-    if (count > 1 && hits(settings()->short_share) && is_socket(fd)) {
+    if (count > 1 && should_inject(settings()->short_per_mille) && is_socket(fd)) {
         count = 1 + count / 50;
     }
     return real(fd, bytes, count);
 }
 
-ssize_t writev(int fd, const struct iovec *parts, int count) {
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
     static __typeof__(&writev) real;
     real = real ? real : REAL(writev);
-    if (count > 1 && hits(settings()->short_share) && is_socket(fd)) {
+    if (count > 1 && should_inject(settings()->short_per_mille) && is_socket(fd)) {
         count = 1;
     }
-    return real(fd, parts, count);
+    return real(fd, buffers, count);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
