--- a/src/main/java/larchridge/cli/EngineCommand.java
+++ b/src/main/java/larchridge/cli/EngineCommand.java
@@ -62,7 +62,10 @@
         vertx.runOnContext(
                 v ->
                         new SimulatedEngine(
-                                        vertx, profile(), (kind, engine, rid, tag, amount) -> {}, id)
+                                        vertx,
+                                        profile(),
+                                        (kind, engine, rid, tag, amount) -> {},
+                                        id)
                                 .start(port, false)
                                 .onSuccess(
                                         boundPort ->
--- a/src/main/java/larchridge/cli/FaultInjectionCommand.java
+++ b/src/main/java/larchridge/cli/FaultInjectionCommand.java
@@ -104,16 +104,25 @@
             return 2;
         }
         Files.createDirectories(folder);
-        List<FaultKind> supportedKinds = SupportedFaultKinds.supported(kinds, FaultInjectionRun.canBuildShim(folder));
+        List<FaultKind> supportedKinds =
+                SupportedFaultKinds.supported(kinds, FaultInjectionRun.canBuildShim(folder));
         boolean violated = false;
         for (int i = 0; i < runs; i++) {
             FaultScript runScript =
                     script != null
                             ? FaultScript.read(script)
                             : FaultScript.generate(
-                                    seed + i, nodes, readers, writers, seconds, perSecond, supportedKinds);
+                                    seed + i,
+                                    nodes,
+                                    readers,
+                                    writers,
+                                    seconds,
+                                    perSecond,
+                                    supportedKinds);
             FaultTestResult result =
-                    new FaultInjectionRun(runScript, plant, folder.resolve("seed" + runScript.seed())).run();
+                    new FaultInjectionRun(
+                                    runScript, plant, folder.resolve("seed" + runScript.seed()))
+                            .run();
             violated |= !result.passed();
             report(runScript, result);
         }
@@ -129,7 +138,9 @@
                 result.completed(),
                 result.maxLagMs(),
                 result.passed() ? "passed" : "FAILED");
-        result.violations().stream().limit(10).forEach(violation -> System.out.println("  " + violation));
+        result.violations().stream()
+                .limit(10)
+                .forEach(violation -> System.out.println("  " + violation));
         Path table = folder.resolve("table.tsv");
         if (!Files.exists(table)) {
             Files.writeString(table, TABLE_HEAD);
--- a/src/main/java/larchridge/cli/LedgerCommand.java
+++ b/src/main/java/larchridge/cli/LedgerCommand.java
@@ -24,7 +24,11 @@
             List<String> differences = ledger.verify();
             differences.forEach(System.out::println);
             System.out.println(
-                    folder + ": " + (differences.isEmpty() ? "good" : differences.size() + " differences"));
+                    folder
+                            + ": "
+                            + (differences.isEmpty()
+                                    ? "good"
+                                    : differences.size() + " differences"));
             return differences.isEmpty() ? 0 : 1;
         } catch (LedgerException e) {
             System.err.println(e.getMessage());
--- a/src/main/java/larchridge/cli/ServeCommand.java
+++ b/src/main/java/larchridge/cli/ServeCommand.java
@@ -72,7 +72,10 @@
             if (warmupGenerations > 0) {
                 ServiceWarmup.warmUp(warmupGenerations);
             }
-            service = Service.start(loadedSite, haltAtWrite > 0 ? haltAtConfiguredWrite() : CrashPoints.NONE);
+            service =
+                    Service.start(
+                            loadedSite,
+                            haltAtWrite > 0 ? haltAtConfiguredWrite() : CrashPoints.NONE);
         } catch (InvalidSiteException | InvalidEngineListException | LedgerException e) {
             System.err.println(e.getMessage());
             return 1;
--- a/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -86,7 +86,10 @@
         try {
             setUp();
             if (!awaitNodesReady()) {
-                violations.add("not all nodes were ready after " + Math.round(STARTUP_TIMEOUT_MS) + " ms");
+                violations.add(
+                        "not all nodes were ready after "
+                                + Math.round(STARTUP_TIMEOUT_MS)
+                                + " ms");
                 return evaluate();
             }
             loop.submit(this::startLoadAndFaults).get();
@@ -117,7 +120,8 @@
                             i < script.readers() ? Role.READER : Role.WRITER,
                             i % 2 == 0 ? "a" : "b",
                             i / ENGINES_PER_RACK);
-            TestEngine engine = new TestEngine(profile, group, log, readStates, script.seed() * 1000 + i);
+            TestEngine engine =
+                    new TestEngine(profile, group, log, readStates, script.seed() * 1000 + i);
             engine.ignoresReleases = plantedFault == PlantedFault.RELEASES_IGNORED;
             engine.runsTwice = plantedFault == PlantedFault.RUNS_TWICE;
             engines.add(engine);
@@ -136,7 +140,8 @@
             }
             proxies.add(nodeProxies);
             TestDiscoveryAgent agent =
-                    new TestDiscoveryAgent(group, endpointLists::index, () -> endpointLists.listJson(number));
+                    new TestDiscoveryAgent(
+                            group, endpointLists::index, () -> endpointLists.listJson(number));
             SystemCallShim shim =
                     library == null
                             ? null
@@ -155,7 +160,9 @@
                             folder,
                             TestSettings.JSON));
         }
-        clients = new TestClients(group, log, nodes, TestSettings.REQUEST_CLASSES, script.seed() + 17);
+        clients =
+                new TestClients(
+                        group, log, nodes, TestSettings.REQUEST_CLASSES, script.seed() + 17);
         clients.setDropResponses(plantedFault == PlantedFault.ANSWERS_DROPPED);
         for (TestNode node : nodes) {
             node.configure(endpointLists.listJson(node.number));
@@ -183,7 +190,13 @@
     private boolean awaitNodesReady() throws InterruptedException {
         CountDownLatch ready = new CountDownLatch(nodes.size());
         nodes.forEach(
-                node -> loop.execute(() -> pollUntilReady(node, log.now() + STARTUP_TIMEOUT_MS, ready::countDown)));
+                node ->
+                        loop.execute(
+                                () ->
+                                        pollUntilReady(
+                                                node,
+                                                log.now() + STARTUP_TIMEOUT_MS,
+                                                ready::countDown)));
         return ready.await((long) STARTUP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -234,7 +247,8 @@
             schedule(fault.atMs(), () -> injector.start(fault));
             schedule(fault.endMs(), () -> injector.stop(fault));
         }
-        schedule(script.seconds() * 1000 - FaultScript.QUIET_SECONDS * 500, injector::checkRecovery);
+        schedule(
+                script.seconds() * 1000 - FaultScript.QUIET_SECONDS * 500, injector::checkRecovery);
     }
 
     /**
@@ -277,7 +291,9 @@
         }
         try {
             node.configure(
-                    random.nextBoolean() ? endpointLists.listJson(node.number) : endpointLists.previousListJson(node.number));
+                    random.nextBoolean()
+                            ? endpointLists.listJson(node.number)
+                            : endpointLists.previousListJson(node.number));
             node.start();
         } catch (IOException e) {
             violations.add("node " + node.number + ": could not be started: " + e.getMessage());
@@ -293,7 +309,9 @@
             return;
         }
         clients.send();
-        schedule(-Math.log(1 - random.nextDouble()) * 1000 / script.perSecond(), this::sendNextRequest);
+        schedule(
+                -Math.log(1 - random.nextDouble()) * 1000 / script.perSecond(),
+                this::sendNextRequest);
     }
 
     private void stopNodes() throws InterruptedException, ExecutionException {
@@ -315,10 +333,12 @@
         }
     }
 
-    private FaultTestResult evaluate() throws IOException, InterruptedException, ExecutionException {
+    private FaultTestResult evaluate()
+            throws IOException, InterruptedException, ExecutionException {
         loop.submit(() -> {}).get();
         Map<Long, EngineProfile> profiles = new HashMap<>();
-        engines.forEach(engine -> profiles.put(engine.number, engine.profileForChecks(plantedFault)));
+        engines.forEach(
+                engine -> profiles.put(engine.number, engine.profileForChecks(plantedFault)));
         TrafficLog.write(log.all(), folder.resolve("traffic.jsonl"));
         violations.addAll(clients == null ? List.of() : clients.stalledClientViolations());
         violations.addAll(
@@ -336,7 +356,10 @@
             violations.addAll(node.reportedFaults());
         }
         Files.write(folder.resolve("faults.txt"), violations);
-        List<String> reported = List.copyOf(violations.subList(0, Math.min(MAX_REPORTED_VIOLATIONS, violations.size())));
+        List<String> reported =
+                List.copyOf(
+                        violations.subList(
+                                0, Math.min(MAX_REPORTED_VIOLATIONS, violations.size())));
         return new FaultTestResult(
                 reported,
                 clients == null ? 0 : clients.requests(),
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -61,14 +61,20 @@
             case LINK_CUT -> setLinkFault(fault, FaultProxy.LinkFault.CUT, 0);
             case LINK_DRIBBLE -> setLinkFault(fault, FaultProxy.LinkFault.DRIBBLE, 0);
             case LINK_DELAY ->
-                    setLinkFault(fault, FaultProxy.LinkFault.DELAY, 1 + fault.size() * MAX_DELAY_MS);
+                    setLinkFault(
+                            fault, FaultProxy.LinkFault.DELAY, 1 + fault.size() * MAX_DELAY_MS);
             case LINK_RESET ->
                     setLinkFault(fault, FaultProxy.LinkFault.RESET, fault.size() * MAX_RESET_BYTES);
             case LINK_CLOSE_CROSSING ->
-                    setLinkFault(fault, FaultProxy.LinkFault.CLOSE_CROSSING, 0.2 + 0.8 * fault.size());
+                    setLinkFault(
+                            fault,
+                            FaultProxy.LinkFault.CLOSE_CROSSING,
+                            0.2 + 0.8 * fault.size());
             case ENGINE_RESTART -> forEngines(fault, this::restart);
-            case ENGINE_DRAIN -> forEngines(fault, engine -> setStatus(engine, "DRAINING", "draining"));
-            case ENGINE_HANG -> forEngines(fault, engine -> engine.behavior = TestEngine.Behavior.HANGING);
+            case ENGINE_DRAIN ->
+                    forEngines(fault, engine -> setStatus(engine, "DRAINING", "draining"));
+            case ENGINE_HANG ->
+                    forEngines(fault, engine -> engine.behavior = TestEngine.Behavior.HANGING);
             case ENGINE_ERRORS ->
                     forEngines(
                             fault,
@@ -82,21 +88,24 @@
                             fault,
                             node -> {
                                 node.agent.setBehavior(TestDiscoveryAgent.Behavior.SILENT);
-                                run.endpointLists.recordAgentSilence(node.number, now, now + fault.lengthMs());
+                                run.endpointLists.recordAgentSilence(
+                                        node.number, now, now + fault.lengthMs());
                             });
             case AGENT_RESET ->
                     forNodes(
                             fault,
                             node -> {
                                 node.agent.setBehavior(TestDiscoveryAgent.Behavior.RESETTING);
-                                run.endpointLists.recordAgentSilence(node.number, now, now + fault.lengthMs());
+                                run.endpointLists.recordAgentSilence(
+                                        node.number, now, now + fault.lengthMs());
                             });
             case AGENT_PIECES ->
                     forNodes(
                             fault,
                             node -> {
                                 node.agent.setBehavior(TestDiscoveryAgent.Behavior.FRAGMENTED);
-                                run.endpointLists.recordBrokenWatches(node.number, now, now + fault.lengthMs());
+                                run.endpointLists.recordBrokenWatches(
+                                        node.number, now, now + fault.lengthMs());
                             });
             case NODE_TERM -> forNodes(fault, this::terminate);
             case NODE_KILL -> forNodes(fault, this::kill);
@@ -107,7 +116,8 @@
             case CLIENT_LEAVES -> run.clients.setDisconnecting(true);
             case CLIENT_STOPS -> forNodes(fault, run.clients::startStalledClients);
             case CLIENT_CROWD ->
-                    forNodes(fault, node -> run.clients.openIdleConnections(node, fault.lengthMs()));
+                    forNodes(
+                            fault, node -> run.clients.openIdleConnections(node, fault.lengthMs()));
             case CALLS_FAIL ->
                     forShims(
                             fault,
@@ -118,10 +128,15 @@
                                                     : 50
                                                             + (int)
                                                                     (fault.size()
-                                                                            * (MAX_FAILED_CALLS_PER_MILLE - 50)),
+                                                                            * (MAX_FAILED_CALLS_PER_MILLE
+                                                                                    - 50)),
                                             (int) (fault.size() * 1000)));
             case CALLS_SHORT ->
-                    forShims(fault, shim -> shim.shortenCalls((int) (fault.size() * MAX_SHORT_CALLS_PER_MILLE)));
+                    forShims(
+                            fault,
+                            shim ->
+                                    shim.shortenCalls(
+                                            (int) (fault.size() * MAX_SHORT_CALLS_PER_MILLE)));
             case CLOCK_STEP ->
                     forShims(
                             fault,
@@ -179,7 +194,9 @@
                 START_ANNOUNCEMENT_DELAY_MS,
                 () -> {
                     engine.announcedStartTimeMs =
-                            run.plantedFault == PlantedFault.COLD_STARTS_HIDDEN ? 0 : engine.startTimeMs;
+                            run.plantedFault == PlantedFault.COLD_STARTS_HIDDEN
+                                    ? 0
+                                    : engine.startTimeMs;
                     run.endpointLists.recordChange(engine, "started");
                 });
     }
@@ -226,7 +243,8 @@
                         ? LONG_PAUSE_MS
                         : fault.size() * MAX_PAUSE_MS;
         run.signalExecutor.execute(() -> node.sendSignal("STOP"));
-        run.signalExecutor.schedule(() -> node.sendSignal("CONT"), (long) (ms * 1000), TimeUnit.MICROSECONDS);
+        run.signalExecutor.schedule(
+                () -> node.sendSignal("CONT"), (long) (ms * 1000), TimeUnit.MICROSECONDS);
         run.schedule(
                 PAUSE_INTERVAL_MS + ms,
                 () -> {
--- a/src/main/java/larchridge/faultinjection/FaultProxy.java
+++ b/src/main/java/larchridge/faultinjection/FaultProxy.java
@@ -170,7 +170,10 @@
             if (sendScheduled || pending.isEmpty() || peer == null || peer.channel == null) {
                 return;
             }
-            double ms = fault == LinkFault.DELAY ? magnitude : fault == LinkFault.DRIBBLE ? DRIBBLE_INTERVAL_MS : 0;
+            double ms =
+                    fault == LinkFault.DELAY
+                            ? magnitude
+                            : fault == LinkFault.DRIBBLE ? DRIBBLE_INTERVAL_MS : 0;
             if (ms <= 0) {
                 while (!pending.isEmpty()) {
                     peer.channel.write(pending.poll());
--- a/src/main/java/larchridge/faultinjection/FaultScript.java
+++ b/src/main/java/larchridge/faultinjection/FaultScript.java
@@ -58,8 +58,10 @@
         int count = (int) Math.round(MEAN_CONCURRENT_FAULTS * faultSpanMs / meanDurationMs);
         for (int i = 0; i < count; i++) {
             FaultKind kind = kinds.get(random.nextInt(kinds.size()));
-            double durationMs = MIN_DURATION_MS + random.nextDouble() * (MAX_DURATION_MS - MIN_DURATION_MS);
-            double startMs = FIRST_FAULT_MS + random.nextDouble() * Math.max(0, faultSpanMs - durationMs);
+            double durationMs =
+                    MIN_DURATION_MS + random.nextDouble() * (MAX_DURATION_MS - MIN_DURATION_MS);
+            double startMs =
+                    FIRST_FAULT_MS + random.nextDouble() * Math.max(0, faultSpanMs - durationMs);
             faults.add(
                     new Fault(
                             kind,
--- a/src/main/java/larchridge/faultinjection/FaultTestResult.java
+++ b/src/main/java/larchridge/faultinjection/FaultTestResult.java
@@ -11,7 +11,8 @@
  * @param maxLagMs maximum lag of the harness's own event loop; if it is large, the measured times
  *     are unreliable
  */
-public record FaultTestResult(List<String> violations, long requests, int completed, double maxLagMs) {
+public record FaultTestResult(
+        List<String> violations, long requests, int completed, double maxLagMs) {
     /** Returns whether no rule and no invariant was violated. */
     public boolean passed() {
         return violations.isEmpty();
--- a/src/main/java/larchridge/faultinjection/SystemCallShim.java
+++ b/src/main/java/larchridge/faultinjection/SystemCallShim.java
@@ -70,7 +70,8 @@
         Files.write(controlFile, new byte[CONTROL_BYTES]);
         try (FileChannel channel =
                 FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            MappedByteBuffer control = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES);
+            MappedByteBuffer control =
+                    channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES);
             control.order(ByteOrder.nativeOrder());
             return new SystemCallShim(library, controlFile, control);
         }
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -195,7 +195,13 @@
         }
 
         void logEvent(TrafficEvent.Kind eventKind, String detail) {
-            log.add(eventKind, node.number, null, TestEngine.tag(id), requestClass.deadlineMs, detail);
+            log.add(
+                    eventKind,
+                    node.number,
+                    null,
+                    TestEngine.tag(id),
+                    requestClass.deadlineMs,
+                    detail);
         }
 
         void onSent(Connection connection) {
@@ -409,7 +415,8 @@
                     channel -> {
                         channel.writeAndFlush(
                                 Unpooled.copiedBuffer(
-                                        head.substring(0, firstPartLength), StandardCharsets.ISO_8859_1));
+                                        head.substring(0, firstPartLength),
+                                        StandardCharsets.ISO_8859_1));
                         loop.next()
                                 .schedule(
                                         () ->
--- a/src/main/java/larchridge/faultinjection/TestDiscoveryAgent.java
+++ b/src/main/java/larchridge/faultinjection/TestDiscoveryAgent.java
@@ -202,7 +202,8 @@
         }
         int fragmentBytes = Math.max(1, response.readableBytes() / FRAGMENT_COUNT);
         for (int i = 0; response.isReadable(); i++) {
-            ByteBuf fragment = response.readRetainedSlice(Math.min(fragmentBytes, response.readableBytes()));
+            ByteBuf fragment =
+                    response.readRetainedSlice(Math.min(fragmentBytes, response.readableBytes()));
             loop.next()
                     .schedule(
                             () -> channel.writeAndFlush(fragment),
--- a/src/main/java/larchridge/faultinjection/TestEndpointLists.java
+++ b/src/main/java/larchridge/faultinjection/TestEndpointLists.java
@@ -76,8 +76,11 @@
     void recordChange(TestEngine engine, String status) {
         index++;
         changes.add(new Change(run.log.now(), engine.number, status));
-        boolean delayed = run.plantedFault == PlantedFault.DRAINS_TOLD_LATE && status.equals("draining");
-        run.schedule(delayed ? 1000 : 0, () -> run.nodes.forEach(node -> node.agent.notifyWatches()));
+        boolean delayed =
+                run.plantedFault == PlantedFault.DRAINS_TOLD_LATE && status.equals("draining");
+        run.schedule(
+                delayed ? 1000 : 0,
+                () -> run.nodes.forEach(node -> node.agent.notifyWatches()));
     }
 
     /**
@@ -130,7 +133,9 @@
                     }
                 }
                 if (!isSuperseded(change, ms)) {
-                    notices.add(new TrafficChecker.StatusNotice(ms, node.number, change.engine, change.status));
+                    notices.add(
+                            new TrafficChecker.StatusNotice(
+                                    ms, node.number, change.engine, change.status));
                 }
             }
         }
--- a/src/main/java/larchridge/faultinjection/TestEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -286,7 +286,9 @@
         schedule(
                 5,
                 () -> {
-                    if (job.finished || job.incarnation != incarnation || behavior == Behavior.HANGING) {
+                    if (job.finished
+                            || job.incarnation != incarnation
+                            || behavior == Behavior.HANGING) {
                         releaseSlot(job);
                         return;
                     }
--- a/src/main/java/larchridge/faultinjection/TestHealthCheck.java
+++ b/src/main/java/larchridge/faultinjection/TestHealthCheck.java
@@ -13,7 +13,8 @@
 
 /** Requests the health endpoint of a node to find out whether it is ready. */
 final class TestHealthCheck extends SimpleChannelInboundHandler<ByteBuf> {
-    private static final String REQUEST = "GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n";
+    private static final String REQUEST =
+            "GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n";
 
     private final EventLoopGroup loop;
     private Consumer<Boolean> callback;
--- a/src/main/java/larchridge/faultinjection/TrafficChecker.java
+++ b/src/main/java/larchridge/faultinjection/TrafficChecker.java
@@ -53,7 +53,12 @@
         }
         List<String> violations = new ArrayList<>();
         for (int node = 0; node < nodes; node++) {
-            checkNode(node, eventsOfNode(log, notices, nodeByTag, node), figures, maxLagMs, violations);
+            checkNode(
+                    node,
+                    eventsOfNode(log, notices, nodeByTag, node),
+                    figures,
+                    maxLagMs,
+                    violations);
         }
         checkColdStarts(log, notices, nodeByTag, figures, maxLagMs, violations);
         checkAttemptsAfterClose(log, maxLagMs, violations);
@@ -72,11 +77,16 @@
     }
 
     private static List<TrafficEvent> eventsOfNode(
-            List<TrafficEvent> log, List<StatusNotice> notices, Map<String, Integer> nodeByTag, int node) {
+            List<TrafficEvent> log,
+            List<StatusNotice> notices,
+            Map<String, Integer> nodeByTag,
+            int node) {
         List<TrafficEvent> nodeEvents = new ArrayList<>();
         for (TrafficEvent event : log) {
-            boolean killed = event.kind() == TrafficEvent.Kind.FRONT_KILLED && event.where() == node;
-            if (killed || (event.tag() != null && nodeByTag.getOrDefault(event.tag(), -1) == node)) {
+            boolean killed =
+                    event.kind() == TrafficEvent.Kind.FRONT_KILLED && event.where() == node;
+            if (killed
+                    || (event.tag() != null && nodeByTag.getOrDefault(event.tag(), -1) == node)) {
                 nodeEvents.add(event);
             }
         }
@@ -105,7 +115,8 @@
         double[] slackMsByRule = {0, RESPONSE_SLACK_MS, 0, DRAIN_SLACK_MS, 0, RELEASE_SLACK_MS};
         for (int rule : new int[] {1, 2, 3, 5}) {
             for (RuleChecker.Breach breach :
-                    RuleChecker.judge(nodeEvents, withSlack(figures, slackMsByRule[rule] + maxLagMs))) {
+                    RuleChecker.judge(
+                            nodeEvents, withSlack(figures, slackMsByRule[rule] + maxLagMs))) {
                 if (breach.rule() == rule) {
                     violations.add("node " + node + ": " + breach);
                 }
@@ -126,7 +137,9 @@
                     event.kind() == TrafficEvent.Kind.READ_IN
                             || event.kind() == TrafficEvent.Kind.WRITE_IN;
             if (event.kind() == TrafficEvent.Kind.STARTED
-                    || (attempt && wasNotified(notices, nodeByTag.getOrDefault(event.tag(), -1), event))) {
+                    || (attempt
+                            && wasNotified(
+                                    notices, nodeByTag.getOrDefault(event.tag(), -1), event))) {
                 notifiedEvents.add(event);
             }
         }
@@ -156,7 +169,8 @@
         return latestStartMs == Double.NEGATIVE_INFINITY || notifiedMs > Double.NEGATIVE_INFINITY;
     }
 
-    private static void checkAttemptsAfterClose(List<TrafficEvent> log, double maxLagMs, List<String> violations) {
+    private static void checkAttemptsAfterClose(
+            List<TrafficEvent> log, double maxLagMs, List<String> violations) {
         Map<String, Double> closedMsByTag = new HashMap<>();
         for (TrafficEvent event : log) {
             if (event.kind() == TrafficEvent.Kind.LEFT) {
--- a/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
+++ b/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
@@ -68,7 +68,9 @@
         assertEquals(script, FaultScript.read(folder.resolve("script.yaml")));
         assertTrue(
                 script.faults().stream()
-                        .allMatch(fault -> fault.endMs() <= (40 - FaultScript.QUIET_SECONDS) * 1000));
+                        .allMatch(
+                                fault ->
+                                        fault.endMs() <= (40 - FaultScript.QUIET_SECONDS) * 1000));
     }
 
     @Test
