--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -26,7 +26,7 @@
      */
     private static final double KILL_DELAY_MS = TestSettings.LONGEST_DEADLINE_MS + 700 + 100;
 
-    private static final int MAX_FAILED_CALLS_PER_MILLE = 700;
+    private static final int MAX_FAILURES_PER_MILLE = 700;
     private static final int MAX_SHORT_CALLS_PER_MILLE = 500;
 
     /** Delay between the drain and the requests of the recovery check. */
@@ -128,7 +128,7 @@
                                                     : 50
                                                             + (int)
                                                                     (fault.size()
-                                                                            * (MAX_FAILED_CALLS_PER_MILLE
+                                                                            * (MAX_FAILURES_PER_MILLE
                                                                                     - 50)),
                                             (int) (fault.size() * 1000)));
             case CALLS_SHORT ->
