--- a/src/main/java/larchridge/cli/ServeCommand.java
+++ b/src/main/java/larchridge/cli/ServeCommand.java
@@ -129,7 +129,7 @@
                                     } catch (InvalidSiteException e) {
                                         LOG.atError()
                                                 .addKeyValue("fault", e.getMessage())
-                                                .log("invalid site file; keeping the current budgets");
+                                                .log("invalid site file; keeping budgets");
                                     }
                                 }
                             }
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -20,10 +20,7 @@
 
     private static final double MAX_CLOCK_STEP_MS = 3_600_000;
 
-    /**
-     * The platform kills a terminating node 0.7 s after the longest request deadline; 0.1 s is
-     * added as slack.
-     */
+    /** The platform kills a terminating node 0.7 s after the longest request deadline. */
     private static final double KILL_DELAY_MS = TestSettings.LONGEST_DEADLINE_MS + 700 + 100;
 
     private static final int MAX_FAILURES_PER_MILLE = 700;
@@ -307,14 +304,14 @@
                                             run.violations.add(
                                                     "node "
                                                             + node.number
-                                                            + ": completed no request after the last fault");
+                                                            + ": no request served after faults");
                                         }
                                     });
                         } else {
                             run.violations.add(
                                     "node "
                                             + node.number
-                                            + ": not ready after the last fault");
+                                            + ": not ready after faults");
                         }
                     }
                 });
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -439,7 +439,7 @@
                                                     + node.number
                                                     + ": a client that stalled at "
                                                     + Math.round(startedMs)
-                                                    + " ms received neither an error nor a close within 3.3 s");
+                                                    + " ms got no error and no close in 3.3 s");
                                 }
                                 connection.close();
                             },
--- a/src/main/java/larchridge/faultinjection/TestEndpointLists.java
+++ b/src/main/java/larchridge/faultinjection/TestEndpointLists.java
@@ -120,8 +120,8 @@
         for (TestNode node : run.nodes) {
             for (Change change : changes) {
                 double ms = change.ms;
-                // A delayed "ready" notice must not count against a node that already uses the
-                // engine again, so it is never postponed.
+                // Notices that an engine is ready are never delayed: a late one must not count
+                // against a node that already uses the engine again.
                 boolean extended = !change.status.equals("ready");
                 while (extended) {
                     extended = false;
--- a/src/main/resources/faults/shim.c
+++ b/src/main/resources/faults/shim.c
@@ -33,7 +33,8 @@
     if (!control) {
         const char *path = getenv("LARCHRIDGE_SHIM");
         int fd = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
-        void *mapping = fd < 0 ? MAP_FAILED : mmap(NULL, sizeof(struct control), PROT_READ, MAP_SHARED, fd, 0);
+        void *mapping =
+            fd < 0 ? MAP_FAILED : mmap(NULL, sizeof(struct control), PROT_READ, MAP_SHARED, fd, 0);
         if (fd >= 0) {
             close(fd);
         }
