--- a/src/main/java/larchridge/cli/LedgerCommand.java
+++ b/src/main/java/larchridge/cli/LedgerCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks after a ledger. */
+/** Maintains a ledger. */
 @Command(
         name = "ledger",
         mixinStandardHelpOptions = true,
@@ -17,15 +17,19 @@
             name = "verify",
             mixinStandardHelpOptions = true,
             description =
-                    "Add all records anew and compare with the sums; also while a service writes. Exit code 1: "
-                            + "they differ.")
+                    "Recompute the totals from all records and compare them with the stored ones; "
+                            + "also possible while a service writes. Exit code 1: they differ.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Ledger ledger = Ledger.openReadOnly(folder)) {
-            List<String> faults = ledger.verify();
-            faults.forEach(System.out::println);
+            List<String> differences = ledger.verify();
+            differences.forEach(System.out::println);
             System.out.println(
-                    folder + ": " + (faults.isEmpty() ? "good" : faults.size() + " differences"));
-            return faults.isEmpty() ? 0 : 1;
+                    folder
+                            + ": "
+                            + (differences.isEmpty()
+                                    ? "good"
+                                    : differences.size() + " differences"));
+            return differences.isEmpty() ? 0 : 1;
         } catch (LedgerException e) {
             System.err.println(e.getMessage());
             return 1;
@@ -41,27 +45,27 @@
             System.out.println(
                     "id,tenant,product,at_ms,kind,prompt_tokens,kept_tokens,answer_tokens,wasted_tokens,attempts");
             ledger.forEachRecord(
-                    u ->
+                    usage ->
                             System.out.println(
-                                    u.billId()
+                                    usage.billId()
                                             + ","
-                                            + u.tenant()
+                                            + usage.tenant()
                                             + ","
-                                            + u.product()
+                                            + usage.product()
                                             + ","
-                                            + u.endedAtMs()
+                                            + usage.endedAtMs()
                                             + ","
-                                            + u.outcome()
+                                            + usage.outcome()
                                             + ","
-                                            + u.promptTokens()
+                                            + usage.promptTokens()
                                             + ","
-                                            + u.cachedTokens()
+                                            + usage.cachedTokens()
                                             + ","
-                                            + u.outputTokens()
+                                            + usage.outputTokens()
                                             + ","
-                                            + u.wastedTokens()
+                                            + usage.wastedTokens()
                                             + ","
-                                            + u.attempts()));
+                                            + usage.attempts()));
             return 0;
         } catch (LedgerException e) {
             System.err.println(e.getMessage());
@@ -72,7 +76,7 @@
     @Command(
             name = "compact",
             mixinStandardHelpOptions = true,
-            description = "Merge the files on disk; no service may be writing.")
+            description = "Merge the files on disk. No service may be writing to the ledger.")
     int compact(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Ledger ledger = Ledger.open(folder, 2)) {
             ledger.compact();
