--- a/src/main/java/larchridge/messages/MessageEvents.java
+++ b/src/main/java/larchridge/messages/MessageEvents.java
@@ -29,11 +29,11 @@
     }
 
     /** Adds the text, the stop reason and the output tokens of a complete response. */
-    static ObjectNode withResponse(ObjectNode message, String text, AnswerSummary completion) {
+    static ObjectNode withResponse(ObjectNode message, String text, AnswerSummary summary) {
         message.withArray("content").addObject().put("type", "text").put("text", text);
-        message.put("stop_reason", stopReason(completion))
-                .put("stop_sequence", completion.stopSequence());
-        message.withObject("/usage").put("output_tokens", completion.outputTokens());
+        message.put("stop_reason", stopReason(summary))
+                .put("stop_sequence", summary.stopSequence());
+        message.withObject("/usage").put("output_tokens", summary.outputTokens());
         return message;
     }
 
@@ -65,11 +65,11 @@
         return formatEvent("content_block_stop", event("content_block_stop").put("index", 0));
     }
 
-    static String messageDelta(AnswerSummary completion) {
+    static String messageDelta(AnswerSummary summary) {
         ObjectNode event = event("message_delta");
-        ObjectNode delta = event.putObject("delta").put("stop_reason", stopReason(completion));
-        delta.put("stop_sequence", completion.stopSequence());
-        event.putObject("usage").put("output_tokens", completion.outputTokens());
+        ObjectNode delta = event.putObject("delta").put("stop_reason", stopReason(summary));
+        delta.put("stop_sequence", summary.stopSequence());
+        event.putObject("usage").put("output_tokens", summary.outputTokens());
         return formatEvent("message_delta", event);
     }
 
@@ -91,8 +91,8 @@
         return formatEvent("error", error(exception, requestId));
     }
 
-    static String stopReason(AnswerSummary completion) {
-        return switch (completion.finishReason()) {
+    static String stopReason(AnswerSummary summary) {
+        return switch (summary.finishReason()) {
             case END_OF_TURN -> "end_turn";
             case MAX_TOKENS -> "max_tokens";
             case STOP_SEQUENCE -> "stop_sequence";
--- a/src/main/java/larchridge/messages/MessagesCodec.java
+++ b/src/main/java/larchridge/messages/MessagesCodec.java
@@ -16,7 +16,7 @@
  * to one thread.
  */
 public final class MessagesCodec {
-    private final MessagesReader reader;
+    private final MessagesParser parser;
     private final PromptLengths lengths;
     private final Executor executor;
 
@@ -27,7 +27,7 @@
      *     processed there
      */
     public MessagesCodec(Site site, CountingResources counters, Executor executor) {
-        reader = new MessagesReader(site);
+        parser = new MessagesParser(site);
         lengths = new PromptLengths(counters);
         this.executor = executor;
     }
@@ -50,12 +50,12 @@
             OfferingAdapter adapter,
             String idempotencyKey)
             throws ApiException {
-        MessagesReader.Body body = reader.read(json, false, maxTemperature);
+        MessagesParser.Body body = parser.parse(json, false, maxTemperature);
         PromptLengths.Measurement measurement =
                 body.countInput() == null ? null : lengths.new Measurement(body);
         int countedTokens = -1;
         if (measurement != null) {
-            measurement.finish();
+            measurement.countMissing();
             body = lengths.withLengths(measurement, false);
             countedTokens = PromptLengths.expectedEngineTokens(measurement);
         }
@@ -90,7 +90,7 @@
             GenerationRequest generationRequest,
             int cachedTokens,
             String text,
-            AnswerSummary completion) {
+            AnswerSummary summary) {
         int cached = Math.min(cachedTokens, generationRequest.promptTokens());
         int created =
                 generationRequest.sharedPrefixId() == null
@@ -99,6 +99,6 @@
         return MessageEvents.withResponse(
                 MessageEvents.message(id, model, generationRequest.promptTokens(), cached, created),
                 text,
-                completion);
+                summary);
     }
 }
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -34,7 +34,7 @@
 
     private final Router router;
     private final Site site;
-    private final MessagesReader reader;
+    private final MessagesParser parser;
     private final PromptLengths lengths;
     private final Random requestIds = new Random(new SecureRandom().nextLong());
 
@@ -43,7 +43,7 @@
         this.router = router;
         site = router.site();
         lengths = new PromptLengths(counters);
-        reader = new MessagesReader(site);
+        parser = new MessagesParser(site);
     }
 
     @Override
@@ -211,27 +211,27 @@
                 runOnWorker(
                         body.length / PARSED_BYTES_PER_MS,
                         () -> {
-                            MessagesReader.Body parsed = reader.read(body, countOnly);
+                            MessagesParser.Body parsed = parser.parse(body, countOnly);
                             if (startMeasurement(parsed)) {
-                                finishMeasurement(true);
+                                countIfAllowed(true);
                             }
                             return parsed;
                         });
                 return;
             }
             try {
-                MessagesReader.Body parsed = reader.read(body, countOnly);
+                MessagesParser.Body parsed = parser.parse(body, countOnly);
                 if (!startMeasurement(parsed)) {
                     countOrSubmit(parsed);
-                } else if (countingWay() == CountingPolicy.Mode.WORKER) {
+                } else if (countingMode() == CountingPolicy.Mode.WORKER) {
                     runOnWorker(
                             measurement.costMs(),
                             () -> {
-                                measurement.finish();
+                                measurement.countMissing();
                                 return parsed;
                             });
                 } else {
-                    finishMeasurement(false);
+                    countIfAllowed(false);
                     countOrSubmit(parsed);
                 }
             } catch (ApiException error) {
@@ -240,24 +240,24 @@
         }
 
         /** Returns false if the product has no vocabulary to count the prompt with. */
-        private boolean startMeasurement(MessagesReader.Body parsed) {
+        private boolean startMeasurement(MessagesParser.Body parsed) {
             measurement = parsed.countInput() == null ? null : lengths.new Measurement(parsed);
             return measurement != null;
         }
 
         /** A count request is always counted, however long; a generation may use an estimate. */
-        private CountingPolicy.Mode countingWay() {
-            CountingPolicy.Mode way = measurement.countingWay();
-            return countOnly && way == CountingPolicy.Mode.ESTIMATE
+        private CountingPolicy.Mode countingMode() {
+            CountingPolicy.Mode mode = measurement.countingMode();
+            return countOnly && mode == CountingPolicy.Mode.ESTIMATE
                     ? CountingPolicy.Mode.WORKER
-                    : way;
+                    : mode;
         }
 
-        private void finishMeasurement(boolean onWorker) {
-            CountingPolicy.Mode way = countingWay();
-            if (way == CountingPolicy.Mode.INLINE
-                    || (onWorker && way == CountingPolicy.Mode.WORKER)) {
-                measurement.finish();
+        private void countIfAllowed(boolean onWorker) {
+            CountingPolicy.Mode mode = countingMode();
+            if (mode == CountingPolicy.Mode.INLINE
+                    || (onWorker && mode == CountingPolicy.Mode.WORKER)) {
+                measurement.countMissing();
             }
         }
 
@@ -265,8 +265,8 @@
          * Runs work on a worker thread, then continues on the event loop unless the exchange has
          * ended by then.
          */
-        private void runOnWorker(double expectedMs, Callable<MessagesReader.Body> work) {
-            Promise<MessagesReader.Body> done = Promise.promise();
+        private void runOnWorker(double expectedMs, Callable<MessagesParser.Body> work) {
+            Promise<MessagesParser.Body> done = Promise.promise();
             long timeoutTimer =
                     router.vertx()
                             .setTimer(
@@ -280,7 +280,7 @@
                                     return;
                                 }
                                 try {
-                                    MessagesReader.Body parsed = work.call();
+                                    MessagesParser.Body parsed = work.call();
                                     router.loop().runOnContext(v -> done.tryComplete(parsed));
                                 } catch (Exception e) {
                                     router.loop().runOnContext(v -> done.tryFail(e));
@@ -311,9 +311,9 @@
                             });
         }
 
-        private void countOrSubmit(MessagesReader.Body parsed) throws ApiException {
+        private void countOrSubmit(MessagesParser.Body parsed) throws ApiException {
             PromptLengths.Measurement current = measurement;
-            MessagesReader.Body body =
+            MessagesParser.Body body =
                     current == null ? parsed : lengths.withLengths(current, countOnly);
             if (countOnly) {
                 request.response()
--- a/src/main/java/larchridge/messages/MessagesReader.java
+++ b/src/main/java/larchridge/messages/MessagesParser.java
@@ -23,7 +23,7 @@
  * tools, then system, then the turns, so that bodies that begin alike give prompts that begin
  * alike.
  */
-final class MessagesReader {
+final class MessagesParser {
     private static final int MAX_TOOLS = 512;
     private static final int MAX_STOP_SEQUENCES = 64;
     private static final Set<String> BLOCK_TYPES =
@@ -83,7 +83,7 @@
      */
     record CountInput(String prompt, int sharedChars, int images, int sharedImages, int messages) {}
 
-    MessagesReader(Site site) {
+    MessagesParser(Site site) {
         this.site = site;
         SiteLimits limits = site.limits;
         JsonFactory factory =
@@ -104,16 +104,16 @@
         mapper = new ObjectMapper(factory).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     }
 
-    Body read(byte[] bytes) throws ApiException {
-        return read(bytes, false);
+    Body parse(byte[] bytes) throws ApiException {
+        return parse(bytes, false);
     }
 
     /** Parses a body; {@code max_tokens} is not required if its tokens are only counted. */
-    Body read(byte[] bytes, boolean countOnly) throws ApiException {
-        return read(parse(bytes), countOnly, 1);
+    Body parse(byte[] bytes, boolean countOnly) throws ApiException {
+        return parse(parseJson(bytes), countOnly, 1);
     }
 
-    JsonNode parse(byte[] bytes) throws ApiException {
+    JsonNode parseJson(byte[] bytes) throws ApiException {
         try {
             return mapper.readTree(bytes);
         } catch (JsonProcessingException e) {
@@ -131,7 +131,7 @@
         }
     }
 
-    Body read(JsonNode root, boolean countOnly, double maxTemperature) throws ApiException {
+    Body parse(JsonNode root, boolean countOnly, double maxTemperature) throws ApiException {
         if (root == null || !root.isObject()) {
             throw ApiException.invalid("body: expected a JSON object");
         }
@@ -154,7 +154,7 @@
         renderTools(root.path("tools"), rendered);
         checkToolChoice(root.path("tool_choice"), root.has("tools"));
         renderSystem(root.path("system"), rendered);
-        rendered.markSystemEnd();
+        rendered.markMessagesStart();
         String assistantHeader = renderMessages(root.path("messages"), rendered);
         checkMetadata(root.path("metadata"));
         AttemptRequest.Sampling sampling =
@@ -182,7 +182,7 @@
                         : Site.sha256(prompt.substring(0, rendered.lastAssistantStart)),
                 Site.sha256(prompt),
                 stream,
-                offering.measure.vocabulary() == null
+                offering.lengthSettings.vocabulary() == null
                         ? null
                         : new CountInput(
                                 rendered.withoutImages(prompt + assistantHeader),
@@ -204,7 +204,7 @@
     /** The prompt while it is rendered, with the offsets that delimit shared prefix and turns. */
     private static final class RenderedPrompt {
         final StringBuilder text = new StringBuilder();
-        int systemEnd;
+        int messagesStart;
         int cacheControlEnd;
         int firstTurnEnd;
         int lastAssistantStart = -1;
@@ -245,8 +245,8 @@
             return count;
         }
 
-        void markSystemEnd() {
-            systemEnd = text.length();
+        void markMessagesStart() {
+            messagesStart = text.length();
         }
 
         /**
@@ -255,7 +255,7 @@
          * as the conversation grows and end no prefix that other sessions share.
          */
         int sharedEnd() {
-            return systemEnd > 0 ? systemEnd : Math.min(cacheControlEnd, firstTurnEnd);
+            return messagesStart > 0 ? messagesStart : Math.min(cacheControlEnd, firstTurnEnd);
         }
     }
 
--- a/src/main/java/larchridge/messages/MessagesResponseSink.java
+++ b/src/main/java/larchridge/messages/MessagesResponseSink.java
@@ -15,7 +15,7 @@
     private final Router router;
     private final HttpServerResponse response;
     private final String requestId;
-    private final MessagesReader.Body body;
+    private final MessagesParser.Body body;
     private InFlightRequest inFlightRequest;
     private boolean waitingForDrain;
     private ObjectNode message;
@@ -36,7 +36,7 @@
             Router router,
             HttpServerResponse response,
             String requestId,
-            MessagesReader.Body body) {
+            MessagesParser.Body body) {
         this.router = router;
         this.response = response;
         this.requestId = requestId;
@@ -72,7 +72,7 @@
                 .append(MessageEvents.messageStart(message))
                 .append(MessageEvents.contentBlockStart())
                 .append(MessageEvents.ping());
-        ping();
+        startPings();
     }
 
     @Override
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public void completed(AnswerSummary completion) {
+    public void completed(AnswerSummary summary) {
         stopPings();
         if (isDisconnected()) {
             return;
@@ -152,7 +152,7 @@
             response.end(
                     pendingEvents
                             + MessageEvents.contentBlockStop()
-                            + MessageEvents.messageDelta(completion)
+                            + MessageEvents.messageDelta(summary)
                             + MessageEvents.messageStop());
             clearPending();
             return;
@@ -170,7 +170,7 @@
         response.setStatusCode(200)
                 .putHeader("content-type", "application/json")
                 .end(
-                        MessageEvents.withResponse(message, responseText.toString(), completion)
+                        MessageEvents.withResponse(message, responseText.toString(), summary)
                                 .toString());
     }
 
@@ -244,7 +244,7 @@
         }
     }
 
-    private void ping() {
+    private void startPings() {
         pingTimer =
                 router.vertx()
                         .setPeriodic(
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -34,20 +34,20 @@
 
     /** The measurement of one body; it may be created and finished on any thread. */
     final class Measurement {
-        final MessagesReader.Body body;
-        private final PromptLengthSettings measure;
+        final MessagesParser.Body body;
+        private final PromptLengthSettings lengthSettings;
         private final CountingStatistics rate;
         private final TokenCountTask counting;
 
-        Measurement(MessagesReader.Body body) {
+        Measurement(MessagesParser.Body body) {
             this.body = body;
-            measure = body.offering().measure;
-            rate = counters.statistics(measure.vocabulary());
+            lengthSettings = body.offering().lengthSettings;
+            rate = counters.statistics(lengthSettings.vocabulary());
             counting =
                     new TokenCountTask(
                             body.countInput().prompt(),
                             body.countInput().sharedChars(),
-                            measure.vocabulary(),
+                            lengthSettings.vocabulary(),
                             counters.cache);
         }
 
@@ -55,7 +55,7 @@
             return rate.expectedMs(counting.charsToCount());
         }
 
-        CountingPolicy.Mode countingWay() {
+        CountingPolicy.Mode countingMode() {
             return CountingPolicy.choose(
                     costMs(),
                     counters.workers.expectedWaitMs(),
@@ -64,7 +64,7 @@
                     body.offering().product.sloMs);
         }
 
-        boolean finish() {
+        boolean countMissing() {
             return counting.countMissing(rate);
         }
 
@@ -78,30 +78,30 @@
         }
 
         int extraTokens() {
-            return body.countInput().images() * measure.imageTokens()
-                    + body.countInput().messages() * measure.messageTokens();
+            return body.countInput().images() * lengthSettings.imageTokens()
+                    + body.countInput().messages() * lengthSettings.messageTokens();
         }
     }
 
     /** Returns the body with its measured lengths. Runs on the router's loop. */
-    MessagesReader.Body withLengths(Measurement measurement, boolean countOnly)
+    MessagesParser.Body withLengths(Measurement measurement, boolean countOnly)
             throws ApiException {
         TokenCount count = measurement.count();
-        MessagesReader.Body body = measurement.body;
-        PromptLengthSettings measure = measurement.measure;
+        MessagesParser.Body body = measurement.body;
+        PromptLengthSettings lengthSettings = measurement.lengthSettings;
         double factor = correctionOf(body.engineModel()).factor();
         int tokens = (int) Math.round(factor * (count.tokens() + measurement.extraTokens()));
         // Guards against: an estimate or a correction that is off must not reject a prompt that
         // fits. Only what certainly does not fit is rejected.
         long minTokens = count.exact() ? tokens : count.lowerBound();
-        if (!countOnly && minTokens + body.maxTokens() > measure.windowTokens()) {
+        if (!countOnly && minTokens + body.maxTokens() > lengthSettings.windowTokens()) {
             throw ApiException.invalid(
                     "prompt is too long: "
                             + minTokens
                             + " tokens and max_tokens "
                             + body.maxTokens()
                             + " > "
-                            + measure.windowTokens()
+                            + lengthSettings.windowTokens()
                             + " maximum");
         }
         int sharedPrefixTokens =
@@ -117,7 +117,7 @@
                                                                                 .tokensPerChar())
                                                                 .tokens()
                                                         + body.countInput().sharedImages()
-                                                                * measure.imageTokens()));
+                                                                * lengthSettings.imageTokens()));
         return body.withTokens(tokens, sharedPrefixTokens);
     }
 
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -358,10 +358,10 @@
                             metrics,
                             ledger);
             initialUsage.forEach(
-                    (line, total) ->
+                    (key, total) ->
                             router.restoreUsage(
-                                    line.tenant(),
-                                    line.product(),
+                                    key.tenant(),
+                                    key.product(),
                                     (double) (total.promptTokens() + total.outputTokens())));
             router.endpointsChanged(initialEngines);
             routers.add(router);
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -16,7 +16,7 @@
     public final double timeLimitMs;
     public final double timeLimitMsPerPromptToken;
     public final int maxTokens;
-    public final PromptLengthSettings measure;
+    public final PromptLengthSettings lengthSettings;
 
     /** Whether its generations are batch work, which no client waits for. */
     public final boolean isBatch;
@@ -29,7 +29,7 @@
             double timeLimitMs,
             double timeLimitMsPerPromptToken,
             int maxTokens,
-            PromptLengthSettings measure) {
+            PromptLengthSettings lengthSettings) {
         this(
                 product,
                 borrowedProduct,
@@ -37,7 +37,7 @@
                 timeLimitMs,
                 timeLimitMsPerPromptToken,
                 maxTokens,
-                measure,
+                lengthSettings,
                 false);
     }
 
@@ -48,7 +48,7 @@
             double timeLimitMs,
             double timeLimitMsPerPromptToken,
             int maxTokens,
-            PromptLengthSettings measure,
+            PromptLengthSettings lengthSettings,
             boolean isBatch) {
         this.isBatch = isBatch;
         this.product = product;
@@ -57,7 +57,7 @@
         this.timeLimitMs = timeLimitMs;
         this.timeLimitMsPerPromptToken = timeLimitMsPerPromptToken;
         this.maxTokens = maxTokens;
-        this.measure = measure;
+        this.lengthSettings = lengthSettings;
     }
 
     /** Returns this offering as batch work, with its revenue multiplied by a factor. */
@@ -91,7 +91,7 @@
                 attemptTimeoutMs,
                 timeLimitMsPerPromptToken,
                 maxTokens,
-                measure,
+                lengthSettings,
                 true);
     }
 
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -196,7 +196,7 @@
                             section.number("time_limit_ms", Double.NaN, 1, 1e7),
                             section.number("time_limit_ms_per_1000_tokens", 0, 0, 1e6) / 1000,
                             (int) section.number("most_tokens", 4096, 1, 1e7),
-                            readMeasure(section, text, vocabularies));
+                            readPromptLengthSettings(section, text, vocabularies));
             if (offering.timeLimitMs < product.sloMs) {
                 section.addError(
                         "time_limit_ms",
@@ -217,7 +217,7 @@
         }
     }
 
-    private PromptLengthSettings readMeasure(
+    private PromptLengthSettings readPromptLengthSettings(
             Section section, ProductText text, Map<String, Vocabulary> vocabularies) {
         Vocabulary vocabulary = vocabularies.get(text.getVocabulary());
         if (vocabulary == null
--- a/src/test/java/larchridge/messages/MessagesReaderTest.java
+++ b/src/test/java/larchridge/messages/MessagesParserTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class MessagesReaderTest {
-    private MessagesReader reader;
+class MessagesParserTest {
+    private MessagesParser parser;
 
     @BeforeEach
     void site() throws InvalidSiteException {
-        reader =
-                new MessagesReader(
+        parser =
+                new MessagesParser(
                         SiteReader.read(
                                 "s",
                                 """
@@ -33,8 +33,8 @@
                                 Path.of("/x")));
     }
 
-    private MessagesReader.Body read(String json) throws ApiException {
-        return reader.read(json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    private MessagesParser.Body parse(String json) throws ApiException {
+        return parser.parse(json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @ParameterizedTest
@@ -68,24 +68,24 @@
                 "{'model':'m','max_tokens':1,'x':[[[[[[[[[[[[1]]]]]]]]]]]],'messages':[]}|body: not valid JSON"
             })
     void errorNamesItsField(String json, String expected) {
-        ApiException exception = assertThrows(ApiException.class, () -> read(json));
+        ApiException exception = assertThrows(ApiException.class, () -> parse(json));
         assertEquals(400, exception.status);
         assertTrue(exception.getMessage().startsWith(expected), exception.getMessage());
     }
 
     @Test
     void unknownModelIsNotFound() {
-        assertEquals(404, assertThrows(ApiException.class, () -> read("{'model':'z'}")).status);
+        assertEquals(404, assertThrows(ApiException.class, () -> parse("{'model':'z'}")).status);
     }
 
     @Test
     void previousTurnDigestMatchesThePreviousTurn() throws ApiException {
-        MessagesReader.Body first =
-                read(
+        MessagesParser.Body first =
+                parse(
                         "{'model':'m','max_tokens':1,'system':'s','messages':["
                                 + "{'role':'user','content':'hola'}]}");
-        MessagesReader.Body second =
-                read(
+        MessagesParser.Body second =
+                parse(
                         "{'model':'m','max_tokens':1,'system':'s','messages':["
                                 + "{'role':'user','content':'hola'},{'role':'assistant','content':'x'},{'role':'user','content':'y'}]}");
         assertNull(first.previousTurnDigest());
@@ -103,17 +103,17 @@
                 "{'model':'m','max_tokens':1,'messages':[{'role':'user','content':["
                         + "{'type':'text','text':'shared','cache_control':{'type':'ephemeral'}},{'type':'text','text':'%s'}]}]}";
         assertEquals(
-                read(marked.formatted("a")).sharedPrefixId(),
-                read(marked.formatted("b")).sharedPrefixId());
+                parse(marked.formatted("a")).sharedPrefixId(),
+                parse(marked.formatted("b")).sharedPrefixId());
         assertNull(
-                read("{'model':'m','max_tokens':1,'messages':[{'role':'user','content':'a'}]}")
+                parse("{'model':'m','max_tokens':1,'messages':[{'role':'user','content':'a'}]}")
                         .sharedPrefixId());
     }
 
     @Test
     void toolsAndTheirResultsReachThePrompt() throws ApiException {
-        MessagesReader.Body body =
-                read(
+        MessagesParser.Body body =
+                parse(
                         "{'model':'m','max_tokens':1,'tools':[{'name':'t','input_schema':{}}],"
                                 + "'messages':[{'role':'user','content':'q'},{'role':'assistant','content':[{'type':'tool_use',"
                                 + "'id':'u1','name':'t','input':{'a':1}}]},{'role':'user','content':[{'type':'tool_result',"
