--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -600,7 +600,7 @@
                             BatchLineCodec.errorBody(endpoint, e)));
             return;
         }
-        Effect effect = generationRequest.offering().product.effect;
+        Effect effect = generationRequest.offering().trafficClass.effect;
         if (task.mayHaveRun
                 && retryPolicy.retryDelayMs(
                                 BatchRetryPolicy.Outcome.PROCESS_ENDED, effect, task.attempts, 0, 0)
@@ -646,7 +646,7 @@
                 body,
                 isChat ? 2 : 1,
                 tenant,
-                offering -> offering.asBatch(settings.revenueFactor, settings.lineTimeoutMs),
+                offering -> offering.asBatch(settings.revenueFactor, settings.attemptTimeoutMs),
                 idempotencyKey);
     }
 
@@ -747,7 +747,7 @@
                 scheduleRetry(
                         retryPolicy.retryDelayMs(
                                 outcome,
-                                generationRequest.offering().product.effect,
+                                generationRequest.offering().trafficClass.effect,
                                 task.attempts,
                                 task.timesRejected,
                                 retryAfterMs));
@@ -762,7 +762,7 @@
             double delayMs =
                     retryPolicy.retryDelayMs(
                             BatchRetryPolicy.Outcome.TERMINATED,
-                            generationRequest.offering().product.effect,
+                            generationRequest.offering().trafficClass.effect,
                             task.attempts,
                             0,
                             0);
@@ -773,7 +773,7 @@
             addRecord(
                     task,
                     false,
-                    generationRequest.offering().product.effect == Effect.IDEMPOTENT
+                    generationRequest.offering().trafficClass.effect == Effect.IDEMPOTENT
                             ? BatchLineCodec.errorRecord(
                                     lineId,
                                     lineRequest.customId(),
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -61,7 +61,7 @@
                     counters.workers.expectedWaitMs(),
                     rate.tokensPerChar() * counting.charsToCount(),
                     READER_TOKENS_PER_MS,
-                    body.offering().product.sloMs);
+                    body.offering().trafficClass.sloMs);
         }
 
         boolean countMissing() {
--- a/src/main/java/larchridge/node/NodeAssembler.java
+++ b/src/main/java/larchridge/node/NodeAssembler.java
@@ -127,11 +127,11 @@
 
     private Site site() {
         Site site = Site.ofRoutingSettings(settings.routing());
-        site.releaseMs = settings.maxStateHoldMs();
+        site.maxStateHoldMs = settings.maxStateHoldMs();
         site.drainGraceMs = settings.drainGraceMs();
-        site.limits.maxOpenGenerations =
+        site.limits.maxOpenExchanges =
                 (int) Math.max(MIN_OPEN_GENERATIONS, bodyMemoryBytes / BYTES_PER_GENERATION);
-        site.limits.slowClientTimeoutMs = PAUSED_STREAM_TIMEOUT_MS;
+        site.limits.pausedStreamTimeoutMs = PAUSED_STREAM_TIMEOUT_MS;
         site.limits.streamIdleTimeoutMs = SILENT_STREAM_TIMEOUT_MS;
         site.limits.shutdownTimeoutMs = STOP_TIMEOUT_MULTIPLE * longestTimeLimitMs();
         return site;
--- a/src/main/java/larchridge/node/NodeWarmup.java
+++ b/src/main/java/larchridge/node/NodeWarmup.java
@@ -87,11 +87,11 @@
 
     private static Site site(DeploymentSettings settings) {
         Site site = Site.ofRoutingSettings(settings.routing());
-        site.limits.maxOpenGenerations = MAX_OPEN_GENERATIONS;
-        site.limits.slowClientTimeoutMs = NO_TIMEOUT_MS;
+        site.limits.maxOpenExchanges = MAX_OPEN_GENERATIONS;
+        site.limits.pausedStreamTimeoutMs = NO_TIMEOUT_MS;
         site.limits.streamIdleTimeoutMs = NO_TIMEOUT_MS;
         site.limits.shutdownTimeoutMs = NO_TIMEOUT_MS;
-        site.releaseMs = settings.maxStateHoldMs();
+        site.maxStateHoldMs = settings.maxStateHoldMs();
         return site;
     }
 
--- a/src/main/java/larchridge/node/server/RequestDispatcher.java
+++ b/src/main/java/larchridge/node/server/RequestDispatcher.java
@@ -148,7 +148,7 @@
         }
         try {
             server.events.accepted(
-                    parameters.id(), offering.product, forwarded.firstTokenDeadlineMs());
+                    parameters.id(), offering.trafficClass, forwarded.firstTokenDeadlineMs());
             server.router.submit(
                     GenerationRequest.forwarding(
                             offering,
--- a/src/main/java/larchridge/router/AdmissionController.java
+++ b/src/main/java/larchridge/router/AdmissionController.java
@@ -63,7 +63,7 @@
         boolean ledgerBehind = usageRecorder.isBehind();
         if (shutdown.isStopping()
                 || ledgerBehind
-                || shutdown.exchanges() >= context.site.limits.maxOpenGenerations) {
+                || shutdown.exchanges() >= context.site.limits.maxOpenExchanges) {
             String reason =
                     shutdown.isStopping() ? "stopping" : ledgerBehind ? "ledger" : "too_many";
             context.metrics.exchangeNotAdmitted(context.routerNumber, reason);
@@ -97,7 +97,7 @@
     private BudgetDecision checkBudget(GenerationRequest generationRequest) {
         return budgets.requestAdmission(
                 generationRequest.tenant().name(),
-                generationRequest.offering().product.name,
+                generationRequest.offering().trafficClass.name,
                 estimatedTokens(generationRequest),
                 context.nowMs());
     }
@@ -118,7 +118,7 @@
         QuotaRequest quotaRequest =
                 budgets.quotaRequestFor(
                         generationRequest.tenant().name(),
-                        generationRequest.offering().product.name,
+                        generationRequest.offering().trafficClass.name,
                         estimatedTokens(generationRequest),
                         context.nowMs());
         if (quotaRequest == null) {
@@ -173,7 +173,7 @@
             BudgetDecision decision) {
         context.metrics.requestFinished(
                 context.routerNumber,
-                generationRequest.offering().product.name,
+                generationRequest.offering().trafficClass.name,
                 "over_budget",
                 Double.NaN);
         LOG.atDebug()
@@ -200,8 +200,8 @@
                 new Generation(
                         generationIdOf(generationRequest),
                         decision.charge().isBorrowed()
-                                ? offering.borrowedProduct
-                                : offering.product,
+                                ? offering.borrowedTrafficClass
+                                : offering.trafficClass,
                         tenantQuotaOf(generationRequest.tenant()),
                         sessions.sessionOf(generationRequest),
                         sessions.sharedPrefixOf(generationRequest),
--- a/src/main/java/larchridge/router/FinalResponseSender.java
+++ b/src/main/java/larchridge/router/FinalResponseSender.java
@@ -73,7 +73,7 @@
     /** Counts the end of a request whose client disconnected or does not read its response. */
     void recordAborted(InFlightRequest request, String kind) {
         context.metrics.requestFinished(
-                context.routerNumber, request.offering().product.name, kind, Double.NaN);
+                context.routerNumber, request.offering().trafficClass.name, kind, Double.NaN);
     }
 
     private void recordFinalResponse(InFlightRequest request, String kind) {
--- a/src/main/java/larchridge/router/GracefulShutdown.java
+++ b/src/main/java/larchridge/router/GracefulShutdown.java
@@ -52,7 +52,7 @@
         if (onStopped != null && exchanges == 0 && context.requests.isEmpty()) {
             Runnable whenStopped = onStopped;
             onStopped = null;
-            double releaseMs = context.site.releaseMs;
+            double releaseMs = context.site.maxStateHoldMs;
             context.scheduler.schedule(
                     Math.min(RELEASE_GRACE_MS, releaseMs),
                     () -> closeUpstream(context.nowMs() + releaseMs, whenStopped));
--- a/src/main/java/larchridge/router/RequestTimeouts.java
+++ b/src/main/java/larchridge/router/RequestTimeouts.java
@@ -75,7 +75,7 @@
         double sinceMs = context.nowMs();
         request.pauseStream(sinceMs);
         context.scheduler.schedule(
-                context.site.limits.slowClientTimeoutMs,
+                context.site.limits.pausedStreamTimeoutMs,
                 () -> {
                     // Guards against: a client that never reads its response would occupy its
                     // writer's memory indefinitely.
--- a/src/main/java/larchridge/router/ResponseDeadlines.java
+++ b/src/main/java/larchridge/router/ResponseDeadlines.java
@@ -44,7 +44,7 @@
         double completionMs =
                 Math.min(
                                 productDeadlineMs
-                                        + maxTokens * offering.product.targetTokenIntervalMs,
+                                        + maxTokens * offering.trafficClass.targetTokenIntervalMs,
                                 clientTimeoutMs)
                         - DELIVERY_MARGIN_MS;
         return new ResponseDeadlines(
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -86,9 +86,9 @@
         }
         counters =
                 new CountingResources(
-                        site.limits.countCacheBytes,
-                        site.limits.countThreads,
-                        site.limits.maxWaitingCounts,
+                        site.limits.tokenCountCacheBytes,
+                        site.limits.tokenCountThreads,
+                        site.limits.maxQueuedTokenCounts,
                         site.limits.bytesPerToken);
         RouterMetrics.registerTokenCountCache(
                 registry, counters.cache::size, counters.cache::hits, counters.cache::misses);
--- a/src/main/java/larchridge/site/BatchSettings.java
+++ b/src/main/java/larchridge/site/BatchSettings.java
@@ -14,7 +14,7 @@
     public long maxTenantFiles;
     public int maxOpenLines;
     public int maxAttempts;
-    public double lineTimeoutMs;
+    public double attemptTimeoutMs;
 
     /** Revenue of a queued line, relative to 1 for a request of its product. */
     public double revenueFactor;
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -5,15 +5,15 @@
 
 /** A product as clients request it: its traffic classes, engine model, time limit and lengths. */
 public final class ProductOffering {
-    public final TrafficClass product;
+    public final TrafficClass trafficClass;
 
     /** The product for a tenant over its own budget; it has a lower revenue while it is queued. */
-    public final TrafficClass borrowedProduct;
+    public final TrafficClass borrowedTrafficClass;
 
     /** The model's name at the engines, or empty if it is the one that clients use. */
     public final String engineModel;
 
-    public final double timeLimitMs;
+    public final double fixedTimeLimitMs;
     public final double timeLimitMsPerPromptToken;
     public final int maxTokens;
     public final PromptLengthSettings lengthSettings;
@@ -23,18 +23,18 @@
 
     /** Creates an offering for requests that clients wait for. */
     public ProductOffering(
-            TrafficClass product,
-            TrafficClass borrowedProduct,
+            TrafficClass trafficClass,
+            TrafficClass borrowedTrafficClass,
             String engineModel,
-            double timeLimitMs,
+            double fixedTimeLimitMs,
             double timeLimitMsPerPromptToken,
             int maxTokens,
             PromptLengthSettings lengthSettings) {
         this(
-                product,
-                borrowedProduct,
+                trafficClass,
+                borrowedTrafficClass,
                 engineModel,
-                timeLimitMs,
+                fixedTimeLimitMs,
                 timeLimitMsPerPromptToken,
                 maxTokens,
                 lengthSettings,
@@ -42,19 +42,19 @@
     }
 
     private ProductOffering(
-            TrafficClass product,
-            TrafficClass borrowedProduct,
+            TrafficClass trafficClass,
+            TrafficClass borrowedTrafficClass,
             String engineModel,
-            double timeLimitMs,
+            double fixedTimeLimitMs,
             double timeLimitMsPerPromptToken,
             int maxTokens,
             PromptLengthSettings lengthSettings,
             boolean isBatch) {
         this.isBatch = isBatch;
-        this.product = product;
-        this.borrowedProduct = borrowedProduct;
+        this.trafficClass = trafficClass;
+        this.borrowedTrafficClass = borrowedTrafficClass;
         this.engineModel = engineModel;
-        this.timeLimitMs = timeLimitMs;
+        this.fixedTimeLimitMs = fixedTimeLimitMs;
         this.timeLimitMsPerPromptToken = timeLimitMsPerPromptToken;
         this.maxTokens = maxTokens;
         this.lengthSettings = lengthSettings;
@@ -62,31 +62,31 @@
 
     /** Returns this offering as batch work, with its revenue multiplied by a factor. */
     public ProductOffering asBatch(double revenueFactor, double attemptTimeoutMs) {
-        TrafficClass batchProduct =
+        TrafficClass batchTrafficClass =
                 new TrafficClass(
-                        product.name,
-                        product.effect,
-                        product.deduplicationScope,
-                        product.deduplicationWindowMs,
-                        product.revenue * revenueFactor,
+                        trafficClass.name,
+                        trafficClass.effect,
+                        trafficClass.deduplicationScope,
+                        trafficClass.deduplicationWindowMs,
+                        trafficClass.revenue * revenueFactor,
                         1,
                         attemptTimeoutMs / 2,
-                        product.sloMsPerToken,
-                        product.targetTokenIntervalMs);
-        TrafficClass borrowedBatchProduct =
+                        trafficClass.sloMsPerToken,
+                        trafficClass.targetTokenIntervalMs);
+        TrafficClass borrowedBatchTrafficClass =
                 new TrafficClass(
-                        product.name,
-                        product.effect,
-                        product.deduplicationScope,
-                        product.deduplicationWindowMs,
-                        borrowedProduct.revenue * revenueFactor,
+                        trafficClass.name,
+                        trafficClass.effect,
+                        trafficClass.deduplicationScope,
+                        trafficClass.deduplicationWindowMs,
+                        borrowedTrafficClass.revenue * revenueFactor,
                         1,
                         attemptTimeoutMs / 2,
-                        product.sloMsPerToken,
-                        product.targetTokenIntervalMs);
+                        trafficClass.sloMsPerToken,
+                        trafficClass.targetTokenIntervalMs);
         return new ProductOffering(
-                batchProduct,
-                borrowedBatchProduct,
+                batchTrafficClass,
+                borrowedBatchTrafficClass,
                 engineModel,
                 attemptTimeoutMs,
                 timeLimitMsPerPromptToken,
@@ -97,6 +97,6 @@
 
     /** How long a client waits for the first token of a prompt of this length. */
     public double timeLimitMs(int promptTokens) {
-        return timeLimitMs + timeLimitMsPerPromptToken * promptTokens;
+        return fixedTimeLimitMs + timeLimitMsPerPromptToken * promptTokens;
     }
 }
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -33,7 +33,7 @@
     public Path engineListFile;
     public double engineListPollMs;
     public double drainGraceMs;
-    public double releaseMs;
+    public double maxStateHoldMs;
     public final SiteLimits limits = new SiteLimits();
     public final Map<String, ProductOffering> offeringsByModel = new HashMap<>();
 
--- a/src/main/java/larchridge/site/SiteLimits.java
+++ b/src/main/java/larchridge/site/SiteLimits.java
@@ -2,18 +2,18 @@
 
 /** Limits of listeners, requests and engine connections. Times are milliseconds, sizes bytes. */
 public final class SiteLimits {
-    public int maxOpenGenerations;
+    public int maxOpenExchanges;
     public int maxConnections;
-    public long countCacheBytes;
-    public int countThreads;
-    public int maxWaitingCounts;
+    public long tokenCountCacheBytes;
+    public int tokenCountThreads;
+    public int maxQueuedTokenCounts;
     public long maxBodyBytes;
     public int maxHeaderBytes;
     public int maxNesting;
     public int maxMessages;
     public double bodyTimeoutMs;
     public double idleConnectionTimeoutMs;
-    public double slowClientTimeoutMs;
+    public double pausedStreamTimeoutMs;
     public double pingIntervalMs;
     public double streamIdleTimeoutMs;
     public double shutdownTimeoutMs;
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -19,12 +19,12 @@
 import java.util.Set;
 import larchridge.budget.BudgetLimits;
 import larchridge.ledger.Price;
-import larchridge.site.form.EffectText;
-import larchridge.site.form.ProductText;
-import larchridge.site.form.SiteText;
-import larchridge.site.form.SpanText;
-import larchridge.site.form.TenantText;
-import larchridge.site.form.VocabularyText;
+import larchridge.site.proto.DeduplicationSpan;
+import larchridge.site.proto.ProductConfig;
+import larchridge.site.proto.ProductEffect;
+import larchridge.site.proto.SiteConfig;
+import larchridge.site.proto.TenantConfig;
+import larchridge.site.proto.VocabularyConfig;
 import larchridge.state.DeduplicationScope;
 import larchridge.state.Effect;
 import larchridge.state.RoutingSettings;
@@ -69,12 +69,12 @@
     }
 
     private Site parse(String text) throws InvalidSiteException {
-        SiteText.Builder siteText = SiteText.newBuilder();
+        SiteConfig.Builder siteConfig = SiteConfig.newBuilder();
         try {
             TextFormat.Parser.newBuilder()
                     .setParseInfoTreeBuilder(parseInfo)
                     .build()
-                    .merge(text, siteText);
+                    .merge(text, siteConfig);
         } catch (TextFormat.ParseException e) {
             throw new InvalidSiteException(
                     List.of(
@@ -87,55 +87,55 @@
                                     + e.getMessage().replaceFirst("^\\d+:\\d+: ", "")));
         }
         locations = parseInfo.build();
-        Site site = toSite(siteText.build());
+        Site site = toSite(siteConfig.build());
         if (!errors.isEmpty()) {
             throw new InvalidSiteException(errors);
         }
         return site;
     }
 
-    private Site toSite(SiteText siteText) {
+    private Site toSite(SiteConfig siteConfig) {
         Site site = new Site();
-        Section root = new Section(locations, "", siteText);
+        Section root = new Section(locations, "", siteConfig);
         Section listen = root.section("listen", true);
         site.host = listen.string("host", "127.0.0.1");
         site.port = (int) listen.number("port", 8080, 0, 65535);
-        if (siteText.hasAdmin()) {
+        if (siteConfig.hasAdmin()) {
             Section admin = root.section("admin", true);
             site.adminHost = admin.string("host", "127.0.0.1");
             site.adminPort = (int) admin.number("port", 9090, 0, 65535);
         }
         site.routers = (int) root.number("fronts", 1, 1, 256);
-        site.portPerRouter = siteText.getOwnPorts();
-        site.seed = siteText.getSeed();
+        site.portPerRouter = siteConfig.getOwnPorts();
+        site.seed = siteConfig.getSeed();
         Section inventory = root.section("inventory", true);
         String engineList = inventory.string("file", null);
         site.engineListFile =
                 engineList == null || folder == null ? null : folder.resolve(engineList);
         site.engineListPollMs = inventory.number("poll_ms", 50, 5, 60_000);
-        readProducts(root, siteText, site);
-        readTenants(root, siteText, site);
-        readBudgets(root, siteText, site);
+        readProducts(root, siteConfig, site);
+        readTenants(root, siteConfig, site);
+        readBudgets(root, siteConfig, site);
         readLimits(root.section("limits", false), site.limits);
-        readEngineSettings(root, siteText, site);
-        if (siteText.hasBatch()) {
+        readEngineSettings(root, siteConfig, site);
+        if (siteConfig.hasBatch()) {
             site.batchSettings = readBatchSettings(root.section("batch", true), site.limits);
         }
         return site;
     }
 
-    private void readProducts(Section root, SiteText siteText, Site site) {
-        if (siteText.getProductCount() == 0) {
+    private void readProducts(Section root, SiteConfig siteConfig, Site site) {
+        if (siteConfig.getProductCount() == 0) {
             errors.add(fileName + ":1: product: missing; at least one is needed");
         }
         Map<String, Integer> lineOfModel = new HashMap<>();
-        Map<String, Vocabulary> vocabularies = readVocabularies(root, siteText);
-        for (int i = 0; i < siteText.getProductCount(); i++) {
-            ProductText text = siteText.getProduct(i);
-            Section section = root.repeatedSection("product", i, text);
+        Map<String, Vocabulary> vocabularies = readVocabularies(root, siteConfig);
+        for (int i = 0; i < siteConfig.getProductCount(); i++) {
+            ProductConfig productConfig = siteConfig.getProduct(i);
+            Section section = root.repeatedSection("product", i, productConfig);
             String name = section.string("name", null);
             Effect effect =
-                    switch (text.getEffect()) {
+                    switch (productConfig.getEffect()) {
                         case IDEMPOTENT -> Effect.IDEMPOTENT;
                         case DEDUPLICATED -> Effect.DEDUPLICATED;
                         case SIDE_EFFECTING -> Effect.SIDE_EFFECTING;
@@ -146,20 +146,20 @@
                             yield Effect.SIDE_EFFECTING;
                         }
                     };
-            boolean deduplicated = text.getEffect() == EffectText.DEDUPLICATED;
-            if (deduplicated && text.getDedupSpan() == SpanText.SPAN_UNSET) {
+            boolean deduplicated = productConfig.getEffect() == ProductEffect.DEDUPLICATED;
+            if (deduplicated && productConfig.getDedupSpan() == DeduplicationSpan.SPAN_UNSET) {
                 section.addError(
                         "dedup_span", "missing; a deduplicated product needs ALL, ZONE or RACK");
             }
             DeduplicationScope scope =
-                    switch (text.getDedupSpan()) {
+                    switch (productConfig.getDedupSpan()) {
                         case ALL -> DeduplicationScope.ALL;
                         case ZONE -> DeduplicationScope.ZONE;
                         default -> DeduplicationScope.RACK;
                     };
             double deduplicationWindowMs =
                     deduplicated ? section.number("dedup_memory_ms", Double.NaN, 1, 1e9) : 0;
-            TrafficClass product =
+            TrafficClass trafficClass =
                     new TrafficClass(
                             name,
                             effect,
@@ -171,17 +171,17 @@
                             section.number("slo_ms_per_1000_tokens", 0, 0, 1e6) / 1000,
                             section.number("token_ms", 60, 0.1, 1e5));
             double borrowedRevenueFactor = root.number("borrowed_revenue", 0.1, 0, 1);
-            TrafficClass borrowedProduct =
+            TrafficClass borrowedTrafficClass =
                     new TrafficClass(
                             name,
                             effect,
                             scope,
                             deduplicationWindowMs,
-                            product.revenue * borrowedRevenueFactor,
-                            product.lateRevenue,
-                            product.sloMs,
-                            product.sloMsPerToken,
-                            product.targetTokenIntervalMs);
+                            trafficClass.revenue * borrowedRevenueFactor,
+                            trafficClass.lateRevenue,
+                            trafficClass.sloMs,
+                            trafficClass.sloMsPerToken,
+                            trafficClass.targetTokenIntervalMs);
             site.prices.put(
                     name,
                     new Price(
@@ -190,22 +190,22 @@
                             section.price("price_answer")));
             ProductOffering offering =
                     new ProductOffering(
-                            product,
-                            borrowedProduct,
+                            trafficClass,
+                            borrowedTrafficClass,
                             section.string("engine_model", ""),
                             section.number("time_limit_ms", Double.NaN, 1, 1e7),
                             section.number("time_limit_ms_per_1000_tokens", 0, 0, 1e6) / 1000,
                             (int) section.number("most_tokens", 4096, 1, 1e7),
-                            readPromptLengthSettings(section, text, vocabularies));
-            if (offering.timeLimitMs < product.sloMs) {
+                            readPromptLengthSettings(section, productConfig, vocabularies));
+            if (offering.fixedTimeLimitMs < trafficClass.sloMs) {
                 section.addError(
                         "time_limit_ms",
-                        "is " + offering.timeLimitMs + ", under slo_ms " + product.sloMs);
+                        "is " + offering.fixedTimeLimitMs + ", under slo_ms " + trafficClass.sloMs);
             }
-            if (text.getModelCount() == 0) {
+            if (productConfig.getModelCount() == 0) {
                 section.addError("model", "missing; at least one is needed");
             }
-            for (String model : text.getModelList()) {
+            for (String model : productConfig.getModelList()) {
                 Integer otherLine = lineOfModel.put(model, section.lineOf("model"));
                 if (otherLine != null) {
                     section.addError(
@@ -218,14 +218,14 @@
     }
 
     private PromptLengthSettings readPromptLengthSettings(
-            Section section, ProductText text, Map<String, Vocabulary> vocabularies) {
-        Vocabulary vocabulary = vocabularies.get(text.getVocabulary());
+            Section section, ProductConfig productConfig, Map<String, Vocabulary> vocabularies) {
+        Vocabulary vocabulary = vocabularies.get(productConfig.getVocabulary());
         if (vocabulary == null
-                && !text.getVocabulary().isEmpty()
-                && !vocabularies.containsKey(text.getVocabulary())) {
+                && !productConfig.getVocabulary().isEmpty()
+                && !vocabularies.containsKey(productConfig.getVocabulary())) {
             section.addError(
                     "vocabulary",
-                    "'" + text.getVocabulary() + "' is not a vocabulary of this file");
+                    "'" + productConfig.getVocabulary() + "' is not a vocabulary of this file");
         }
         return new PromptLengthSettings(
                 vocabulary,
@@ -240,21 +240,21 @@
     }
 
     /** Reads the vocabularies by name; null for an invalid one, whose error is reported. */
-    private Map<String, Vocabulary> readVocabularies(Section root, SiteText siteText) {
+    private Map<String, Vocabulary> readVocabularies(Section root, SiteConfig siteConfig) {
         Map<String, Vocabulary> vocabularies = new HashMap<>();
-        for (int i = 0; i < siteText.getVocabularyCount(); i++) {
-            VocabularyText text = siteText.getVocabulary(i);
-            Section section = root.repeatedSection("vocabulary", i, text);
+        for (int i = 0; i < siteConfig.getVocabularyCount(); i++) {
+            VocabularyConfig vocabularyConfig = siteConfig.getVocabulary(i);
+            Section section = root.repeatedSection("vocabulary", i, vocabularyConfig);
             String name = section.string("name", null);
             if (vocabularies.containsKey(name)) {
                 section.addError("name", "'" + name + "' is the name of two vocabularies");
             }
-            if (text.getEncoding().isEmpty() == text.getFile().isEmpty()) {
+            if (vocabularyConfig.getEncoding().isEmpty() == vocabularyConfig.getFile().isEmpty()) {
                 section.addError("encoding", "expected either encoding or file");
                 continue;
             }
             PretokenizerPattern pattern =
-                    switch (text.getSplit()) {
+                    switch (vocabularyConfig.getSplit()) {
                         case GPT2 -> PretokenizerPattern.GPT2;
                         case CL100K -> PretokenizerPattern.CL100K;
                         case O200K -> PretokenizerPattern.O200K;
@@ -263,37 +263,38 @@
             try {
                 vocabularies.put(
                         name,
-                        !text.getEncoding().isEmpty()
-                                ? VocabularyReader.forEncoding(name, text.getEncoding())
+                        !vocabularyConfig.getEncoding().isEmpty()
+                                ? VocabularyReader.forEncoding(name, vocabularyConfig.getEncoding())
                                 : VocabularyReader.readFile(
                                         name,
                                         folder == null
-                                                ? Path.of(text.getFile())
-                                                : folder.resolve(text.getFile()),
+                                                ? Path.of(vocabularyConfig.getFile())
+                                                : folder.resolve(vocabularyConfig.getFile()),
                                         pattern));
             } catch (InvalidVocabularyException e) {
                 section.addError(
-                        text.getEncoding().isEmpty() ? "file" : "encoding", e.getMessage());
+                        vocabularyConfig.getEncoding().isEmpty() ? "file" : "encoding",
+                        e.getMessage());
                 vocabularies.put(name, null);
             }
         }
         return vocabularies;
     }
 
-    private void readTenants(Section root, SiteText siteText, Site site) {
+    private void readTenants(Section root, SiteConfig siteConfig, Site site) {
         Map<String, String> owners = new HashMap<>();
-        for (int i = 0; i < siteText.getTenantCount(); i++) {
-            TenantText text = siteText.getTenant(i);
-            Section section = root.repeatedSection("tenant", i, text);
+        for (int i = 0; i < siteConfig.getTenantCount(); i++) {
+            TenantConfig tenantConfig = siteConfig.getTenant(i);
+            Section section = root.repeatedSection("tenant", i, tenantConfig);
             Site.Tenant tenant =
                     new Site.Tenant(
                             section.string("name", null),
                             section.number("quota_per_second", 1e9, 0, 1e9),
                             section.number("batch_share", 1, 0.001, 1e6));
-            if (text.getKeySha256Count() == 0) {
+            if (tenantConfig.getKeySha256Count() == 0) {
                 section.addError("key_sha256", "missing; at least one is needed");
             }
-            for (String key : text.getKeySha256List()) {
+            for (String key : tenantConfig.getKeySha256List()) {
                 if (!key.matches("[0-9a-f]{64}")) {
                     section.addError("key_sha256", "is not 64 lower-case hex digits");
                 }
@@ -304,55 +305,57 @@
                 site.tenantsByKey.put(key, tenant);
             }
         }
-        if (!siteText.getGuest().isEmpty()) {
-            site.guest = new Site.Tenant(siteText.getGuest(), 1e9, 1);
-        } else if (siteText.getTenantCount() == 0) {
+        if (!siteConfig.getGuest().isEmpty()) {
+            site.guest = new Site.Tenant(siteConfig.getGuest(), 1e9, 1);
+        } else if (siteConfig.getTenantCount() == 0) {
             errors.add(
                     fileName
                             + ":1: tenant: missing; without tenant and guest all clients are rejected");
         }
     }
 
-    private void readBudgets(Section root, SiteText siteText, Site site) {
+    private void readBudgets(Section root, SiteConfig siteConfig, Site site) {
         site.serviceBudget = root.budget("budget");
         site.giveBackMs = root.number("give_back_ms", 500, 0, 1e7);
         site.currency = root.string("currency", "EUR");
-        Map<String, Double> rates = new HashMap<>();
-        for (int i = 0; i < siteText.getGroupCount(); i++) {
-            Section section = root.repeatedSection("group", i, siteText.getGroup(i));
+        Map<String, Double> rateSumsByParent = new HashMap<>();
+        for (int i = 0; i < siteConfig.getGroupCount(); i++) {
+            Section section = root.repeatedSection("group", i, siteConfig.getGroup(i));
             String name = section.string("name", null);
             BudgetLimits limits = section.budget("budget");
             if (site.groupBudgets.put(name, limits) != null) {
                 section.addError("name", "'" + name + "' is the name of two groups");
             }
-            checkRateSum(section, rates, "", limits, site.serviceBudget, "the service");
+            checkRateSum(section, rateSumsByParent, "", limits, site.serviceBudget, "the service");
         }
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < siteText.getTenantCount(); i++) {
-            TenantText text = siteText.getTenant(i);
-            Section section = root.repeatedSection("tenant", i, text);
-            if (!names.add(text.getName())) {
-                section.addError("name", "'" + text.getName() + "' is the name of two tenants");
+        for (int i = 0; i < siteConfig.getTenantCount(); i++) {
+            TenantConfig tenantConfig = siteConfig.getTenant(i);
+            Section section = root.repeatedSection("tenant", i, tenantConfig);
+            if (!names.add(tenantConfig.getName())) {
+                section.addError(
+                        "name", "'" + tenantConfig.getName() + "' is the name of two tenants");
             }
             BudgetLimits limits = section.budget("budget");
-            String group = text.getGroup().isEmpty() ? null : text.getGroup();
+            String group = tenantConfig.getGroup().isEmpty() ? null : tenantConfig.getGroup();
             if (group != null && !site.groupBudgets.containsKey(group)) {
                 section.addError("group", "'" + group + "' is not a group of this file");
                 group = null;
             }
             checkRateSum(
                     section,
-                    rates,
+                    rateSumsByParent,
                     group == null ? "" : "g" + group,
                     limits,
                     group == null ? site.serviceBudget : site.groupBudgets.get(group),
                     group == null ? "the service" : "group " + group);
             Map<String, BudgetLimits> productLimits = new LinkedHashMap<>();
-            for (int j = 0; j < text.getProductCount(); j++) {
-                Section productSection = section.repeatedSection("product", j, text.getProduct(j));
+            for (int j = 0; j < tenantConfig.getProductCount(); j++) {
+                Section productSection =
+                        section.repeatedSection("product", j, tenantConfig.getProduct(j));
                 String product = productSection.string("name", null);
                 if (site.offeringsByModel.values().stream()
-                        .noneMatch(o -> o.product.name.equals(product))) {
+                        .noneMatch(o -> o.trafficClass.name.equals(product))) {
                     productSection.addError(
                             "name", "'" + product + "' is not a product of this file");
                 }
@@ -360,18 +363,18 @@
                 productLimits.put(product, partLimits);
                 checkRateSum(
                         productSection,
-                        rates,
+                        rateSumsByParent,
                         "t" + i,
                         partLimits,
                         limits,
-                        "tenant " + text.getName());
+                        "tenant " + tenantConfig.getName());
             }
             site.tenantBudgets.add(
-                    new Site.TenantBudget(text.getName(), group, limits, productLimits));
+                    new Site.TenantBudget(tenantConfig.getName(), group, limits, productLimits));
         }
-        if (siteText.hasLeases()) {
+        if (siteConfig.hasLeases()) {
             Section section = root.section("leases", true);
-            site.isLender = siteText.getLeases().getLends();
+            site.isLender = siteConfig.getLeases().getLends();
             site.lenderHost =
                     section.string(
                             "host",
@@ -385,7 +388,7 @@
                         "lends", "needs an admin address, at which routers request leases");
             }
         }
-        if (siteText.hasLedger()) {
+        if (siteConfig.hasLedger()) {
             Section section = root.section("ledger", true);
             String folderName = section.string("folder", null);
             site.ledgerFolder = folder == null ? null : folder.resolve(folderName);
@@ -398,13 +401,13 @@
     /** Reports an error if the rates of the parts add up to more than the rate of the whole. */
     private void checkRateSum(
             Section section,
-            Map<String, Double> rates,
-            String ratesKey,
+            Map<String, Double> rateSumsByParent,
+            String parentKey,
             BudgetLimits partLimits,
             BudgetLimits wholeLimits,
             String wholeName) {
         if (partLimits.hasRateLimit() && wholeLimits.hasRateLimit()) {
-            double sum = rates.merge(ratesKey, partLimits.tokensPerMs(), Double::sum);
+            double sum = rateSumsByParent.merge(parentKey, partLimits.tokensPerMs(), Double::sum);
             if (sum > wholeLimits.tokensPerMs() * (1 + 1e-9)) {
                 section.addError(
                         "budget",
@@ -438,26 +441,26 @@
         settings.maxTenantFiles = (long) section.number("tenant_files", 20_000, 1, 1e9);
         settings.maxOpenLines = (int) section.number("open_lines", 256, 1, 100_000);
         settings.maxAttempts = (int) section.number("attempts", 3, 1, 100);
-        settings.lineTimeoutMs = section.number("line_ms", 30_000, 10, 1e7);
+        settings.attemptTimeoutMs = section.number("line_ms", 30_000, 10, 1e7);
         settings.revenueFactor = section.number("revenue", 0.02, 0, 1);
         settings.requestThreads = (int) section.number("threads", 16, 4, 1000);
-        if (settings.maxOpenLines > limits.maxOpenGenerations) {
+        if (settings.maxOpenLines > limits.maxOpenExchanges) {
             section.addError(
                     "open_lines",
                     "is "
                             + settings.maxOpenLines
                             + ", over limits.open_generations "
-                            + limits.maxOpenGenerations);
+                            + limits.maxOpenExchanges);
         }
         return settings;
     }
 
     private void readLimits(Section section, SiteLimits limits) {
-        limits.maxOpenGenerations = (int) section.number("open_generations", 10_000, 1, 1e7);
-        limits.countCacheBytes =
+        limits.maxOpenExchanges = (int) section.number("open_generations", 10_000, 1, 1e7);
+        limits.tokenCountCacheBytes =
                 (long) section.number("count_cache_bytes", 64 << 20, 1 << 16, 1e11);
-        limits.countThreads = (int) section.number("count_threads", 2, 1, 64);
-        limits.maxWaitingCounts = (int) section.number("count_waits", 2048, 1, 1e6);
+        limits.tokenCountThreads = (int) section.number("count_threads", 2, 1, 64);
+        limits.maxQueuedTokenCounts = (int) section.number("count_waits", 2048, 1, 1e6);
         limits.maxConnections = (int) section.number("connections", 20_000, 1, 1e7);
         limits.maxBodyBytes = (long) section.number("body_bytes", 32 << 20, 1000, 1 << 30);
         limits.maxHeaderBytes = (int) section.number("header_bytes", 16_384, 1000, 1 << 20);
@@ -465,7 +468,7 @@
         limits.maxMessages = (int) section.number("messages", 100_000, 1, 1e6);
         limits.bodyTimeoutMs = section.number("body_ms", 10_000, 10, 1e7);
         limits.idleConnectionTimeoutMs = section.number("idle_connection_ms", 120_000, 1000, 1e8);
-        limits.slowClientTimeoutMs = section.number("slow_client_ms", 10_000, 10, 1e7);
+        limits.pausedStreamTimeoutMs = section.number("slow_client_ms", 10_000, 10, 1e7);
         limits.pingIntervalMs = section.number("ping_ms", 5_000, 10, 1e7);
         limits.streamIdleTimeoutMs = section.number("quiet_stream_ms", 15_000, 10, 1e7);
         limits.shutdownTimeoutMs = section.number("stop_ms", 20_000, 0, 1e7);
@@ -473,7 +476,7 @@
         limits.bytesPerToken = section.number("bytes_per_token", 4, 0.5, 20);
     }
 
-    private void readEngineSettings(Section root, SiteText siteText, Site site) {
+    private void readEngineSettings(Section root, SiteConfig siteConfig, Site site) {
         Section section = root.section("engines", false);
         site.routingSettings =
                 RoutingSettings.builder()
@@ -487,11 +490,11 @@
                         .zone(root.string("zone", ""))
                         .maxAttempts((int) section.number("attempts", 5, 2, 100))
                         .cancellationAllowed(true)
-                        .probesAllowed(siteText.getEngines().getMayProbe())
-                        .hedgingAllowed(siteText.getEngines().getSecondCopies())
-                        .writersCanRead(siteText.getEngines().getWritersRead())
-                        .reportsWithAnswers(siteText.getEngines().getReportsWithAnswers())
-                        .reportsWithProbes(siteText.getEngines().getReportsWithProbes())
+                        .probesAllowed(siteConfig.getEngines().getMayProbe())
+                        .hedgingAllowed(siteConfig.getEngines().getSecondCopies())
+                        .writersCanRead(siteConfig.getEngines().getWritersRead())
+                        .reportsWithAnswers(siteConfig.getEngines().getReportsWithAnswers())
+                        .reportsWithProbes(siteConfig.getEngines().getReportsWithProbes())
                         .slowStartShare(section.number("cold_share", 0.3, 0.001, 1))
                         .slowStartMs(section.number("cold_ms", 15_000, 0, 1e7))
                         .overloadMultiple(section.number("tip_multiple", 2.5, 0.1, 100))
@@ -502,7 +505,7 @@
                                         .number("longest_retry_after_ms", 0, 0, 1e7))
                         .build();
         site.drainGraceMs = section.number("drain_grace_ms", 250, 1, 1e6);
-        site.releaseMs = section.number("release_ms", 1000, 10, 1e6);
+        site.maxStateHoldMs = section.number("release_ms", 1000, 10, 1e6);
         site.limits.connectTimeoutMs = section.number("connect_ms", 500, 1, 1e6);
         site.limits.keepAliveTimeoutMs = section.number("keep_alive_ms", 30_000, 1000, 1e7);
         site.limits.maxConnectionsPerEngine =
