--- a/src/main/java/larchridge/messages/MessagesCodec.java
+++ b/src/main/java/larchridge/messages/MessagesCodec.java
@@ -41,7 +41,7 @@
     /**
      * Converts a body to a generation request.
      *
-     * @param idempotencyKey the same for all attempts at the body
+     * @param idempotencyKey the same each time the body is submitted
      */
     public GenerationRequest toGenerationRequest(
             JsonNode json,
@@ -70,8 +70,8 @@
                 .sampling(body.sampling())
                 .session(body.sessionId(), body.previousTurnDigest(), body.turnDigest())
                 .nonStreaming(true)
-                // Like a client's retry, the request goes only to readers with short queues. In
-                // longer queues clients are waiting for their first token.
+                // Sent only to readers with short queues, as a client's retry is, so that it does
+                // not delay requests in longer queues, whose clients wait for the first token.
                 .clientRetry(true)
                 .idempotencyKey(idempotencyKey)
                 .onPromptTokensReported(
--- a/src/main/java/larchridge/messages/MessagesEndpoint.java
+++ b/src/main/java/larchridge/messages/MessagesEndpoint.java
@@ -27,8 +27,8 @@
     private static final int MAX_LOOP_BODY_BYTES = 64 << 10;
 
     /**
-     * Assumed speed of parsing a body and looking up its counts, from which the wait for a worker
-     * thread is estimated.
+     * Assumed speed of parsing a body and looking up its token counts in the cache, from which the
+     * wait for a worker thread is estimated.
      */
     private static final double PARSED_BYTES_PER_MS = 30_000;
 
@@ -137,7 +137,7 @@
         }
     }
 
-    /** One exchange, from reading its body to submitting its generation. */
+    /** One exchange, until its response has been written or its connection is closed. */
     private final class Exchange {
         private final HttpServerRequest request;
         private final String id;
@@ -253,6 +253,7 @@
                     : mode;
         }
 
+        /** Counts the tokens if the mode allows it on this thread; else they are estimated. */
         private void countIfAllowed(boolean onWorker) {
             CountingPolicy.Mode mode = countingMode();
             if (mode == CountingPolicy.Mode.INLINE
--- a/src/main/java/larchridge/messages/MessagesParser.java
+++ b/src/main/java/larchridge/messages/MessagesParser.java
@@ -39,7 +39,14 @@
     private final Site site;
     private final ObjectMapper mapper;
 
-    /** A parsed body: the generation request without the values from the headers. */
+    /**
+     * A parsed body: the generation request without the values from the headers.
+     *
+     * <p>{@code sessionId} is the digest of the prompt through the first turn. {@code turnDigest}
+     * is the digest of the whole prompt. {@code previousTurnDigest} is the digest of the prompt
+     * before the last assistant message, or null if there is none; it equals the {@code turnDigest}
+     * of the request that this one continues.
+     */
     record Body(
             ProductOffering offering,
             String model,
@@ -78,8 +85,9 @@
     }
 
     /**
-     * What is counted of a body: the prompt without images, how many of its characters belong to
-     * the shared prefix, the number of images in all and in the prefix, and the number of messages.
+     * What is counted of a body: the prompt without images and documents, how many of its
+     * characters belong to the shared prefix, the number of images and documents in all and in the
+     * prefix, and the number of messages.
      */
     record CountInput(String prompt, int sharedChars, int images, int sharedImages, int messages) {}
 
@@ -204,7 +212,9 @@
     /** The prompt while it is rendered, with the offsets that delimit shared prefix and turns. */
     private static final class RenderedPrompt {
         final StringBuilder text = new StringBuilder();
+        /** Where tools and system end and the messages start; 0 without tools and system. */
         int messagesStart;
+
         int cacheControlEnd;
         int firstTurnEnd;
         int lastAssistantStart = -1;
@@ -226,8 +236,8 @@
         }
 
         /**
-         * How many of the first {@code chars} characters are not part of an image. No image is cut
-         * in two, since the offset is always at the end of a block.
+         * How many of the first {@code chars} characters are not part of an image or document. None
+         * of these is cut in two, since the offset is always at the end of a block.
          */
         int charsWithoutImages(int chars) {
             int remaining = chars;
@@ -252,7 +262,7 @@
         /**
          * Where the shared prefix ends: after tools and system or, without these, at the last
          * {@code cache_control} marker, but not after the first turn. Markers in later turns move
-         * as the conversation grows and end no prefix that other sessions share.
+         * as the conversation grows, so they do not mark the end of a prefix that sessions share.
          */
         int sharedEnd() {
             return messagesStart > 0 ? messagesStart : Math.min(cacheControlEnd, firstTurnEnd);
@@ -321,8 +331,8 @@
 
     /**
      * Renders the turns. Returns the header of the assistant's turn that is to be generated, empty
-     * if the request has begun that turn itself. The header is not part of the turn's digest, since
-     * the next prompt's digest of this turn ends before it.
+     * if the last message is the assistant's. The header is left out of {@code turnDigest}, so that
+     * it equals {@code previousTurnDigest} of the session's next request.
      */
     private String renderMessages(JsonNode messages, RenderedPrompt rendered) throws ApiException {
         if (messages.isMissingNode()) {
--- a/src/main/java/larchridge/messages/MessagesResponseSink.java
+++ b/src/main/java/larchridge/messages/MessagesResponseSink.java
@@ -26,7 +26,7 @@
 
     /**
      * Events that have not been written yet. Chunks that arrive together are sent in one write,
-     * since writes are the event loop's first bottleneck.
+     * since the cost of writes limits the event loop's throughput.
      */
     private final StringBuilder pendingEvents = new StringBuilder();
 
@@ -109,7 +109,10 @@
         }
     }
 
-    /** Sets the API's rate limit headers, in tokens, from the budget that decided. */
+    /**
+     * Sets the API's rate limit headers, in tokens, from the limit that applies to the request; see
+     * {@link BudgetDecision}.
+     */
     @Override
     public void budgetChecked(BudgetDecision decision) {
         if (decision.limitTokens() < Double.POSITIVE_INFINITY && !isDisconnected()) {
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -20,8 +20,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(PromptLengths.class);
 
     /**
-     * Speed of reading that is assumed when the benefit of counting is weighed against its cost; a
-     * wrong estimate costs a faster reader less.
+     * Assumed reading rate of an idle reader, from which {@link CountingPolicy} computes the cost
+     * of a wrong length estimate; on a faster reader, a wrong estimate costs less.
      */
     private static final double READER_TOKENS_PER_MS = 10;
 
@@ -32,7 +32,7 @@
         this.counters = counters;
     }
 
-    /** The measurement of one body; it may be created and finished on any thread. */
+    /** The measurement of one body; it may be created and counted on any thread. */
     final class Measurement {
         final MessagesParser.Body body;
         private final PromptLengthSettings lengthSettings;
@@ -64,6 +64,7 @@
                     body.offering().trafficClass.sloMs);
         }
 
+        /** Counts the chunks that the cache lacks; returns false if it was cancelled. */
         boolean countMissing() {
             return counting.countMissing(rate);
         }
@@ -91,8 +92,9 @@
         PromptLengthSettings lengthSettings = measurement.lengthSettings;
         double factor = correctionOf(body.engineModel()).factor();
         int tokens = (int) Math.round(factor * (count.tokens() + measurement.extraTokens()));
-        // Guards against: an estimate or a correction that is off must not reject a prompt that
-        // fits. Only what certainly does not fit is rejected.
+        // Guards against: an estimate that is too high would reject a prompt that fits. A prompt
+        // that was not counted exactly is rejected only by the lower bound of its length, without
+        // correction.
         long minTokens = count.exact() ? tokens : count.lowerBound();
         if (!countOnly && minTokens + body.maxTokens() > lengthSettings.windowTokens()) {
             throw ApiException.invalid(
--- a/src/main/java/larchridge/serve/Service.java
+++ b/src/main/java/larchridge/serve/Service.java
@@ -44,7 +44,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running service: the routers of a site in this process, each on its own event loop. */
+/**
+ * The part of the service that runs in this process: the routers of its site file, each on its own
+ * event loop, and the admin listener, the batch API and the ledger if they are configured.
+ */
 public final class Service {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
     private static final long LIFECYCLE_TIMEOUT_MS = 20_000;
@@ -69,8 +72,8 @@
     private BatchService batchService;
 
     /**
-     * Leases the quota that is not in fixed shares; null if another process does. Used only on the
-     * admin listener's loop.
+     * Leases to routers the part of the budgets' rates that is not divided into fixed parts; null
+     * if another process does or nothing is leased. Used only on the admin listener's loop.
      */
     private QuotaLender quotaLender;
 
@@ -105,7 +108,7 @@
         return start(site, CrashPoints.NONE);
     }
 
-    /** Starts all routers, with a listener for the points at which the store writes. */
+    /** Starts all routers, with a hook for tests that is called around the store's writes. */
     public static Service start(Site site, CrashPoints crashPoints)
             throws InvalidEngineListException, LedgerException, InterruptedException {
         Service service = new Service(site, crashPoints);
--- a/src/main/java/larchridge/serve/ServiceWarmup.java
+++ b/src/main/java/larchridge/serve/ServiceWarmup.java
@@ -22,10 +22,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs generations through a service of its own before the real one listens, over loopback and
- * against an engine that responds at once. A new process runs its first calls a hundred times
- * slower than later ones. A router that met its first burst of requests in that state would take
- * its engines for slow and give up generations that they could serve in time.
+ * Loads and compiles the code before the service listens, by running generations through a service
+ * of its own, over loopback and against an engine that responds at once. The first calls in a new
+ * process take a hundred times as long as later ones. Without the warm-up, a router would count
+ * that delay as latency of its engines and give up generations that they could serve in time.
  */
 public final class ServiceWarmup {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceWarmup.class);
@@ -50,7 +50,10 @@
         completed = new CountDownLatch(generations);
     }
 
-    /** Runs this many generations for at most some seconds. A failure is logged and ignored. */
+    /**
+     * Runs this many generations and waits at most {@code TIMEOUT_MS} for them to end. A failed
+     * generation counts as ended; a failure of the warm-up itself is logged and ignored.
+     */
     public static void warmUp(int generations) throws InterruptedException {
         long start = System.nanoTime();
         ServiceWarmup warmup = new ServiceWarmup(generations);
@@ -118,6 +121,7 @@
         if (number <= 0) {
             return;
         }
+        // The prompt is filler text of forty words; the number makes each prompt unique.
         String body =
                 "{\"model\":\"r\",\"max_tokens\":20,\"stream\":"
                         + (number % 4 > 0)
--- a/src/main/java/larchridge/site/BatchSettings.java
+++ b/src/main/java/larchridge/site/BatchSettings.java
@@ -12,8 +12,13 @@
     public long maxLines;
     public long maxTenantBytes;
     public long maxTenantFiles;
+
+    /** Upper bound of the adaptive limit on open lines, in lines of mean size. */
     public int maxOpenLines;
+
     public int maxAttempts;
+
+    /** Time limit of one submission of a line. */
     public double attemptTimeoutMs;
 
     /** Revenue of a queued line, relative to 1 for a request of its product. */
--- a/src/main/java/larchridge/site/ProductOffering.java
+++ b/src/main/java/larchridge/site/ProductOffering.java
@@ -3,17 +3,25 @@
 import larchridge.state.TrafficClass;
 import larchridge.tokens.PromptLengthSettings;
 
-/** A product as clients request it: its traffic classes, engine model, time limit and lengths. */
+/**
+ * A product as clients request it: its traffic classes, engine model and time limit, and how the
+ * lengths of its prompts are determined.
+ */
 public final class ProductOffering {
     public final TrafficClass trafficClass;
 
-    /** The product for a tenant over its own budget; it has a lower revenue while it is queued. */
+    /**
+     * Traffic class of generations that are admitted with borrowed budget; its lower revenue counts
+     * while they are queued.
+     */
     public final TrafficClass borrowedTrafficClass;
 
     /** The model's name at the engines, or empty if it is the one that clients use. */
     public final String engineModel;
 
+    /** Fixed part of the time limit; see {@link #timeLimitMs(int)}. */
     public final double fixedTimeLimitMs;
+
     public final double timeLimitMsPerPromptToken;
     public final int maxTokens;
     public final PromptLengthSettings lengthSettings;
--- a/src/main/java/larchridge/site/Site.java
+++ b/src/main/java/larchridge/site/Site.java
@@ -18,7 +18,10 @@
 import larchridge.state.RoutingSettings;
 import larchridge.state.TenantQuota;
 
-/** The settings of a site file, validated and in the form that the program uses. */
+/**
+ * The settings of one process of the service, usually from its site file, validated: listeners,
+ * products, tenants, budgets and connections to engines.
+ */
 public final class Site {
     public String host;
     public int port;
@@ -33,7 +36,10 @@
     public Path engineListFile;
     public double engineListPollMs;
     public double drainGraceMs;
+
+    /** Time within which a held read state must be used or released; then its engine frees it. */
     public double maxStateHoldMs;
+
     public final SiteLimits limits = new SiteLimits();
     public final Map<String, ProductOffering> offeringsByModel = new HashMap<>();
 
@@ -56,9 +62,11 @@
     public String currency;
     public final Map<String, Price> prices = new LinkedHashMap<>();
     BudgetLimits serviceBudget = BudgetLimits.UNLIMITED;
+
+    /** Milliseconds of each other tenant's rate that may not be borrowed; see {@link Budgets}. */
     double giveBackMs;
 
-    /** The lender of the quota that is not in fixed shares; null if all of it is. */
+    /** Host of the lender of the leased rates; null if nothing is leased. */
     public String lenderHost;
 
     public int lenderPort;
@@ -96,7 +104,10 @@
             BudgetLimits limits,
             Map<String, BudgetLimits> productLimits) {}
 
-    /** The tenant that a generation runs for; each router counts its quota separately. */
+    /**
+     * The tenant that a generation runs for. {@code quotaPerSecond} is in generations per second,
+     * which each router counts separately.
+     */
     public record Tenant(String name, double quotaPerSecond, double batchShare) {
         /** The tenant's quota in the form that routing policies use. */
         public TenantQuota quota() {
@@ -104,7 +115,10 @@
         }
     }
 
-    /** The tenant with this name, or null. Stored files name their tenant, since keys change. */
+    /**
+     * The tenant with this name, or null. The batch store records tenants by name, since their keys
+     * change.
+     */
     public Tenant tenantByName(String name) {
         if (guest != null && guest.name().equals(name)) {
             return guest;
@@ -139,7 +153,7 @@
         return budgets;
     }
 
-    /** Configures the budgets of this site file, also in place of earlier ones. */
+    /** Configures the budgets of this site file; replaces limits that were configured before. */
     public void configureBudgets(BudgetConfigurer configurer, double nowMs) {
         configurer.configureService(serviceBudget, nowMs);
         groupBudgets.forEach((name, limits) -> configurer.configureGroup(name, limits, nowMs));
@@ -164,7 +178,7 @@
                             .digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform supports SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/src/main/java/larchridge/site/SiteReader.java
+++ b/src/main/java/larchridge/site/SiteReader.java
@@ -411,11 +411,11 @@
             if (sum > wholeLimits.tokensPerMs() * (1 + 1e-9)) {
                 section.addError(
                         "budget",
-                        "tokens_per_second under "
+                        "tokens_per_second of the parts of "
                                 + wholeName
                                 + " add up to "
                                 + formatNumber(sum * 1000)
-                                + ", over its "
+                                + ", more than its own "
                                 + formatNumber(wholeLimits.tokensPerMs() * 1000));
             }
         }
