--- a/src/main/java/larchridge/messages/MessagesCodec.java
+++ b/src/main/java/larchridge/messages/MessagesCodec.java
@@ -16,7 +16,7 @@
  * to one thread.
  */
 public final class MessagesCodec {
-    private final MessagesReader reader;
+    private final MessagesParser parser;
     private final PromptLengths lengths;
     private final Executor executor;
 
@@ -27,7 +27,7 @@
      *     processed there
      */
     public MessagesCodec(Site site, CountingResources counters, Executor executor) {
-        reader = new MessagesReader(site);
+        parser = new MessagesParser(site);
         lengths = new PromptLengths(counters);
         this.executor = executor;
     }
@@ -41,7 +41,7 @@
     /**
      * Converts a body to a generation request.
      *
-     * @param idempotencyKey the same for all attempts at the body
+     * @param idempotencyKey the same each time the body is submitted
      */
     public GenerationRequest toGenerationRequest(
             JsonNode json,
@@ -50,12 +50,12 @@
             OfferingAdapter adapter,
             String idempotencyKey)
             throws ApiException {
-        MessagesReader.Body body = reader.read(json, false, maxTemperature);
+        MessagesParser.Body body = parser.parse(json, false, maxTemperature);
         PromptLengths.Measurement measurement =
                 body.countInput() == null ? null : lengths.new Measurement(body);
         int countedTokens = -1;
         if (measurement != null) {
-            measurement.finish();
+            measurement.countMissing();
             body = lengths.withLengths(measurement, false);
             countedTokens = PromptLengths.expectedEngineTokens(measurement);
         }
@@ -70,8 +70,8 @@
                 .sampling(body.sampling())
                 .session(body.sessionId(), body.previousTurnDigest(), body.turnDigest())
                 .nonStreaming(true)
-                // Like a client's retry, the request goes only to readers with short queues. In
-                // longer queues clients are waiting for their first token.
+                // Sent only to readers with short queues, as a client's retry is, so that it does
+                // not delay requests in longer queues, whose clients wait for the first token.
                 .clientRetry(true)
                 .idempotencyKey(idempotencyKey)
                 .onPromptTokensReported(
@@ -90,7 +90,7 @@
             GenerationRequest generationRequest,
             int cachedTokens,
             String text,
-            AnswerSummary completion) {
+            AnswerSummary summary) {
         int cached = Math.min(cachedTokens, generationRequest.promptTokens());
         int created =
                 generationRequest.sharedPrefixId() == null
@@ -99,6 +99,6 @@
         return MessageEvents.withResponse(
                 MessageEvents.message(id, model, generationRequest.promptTokens(), cached, created),
                 text,
-                completion);
+                summary);
     }
 }
--- a/src/main/java/larchridge/messages/MessagesReader.java
+++ b/src/main/java/larchridge/messages/MessagesParser.java
@@ -23,7 +23,7 @@
  * tools, then system, then the turns, so that bodies that begin alike give prompts that begin
  * alike.
  */
-final class MessagesReader {
+final class MessagesParser {
     private static final int MAX_TOOLS = 512;
     private static final int MAX_STOP_SEQUENCES = 64;
     private static final Set<String> BLOCK_TYPES =
@@ -39,7 +39,14 @@
     private final Site site;
     private final ObjectMapper mapper;
 
-    /** A parsed body: the generation request without the values from the headers. */
+    /**
+     * A parsed body: the generation request without the values from the headers.
+     *
+     * <p>{@code sessionId} is the digest of the prompt through the first turn. {@code turnDigest}
+     * is the digest of the whole prompt. {@code previousTurnDigest} is the digest of the prompt
+     * before the last assistant message, or null if there is none; it equals the {@code turnDigest}
+     * of the request that this one continues.
+     */
     record Body(
             ProductOffering offering,
             String model,
@@ -78,12 +85,13 @@
     }
 
     /**
-     * What is counted of a body: the prompt without images, how many of its characters belong to
-     * the shared prefix, the number of images in all and in the prefix, and the number of messages.
+     * What is counted of a body: the prompt without images and documents, how many of its
+     * characters belong to the shared prefix, the number of images and documents in all and in the
+     * prefix, and the number of messages.
      */
     record CountInput(String prompt, int sharedChars, int images, int sharedImages, int messages) {}
 
-    MessagesReader(Site site) {
+    MessagesParser(Site site) {
         this.site = site;
         SiteLimits limits = site.limits;
         JsonFactory factory =
@@ -104,16 +112,16 @@
         mapper = new ObjectMapper(factory).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     }
 
-    Body read(byte[] bytes) throws ApiException {
-        return read(bytes, false);
+    Body parse(byte[] bytes) throws ApiException {
+        return parse(bytes, false);
     }
 
     /** Parses a body; {@code max_tokens} is not required if its tokens are only counted. */
-    Body read(byte[] bytes, boolean countOnly) throws ApiException {
-        return read(parse(bytes), countOnly, 1);
+    Body parse(byte[] bytes, boolean countOnly) throws ApiException {
+        return parse(parseJson(bytes), countOnly, 1);
     }
 
-    JsonNode parse(byte[] bytes) throws ApiException {
+    JsonNode parseJson(byte[] bytes) throws ApiException {
         try {
             return mapper.readTree(bytes);
         } catch (JsonProcessingException e) {
@@ -131,7 +139,7 @@
         }
     }
 
-    Body read(JsonNode root, boolean countOnly, double maxTemperature) throws ApiException {
+    Body parse(JsonNode root, boolean countOnly, double maxTemperature) throws ApiException {
         if (root == null || !root.isObject()) {
             throw ApiException.invalid("body: expected a JSON object");
         }
@@ -154,7 +162,7 @@
         renderTools(root.path("tools"), rendered);
         checkToolChoice(root.path("tool_choice"), root.has("tools"));
         renderSystem(root.path("system"), rendered);
-        rendered.markSystemEnd();
+        rendered.markMessagesStart();
         String assistantHeader = renderMessages(root.path("messages"), rendered);
         checkMetadata(root.path("metadata"));
         AttemptRequest.Sampling sampling =
@@ -182,7 +190,7 @@
                         : Site.sha256(prompt.substring(0, rendered.lastAssistantStart)),
                 Site.sha256(prompt),
                 stream,
-                offering.measure.vocabulary() == null
+                offering.lengthSettings.vocabulary() == null
                         ? null
                         : new CountInput(
                                 rendered.withoutImages(prompt + assistantHeader),
@@ -204,7 +212,9 @@
     /** The prompt while it is rendered, with the offsets that delimit shared prefix and turns. */
     private static final class RenderedPrompt {
         final StringBuilder text = new StringBuilder();
-        int systemEnd;
+        /** Where tools and system end and the messages start; 0 without tools and system. */
+        int messagesStart;
+
         int cacheControlEnd;
         int firstTurnEnd;
         int lastAssistantStart = -1;
@@ -226,8 +236,8 @@
         }
 
         /**
-         * How many of the first {@code chars} characters are not part of an image. No image is cut
-         * in two, since the offset is always at the end of a block.
+         * How many of the first {@code chars} characters are not part of an image or document. None
+         * of these is cut in two, since the offset is always at the end of a block.
          */
         int charsWithoutImages(int chars) {
             int remaining = chars;
@@ -245,17 +255,17 @@
             return count;
         }
 
-        void markSystemEnd() {
-            systemEnd = text.length();
+        void markMessagesStart() {
+            messagesStart = text.length();
         }
 
         /**
          * Where the shared prefix ends: after tools and system or, without these, at the last
          * {@code cache_control} marker, but not after the first turn. Markers in later turns move
-         * as the conversation grows and end no prefix that other sessions share.
+         * as the conversation grows, so they do not mark the end of a prefix that sessions share.
          */
         int sharedEnd() {
-            return systemEnd > 0 ? systemEnd : Math.min(cacheControlEnd, firstTurnEnd);
+            return messagesStart > 0 ? messagesStart : Math.min(cacheControlEnd, firstTurnEnd);
         }
     }
 
@@ -321,8 +331,8 @@
 
     /**
      * Renders the turns. Returns the header of the assistant's turn that is to be generated, empty
-     * if the request has begun that turn itself. The header is not part of the turn's digest, since
-     * the next prompt's digest of this turn ends before it.
+     * if the last message is the assistant's. The header is left out of {@code turnDigest}, so that
+     * it equals {@code previousTurnDigest} of the session's next request.
      */
     private String renderMessages(JsonNode messages, RenderedPrompt rendered) throws ApiException {
         if (messages.isMissingNode()) {
--- a/src/main/java/larchridge/messages/MessagesResponseSink.java
+++ b/src/main/java/larchridge/messages/MessagesResponseSink.java
@@ -15,7 +15,7 @@
     private final Router router;
     private final HttpServerResponse response;
     private final String requestId;
-    private final MessagesReader.Body body;
+    private final MessagesParser.Body body;
     private InFlightRequest inFlightRequest;
     private boolean waitingForDrain;
     private ObjectNode message;
@@ -26,7 +26,7 @@
 
     /**
      * Events that have not been written yet. Chunks that arrive together are sent in one write,
-     * since writes are the event loop's first bottleneck.
+     * since the cost of writes limits the event loop's throughput.
      */
     private final StringBuilder pendingEvents = new StringBuilder();
 
@@ -36,7 +36,7 @@
             Router router,
             HttpServerResponse response,
             String requestId,
-            MessagesReader.Body body) {
+            MessagesParser.Body body) {
         this.router = router;
         this.response = response;
         this.requestId = requestId;
@@ -72,7 +72,7 @@
                 .append(MessageEvents.messageStart(message))
                 .append(MessageEvents.contentBlockStart())
                 .append(MessageEvents.ping());
-        ping();
+        startPings();
     }
 
     @Override
@@ -109,7 +109,10 @@
         }
     }
 
-    /** Sets the API's rate limit headers, in tokens, from the budget that decided. */
+    /**
+     * Sets the API's rate limit headers, in tokens, from the limit that applies to the request; see
+     * {@link BudgetDecision}.
+     */
     @Override
     public void budgetChecked(BudgetDecision decision) {
         if (decision.limitTokens() < Double.POSITIVE_INFINITY && !isDisconnected()) {
@@ -143,7 +146,7 @@
     }
 
     @Override
-    public void completed(AnswerSummary completion) {
+    public void completed(AnswerSummary summary) {
         stopPings();
         if (isDisconnected()) {
             return;
@@ -152,7 +155,7 @@
             response.end(
                     pendingEvents
                             + MessageEvents.contentBlockStop()
-                            + MessageEvents.messageDelta(completion)
+                            + MessageEvents.messageDelta(summary)
                             + MessageEvents.messageStop());
             clearPending();
             return;
@@ -170,7 +173,7 @@
         response.setStatusCode(200)
                 .putHeader("content-type", "application/json")
                 .end(
-                        MessageEvents.withResponse(message, responseText.toString(), completion)
+                        MessageEvents.withResponse(message, responseText.toString(), summary)
                                 .toString());
     }
 
@@ -244,7 +247,7 @@
         }
     }
 
-    private void ping() {
+    private void startPings() {
         pingTimer =
                 router.vertx()
                         .setPeriodic(
--- a/src/main/java/larchridge/messages/PromptLengths.java
+++ b/src/main/java/larchridge/messages/PromptLengths.java
@@ -20,8 +20,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(PromptLengths.class);
 
     /**
-     * Speed of reading that is assumed when the benefit of counting is weighed against its cost; a
-     * wrong estimate costs a faster reader less.
+     * Assumed reading rate of an idle reader, from which {@link CountingPolicy} computes the cost
+     * of a wrong length estimate; on a faster reader, a wrong estimate costs less.
      */
     private static final double READER_TOKENS_PER_MS = 10;
 
@@ -32,22 +32,22 @@
         this.counters = counters;
     }
 
-    /** The measurement of one body; it may be created and finished on any thread. */
+    /** The measurement of one body; it may be created and counted on any thread. */
     final class Measurement {
-        final MessagesReader.Body body;
-        private final PromptLengthSettings measure;
+        final MessagesParser.Body body;
+        private final PromptLengthSettings lengthSettings;
         private final CountingStatistics rate;
         private final TokenCountTask counting;
 
-        Measurement(MessagesReader.Body body) {
+        Measurement(MessagesParser.Body body) {
             this.body = body;
-            measure = body.offering().measure;
-            rate = counters.statistics(measure.vocabulary());
+            lengthSettings = body.offering().lengthSettings;
+            rate = counters.statistics(lengthSettings.vocabulary());
             counting =
                     new TokenCountTask(
                             body.countInput().prompt(),
                             body.countInput().sharedChars(),
-                            measure.vocabulary(),
+                            lengthSettings.vocabulary(),
                             counters.cache);
         }
 
@@ -55,16 +55,17 @@
             return rate.expectedMs(counting.charsToCount());
         }
 
-        CountingPolicy.Mode countingWay() {
+        CountingPolicy.Mode countingMode() {
             return CountingPolicy.choose(
                     costMs(),
                     counters.workers.expectedWaitMs(),
                     rate.tokensPerChar() * counting.charsToCount(),
                     READER_TOKENS_PER_MS,
-                    body.offering().product.sloMs);
+                    body.offering().trafficClass.sloMs);
         }
 
-        boolean finish() {
+        /** Counts the chunks that the cache lacks; returns false if it was cancelled. */
+        boolean countMissing() {
             return counting.countMissing(rate);
         }
 
@@ -78,30 +79,31 @@
         }
 
         int extraTokens() {
-            return body.countInput().images() * measure.imageTokens()
-                    + body.countInput().messages() * measure.messageTokens();
+            return body.countInput().images() * lengthSettings.imageTokens()
+                    + body.countInput().messages() * lengthSettings.messageTokens();
         }
     }
 
     /** Returns the body with its measured lengths. Runs on the router's loop. */
-    MessagesReader.Body withLengths(Measurement measurement, boolean countOnly)
+    MessagesParser.Body withLengths(Measurement measurement, boolean countOnly)
             throws ApiException {
         TokenCount count = measurement.count();
-        MessagesReader.Body body = measurement.body;
-        PromptLengthSettings measure = measurement.measure;
+        MessagesParser.Body body = measurement.body;
+        PromptLengthSettings lengthSettings = measurement.lengthSettings;
         double factor = correctionOf(body.engineModel()).factor();
         int tokens = (int) Math.round(factor * (count.tokens() + measurement.extraTokens()));
-        // Guards against: an estimate or a correction that is off must not reject a prompt that
-        // fits. Only what certainly does not fit is rejected.
+        // Guards against: an estimate that is too high would reject a prompt that fits. A prompt
+        // that was not counted exactly is rejected only by the lower bound of its length, without
+        // correction.
         long minTokens = count.exact() ? tokens : count.lowerBound();
-        if (!countOnly && minTokens + body.maxTokens() > measure.windowTokens()) {
+        if (!countOnly && minTokens + body.maxTokens() > lengthSettings.windowTokens()) {
             throw ApiException.invalid(
                     "prompt is too long: "
                             + minTokens
                             + " tokens and max_tokens "
                             + body.maxTokens()
                             + " > "
-                            + measure.windowTokens()
+                            + lengthSettings.windowTokens()
                             + " maximum");
         }
         int sharedPrefixTokens =
@@ -117,7 +119,7 @@
                                                                                 .tokensPerChar())
                                                                 .tokens()
                                                         + body.countInput().sharedImages()
-                                                                * measure.imageTokens()));
+                                                                * lengthSettings.imageTokens()));
         return body.withTokens(tokens, sharedPrefixTokens);
     }
 
