--- a/src/main/java/larchridge/batch/Batches.java
+++ b/src/main/java/larchridge/batch/Batches.java
@@ -38,8 +38,8 @@
  * All batches of one store, from their creation to their end, on one event loop.
  *
  * <p>Each line of an input has exactly one record, in the output or in the error file, whatever
- * crashes happen: its record is stored once, keyed by batch and line, in one synced change with
- * the batch's counts and before the batch can end. When all lines have a record, or the batch has
+ * crashes happen: its record is stored once, keyed by batch and line, in one synced change with the
+ * batch's counts and before the batch can end. When all lines have a record, or the batch has
  * expired or been cancelled, the files are written from the stored records, with an error record
  * for each line that has none.
  *
--- a/src/main/java/larchridge/cli/FaultInjectionCommand.java
+++ b/src/main/java/larchridge/cli/FaultInjectionCommand.java
@@ -84,10 +84,7 @@
                             + "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE})")
     private PlantedFault plant;
 
-    @Option(
-            names = "--build",
-            defaultValue = "-",
-            description = "name of the build, for the table")
+    @Option(names = "--build", defaultValue = "-", description = "name of the build, for the table")
     private String build;
 
     @Option(
--- a/src/main/java/larchridge/cli/ServeCommand.java
+++ b/src/main/java/larchridge/cli/ServeCommand.java
@@ -50,8 +50,7 @@
     @Option(
             names = "--halt-at-write",
             hidden = true,
-            description =
-                    "for crash tests: halt the process at the store write with this number")
+            description = "for crash tests: halt the process at the store write with this number")
     private int haltAtWrite;
 
     private CrashPoints haltAtConfiguredWrite() {
--- a/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -87,9 +87,7 @@
             setUp();
             if (!awaitNodesReady()) {
                 violations.add(
-                        "not all nodes were ready after "
-                                + Math.round(STARTUP_TIMEOUT_MS)
-                                + " ms");
+                        "not all nodes were ready after " + Math.round(STARTUP_TIMEOUT_MS) + " ms");
                 return evaluate();
             }
             loop.submit(this::startLoadAndFaults).get();
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -51,8 +51,7 @@
 
     void start(Fault fault) {
         double now = run.log.now();
-        run.log.add(
-                TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
+        run.log.add(TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
         switch (fault.kind()) {
             case LINK_SILENT -> setLinkFault(fault, FaultProxy.LinkFault.SILENT, 0);
             case LINK_CUT -> setLinkFault(fault, FaultProxy.LinkFault.CUT, 0);
@@ -64,9 +63,7 @@
                     setLinkFault(fault, FaultProxy.LinkFault.RESET, fault.size() * MAX_RESET_BYTES);
             case LINK_CLOSE_CROSSING ->
                     setLinkFault(
-                            fault,
-                            FaultProxy.LinkFault.CLOSE_CROSSING,
-                            0.2 + 0.8 * fault.size());
+                            fault, FaultProxy.LinkFault.CLOSE_CROSSING, 0.2 + 0.8 * fault.size());
             case ENGINE_RESTART -> forEngines(fault, this::restart);
             case ENGINE_DRAIN ->
                     forEngines(fault, engine -> setStatus(engine, "DRAINING", "draining"));
@@ -106,8 +103,7 @@
                             });
             case NODE_TERM -> forNodes(fault, this::terminate);
             case NODE_KILL -> forNodes(fault, this::kill);
-            case NODE_PAUSE ->
-                    forNodes(fault, node -> pause(node, fault, now + fault.lengthMs()));
+            case NODE_PAUSE -> forNodes(fault, node -> pause(node, fault, now + fault.lengthMs()));
             case CONFIG_MOVE -> forNodes(fault, node -> moveDiscovery(node, false));
             case CONFIG_BROKEN -> forNodes(fault, node -> moveDiscovery(node, true));
             case CLIENT_LEAVES -> run.clients.setDisconnecting(true);
@@ -308,10 +304,7 @@
                                         }
                                     });
                         } else {
-                            run.violations.add(
-                                    "node "
-                                            + node.number
-                                            + ": not ready after faults");
+                            run.violations.add("node " + node.number + ": not ready after faults");
                         }
                     }
                 });
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -180,7 +180,8 @@
                 return;
             }
             Connection newConnection = new Connection(node);
-            newConnection.open()
+            newConnection
+                    .open()
                     .addListener(
                             (ChannelFuture done) -> {
                                 if (done.isSuccess()) {
--- a/src/main/java/larchridge/faultinjection/TestEndpointLists.java
+++ b/src/main/java/larchridge/faultinjection/TestEndpointLists.java
@@ -79,8 +79,7 @@
         boolean delayed =
                 run.plantedFault == PlantedFault.DRAINS_TOLD_LATE && status.equals("draining");
         run.schedule(
-                delayed ? 1000 : 0,
-                () -> run.nodes.forEach(node -> node.agent.notifyWatches()));
+                delayed ? 1000 : 0, () -> run.nodes.forEach(node -> node.agent.notifyWatches()));
     }
 
     /**
--- a/src/main/java/larchridge/messages/MessagesParser.java
+++ b/src/main/java/larchridge/messages/MessagesParser.java
@@ -212,6 +212,7 @@
     /** The prompt while it is rendered, with the offsets that delimit shared prefix and turns. */
     private static final class RenderedPrompt {
         final StringBuilder text = new StringBuilder();
+
         /** Where tools and system end and the messages start; 0 without tools and system. */
         int messagesStart;
 
--- a/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
+++ b/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
@@ -26,8 +26,7 @@
     @TempDir Path folder;
 
     private FaultTestResult run(PlantedFault plantedFault, Fault... faults) throws Exception {
-        FaultScript script =
-                new FaultScript(7, NODES, 2, 3, SECONDS, PER_SECOND, List.of(faults));
+        FaultScript script = new FaultScript(7, NODES, 2, 3, SECONDS, PER_SECOND, List.of(faults));
         FaultTestResult result = new FaultInjectionRun(script, plantedFault, folder).run();
         assertTrue(result.requests() > SECONDS * PER_SECOND / 2, result.toString());
         return result;
@@ -69,8 +68,7 @@
         assertTrue(
                 script.faults().stream()
                         .allMatch(
-                                fault ->
-                                        fault.endMs() <= (40 - FaultScript.QUIET_SECONDS) * 1000));
+                                fault -> fault.endMs() <= (40 - FaultScript.QUIET_SECONDS) * 1000));
     }
 
     @Test
