--- a/src/main/java/larchridge/cli/EngineCommand.java
+++ b/src/main/java/larchridge/cli/EngineCommand.java
@@ -90,15 +90,15 @@
                         zone,
                         rack,
                         usual.readTokensPerMs(),
-                        Math.max(usual.readsAtOnce(), streams / 10),
+                        Math.max(usual.maxConcurrentReads(), streams / 10),
                         streams,
-                        Math.max(usual.queue(), streams),
+                        Math.max(usual.queueCapacity(), streams),
                         usual.memoryTokens() * Math.max(1, streams / 60.0),
                         tokenMs,
-                        usual.moveTokensPerMs(),
+                        usual.transferTokensPerMs(),
                         usual.coldShare(),
                         usual.coldMs(),
-                        usual.lapseMs())
+                        usual.stateExpiryMs())
                 .scaled(speed);
     }
 }
--- a/src/main/java/larchridge/faultinjection/TestEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -221,7 +221,7 @@
         if (mood == Mood.HANGS) {
             return;
         }
-        if (mood == Mood.DECLINES || queue.size() >= make.queue()) {
+        if (mood == Mood.DECLINES || queue.size() >= make.queueCapacity()) {
             end(job);
             answer(job.channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
             return;
@@ -242,7 +242,7 @@
     }
 
     private void next() {
-        int slots = make.role() == Role.READER ? make.readsAtOnce() : make.streams();
+        int slots = make.role() == Role.READER ? make.maxConcurrentReads() : make.maxConcurrentStreams();
         while (running < slots && !queue.isEmpty()) {
             Job job = queue.poll();
             if (make.role() != Role.READER) {
@@ -318,15 +318,15 @@
                         make.zone(),
                         make.rack(),
                         make.readTokensPerMs(),
-                        make.readsAtOnce(),
-                        make.streams(),
-                        make.queue(),
+                        make.maxConcurrentReads(),
+                        make.maxConcurrentStreams(),
+                        make.queueCapacity(),
                         make.memoryTokens(),
                         make.tokenMs(),
-                        make.moveTokensPerMs(),
+                        make.transferTokensPerMs(),
                         0,
                         1e9,
-                        make.lapseMs());
+                        make.stateExpiryMs());
     }
 
     private void stream(Job job, int event) {
--- a/src/main/java/larchridge/simulatedengine/EngineProfile.java
+++ b/src/main/java/larchridge/simulatedengine/EngineProfile.java
@@ -6,12 +6,12 @@
  * What a stand-in engine is like. The figures are made up for drills; they measure no real machine.
  *
  * @param readTokensPerMs prompt tokens read a millisecond when warm
- * @param readsAtOnce prompts read side by side
- * @param streams answers written side by side
- * @param queue attempts that may wait
+ * @param maxConcurrentReads prompts read side by side
+ * @param maxConcurrentStreams answers written side by side
+ * @param queueCapacity attempts that may wait
  * @param tokenMs time between two tokens of a stream
- * @param moveTokensPerMs how fast a state moves within the rack; slower across racks and zones
- * @param lapseMs when a state that nobody fetches is dropped
+ * @param transferTokensPerMs how fast a state moves within the rack; slower across racks and zones
+ * @param stateExpiryMs when a state that nobody fetches is dropped
  */
 public record EngineProfile(
         long id,
@@ -19,15 +19,15 @@
         String zone,
         long rack,
         double readTokensPerMs,
-        int readsAtOnce,
-        int streams,
-        int queue,
+        int maxConcurrentReads,
+        int maxConcurrentStreams,
+        int queueCapacity,
         double memoryTokens,
         double tokenMs,
-        double moveTokensPerMs,
+        double transferTokensPerMs,
         double coldShare,
         double coldMs,
-        double lapseMs) {
+        double stateExpiryMs) {
 
     public static EngineProfile of(long id, Role role, String zone, long rack) {
         return new EngineProfile(
@@ -42,14 +42,14 @@
                 zone,
                 rack,
                 readTokensPerMs * factor,
-                readsAtOnce,
-                streams,
-                queue,
+                maxConcurrentReads,
+                maxConcurrentStreams,
+                queueCapacity,
                 memoryTokens,
                 tokenMs / factor,
-                moveTokensPerMs * factor,
+                transferTokensPerMs * factor,
                 coldShare,
                 coldMs,
-                lapseMs);
+                stateExpiryMs);
     }
 }
--- a/src/main/java/larchridge/simulatedengine/InjectedFaults.java
+++ b/src/main/java/larchridge/simulatedengine/InjectedFaults.java
@@ -5,46 +5,46 @@
     /** Stands still until then: no work, no answers, also to probes; connections stay. */
     public double pausedUntilMs;
 
-    public double slowness = 1;
+    public double slowdownFactor = 1;
 
     /** With more answers side by side than this it all but stands still; probes are answered. */
-    public int stallsAbove = Integer.MAX_VALUE;
+    public int stallThreshold = Integer.MAX_VALUE;
 
     /** Of answers, done but never sent; probes are answered. */
-    public double lostShare;
+    public double lostResponseShare;
 
     /** Every attempt is turned away as full. */
-    public boolean full;
+    public boolean rejectAll;
 
     /** Every attempt is answered with an error. */
-    public boolean faulty;
+    public boolean failAll;
 
     /** Of streams, broken off after some tokens. */
-    public double brokenShare;
+    public double brokenStreamShare;
 
     /** Events come in pieces that end anywhere. */
-    public boolean torn;
+    public boolean splitWrites;
 
     /** Of answers, such that nobody can read. */
-    public double garbledShare;
+    public double malformedShare;
 
     /** Reports are this old. */
-    public double reportLagMs;
+    public double metricsLagMs;
 
     /** New states are forgotten at once, as by an engine short of memory. */
-    public boolean forgetful;
+    public boolean discardStates;
 
     public void clear() {
         pausedUntilMs = 0;
-        slowness = 1;
-        stallsAbove = Integer.MAX_VALUE;
-        lostShare = 0;
-        full = false;
-        faulty = false;
-        brokenShare = 0;
-        torn = false;
-        garbledShare = 0;
-        reportLagMs = 0;
-        forgetful = false;
+        slowdownFactor = 1;
+        stallThreshold = Integer.MAX_VALUE;
+        lostResponseShare = 0;
+        rejectAll = false;
+        failAll = false;
+        brokenStreamShare = 0;
+        splitWrites = false;
+        malformedShare = 0;
+        metricsLagMs = 0;
+        discardStates = false;
     }
 }
--- a/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
+++ b/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
@@ -36,33 +36,33 @@
  */
 public final class SimulatedEngine {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final Pattern TAG = Pattern.compile("\\[tag:([^\\]]{1,80})]");
-    private static final Pattern OUT = Pattern.compile("\\[out:(\\d{1,6})]");
+    private static final Pattern TAG_PATTERN = Pattern.compile("\\[tag:([^\\]]{1,80})]");
+    private static final Pattern OUTPUT_LENGTH_PATTERN = Pattern.compile("\\[out:(\\d{1,6})]");
     private static final int STEP_MS = 4;
-    private static final int CHARS_A_TOK = 4;
-    private static final int TOKS_A_CHUNK = 64;
-    private static final int MOST_CHUNKS = 40_000;
+    private static final int CHARS_PER_TOKEN = 4;
+    private static final int TOKENS_PER_CHUNK = 64;
+    private static final int MAX_CACHED_CHUNKS = 40_000;
     private static final double RACK_SLOWDOWN = 2;
     private static final double ZONE_SLOWDOWN = 4;
 
-    public final EngineProfile make;
-    public final InjectedFaults mood = new InjectedFaults();
+    public final EngineProfile profile;
+    public final InjectedFaults faults = new InjectedFaults();
 
     /** Tokens of a prompt; four characters each unless it is told otherwise. */
-    public ToIntFunction<String> counts = prompt -> prompt.length() / CHARS_A_TOK;
+    public ToIntFunction<String> tokenCounter = prompt -> prompt.length() / CHARS_PER_TOKEN;
 
     private final Vertx vertx;
-    private final TrafficRecorder witness;
+    private final TrafficRecorder recorder;
     private final Random random;
-    private final HttpClient peers;
+    private final HttpClient peerClient;
     private final double clockBaseMs = System.currentTimeMillis() - System.nanoTime() / 1e6;
 
     private HttpServer server;
     private int port;
-    private boolean up;
+    private boolean started;
 
     /** So many times as slow is one that stalls. */
-    private static final double STALL = 20;
+    private static final double STALL_SLOWDOWN = 20;
 
     private double startedMs;
     private double lastMs;
@@ -77,18 +77,18 @@
      * Chunks of prompts that are kept, by the hash of all up to their end; the one unused for
      * longest goes.
      */
-    private final Map<Long, Boolean> kept =
+    private final Map<Long, Boolean> cachedChunks =
             new LinkedHashMap<>(16, 0.75f, true) {
                 private static final long serialVersionUID = 1;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                    return size() > MOST_CHUNKS;
+                    return size() > MAX_CACHED_CHUNKS;
                 }
             };
 
-    private final List<String> pages = new ArrayList<>();
-    private final Map<HttpServerResponse, Runnable> open = new HashMap<>();
+    private final List<String> metricsHistory = new ArrayList<>();
+    private final Map<HttpServerResponse, Runnable> openResponses = new HashMap<>();
 
     private record State(String rid, String tag, double tokens, double sinceMs) {}
 
@@ -98,46 +98,46 @@
         final String tag;
         final HttpServerResponse response;
         final double tokens;
-        final int most;
-        final JsonNode handle;
-        final boolean reads;
-        double unread;
-        double keptTokens;
-        double credit;
-        int sent;
-        int length;
-        boolean counted;
-        boolean fetching;
-        boolean begun;
-        boolean lost;
-        boolean gone;
-        double breakAfter = Double.POSITIVE_INFINITY;
+        final int maxTokens;
+        final JsonNode stateParams;
+        final boolean isRead;
+        double unreadTokens;
+        double cachedTokens;
+        double tokenCredit;
+        int sentTokens;
+        int outputTokens;
+        boolean memoryReserved;
+        boolean fetchingState;
+        boolean streamStarted;
+        boolean responseLost;
+        boolean finished;
+        double breakAfterTokens = Double.POSITIVE_INFINITY;
 
         Job(
                 String rid,
                 String tag,
                 HttpServerResponse response,
                 double tokens,
-                int most,
-                JsonNode handle,
-                boolean reads) {
+                int maxTokens,
+                JsonNode stateParams,
+                boolean isRead) {
             this.rid = rid;
             this.tag = tag;
             this.response = response;
             this.tokens = tokens;
-            this.most = most;
-            this.handle = handle;
-            this.reads = reads;
+            this.maxTokens = maxTokens;
+            this.stateParams = stateParams;
+            this.isRead = isRead;
         }
     }
 
     /** To be made on the loop that is to own it. */
-    public SimulatedEngine(Vertx vertx, EngineProfile make, TrafficRecorder witness, long seed) {
+    public SimulatedEngine(Vertx vertx, EngineProfile profile, TrafficRecorder recorder, long seed) {
         this.vertx = vertx;
-        this.make = make;
-        this.witness = witness;
+        this.profile = profile;
+        this.recorder = recorder;
         random = new Random(seed);
-        peers =
+        peerClient =
                 vertx.createHttpClient(
                         new HttpClientOptions().setConnectTimeout(500),
                         new PoolOptions().setHttp1MaxSize(64).setMaxWaitQueueSize(1000));
@@ -146,9 +146,9 @@
     // ------------------------------------------------------------------ life
 
     /** Starts to listen, on the port of before if there was one; 0 takes any. */
-    public Future<Integer> start(int wanted, boolean cold) {
-        port = port == 0 ? wanted : port;
-        startedMs = cold ? now() : now() - make.coldMs();
+    public Future<Integer> start(int requestedPort, boolean cold) {
+        port = port == 0 ? requestedPort : port;
+        startedMs = cold ? now() : now() - profile.coldMs();
         lastMs = now();
         server =
                 vertx.createHttpServer(
@@ -156,15 +156,15 @@
                                 .setAcceptBacklog(1024)
                                 .setTcpNoDelay(true)
                                 .setReuseAddress(true));
-        server.requestHandler(this::handle);
+        server.requestHandler(this::handleRequest);
         return server.listen(port, "127.0.0.1")
                 .map(
                         listening -> {
                             port = listening.actualPort();
-                            up = true;
-                            witness.saw(
-                                    TrafficRecorder.Sight.STARTED,
-                                    make.id(),
+                            started = true;
+                            recorder.recordEvent(
+                                    TrafficRecorder.Event.STARTED,
+                                    profile.id(),
                                     null,
                                     null,
                                     cold ? 1 : 0);
@@ -175,18 +175,18 @@
 
     /** Dies at once: every connection breaks, every state and text is gone. */
     public Future<Void> crash() {
-        if (!up) {
+        if (!started) {
             return Future.succeededFuture();
         }
-        up = false;
+        started = false;
         vertx.cancelTimer(stepTimer);
-        for (Runnable drop : List.copyOf(open.values())) {
-            drop.run();
+        for (Runnable closeAction : List.copyOf(openResponses.values())) {
+            closeAction.run();
         }
         for (State state : states.values()) {
-            witness.saw(
-                    TrafficRecorder.Sight.STATE_GONE,
-                    make.id(),
+            recorder.recordEvent(
+                    TrafficRecorder.Event.STATE_GONE,
+                    profile.id(),
                     state.rid,
                     state.tag,
                     state.tokens);
@@ -195,11 +195,11 @@
         reading.clear();
         waiting.clear();
         running.clear();
-        kept.clear();
-        pages.clear();
-        open.clear();
+        cachedChunks.clear();
+        metricsHistory.clear();
+        openResponses.clear();
         usedTokens = 0;
-        witness.saw(TrafficRecorder.Sight.STOPPED, make.id(), null, null, 0);
+        recorder.recordEvent(TrafficRecorder.Event.STOPPED, profile.id(), null, null, 0);
         return server.close();
     }
 
@@ -214,7 +214,7 @@
 
     /** Forgets every text that it has kept. */
     public void flush() {
-        kept.clear();
+        cachedChunks.clear();
     }
 
     private double now() {
@@ -222,272 +222,272 @@
     }
 
     /** Its share of full capacity: grows evenly from the cold share to 1. */
-    private double capacity() {
+    private double capacityShare() {
         double age = now() - startedMs;
-        return age >= make.coldMs()
+        return age >= profile.coldMs()
                 ? 1
-                : make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
+                : profile.coldShare() + (1 - profile.coldShare()) * age / profile.coldMs();
     }
 
     // ------------------------------------------------------------------ the wire
 
-    private void handle(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         switch (request.path()) {
-            case "/v1/completions" -> request.body().onSuccess(body -> attempt(request, body));
-            case "/abort_request" -> request.body().onSuccess(body -> abort(request, body));
-            case "/kv/pull" -> request.body().onSuccess(body -> pull(request, body));
+            case "/v1/completions" -> request.body().onSuccess(body -> handleAttempt(request, body));
+            case "/abort_request" -> request.body().onSuccess(body -> handleAbort(request, body));
+            case "/kv/pull" -> request.body().onSuccess(body -> handleStatePull(request, body));
             case "/metrics" ->
-                    whenAwake(request.response(), () -> request.response().end(laggingPage()));
+                    whenAwake(request.response(), () -> request.response().end(delayedMetricsText()));
             default -> request.response().setStatusCode(404).end();
         }
     }
 
-    private void whenAwake(HttpServerResponse response, Runnable then) {
-        double left = mood.pausedUntilMs - now();
-        if (left > 0) {
-            vertx.setTimer((long) Math.ceil(left), timer -> whenAwake(response, then));
-        } else if (up && !response.closed()) {
-            then.run();
+    private void whenAwake(HttpServerResponse response, Runnable action) {
+        double remainingMs = faults.pausedUntilMs - now();
+        if (remainingMs > 0) {
+            vertx.setTimer((long) Math.ceil(remainingMs), timer -> whenAwake(response, action));
+        } else if (started && !response.closed()) {
+            action.run();
         }
     }
 
-    private void attempt(HttpServerRequest request, Buffer body) {
+    private void handleAttempt(HttpServerRequest request, Buffer body) {
         HttpServerResponse response = request.response();
         JsonNode json;
         try {
             json = MAPPER.readTree(body.getBytes());
         } catch (JsonProcessingException e) {
-            error(response, 400, "invalid_json");
+            sendError(response, 400, "invalid_json");
             return;
         } catch (java.io.IOException e) {
-            error(response, 400, "unreadable");
+            sendError(response, 400, "unreadable");
             return;
         }
         String prompt = json.path("prompt").asText();
         String rid = request.getHeader("x-request-id");
-        Matcher tag = TAG.matcher(prompt);
+        Matcher tag = TAG_PATTERN.matcher(prompt);
         JsonNode params = json.path("kv_transfer_params");
-        boolean reads = params.path("do_remote_decode").asBoolean(false);
-        JsonNode handle = params.path("do_remote_prefill").asBoolean(false) ? params : null;
-        String found = null;
+        boolean isRead = params.path("do_remote_decode").asBoolean(false);
+        JsonNode stateParams = params.path("do_remote_prefill").asBoolean(false) ? params : null;
+        String tagText = null;
         while (tag.find()) {
-            found = tag.group(1);
+            tagText = tag.group(1);
         }
         Job job =
                 new Job(
                         rid,
-                        found,
+                        tagText,
                         response,
-                        Math.max(1, counts.applyAsInt(prompt)),
+                        Math.max(1, tokenCounter.applyAsInt(prompt)),
                         json.path("max_tokens").asInt(16),
-                        handle,
-                        reads);
-        witness.saw(
-                reads ? TrafficRecorder.Sight.READ_IN : TrafficRecorder.Sight.WRITE_IN,
-                make.id(),
+                        stateParams,
+                        isRead);
+        recorder.recordEvent(
+                isRead ? TrafficRecorder.Event.READ_IN : TrafficRecorder.Event.WRITE_IN,
+                profile.id(),
                 rid,
                 job.tag,
                 job.tokens);
-        Runnable out = () -> leave(job);
-        open.put(
+        Runnable onEnd = () -> finishAttempt(job);
+        openResponses.put(
                 response,
                 () -> {
-                    out.run();
+                    onEnd.run();
                     response.reset();
                 });
-        response.closeHandler(closed -> out.run());
-        response.endHandler(ended -> out.run());
-        response.exceptionHandler(e -> out.run());
-        if (mood.full || reading.size() + waiting.size() >= make.queue() + make.readsAtOnce()) {
-            error(response, mood.full && random.nextBoolean() ? 503 : 429, "queue_full");
+        response.closeHandler(closed -> onEnd.run());
+        response.endHandler(ended -> onEnd.run());
+        response.exceptionHandler(e -> onEnd.run());
+        if (faults.rejectAll || reading.size() + waiting.size() >= profile.queueCapacity() + profile.maxConcurrentReads()) {
+            sendError(response, faults.rejectAll && random.nextBoolean() ? 503 : 429, "queue_full");
             return;
         }
-        if (mood.faulty) {
-            error(response, 500, "internal");
+        if (faults.failAll) {
+            sendError(response, 500, "internal");
             return;
         }
-        if ((reads && make.role() == Role.WRITER)
-                || (!reads && make.role() == Role.READER)
-                || (!reads && handle == null && make.role() != Role.BOTH)) {
-            error(response, 400, handle == null && !reads ? "kv_state_unknown" : "wrong_role");
+        if ((isRead && profile.role() == Role.WRITER)
+                || (!isRead && profile.role() == Role.READER)
+                || (!isRead && stateParams == null && profile.role() != Role.BOTH)) {
+            sendError(response, 400, stateParams == null && !isRead ? "kv_state_unknown" : "wrong_role");
             return;
         }
-        job.lost = random.nextDouble() < mood.lostShare;
-        if (random.nextDouble() < mood.brokenShare) {
-            job.breakAfter = random.nextInt(12);
+        job.responseLost = random.nextDouble() < faults.lostResponseShare;
+        if (random.nextDouble() < faults.brokenStreamShare) {
+            job.breakAfterTokens = random.nextInt(12);
         }
-        Matcher length = OUT.matcher(prompt);
-        int wanted = 8 + Math.floorMod(prompt.hashCode(), 40);
-        while (length.find()) {
-            wanted = Integer.parseInt(length.group(1));
+        Matcher lengthMatcher = OUTPUT_LENGTH_PATTERN.matcher(prompt);
+        int outputLength = 8 + Math.floorMod(prompt.hashCode(), 40);
+        while (lengthMatcher.find()) {
+            outputLength = Integer.parseInt(lengthMatcher.group(1));
         }
-        job.length = Math.min(job.most, wanted);
-        if (reads || handle == null) {
-            job.keptTokens =
-                    keep(prompt)
+        job.outputTokens = Math.min(job.maxTokens, outputLength);
+        if (isRead || stateParams == null) {
+            job.cachedTokens =
+                    cachePrompt(prompt)
                             * job.tokens
-                            * CHARS_A_TOK
-                            / Math.max(CHARS_A_TOK, prompt.length());
-            job.unread = Math.max(1, job.tokens - job.keptTokens);
+                            * CHARS_PER_TOKEN
+                            / Math.max(CHARS_PER_TOKEN, prompt.length());
+            job.unreadTokens = Math.max(1, job.tokens - job.cachedTokens);
             reading.add(job);
         } else {
             waiting.add(job);
         }
     }
 
-    private void leave(Job job) {
-        if (job.gone) {
+    private void finishAttempt(Job job) {
+        if (job.finished) {
             return;
         }
-        job.gone = true;
-        open.remove(job.response);
+        job.finished = true;
+        openResponses.remove(job.response);
         reading.remove(job);
         waiting.remove(job);
         running.remove(job);
-        if (job.counted) {
+        if (job.memoryReserved) {
             usedTokens -= job.tokens;
         }
-        witness.saw(TrafficRecorder.Sight.LEG_OUT, make.id(), job.rid, job.tag, job.sent);
+        recorder.recordEvent(TrafficRecorder.Event.LEG_OUT, profile.id(), job.rid, job.tag, job.sentTokens);
     }
 
-    private void abort(HttpServerRequest request, Buffer body) {
+    private void handleAbort(HttpServerRequest request, Buffer body) {
         whenAwake(
                 request.response(),
                 () -> {
                     String rid = body.toJsonObject().getString("rid", "");
-                    drop(rid);
+                    releaseState(rid);
                     request.response().putHeader("content-type", "application/json").end("{}");
                 });
     }
 
-    private void pull(HttpServerRequest request, Buffer body) {
+    private void handleStatePull(HttpServerRequest request, Buffer body) {
         whenAwake(
                 request.response(),
                 () -> {
                     String rid = body.toJsonObject().getString("rid", "");
-                    request.response().setStatusCode(drop(rid) ? 200 : 404).end();
+                    request.response().setStatusCode(releaseState(rid) ? 200 : 404).end();
                 });
     }
 
-    private boolean drop(String rid) {
+    private boolean releaseState(String rid) {
         State state = states.remove(rid);
         if (state != null) {
             usedTokens -= state.tokens;
-            witness.saw(TrafficRecorder.Sight.STATE_GONE, make.id(), rid, state.tag, state.tokens);
+            recorder.recordEvent(TrafficRecorder.Event.STATE_GONE, profile.id(), rid, state.tag, state.tokens);
         }
         return state != null;
     }
 
     /** How many tokens of this prompt are kept, which are all kept from now on. */
-    private double keep(String prompt) {
+    private double cachePrompt(String prompt) {
         long hash = 1125899906842597L;
-        int chunk = CHARS_A_TOK * TOKS_A_CHUNK;
-        int known = 0;
-        boolean going = true;
-        for (int end = chunk; end <= prompt.length(); end += chunk) {
-            for (int i = end - chunk; i < end; i++) {
+        int chunkChars = CHARS_PER_TOKEN * TOKENS_PER_CHUNK;
+        int cachedPrefixTokens = 0;
+        boolean prefixCached = true;
+        for (int end = chunkChars; end <= prompt.length(); end += chunkChars) {
+            for (int i = end - chunkChars; i < end; i++) {
                 hash = 31 * hash + prompt.charAt(i);
             }
-            going &= kept.get(hash) != null;
-            known += going ? TOKS_A_CHUNK : 0;
-            kept.put(hash, Boolean.TRUE);
+            prefixCached &= cachedChunks.get(hash) != null;
+            cachedPrefixTokens += prefixCached ? TOKENS_PER_CHUNK : 0;
+            cachedChunks.put(hash, Boolean.TRUE);
         }
-        return known;
+        return cachedPrefixTokens;
     }
 
-    private void error(HttpServerResponse response, int status, String code) {
+    private void sendError(HttpServerResponse response, int status, String code) {
         if (!response.ended() && !response.closed()) {
             ObjectNode json = MAPPER.createObjectNode();
             json.putObject("error").put("code", code).put("message", code);
             response.setStatusCode(status)
                     .putHeader("content-type", "application/json")
-                    .putHeader("endpoint-load-metrics", report())
+                    .putHeader("endpoint-load-metrics", loadReport())
                     .end(json.toString());
         }
     }
 
-    private String report() {
+    private String loadReport() {
         return "TEXT named_metrics.num_requests_running="
                 + (running.size() + reading.size() + states.size())
                 + ",named_metrics.num_requests_waiting="
                 + waiting.size()
                 + ",named_metrics.kv_cache_usage_perc="
-                + Math.min(1, usedTokens / make.memoryTokens())
+                + Math.min(1, usedTokens / profile.memoryTokens())
                 + ",named_metrics.prompt_tokens_waiting="
-                + unread();
+                + unreadTokens();
     }
 
-    private double unread() {
-        double unread = 0;
+    private double unreadTokens() {
+        double unreadTokens = 0;
         for (Job job : reading) {
-            unread += job.unread;
+            unreadTokens += job.unreadTokens;
         }
         for (Job job : waiting) {
-            unread += job.tokens;
+            unreadTokens += job.tokens;
         }
-        return unread;
+        return unreadTokens;
     }
 
-    private String page() {
+    private String metricsText() {
         return "vllm:num_requests_running "
                 + (running.size() + reading.size() + states.size())
                 + "\nvllm:num_requests_waiting "
                 + waiting.size()
                 + "\nvllm:kv_cache_usage_perc "
-                + Math.min(1, usedTokens / make.memoryTokens())
+                + Math.min(1, usedTokens / profile.memoryTokens())
                 + "\nvllm:prompt_tokens_waiting "
-                + unread()
+                + unreadTokens()
                 + "\n";
     }
 
-    private String laggingPage() {
-        int lag = (int) (mood.reportLagMs / STEP_MS);
-        return pages.size() > lag && lag > 0 ? pages.get(pages.size() - 1 - lag) : page();
+    private String delayedMetricsText() {
+        int lag = (int) (faults.metricsLagMs / STEP_MS);
+        return metricsHistory.size() > lag && lag > 0 ? metricsHistory.get(metricsHistory.size() - 1 - lag) : metricsText();
     }
 
     // ------------------------------------------------------------------ work
 
     private void step() {
         double now = now();
-        double elapsed = now - Math.max(lastMs, mood.pausedUntilMs);
+        double elapsed = now - Math.max(lastMs, faults.pausedUntilMs);
         lastMs = now;
-        if (mood.reportLagMs > 0) {
-            pages.add(page());
-            if (pages.size() > 2000) {
-                pages.remove(0);
+        if (faults.metricsLagMs > 0) {
+            metricsHistory.add(metricsText());
+            if (metricsHistory.size() > 2000) {
+                metricsHistory.remove(0);
             }
         }
         if (elapsed <= 0) {
             return;
         }
-        boolean stalls = running.size() + reading.size() > mood.stallsAbove;
-        double worth = elapsed * capacity() / mood.slowness / (stalls ? STALL : 1);
-        read(worth);
-        admit();
+        boolean stalls = running.size() + reading.size() > faults.stallThreshold;
+        double capacityMs = elapsed * capacityShare() / faults.slowdownFactor / (stalls ? STALL_SLOWDOWN : 1);
+        readPrompts(capacityMs);
+        admitWaiting();
         for (Job job : List.copyOf(running)) {
-            stream(job, worth);
+            generateTokens(job, capacityMs);
         }
-        lapse(now);
+        expireStates(now);
     }
 
-    private void read(double worth) {
-        double budget = worth * make.readTokensPerMs();
+    private void readPrompts(double capacityMs) {
+        double budget = capacityMs * profile.readTokensPerMs();
         Iterator<Job> next = List.copyOf(reading).iterator();
-        for (int i = 0; i < make.readsAtOnce() && next.hasNext() && budget > 0; i++) {
+        for (int i = 0; i < profile.maxConcurrentReads() && next.hasNext() && budget > 0; i++) {
             Job job = next.next();
-            if (!job.counted) {
-                if (usedTokens + job.tokens > make.memoryTokens()) {
+            if (!job.memoryReserved) {
+                if (usedTokens + job.tokens > profile.memoryTokens()) {
                     return;
                 }
-                job.counted = true;
+                job.memoryReserved = true;
                 usedTokens += job.tokens;
             }
-            double part = Math.min(budget, job.unread);
-            job.unread -= part;
+            double part = Math.min(budget, job.unreadTokens);
+            job.unreadTokens -= part;
             budget -= part;
-            if (job.unread <= 0) {
+            if (job.unreadTokens <= 0) {
                 reading.remove(job);
-                if (job.reads) {
+                if (job.isRead) {
                     finishRead(job);
                 } else {
                     waiting.add(job);
@@ -497,12 +497,12 @@
     }
 
     private void finishRead(Job job) {
-        if (!mood.forgetful) {
+        if (!faults.discardStates) {
             states.put(job.rid, new State(job.rid, job.tag, job.tokens, now()));
-            job.counted = false;
-            witness.saw(TrafficRecorder.Sight.STATE_HELD, make.id(), job.rid, job.tag, job.tokens);
+            job.memoryReserved = false;
+            recorder.recordEvent(TrafficRecorder.Event.STATE_HELD, profile.id(), job.rid, job.tag, job.tokens);
         }
-        if (job.lost) {
+        if (job.responseLost) {
             return;
         }
         ObjectNode json = MAPPER.createObjectNode();
@@ -516,71 +516,71 @@
                 .put("prompt_tokens", (int) job.tokens)
                 .put("completion_tokens", 1)
                 .putObject("prompt_tokens_details")
-                .put("cached_tokens", (int) job.keptTokens);
+                .put("cached_tokens", (int) job.cachedTokens);
         json.putObject("kv_transfer_params")
                 .put("do_remote_prefill", true)
-                .put("remote_engine_id", make.id())
+                .put("remote_engine_id", profile.id())
                 .put("remote_host", "127.0.0.1")
                 .put("remote_port", port)
                 .put("remote_request_id", job.rid)
-                .put("remote_zone", make.zone())
-                .put("remote_rack", make.rack())
+                .put("remote_zone", profile.zone())
+                .put("remote_rack", profile.rack())
                 .putArray("remote_block_ids")
                 .add(1);
         String text = json.toString();
-        boolean garbled = random.nextDouble() < mood.garbledShare;
+        boolean garbled = random.nextDouble() < faults.malformedShare;
         job.response
                 .putHeader("content-type", "application/json")
-                .putHeader("endpoint-load-metrics", report())
+                .putHeader("endpoint-load-metrics", loadReport())
                 .end(garbled ? text.substring(0, text.length() / 2) : text);
     }
 
-    private void admit() {
+    private void admitWaiting() {
         for (Job job : List.copyOf(waiting)) {
-            if (running.size() >= make.streams()
-                    || (!job.counted && usedTokens + job.tokens > make.memoryTokens())) {
+            if (running.size() >= profile.maxConcurrentStreams()
+                    || (!job.memoryReserved && usedTokens + job.tokens > profile.memoryTokens())) {
                 return;
             }
             waiting.remove(job);
-            usedTokens += job.counted ? 0 : job.tokens;
-            job.counted = true;
+            usedTokens += job.memoryReserved ? 0 : job.tokens;
+            job.memoryReserved = true;
             running.add(job);
-            if (job.handle == null) {
-                job.fetching = false;
-                ran(job);
+            if (job.stateParams == null) {
+                job.fetchingState = false;
+                recordRun(job);
             } else {
-                fetch(job);
+                fetchState(job);
             }
         }
     }
 
-    private void ran(Job job) {
-        witness.saw(TrafficRecorder.Sight.RAN, make.id(), job.rid, job.tag, job.tokens);
+    private void recordRun(Job job) {
+        recorder.recordEvent(TrafficRecorder.Event.RAN, profile.id(), job.rid, job.tag, job.tokens);
     }
 
-    private void fetch(Job job) {
-        job.fetching = true;
-        String zone = job.handle.path("remote_zone").asText();
+    private void fetchState(Job job) {
+        job.fetchingState = true;
+        String zone = job.stateParams.path("remote_zone").asText();
         double slowdown =
-                !zone.equals(make.zone())
+                !zone.equals(profile.zone())
                         ? ZONE_SLOWDOWN
-                        : job.handle.path("remote_rack").asLong() != make.rack()
+                        : job.stateParams.path("remote_rack").asLong() != profile.rack()
                                 ? RACK_SLOWDOWN
                                 : 1;
-        long moveMs = 1 + (long) (job.tokens / make.moveTokensPerMs() * slowdown);
+        long moveMs = 1 + (long) (job.tokens / profile.transferTokensPerMs() * slowdown);
         RequestOptions to =
                 new RequestOptions()
                         .setMethod(HttpMethod.POST)
                         .setURI("/kv/pull")
                         .setTimeout(1000)
-                        .setHost(job.handle.path("remote_host").asText())
-                        .setPort(job.handle.path("remote_port").asInt());
+                        .setHost(job.stateParams.path("remote_host").asText())
+                        .setPort(job.stateParams.path("remote_port").asInt());
         Buffer body =
                 Buffer.buffer(
                         MAPPER.createObjectNode()
-                                .put("rid", job.handle.path("remote_request_id").asText())
+                                .put("rid", job.stateParams.path("remote_request_id").asText())
                                 .toString());
-        peers.request(to)
+        peerClient.request(to)
                 .compose(request -> request.send(body))
                 .map(answer -> answer.statusCode())
                 .onComplete(
@@ -588,66 +588,66 @@
                                 vertx.setTimer(
                                         moveMs,
                                         timer -> {
-                                            if (job.gone || !up) {
+                                            if (job.finished || !started) {
                                                 return;
                                             }
                                             if (done.succeeded() && done.result() == 200) {
-                                                job.fetching = false;
-                                                ran(job);
-                                            } else if (!job.lost) {
+                                                job.fetchingState = false;
+                                                recordRun(job);
+                                            } else if (!job.responseLost) {
                                                 running.remove(job);
-                                                error(job.response, 409, "kv_state_unknown");
+                                                sendError(job.response, 409, "kv_state_unknown");
                                             }
                                         }));
     }
 
-    private void stream(Job job, double worth) {
-        if (job.fetching || job.lost || job.gone) {
+    private void generateTokens(Job job, double capacityMs) {
+        if (job.fetchingState || job.responseLost || job.finished) {
             return;
         }
         // Back-pressure: what the reader of this stream does not take is not made.
-        if (job.begun && job.response.writeQueueFull()) {
+        if (job.streamStarted && job.response.writeQueueFull()) {
             return;
         }
-        job.credit += worth / make.tokenMs();
-        if (!job.begun) {
-            job.begun = true;
-            job.credit = Math.max(1, job.credit);
+        job.tokenCredit += capacityMs / profile.tokenMs();
+        if (!job.streamStarted) {
+            job.streamStarted = true;
+            job.tokenCredit = Math.max(1, job.tokenCredit);
             job.response
                     .setChunked(true)
                     .putHeader("content-type", "text/event-stream")
-                    .putHeader("endpoint-load-metrics", report());
+                    .putHeader("endpoint-load-metrics", loadReport());
         }
-        while (job.credit >= 1 && job.sent < job.length) {
-            job.credit -= 1;
-            job.sent++;
-            if (job.sent > job.breakAfter) {
+        while (job.tokenCredit >= 1 && job.sentTokens < job.outputTokens) {
+            job.tokenCredit -= 1;
+            job.sentTokens++;
+            if (job.sentTokens > job.breakAfterTokens) {
                 job.response.reset();
-                leave(job);
+                finishAttempt(job);
                 return;
             }
-            boolean last = job.sent == job.length;
+            boolean last = job.sentTokens == job.outputTokens;
             write(
                     job,
-                    chunk(
+                    completionChunk(
                             job,
-                            "w" + job.sent + " ",
-                            last ? job.length < job.most ? "stop" : "length" : null));
+                            "w" + job.sentTokens + " ",
+                            last ? job.outputTokens < job.maxTokens ? "stop" : "length" : null));
         }
-        if (job.sent >= job.length) {
+        if (job.sentTokens >= job.outputTokens) {
             ObjectNode usage = MAPPER.createObjectNode();
             usage.putArray("choices");
             usage.putObject("usage")
                     .put("prompt_tokens", (int) job.tokens)
-                    .put("completion_tokens", job.sent);
+                    .put("completion_tokens", job.sentTokens);
             write(job, "data: " + usage + "\n\ndata: [DONE]\n\n");
             running.remove(job);
             job.response.end();
         }
     }
 
-    private String chunk(Job job, String text, String reason) {
-        if (random.nextDouble() < mood.garbledShare / 8) {
+    private String completionChunk(Job job, String text, String reason) {
+        if (random.nextDouble() < faults.malformedShare / 8) {
             return "data: {\"choices\":[{\"text\":\n\n";
         }
         ObjectNode json =
@@ -661,7 +661,7 @@
     }
 
     private void write(Job job, String text) {
-        if (!mood.torn || text.length() < 4) {
+        if (!faults.splitWrites || text.length() < 4) {
             job.response.write(text);
             return;
         }
@@ -670,10 +670,10 @@
         job.response.write(text.substring(cut));
     }
 
-    private void lapse(double now) {
+    private void expireStates(double now) {
         for (State state : List.copyOf(states.values())) {
-            if (now - state.sinceMs > make.lapseMs()) {
-                drop(state.rid);
+            if (now - state.sinceMs > profile.stateExpiryMs()) {
+                releaseState(state.rid);
             }
         }
     }
--- a/src/main/java/larchridge/simulatedengine/TrafficRecorder.java
+++ b/src/main/java/larchridge/simulatedengine/TrafficRecorder.java
@@ -3,7 +3,7 @@
 /** Writes down what an engine's sockets saw. */
 public interface TrafficRecorder {
     /** The things that can be seen at an engine. */
-    enum Sight {
+    enum Event {
         STARTED,
         STOPPED,
         READ_IN,
@@ -21,5 +21,5 @@
      * @param tag the mark that the client put into its prompt, or null
      * @param amount prompt tokens, where they matter
      */
-    void saw(Sight sight, long engine, String rid, String tag, double amount);
+    void recordEvent(Event event, long engine, String rid, String tag, double amount);
 }
--- a/src/main/java/larchridge/systemtest/RuleChecker.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -279,7 +279,7 @@
             double attemptsPerMs =
                     make.role() == Role.READER
                             ? make.readTokensPerMs() / Math.max(1, meanRead)
-                            : make.streams() / (30 * make.tokenMs());
+                            : make.maxConcurrentStreams() / (30 * make.tokenMs());
             double budget = figures.tipMultiple * share * attemptsPerMs * figures.tipMs + 2;
             if (window.size() > budget && told.add(seen.where())) {
                 breaches.add(
--- a/src/main/java/larchridge/systemtest/SimulatedFleet.java
+++ b/src/main/java/larchridge/systemtest/SimulatedFleet.java
@@ -117,7 +117,7 @@
             if (!about.listed) {
                 continue;
             }
-            EngineProfile make = entry.getValue().engine.make;
+            EngineProfile make = entry.getValue().engine.profile;
             text.append(
                     String.format(
                             Locale.ROOT,
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -148,7 +148,7 @@
             if (script.encoding() != null) {
                 Vocabulary vocabulary = VocabularyReader.forEncoding("v", script.encoding());
                 makes.keySet()
-                        .forEach(id -> fleet.on(id, engine -> engine.counts = vocabulary::count));
+                        .forEach(id -> fleet.on(id, engine -> engine.tokenCounter = vocabulary::count));
             }
             if (script.processes()) {
                 processes = new RouterProcesses(folder, site(script), script.fronts());
@@ -426,26 +426,26 @@
                         engine -> {
                             switch (trouble.kind()) {
                                 case "pause" ->
-                                        engine.mood.pausedUntilMs =
+                                        engine.faults.pausedUntilMs =
                                                 System.currentTimeMillis() + trouble.forMs();
-                                case "slow" -> engine.mood.slowness = trouble.size();
-                                case "stall" -> engine.mood.stallsAbove = (int) trouble.size();
-                                case "lost" -> engine.mood.lostShare = Math.min(1, trouble.size());
-                                case "full" -> engine.mood.full = true;
-                                case "faulty" -> engine.mood.faulty = true;
+                                case "slow" -> engine.faults.slowdownFactor = trouble.size();
+                                case "stall" -> engine.faults.stallThreshold = (int) trouble.size();
+                                case "lost" -> engine.faults.lostResponseShare = Math.min(1, trouble.size());
+                                case "full" -> engine.faults.rejectAll = true;
+                                case "faulty" -> engine.faults.failAll = true;
                                 case "broken" ->
-                                        engine.mood.brokenShare = Math.min(1, trouble.size());
-                                case "torn" -> engine.mood.torn = true;
+                                        engine.faults.brokenStreamShare = Math.min(1, trouble.size());
+                                case "torn" -> engine.faults.splitWrites = true;
                                 case "garbled" ->
-                                        engine.mood.garbledShare = Math.min(1, trouble.size());
-                                case "forgetful" -> engine.mood.forgetful = true;
-                                case "lag" -> engine.mood.reportLagMs = trouble.size();
+                                        engine.faults.malformedShare = Math.min(1, trouble.size());
+                                case "forgetful" -> engine.faults.discardStates = true;
+                                case "lag" -> engine.faults.metricsLagMs = trouble.size();
                                 default -> throw new IllegalStateException(trouble.kind());
                             }
                         });
                 vertx.setTimer(
                         Math.max(1, (long) trouble.forMs()),
-                        timer -> fleet.on(id, e -> e.mood.clear()));
+                        timer -> fleet.on(id, e -> e.faults.clear()));
             }
         }
     }
--- a/src/main/java/larchridge/systemtest/TrafficLog.java
+++ b/src/main/java/larchridge/systemtest/TrafficLog.java
@@ -42,8 +42,8 @@
     }
 
     @Override
-    public void saw(Sight sight, long engine, String rid, String tag, double amount) {
-        add(TrafficEvent.Kind.valueOf(sight.name()), engine, rid, tag, amount, null);
+    public void recordEvent(Event event, long engine, String rid, String tag, double amount) {
+        add(TrafficEvent.Kind.valueOf(event.name()), engine, rid, tag, amount, null);
     }
 
     public synchronized void add(
--- a/src/test/java/larchridge/serve/ServiceTest.java
+++ b/src/test/java/larchridge/serve/ServiceTest.java
@@ -97,7 +97,7 @@
     @Test
     void faultyEnginesFailWhatMayHaveRunAndRejectTheRest() throws Exception {
         try (ServiceFixture fixture = new ServiceFixture("")) {
-            fixture.fleet.on(2, engine -> engine.mood.faulty = true);
+            fixture.fleet.on(2, engine -> engine.faults.failAll = true);
             ServiceFixture.Response sideEffecting =
                     fixture.post(fixture.options(), ServiceFixture.requestBody("once", false, 3));
             check(sideEffecting, 500, "api_error");
@@ -113,7 +113,7 @@
     @Test
     void requestToAnEngineThatNeverAnswersFailsAtItsDeadline() throws Exception {
         try (ServiceFixture fixture = new ServiceFixture("")) {
-            fixture.fleet.on(2, engine -> engine.mood.lostShare = 1);
+            fixture.fleet.on(2, engine -> engine.faults.lostResponseShare = 1);
             long start = System.nanoTime();
             check(
                     fixture.post(fixture.options(), ServiceFixture.requestBody("once", true, 3)),
@@ -177,7 +177,7 @@
     @Test
     void readStateIsReleasedIfTheClientDisconnectsDuringTheRead() throws Exception {
         try (ServiceFixture fixture = new ServiceFixture("")) {
-            fixture.fleet.on(1, engine -> engine.mood.lostShare = 1);
+            fixture.fleet.on(1, engine -> engine.faults.lostResponseShare = 1);
             HttpClientRequest request =
                     fixture.get(
                             fixture.http
