--- a/src/main/java/larchridge/cli/SearchCommand.java
+++ b/src/main/java/larchridge/cli/SearchCommand.java
@@ -55,7 +55,7 @@
         TestScript read;
         try {
             read = TestScriptReader.read(script);
-        } catch (TestScriptReader.BadScript e) {
+        } catch (TestScriptReader.InvalidTestScriptException e) {
             System.err.println(e.getMessage());
             return 1;
         }
--- a/src/main/java/larchridge/cli/SystemTestCommand.java
+++ b/src/main/java/larchridge/cli/SystemTestCommand.java
@@ -93,11 +93,11 @@
             if (source.day != null) {
                 BenchDayReader day = BenchDayReader.read(source.day, scale);
                 script = day.script();
-                day.leftOut().forEach(what -> System.out.println("not carried over: " + what));
+                day.omissions().forEach(what -> System.out.println("not carried over: " + what));
             } else {
                 script = TestScriptReader.read(source.script);
             }
-        } catch (TestScriptReader.BadScript e) {
+        } catch (TestScriptReader.InvalidTestScriptException e) {
             System.err.println(e.getMessage());
             return 1;
         }
@@ -111,7 +111,7 @@
                 "seed "
                         + script.seed()
                         + ", "
-                        + script.fronts()
+                        + script.routers()
                         + " fronts, engines are simulated");
         if (virtual) {
             return playVirtually(script);
--- a/src/main/java/larchridge/experiment/ExperimentPlan.java
+++ b/src/main/java/larchridge/experiment/ExperimentPlan.java
@@ -62,7 +62,7 @@
             for (double rateFactor : rates) {
                 for (double engineFactor : file.engines == null ? List.of(1.0) : file.engines) {
                     for (int routers :
-                            file.routers == null ? List.of(script.fronts()) : file.routers) {
+                            file.routers == null ? List.of(script.routers()) : file.routers) {
                         for (long seed : file.seeds == null ? List.of(1L, 2L, 3L) : file.seeds) {
                             runs.add(
                                     new RunParameters(
@@ -104,7 +104,7 @@
         try {
             return new ExperimentPlan(
                     TestScriptReader.read(path.toAbsolutePath().resolveSibling(file.script)), file);
-        } catch (TestScriptReader.BadScript e) {
+        } catch (TestScriptReader.InvalidTestScriptException e) {
             throw new InvalidPlanException(e.getMessage());
         }
     }
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -88,7 +88,7 @@
 
     /** A conversation: each answered turn extends the prompt of the next one. */
     private static final class Session {
-        final TestScript.Mix mix;
+        final TestScript.ProductLoad mix;
         final String tenant;
         final int prefix;
         final List<Long> segmentIds = new ArrayList<>();
@@ -97,7 +97,7 @@
         final String id;
         int remainingTurns;
 
-        Session(TestScript.Mix mix, String tenant, int prefix, int turns, String id) {
+        Session(TestScript.ProductLoad mix, String tenant, int prefix, int turns, String id) {
             this.mix = mix;
             this.tenant = tenant;
             this.prefix = prefix;
@@ -117,7 +117,7 @@
                             "listen { host: \"127.0.0.1\" port: 0 }\nseed: "
                                     + Math.max(1, script.seed())
                                     + "\nfronts: 1\nfronts_of_service: "
-                                    + script.fronts()
+                                    + script.routers()
                                     + "\n"
                                     + SystemTest.site(script.withoutBatches()),
                             null);
@@ -126,7 +126,7 @@
                     "the generated site configuration is invalid: " + e.getMessage(), e);
         }
         String zone = script.engines().get(0).zones().get(0);
-        for (int i = 0; i < script.fronts(); i++) {
+        for (int i = 0; i < script.routers(); i++) {
             // The routers' metrics are not read; the results come from the event log.
             routers.add(
                     new Router(
@@ -182,7 +182,7 @@
             return;
         }
         scheduler.schedule(
-                -Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rateFactor),
+                -Math.log(1 - random.nextDouble()) * 1000 / (script.requestsPerSecond() * rateFactor),
                 () -> {
                     if (scheduler.elapsedMs() < script.durationMs()) {
                         startOperation();
@@ -194,8 +194,8 @@
     private void startOperation() {
         Session session = pickSession();
         String name = "op" + ++operationCount;
-        boolean nonStreaming = random.nextDouble() < script.clients().wholeShare();
-        int answerTokens = 1 + (int) (session.mix.outTokens() * (0.5 + random.nextDouble()));
+        boolean nonStreaming = random.nextDouble() < script.clients().nonStreamingShare();
+        int answerTokens = 1 + (int) (session.mix.outputTokens() * (0.5 + random.nextDouble()));
         int promptTokens =
                 Math.max(
                         1,
@@ -214,8 +214,8 @@
     }
 
     private Session pickSession() {
-        TestScript.Mix mix = script.anyMix(random);
-        TestScript.Tenant tenant = script.anyTenant(random);
+        TestScript.ProductLoad mix = script.randomProduct(random);
+        TestScript.Tenant tenant = script.randomTenant(random);
         if (random.nextDouble() < 1 - 1 / mix.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
                 Session candidate = sessions.get(i);
@@ -267,17 +267,17 @@
         }
 
         void send() {
-            TestScript.Mix mix = session.mix;
+            TestScript.ProductLoad mix = session.mix;
             log.add(
                     TrafficEvent.Kind.ASKED,
                     routerIndex,
                     session.tenant,
                     tag,
-                    mix.limitMs(),
+                    mix.timeLimitMs(),
                     mix.name());
             scheduler.schedule(CLIENT_LATENCY_MS, this::arriveAtRouter);
-            if (random.nextDouble() < script.clients().leaveShare()) {
-                scheduler.schedule(1 + random.nextInt((int) mix.limitMs()), this::disconnect);
+            if (random.nextDouble() < script.clients().disconnectShare()) {
+                scheduler.schedule(1 + random.nextInt((int) mix.timeLimitMs()), this::disconnect);
             }
         }
 
@@ -287,7 +287,7 @@
                 recordFinal("throttled");
                 return;
             }
-            TestScript.Mix mix = session.mix;
+            TestScript.ProductLoad mix = session.mix;
             int sharedTokens = mix.sharedTokens();
             List<Long> segmentIds = new ArrayList<>();
             List<Integer> segmentTokens = new ArrayList<>();
@@ -318,15 +318,15 @@
                             .sharedPrefix(
                                     sharedTokens > 0 ? mix.name() + session.prefix : null,
                                     sharedTokens)
-                            .limits(2 * mix.outTokens() + 2, List.of())
+                            .limits(2 * mix.outputTokens() + 2, List.of())
                             .sampling(new AttemptRequest.Sampling(null, null, null))
                             .session(
                                     session.id, session.lastTurnDigest, session.id + "/" + promptId)
                             .nonStreaming(nonStreaming)
                             .clientRetry(tryNumber > 0)
                             .clientTimeoutMs(
-                                    mix.limitMs()
-                                            + (nonStreaming ? (2 * mix.outTokens() + 2) * 60 : 0))
+                                    mix.timeLimitMs()
+                                            + (nonStreaming ? (2 * mix.outputTokens() + 2) * 60 : 0))
                             .idempotencyKey(operation)
                             .build();
             router.submit(request, this, accepted -> inFlight = accepted);
--- a/src/main/java/larchridge/systemtest/ClientLoad.java
+++ b/src/main/java/larchridge/systemtest/ClientLoad.java
@@ -49,13 +49,13 @@
 
     /** A talk under way: the messages so far. */
     private static final class Session {
-        final TestScript.Mix mix;
+        final TestScript.ProductLoad mix;
         final String tenant;
         final int prefix;
         final ArrayNode messages = MAPPER.createArrayNode();
         int left;
 
-        Session(TestScript.Mix mix, String tenant, int prefix, int turns) {
+        Session(TestScript.ProductLoad mix, String tenant, int prefix, int turns) {
             this.mix = mix;
             this.tenant = tenant;
             this.prefix = prefix;
@@ -95,7 +95,7 @@
         if (over) {
             return;
         }
-        double gapMs = -Math.log(1 - random.nextDouble()) * 1000 / (script.ratePerS() * rateFactor);
+        double gapMs = -Math.log(1 - random.nextDouble()) * 1000 / (script.requestsPerSecond() * rateFactor);
         vertx.setTimer(
                 Math.max(1, Math.round(gapMs)),
                 timer -> {
@@ -112,8 +112,8 @@
         operations++;
         String name = "op" + operations;
         String question = "Pregunta " + random.nextInt(1_000_000) + " ";
-        boolean whole = random.nextDouble() < script.clients().wholeShare();
-        int out = 1 + (int) (session.mix.outTokens() * (0.5 + random.nextDouble()));
+        boolean whole = random.nextDouble() < script.clients().nonStreamingShare();
+        int out = 1 + (int) (session.mix.outputTokens() * (0.5 + random.nextDouble()));
         int quarter =
                 session.mix.promptTokens() / 2 + random.nextInt(session.mix.promptTokens() + 1);
         String filler = session.mix.text().equals("log") ? readings(4 * quarter) : text(quarter);
@@ -122,8 +122,8 @@
     }
 
     private Session session() {
-        TestScript.Mix mix = script.anyMix(random);
-        String tenant = script.anyTenant(random).name();
+        TestScript.ProductLoad mix = script.randomProduct(random);
+        String tenant = script.randomTenant(random).name();
         if (random.nextDouble() < 1 - 1 / mix.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
                 Session one = sessions.get(i);
@@ -209,11 +209,11 @@
 
         void ask() {
             open++;
-            TestScript.Mix mix = session.mix;
+            TestScript.ProductLoad mix = session.mix;
             ObjectNode body =
                     MAPPER.createObjectNode()
                             .put("model", mix.name())
-                            .put("max_tokens", 2 * mix.outTokens() + 2)
+                            .put("max_tokens", 2 * mix.outputTokens() + 2)
                             .put("stream", !whole);
             if (mix.sharedTokens() > 0) {
                 ObjectNode system =
@@ -245,11 +245,11 @@
                             .putHeader("x-api-key", session.tenant)
                             .putHeader("idempotency-key", operation)
                             .putHeader(
-                                    "x-stainless-timeout", Double.toString(mix.limitMs() / 1000));
+                                    "x-stainless-timeout", Double.toString(mix.timeLimitMs() / 1000));
             if (number > 0) {
                 to.putHeader("x-stainless-retry-count", Integer.toString(number));
             }
-            double patience = mix.limitMs() + (whole ? (2 * mix.outTokens() + 2) * 60 : 0);
+            double patience = mix.timeLimitMs() + (whole ? (2 * mix.outputTokens() + 2) * 60 : 0);
             http.request(to)
                     .onComplete(
                             connected -> {
@@ -264,15 +264,15 @@
                                         front,
                                         session.tenant,
                                         tag,
-                                        Math.min(patience, mix.limitMs()),
+                                        Math.min(patience, mix.timeLimitMs()),
                                         mix.name());
                                 request.exceptionHandler(e -> lost());
                                 request.response().onSuccess(this::hear).onFailure(e -> lost());
                                 request.end(Buffer.buffer(body.toString()));
-                                if (random.nextDouble() < script.clients().leaveShare()) {
+                                if (random.nextDouble() < script.clients().disconnectShare()) {
                                     leaveTimer =
                                             vertx.setTimer(
-                                                    1 + random.nextInt((int) mix.limitMs()),
+                                                    1 + random.nextInt((int) mix.timeLimitMs()),
                                                     timer -> leave());
                                 }
                             });
@@ -284,7 +284,7 @@
             }
             response.exceptionHandler(e -> lost());
             if (response.statusCode() == 200 && !whole) {
-                if (random.nextDouble() < script.clients().slowShare()) {
+                if (random.nextDouble() < script.clients().slowReaderShare()) {
                     response.pause();
                     vertx.setTimer(50 + random.nextInt(300), timer -> response.resume());
                 }
--- a/src/main/java/larchridge/systemtest/ResultCounts.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -54,7 +54,7 @@
      */
     public static List<Row> of(List<TrafficEvent> log, TestScript script) {
         Map<String, Operation> operations = new LinkedHashMap<>();
-        Map<String, TestScript.Mix> mixes = new HashMap<>();
+        Map<String, TestScript.ProductLoad> mixes = new HashMap<>();
         script.products().forEach(mix -> mixes.put(mix.name(), mix));
         for (TrafficEvent seen : log) {
             if (seen.tag() == null || seen.kind().compareTo(TrafficEvent.Kind.ASKED) < 0) {
@@ -74,7 +74,7 @@
         Row all = new Row("all");
         rows.add(all);
         Map<String, Row> byProduct = new LinkedHashMap<>();
-        for (TestScript.Mix mix : script.products()) {
+        for (TestScript.ProductLoad mix : script.products()) {
             byProduct.put(mix.name(), new Row(mix.name()));
         }
         rows.addAll(byProduct.values());
@@ -105,7 +105,7 @@
             if (one.asked == null) {
                 continue;
             }
-            TestScript.Mix mix = mixes.get(one.asked.word());
+            TestScript.ProductLoad mix = mixes.get(one.asked.word());
             // Lines of batches have no SLO time; their product's row tells what became of them.
             boolean isLine = one.asked.tag().startsWith(BatchLoad.NAME);
             if (!isLine) {
@@ -136,7 +136,7 @@
         return rows;
     }
 
-    private static void count(Row row, Operation one, TestScript.Mix mix) {
+    private static void count(Row row, Operation one, TestScript.ProductLoad mix) {
         row.asked++;
         row.left += one.left ? 1 : 0;
         row.lost += one.lost ? 1 : 0;
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -151,7 +151,7 @@
                         .forEach(id -> fleet.on(id, engine -> engine.tokenCounter = vocabulary::count));
             }
             if (script.processes()) {
-                processes = new RouterProcesses(folder, site(script), script.fronts());
+                processes = new RouterProcesses(folder, site(script), script.routers());
                 fronts = processes;
             } else {
                 fronts =
@@ -162,7 +162,7 @@
                                                 + "own_ports: true\nseed: "
                                                 + Math.max(1, script.seed())
                                                 + "\nfronts: "
-                                                + script.fronts()
+                                                + script.routers()
                                                 + "\n"
                                                 + site(script),
                                         folder));
@@ -248,7 +248,7 @@
     public static List<EngineProfile> makes(TestScript script) {
         List<EngineProfile> all = new ArrayList<>();
         long id = 1;
-        for (TestScript.Group group : script.engines()) {
+        for (TestScript.EngineGroup group : script.engines()) {
             for (int i = 0; i < group.count(); i++) {
                 String zone = group.zones().get(i % group.zones().size());
                 long rack =
@@ -302,12 +302,12 @@
                             "tenant { name: \"%s\" key_sha256: \"%s\"",
                             tenant.name(),
                             Site.sha256(tenant.name())));
-            if (tenant.tokensPerS() > 0) {
+            if (tenant.tokensPerSecond() > 0) {
                 text.append(
                         String.format(
                                 Locale.ROOT,
                                 " budget { tokens_per_second: %f burst_tokens: %f }",
-                                tenant.tokensPerS(),
+                                tenant.tokensPerSecond(),
                                 tenant.burstTokens()));
             }
             text.append(" }\n");
@@ -318,7 +318,7 @@
                     .append(script.encoding())
                     .append("\" }\n");
         }
-        for (TestScript.Mix mix : script.products()) {
+        for (TestScript.ProductLoad mix : script.products()) {
             text.append(
                     String.format(
                             Locale.ROOT,
@@ -329,14 +329,14 @@
                             mix.effect(),
                             mix.revenue(),
                             mix.sloMs(),
-                            mix.limitMs()));
+                            mix.timeLimitMs()));
             if (mix.effect().equals("DEDUPLICATED")) {
                 text.append(
                         String.format(
                                 Locale.ROOT,
                                 " dedup_span: %s dedup_memory_ms: %f",
-                                mix.span(),
-                                mix.memoryMs()));
+                                mix.deduplicationScope(),
+                                mix.deduplicationWindowMs()));
             }
             text.append(counted ? " vocabulary: \"v\" }\n" : " }\n");
         }
@@ -348,14 +348,14 @@
         Map<Long, EngineProfile> makes = new HashMap<>();
         makes(script).forEach(make -> makes.put(make.id(), make));
         Map<String, TrafficClass> products = new HashMap<>();
-        for (TestScript.Mix mix : script.products()) {
+        for (TestScript.ProductLoad mix : script.products()) {
             products.put(
                     mix.name(),
                     new TrafficClass(
                             mix.name(),
                             Effect.valueOf(mix.effect()),
-                            DeduplicationScope.valueOf(mix.span()),
-                            mix.memoryMs(),
+                            DeduplicationScope.valueOf(mix.deduplicationScope()),
+                            mix.deduplicationWindowMs(),
                             mix.revenue(),
                             0.1,
                             mix.sloMs(),
--- a/src/main/java/larchridge/systemtest/TestScript.java
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -11,25 +11,25 @@
  */
 public record TestScript(
         @JsonProperty("seed") long seed,
-        @JsonProperty("fronts") int fronts,
+        @JsonProperty("fronts") int routers,
         @JsonProperty("duration_ms") double durationMs,
-        @JsonProperty("rate_per_s") double ratePerS,
+        @JsonProperty("rate_per_s") double requestsPerSecond,
         @JsonProperty("list_lag_ms") double listLagMs,
         @JsonProperty("probes") boolean probes,
         @JsonProperty("processes") boolean processes,
         @JsonProperty("encoding") String encoding,
         @JsonProperty("counted") boolean counted,
         @JsonProperty("tenants") List<Tenant> tenants,
-        @JsonProperty("engines") List<Group> engines,
-        @JsonProperty("products") List<Mix> products,
+        @JsonProperty("engines") List<EngineGroup> engines,
+        @JsonProperty("products") List<ProductLoad> products,
         @JsonProperty("batches") List<Batch> batches,
-        @JsonProperty("clients") Clients clients,
+        @JsonProperty("clients") ClientBehavior clients,
         @JsonProperty("troubles") List<Trouble> troubles) {
 
     /**
      * So many engines of one role; they are spread over the zones, and in each zone over its racks.
      */
-    public record Group(
+    public record EngineGroup(
             @JsonProperty("role") String role,
             @JsonProperty("count") int count,
             @JsonProperty("zones") List<String> zones,
@@ -42,40 +42,40 @@
     public record Tenant(
             @JsonProperty("name") String name,
             @JsonProperty("share") double share,
-            @JsonProperty("tokens_per_second") double tokensPerS,
+            @JsonProperty("tokens_per_second") double tokensPerSecond,
             @JsonProperty("burst_tokens") double burstTokens) {}
 
     /** A product by its share of the load. */
-    public Mix anyMix(Random random) {
-        double draw = random.nextDouble() * products.stream().mapToDouble(Mix::share).sum();
-        for (Mix one : products) {
-            draw -= one.share();
+    public ProductLoad randomProduct(Random random) {
+        double draw = random.nextDouble() * products.stream().mapToDouble(ProductLoad::share).sum();
+        for (ProductLoad candidate : products) {
+            draw -= candidate.share();
             if (draw <= 0) {
-                return one;
+                return candidate;
             }
         }
         return products.get(products.size() - 1);
     }
 
     /** A tenant by its share of the load. */
-    public Tenant anyTenant(Random random) {
+    public Tenant randomTenant(Random random) {
         double draw = random.nextDouble() * tenants.stream().mapToDouble(Tenant::share).sum();
-        for (Tenant one : tenants) {
-            draw -= one.share();
+        for (Tenant candidate : tenants) {
+            draw -= candidate.share();
             if (draw <= 0) {
-                return one;
+                return candidate;
             }
         }
         return tenants.get(tenants.size() - 1);
     }
 
     /** The same script with another seed. */
-    public TestScript withSeed(long other) {
+    public TestScript withSeed(long newSeed) {
         return new TestScript(
-                other,
-                fronts,
+                newSeed,
+                routers,
                 durationMs,
-                ratePerS,
+                requestsPerSecond,
                 listLagMs,
                 probes,
                 processes,
@@ -90,23 +90,23 @@
     }
 
     /** The same script with so many times the load and the engines, and so many fronts. */
-    public TestScript scaled(double load, double fleet, int others) {
-        List<Group> groups =
+    public TestScript scaled(double loadFactor, double engineFactor, int routerCount) {
+        List<EngineGroup> groups =
                 engines.stream()
                         .map(
                                 group ->
-                                        new Group(
+                                        new EngineGroup(
                                                 group.role,
-                                                (int) Math.max(1, Math.round(group.count * fleet)),
+                                                (int) Math.max(1, Math.round(group.count * engineFactor)),
                                                 group.zones,
                                                 group.racks,
                                                 group.speed))
                         .toList();
         return new TestScript(
                 seed,
-                others,
+                routerCount,
                 durationMs,
-                ratePerS * load,
+                requestsPerSecond * loadFactor,
                 listLagMs,
                 probes,
                 processes,
@@ -121,12 +121,12 @@
     }
 
     /** The same script with other troubles. */
-    public TestScript withTroubles(List<Trouble> others) {
+    public TestScript withTroubles(List<Trouble> newTroubles) {
         return new TestScript(
                 seed,
-                fronts,
+                routers,
                 durationMs,
-                ratePerS,
+                requestsPerSecond,
                 listLagMs,
                 probes,
                 processes,
@@ -137,16 +137,16 @@
                 products,
                 batches,
                 clients,
-                others);
+                newTroubles);
     }
 
     /** The same script without its batches. */
     public TestScript withoutBatches() {
         return new TestScript(
                 seed,
-                fronts,
+                routers,
                 durationMs,
-                ratePerS,
+                requestsPerSecond,
                 listLagMs,
                 probes,
                 processes,
@@ -161,19 +161,19 @@
     }
 
     /** A product's part of the load. */
-    public record Mix(
+    public record ProductLoad(
             @JsonProperty("name") String name,
             @JsonProperty("share") double share,
             @JsonProperty("effect") String effect,
-            @JsonProperty("span") String span,
-            @JsonProperty("memory_ms") double memoryMs,
+            @JsonProperty("span") String deduplicationScope,
+            @JsonProperty("memory_ms") double deduplicationWindowMs,
             @JsonProperty("revenue") double revenue,
             @JsonProperty("slo_ms") double sloMs,
-            @JsonProperty("time_limit_ms") double limitMs,
+            @JsonProperty("time_limit_ms") double timeLimitMs,
             @JsonProperty("prompt_tokens") int promptTokens,
             @JsonProperty("shared_tokens") int sharedTokens,
             @JsonProperty("prefixes") int prefixes,
-            @JsonProperty("output_tokens") int outTokens,
+            @JsonProperty("output_tokens") int outputTokens,
             @JsonProperty("turns") double turns,
             @JsonProperty("text") String text) {}
 
@@ -186,15 +186,15 @@
             @JsonProperty("lines") int lines,
             @JsonProperty("product") String product,
             @JsonProperty("prompt_tokens") int promptTokens,
-            @JsonProperty("output_tokens") int outTokens) {}
+            @JsonProperty("output_tokens") int outputTokens) {}
 
     /** What clients do: shares of all tries. */
-    public record Clients(
+    public record ClientBehavior(
             @JsonProperty("retries") int retries,
             @JsonProperty("retry_ms") double retryMs,
-            @JsonProperty("leave_share") double leaveShare,
-            @JsonProperty("slow_share") double slowShare,
-            @JsonProperty("whole_share") double wholeShare) {}
+            @JsonProperty("leave_share") double disconnectShare,
+            @JsonProperty("slow_share") double slowReaderShare,
+            @JsonProperty("whole_share") double nonStreamingShare) {}
 
     /**
      * A trouble: from when, for how long, what, on which engines (ids; fronts, from 1, for
--- a/src/main/java/larchridge/systemtest/TestScriptReader.java
+++ b/src/main/java/larchridge/systemtest/TestScriptReader.java
@@ -13,7 +13,7 @@
 
 /** Reads a drill script in YAML; a fault names file, line and field. */
 public final class TestScriptReader {
-    static final Set<String> KINDS =
+    static final Set<String> FAULT_KINDS =
             Set.of(
                     "crash",
                     "pause",
@@ -38,97 +38,97 @@
                     .disable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES);
 
     /** A script that can't be played. */
-    public static final class BadScript extends Exception {
+    public static final class InvalidTestScriptException extends Exception {
         private static final long serialVersionUID = 1;
 
-        BadScript(String text) {
+        InvalidTestScriptException(String text) {
             super(text);
         }
     }
 
     private TestScriptReader() {}
 
-    public static TestScript read(Path file) throws BadScript {
+    public static TestScript read(Path file) throws InvalidTestScriptException {
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new BadScript(file + ": can't be read (" + e.getMessage() + ")");
+            throw new InvalidTestScriptException(file + ": can't be read (" + e.getMessage() + ")");
         }
     }
 
-    public static TestScript read(String file, String text) throws BadScript {
+    public static TestScript read(String file, String text) throws InvalidTestScriptException {
         TestScript script;
         try {
             script = MAPPER.readValue(text, TestScript.class);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new BadScript(file + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
+            throw new InvalidTestScriptException(file + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
         }
-        return filled(file, script);
+        return withDefaults(file, script);
     }
 
-    private static TestScript filled(String file, TestScript raw) throws BadScript {
+    private static TestScript withDefaults(String file, TestScript raw) throws InvalidTestScriptException {
         if (raw.engines() == null || raw.engines().isEmpty()) {
-            throw new BadScript(file + ": engines: missing");
+            throw new InvalidTestScriptException(file + ": engines: missing");
         }
         if (raw.products() == null || raw.products().isEmpty()) {
-            throw new BadScript(file + ": products: missing");
+            throw new InvalidTestScriptException(file + ": products: missing");
         }
-        List<TestScript.Group> groups = new ArrayList<>();
-        for (TestScript.Group group : raw.engines()) {
+        List<TestScript.EngineGroup> groups = new ArrayList<>();
+        for (TestScript.EngineGroup group : raw.engines()) {
             groups.add(
-                    new TestScript.Group(
+                    new TestScript.EngineGroup(
                             group.role(),
                             Math.max(1, group.count()),
                             group.zones() == null ? List.of("z") : group.zones(),
                             Math.max(1, group.racks()),
-                            or(group.speed(), 1)));
+                            orDefault(group.speed(), 1)));
         }
-        int engines = groups.stream().mapToInt(TestScript.Group::count).sum();
-        List<TestScript.Mix> mixes = new ArrayList<>();
-        for (TestScript.Mix mix : raw.products()) {
-            mixes.add(
-                    new TestScript.Mix(
-                            mix.name(),
-                            or(mix.share(), 1),
-                            mix.effect() == null ? "IDEMPOTENT" : mix.effect(),
-                            mix.span() == null ? "ALL" : mix.span(),
-                            or(mix.memoryMs(), 60_000),
-                            or(mix.revenue(), 1),
-                            or(mix.sloMs(), 600),
-                            or(mix.limitMs(), 2500),
-                            (int) or(mix.promptTokens(), 400),
-                            mix.sharedTokens(),
-                            Math.max(1, mix.prefixes()),
-                            (int) or(mix.outTokens(), 24),
-                            or(mix.turns(), 1),
-                            mix.text() == null ? "prose" : mix.text()));
+        int engines = groups.stream().mapToInt(TestScript.EngineGroup::count).sum();
+        List<TestScript.ProductLoad> products = new ArrayList<>();
+        for (TestScript.ProductLoad product : raw.products()) {
+            products.add(
+                    new TestScript.ProductLoad(
+                            product.name(),
+                            orDefault(product.share(), 1),
+                            product.effect() == null ? "IDEMPOTENT" : product.effect(),
+                            product.deduplicationScope() == null ? "ALL" : product.deduplicationScope(),
+                            orDefault(product.deduplicationWindowMs(), 60_000),
+                            orDefault(product.revenue(), 1),
+                            orDefault(product.sloMs(), 600),
+                            orDefault(product.timeLimitMs(), 2500),
+                            (int) orDefault(product.promptTokens(), 400),
+                            product.sharedTokens(),
+                            Math.max(1, product.prefixes()),
+                            (int) orDefault(product.outputTokens(), 24),
+                            orDefault(product.turns(), 1),
+                            product.text() == null ? "prose" : product.text()));
         }
         List<TestScript.Trouble> troubles = new ArrayList<>();
         for (TestScript.Trouble trouble :
                 raw.troubles() == null ? List.<TestScript.Trouble>of() : raw.troubles()) {
-            if (trouble.kind() == null || !KINDS.contains(trouble.kind())) {
-                throw new BadScript(
+            if (trouble.kind() == null || !FAULT_KINDS.contains(trouble.kind())) {
+                throw new InvalidTestScriptException(
                         file
                                 + ": troubles["
                                 + troubles.size()
                                 + "].kind: '"
                                 + trouble.kind()
                                 + "' is not one of "
-                                + new java.util.TreeSet<>(KINDS));
+                                + new java.util.TreeSet<>(FAULT_KINDS));
             }
-            List<Long> on = trouble.engines() == null ? List.of() : trouble.engines();
-            boolean onFronts = "kill_front".equals(trouble.kind());
-            if (onFronts && !raw.processes()) {
-                throw new BadScript(
+            List<Long> targets = trouble.engines() == null ? List.of() : trouble.engines();
+            boolean targetsRouters = "kill_front".equals(trouble.kind());
+            if (targetsRouters && !raw.processes()) {
+                throw new InvalidTestScriptException(
                         file
                                 + ": troubles["
                                 + troubles.size()
                                 + "].kind: kill_front needs processes: true");
             }
-            for (Long id : on) {
-                if (id < 1 || id > (onFronts ? Math.max(1, raw.fronts()) : engines)) {
-                    throw new BadScript(
+            for (Long id : targets) {
+                if (id < 1 || id > (targetsRouters ? Math.max(1, raw.routers()) : engines)) {
+                    throw new InvalidTestScriptException(
                             file
                                     + ": troubles["
                                     + troubles.size()
@@ -141,8 +141,8 @@
                             trouble.atMs(),
                             trouble.forMs(),
                             trouble.kind(),
-                            on,
-                            or(trouble.size(), 1)));
+                            targets,
+                            orDefault(trouble.size(), 1)));
         }
         List<TestScript.Tenant> tenants = new ArrayList<>();
         for (TestScript.Tenant tenant :
@@ -152,15 +152,15 @@
             tenants.add(
                     new TestScript.Tenant(
                             tenant.name(),
-                            or(tenant.share(), 1),
-                            tenant.tokensPerS(),
-                            or(tenant.burstTokens(), tenant.tokensPerS() * 5)));
+                            orDefault(tenant.share(), 1),
+                            tenant.tokensPerSecond(),
+                            orDefault(tenant.burstTokens(), tenant.tokensPerSecond() * 5)));
         }
         List<TestScript.Batch> batches = new ArrayList<>();
         for (TestScript.Batch batch :
                 raw.batches() == null ? List.<TestScript.Batch>of() : raw.batches()) {
-            if (mixes.stream().noneMatch(mix -> mix.name().equals(batch.product()))) {
-                throw new BadScript(
+            if (products.stream().noneMatch(product -> product.name().equals(batch.product()))) {
+                throw new InvalidTestScriptException(
                         file
                                 + ": batches["
                                 + batches.size()
@@ -173,30 +173,30 @@
                             batch.atMs(),
                             Math.max(1, batch.lines()),
                             batch.product(),
-                            (int) or(batch.promptTokens(), 200),
-                            (int) or(batch.outTokens(), 12)));
+                            (int) orDefault(batch.promptTokens(), 200),
+                            (int) orDefault(batch.outputTokens(), 12)));
         }
-        TestScript.Clients clients =
-                raw.clients() == null ? new TestScript.Clients(0, 100, 0, 0, 0) : raw.clients();
+        TestScript.ClientBehavior clients =
+                raw.clients() == null ? new TestScript.ClientBehavior(0, 100, 0, 0, 0) : raw.clients();
         return new TestScript(
                 raw.seed(),
-                Math.max(1, raw.fronts()),
-                or(raw.durationMs(), 10_000),
-                or(raw.ratePerS(), 20),
-                or(raw.listLagMs(), 300),
+                Math.max(1, raw.routers()),
+                orDefault(raw.durationMs(), 10_000),
+                orDefault(raw.requestsPerSecond(), 20),
+                orDefault(raw.listLagMs(), 300),
                 raw.probes(),
                 raw.processes(),
                 raw.encoding(),
                 raw.counted(),
                 tenants,
                 groups,
-                mixes,
+                products,
                 batches,
                 clients,
                 troubles);
     }
 
-    private static double or(double value, double otherwise) {
-        return value == 0 ? otherwise : value;
+    private static double orDefault(double value, double defaultValue) {
+        return value == 0 ? defaultValue : value;
     }
 }
