--- a/src/main/java/larchridge/cli/DemoCommand.java
+++ b/src/main/java/larchridge/cli/DemoCommand.java
@@ -36,7 +36,7 @@
         try (SimulatedFleet fleet =
                 SimulatedFleet.start(makes, (sight, engine, rid, tag, amount) -> {}, 1)) {
             Path folder = Files.createTempDirectory("larchridge-demo");
-            fleet.writeList(folder.resolve("engines.yaml"));
+            fleet.writeEngineList(folder.resolve("engines.yaml"));
             Service service = Service.start(SiteReader.read("demo", SITE.formatted(port), folder));
             System.out.println(
                     "the messages API on 127.0.0.1:"
--- a/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -180,7 +180,7 @@
     private boolean awaitReady() throws InterruptedException {
         CountDownLatch ready = new CountDownLatch(nodes.size());
         nodes.forEach(
-                node -> loop.execute(() -> awaitUp(node, log.now() + START_MS, ready::countDown)));
+                node -> loop.execute(() -> awaitUp(node, log.nowMs() + START_MS, ready::countDown)));
         return ready.await((long) START_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -193,7 +193,7 @@
                             if (up) {
                                 node.state = TestNode.State.UP;
                                 then.run();
-                            } else if (log.now() < untilMs
+                            } else if (log.nowMs() < untilMs
                                     && node.state == TestNode.State.STARTING
                                     && !over) {
                                 in(100, () -> awaitUp(node, untilMs, then));
@@ -222,7 +222,7 @@
     }
 
     private void begin() {
-        startMs = log.now();
+        startMs = log.nowMs();
         lookedMs = startMs;
         look();
         request();
@@ -236,7 +236,7 @@
 
     /** The regular look: crashes, ends of nodes that were told to end, the rig's own lateness. */
     private void look() {
-        double now = log.now();
+        double now = log.nowMs();
         lateMs = Math.max(lateMs, now - lookedMs - LOOK_MS);
         lookedMs = now;
         for (TestNode node : nodes) {
@@ -278,12 +278,12 @@
             return;
         }
         lists.started(node);
-        in(200, () -> awaitUp(node, log.now() + START_MS, () -> {}));
+        in(200, () -> awaitUp(node, log.nowMs() + START_MS, () -> {}));
     }
 
     /** Open loop: the next request comes whether or not the last one was answered. */
     private void request() {
-        if (over || log.now() - startMs > script.seconds() * 1000) {
+        if (over || log.nowMs() - startMs > script.seconds() * 1000) {
             return;
         }
         clients.send();
@@ -295,7 +295,7 @@
                         () ->
                                 nodes.stream()
                                         .filter(TestNode::isAlive)
-                                        .forEach(node -> node.terminate(log.now())))
+                                        .forEach(node -> node.terminate(log.nowMs())))
                 .get();
         for (TestNode node : nodes) {
             if (!node.awaitEnd((long) END_MS)) {
@@ -313,11 +313,11 @@
         loop.submit(() -> {}).get();
         Map<Long, EngineProfile> makes = new HashMap<>();
         engines.forEach(engine -> makes.put(engine.number, engine.judgedMake(plant)));
-        TrafficLog.write(log.all(), folder.resolve("traffic.jsonl"));
+        TrafficLog.write(log.events(), folder.resolve("traffic.jsonl"));
         faults.addAll(clients == null ? List.of() : clients.stoppedTooLong());
         faults.addAll(
                 TrafficJudge.judge(
-                        log.all(),
+                        log.events(),
                         lists.told(),
                         script.nodes(),
                         TrafficJudge.figures(
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -51,7 +51,7 @@
     }
 
     void begin(Fault trouble) {
-        double now = rig.log.now();
+        double now = rig.log.nowMs();
         rig.log.add(
                 TrafficEvent.Kind.TROUBLE, -1, null, null, trouble.lengthMs(), trouble.toString());
         switch (trouble.kind()) {
@@ -187,12 +187,12 @@
             return;
         }
         if (rig.plant == PlantedFault.KILLED_FOR_TERM) {
-            node.terminatedMs = rig.log.now();
+            node.terminatedMs = rig.log.nowMs();
             node.kill();
             return;
         }
         int life = node.starts;
-        node.terminate(rig.log.now());
+        node.terminate(rig.log.nowMs());
         rig.in(
                 KILLED_MS,
                 () -> {
@@ -228,14 +228,14 @@
         rig.in(
                 PAUSE_EACH_MS + ms,
                 () -> {
-                    if (rig.log.now() < untilMs) {
+                    if (rig.log.nowMs() < untilMs) {
                         pause(node, trouble, untilMs);
                     }
                 });
     }
 
     private void move(TestNode node, boolean broken) {
-        rig.lists.moved(node.number, rig.log.now());
+        rig.lists.moved(node.number, rig.log.nowMs());
         node.agent.move(
                 () -> {
                     try {
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -122,7 +122,7 @@
 
     /** Sends one request to some node that takes them. */
     void send() {
-        double now = log.now();
+        double now = log.nowMs();
         Predicate<TestNode> takes =
                 node ->
                         node.state == TestNode.State.UP
@@ -392,7 +392,7 @@
                             + classes.get(0).name
                             + "\r\nReq-Deadline-Ms: 4000\r\nContent-Length: 500\r\n\r\n{\"model\"";
             int first = random.nextInt(head.length());
-            double from = log.now();
+            double from = log.nowMs();
             boolean[] ended = new boolean[1];
             Bystander bystander = new Bystander(() -> ended[0] = true);
             bystander.connect(
--- a/src/main/java/larchridge/faultinjection/TestEndpointLists.java
+++ b/src/main/java/larchridge/faultinjection/TestEndpointLists.java
@@ -74,7 +74,7 @@
     /** Something about an engine has changed, and discovery has it. */
     void changed(TestEngine engine, String word) {
         index++;
-        changes.add(new Change(rig.log.now(), engine.number, word));
+        changes.add(new Change(rig.log.nowMs(), engine.number, word));
         boolean late = rig.plant == PlantedFault.DRAINS_TOLD_LATE && word.equals("draining");
         rig.in(late ? 1000 : 0, () -> rig.nodes.forEach(node -> node.agent.changed()));
     }
--- a/src/main/java/larchridge/faultinjection/TestEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -149,13 +149,13 @@
         running = 0;
         states.forget(this);
         Set.copyOf(connections).forEach(Channel::close);
-        startedMs = log.now();
+        startedMs = log.nowMs();
         sinceMs = System.currentTimeMillis();
         log.add(TrafficEvent.Kind.STARTED, number, null, null, 1, null);
     }
 
     private double speed() {
-        double age = log.now() - startedMs;
+        double age = log.nowMs() - startedMs;
         return age >= make.coldMs()
                 ? 1
                 : make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
--- a/src/main/java/larchridge/systemtest/ClientLoad.java
+++ b/src/main/java/larchridge/systemtest/ClientLoad.java
@@ -29,10 +29,10 @@
  */
 public final class ClientLoad {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String WORDS =
+    private static final String FILLER_TEXT =
             "caudal nivel embalse cuenca aforo lluvia aviso puente estacion rio "
                     + "crecida umbral ayer hoy metros segundo norte alerta parte boletin ";
-    private static final int MOST_SESSIONS = 500;
+    private static final int MAX_SESSIONS = 500;
 
     private final Vertx vertx;
     private final TestScript script;
@@ -42,24 +42,24 @@
     private final HttpClient http;
     private final List<Session> sessions = new ArrayList<>();
     private double rateFactor = 1;
-    private long operations;
-    private int open;
-    private boolean over;
+    private long operationCount;
+    private int openRequests;
+    private boolean stopped;
     private Runnable whenDone;
 
     /** A talk under way: the messages so far. */
     private static final class Session {
-        final TestScript.ProductLoad mix;
+        final TestScript.ProductLoad product;
         final String tenant;
         final int prefix;
         final ArrayNode messages = MAPPER.createArrayNode();
-        int left;
+        int remainingTurns;
 
-        Session(TestScript.ProductLoad mix, String tenant, int prefix, int turns) {
-            this.mix = mix;
+        Session(TestScript.ProductLoad product, String tenant, int prefix, int turns) {
+            this.product = product;
             this.tenant = tenant;
             this.prefix = prefix;
-            left = turns;
+            remainingTurns = turns;
         }
     }
 
@@ -81,64 +81,64 @@
         vertx.setTimer(
                 (long) script.durationMs(),
                 timer -> {
-                    over = true;
-                    finish();
+                    stopped = true;
+                    finishIfDone();
                 });
-        next();
+        scheduleNext();
     }
 
-    void rate(double factor) {
+    void setRateFactor(double factor) {
         rateFactor = factor;
     }
 
-    private void next() {
-        if (over) {
+    private void scheduleNext() {
+        if (stopped) {
             return;
         }
         double gapMs = -Math.log(1 - random.nextDouble()) * 1000 / (script.requestsPerSecond() * rateFactor);
         vertx.setTimer(
                 Math.max(1, Math.round(gapMs)),
                 timer -> {
-                    if (!over) {
-                        operation();
+                    if (!stopped) {
+                        startOperation();
                         // What timers of whole milliseconds cut off is made up for.
-                        next();
+                        scheduleNext();
                     }
                 });
     }
 
-    private void operation() {
-        Session session = session();
-        operations++;
-        String name = "op" + operations;
-        String question = "Pregunta " + random.nextInt(1_000_000) + " ";
-        boolean whole = random.nextDouble() < script.clients().nonStreamingShare();
-        int out = 1 + (int) (session.mix.outputTokens() * (0.5 + random.nextDouble()));
-        int quarter =
-                session.mix.promptTokens() / 2 + random.nextInt(session.mix.promptTokens() + 1);
-        String filler = session.mix.text().equals("log") ? readings(4 * quarter) : text(quarter);
-        new Try(session, name, 0, question + filler, whole, out, random.nextInt(ports.size()))
-                .ask();
+    private void startOperation() {
+        Session session = pickSession();
+        operationCount++;
+        String operationName = "op" + operationCount;
+        String userText = "Pregunta " + random.nextInt(1_000_000) + " ";
+        boolean nonStreaming = random.nextDouble() < script.clients().nonStreamingShare();
+        int answerTokens = 1 + (int) (session.product.outputTokens() * (0.5 + random.nextDouble()));
+        int promptTokens =
+                session.product.promptTokens() / 2 + random.nextInt(session.product.promptTokens() + 1);
+        String filler = session.product.text().equals("log") ? gaugeReadings(4 * promptTokens) : fillerText(promptTokens);
+        new ClientRequest(session, operationName, 0, userText + filler, nonStreaming, answerTokens, random.nextInt(ports.size()))
+                .send();
     }
 
-    private Session session() {
-        TestScript.ProductLoad mix = script.randomProduct(random);
+    private Session pickSession() {
+        TestScript.ProductLoad product = script.randomProduct(random);
         String tenant = script.randomTenant(random).name();
-        if (random.nextDouble() < 1 - 1 / mix.turns()) {
+        if (random.nextDouble() < 1 - 1 / product.turns()) {
             for (int i = 0; i < sessions.size(); i++) {
-                Session one = sessions.get(i);
-                if (one.mix.equals(mix) && one.tenant.equals(tenant)) {
+                Session candidate = sessions.get(i);
+                if (candidate.product.equals(product) && candidate.tenant.equals(tenant)) {
                     sessions.remove(i);
-                    return one;
+                    return candidate;
                 }
             }
         }
-        int turns = (int) Math.max(1, Math.round(mix.turns() * (0.5 + random.nextDouble())));
-        return new Session(mix, tenant, random.nextInt(mix.prefixes()), turns);
+        int turns = (int) Math.max(1, Math.round(product.turns() * (0.5 + random.nextDouble())));
+        return new Session(product, tenant, random.nextInt(product.prefixes()), turns);
     }
 
     /** Readings of gauges: many more tokens a character than prose has. */
-    private String readings(int chars) {
+    private String gaugeReadings(int chars) {
         StringBuilder text = new StringBuilder();
         while (text.length() < chars) {
             text.append("A")
@@ -152,17 +152,17 @@
         return text.toString();
     }
 
-    private static String text(int tokens) {
+    private static String fillerText(int tokens) {
         StringBuilder text = new StringBuilder();
         while (text.length() < tokens * 4) {
-            text.append(WORDS);
+            text.append(FILLER_TEXT);
         }
         text.setLength(tokens * 4);
         return text.toString();
     }
 
-    private void finish() {
-        if (over && open == 0 && whenDone != null) {
+    private void finishIfDone() {
+        if (stopped && openRequests == 0 && whenDone != null) {
             Runnable done = whenDone;
             whenDone = null;
             done.run();
@@ -170,52 +170,52 @@
     }
 
     /** One try of one operation. */
-    private final class Try {
+    private final class ClientRequest {
         private final Session session;
         private final String operation;
-        private final int number;
-        private final String question;
-        private final boolean whole;
-        private final int out;
-        private final int front;
+        private final int tryNumber;
+        private final String userText;
+        private final boolean nonStreaming;
+        private final int answerTokens;
+        private final int routerIndex;
         private final String tag;
-        private final EventStreamChecker order = new EventStreamChecker();
+        private final EventStreamChecker checker = new EventStreamChecker();
         private final CharsetDecoder decoder = CharsetUtil.decoder(CharsetUtil.UTF_8);
         private Buffer undecoded = Buffer.buffer();
         private HttpClientRequest request;
         private boolean finished;
-        private boolean left;
-        private boolean begun;
-        private String wholeText;
-        private long leaveTimer = -1;
+        private boolean disconnected;
+        private boolean started;
+        private String fullText;
+        private long disconnectTimer = -1;
 
-        Try(
+        ClientRequest(
                 Session session,
                 String operation,
-                int number,
-                String question,
-                boolean whole,
-                int out,
-                int front) {
+                int tryNumber,
+                String userText,
+                boolean nonStreaming,
+                int answerTokens,
+                int routerIndex) {
             this.session = session;
             this.operation = operation;
-            this.number = number;
-            this.question = question;
-            this.whole = whole;
-            this.out = out;
-            this.front = front;
-            tag = operation + "#" + number;
+            this.tryNumber = tryNumber;
+            this.userText = userText;
+            this.nonStreaming = nonStreaming;
+            this.answerTokens = answerTokens;
+            this.routerIndex = routerIndex;
+            tag = operation + "#" + tryNumber;
         }
 
-        void ask() {
-            open++;
-            TestScript.ProductLoad mix = session.mix;
+        void send() {
+            openRequests++;
+            TestScript.ProductLoad product = session.product;
             ObjectNode body =
                     MAPPER.createObjectNode()
-                            .put("model", mix.name())
-                            .put("max_tokens", 2 * mix.outputTokens() + 2)
-                            .put("stream", !whole);
-            if (mix.sharedTokens() > 0) {
+                            .put("model", product.name())
+                            .put("max_tokens", 2 * product.outputTokens() + 2)
+                            .put("stream", !nonStreaming);
+            if (product.sharedTokens() > 0) {
                 ObjectNode system =
                         body.putArray("system")
                                 .addObject()
@@ -225,19 +225,19 @@
                                         "Cuenca "
                                                 + session.prefix
                                                 + ". "
-                                                + text(mix.sharedTokens()));
+                                                + fillerText(product.sharedTokens()));
                 system.putObject("cache_control").put("type", "ephemeral");
             }
             ArrayNode messages = session.messages.deepCopy();
             messages.addObject()
                     .put("role", "user")
-                    .put("content", question + "[out:" + out + "] [tag:" + tag + "]");
+                    .put("content", userText + "[out:" + answerTokens + "] [tag:" + tag + "]");
             body.set("messages", messages);
             RequestOptions to =
                     new RequestOptions()
                             .setMethod(HttpMethod.POST)
                             .setHost("127.0.0.1")
-                            .setPort(ports.get(front))
+                            .setPort(ports.get(routerIndex))
                             .setURI("/v1/messages")
                             .setConnectTimeout(2000)
                             .putHeader("content-type", "application/json")
@@ -245,140 +245,140 @@
                             .putHeader("x-api-key", session.tenant)
                             .putHeader("idempotency-key", operation)
                             .putHeader(
-                                    "x-stainless-timeout", Double.toString(mix.timeLimitMs() / 1000));
-            if (number > 0) {
-                to.putHeader("x-stainless-retry-count", Integer.toString(number));
+                                    "x-stainless-timeout", Double.toString(product.timeLimitMs() / 1000));
+            if (tryNumber > 0) {
+                to.putHeader("x-stainless-retry-count", Integer.toString(tryNumber));
             }
-            double patience = mix.timeLimitMs() + (whole ? (2 * mix.outputTokens() + 2) * 60 : 0);
+            double timeoutMs = product.timeLimitMs() + (nonStreaming ? (2 * product.outputTokens() + 2) * 60 : 0);
             http.request(to)
                     .onComplete(
                             connected -> {
                                 if (connected.failed()) {
                                     // The front was not reached: nothing was taken.
-                                    end();
+                                    finish();
                                     return;
                                 }
                                 request = connected.result();
                                 log.add(
                                         TrafficEvent.Kind.ASKED,
-                                        front,
+                                        routerIndex,
                                         session.tenant,
                                         tag,
-                                        Math.min(patience, mix.timeLimitMs()),
-                                        mix.name());
-                                request.exceptionHandler(e -> lost());
-                                request.response().onSuccess(this::hear).onFailure(e -> lost());
+                                        Math.min(timeoutMs, product.timeLimitMs()),
+                                        product.name());
+                                request.exceptionHandler(e -> connectionLost());
+                                request.response().onSuccess(this::handleResponse).onFailure(e -> connectionLost());
                                 request.end(Buffer.buffer(body.toString()));
                                 if (random.nextDouble() < script.clients().disconnectShare()) {
-                                    leaveTimer =
+                                    disconnectTimer =
                                             vertx.setTimer(
-                                                    1 + random.nextInt((int) mix.timeLimitMs()),
-                                                    timer -> leave());
+                                                    1 + random.nextInt((int) product.timeLimitMs()),
+                                                    timer -> disconnect());
                                 }
                             });
         }
 
-        private void hear(HttpClientResponse response) {
-            if (finished || left) {
+        private void handleResponse(HttpClientResponse response) {
+            if (finished || disconnected) {
                 return;
             }
-            response.exceptionHandler(e -> lost());
-            if (response.statusCode() == 200 && !whole) {
+            response.exceptionHandler(e -> connectionLost());
+            if (response.statusCode() == 200 && !nonStreaming) {
                 if (random.nextDouble() < script.clients().slowReaderShare()) {
                     response.pause();
                     vertx.setTimer(50 + random.nextInt(300), timer -> response.resume());
                 }
-                response.handler(this::part);
+                response.handler(this::receive);
                 response.endHandler(end -> streamEnded());
             } else {
                 response.body()
-                        .onSuccess(body -> wholeAnswer(response, body))
-                        .onFailure(e -> lost());
+                        .onSuccess(body -> handleFullResponse(response, body))
+                        .onFailure(e -> connectionLost());
             }
         }
 
-        private void part(Buffer part) {
+        private void receive(Buffer part) {
             undecoded.appendBuffer(part);
             CharBuffer chars = CharBuffer.allocate(undecoded.length() + 1);
             ByteBuffer bytes = ByteBuffer.wrap(undecoded.getBytes());
             decoder.decode(bytes, chars, false);
             undecoded = undecoded.slice(bytes.position(), undecoded.length()).copy();
-            order.take(chars.flip().toString());
-            if (!begun && !order.text().isEmpty() && !left) {
-                begun = true;
-                log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null);
+            checker.append(chars.flip().toString());
+            if (!started && !checker.text().isEmpty() && !disconnected) {
+                started = true;
+                log.add(TrafficEvent.Kind.BEGUN, routerIndex, null, tag, 0, null);
             }
-            if (order.isStopped() || order.isErrored()) {
-                answered(order.isStopped() ? "streamed" : "terminated");
+            if (checker.isStopped() || checker.isErrored()) {
+                recordFinal(checker.isStopped() ? "streamed" : "terminated");
             }
         }
 
         private void streamEnded() {
-            if (left) {
+            if (disconnected) {
                 return;
             }
-            if (order.fault() != null) {
-                log.add(TrafficEvent.Kind.MALFORMED, front, null, tag, 0, order.fault());
+            if (checker.fault() != null) {
+                log.add(TrafficEvent.Kind.MALFORMED, routerIndex, null, tag, 0, checker.fault());
             }
-            if (order.afterEnd() > 0) {
-                log.add(TrafficEvent.Kind.AFTER_FINAL, front, null, tag, order.afterEnd(), null);
+            if (checker.eventsAfterEnd() > 0) {
+                log.add(TrafficEvent.Kind.AFTER_FINAL, routerIndex, null, tag, checker.eventsAfterEnd(), null);
             }
-            if (order.isStopped()) {
-                checkText(order.text(), order.outputTokens());
+            if (checker.isStopped()) {
+                checkText(checker.text(), checker.outputTokens());
             }
             if (!finished) {
-                lost();
+                connectionLost();
             }
         }
 
-        private void wholeAnswer(HttpClientResponse response, Buffer body) {
+        private void handleFullResponse(HttpClientResponse response, Buffer body) {
             JsonNode json;
             try {
                 json = MAPPER.readTree(body.getBytes());
             } catch (IOException e) {
-                log.add(TrafficEvent.Kind.MALFORMED, front, null, tag, 0, "body is no JSON");
-                lost();
+                log.add(TrafficEvent.Kind.MALFORMED, routerIndex, null, tag, 0, "body is no JSON");
+                connectionLost();
                 return;
             }
             int status = response.statusCode();
             String type = json.path("error").path("type").asText();
             if (status == 200) {
-                wholeText = json.path("content").path(0).path("text").asText();
-                checkText(wholeText, json.path("usage").path("output_tokens").asInt(-1));
-                log.add(TrafficEvent.Kind.BEGUN, front, null, tag, 0, null);
-                answered("streamed");
+                fullText = json.path("content").path(0).path("text").asText();
+                checkText(fullText, json.path("usage").path("output_tokens").asInt(-1));
+                log.add(TrafficEvent.Kind.BEGUN, routerIndex, null, tag, 0, null);
+                recordFinal("streamed");
             } else if ((status == 429 && type.equals("rate_limit_error"))
                     || (status == 529 && type.equals("overloaded_error"))) {
-                answered("throttled");
+                recordFinal("throttled");
             } else if ((status == 500 && type.equals("api_error"))
                     || (status == 504 && type.equals("timeout_error"))) {
-                answered("terminated");
+                recordFinal("terminated");
             } else {
                 log.add(
                         TrafficEvent.Kind.MALFORMED,
-                        front,
+                        routerIndex,
                         null,
                         tag,
                         status,
                         "status " + status + " " + type);
-                answered("terminated");
+                recordFinal("terminated");
             }
             if (status != 200
-                    && !left
+                    && !disconnected
                     && "true".equals(response.getHeader("x-should-retry"))
-                    && number < script.clients().retries()) {
+                    && tryNumber < script.clients().retries()) {
                 vertx.setTimer(
-                        (long) Math.max(1, script.clients().retryMs() * (1 << number)),
+                        (long) Math.max(1, script.clients().retryMs() * (1 << tryNumber)),
                         timer ->
-                                new Try(
+                                new ClientRequest(
                                                 session,
                                                 operation,
-                                                number + 1,
-                                                question,
-                                                whole,
-                                                out,
+                                                tryNumber + 1,
+                                                userText,
+                                                nonStreaming,
+                                                answerTokens,
                                                 random.nextInt(ports.size()))
-                                        .ask());
+                                        .send());
             }
         }
 
@@ -390,7 +390,7 @@
             if (!expected.toString().equals(text)) {
                 log.add(
                         TrafficEvent.Kind.MALFORMED,
-                        front,
+                        routerIndex,
                         null,
                         tag,
                         tokens,
@@ -398,49 +398,49 @@
             }
         }
 
-        private void answered(String word) {
-            if (finished || left) {
+        private void recordFinal(String outcome) {
+            if (finished || disconnected) {
                 return;
             }
             finished = true;
-            log.add(TrafficEvent.Kind.FINAL, front, session.tenant, tag, got(), word);
-            if (word.equals("streamed") && --session.left > 0 && sessions.size() < MOST_SESSIONS) {
-                session.messages.addObject().put("role", "user").put("content", question);
+            log.add(TrafficEvent.Kind.FINAL, routerIndex, session.tenant, tag, receivedTokens(), outcome);
+            if (outcome.equals("streamed") && --session.remainingTurns > 0 && sessions.size() < MAX_SESSIONS) {
+                session.messages.addObject().put("role", "user").put("content", userText);
                 session.messages.addObject().put("role", "assistant").put("content", "w1 w2 ");
                 sessions.add(session);
             }
-            end();
+            finish();
         }
 
         /** Tokens of the answer that have come. */
-        private int got() {
-            String text = wholeText == null ? order.text() : wholeText;
+        private int receivedTokens() {
+            String text = fullText == null ? checker.text() : fullText;
             return text.isEmpty() ? 0 : text.split(" ").length;
         }
 
-        private void leave() {
-            if (!finished && !left) {
-                left = true;
-                log.add(TrafficEvent.Kind.LEFT, front, session.tenant, tag, got(), null);
+        private void disconnect() {
+            if (!finished && !disconnected) {
+                disconnected = true;
+                log.add(TrafficEvent.Kind.LEFT, routerIndex, session.tenant, tag, receivedTokens(), null);
                 request.reset();
-                end();
+                finish();
             }
         }
 
-        private void lost() {
-            if (!finished && !left) {
+        private void connectionLost() {
+            if (!finished && !disconnected) {
                 finished = true;
-                log.add(TrafficEvent.Kind.LOST, front, session.tenant, tag, got(), null);
-                end();
+                log.add(TrafficEvent.Kind.LOST, routerIndex, session.tenant, tag, receivedTokens(), null);
+                finish();
             }
         }
 
-        private void end() {
-            if (leaveTimer >= 0) {
-                vertx.cancelTimer(leaveTimer);
+        private void finish() {
+            if (disconnectTimer >= 0) {
+                vertx.cancelTimer(disconnectTimer);
             }
-            open--;
-            finish();
+            openRequests--;
+            finishIfDone();
         }
     }
 }
--- a/src/main/java/larchridge/systemtest/CrashTest.java
+++ b/src/main/java/larchridge/systemtest/CrashTest.java
@@ -70,7 +70,7 @@
                             }
                         },
                         1)) {
-            fleet.writeList(folder.resolve("engines.yaml"));
+            fleet.writeEngineList(folder.resolve("engines.yaml"));
             for (int i = 0; i < batches; i++) {
                 batch(i);
             }
@@ -164,7 +164,7 @@
     }
 
     private void begin(int haltAtWrite) throws IOException, InterruptedException {
-        port = RouterProcesses.free();
+        port = RouterProcesses.findFreePort();
         Path site = folder.resolve("site.textproto");
         Files.writeString(site, site());
         process =
--- a/src/main/java/larchridge/systemtest/EventStreamChecker.java
+++ b/src/main/java/larchridge/systemtest/EventStreamChecker.java
@@ -13,7 +13,7 @@
 public final class EventStreamChecker {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private enum Place {
+    private enum State {
         BEFORE,
         MESSAGE,
         BLOCK,
@@ -22,28 +22,28 @@
     }
 
     private final StringBuilder pending = new StringBuilder();
-    private Place place = Place.BEFORE;
+    private State state = State.BEFORE;
     private String fault;
     private boolean stopped;
     private boolean errored;
-    private int afterEnd;
+    private int eventsAfterEnd;
     private final StringBuilder text = new StringBuilder();
     private String stopReason;
     private int outputTokens;
     private int inputTokens;
 
     /** Takes decoded text as it came, cut anywhere. */
-    public void take(String part) {
+    public void append(String part) {
         pending.append(part);
         int end = pending.indexOf("\n\n");
         while (end >= 0) {
-            event(pending.substring(0, end));
+            handleEvent(pending.substring(0, end));
             pending.delete(0, end + 2);
             end = pending.indexOf("\n\n");
         }
     }
 
-    private void event(String frame) {
+    private void handleEvent(String frame) {
         String name = null;
         StringBuilder data = new StringBuilder();
         for (String line : frame.split("\n")) {
@@ -52,65 +52,65 @@
             } else if (line.startsWith("data: ")) {
                 data.append(line.substring(6));
             } else if (!line.isEmpty() && !line.startsWith(":")) {
-                wrong("a line that is no field: " + line);
+                recordFault("a line that is no field: " + line);
             }
         }
         JsonNode json;
         try {
             json = MAPPER.readTree(data.toString());
         } catch (JsonProcessingException e) {
-            wrong("data of " + name + " is no JSON");
+            recordFault("data of " + name + " is no JSON");
             return;
         }
         if (name == null || !name.equals(json.path("type").asText())) {
-            wrong("event " + name + " carries type " + json.path("type").asText());
+            recordFault("event " + name + " carries type " + json.path("type").asText());
         }
-        if (place == Place.OVER) {
-            afterEnd++;
+        if (state == State.OVER) {
+            eventsAfterEnd++;
             return;
         }
         switch (String.valueOf(name)) {
             case "message_start" -> {
-                step(Place.BEFORE, Place.MESSAGE, name);
+                transition(State.BEFORE, State.MESSAGE, name);
                 inputTokens = json.path("message").path("usage").path("input_tokens").asInt(-1);
             }
-            case "content_block_start" -> step(Place.MESSAGE, Place.BLOCK, name);
+            case "content_block_start" -> transition(State.MESSAGE, State.BLOCK, name);
             case "content_block_delta" -> {
-                step(Place.BLOCK, Place.BLOCK, name);
+                transition(State.BLOCK, State.BLOCK, name);
                 text.append(json.path("delta").path("text").asText());
             }
-            case "content_block_stop" -> step(Place.BLOCK, Place.MESSAGE, name);
+            case "content_block_stop" -> transition(State.BLOCK, State.MESSAGE, name);
             case "message_delta" -> {
-                step(Place.MESSAGE, Place.AFTER_DELTA, name);
+                transition(State.MESSAGE, State.AFTER_DELTA, name);
                 stopReason = json.path("delta").path("stop_reason").asText(null);
                 outputTokens = json.path("usage").path("output_tokens").asInt(-1);
             }
             case "message_stop" -> {
-                step(Place.AFTER_DELTA, Place.OVER, name);
+                transition(State.AFTER_DELTA, State.OVER, name);
                 stopped = true;
             }
             case "error" -> {
                 errored = true;
-                place = Place.OVER;
+                state = State.OVER;
             }
             case "ping" -> {
-                if (place == Place.BEFORE) {
-                    wrong("ping before message_start");
+                if (state == State.BEFORE) {
+                    recordFault("ping before message_start");
                 }
             }
-            default -> wrong("unknown event " + name);
+            default -> recordFault("unknown event " + name);
         }
     }
 
-    private void step(Place from, Place to, String name) {
-        if (place != from) {
-            wrong(name + " in place " + place);
+    private void transition(State from, State to, String name) {
+        if (state != from) {
+            recordFault(name + " in place " + state);
         }
-        place = to;
+        state = to;
     }
 
-    private void wrong(String what) {
-        fault = fault == null ? what : fault;
+    private void recordFault(String description) {
+        fault = fault == null ? description : fault;
     }
 
     /** The first departure from the specification, or null. */
@@ -127,8 +127,8 @@
     }
 
     /** Events after the last one. */
-    public int afterEnd() {
-        return afterEnd;
+    public int eventsAfterEnd() {
+        return eventsAfterEnd;
     }
 
     public String text() {
--- a/src/main/java/larchridge/systemtest/RouterProcesses.java
+++ b/src/main/java/larchridge/systemtest/RouterProcesses.java
@@ -17,18 +17,18 @@
  * nothing.
  */
 final class RouterProcesses implements SystemTest.Fronts {
-    private static final long START_MS = 30_000;
+    private static final long START_TIMEOUT_MS = 30_000;
 
     private final Path folder;
     private final List<Integer> ports = new ArrayList<>();
-    private final List<Path> sites = new ArrayList<>();
-    private final List<Process> running = new ArrayList<>();
+    private final List<Path> siteFiles = new ArrayList<>();
+    private final List<Process> processes = new ArrayList<>();
 
     /** Site: the text of a site file of one front, without its listen block. */
-    RouterProcesses(Path folder, String site, int fronts) throws IOException, InterruptedException {
+    RouterProcesses(Path folder, String site, int routerCount) throws IOException, InterruptedException {
         this.folder = folder;
-        for (int i = 0; i < fronts; i++) {
-            int port = free();
+        for (int i = 0; i < routerCount; i++) {
+            int port = findFreePort();
             Path file = folder.resolve("site" + i + ".textproto");
             Files.writeString(
                     file,
@@ -39,31 +39,31 @@
                             + "\" answer_waits_ms: 500 }\nseed: "
                             + (i + 1)
                             + "\nfronts_of_service: "
-                            + fronts
+                            + routerCount
                             + "\n"
                             + site);
             ports.add(port);
-            sites.add(file);
-            running.add(launch(i));
+            siteFiles.add(file);
+            processes.add(launch(i));
         }
-        for (int i = 0; i < fronts; i++) {
-            await(i);
+        for (int i = 0; i < routerCount; i++) {
+            awaitListening(i);
         }
     }
 
-    static int free() throws IOException {
+    static int findFreePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0)) {
             return socket.getLocalPort();
         }
     }
 
-    private Process launch(int front) throws IOException {
-        return launch(sites.get(front), new File(folder.toFile(), "front" + front + ".log"));
+    private Process launch(int index) throws IOException {
+        return launch(siteFiles.get(index), new File(folder.toFile(), "front" + index + ".log"));
     }
 
     /** Serves a site in a process of its own. */
-    static Process launch(Path site, File log, String... more) throws IOException {
-        List<String> words =
+    static Process launch(Path site, File log, String... extraArguments) throws IOException {
+        List<String> command =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -74,63 +74,63 @@
                                 "serve",
                                 "--site",
                                 site.toString()));
-        words.addAll(List.of(more));
-        return new ProcessBuilder(words)
+        command.addAll(List.of(extraArguments));
+        return new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
                 .start();
     }
 
-    private void await(int front) throws IOException, InterruptedException {
-        long end = System.nanoTime() + START_MS * 1_000_000;
-        while (System.nanoTime() < end) {
+    private void awaitListening(int index) throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + START_TIMEOUT_MS * 1_000_000;
+        while (System.nanoTime() < deadlineNanos) {
             try (Socket socket = new Socket()) {
                 socket.connect(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(front)),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(index)),
                         200);
                 return;
             } catch (IOException e) {
-                if (!running.get(front).isAlive()) {
+                if (!processes.get(index).isAlive()) {
                     throw new IOException(
                             "front "
-                                    + front
+                                    + index
                                     + " did not start; see "
-                                    + folder.resolve("front" + front + ".log"),
+                                    + folder.resolve("front" + index + ".log"),
                             e);
                 }
                 // Nobody tells when a process listens; it is asked until it does or its time is up.
                 TimeUnit.MILLISECONDS.sleep(20);
             }
         }
-        throw new IOException("front " + front + " does not listen");
+        throw new IOException("front " + index + " does not listen");
     }
 
     /**
      * Ends a front at once, as a machine that loses power would; started again after a time by
-     * {@link #again}.
+     * {@link #restart}.
      */
-    void kill(int front) {
-        running.get(front).destroyForcibly();
+    void kill(int index) {
+        processes.get(index).destroyForcibly();
     }
 
-    void again(int front) {
+    void restart(int index) {
         try {
-            running.get(front).waitFor(5, TimeUnit.SECONDS);
-            running.set(front, launch(front));
+            processes.get(index).waitFor(5, TimeUnit.SECONDS);
+            processes.set(index, launch(index));
         } catch (IOException e) {
-            throw new IllegalStateException("front " + front + " did not start again", e);
+            throw new IllegalStateException("front " + index + " did not start again", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** The ledgers of all fronts; to be read once they have stopped. */
-    List<Path> ledgers() {
-        List<Path> all = new ArrayList<>();
+    List<Path> ledgerFolders() {
+        List<Path> folders = new ArrayList<>();
         for (int i = 0; i < ports.size(); i++) {
-            all.add(folder.resolve("ledger" + i));
+            folders.add(folder.resolve("ledger" + i));
         }
-        return all;
+        return folders;
     }
 
     @Override
@@ -145,10 +145,10 @@
 
     @Override
     public void stop() throws InterruptedException {
-        for (Process process : running) {
+        for (Process process : processes) {
             process.destroy();
         }
-        for (Process process : running) {
+        for (Process process : processes) {
             if (!process.waitFor(10, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
--- a/src/main/java/larchridge/systemtest/SimulatedFleet.java
+++ b/src/main/java/larchridge/systemtest/SimulatedFleet.java
@@ -28,42 +28,42 @@
  */
 public final class SimulatedFleet implements AutoCloseable {
     private final Vertx vertx;
-    private final Map<Long, Seat> seats = new TreeMap<>();
+    private final Map<Long, EngineSlot> slots = new TreeMap<>();
 
-    private record Seat(SimulatedEngine engine, io.vertx.core.Context loop) {}
+    private record EngineSlot(SimulatedEngine engine, io.vertx.core.Context loop) {}
 
     /** What the list says of an engine beyond its make. */
-    public record Said(String mode, boolean listed, double startMs) {}
+    public record ListEntry(String mode, boolean listed, double startMs) {}
 
-    private final Map<Long, Said> said = new LinkedHashMap<>();
+    private final Map<Long, ListEntry> listEntries = new LinkedHashMap<>();
 
     private SimulatedFleet(Vertx vertx) {
         this.vertx = vertx;
     }
 
     public static SimulatedFleet start(
-            List<EngineProfile> makes, TrafficRecorder witness, long seed)
+            List<EngineProfile> profiles, TrafficRecorder recorder, long seed)
             throws InterruptedException {
         SimulatedFleet fleet =
                 new SimulatedFleet(
                         Vertx.vertx(
                                 new VertxOptions()
-                                        .setEventLoopPoolSize(Math.min(4, makes.size()))
+                                        .setEventLoopPoolSize(Math.min(4, profiles.size()))
                                         .setPreferNativeTransport(true)));
         List<Future<Integer>> starts = new ArrayList<>();
-        for (EngineProfile make : makes) {
+        for (EngineProfile profile : profiles) {
             Promise<Integer> started = Promise.promise();
             // A context of its own for each, or all would run on one loop.
-            io.vertx.core.internal.ContextInternal own =
+            io.vertx.core.internal.ContextInternal context =
                     ((io.vertx.core.internal.VertxInternal) fleet.vertx).createEventLoopContext();
-            own.runOnContext(
+            context.runOnContext(
                     v -> {
                         SimulatedEngine engine =
                                 new SimulatedEngine(
-                                        fleet.vertx, make, witness, seed * 1000 + make.id());
+                                        fleet.vertx, profile, recorder, seed * 1000 + profile.id());
                         synchronized (fleet) {
-                            fleet.seats.put(make.id(), new Seat(engine, own));
-                            fleet.said.put(make.id(), new Said("ready", true, 0));
+                            fleet.slots.put(profile.id(), new EngineSlot(engine, context));
+                            fleet.listEntries.put(profile.id(), new ListEntry("ready", true, 0));
                         }
                         engine.start(0, false).onComplete(started);
                     });
@@ -79,17 +79,17 @@
     }
 
     /** Does something to an engine, on its loop. */
-    public void on(long id, Consumer<SimulatedEngine> act) {
-        Seat seat = seats.get(id);
-        seat.loop.runOnContext(v -> act.accept(seat.engine));
+    public void runOn(long id, Consumer<SimulatedEngine> action) {
+        EngineSlot slot = slots.get(id);
+        slot.loop.runOnContext(v -> action.accept(slot.engine));
     }
 
     /** Does something to an engine and waits for what it gives. */
-    public <T> T ask(long id, java.util.function.Function<SimulatedEngine, Future<T>> act)
+    public <T> T callOn(long id, java.util.function.Function<SimulatedEngine, Future<T>> action)
             throws InterruptedException {
-        Seat seat = seats.get(id);
+        EngineSlot slot = slots.get(id);
         Promise<T> answer = Promise.promise();
-        seat.loop.runOnContext(v -> act.apply(seat.engine).onComplete(answer));
+        slot.loop.runOnContext(v -> action.apply(slot.engine).onComplete(answer));
         try {
             return answer.future()
                     .toCompletionStage()
@@ -101,45 +101,45 @@
     }
 
     /** Sets what the next list says of an engine. */
-    public synchronized void say(long id, String mode, boolean listed, double startMs) {
-        said.put(id, new Said(mode, listed, startMs));
+    public synchronized void setListEntry(long id, String mode, boolean listed, double startMs) {
+        listEntries.put(id, new ListEntry(mode, listed, startMs));
     }
 
-    public synchronized Said said(long id) {
-        return said.get(id);
+    public synchronized ListEntry listEntry(long id) {
+        return listEntries.get(id);
     }
 
     /** Writes the list as it is to be said, by rename, as configuration tools do. */
-    public synchronized void writeList(Path file) throws IOException {
+    public synchronized void writeEngineList(Path file) throws IOException {
         StringBuilder text = new StringBuilder("engines:\n");
-        for (Map.Entry<Long, Seat> entry : seats.entrySet()) {
-            Said about = said.get(entry.getKey());
-            if (!about.listed) {
+        for (Map.Entry<Long, EngineSlot> entry : slots.entrySet()) {
+            ListEntry listEntry = listEntries.get(entry.getKey());
+            if (!listEntry.listed) {
                 continue;
             }
-            EngineProfile make = entry.getValue().engine.profile;
+            EngineProfile profile = entry.getValue().engine.profile;
             text.append(
                     String.format(
                             Locale.ROOT,
                             "  - id: %d%n    host: 127.0.0.1%n    port: %d%n    role: %s%n",
-                            make.id(),
+                            profile.id(),
                             entry.getValue().engine.port(),
-                            make.role().name().toLowerCase(Locale.ROOT)));
-            if (!make.zone().isEmpty()) {
-                text.append("    zone: ").append(make.zone()).append('\n');
+                            profile.role().name().toLowerCase(Locale.ROOT)));
+            if (!profile.zone().isEmpty()) {
+                text.append("    zone: ").append(profile.zone()).append('\n');
             }
             text.append(
                     String.format(
                             Locale.ROOT,
                             "    rack: %d%n    memory_tokens: %d%n    start: %.0f%n    mode: %s%n",
-                            make.rack(),
-                            (long) make.memoryTokens(),
-                            about.startMs,
-                            about.mode));
+                            profile.rack(),
+                            (long) profile.memoryTokens(),
+                            listEntry.startMs,
+                            listEntry.mode));
         }
-        Path part = file.resolveSibling(file.getFileName() + ".part");
-        Files.writeString(part, text);
-        Files.move(part, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
+        Files.writeString(temporaryFile, text);
+        Files.move(temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -141,14 +141,14 @@
         list = folder.resolve("engines.yaml");
         makes(script).forEach(make -> makes.put(make.id(), make));
         fleet = SimulatedFleet.start(makes(script), log, script.seed());
-        fleet.writeList(list);
+        fleet.writeEngineList(list);
         vertx = Vertx.vertx();
         Fronts fronts = null;
         try {
             if (script.encoding() != null) {
                 Vocabulary vocabulary = VocabularyReader.forEncoding("v", script.encoding());
                 makes.keySet()
-                        .forEach(id -> fleet.on(id, engine -> engine.tokenCounter = vocabulary::count));
+                        .forEach(id -> fleet.runOn(id, engine -> engine.tokenCounter = vocabulary::count));
             }
             if (script.processes()) {
                 processes = new RouterProcesses(folder, site(script), script.routers());
@@ -171,7 +171,7 @@
             CountDownLatch done = new CountDownLatch(1);
             vertx.runOnContext(
                     v -> {
-                        log.begin();
+                        log.restartClock();
                         for (TestScript.Trouble trouble : script.troubles()) {
                             vertx.setTimer(
                                     Math.max(1, (long) trouble.atMs()), timer -> begin(trouble));
@@ -196,7 +196,7 @@
             }
             Thread.sleep(TAIL_MS);
             String figures = fronts.figures();
-            List<TrafficEvent> all = log.all();
+            List<TrafficEvent> all = log.events();
             List<BillingChecker.Row> bills = List.of();
             if (processes != null) {
                 fronts.stop();
@@ -230,7 +230,7 @@
 
     private List<Usage> records() {
         List<Usage> records = new ArrayList<>();
-        for (Path folder : processes.ledgers()) {
+        for (Path folder : processes.ledgerFolders()) {
             try (Ledger ledger = Ledger.openReadOnly(folder)) {
                 ledger.forEachRecord(records::add);
                 List<String> faults = ledger.verify();
@@ -375,8 +375,8 @@
         }
         switch (trouble.kind()) {
             case "burst" -> {
-                load.rate(trouble.size());
-                vertx.setTimer((long) trouble.forMs(), timer -> load.rate(1));
+                load.setRateFactor(trouble.size());
+                vertx.setTimer((long) trouble.forMs(), timer -> load.setRateFactor(1));
             }
             case "bad_list" -> {
                 write("engines:\n  - id: 1\n    host: 127.0.0.1\n    por");
@@ -391,7 +391,7 @@
                             timer ->
                                     vertx.executeBlocking(
                                             () -> {
-                                                processes.again((int) front - 1);
+                                                processes.restart((int) front - 1);
                                                 return null;
                                             }));
                 }
@@ -403,7 +403,7 @@
                         (long) trouble.forMs(),
                         timer -> {
                             for (long id : trouble.engines()) {
-                                fleet.say(id, "ready", true, fleet.said(id).startMs());
+                                fleet.setListEntry(id, "ready", true, fleet.listEntry(id).startMs());
                             }
                             tellList(trouble.engines(), "ready");
                             write(null);
@@ -416,12 +416,12 @@
     private void begin(TestScript.Trouble trouble, long id) {
         switch (trouble.kind()) {
             case "crash" -> crash(trouble, id);
-            case "drain" -> fleet.say(id, "draining", true, fleet.said(id).startMs());
-            case "remove" -> fleet.say(id, "ready", false, fleet.said(id).startMs());
-            case "flush" -> fleet.on(id, engine -> engine.flush());
+            case "drain" -> fleet.setListEntry(id, "draining", true, fleet.listEntry(id).startMs());
+            case "remove" -> fleet.setListEntry(id, "ready", false, fleet.listEntry(id).startMs());
+            case "flush" -> fleet.runOn(id, engine -> engine.flush());
             case "bad_list", "burst" -> {}
             default -> {
-                fleet.on(
+                fleet.runOn(
                         id,
                         engine -> {
                             switch (trouble.kind()) {
@@ -445,25 +445,25 @@
                         });
                 vertx.setTimer(
                         Math.max(1, (long) trouble.forMs()),
-                        timer -> fleet.on(id, e -> e.faults.clear()));
+                        timer -> fleet.runOn(id, e -> e.faults.clear()));
             }
         }
     }
 
     /** Dies at once; the list tells of it late, and of its cold return when that is over. */
     private void crash(TestScript.Trouble trouble, long id) {
-        fleet.on(id, engine -> engine.crash());
+        fleet.runOn(id, engine -> engine.crash());
         vertx.setTimer(
                 (long) script.listLagMs(),
                 timer -> {
-                    fleet.say(id, "ready", false, 0);
+                    fleet.setListEntry(id, "ready", false, 0);
                     write(null);
                     tellList(List.of(id), "gone");
                 });
         vertx.setTimer(
                 (long) Math.max(script.listLagMs() + 200, trouble.forMs()),
                 timer ->
-                        fleet.on(
+                        fleet.runOn(
                                 id,
                                 engine ->
                                         engine.start(0, true)
@@ -473,7 +473,7 @@
                                                             vertx.setTimer(
                                                                     50,
                                                                     told -> {
-                                                                        fleet.say(
+                                                                        fleet.setListEntry(
                                                                                 id, "ready", true,
                                                                                 startedMs);
                                                                         tellList(
@@ -491,7 +491,7 @@
     private void write(String broken) {
         try {
             if (broken == null) {
-                fleet.writeList(list);
+                fleet.writeEngineList(list);
             } else {
                 Files.writeString(list, broken);
             }
--- a/src/main/java/larchridge/systemtest/TrafficLog.java
+++ b/src/main/java/larchridge/systemtest/TrafficLog.java
@@ -10,34 +10,34 @@
 import larchridge.simulatedengine.TrafficRecorder;
 
 /**
- * What both ends of every socket saw, in order, by one monotonic clock. At most {@value #MOST}
+ * What both ends of every socket saw, in order, by one monotonic clock. At most {@value #MAX_EVENTS}
  * sights; a run that has more is not judged, since a log with holes proves nothing.
  */
 public final class TrafficLog implements TrafficRecorder {
-    static final int MOST = 20_000_000;
+    static final int MAX_EVENTS = 20_000_000;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private volatile long startNanos = System.nanoTime();
-    private final List<TrafficEvent> sights = new ArrayList<>();
+    private final List<TrafficEvent> events = new ArrayList<>();
     private boolean full;
 
     /** The script's time begins now; what was seen before has times under 0. */
-    synchronized void begin() {
-        double before = now();
+    synchronized void restartClock() {
+        double elapsedMs = nowMs();
         startNanos = System.nanoTime();
-        sights.replaceAll(
-                seen ->
+        events.replaceAll(
+                event ->
                         new TrafficEvent(
-                                seen.ms() - before,
-                                seen.kind(),
-                                seen.where(),
-                                seen.rid(),
-                                seen.tag(),
-                                seen.amount(),
-                                seen.word()));
+                                event.ms() - elapsedMs,
+                                event.kind(),
+                                event.where(),
+                                event.rid(),
+                                event.tag(),
+                                event.amount(),
+                                event.word()));
     }
 
-    public double now() {
+    public double nowMs() {
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
@@ -53,27 +53,27 @@
             String tag,
             double amount,
             String word) {
-        if (sights.size() >= MOST) {
+        if (events.size() >= MAX_EVENTS) {
             full = true;
             return;
         }
-        sights.add(new TrafficEvent(now(), kind, where, rid, tag, amount, word));
+        events.add(new TrafficEvent(nowMs(), kind, where, rid, tag, amount, word));
     }
 
     /** All sights so far. */
-    public synchronized List<TrafficEvent> all() {
+    public synchronized List<TrafficEvent> events() {
         if (full) {
             throw new IllegalStateException(
-                    "the traffic log is full at " + MOST + " sights; play a shorter script");
+                    "the traffic log is full at " + MAX_EVENTS + " sights; play a shorter script");
         }
-        return List.copyOf(sights);
+        return List.copyOf(events);
     }
 
     /** Writes sights as JSON lines. */
-    public static void write(List<TrafficEvent> sights, Path file) throws IOException {
+    public static void write(List<TrafficEvent> events, Path file) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            for (TrafficEvent seen : sights) {
-                out.write(MAPPER.writeValueAsString(seen));
+            for (TrafficEvent event : events) {
+                out.write(MAPPER.writeValueAsString(event));
                 out.newLine();
             }
         }
--- a/src/test/java/larchridge/serve/ServiceFixture.java
+++ b/src/test/java/larchridge/serve/ServiceFixture.java
@@ -64,7 +64,7 @@
                     }
                 };
         fleet = SimulatedFleet.start(profiles, recorder, 1);
-        fleet.writeList(folder.resolve("engines.yaml"));
+        fleet.writeEngineList(folder.resolve("engines.yaml"));
         siteText =
                 """
                 listen { host: "127.0.0.1" port: 0 }
@@ -156,7 +156,7 @@
 
     static EventStreamChecker checkEvents(String body) {
         EventStreamChecker checker = new EventStreamChecker();
-        checker.take(body);
+        checker.append(body);
         return checker;
     }
 
--- a/src/test/java/larchridge/serve/ServiceTest.java
+++ b/src/test/java/larchridge/serve/ServiceTest.java
@@ -97,7 +97,7 @@
     @Test
     void faultyEnginesFailWhatMayHaveRunAndRejectTheRest() throws Exception {
         try (ServiceFixture fixture = new ServiceFixture("")) {
-            fixture.fleet.on(2, engine -> engine.faults.failAll = true);
+            fixture.fleet.runOn(2, engine -> engine.faults.failAll = true);
             ServiceFixture.Response sideEffecting =
                     fixture.post(fixture.options(), ServiceFixture.requestBody("once", false, 3));
             check(sideEffecting, 500, "api_error");
@@ -113,7 +113,7 @@
     @Test
     void requestToAnEngineThatNeverAnswersFailsAtItsDeadline() throws Exception {
         try (ServiceFixture fixture = new ServiceFixture("")) {
-            fixture.fleet.on(2, engine -> engine.faults.lostResponseShare = 1);
+            fixture.fleet.runOn(2, engine -> engine.faults.lostResponseShare = 1);
             long start = System.nanoTime();
             check(
                     fixture.post(fixture.options(), ServiceFixture.requestBody("once", true, 3)),
@@ -144,7 +144,7 @@
                                                         if (received.appendBuffer(chunk)
                                                                 .toString()
                                                                 .contains("w2 ")) {
-                                                            fixture.fleet.on(
+                                                            fixture.fleet.runOn(
                                                                     2, engine -> engine.crash());
                                                         }
                                                     })
@@ -153,7 +153,7 @@
             EventStreamChecker checker = ServiceFixture.checkEvents(fixture.get(body));
             assertNull(checker.fault());
             assertTrue(checker.isErrored());
-            assertEquals(0, checker.afterEnd());
+            assertEquals(0, checker.eventsAfterEnd());
         }
     }
 
@@ -177,7 +177,7 @@
     @Test
     void readStateIsReleasedIfTheClientDisconnectsDuringTheRead() throws Exception {
         try (ServiceFixture fixture = new ServiceFixture("")) {
-            fixture.fleet.on(1, engine -> engine.faults.lostResponseShare = 1);
+            fixture.fleet.runOn(1, engine -> engine.faults.lostResponseShare = 1);
             HttpClientRequest request =
                     fixture.get(
                             fixture.http
@@ -303,8 +303,8 @@
                     200,
                     fixture.post(fixture.options(), ServiceFixture.requestBody("free", false, 2))
                             .status());
-            fixture.fleet.say(1, "draining", true, 0);
-            fixture.fleet.writeList(list);
+            fixture.fleet.setListEntry(1, "draining", true, 0);
+            fixture.fleet.writeEngineList(list);
             ServiceFixture.await(
                     () -> {
                         try {
--- a/src/test/java/larchridge/systemtest/EventStreamCheckerTest.java
+++ b/src/test/java/larchridge/systemtest/EventStreamCheckerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class EventStreamCheckerTest {
-    private final EventStreamChecker order = new EventStreamChecker();
+    private final EventStreamChecker checker = new EventStreamChecker();
 
     private static String event(String name) {
         return "event: "
@@ -18,15 +18,15 @@
                 + "\",\"delta\":{\"text\":\"a\"}}\n\n";
     }
 
-    private void take(String... names) {
+    private void appendEvents(String... names) {
         for (String name : names) {
-            order.take(event(name));
+            checker.append(event(name));
         }
     }
 
     @Test
     void orderOfTheSpecificationIsGood() {
-        take(
+        appendEvents(
                 "message_start",
                 "content_block_start",
                 "ping",
@@ -34,9 +34,9 @@
                 "content_block_stop",
                 "message_delta",
                 "message_stop");
-        assertNull(order.fault());
-        assertTrue(order.isStopped());
-        assertEquals("a", order.text());
+        assertNull(checker.fault());
+        assertTrue(checker.isStopped());
+        assertEquals("a", checker.text());
     }
 
     @Test
@@ -46,28 +46,28 @@
                         + event("content_block_start")
                         + event("content_block_delta");
         for (int i = 0; i < all.length(); i++) {
-            order.take(all.substring(i, i + 1));
+            checker.append(all.substring(i, i + 1));
         }
-        assertNull(order.fault());
-        assertEquals("a", order.text());
+        assertNull(checker.fault());
+        assertEquals("a", checker.text());
     }
 
     @Test
     void wrongOrdersAreFaults() {
-        take("message_start", "content_block_delta");
-        assertNotNull(order.fault());
+        appendEvents("message_start", "content_block_delta");
+        assertNotNull(checker.fault());
     }
 
     @Test
     void stopWithoutItsDeltaIsAFault() {
-        take("message_start", "content_block_start", "content_block_stop", "message_stop");
-        assertNotNull(order.fault());
+        appendEvents("message_start", "content_block_start", "content_block_stop", "message_stop");
+        assertNotNull(checker.fault());
     }
 
     @Test
     void eventsAfterTheLastAreCounted() {
-        take("message_start", "error", "ping", "message_stop");
-        assertEquals(2, order.afterEnd());
-        assertTrue(order.isErrored());
+        appendEvents("message_start", "error", "ping", "message_stop");
+        assertEquals(2, checker.eventsAfterEnd());
+        assertTrue(checker.isErrored());
     }
 }
