--- a/src/main/java/larchridge/cli/SystemTestCommand.java
+++ b/src/main/java/larchridge/cli/SystemTestCommand.java
@@ -116,22 +116,22 @@
         if (virtual) {
             return playVirtually(script);
         }
-        SystemTest.Result result = SystemTest.play(script);
+        SystemTest.Result result = SystemTest.runScript(script);
         System.out.print(ResultCounts.table(result.rows()));
         if (figures) {
-            System.out.print(result.figures());
+            System.out.print(result.metrics());
         }
         if (log != null) {
-            TrafficLog.write(result.log(), log);
+            TrafficLog.write(result.events(), log);
         }
-        if (!result.bills().isEmpty()) {
-            System.out.print(BillingChecker.table(result.bills()));
+        if (!result.billingRows().isEmpty()) {
+            System.out.print(BillingChecker.table(result.billingRows()));
         }
-        for (RuleChecker.Breach breach : result.breaches()) {
+        for (RuleChecker.Violation breach : result.violations()) {
             System.out.println(breach);
         }
         System.out.println(
-                result.breaches().size() + " broken rules in " + result.log().size() + " sights");
-        return result.breaches().isEmpty() ? 0 : 3;
+                result.violations().size() + " broken rules in " + result.events().size() + " sights");
+        return result.violations().isEmpty() ? 0 : 3;
     }
 }
--- a/src/main/java/larchridge/experiment/ExperimentRunner.java
+++ b/src/main/java/larchridge/experiment/ExperimentRunner.java
@@ -112,7 +112,7 @@
                         "%s,%.6f,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%d,%.1f,%s",
                         run.key(),
                         result.overall().service(),
-                        result.overall().asked,
+                        result.overall().requests,
                         result.overall().streamed,
                         result.overall().throttled,
                         result.overall().terminated,
--- a/src/main/java/larchridge/experiment/FaultSearch.java
+++ b/src/main/java/larchridge/experiment/FaultSearch.java
@@ -72,7 +72,7 @@
     private FaultSearch(TestScript base, long seed, int parallelism) {
         this.base = base;
         random = new Random(seed);
-        profiles = SystemTest.makes(base);
+        profiles = SystemTest.profiles(base);
         executor = Executors.newFixedThreadPool(parallelism);
     }
 
--- a/src/main/java/larchridge/faultinjection/TrafficJudge.java
+++ b/src/main/java/larchridge/faultinjection/TrafficJudge.java
@@ -40,7 +40,7 @@
             List<TrafficEvent> log,
             List<Told> told,
             int nodes,
-            RuleChecker.Figures figures,
+            RuleChecker.Limits figures,
             double lateMs) {
         Map<String, Integer> nodeOf = new HashMap<>();
         for (TrafficEvent seen : log) {
@@ -57,15 +57,15 @@
         return faults;
     }
 
-    private static RuleChecker.Figures withSlack(RuleChecker.Figures figures, double slackMs) {
-        return new RuleChecker.Figures(
+    private static RuleChecker.Limits withSlack(RuleChecker.Limits figures, double slackMs) {
+        return new RuleChecker.Limits(
                 figures.drainGraceMs(),
                 figures.releaseMs(),
-                figures.tipMultiple(),
-                figures.tipMs(),
+                figures.coldStartMultiple(),
+                figures.coldStartWindowMs(),
                 slackMs,
                 figures.products(),
-                figures.makes());
+                figures.profiles());
     }
 
     private static List<TrafficEvent> ofNode(
@@ -96,13 +96,13 @@
     private static void judgeNode(
             int node,
             List<TrafficEvent> own,
-            RuleChecker.Figures figures,
+            RuleChecker.Limits figures,
             double lateMs,
             List<String> faults) {
         double[] slackOfRule = {0, ANSWER_SLACK_MS, 0, DRAIN_SLACK_MS, 0, RELEASE_SLACK_MS};
         for (int rule : new int[] {1, 2, 3, 5}) {
-            for (RuleChecker.Breach breach :
-                    RuleChecker.judge(own, withSlack(figures, slackOfRule[rule] + lateMs))) {
+            for (RuleChecker.Violation breach :
+                    RuleChecker.check(own, withSlack(figures, slackOfRule[rule] + lateMs))) {
                 if (breach.rule() == rule) {
                     faults.add("node " + node + ": " + breach);
                 }
@@ -114,7 +114,7 @@
             List<TrafficEvent> log,
             List<Told> told,
             Map<String, Integer> nodeOf,
-            RuleChecker.Figures figures,
+            RuleChecker.Limits figures,
             double lateMs,
             List<String> faults) {
         List<TrafficEvent> seenByTold = new ArrayList<>();
@@ -127,8 +127,8 @@
                 seenByTold.add(seen);
             }
         }
-        for (RuleChecker.Breach breach :
-                RuleChecker.judge(seenByTold, withSlack(figures, lateMs))) {
+        for (RuleChecker.Violation breach :
+                RuleChecker.check(seenByTold, withSlack(figures, lateMs))) {
             if (breach.rule() == 4) {
                 faults.add(breach.toString());
             }
@@ -175,11 +175,11 @@
         }
     }
 
-    static RuleChecker.Figures figures(
+    static RuleChecker.Limits figures(
             double drainGraceMs,
             double releaseMs,
             Map<String, TrafficClass> products,
             Map<Long, EngineProfile> makes) {
-        return new RuleChecker.Figures(drainGraceMs, releaseMs, 4, 1500, 0, products, makes);
+        return new RuleChecker.Limits(drainGraceMs, releaseMs, 4, 1500, 0, products, makes);
     }
 }
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -61,7 +61,7 @@
      */
     public record Result(
             List<TrafficEvent> events,
-            List<RuleChecker.Breach> breaches,
+            List<RuleChecker.Violation> breaches,
             List<ResultCounts.Row> rows,
             List<EngineModel.Totals> engineTotals,
             String digest,
@@ -109,7 +109,7 @@
     private SimulationRun(TestScript script, PolicyEvents.Factory policyFactory) {
         this.script = script;
         random = new Random(script.seed());
-        cluster = new SimulatedCluster(scheduler, log, SystemTest.makes(script), script.seed());
+        cluster = new SimulatedCluster(scheduler, log, SystemTest.profiles(script), script.seed());
         try {
             site =
                     SiteReader.read(
@@ -119,7 +119,7 @@
                                     + "\nfronts: 1\nfronts_of_service: "
                                     + script.routers()
                                     + "\n"
-                                    + SystemTest.site(script.withoutBatches()),
+                                    + SystemTest.siteText(script.withoutBatches()),
                             null);
         } catch (InvalidSiteException e) {
             throw new IllegalStateException(
@@ -162,8 +162,8 @@
         List<TrafficEvent> events = log.events();
         return new Result(
                 events,
-                RuleChecker.judge(events, SystemTest.figures(script)),
-                ResultCounts.of(events, script),
+                RuleChecker.check(events, SystemTest.ruleLimits(script)),
+                ResultCounts.summarize(events, script),
                 cluster.totals(),
                 log.digest(),
                 scheduler.tasksRun(),
--- a/src/main/java/larchridge/systemtest/BillingChecker.java
+++ b/src/main/java/larchridge/systemtest/BillingChecker.java
@@ -23,32 +23,32 @@
         /**
          * Tokens that came to clients, of answers that ended before their clients and fronts did.
          */
-        public long got;
+        public long receivedTokens;
 
         /** The same operations' answer tokens by the ledgers. */
-        public long billed;
+        public long billedTokens;
 
         /** Prompt tokens billed, of all operations. */
-        public long prompt;
+        public long billedPromptTokens;
 
-        public long wasted;
+        public long wastedTokens;
 
         /** Operations of clients that left: billed at least what had come. */
-        public int left;
+        public int disconnected;
 
-        public int leftUnderBilled;
+        public int disconnectedUnderbilled;
 
         /** Operations that a killed front held: in the tenant's favour. */
-        public int held;
+        public int lostWithRouter;
 
         /**
          * Operations answered so shortly before their front was killed that no record was on disk,
          * and their tokens.
          */
-        public int unwritten;
+        public int unrecorded;
 
-        public long unwrittenTokens;
-        public int differ;
+        public long unrecordedTokens;
+        public int mismatched;
 
         Row(String tenant, String product) {
             this.tenant = tenant;
@@ -57,7 +57,7 @@
     }
 
     /** A record is on disk within this time, or its front was killed first. */
-    private static final double ON_DISK_MS = 500;
+    private static final double RECORD_WRITE_MS = 500;
 
     private BillingChecker() {}
 
@@ -65,83 +65,83 @@
     private static final class Operation {
         String tenant;
         String product;
-        long got;
-        boolean left;
-        boolean lost;
-        boolean nearKill;
+        long receivedTokens;
+        boolean disconnected;
+        boolean connectionLost;
+        boolean answeredNearKill;
     }
 
     /** Rows by tenant and product; records of all fronts, one list each. */
-    public static List<Row> of(List<TrafficEvent> log, List<Usage> records) {
+    public static List<Row> compare(List<TrafficEvent> log, List<Usage> records) {
         Map<String, Operation> operations = new TreeMap<>();
         List<TrafficEvent> kills =
-                log.stream().filter(seen -> seen.kind() == TrafficEvent.Kind.FRONT_KILLED).toList();
-        for (TrafficEvent seen : log) {
-            if (seen.tag() == null || seen.rid() == null) {
+                log.stream().filter(event -> event.kind() == TrafficEvent.Kind.FRONT_KILLED).toList();
+        for (TrafficEvent event : log) {
+            if (event.tag() == null || event.rid() == null) {
                 continue;
             }
-            switch (seen.kind()) {
+            switch (event.kind()) {
                 case ASKED -> {
-                    Operation one =
-                            operations.computeIfAbsent(seen.operation(), key -> new Operation());
-                    one.tenant = seen.rid();
-                    one.product = seen.word();
+                    Operation operation =
+                            operations.computeIfAbsent(event.operation(), key -> new Operation());
+                    operation.tenant = event.rid();
+                    operation.product = event.word();
                 }
                 case FINAL -> {
-                    Operation one = operations.get(seen.operation());
-                    one.got = Math.max(one.got, (long) seen.amount());
-                    one.nearKill |=
+                    Operation operation = operations.get(event.operation());
+                    operation.receivedTokens = Math.max(operation.receivedTokens, (long) event.amount());
+                    operation.answeredNearKill |=
                             kills.stream()
                                     .anyMatch(
-                                            k ->
-                                                    k.where() == seen.where()
-                                                            && k.ms() >= seen.ms()
-                                                            && k.ms() < seen.ms() + ON_DISK_MS);
+                                            kill ->
+                                                    kill.where() == event.where()
+                                                            && kill.ms() >= event.ms()
+                                                            && kill.ms() < event.ms() + RECORD_WRITE_MS);
                 }
                 case LEFT -> {
-                    Operation one = operations.get(seen.operation());
-                    one.left = true;
-                    one.got = Math.max(one.got, (long) seen.amount());
+                    Operation operation = operations.get(event.operation());
+                    operation.disconnected = true;
+                    operation.receivedTokens = Math.max(operation.receivedTokens, (long) event.amount());
                 }
-                case LOST -> operations.get(seen.operation()).lost = true;
+                case LOST -> operations.get(event.operation()).connectionLost = true;
                 default -> {}
             }
         }
-        Map<String, List<Usage>> byBill = new HashMap<>();
+        Map<String, List<Usage>> recordsByBillId = new HashMap<>();
         records.forEach(
                 usage ->
-                        byBill.computeIfAbsent(usage.billId(), key -> new ArrayList<>())
+                        recordsByBillId.computeIfAbsent(usage.billId(), key -> new ArrayList<>())
                                 .add(usage));
         Map<String, Row> rows = new TreeMap<>();
         for (Map.Entry<String, Operation> entry : operations.entrySet()) {
-            Operation one = entry.getValue();
+            Operation operation = entry.getValue();
             Row row =
                     rows.computeIfAbsent(
-                            one.tenant + "\n" + one.product,
-                            key -> new Row(one.tenant, one.product));
+                            operation.tenant + "\n" + operation.product,
+                            key -> new Row(operation.tenant, operation.product));
             row.operations++;
-            long out = 0;
+            long recordedTokens = 0;
             // A client that tries at two fronts has a record at each; it pays for the longer
             // answer.
             for (Usage usage :
-                    byBill.getOrDefault(
-                            "key " + Site.sha256(one.tenant + '\n' + entry.getKey()), List.of())) {
-                out = Math.max(out, usage.outputTokens());
-                row.prompt += usage.promptTokens();
-                row.wasted += usage.wastedTokens();
+                    recordsByBillId.getOrDefault(
+                            "key " + Site.sha256(operation.tenant + '\n' + entry.getKey()), List.of())) {
+                recordedTokens = Math.max(recordedTokens, usage.outputTokens());
+                row.billedPromptTokens += usage.promptTokens();
+                row.wastedTokens += usage.wastedTokens();
             }
-            if (one.lost) {
-                row.held++;
-            } else if (one.nearKill && out < one.got) {
-                row.unwritten++;
-                row.unwrittenTokens += one.got - out;
-            } else if (one.left) {
-                row.left++;
-                row.leftUnderBilled += out < one.got ? 1 : 0;
+            if (operation.connectionLost) {
+                row.lostWithRouter++;
+            } else if (operation.answeredNearKill && recordedTokens < operation.receivedTokens) {
+                row.unrecorded++;
+                row.unrecordedTokens += operation.receivedTokens - recordedTokens;
+            } else if (operation.disconnected) {
+                row.disconnected++;
+                row.disconnectedUnderbilled += recordedTokens < operation.receivedTokens ? 1 : 0;
             } else {
-                row.got += one.got;
-                row.billed += out;
-                row.differ += out == one.got ? 0 : 1;
+                row.receivedTokens += operation.receivedTokens;
+                row.billedTokens += recordedTokens;
+                row.mismatched += recordedTokens == operation.receivedTokens ? 0 : 1;
             }
         }
         return List.copyOf(rows.values());
@@ -172,14 +172,14 @@
                             row.tenant,
                             row.product,
                             row.operations,
-                            row.got,
-                            row.billed,
-                            row.prompt,
-                            row.wasted,
-                            row.left,
-                            row.held,
-                            row.unwritten,
-                            row.differ + row.leftUnderBilled));
+                            row.receivedTokens,
+                            row.billedTokens,
+                            row.billedPromptTokens,
+                            row.wastedTokens,
+                            row.disconnected,
+                            row.lostWithRouter,
+                            row.unrecorded,
+                            row.mismatched + row.disconnectedUnderbilled));
         }
         return text.toString();
     }
--- a/src/main/java/larchridge/systemtest/CrashTest.java
+++ b/src/main/java/larchridge/systemtest/CrashTest.java
@@ -27,16 +27,16 @@
  * record, and no side-effecting one may have run twice, by what the engines saw.
  */
 public final class CrashTest {
-    private static final long START_MS = 30_000;
-    private static final long BATCH_MS = 120_000;
-    private static final int LINES = 80;
+    private static final long START_TIMEOUT_MS = 30_000;
+    private static final long BATCH_TIMEOUT_MS = 120_000;
+    private static final int LINES_PER_BATCH = 80;
 
     /** What came of it; faults is empty if all went well. */
     public record Result(int batches, int kills, int atWrites, int ranTwice, List<String> faults) {}
 
     private final Random random;
     private final int killsPerBatch;
-    private final Map<String, Integer> ran = new ConcurrentHashMap<>();
+    private final Map<String, Integer> runCounts = new ConcurrentHashMap<>();
     private final List<String> faults = new ArrayList<>();
     private Path folder;
     private int port;
@@ -57,39 +57,39 @@
 
     private Result run(int batches) throws IOException, InterruptedException {
         folder = Files.createTempDirectory("larchridge-kills");
-        List<EngineProfile> makes =
+        List<EngineProfile> profiles =
                 List.of(
                         EngineProfile.of(1, Role.READER, "", 0),
                         EngineProfile.of(2, Role.WRITER, "", 0));
         try (SimulatedFleet fleet =
                 SimulatedFleet.start(
-                        makes,
-                        (sight, engine, rid, tag, amount) -> {
-                            if (sight.name().equals("RAN") && tag != null) {
-                                ran.merge(tag, 1, Integer::sum);
+                        profiles,
+                        (event, engine, rid, tag, amount) -> {
+                            if (event.name().equals("RAN") && tag != null) {
+                                runCounts.merge(tag, 1, Integer::sum);
                             }
                         },
                         1)) {
             fleet.writeEngineList(folder.resolve("engines.yaml"));
             for (int i = 0; i < batches; i++) {
-                batch(i);
+                runBatch(i);
             }
         } finally {
-            end();
+            killService();
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(file);
                 }
             }
         }
-        int twice = 0;
-        for (Map.Entry<String, Integer> entry : ran.entrySet()) {
+        int repeatedLines = 0;
+        for (Map.Entry<String, Integer> entry : runCounts.entrySet()) {
             if (entry.getKey().contains("once") && entry.getValue() > 1) {
                 faults.add(entry.getKey() + " ran " + entry.getValue() + " times");
             }
-            twice += entry.getValue() > 1 ? 1 : 0;
+            repeatedLines += entry.getValue() > 1 ? 1 : 0;
         }
-        return new Result(batches, kills, atWrites, twice, faults);
+        return new Result(batches, kills, atWrites, repeatedLines, faults);
     }
 
     private String site() {
@@ -103,42 +103,42 @@
                 + " } folder: \"store\" attempts: 50 line_ms: 20000 }\n";
     }
 
-    private void batch(int number) throws IOException, InterruptedException {
+    private void runBatch(int number) throws IOException, InterruptedException {
         String lines = lines(number);
         String name = "in" + number + ".jsonl";
-        long end = System.nanoTime() + BATCH_MS * 1_000_000;
-        for (int life = 0; System.nanoTime() < end; life++) {
-            boolean lasts = life >= killsPerBatch;
+        long deadlineNanos = System.nanoTime() + BATCH_TIMEOUT_MS * 1_000_000;
+        for (int start = 0; System.nanoTime() < deadlineNanos; start++) {
+            boolean lastStart = start >= killsPerBatch;
             boolean atWrite = random.nextBoolean();
-            begin(lasts || !atWrite ? 0 : 1 + random.nextInt(60));
-            long diesAt =
-                    lasts || atWrite
+            startService(lastStart || !atWrite ? 0 : 1 + random.nextInt(60));
+            long killAtNanos =
+                    lastStart || atWrite
                             ? Long.MAX_VALUE
                             : System.nanoTime() + (50L + random.nextInt(1500)) * 1_000_000;
-            BatchApiClient calls = new BatchApiClient(port, "k");
-            JsonNode last = null;
+            BatchApiClient client = new BatchApiClient(port, "k");
+            JsonNode batch = null;
             while (process.isAlive()
-                    && System.nanoTime() < end
-                    && (last == null || !BatchApiClient.isOver(last))) {
-                String file = calls.upload(name, lines);
-                String id = file == null ? null : calls.make(file, "/v1/messages", "1h");
-                last = id == null ? null : calls.batch(id);
-                if (System.nanoTime() > diesAt) {
+                    && System.nanoTime() < deadlineNanos
+                    && (batch == null || !BatchApiClient.isOver(batch))) {
+                String file = client.upload(name, lines);
+                String id = file == null ? null : client.make(file, "/v1/messages", "1h");
+                batch = id == null ? null : client.batch(id);
+                if (System.nanoTime() > killAtNanos) {
                     process.destroyForcibly();
                 }
                 process.waitFor(10, TimeUnit.MILLISECONDS);
             }
-            boolean over = last != null && BatchApiClient.isOver(last);
-            Map<String, Integer> records = over && process.isAlive() ? calls.records(last) : null;
+            boolean finished = batch != null && BatchApiClient.isOver(batch);
+            Map<String, Integer> records = finished && process.isAlive() ? client.records(batch) : null;
             boolean died = !process.isAlive();
-            end();
+            killService();
             if (died) {
                 kills++;
                 atWrites += atWrite ? 1 : 0;
             }
-            verify("batch " + number + ", life " + life);
+            verifyStore("batch " + number + ", life " + start);
             if (records != null) {
-                judge(number, last, records);
+                checkRecords(number, batch, records);
                 return;
             }
         }
@@ -147,7 +147,7 @@
 
     private static String lines(int number) {
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < LINES; i++) {
+        for (int i = 0; i < LINES_PER_BATCH; i++) {
             String model = i % 5 == 0 ? "once" : "free";
             String id = model + "-" + number + "-" + i;
             text.append("{\"custom_id\":\"")
@@ -163,7 +163,7 @@
         return text.toString();
     }
 
-    private void begin(int haltAtWrite) throws IOException, InterruptedException {
+    private void startService(int haltAtWrite) throws IOException, InterruptedException {
         port = RouterProcesses.findFreePort();
         Path site = folder.resolve("site.textproto");
         Files.writeString(site, site());
@@ -175,8 +175,8 @@
                         "0",
                         "--halt-at-write",
                         Integer.toString(haltAtWrite));
-        long end = System.nanoTime() + START_MS * 1_000_000;
-        while (process.isAlive() && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + START_TIMEOUT_MS * 1_000_000;
+        while (process.isAlive() && System.nanoTime() < deadlineNanos) {
             try (Socket socket = new Socket()) {
                 socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
                 return;
@@ -186,29 +186,29 @@
         }
     }
 
-    private void end() throws InterruptedException {
+    private void killService() throws InterruptedException {
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
     }
 
-    private void verify(String when) {
+    private void verifyStore(String context) {
         try (Store store = Store.open(folder.resolve("store"), CrashPoints.NONE)) {
-            store.verify().forEach(fault -> faults.add(when + ": " + fault));
+            store.verify().forEach(fault -> faults.add(context + ": " + fault));
         } catch (IOException e) {
-            faults.add(when + ": " + e.getMessage());
+            faults.add(context + ": " + e.getMessage());
         }
     }
 
-    private void judge(int number, JsonNode batch, Map<String, Integer> records) {
+    private void checkRecords(int number, JsonNode batch, Map<String, Integer> records) {
         if (!batch.path("status").asText().equals("completed")) {
             faults.add("batch " + number + " is " + batch.path("status").asText());
         }
-        for (int i = 0; i < LINES; i++) {
+        for (int i = 0; i < LINES_PER_BATCH; i++) {
             String id = (i % 5 == 0 ? "once" : "free") + "-" + number + "-" + i;
-            Integer times = records.remove(id);
-            if (times == null || times != 1) {
-                faults.add(id + " has " + times + " records");
+            Integer count = records.remove(id);
+            if (count == null || count != 1) {
+                faults.add(id + " has " + count + " records");
             }
         }
         records.keySet().forEach(id -> faults.add("a record of nothing: " + id));
--- a/src/main/java/larchridge/systemtest/ResultCounts.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -16,15 +16,15 @@
     /** Service of one span of time. */
     public static final class Row {
         public final String name;
-        public int asked;
-        public int inSlo;
+        public int requests;
+        public int withinSlo;
         public int streamed;
         public int throttled;
         public int terminated;
-        public int left;
-        public int lost;
-        public double revenueAsked;
-        public double revenueInSlo;
+        public int disconnected;
+        public int connectionLost;
+        public double requestedRevenue;
+        public double revenueWithinSlo;
         public final Histogram firstToken = new Histogram(60_000, 3);
 
         Row(String name) {
@@ -33,17 +33,17 @@
 
         /** Revenue answered in time over revenue asked for. */
         public double service() {
-            return revenueAsked > 0 ? revenueInSlo / revenueAsked : 1;
+            return requestedRevenue > 0 ? revenueWithinSlo / requestedRevenue : 1;
         }
     }
 
     /** One operation: its tries belong to it, and its SLO time runs from the first. */
     private static final class Operation {
-        TrafficEvent asked;
-        TrafficEvent begun;
-        String answer;
-        boolean left;
-        boolean lost;
+        TrafficEvent firstRequest;
+        TrafficEvent firstText;
+        String outcome;
+        boolean disconnected;
+        boolean connectionLost;
     }
 
     private ResultCounts() {}
@@ -52,21 +52,21 @@
      * Rows in all, by product, and by tenant where there are several; and for each trouble before,
      * during and after it.
      */
-    public static List<Row> of(List<TrafficEvent> log, TestScript script) {
+    public static List<Row> summarize(List<TrafficEvent> log, TestScript script) {
         Map<String, Operation> operations = new LinkedHashMap<>();
-        Map<String, TestScript.ProductLoad> mixes = new HashMap<>();
-        script.products().forEach(mix -> mixes.put(mix.name(), mix));
-        for (TrafficEvent seen : log) {
-            if (seen.tag() == null || seen.kind().compareTo(TrafficEvent.Kind.ASKED) < 0) {
+        Map<String, TestScript.ProductLoad> products = new HashMap<>();
+        script.products().forEach(product -> products.put(product.name(), product));
+        for (TrafficEvent event : log) {
+            if (event.tag() == null || event.kind().compareTo(TrafficEvent.Kind.ASKED) < 0) {
                 continue;
             }
-            Operation one = operations.computeIfAbsent(seen.operation(), key -> new Operation());
-            switch (seen.kind()) {
-                case ASKED -> one.asked = one.asked == null ? seen : one.asked;
-                case BEGUN -> one.begun = one.begun == null ? seen : one.begun;
-                case FINAL -> one.answer = seen.word();
-                case LEFT -> one.left = true;
-                case LOST -> one.lost = true;
+            Operation operation = operations.computeIfAbsent(event.operation(), key -> new Operation());
+            switch (event.kind()) {
+                case ASKED -> operation.firstRequest = operation.firstRequest == null ? event : operation.firstRequest;
+                case BEGUN -> operation.firstText = operation.firstText == null ? event : operation.firstText;
+                case FINAL -> operation.outcome = event.word();
+                case LEFT -> operation.disconnected = true;
+                case LOST -> operation.connectionLost = true;
                 default -> {}
             }
         }
@@ -74,8 +74,8 @@
         Row all = new Row("all");
         rows.add(all);
         Map<String, Row> byProduct = new LinkedHashMap<>();
-        for (TestScript.ProductLoad mix : script.products()) {
-            byProduct.put(mix.name(), new Row(mix.name()));
+        for (TestScript.ProductLoad product : script.products()) {
+            byProduct.put(product.name(), new Row(product.name()));
         }
         rows.addAll(byProduct.values());
         Map<String, Row> byTenant = new LinkedHashMap<>();
@@ -87,10 +87,10 @@
                                             tenant.name(), new Row("tenant " + tenant.name())));
             rows.addAll(byTenant.values());
         }
-        List<Row> spans = new ArrayList<>();
+        List<Row> troubleRows = new ArrayList<>();
         for (TestScript.Trouble trouble : script.troubles()) {
             for (String part : new String[] {"before", "during", "after"}) {
-                spans.add(
+                troubleRows.add(
                         new Row(
                                 String.format(
                                         Locale.ROOT,
@@ -100,61 +100,61 @@
                                         part)));
             }
         }
-        rows.addAll(spans);
-        for (Operation one : operations.values()) {
-            if (one.asked == null) {
+        rows.addAll(troubleRows);
+        for (Operation operation : operations.values()) {
+            if (operation.firstRequest == null) {
                 continue;
             }
-            TestScript.ProductLoad mix = mixes.get(one.asked.word());
+            TestScript.ProductLoad product = products.get(operation.firstRequest.word());
             // Lines of batches have no SLO time; their product's row tells what became of them.
-            boolean isLine = one.asked.tag().startsWith(BatchLoad.NAME);
-            if (!isLine) {
-                count(all, one, mix);
+            boolean isBatchLine = operation.firstRequest.tag().startsWith(BatchLoad.NAME);
+            if (!isBatchLine) {
+                count(all, operation, product);
             }
-            count(byProduct.get(mix.name()), one, mix);
-            if (isLine) {
+            count(byProduct.get(product.name()), operation, product);
+            if (isBatchLine) {
                 continue;
             }
-            if (byTenant.containsKey(one.asked.rid())) {
-                count(byTenant.get(one.asked.rid()), one, mix);
+            if (byTenant.containsKey(operation.firstRequest.rid())) {
+                count(byTenant.get(operation.firstRequest.rid()), operation, product);
             }
             for (int i = 0; i < script.troubles().size(); i++) {
                 TestScript.Trouble trouble = script.troubles().get(i);
-                double at = one.asked.ms();
-                int part = at < trouble.atMs() ? 0 : at < trouble.atMs() + trouble.forMs() ? 1 : 2;
+                double requestMs = operation.firstRequest.ms();
+                int part = requestMs < trouble.atMs() ? 0 : requestMs < trouble.atMs() + trouble.forMs() ? 1 : 2;
                 // As long before and after as during: the rest of the day says nothing of this
                 // trouble.
-                boolean near =
+                boolean withinWindow =
                         part == 0
-                                ? at >= trouble.atMs() - trouble.forMs()
-                                : part == 1 || at < trouble.atMs() + 2 * trouble.forMs();
-                if (near) {
-                    count(spans.get(3 * i + part), one, mix);
+                                ? requestMs >= trouble.atMs() - trouble.forMs()
+                                : part == 1 || requestMs < trouble.atMs() + 2 * trouble.forMs();
+                if (withinWindow) {
+                    count(troubleRows.get(3 * i + part), operation, product);
                 }
             }
         }
         return rows;
     }
 
-    private static void count(Row row, Operation one, TestScript.ProductLoad mix) {
-        row.asked++;
-        row.left += one.left ? 1 : 0;
-        row.lost += one.lost ? 1 : 0;
-        if (one.left) {
+    private static void count(Row row, Operation operation, TestScript.ProductLoad product) {
+        row.requests++;
+        row.disconnected += operation.disconnected ? 1 : 0;
+        row.connectionLost += operation.connectionLost ? 1 : 0;
+        if (operation.disconnected) {
             return;
         }
-        row.revenueAsked += mix.revenue();
-        if (one.begun != null) {
-            double ms = one.begun.ms() - one.asked.ms();
+        row.requestedRevenue += product.revenue();
+        if (operation.firstText != null) {
+            double ms = operation.firstText.ms() - operation.firstRequest.ms();
             row.firstToken.recordValue((long) Math.min(59_999, Math.max(0, ms)));
-            if (ms <= mix.sloMs() && "streamed".equals(one.answer)) {
-                row.inSlo++;
-                row.revenueInSlo += mix.revenue();
+            if (ms <= product.sloMs() && "streamed".equals(operation.outcome)) {
+                row.withinSlo++;
+                row.revenueWithinSlo += product.revenue();
             }
         }
-        row.streamed += "streamed".equals(one.answer) ? 1 : 0;
-        row.throttled += "throttled".equals(one.answer) ? 1 : 0;
-        row.terminated += "terminated".equals(one.answer) ? 1 : 0;
+        row.streamed += "streamed".equals(operation.outcome) ? 1 : 0;
+        row.throttled += "throttled".equals(operation.outcome) ? 1 : 0;
+        row.terminated += "terminated".equals(operation.outcome) ? 1 : 0;
     }
 
     public static String table(List<Row> rows) {
@@ -179,13 +179,13 @@
                             Locale.ROOT,
                             "%-34s %6d %8.3f %8d %9d %10d %5d %5d %7d %7d%n",
                             row.name,
-                            row.asked,
+                            row.requests,
                             row.service(),
                             row.streamed,
                             row.throttled,
                             row.terminated,
-                            row.left,
-                            row.lost,
+                            row.disconnected,
+                            row.connectionLost,
                             row.firstToken.getValueAtPercentile(50),
                             row.firstToken.getValueAtPercentile(99)));
         }
--- a/src/main/java/larchridge/systemtest/RouterProcesses.java
+++ b/src/main/java/larchridge/systemtest/RouterProcesses.java
@@ -16,7 +16,7 @@
  * Fronts as processes of their own, one each, so that one can be killed outright and come back with
  * nothing.
  */
-final class RouterProcesses implements SystemTest.Fronts {
+final class RouterProcesses implements SystemTest.Routers {
     private static final long START_TIMEOUT_MS = 30_000;
 
     private final Path folder;
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public String figures() {
+    public String metrics() {
         return "";
     }
 
--- a/src/main/java/larchridge/systemtest/RuleChecker.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -23,10 +23,10 @@
     private RuleChecker() {}
 
     /** A broken rule. */
-    public record Breach(int rule, String about, String what) {
+    public record Violation(int rule, String subject, String description) {
         @Override
         public String toString() {
-            return "rule " + rule + ": " + about + ": " + what;
+            return "rule " + rule + ": " + subject + ": " + description;
         }
     }
 
@@ -35,169 +35,169 @@
      *
      * @param slackMs allowed on every time beside the rule's own, for the way over the sockets
      */
-    public record Figures(
+    public record Limits(
             double drainGraceMs,
             double releaseMs,
-            double tipMultiple,
-            double tipMs,
+            double coldStartMultiple,
+            double coldStartWindowMs,
             double slackMs,
             Map<String, TrafficClass> products,
-            Map<Long, EngineProfile> makes) {}
+            Map<Long, EngineProfile> profiles) {}
 
-    public static List<Breach> judge(List<TrafficEvent> log, Figures figures) {
+    public static List<Violation> check(List<TrafficEvent> log, Limits limits) {
         List<TrafficEvent> ordered = new ArrayList<>(log);
         ordered.sort(Comparator.comparingDouble(TrafficEvent::ms));
-        List<Breach> breaches = new ArrayList<>();
-        oneFinalAnswer(ordered, figures, breaches);
-        noEffectTwice(ordered, figures, breaches);
-        drainsKept(ordered, figures, breaches);
-        coldNotPushed(ordered, figures, breaches);
-        nothingPinned(ordered, figures, breaches);
-        return breaches;
+        List<Violation> violations = new ArrayList<>();
+        checkFinalAnswers(ordered, limits, violations);
+        checkSideEffects(ordered, limits, violations);
+        checkDrains(ordered, limits, violations);
+        checkColdStarts(ordered, limits, violations);
+        checkStateRelease(ordered, limits, violations);
+        return violations;
     }
 
     /** Rule 1: each try gets one final answer in time, and nothing after it. */
-    static void oneFinalAnswer(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
-        Map<String, List<TrafficEvent>> byTag = clientSights(log);
-        List<TrafficEvent> killed =
+    static void checkFinalAnswers(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
+        Map<String, List<TrafficEvent>> byTag = clientEventsByTag(log);
+        List<TrafficEvent> kills =
                 log.stream().filter(s -> s.kind() == TrafficEvent.Kind.FRONT_KILLED).toList();
         for (Map.Entry<String, List<TrafficEvent>> entry : byTag.entrySet()) {
-            TrafficEvent asked = null;
-            TrafficEvent begun = null;
-            TrafficEvent last = null;
-            boolean left = false;
-            for (TrafficEvent seen : entry.getValue()) {
-                switch (seen.kind()) {
-                    case ASKED -> asked = seen;
-                    case BEGUN -> begun = seen;
-                    case LEFT -> left = true;
+            TrafficEvent request = null;
+            TrafficEvent started = null;
+            TrafficEvent finalAnswer = null;
+            boolean disconnected = false;
+            for (TrafficEvent event : entry.getValue()) {
+                switch (event.kind()) {
+                    case ASKED -> request = event;
+                    case BEGUN -> started = event;
+                    case LEFT -> disconnected = true;
                     case LOST -> {
                         // What a front held when it was killed, or is sent while it dies, is no
                         // longer its duty.
-                        TrafficEvent taken = asked;
-                        if (killed.stream()
+                        TrafficEvent lostRequest = request;
+                        if (kills.stream()
                                 .noneMatch(
                                         k ->
-                                                k.where() == seen.where()
-                                                        && k.ms() >= taken.ms() - figures.slackMs
-                                                        && k.ms() <= seen.ms() + figures.slackMs)) {
-                            breaches.add(
-                                    new Breach(1, entry.getKey(), "closed without a final answer"));
+                                                k.where() == event.where()
+                                                        && k.ms() >= lostRequest.ms() - limits.slackMs
+                                                        && k.ms() <= event.ms() + limits.slackMs)) {
+                            violations.add(
+                                    new Violation(1, entry.getKey(), "closed without a final answer"));
                         }
                     }
                     case AFTER_FINAL ->
-                            breaches.add(
-                                    new Breach(1, entry.getKey(), "more after the final answer"));
+                            violations.add(
+                                    new Violation(1, entry.getKey(), "more after the final answer"));
                     case MALFORMED ->
-                            breaches.add(
-                                    new Breach(
+                            violations.add(
+                                    new Violation(
                                             1,
                                             entry.getKey(),
-                                            "not in the API's words: " + seen.word()));
+                                            "not in the API's words: " + event.word()));
                     case FINAL -> {
-                        if (asked == null) {
-                            breaches.add(
-                                    new Breach(
+                        if (request == null) {
+                            violations.add(
+                                    new Violation(
                                             1,
                                             entry.getKey(),
                                             "an answer to nothing that was asked"));
                             break;
                         }
-                        if (last != null) {
-                            breaches.add(
-                                    new Breach(
+                        if (finalAnswer != null) {
+                            violations.add(
+                                    new Violation(
                                             1,
                                             entry.getKey(),
-                                            "a second final answer, " + seen.word()));
+                                            "a second final answer, " + event.word()));
                         }
-                        if (left) {
+                        if (disconnected) {
                             break;
                         }
-                        last = seen;
-                        if (begun != null && seen.word().equals("throttled")) {
-                            breaches.add(
-                                    new Breach(1, entry.getKey(), "throttled after it had begun"));
+                        finalAnswer = event;
+                        if (started != null && event.word().equals("throttled")) {
+                            violations.add(
+                                    new Violation(1, entry.getKey(), "throttled after it had begun"));
                         }
-                        if (begun == null
-                                && seen.ms() > asked.ms() + asked.amount() + figures.slackMs) {
-                            breaches.add(
-                                    new Breach(
+                        if (started == null
+                                && event.ms() > request.ms() + request.amount() + limits.slackMs) {
+                            violations.add(
+                                    new Violation(
                                             1,
                                             entry.getKey(),
-                                            seen.word()
+                                            event.word()
                                                     + " "
                                                     + Math.round(
-                                                            seen.ms() - asked.ms() - asked.amount())
+                                                            event.ms() - request.ms() - request.amount())
                                                     + " ms too late"));
                         }
                     }
                     default -> {}
                 }
             }
-            if (asked != null
-                    && last == null
-                    && !left
+            if (request != null
+                    && finalAnswer == null
+                    && !disconnected
                     && entry.getValue().stream()
                             .noneMatch(s -> s.kind() == TrafficEvent.Kind.LOST)) {
-                breaches.add(new Breach(1, entry.getKey(), "no final answer at all"));
+                violations.add(new Violation(1, entry.getKey(), "no final answer at all"));
             }
         }
     }
 
     /** Rule 2: no effect twice, and no word that a repeat is harmless where it is not. */
-    static void noEffectTwice(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
-        Map<String, TrafficClass> productOf = new HashMap<>();
-        Map<String, List<TrafficEvent>> ranOf = new TreeMap<>();
-        for (TrafficEvent seen : log) {
-            if (seen.kind() == TrafficEvent.Kind.ASKED) {
-                productOf.put(seen.tag(), figures.products.get(seen.word()));
-            } else if (seen.kind() == TrafficEvent.Kind.RAN && seen.tag() != null) {
-                ranOf.computeIfAbsent(seen.operation(), key -> new ArrayList<>()).add(seen);
-            } else if (seen.kind() == TrafficEvent.Kind.FINAL && seen.word().equals("throttled")) {
-                TrafficClass product = productOf.get(seen.tag());
+    static void checkSideEffects(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
+        Map<String, TrafficClass> productsByTag = new HashMap<>();
+        Map<String, List<TrafficEvent>> runsByOperation = new TreeMap<>();
+        for (TrafficEvent event : log) {
+            if (event.kind() == TrafficEvent.Kind.ASKED) {
+                productsByTag.put(event.tag(), limits.products.get(event.word()));
+            } else if (event.kind() == TrafficEvent.Kind.RAN && event.tag() != null) {
+                runsByOperation.computeIfAbsent(event.operation(), key -> new ArrayList<>()).add(event);
+            } else if (event.kind() == TrafficEvent.Kind.FINAL && event.word().equals("throttled")) {
+                TrafficClass product = productsByTag.get(event.tag());
                 boolean ran =
-                        ranOf.getOrDefault(seen.operation(), List.of()).stream()
-                                .anyMatch(r -> r.tag().equals(seen.tag()));
-                if (ran && !mayRepeatAnywhere(product)) {
-                    breaches.add(
-                            new Breach(2, seen.tag(), "throttled though an attempt of it ran"));
+                        runsByOperation.getOrDefault(event.operation(), List.of()).stream()
+                                .anyMatch(r -> r.tag().equals(event.tag()));
+                if (ran && !mayRepeatOnAnyEngine(product)) {
+                    violations.add(
+                            new Violation(2, event.tag(), "throttled though an attempt of it ran"));
                 }
             }
         }
-        for (Map.Entry<String, List<TrafficEvent>> entry : ranOf.entrySet()) {
+        for (Map.Entry<String, List<TrafficEvent>> entry : runsByOperation.entrySet()) {
             List<TrafficEvent> runs = entry.getValue();
-            TrafficClass product = productOf.get(runs.get(0).tag());
+            TrafficClass product = productsByTag.get(runs.get(0).tag());
             if (product == null || product.effect == Effect.IDEMPOTENT) {
                 continue;
             }
             for (int i = 1; i < runs.size(); i++) {
                 if (product.effect == Effect.SIDE_EFFECTING) {
-                    breaches.add(new Breach(2, entry.getKey(), "ran " + runs.size() + " times"));
+                    violations.add(new Violation(2, entry.getKey(), "ran " + runs.size() + " times"));
                     break;
                 }
-                EngineProfile first = figures.makes.get(runs.get(0).where());
-                EngineProfile again = figures.makes.get(runs.get(i).where());
-                boolean together =
+                EngineProfile first = limits.profiles.get(runs.get(0).where());
+                EngineProfile current = limits.profiles.get(runs.get(i).where());
+                boolean sameScope =
                         product.deduplicationScope == DeduplicationScope.ALL
                                 || (product.deduplicationScope == DeduplicationScope.ZONE
-                                        && first.zone().equals(again.zone()))
+                                        && first.zone().equals(current.zone()))
                                 || (product.deduplicationScope == DeduplicationScope.RACK
-                                        && first.rack() == again.rack());
-                if (!together
+                                        && first.rack() == current.rack());
+                if (!sameScope
                         || runs.get(i).ms() - runs.get(0).ms() > product.deduplicationWindowMs) {
-                    breaches.add(
-                            new Breach(
+                    violations.add(
+                            new Violation(
                                     2,
                                     entry.getKey(),
                                     "ran again "
-                                            + (together ? "after" : "outside")
+                                            + (sameScope ? "after" : "outside")
                                             + " what drops its repeats"));
                 }
             }
         }
     }
 
-    private static boolean mayRepeatAnywhere(TrafficClass product) {
+    private static boolean mayRepeatOnAnyEngine(TrafficClass product) {
         return product == null
                 || product.effect == Effect.IDEMPOTENT
                 || (product.effect == Effect.DEDUPLICATED
@@ -208,26 +208,26 @@
      * Rule 3: nothing new to an engine once the list has said for the grace that it drains or is
      * gone.
      */
-    static void drainsKept(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
-        Map<Long, Double> since = new HashMap<>();
-        for (TrafficEvent seen : log) {
-            if (seen.kind() == TrafficEvent.Kind.LISTED) {
-                if (seen.word().equals("ready")) {
-                    since.remove(seen.where());
+    static void checkDrains(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
+        Map<Long, Double> unavailableSince = new HashMap<>();
+        for (TrafficEvent event : log) {
+            if (event.kind() == TrafficEvent.Kind.LISTED) {
+                if (event.word().equals("ready")) {
+                    unavailableSince.remove(event.where());
                 } else {
-                    since.putIfAbsent(seen.where(), seen.ms());
+                    unavailableSince.putIfAbsent(event.where(), event.ms());
                 }
-            } else if (isAttempt(seen)
-                    && since.containsKey(seen.where())
-                    && seen.ms()
-                            > since.get(seen.where()) + figures.drainGraceMs + figures.slackMs) {
-                breaches.add(
-                        new Breach(
+            } else if (isAttempt(event)
+                    && unavailableSince.containsKey(event.where())
+                    && event.ms()
+                            > unavailableSince.get(event.where()) + limits.drainGraceMs + limits.slackMs) {
+                violations.add(
+                        new Violation(
                                 3,
-                                "engine " + seen.where(),
-                                seen.rid()
+                                "engine " + event.where(),
+                                event.rid()
                                         + " came "
-                                        + Math.round(seen.ms() - since.get(seen.where()))
+                                        + Math.round(event.ms() - unavailableSince.get(event.where()))
                                         + " ms after it was told"));
             }
         }
@@ -238,59 +238,59 @@
      * multiple of what it can do then. Each attempt weighs as the mean of its kind; two attempts
      * are allowed for chance.
      */
-    static void coldNotPushed(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
+    static void checkColdStarts(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         double reads = 0;
         double readTokens = 0;
-        for (TrafficEvent seen : log) {
-            reads += seen.kind() == TrafficEvent.Kind.READ_IN ? 1 : 0;
-            readTokens += seen.kind() == TrafficEvent.Kind.READ_IN ? seen.amount() : 0;
+        for (TrafficEvent event : log) {
+            reads += event.kind() == TrafficEvent.Kind.READ_IN ? 1 : 0;
+            readTokens += event.kind() == TrafficEvent.Kind.READ_IN ? event.amount() : 0;
         }
         double meanRead = reads > 0 ? readTokens / reads : 0;
-        Map<Long, Double> started = new HashMap<>();
-        Map<Long, ArrayDeque<Double>> late = new HashMap<>();
-        Set<Long> told = new HashSet<>();
-        for (TrafficEvent seen : log) {
-            if (seen.kind() == TrafficEvent.Kind.STARTED) {
-                late.remove(seen.where());
-                told.remove(seen.where());
-                started.remove(seen.where());
-                if (seen.amount() > 0) {
-                    started.put(seen.where(), seen.ms());
+        Map<Long, Double> startMsByEngine = new HashMap<>();
+        Map<Long, ArrayDeque<Double>> recentAttempts = new HashMap<>();
+        Set<Long> reported = new HashSet<>();
+        for (TrafficEvent event : log) {
+            if (event.kind() == TrafficEvent.Kind.STARTED) {
+                recentAttempts.remove(event.where());
+                reported.remove(event.where());
+                startMsByEngine.remove(event.where());
+                if (event.amount() > 0) {
+                    startMsByEngine.put(event.where(), event.ms());
                 }
             }
-            Double start = started.get(seen.where());
-            if (!isAttempt(seen) || start == null) {
+            Double startMs = startMsByEngine.get(event.where());
+            if (!isAttempt(event) || startMs == null) {
                 continue;
             }
-            EngineProfile make = figures.makes.get(seen.where());
-            double age = seen.ms() - start;
-            if (age > make.coldMs()) {
+            EngineProfile profile = limits.profiles.get(event.where());
+            double ageMs = event.ms() - startMs;
+            if (ageMs > profile.coldMs()) {
                 continue;
             }
             ArrayDeque<Double> window =
-                    late.computeIfAbsent(seen.where(), key -> new ArrayDeque<>());
-            window.add(seen.ms());
-            while (window.peek() < seen.ms() - figures.tipMs) {
+                    recentAttempts.computeIfAbsent(event.where(), key -> new ArrayDeque<>());
+            window.add(event.ms());
+            while (window.peek() < event.ms() - limits.coldStartWindowMs) {
                 window.poll();
             }
-            double share = make.coldShare() + (1 - make.coldShare()) * age / make.coldMs();
+            double capacityShare = profile.coldShare() + (1 - profile.coldShare()) * ageMs / profile.coldMs();
             // A reader does tokens; a writer does streams, each for about the time that its slots
             // allow.
             double attemptsPerMs =
-                    make.role() == Role.READER
-                            ? make.readTokensPerMs() / Math.max(1, meanRead)
-                            : make.maxConcurrentStreams() / (30 * make.tokenMs());
-            double budget = figures.tipMultiple * share * attemptsPerMs * figures.tipMs + 2;
-            if (window.size() > budget && told.add(seen.where())) {
-                breaches.add(
-                        new Breach(
+                    profile.role() == Role.READER
+                            ? profile.readTokensPerMs() / Math.max(1, meanRead)
+                            : profile.maxConcurrentStreams() / (30 * profile.tokenMs());
+            double budget = limits.coldStartMultiple * capacityShare * attemptsPerMs * limits.coldStartWindowMs + 2;
+            if (window.size() > budget && reported.add(event.where())) {
+                violations.add(
+                        new Violation(
                                 4,
-                                "engine " + seen.where(),
+                                "engine " + event.where(),
                                 window.size()
                                         + " attempts within "
-                                        + Math.round(figures.tipMs)
+                                        + Math.round(limits.coldStartWindowMs)
                                         + " ms at age "
-                                        + Math.round(age)
+                                        + Math.round(ageMs)
                                         + " ms, budget "
                                         + Math.round(budget)));
             }
@@ -300,87 +300,87 @@
     /**
      * Rule 5: a state waits no longer than stated while none of its generation's attempts is out.
      */
-    static void nothingPinned(List<TrafficEvent> log, Figures figures, List<Breach> breaches) {
-        Map<String, Integer> attemptsOut = new HashMap<>();
+    static void checkStateRelease(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
+        Map<String, Integer> activeAttempts = new HashMap<>();
         Map<String, Double> idleSince = new HashMap<>();
         Map<String, List<TrafficEvent>> held = new HashMap<>();
-        Set<String> orphans = orphans(log);
-        double end = log.isEmpty() ? 0 : log.get(log.size() - 1).ms();
-        for (TrafficEvent seen : log) {
-            if (seen.tag() == null || orphans.contains(seen.tag())) {
+        Set<String> triesOfKilledRouters = triesOfKilledRouters(log);
+        double endMs = log.isEmpty() ? 0 : log.get(log.size() - 1).ms();
+        for (TrafficEvent event : log) {
+            if (event.tag() == null || triesOfKilledRouters.contains(event.tag())) {
                 continue;
             }
-            switch (seen.kind()) {
+            switch (event.kind()) {
                 case READ_IN, WRITE_IN -> {
-                    look(seen.tag(), seen.ms(), held, attemptsOut, idleSince, figures, breaches);
-                    attemptsOut.merge(seen.tag(), 1, Integer::sum);
+                    checkIdleStates(event.tag(), event.ms(), held, activeAttempts, idleSince, limits, violations);
+                    activeAttempts.merge(event.tag(), 1, Integer::sum);
                 }
                 case LEG_OUT -> {
-                    if (attemptsOut.merge(seen.tag(), -1, Integer::sum) <= 0) {
-                        idleSince.put(seen.tag(), seen.ms());
+                    if (activeAttempts.merge(event.tag(), -1, Integer::sum) <= 0) {
+                        idleSince.put(event.tag(), event.ms());
                     }
                 }
                 case STATE_HELD -> {
-                    held.computeIfAbsent(seen.tag(), key -> new ArrayList<>()).add(seen);
-                    idleSince.merge(seen.tag(), seen.ms(), Math::max);
+                    held.computeIfAbsent(event.tag(), key -> new ArrayList<>()).add(event);
+                    idleSince.merge(event.tag(), event.ms(), Math::max);
                 }
                 case STATE_GONE -> {
-                    look(seen.tag(), seen.ms(), held, attemptsOut, idleSince, figures, breaches);
-                    List<TrafficEvent> states = held.get(seen.tag());
+                    checkIdleStates(event.tag(), event.ms(), held, activeAttempts, idleSince, limits, violations);
+                    List<TrafficEvent> states = held.get(event.tag());
                     if (states != null) {
                         states.removeIf(
-                                s -> s.where() == seen.where() && s.rid().equals(seen.rid()));
+                                s -> s.where() == event.where() && s.rid().equals(event.rid()));
                     }
                 }
                 default -> {}
             }
         }
         for (String tag : new TreeMap<>(held).keySet()) {
-            look(tag, end, held, attemptsOut, idleSince, figures, breaches);
+            checkIdleStates(tag, endMs, held, activeAttempts, idleSince, limits, violations);
         }
     }
 
     /**
      * Tries that a front held when it was killed: what it left is freed by the engines' own lapse.
      */
-    private static Set<String> orphans(List<TrafficEvent> log) {
-        Set<String> orphans = new HashSet<>();
+    private static Set<String> triesOfKilledRouters(List<TrafficEvent> log) {
+        Set<String> triesOfKilledRouters = new HashSet<>();
         Map<String, TrafficEvent> open = new HashMap<>();
-        for (TrafficEvent seen : log) {
-            switch (seen.kind()) {
-                case ASKED -> open.put(seen.tag(), seen);
+        for (TrafficEvent event : log) {
+            switch (event.kind()) {
+                case ASKED -> open.put(event.tag(), event);
                 case FRONT_KILLED ->
                         open.values().stream()
-                                .filter(asked -> asked.where() == seen.where())
-                                .forEach(asked -> orphans.add(asked.tag()));
+                                .filter(request -> request.where() == event.where())
+                                .forEach(request -> triesOfKilledRouters.add(request.tag()));
                 case FINAL, LEFT -> {
-                    if (!orphans.contains(seen.tag())) {
-                        open.remove(seen.tag());
+                    if (!triesOfKilledRouters.contains(event.tag())) {
+                        open.remove(event.tag());
                     }
                 }
                 default -> {}
             }
         }
-        return orphans;
+        return triesOfKilledRouters;
     }
 
-    private static void look(
+    private static void checkIdleStates(
             String tag,
             double ms,
             Map<String, List<TrafficEvent>> held,
-            Map<String, Integer> attemptsOut,
+            Map<String, Integer> activeAttempts,
             Map<String, Double> idleSince,
-            Figures figures,
-            List<Breach> breaches) {
+            Limits limits,
+            List<Violation> violations) {
         List<TrafficEvent> states = held.get(tag);
-        if (states == null || states.isEmpty() || attemptsOut.getOrDefault(tag, 0) > 0) {
+        if (states == null || states.isEmpty() || activeAttempts.getOrDefault(tag, 0) > 0) {
             return;
         }
         for (TrafficEvent state : states) {
-            double idle = ms - Math.max(state.ms(), idleSince.getOrDefault(tag, state.ms()));
-            if (idle > figures.releaseMs + figures.slackMs) {
-                breaches.add(
-                        new Breach(
+            double idleMs = ms - Math.max(state.ms(), idleSince.getOrDefault(tag, state.ms()));
+            if (idleMs > limits.releaseMs + limits.slackMs) {
+                violations.add(
+                        new Violation(
                                 5,
                                 tag,
                                 "state "
@@ -388,25 +388,25 @@
                                         + " at engine "
                                         + state.where()
                                         + " waited "
-                                        + Math.round(idle)
+                                        + Math.round(idleMs)
                                         + " ms with no attempt out"));
             }
         }
     }
 
-    private static Map<String, List<TrafficEvent>> clientSights(List<TrafficEvent> log) {
+    private static Map<String, List<TrafficEvent>> clientEventsByTag(List<TrafficEvent> log) {
         Map<String, List<TrafficEvent>> byTag = new TreeMap<>();
-        for (TrafficEvent seen : log) {
-            if (seen.kind().compareTo(TrafficEvent.Kind.ASKED) >= 0
-                    && seen.kind().compareTo(TrafficEvent.Kind.MALFORMED) <= 0) {
-                byTag.computeIfAbsent(seen.tag(), key -> new ArrayList<>()).add(seen);
+        for (TrafficEvent event : log) {
+            if (event.kind().compareTo(TrafficEvent.Kind.ASKED) >= 0
+                    && event.kind().compareTo(TrafficEvent.Kind.MALFORMED) <= 0) {
+                byTag.computeIfAbsent(event.tag(), key -> new ArrayList<>()).add(event);
             }
         }
         return byTag;
     }
 
-    private static boolean isAttempt(TrafficEvent seen) {
-        return seen.kind() == TrafficEvent.Kind.READ_IN
-                || seen.kind() == TrafficEvent.Kind.WRITE_IN;
+    private static boolean isAttempt(TrafficEvent event) {
+        return event.kind() == TrafficEvent.Kind.READ_IN
+                || event.kind() == TrafficEvent.Kind.WRITE_IN;
     }
 }
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -37,22 +37,22 @@
 public final class SystemTest {
     private static final double DRAIN_GRACE_MS = 250;
     private static final double RELEASE_MS = 1000;
-    private static final double TIP_MULTIPLE = 2.5;
-    private static final double TIP_MS = 1000;
+    private static final double COLD_START_MULTIPLE = 2.5;
+    private static final double COLD_START_WINDOW_MS = 1000;
     private static final double COLD_SHARE = 0.3;
     private static final double COLD_MS = 3000;
     private static final double SLACK_MS = 150;
 
     /** For the last releases, after the last answer. */
-    private static final long TAIL_MS = 1500;
+    private static final long RELEASE_WAIT_MS = 1500;
 
-    private static final long LAST_ANSWERS_MS = 12_000;
+    private static final long ANSWER_WAIT_MS = 12_000;
 
     /** What is drilled: the real service, or in tests one that breaks a rule. */
-    public interface Fronts {
+    public interface Routers {
         List<Integer> ports();
 
-        String figures();
+        String metrics();
 
         /** The port of the batch API, where it is served. */
         default int batchPort() {
@@ -62,65 +62,65 @@
         void stop() throws InterruptedException;
 
         /** Starts fronts for a site. */
-        interface Maker {
-            Fronts make(Site site)
+        interface Factory {
+            Routers start(Site site)
                     throws InvalidEngineListException, LedgerException, InterruptedException;
         }
     }
 
     /** What a run gave. */
     public record Result(
-            List<TrafficEvent> log,
-            List<RuleChecker.Breach> breaches,
+            List<TrafficEvent> events,
+            List<RuleChecker.Violation> violations,
             List<ResultCounts.Row> rows,
-            List<BillingChecker.Row> bills,
-            String figures) {
+            List<BillingChecker.Row> billingRows,
+            String metrics) {
         public ResultCounts.Row all() {
             return rows.get(0);
         }
     }
 
     private final TestScript script;
-    private final Fronts.Maker maker;
+    private final Routers.Factory routerFactory;
     private final TrafficLog log = new TrafficLog();
-    private final Map<Long, EngineProfile> makes = new HashMap<>();
+    private final Map<Long, EngineProfile> profiles = new HashMap<>();
     private SimulatedFleet fleet;
     private RouterProcesses processes;
-    private Path list;
-    private ClientLoad load;
+    private Path engineListFile;
+    private ClientLoad clientLoad;
 
     /** Null where the script has no batches. */
     private BatchLoad batchLoad;
 
     private Vertx vertx;
 
-    private SystemTest(TestScript script, Fronts.Maker maker) {
+    private SystemTest(TestScript script, Routers.Factory routerFactory) {
         this.script = script;
-        this.maker = maker;
+        this.routerFactory = routerFactory;
     }
 
     /** Plays a script to its end through the real fronts and judges it. */
-    public static Result play(TestScript script) throws InterruptedException, IOException {
-        return play(script, SystemTest::service);
+    public static Result runScript(TestScript script) throws InterruptedException, IOException {
+        return runScript(script, SystemTest::startService);
     }
 
     /** Plays a script through fronts made otherwise. */
-    public static Result play(TestScript script, Fronts.Maker maker)
+    public static Result runScript(TestScript script, Routers.Factory routerFactory)
             throws InterruptedException, IOException {
-        return new SystemTest(script, maker).run();
+        return new SystemTest(script, routerFactory).run();
     }
 
-    private static Fronts service(Site site)
+    private static Routers startService(Site site)
             throws InvalidEngineListException, LedgerException, InterruptedException {
         Service service = Service.start(site);
-        return new Fronts() {
+        return new Routers() {
             @Override
             public List<Integer> ports() {
                 return service.ports();
             }
 
             @Override
-            public String figures() {
+            public String metrics() {
                 return service.metricsRegistry().scrape();
             }
 
@@ -138,24 +138,24 @@
 
     private Result run() throws InterruptedException, IOException {
         Path folder = Files.createTempDirectory("larchridge-drill");
-        list = folder.resolve("engines.yaml");
-        makes(script).forEach(make -> makes.put(make.id(), make));
-        fleet = SimulatedFleet.start(makes(script), log, script.seed());
-        fleet.writeEngineList(list);
+        engineListFile = folder.resolve("engines.yaml");
+        profiles(script).forEach(profile -> profiles.put(profile.id(), profile));
+        fleet = SimulatedFleet.start(profiles(script), log, script.seed());
+        fleet.writeEngineList(engineListFile);
         vertx = Vertx.vertx();
-        Fronts fronts = null;
+        Routers routers = null;
         try {
             if (script.encoding() != null) {
                 Vocabulary vocabulary = VocabularyReader.forEncoding("v", script.encoding());
-                makes.keySet()
+                profiles.keySet()
                         .forEach(id -> fleet.runOn(id, engine -> engine.tokenCounter = vocabulary::count));
             }
             if (script.processes()) {
-                processes = new RouterProcesses(folder, site(script), script.routers());
-                fronts = processes;
+                processes = new RouterProcesses(folder, siteText(script), script.routers());
+                routers = processes;
             } else {
-                fronts =
-                        maker.make(
+                routers =
+                        routerFactory.start(
                                 SiteReader.read(
                                         "drill",
                                         "listen { host: \"127.0.0.1\" port: 0 }\n"
@@ -164,25 +164,25 @@
                                                 + "\nfronts: "
                                                 + script.routers()
                                                 + "\n"
-                                                + site(script),
+                                                + siteText(script),
                                         folder));
             }
-            load = new ClientLoad(vertx, script, fronts.ports(), log);
+            clientLoad = new ClientLoad(vertx, script, routers.ports(), log);
             CountDownLatch done = new CountDownLatch(1);
             vertx.runOnContext(
                     v -> {
                         log.restartClock();
                         for (TestScript.Trouble trouble : script.troubles()) {
                             vertx.setTimer(
-                                    Math.max(1, (long) trouble.atMs()), timer -> begin(trouble));
+                                    Math.max(1, (long) trouble.atMs()), timer -> startTrouble(trouble));
                         }
-                        load.start(done::countDown);
+                        clientLoad.start(done::countDown);
                     });
             if (!script.batches().isEmpty()) {
-                batchLoad = new BatchLoad(script, fronts.batchPort(), log);
+                batchLoad = new BatchLoad(script, routers.batchPort(), log);
                 batchLoad.start();
             }
-            if (!done.await((long) script.durationMs() + LAST_ANSWERS_MS, TimeUnit.MILLISECONDS)) {
+            if (!done.await((long) script.durationMs() + ANSWER_WAIT_MS, TimeUnit.MILLISECONDS)) {
                 log.add(
                         TrafficEvent.Kind.TROUBLE,
                         0,
@@ -192,22 +192,22 @@
                         "clients still open after the run");
             }
             if (batchLoad != null) {
-                batchLoad.join(LAST_ANSWERS_MS);
+                batchLoad.join(ANSWER_WAIT_MS);
             }
-            Thread.sleep(TAIL_MS);
-            String figures = fronts.figures();
-            List<TrafficEvent> all = log.events();
-            List<BillingChecker.Row> bills = List.of();
+            Thread.sleep(RELEASE_WAIT_MS);
+            String metrics = routers.metrics();
+            List<TrafficEvent> events = log.events();
+            List<BillingChecker.Row> billingRows = List.of();
             if (processes != null) {
-                fronts.stop();
-                bills = BillingChecker.of(all, records());
+                routers.stop();
+                billingRows = BillingChecker.compare(events, records());
             }
             return new Result(
-                    all,
-                    RuleChecker.judge(all, figures(script)),
-                    ResultCounts.of(all, script),
-                    bills,
-                    figures);
+                    events,
+                    RuleChecker.check(events, ruleLimits(script)),
+                    ResultCounts.summarize(events, script),
+                    billingRows,
+                    metrics);
         } catch (InvalidSiteException
                 | InvalidEngineListException
                 | LedgerException
@@ -215,8 +215,8 @@
             throw new IllegalStateException(
                     "the drill's own site is not good: " + e.getMessage(), e);
         } finally {
-            if (fronts != null) {
-                fronts.stop();
+            if (routers != null) {
+                routers.stop();
             }
             vertx.close();
             fleet.close();
@@ -245,7 +245,7 @@
     }
 
     /** The engines of a script. */
-    public static List<EngineProfile> makes(TestScript script) {
+    public static List<EngineProfile> profiles(TestScript script) {
         List<EngineProfile> all = new ArrayList<>();
         long id = 1;
         for (TestScript.EngineGroup group : script.engines()) {
@@ -266,7 +266,7 @@
     }
 
     /** The site that the fronts of this drill serve. */
-    public static String site(TestScript script) {
+    public static String siteText(TestScript script) {
         StringBuilder text = new StringBuilder();
         text.append("zone: \"")
                 .append(script.engines().get(0).zones().get(0))
@@ -289,8 +289,8 @@
                         RELEASE_MS,
                         COLD_SHARE,
                         COLD_MS,
-                        TIP_MULTIPLE,
-                        TIP_MS));
+                        COLD_START_MULTIPLE,
+                        COLD_START_WINDOW_MS));
         if (!script.batches().isEmpty()) {
             text.append(
                     "batch { listen { host: \"127.0.0.1\" port: 0 } folder: \"store\" line_ms: 8000 }\n");
@@ -318,25 +318,25 @@
                     .append(script.encoding())
                     .append("\" }\n");
         }
-        for (TestScript.ProductLoad mix : script.products()) {
+        for (TestScript.ProductLoad product : script.products()) {
             text.append(
                     String.format(
                             Locale.ROOT,
                             "product { name: \"%s\" model: \"%s\" effect: %s revenue: %f"
                                     + " slo_ms: %f time_limit_ms: %f token_ms: 60",
-                            mix.name(),
-                            mix.name(),
-                            mix.effect(),
-                            mix.revenue(),
-                            mix.sloMs(),
-                            mix.timeLimitMs()));
-            if (mix.effect().equals("DEDUPLICATED")) {
+                            product.name(),
+                            product.name(),
+                            product.effect(),
+                            product.revenue(),
+                            product.sloMs(),
+                            product.timeLimitMs()));
+            if (product.effect().equals("DEDUPLICATED")) {
                 text.append(
                         String.format(
                                 Locale.ROOT,
                                 " dedup_span: %s dedup_memory_ms: %f",
-                                mix.deduplicationScope(),
-                                mix.deduplicationWindowMs()));
+                                product.deduplicationScope(),
+                                product.deduplicationWindowMs()));
             }
             text.append(counted ? " vocabulary: \"v\" }\n" : " }\n");
         }
@@ -344,76 +344,76 @@
     }
 
     /** What the rules of a script's drill are stated in. */
-    public static RuleChecker.Figures figures(TestScript script) {
-        Map<Long, EngineProfile> makes = new HashMap<>();
-        makes(script).forEach(make -> makes.put(make.id(), make));
+    public static RuleChecker.Limits ruleLimits(TestScript script) {
+        Map<Long, EngineProfile> profiles = new HashMap<>();
+        profiles(script).forEach(profile -> profiles.put(profile.id(), profile));
         Map<String, TrafficClass> products = new HashMap<>();
-        for (TestScript.ProductLoad mix : script.products()) {
+        for (TestScript.ProductLoad product : script.products()) {
             products.put(
-                    mix.name(),
+                    product.name(),
                     new TrafficClass(
-                            mix.name(),
-                            Effect.valueOf(mix.effect()),
-                            DeduplicationScope.valueOf(mix.deduplicationScope()),
-                            mix.deduplicationWindowMs(),
-                            mix.revenue(),
+                            product.name(),
+                            Effect.valueOf(product.effect()),
+                            DeduplicationScope.valueOf(product.deduplicationScope()),
+                            product.deduplicationWindowMs(),
+                            product.revenue(),
                             0.1,
-                            mix.sloMs(),
+                            product.sloMs(),
                             0,
                             60));
         }
-        return new RuleChecker.Figures(
-                DRAIN_GRACE_MS, RELEASE_MS, TIP_MULTIPLE, TIP_MS, SLACK_MS, products, makes);
+        return new RuleChecker.Limits(
+                DRAIN_GRACE_MS, RELEASE_MS, COLD_START_MULTIPLE, COLD_START_WINDOW_MS, SLACK_MS, products, profiles);
     }
 
     // ------------------------------------------------------------------ troubles
 
-    private void begin(TestScript.Trouble trouble) {
+    private void startTrouble(TestScript.Trouble trouble) {
         log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
         if (!trouble.kind().equals("kill_front")) {
-            trouble.engines().forEach(id -> begin(trouble, id));
+            trouble.engines().forEach(id -> startEngineTrouble(trouble, id));
         }
         switch (trouble.kind()) {
             case "burst" -> {
-                load.setRateFactor(trouble.size());
-                vertx.setTimer((long) trouble.forMs(), timer -> load.setRateFactor(1));
+                clientLoad.setRateFactor(trouble.size());
+                vertx.setTimer((long) trouble.forMs(), timer -> clientLoad.setRateFactor(1));
             }
             case "bad_list" -> {
-                write("engines:\n  - id: 1\n    host: 127.0.0.1\n    por");
-                vertx.setTimer((long) trouble.forMs(), timer -> write(null));
+                writeEngineList("engines:\n  - id: 1\n    host: 127.0.0.1\n    por");
+                vertx.setTimer((long) trouble.forMs(), timer -> writeEngineList(null));
             }
             case "kill_front" -> {
-                for (long front : trouble.engines()) {
-                    log.add(TrafficEvent.Kind.FRONT_KILLED, front - 1, null, null, 0, null);
-                    processes.kill((int) front - 1);
+                for (long routerNumber : trouble.engines()) {
+                    log.add(TrafficEvent.Kind.FRONT_KILLED, routerNumber - 1, null, null, 0, null);
+                    processes.kill((int) routerNumber - 1);
                     vertx.setTimer(
                             (long) Math.max(1, trouble.forMs()),
                             timer ->
                                     vertx.executeBlocking(
                                             () -> {
-                                                processes.restart((int) front - 1);
+                                                processes.restart((int) routerNumber - 1);
                                                 return null;
                                             }));
                 }
             }
             case "drain", "remove" -> {
-                write(null);
-                tellList(trouble.engines(), trouble.kind().equals("drain") ? "draining" : "gone");
+                writeEngineList(null);
+                recordListed(trouble.engines(), trouble.kind().equals("drain") ? "draining" : "gone");
                 vertx.setTimer(
                         (long) trouble.forMs(),
                         timer -> {
                             for (long id : trouble.engines()) {
                                 fleet.setListEntry(id, "ready", true, fleet.listEntry(id).startMs());
                             }
-                            tellList(trouble.engines(), "ready");
-                            write(null);
+                            recordListed(trouble.engines(), "ready");
+                            writeEngineList(null);
                         });
             }
             default -> {}
         }
     }
 
-    private void begin(TestScript.Trouble trouble, long id) {
+    private void startEngineTrouble(TestScript.Trouble trouble, long id) {
         switch (trouble.kind()) {
             case "crash" -> crash(trouble, id);
             case "drain" -> fleet.setListEntry(id, "draining", true, fleet.listEntry(id).startMs());
@@ -457,8 +457,8 @@
                 (long) script.listLagMs(),
                 timer -> {
                     fleet.setListEntry(id, "ready", false, 0);
-                    write(null);
-                    tellList(List.of(id), "gone");
+                    writeEngineList(null);
+                    recordListed(List.of(id), "gone");
                 });
         vertx.setTimer(
                 (long) Math.max(script.listLagMs() + 200, trouble.forMs()),
@@ -476,24 +476,24 @@
                                                                         fleet.setListEntry(
                                                                                 id, "ready", true,
                                                                                 startedMs);
-                                                                        tellList(
+                                                                        recordListed(
                                                                                 List.of(id),
                                                                                 "ready");
-                                                                        write(null);
+                                                                        writeEngineList(null);
                                                                     });
                                                         })));
     }
 
-    private void tellList(List<Long> ids, String mode) {
+    private void recordListed(List<Long> ids, String mode) {
         ids.forEach(id -> log.add(TrafficEvent.Kind.LISTED, id, null, null, 0, mode));
     }
 
-    private void write(String broken) {
+    private void writeEngineList(String invalidText) {
         try {
-            if (broken == null) {
-                fleet.writeEngineList(list);
+            if (invalidText == null) {
+                fleet.writeEngineList(engineListFile);
             } else {
-                Files.writeString(list, broken);
+                Files.writeString(engineListFile, invalidText);
             }
         } catch (IOException e) {
             throw new IllegalStateException("the list can't be written", e);
--- a/src/test/java/larchridge/simulation/SimulationRunTest.java
+++ b/src/test/java/larchridge/simulation/SimulationRunTest.java
@@ -34,7 +34,7 @@
                         + ", digest "
                         + first.digest());
         assertEquals(List.of(), first.breaches());
-        assertTrue(first.overall().asked >= 2000);
+        assertTrue(first.overall().requests >= 2000);
         assertTrue(first.overall().service() > 0.6, "service " + first.overall().service());
         assertEquals(first.digest(), SimulationRun.simulate(badDay().withSeed(seed)).digest());
         assertNotEquals(
@@ -105,7 +105,7 @@
                 SimulationRun.simulate(
                         badDay(),
                         (settings, actions) -> new BaselinePolicy(kind, settings, actions));
-        List<RuleChecker.Breach> unanswered =
+        List<RuleChecker.Violation> unanswered =
                 result.breaches().stream().filter(breach -> breach.rule() == 1).toList();
         assertEquals(List.of(), unanswered);
     }
--- a/src/test/java/larchridge/systemtest/FaultyRouter.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouter.java
@@ -29,9 +29,9 @@
  * A front that does one thing wrong, to see that the checkers notice it on the sockets. Made for
  * tests only.
  */
-final class FaultyRouter implements SystemTest.Fronts {
+final class FaultyRouter implements SystemTest.Routers {
     /** What it does wrong; NOTHING is the trial of the trial. */
-    enum Wrong {
+    enum Fault {
         NOTHING,
         LOSES,
         ANSWERS_TWICE,
@@ -44,24 +44,24 @@
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private final Wrong wrong;
+    private final Fault fault;
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient http = vertx.createHttpClient(new PoolOptions().setHttp1MaxSize(1000));
     private final HttpServer server;
-    private final Path list;
-    private volatile List<EngineEntry> rows;
-    private int turn;
-
-    FaultyRouter(Site site, Wrong wrong) throws InvalidEngineListException, InterruptedException {
-        this.wrong = wrong;
-        list = site.engineListFile;
-        look();
-        if (wrong != Wrong.FORGETS_DRAINS) {
+    private final Path engineListFile;
+    private volatile List<EngineEntry> engines;
+    private int requestCount;
+
+    FaultyRouter(Site site, Fault fault) throws InvalidEngineListException, InterruptedException {
+        this.fault = fault;
+        engineListFile = site.engineListFile;
+        readEngineList();
+        if (fault != Fault.FORGETS_DRAINS) {
             vertx.setPeriodic(
                     30,
                     timer -> {
                         try {
-                            look();
+                            readEngineList();
                         } catch (InvalidEngineListException e) {
                             // The last good one stays.
                             return;
@@ -70,7 +70,7 @@
         }
         server =
                 vertx.createHttpServer()
-                        .requestHandler(request -> request.body().onSuccess(b -> take(request, b)));
+                        .requestHandler(request -> request.body().onSuccess(body -> handleRequest(request, body)));
         try {
             server.listen(0, "127.0.0.1")
                     .toCompletionStage()
@@ -81,106 +81,106 @@
         }
     }
 
-    private void look() throws InvalidEngineListException {
+    private void readEngineList() throws InvalidEngineListException {
         try {
-            rows = EngineListReader.read("list", Files.readString(list));
+            engines = EngineListReader.read("list", Files.readString(engineListFile));
         } catch (IOException e) {
             throw new InvalidEngineListException(e.toString());
         }
     }
 
-    private EngineEntry pick(Role role, int place) {
-        List<EngineEntry> fit =
-                rows.stream()
+    private EngineEntry pick(Role role, int requestIndex) {
+        List<EngineEntry> candidates =
+                engines.stream()
                         .filter(
-                                r ->
-                                        r.role() == role
-                                                && r.state()
+                                candidate ->
+                                        candidate.role() == role
+                                                && candidate.state()
                                                         == larchridge.state.EndpointState.READY)
                         .toList();
-        return fit.get(Math.floorMod(place, fit.size()));
+        return candidates.get(Math.floorMod(requestIndex, candidates.size()));
     }
 
-    private void take(HttpServerRequest request, Buffer body) {
+    private void handleRequest(HttpServerRequest request, Buffer body) {
         HttpServerResponse response = request.response();
-        int place = turn++;
-        if (wrong == Wrong.LOSES && place % 10 == 9) {
+        int requestIndex = requestCount++;
+        if (fault == Fault.LOSES && requestIndex % 10 == 9) {
             request.connection().close();
             return;
         }
-        JsonNode asked;
+        JsonNode requestJson;
         try {
-            asked = MAPPER.readTree(body.getBytes());
+            requestJson = MAPPER.readTree(body.getBytes());
         } catch (IOException e) {
             response.setStatusCode(400).end();
             return;
         }
-        if (wrong == Wrong.TOO_LATE && place % 10 == 9) {
-            vertx.setTimer(2000, timer -> fail(response, 504, "timeout_error"));
+        if (fault == Fault.TOO_LATE && requestIndex % 10 == 9) {
+            vertx.setTimer(2000, timer -> sendError(response, 504, "timeout_error"));
             return;
         }
-        String prompt = asked.path("messages").toString();
-        String rid = "wrong" + place;
-        EngineEntry reader = pick(Role.READER, place);
-        ObjectNode read =
+        String prompt = requestJson.path("messages").toString();
+        String rid = "wrong" + requestIndex;
+        EngineEntry reader = pick(Role.READER, requestIndex);
+        ObjectNode readBody =
                 MAPPER.createObjectNode()
                         .put("model", "m")
                         .put("prompt", prompt)
                         .put("max_tokens", 1);
-        read.putObject("kv_transfer_params").put("do_remote_decode", true);
-        if (wrong == Wrong.PINS && place % 10 == 9) {
-            send(reader, rid, read).onComplete(done -> fail(response, 500, "api_error"));
+        readBody.putObject("kv_transfer_params").put("do_remote_decode", true);
+        if (fault == Fault.PINS && requestIndex % 10 == 9) {
+            send(reader, rid, readBody).onComplete(done -> sendError(response, 500, "api_error"));
             return;
         }
-        send(reader, rid, read)
-                .onSuccess(got -> write(response, asked, place, rid, prompt, got))
-                .onFailure(e -> fail(response, 500, "api_error"));
+        send(reader, rid, readBody)
+                .onSuccess(readResponse -> sendToWriter(response, requestJson, requestIndex, rid, prompt, readResponse))
+                .onFailure(e -> sendError(response, 500, "api_error"));
     }
 
-    private void write(
+    private void sendToWriter(
             HttpServerResponse response,
-            JsonNode asked,
-            int place,
+            JsonNode requestJson,
+            int requestIndex,
             String rid,
             String prompt,
-            Buffer got) {
-        ObjectNode write =
+            Buffer readResponse) {
+        ObjectNode writeBody =
                 MAPPER.createObjectNode()
                         .put("model", "m")
                         .put("prompt", prompt)
-                        .put("max_tokens", asked.path("max_tokens").asInt())
+                        .put("max_tokens", requestJson.path("max_tokens").asInt())
                         .put("stream", true);
         try {
-            if (!(MAPPER.readTree(got.getBytes()).path("kv_transfer_params")
+            if (!(MAPPER.readTree(readResponse.getBytes()).path("kv_transfer_params")
                     instanceof ObjectNode params)) {
-                fail(response, 500, "api_error");
+                sendError(response, 500, "api_error");
                 return;
             }
-            write.set(
+            writeBody.set(
                     "kv_transfer_params",
                     params.put("do_remote_prefill", true).put("do_remote_decode", false));
         } catch (IOException e) {
-            fail(response, 500, "api_error");
+            sendError(response, 500, "api_error");
             return;
         }
-        EngineEntry writer = pick(Role.WRITER, place);
-        send(writer, rid + "w", write)
-                .onFailure(e -> fail(response, 500, "api_error"))
+        EngineEntry writer = pick(Role.WRITER, requestIndex);
+        send(writer, rid + "w", writeBody)
+                .onFailure(e -> sendError(response, 500, "api_error"))
                 .onSuccess(
                         stream -> {
-                            if (wrong == Wrong.THROTTLES_AFTER_RUN && place % 10 == 9) {
-                                fail(response, 529, "overloaded_error");
-                            } else if (wrong == Wrong.RUNS_TWICE && place % 10 == 9) {
-                                write.remove("kv_transfer_params");
-                                send(pick(Role.BOTH, place), rid + "x", write)
-                                        .onComplete(again -> answer(response, stream));
+                            if (fault == Fault.THROTTLES_AFTER_RUN && requestIndex % 10 == 9) {
+                                sendError(response, 529, "overloaded_error");
+                            } else if (fault == Fault.RUNS_TWICE && requestIndex % 10 == 9) {
+                                writeBody.remove("kv_transfer_params");
+                                send(pick(Role.BOTH, requestIndex), rid + "x", writeBody)
+                                        .onComplete(ignored -> sendAnswer(response, stream));
                             } else {
-                                answer(response, stream);
+                                sendAnswer(response, stream);
                             }
                         });
     }
 
-    private void answer(HttpServerResponse response, Buffer stream) {
+    private void sendAnswer(HttpServerResponse response, Buffer stream) {
         int tokens = stream.toString().split("\"text\":\"w").length - 1;
         StringBuilder text = new StringBuilder();
         for (int i = 1; i <= tokens; i++) {
@@ -199,7 +199,7 @@
                                         + tokens
                                         + "}")
                         + event("message_stop", "\"x\":1");
-        if (wrong == Wrong.ANSWERS_TWICE) {
+        if (fault == Fault.ANSWERS_TWICE) {
             events += event("message_stop", "\"x\":1");
         }
         if (!response.closed()) {
@@ -211,23 +211,23 @@
         return "event: " + name + "\ndata: {\"type\":\"" + name + "\"," + fields + "}\n\n";
     }
 
-    private static void fail(HttpServerResponse response, int status, String type) {
+    private static void sendError(HttpServerResponse response, int status, String type) {
         if (!response.closed() && !response.ended()) {
             response.setStatusCode(status)
                     .end("{\"type\":\"error\",\"error\":{\"type\":\"" + type + "\"}}");
         }
     }
 
-    private io.vertx.core.Future<Buffer> send(EngineEntry row, String rid, ObjectNode body) {
+    private io.vertx.core.Future<Buffer> send(EngineEntry engine, String rid, ObjectNode body) {
         return http.request(
                         new RequestOptions()
                                 .setMethod(HttpMethod.POST)
-                                .setHost(row.host())
-                                .setPort(row.port())
+                                .setHost(engine.host())
+                                .setPort(engine.port())
                                 .setURI("/v1/completions")
                                 .putHeader("x-request-id", rid))
                 .compose(out -> out.send(Buffer.buffer(body.toString())))
-                .compose(answer -> answer.body());
+                .compose(response -> response.body());
     }
 
     @Override
@@ -236,7 +236,7 @@
     }
 
     @Override
-    public String figures() {
+    public String metrics() {
         return "";
     }
 
--- a/src/test/java/larchridge/systemtest/FaultyRouterTest.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouterTest.java
@@ -25,11 +25,11 @@
               - {at_ms: 500, for_ms: 900, kind: drain, engines: [1, 3]}
             """;
 
-    private static String broken(FaultyRouter.Wrong wrong, String effect) throws Exception {
+    private static String violatedRules(FaultyRouter.Fault fault, String effect) throws Exception {
         TestScript script = TestScriptReader.read("script", SCRIPT.formatted(effect));
-        SystemTest.Result result = SystemTest.play(script, site -> new FaultyRouter(site, wrong));
-        return result.breaches().stream()
-                .map(b -> Integer.toString(b.rule()))
+        SystemTest.Result result = SystemTest.runScript(script, site -> new FaultyRouter(site, fault));
+        return result.violations().stream()
+                .map(violation -> Integer.toString(violation.rule()))
                 .distinct()
                 .sorted()
                 .collect(Collectors.joining(","));
@@ -46,9 +46,9 @@
         "RUNS_TWICE,SIDE_EFFECTING,2",
         "THROTTLES_AFTER_RUN,SIDE_EFFECTING,2"
     })
-    void wrongFrontIsCaught(FaultyRouter.Wrong wrong, String effect, String rules)
+    void wrongFrontIsCaught(FaultyRouter.Fault fault, String effect, String rules)
             throws Exception {
-        assertEquals(rules, broken(wrong, effect));
+        assertEquals(rules, violatedRules(fault, effect));
     }
 
     @Test
@@ -71,9 +71,9 @@
                   - {at_ms: 300, for_ms: 300, kind: crash, engines: [1]}
                 """);
         SystemTest.Result result =
-                SystemTest.play(script, site -> new FaultyRouter(site, FaultyRouter.Wrong.NOTHING));
+                SystemTest.runScript(script, site -> new FaultyRouter(site, FaultyRouter.Fault.NOTHING));
         assertTrue(
-                result.breaches().stream().anyMatch(b -> b.rule() == 4),
-                result.breaches().toString());
+                result.violations().stream().anyMatch(violation -> violation.rule() == 4),
+                result.violations().toString());
     }
 }
--- a/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
+++ b/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
@@ -16,10 +16,10 @@
     void everyRuleHoldsOnTheBadDay(long seed) throws Exception {
         TestScript day = TestScriptReader.read(Path.of("deploy/bad-day.yaml"));
         TestScript seeded = day.withSeed(seed);
-        SystemTest.Result result = SystemTest.play(seeded);
+        SystemTest.Result result = SystemTest.runScript(seeded);
         System.out.println("seed " + seed + "\n" + ResultCounts.table(result.rows().subList(0, 7)));
-        assertEquals(List.of(), result.breaches());
-        assertTrue(result.all().asked >= 2000, "only " + result.all().asked + " generations");
+        assertEquals(List.of(), result.violations());
+        assertTrue(result.all().requests >= 2000, "only " + result.all().requests + " generations");
         assertTrue(result.all().service() > 0.6, "service " + result.all().service());
     }
 
@@ -61,13 +61,13 @@
                   - {at_ms: 3000, for_ms: 200, kind: kill_front, engines: [1]}
                   - {at_ms: 4000, for_ms: 1500, kind: crash, engines: [1, 6]}
                 """);
-        SystemTest.Result result = SystemTest.play(script);
-        System.out.println(BillingChecker.table(result.bills()));
-        assertEquals(List.of(), result.breaches());
-        assertTrue(result.bills().stream().mapToLong(row -> row.got).sum() > 1000);
-        for (BillingChecker.Row row : result.bills()) {
-            assertEquals(row.got, row.billed, row.tenant);
-            assertEquals(0, row.differ + row.leftUnderBilled, row.tenant);
+        SystemTest.Result result = SystemTest.runScript(script);
+        System.out.println(BillingChecker.table(result.billingRows()));
+        assertEquals(List.of(), result.violations());
+        assertTrue(result.billingRows().stream().mapToLong(row -> row.receivedTokens).sum() > 1000);
+        for (BillingChecker.Row row : result.billingRows()) {
+            assertEquals(row.receivedTokens, row.billedTokens, row.tenant);
+            assertEquals(0, row.mismatched + row.disconnectedUnderbilled, row.tenant);
         }
     }
 
@@ -75,22 +75,22 @@
     @Test
     void stormOfOneTenantDoesNotStarveAnother() throws Exception {
         double alone =
-                quiet(
+                serviceOfQuietTenant(
                         "- {name: quiet, share: 1, tokens_per_second: 6000, burst_tokens: 12000}",
                         10);
-        double beside =
-                quiet(
+        double withStorm =
+                serviceOfQuietTenant(
                         "- {name: quiet, share: 1, tokens_per_second: 6000, burst_tokens: 12000}\n"
                                 + "  - {name: storm, share: 20, tokens_per_second: 6000, burst_tokens: 12000}",
                         210);
         System.out.println(
-                "service of the quiet tenant: alone " + alone + ", beside a storm " + beside);
-        assertTrue(beside >= alone - 0.1, alone + " and " + beside);
+                "service of the quiet tenant: alone " + alone + ", beside a storm " + withStorm);
+        assertTrue(withStorm >= alone - 0.1, alone + " and " + withStorm);
     }
 
-    private static double quiet(String tenants, int rate) throws Exception {
+    private static double serviceOfQuietTenant(String tenants, int rate) throws Exception {
         SystemTest.Result result =
-                SystemTest.play(
+                SystemTest.runScript(
                         TestScriptReader.read(
                                 "script",
                                 """
@@ -106,7 +106,7 @@
                   - {name: consulta, slo_ms: 600, time_limit_ms: 2500, prompt_tokens: 250, output_tokens: 16}
                 """
                                         .formatted(rate, tenants)));
-        assertEquals(List.of(), result.breaches());
+        assertEquals(List.of(), result.violations());
         return result.rows().stream()
                 .filter(
                         row ->
