--- a/src/main/java/larchridge/cli/LoadCommand.java
+++ b/src/main/java/larchridge/cli/LoadCommand.java
@@ -61,7 +61,7 @@
     @Override
     public Integer call() throws InterruptedException {
         double[] cpu = new double[2];
-        LoadGenerator.Gain gain =
+        LoadGenerator.Measurement gain =
                 new LoadGenerator("127.0.0.1", ports, clients, prompt, out, multiplexed, over)
                         .run(warm, seconds, () -> cpu[0] = cpuMs(), () -> cpu[1] = cpuMs());
         double streamed = Math.max(1, gain.streamed.sum());
@@ -71,7 +71,7 @@
                         + " p99 %.2f ms cpu/generation %.3f ms%n",
                 clients,
                 streamed / gain.seconds,
-                gain.pieces.sum() / gain.seconds,
+                gain.textEvents.sum() / gain.seconds,
                 gain.failed.sum(),
                 gain.firstToken.getValueAtPercentile(50) / 1000.0,
                 gain.firstToken.getValueAtPercentile(99) / 1000.0,
--- a/src/main/java/larchridge/systemtest/BatchApiClient.java
+++ b/src/main/java/larchridge/systemtest/BatchApiClient.java
@@ -32,8 +32,8 @@
     }
 
     /** What a call is answered, or null if it is not, or not well. */
-    private JsonNode call(HttpRequest.Builder request) throws InterruptedException {
-        String text = text(request);
+    private JsonNode requestJson(HttpRequest.Builder request) throws InterruptedException {
+        String text = requestText(request);
         try {
             return text == null ? null : MAPPER.readTree(text);
         } catch (IOException e) {
@@ -41,21 +41,21 @@
         }
     }
 
-    private String text(HttpRequest.Builder request) throws InterruptedException {
+    private String requestText(HttpRequest.Builder request) throws InterruptedException {
         try {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     http.send(
                             request.header("authorization", "Bearer " + key)
                                     .timeout(Duration.ofSeconds(30))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            return answer.statusCode() == 200 ? answer.body() : null;
+            return response.statusCode() == 200 ? response.body() : null;
         } catch (IOException e) {
             return null;
         }
     }
 
-    private HttpRequest.Builder to(String path) {
+    private HttpRequest.Builder requestTo(String path) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/v1/" + path));
     }
 
@@ -64,11 +64,11 @@
      * was not answered, will do.
      */
     String upload(String name, String lines) throws InterruptedException {
-        JsonNode there = call(to("files").GET());
-        if (there == null) {
+        JsonNode existing = requestJson(requestTo("files").GET());
+        if (existing == null) {
             return null;
         }
-        for (JsonNode file : there.path("data")) {
+        for (JsonNode file : existing.path("data")) {
             if (file.path("filename").asText().equals(name)) {
                 return file.path("id").asText();
             }
@@ -85,28 +85,28 @@
                         + "\r\n--"
                         + BOUNDARY
                         + "--\r\n";
-        JsonNode made =
-                call(
-                        to("files")
+        JsonNode created =
+                requestJson(
+                        requestTo("files")
                                 .header("content-type", "multipart/form-data; boundary=" + BOUNDARY)
                                 .POST(HttpRequest.BodyPublishers.ofString(form)));
-        return made == null ? null : made.path("id").asText();
+        return created == null ? null : created.path("id").asText();
     }
 
     /** The id of a batch of a file, the one that is there already or a new one. */
-    String make(String file, String endpoint, String window) throws InterruptedException {
-        JsonNode there = call(to("batches?limit=100").GET());
-        if (there == null) {
+    String createBatch(String file, String endpoint, String window) throws InterruptedException {
+        JsonNode existing = requestJson(requestTo("batches?limit=100").GET());
+        if (existing == null) {
             return null;
         }
-        for (JsonNode batch : there.path("data")) {
+        for (JsonNode batch : existing.path("data")) {
             if (batch.path("input_file_id").asText().equals(file)) {
                 return batch.path("id").asText();
             }
         }
-        JsonNode made =
-                call(
-                        to("batches")
+        JsonNode created =
+                requestJson(
+                        requestTo("batches")
                                 .POST(
                                         HttpRequest.BodyPublishers.ofString(
                                                 MAPPER.createObjectNode()
@@ -114,25 +114,25 @@
                                                         .put("endpoint", endpoint)
                                                         .put("completion_window", window)
                                                         .toString())));
-        return made == null ? null : made.path("id").asText();
+        return created == null ? null : created.path("id").asText();
     }
 
     JsonNode batch(String id) throws InterruptedException {
-        return call(to("batches/" + id).GET());
+        return requestJson(requestTo("batches/" + id).GET());
     }
 
     void cancel(String id) throws InterruptedException {
-        call(to("batches/" + id + "/cancel").POST(HttpRequest.BodyPublishers.noBody()));
+        requestJson(requestTo("batches/" + id + "/cancel").POST(HttpRequest.BodyPublishers.noBody()));
     }
 
-    static boolean isOver(JsonNode batch) {
+    static boolean isFinished(JsonNode batch) {
         return List.of("completed", "failed", "expired", "cancelled")
                 .contains(batch.path("status").asText());
     }
 
     /** Whoever reads a record. */
-    interface Reader {
-        void read(String customId, boolean good);
+    interface RecordConsumer {
+        void accept(String customId, boolean succeeded);
     }
 
     /**
@@ -141,26 +141,26 @@
      */
     Map<String, Integer> records(JsonNode batch) throws InterruptedException {
         Map<String, Integer> records = new TreeMap<>();
-        return records(batch, (id, good) -> records.merge(id, 1, Integer::sum)) ? records : null;
+        return records(batch, (id, succeeded) -> records.merge(id, 1, Integer::sum)) ? records : null;
     }
 
     /** Reads both files; false if they can't be read now. */
-    boolean records(JsonNode batch, Reader reader) throws InterruptedException {
+    boolean records(JsonNode batch, RecordConsumer consumer) throws InterruptedException {
         for (String field : List.of("output_file_id", "error_file_id")) {
             if (batch.path(field).isTextual()) {
-                String text = text(to("files/" + batch.path(field).asText() + "/content").GET());
+                String text = requestText(requestTo("files/" + batch.path(field).asText() + "/content").GET());
                 if (text == null) {
                     return false;
                 }
                 for (String line : text.split("\n")) {
                     try {
-                        reader.read(
+                        consumer.accept(
                                 MAPPER.readTree(line.getBytes(StandardCharsets.UTF_8))
                                         .path("custom_id")
                                         .asText(),
                                 field.startsWith("output"));
                     } catch (IOException e) {
-                        reader.read("not JSON: " + line, false);
+                        consumer.accept("not JSON: " + line, false);
                     }
                 }
             }
--- a/src/main/java/larchridge/systemtest/BatchLoad.java
+++ b/src/main/java/larchridge/systemtest/BatchLoad.java
@@ -12,20 +12,20 @@
  */
 final class BatchLoad extends Thread {
     static final String NAME = "batch";
-    private static final long LOOK_MS = 50;
-    private static final double PATIENCE_MS = 1e9;
+    private static final long POLL_MS = 50;
+    private static final double NO_TIME_LIMIT_MS = 1e9;
 
     private final TestScript script;
-    private final BatchApiClient calls;
+    private final BatchApiClient client;
     private final TrafficLog log;
-    private final long startNs = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
     BatchLoad(TestScript script, int port, TrafficLog log) {
         super("batch-load");
         setDaemon(true);
         this.script = script;
         this.log = log;
-        calls = new BatchApiClient(port, script.tenants().get(0).name());
+        client = new BatchApiClient(port, script.tenants().get(0).name());
     }
 
     @Override
@@ -42,31 +42,31 @@
                             0,
                             script.tenants().get(0).name(),
                             tag(i, j),
-                            PATIENCE_MS,
+                            NO_TIME_LIMIT_MS,
                             batch.product());
                 }
-                ids.add(calls.make(calls.upload(NAME + i, lines), "/v1/messages", "1h"));
+                ids.add(client.createBatch(client.upload(NAME + i, lines), "/v1/messages", "1h"));
             }
             sleepUntil(script.durationMs());
             for (String id : ids) {
-                calls.cancel(id);
+                client.cancel(id);
             }
             for (String id : ids) {
-                JsonNode batch = calls.batch(id);
-                while (batch == null || !BatchApiClient.isOver(batch)) {
-                    TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                    batch = calls.batch(id);
+                JsonNode batch = client.batch(id);
+                while (batch == null || !BatchApiClient.isFinished(batch)) {
+                    TimeUnit.MILLISECONDS.sleep(POLL_MS);
+                    batch = client.batch(id);
                 }
-                calls.records(
+                client.records(
                         batch,
-                        (line, good) ->
+                        (line, succeeded) ->
                                 log.add(
                                         TrafficEvent.Kind.FINAL,
                                         0,
                                         null,
                                         line + "#0",
                                         0,
-                                        good ? "streamed" : "terminated"));
+                                        succeeded ? "streamed" : "terminated"));
             }
         } catch (InterruptedException e) {
             interrupt();
@@ -74,9 +74,9 @@
     }
 
     private void sleepUntil(double ms) throws InterruptedException {
-        double left = ms - (System.nanoTime() - startNs) / 1e6;
-        if (left > 0) {
-            TimeUnit.MILLISECONDS.sleep((long) left);
+        double remainingMs = ms - (System.nanoTime() - startNanos) / 1e6;
+        if (remainingMs > 0) {
+            TimeUnit.MILLISECONDS.sleep((long) remainingMs);
         }
     }
 
@@ -84,12 +84,12 @@
         return NAME + batch + "-" + line + "#0";
     }
 
-    private static String lines(int number, TestScript.Batch batch) {
+    private static String lines(int batchIndex, TestScript.Batch batch) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < batch.lines(); i++) {
             text.append("{\"custom_id\":\"")
                     .append(NAME)
-                    .append(number)
+                    .append(batchIndex)
                     .append('-')
                     .append(i)
                     .append(
@@ -105,7 +105,7 @@
                     .append("[out:")
                     .append(batch.outputTokens())
                     .append("] [tag:")
-                    .append(tag(number, i))
+                    .append(tag(batchIndex, i))
                     .append("]\"}]}}\n");
         }
         return text.toString();
--- a/src/main/java/larchridge/systemtest/CrashTest.java
+++ b/src/main/java/larchridge/systemtest/CrashTest.java
@@ -119,16 +119,16 @@
             JsonNode batch = null;
             while (process.isAlive()
                     && System.nanoTime() < deadlineNanos
-                    && (batch == null || !BatchApiClient.isOver(batch))) {
+                    && (batch == null || !BatchApiClient.isFinished(batch))) {
                 String file = client.upload(name, lines);
-                String id = file == null ? null : client.make(file, "/v1/messages", "1h");
+                String id = file == null ? null : client.createBatch(file, "/v1/messages", "1h");
                 batch = id == null ? null : client.batch(id);
                 if (System.nanoTime() > killAtNanos) {
                     process.destroyForcibly();
                 }
                 process.waitFor(10, TimeUnit.MILLISECONDS);
             }
-            boolean finished = batch != null && BatchApiClient.isOver(batch);
+            boolean finished = batch != null && BatchApiClient.isFinished(batch);
             Map<String, Integer> records = finished && process.isAlive() ? client.records(batch) : null;
             boolean died = !process.isAlive();
             killService();
--- a/src/main/java/larchridge/systemtest/LoadGenerator.java
+++ b/src/main/java/larchridge/systemtest/LoadGenerator.java
@@ -31,10 +31,10 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** What came of it; times to the first token are microseconds. */
-    public static final class Gain {
+    public static final class Measurement {
         public final LongAdder streamed = new LongAdder();
         public final LongAdder failed = new LongAdder();
-        public final LongAdder pieces = new LongAdder();
+        public final LongAdder textEvents = new LongAdder();
         public final Histogram firstToken = new ConcurrentHistogram(60_000_000, 3);
         public double seconds;
     }
@@ -43,13 +43,13 @@
     private final int tokens;
     private final int promptTokens;
     private final boolean multiplexed;
-    private final double overS;
+    private final double rampUpSeconds;
     private final String host;
     private final int[] ports;
-    private final Gain gain = new Gain();
-    private final AtomicLong numbers = new AtomicLong();
-    private volatile boolean over;
-    private volatile boolean counting;
+    private final Measurement measurement = new Measurement();
+    private final AtomicLong requestCount = new AtomicLong();
+    private volatile boolean stopped;
+    private volatile boolean measuring;
     private final CountDownLatch done;
 
     /**
@@ -64,10 +64,10 @@
             int promptTokens,
             int tokens,
             boolean multiplexed,
-            double overS) {
+            double rampUpSeconds) {
         this.host = host;
         this.multiplexed = multiplexed;
-        this.overS = overS;
+        this.rampUpSeconds = rampUpSeconds;
         this.ports = ports;
         this.clients = clients;
         this.promptTokens = promptTokens;
@@ -79,17 +79,17 @@
      * Runs for a time after a time of warming up; atStart and atEnd are called around what is
      * counted.
      */
-    public Gain run(double warmS, double seconds, Runnable atStart, Runnable atEnd)
+    public Measurement run(double warmupSeconds, double seconds, Runnable atStart, Runnable atEnd)
             throws InterruptedException {
         Vertx vertx = Vertx.vertx();
-        List<HttpClient> https = new ArrayList<>();
+        List<HttpClient> httpClients = new ArrayList<>();
         int loops = 4;
         for (int i = 0; i < loops; i++) {
             HttpClientOptions options = new HttpClientOptions().setTcpNoDelay(true);
             if (multiplexed) {
                 options.setProtocolVersion(HttpVersion.HTTP_2).setHttp2ClearTextUpgrade(false);
             }
-            https.add(
+            httpClients.add(
                     vertx.createHttpClient(
                             options,
                             new PoolOptions()
@@ -99,35 +99,35 @@
                                     .setEventLoopSize(1)));
         }
         for (int i = 0; i < clients; i++) {
-            HttpClient http = https.get(i % loops);
-            vertx.setTimer(1 + (long) (overS * 1000 * i / clients), timer -> next(http));
+            HttpClient http = httpClients.get(i % loops);
+            vertx.setTimer(1 + (long) (rampUpSeconds * 1000 * i / clients), timer -> sendNext(http));
         }
-        Thread.sleep((long) (warmS * 1000));
+        Thread.sleep((long) (warmupSeconds * 1000));
         atStart.run();
         long start = System.nanoTime();
-        counting = true;
+        measuring = true;
         Thread.sleep((long) (seconds * 1000));
-        counting = false;
-        gain.seconds = (System.nanoTime() - start) / 1e9;
+        measuring = false;
+        measurement.seconds = (System.nanoTime() - start) / 1e9;
         atEnd.run();
-        over = true;
+        stopped = true;
         done.await(20, TimeUnit.SECONDS);
         vertx.close();
-        return gain;
+        return measurement;
     }
 
-    private void next(HttpClient http) {
-        if (over) {
+    private void sendNext(HttpClient http) {
+        if (stopped) {
             done.countDown();
             return;
         }
-        long number = numbers.incrementAndGet();
+        long requestNumber = requestCount.incrementAndGet();
         String prompt =
-                ("Aforo " + number + " ").repeat(Math.max(1, promptTokens / 3))
+                ("Aforo " + requestNumber + " ").repeat(Math.max(1, promptTokens / 3))
                         + "[out:"
                         + tokens
                         + "]";
-        long asked = System.nanoTime();
+        long startNanos = System.nanoTime();
         if (ports.length == 1) {
             ObjectNode body =
                     MAPPER.createObjectNode()
@@ -135,40 +135,40 @@
                             .put("max_tokens", tokens)
                             .put("stream", true);
             body.putArray("messages").addObject().put("role", "user").put("content", prompt);
-            stream(http, ports[0], "/v1/messages", body, asked, "event: content_block_delta");
+            stream(http, ports[0], "/v1/messages", body, startNanos, "event: content_block_delta");
             return;
         }
-        ObjectNode read =
+        ObjectNode readBody =
                 MAPPER.createObjectNode()
                         .put("model", "m")
                         .put("prompt", prompt)
                         .put("max_tokens", 1);
-        read.putObject("kv_transfer_params").put("do_remote_decode", true);
-        send(http, ports[0], "/v1/completions", read, "p" + number)
+        readBody.putObject("kv_transfer_params").put("do_remote_decode", true);
+        send(http, ports[0], "/v1/completions", readBody, "p" + requestNumber)
                 .compose(HttpClientResponse::body)
                 .onFailure(e -> failed(http))
                 .onSuccess(
-                        got -> {
+                        readResponse -> {
                             JsonObject state =
-                                    got.toJsonObject().getJsonObject("kv_transfer_params");
+                                    readResponse.toJsonObject().getJsonObject("kv_transfer_params");
                             JsonNode params =
                                     state == null ? null : MAPPER.valueToTree(state.getMap());
                             if (params == null) {
                                 failed(http);
                                 return;
                             }
-                            ObjectNode write =
+                            ObjectNode writeBody =
                                     MAPPER.createObjectNode()
                                             .put("model", "m")
                                             .put("prompt", prompt)
                                             .put("max_tokens", tokens)
                                             .put("stream", true);
-                            write.set(
+                            writeBody.set(
                                     "kv_transfer_params",
                                     ((ObjectNode) params)
                                             .put("do_remote_prefill", true)
                                             .put("do_remote_decode", false));
-                            stream(http, ports[1], "/v1/completions", write, asked, "\"text\":\"w");
+                            stream(http, ports[1], "/v1/completions", writeBody, startNanos, "\"text\":\"w");
                         });
     }
 
@@ -187,28 +187,28 @@
     }
 
     private void stream(
-            HttpClient http, int port, String path, ObjectNode body, long asked, String mark) {
-        send(http, port, path, body, "w" + asked)
+            HttpClient http, int port, String path, ObjectNode body, long startNanos, String marker) {
+        send(http, port, path, body, "w" + startNanos)
                 .onFailure(e -> failed(http))
                 .onSuccess(
                         response -> {
-                            boolean[] begun = new boolean[1];
+                            boolean[] started = new boolean[1];
                             boolean[] ended = new boolean[1];
                             response.handler(
                                     part -> {
-                                        int pieces = count(part.toString(), mark);
-                                        if (pieces > 0 && !begun[0]) {
-                                            begun[0] = true;
-                                            if (counting) {
-                                                gain.firstToken.recordValue(
+                                        int textEvents = count(part.toString(), marker);
+                                        if (textEvents > 0 && !started[0]) {
+                                            started[0] = true;
+                                            if (measuring) {
+                                                measurement.firstToken.recordValue(
                                                         Math.min(
                                                                 59_999_999,
-                                                                (System.nanoTime() - asked)
+                                                                (System.nanoTime() - startNanos)
                                                                         / 1000));
                                             }
                                         }
-                                        if (counting) {
-                                            gain.pieces.add(pieces);
+                                        if (measuring) {
+                                            measurement.textEvents.add(textEvents);
                                         }
                                     });
                             response.exceptionHandler(
@@ -221,29 +221,29 @@
                             response.endHandler(
                                     end -> {
                                         ended[0] = true;
-                                        if (counting) {
-                                            (response.statusCode() == 200 && begun[0]
-                                                            ? gain.streamed
-                                                            : gain.failed)
+                                        if (measuring) {
+                                            (response.statusCode() == 200 && started[0]
+                                                            ? measurement.streamed
+                                                            : measurement.failed)
                                                     .increment();
                                         }
-                                        next(http);
+                                        sendNext(http);
                                     });
                         });
     }
 
-    private static int count(String text, String mark) {
+    private static int count(String text, String marker) {
         int count = 0;
-        for (int at = text.indexOf(mark); at >= 0; at = text.indexOf(mark, at + mark.length())) {
+        for (int at = text.indexOf(marker); at >= 0; at = text.indexOf(marker, at + marker.length())) {
             count++;
         }
         return count;
     }
 
     private void failed(HttpClient http) {
-        if (counting) {
-            gain.failed.increment();
+        if (measuring) {
+            measurement.failed.increment();
         }
-        next(http);
+        sendNext(http);
     }
 }
--- a/src/main/java/larchridge/systemtest/SoakTest.java
+++ b/src/main/java/larchridge/systemtest/SoakTest.java
@@ -37,127 +37,127 @@
  */
 public final class SoakTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int HOT_TEXTS = 40;
-    private static final long LOOK_MS = 5_000;
-    private static final int MOST_OPEN = 400;
+    private static final int SHARED_TEXT_COUNT = 40;
+    private static final long SAMPLE_INTERVAL_MS = 5_000;
+    private static final int MAX_OPEN_REQUESTS = 400;
 
     private final int port;
     private final int adminPort;
-    private final double perS;
+    private final double requestsPerSecond;
     private final double seconds;
     private final Random random;
     private final Path folder;
-    private final List<String> hot = new ArrayList<>();
+    private final List<String> sharedTexts = new ArrayList<>();
     private final Histogram firstToken = new Histogram(120_000, 3);
-    private final Map<String, Integer> answers = new TreeMap<>();
-    private final List<double[]> looks = new ArrayList<>();
+    private final Map<String, Integer> outcomeCounts = new TreeMap<>();
+    private final List<double[]> samples = new ArrayList<>();
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient http =
             vertx.createHttpClient(
                     new HttpClientOptions().setTcpNoDelay(true),
-                    new PoolOptions().setHttp1MaxSize(MOST_OPEN + 2));
+                    new PoolOptions().setHttp1MaxSize(MAX_OPEN_REQUESTS + 2));
     private final CountDownLatch done = new CountDownLatch(1);
-    private int open;
-    private long asked;
-    private long startNs;
+    private int openRequests;
+    private long sentRequests;
+    private long startNanos;
 
-    public SoakTest(int port, int adminPort, double perS, double seconds, long seed, Path folder) {
+    public SoakTest(int port, int adminPort, double requestsPerSecond, double seconds, long seed, Path folder) {
         this.port = port;
         this.adminPort = adminPort;
-        this.perS = perS;
+        this.requestsPerSecond = requestsPerSecond;
         this.seconds = seconds;
         this.folder = folder;
         random = new Random(seed);
-        for (int i = 0; i < HOT_TEXTS; i++) {
-            hot.add(prose(20_000 + random.nextInt(40_000)));
+        for (int i = 0; i < SHARED_TEXT_COUNT; i++) {
+            sharedTexts.add(prose(20_000 + random.nextInt(40_000)));
         }
     }
 
     /** Runs to its end and writes table and chart; returns a summary in words. */
     public String run() throws InterruptedException, IOException {
         Files.createDirectories(folder);
-        startNs = System.nanoTime();
+        startNanos = System.nanoTime();
         vertx.runOnContext(
                 v -> {
-                    vertx.setPeriodic(LOOK_MS, timer -> look());
-                    next();
+                    vertx.setPeriodic(SAMPLE_INTERVAL_MS, timer -> sample());
+                    scheduleNext();
                 });
         if (!done.await((long) seconds + 60, TimeUnit.SECONDS)) {
-            answers.put("not ended", open);
+            outcomeCounts.put("not ended", openRequests);
         }
         vertx.close();
-        table();
-        chart();
+        writeTable();
+        writeChart();
         return String.format(
                 Locale.ROOT,
                 "%d asked, answers %s, first token of shared texts p50 %d ms p99 %d ms p99.9 %d ms",
-                asked,
-                answers,
+                sentRequests,
+                outcomeCounts,
                 firstToken.getValueAtPercentile(50),
                 firstToken.getValueAtPercentile(99),
                 firstToken.getValueAtPercentile(99.9));
     }
 
-    private double nowS() {
-        return (System.nanoTime() - startNs) / 1e9;
+    private double elapsedSeconds() {
+        return (System.nanoTime() - startNanos) / 1e9;
     }
 
-    private void next() {
-        if (nowS() >= seconds) {
-            if (open == 0) {
+    private void scheduleNext() {
+        if (elapsedSeconds() >= seconds) {
+            if (openRequests == 0) {
                 done.countDown();
             }
             return;
         }
         vertx.setTimer(
-                Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / perS)),
+                Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond)),
                 timer -> {
-                    if (nowS() < seconds) {
-                        ask();
+                    if (elapsedSeconds() < seconds) {
+                        sendRandom();
                     }
-                    next();
+                    scheduleNext();
                 });
     }
 
-    private void ask() {
-        if (open >= MOST_OPEN) {
-            answers.merge("left out", 1, Integer::sum);
+    private void sendRandom() {
+        if (openRequests >= MAX_OPEN_REQUESTS) {
+            outcomeCounts.merge("left out", 1, Integer::sum);
             return;
         }
-        asked++;
-        double draw = random.nextDouble();
+        sentRequests++;
+        double requestDraw = random.nextDouble();
         ObjectNode body =
                 MAPPER.createObjectNode()
                         .put("model", "consulta")
                         .put("max_tokens", 10)
                         .put("stream", true);
-        boolean shared = draw < 0.7;
-        boolean counts = draw >= 0.6 && shared;
+        boolean shared = requestDraw < 0.7;
+        boolean countsTokens = requestDraw >= 0.6 && shared;
         if (shared) {
-            body.put("system", hot.get(random.nextInt(HOT_TEXTS)));
+            body.put("system", sharedTexts.get(random.nextInt(SHARED_TEXT_COUNT)));
         }
-        int chars =
+        int length =
                 shared
                         ? 200
-                        : draw < 0.98
+                        : requestDraw < 0.98
                                 ? 4_000 + random.nextInt(36_000)
-                                : draw < 0.997 ? 1_000_000 : 10_000_000;
+                                : requestDraw < 0.997 ? 1_000_000 : 10_000_000;
         body.putArray("messages")
                 .addObject()
                 .put("role", "user")
                 .put(
                         "content",
-                        (shared || draw < 0.9 ? prose(chars) : readings(chars)) + "[out:10]");
-        if (counts) {
+                        (shared || requestDraw < 0.9 ? prose(length) : readings(length)) + "[out:10]");
+        if (countsTokens) {
             body.remove(List.of("stream", "max_tokens"));
         }
-        send(counts ? "/v1/messages/count_tokens" : "/v1/messages", body, shared && !counts);
+        send(countsTokens ? "/v1/messages/count_tokens" : "/v1/messages", body, shared && !countsTokens);
     }
 
     private void send(String path, ObjectNode body, boolean timed) {
-        open++;
-        long from = System.nanoTime();
-        boolean[] begun = new boolean[1];
+        openRequests++;
+        long sentNanos = System.nanoTime();
+        boolean[] started = new boolean[1];
         http.request(
                         new RequestOptions()
                                 .setMethod(HttpMethod.POST)
@@ -172,12 +172,12 @@
                             if (timed) {
                                 response.handler(
                                         part -> {
-                                            if (!begun[0] && response.statusCode() == 200) {
-                                                begun[0] = true;
+                                            if (!started[0] && response.statusCode() == 200) {
+                                                started[0] = true;
                                                 firstToken.recordValue(
                                                         Math.min(
                                                                 119_999,
-                                                                (System.nanoTime() - from)
+                                                                (System.nanoTime() - sentNanos)
                                                                         / 1_000_000));
                                             }
                                         });
@@ -187,16 +187,16 @@
                         })
                 .onComplete(
                         ended -> {
-                            answers.merge(
+                            outcomeCounts.merge(
                                     ended.succeeded() ? ended.result() : "broken", 1, Integer::sum);
-                            open--;
-                            if (open == 0 && nowS() >= seconds) {
+                            openRequests--;
+                            if (openRequests == 0 && elapsedSeconds() >= seconds) {
                                 done.countDown();
                             }
                         });
     }
 
-    private String prose(int chars) {
+    private String prose(int length) {
         String[] words = {
             "caudal",
             "nivel",
@@ -213,17 +213,17 @@
             "deshielo",
             "boletín"
         };
-        StringBuilder text = new StringBuilder(chars + 16);
-        while (text.length() < chars) {
+        StringBuilder text = new StringBuilder(length + 16);
+        while (text.length() < length) {
             text.append(words[random.nextInt(words.length)])
                     .append(random.nextInt(8) == 0 ? ". " : " ");
         }
         return text.toString();
     }
 
-    private String readings(int chars) {
-        StringBuilder text = new StringBuilder(chars + 32);
-        while (text.length() < chars) {
+    private String readings(int length) {
+        StringBuilder text = new StringBuilder(length + 32);
+        while (text.length() < length) {
             text.append("A")
                     .append(random.nextInt(400))
                     .append(';')
@@ -236,7 +236,7 @@
     // ------------------------------------------------------------------ what the front tells of
     // itself
 
-    private void look() {
+    private void sample() {
         http.request(
                         new RequestOptions()
                                 .setHost("127.0.0.1")
@@ -246,22 +246,22 @@
                 .compose(HttpClientResponse::body)
                 .onSuccess(
                         text -> {
-                            String all = text.toString();
-                            looks.add(
+                            String metrics = text.toString();
+                            samples.add(
                                     new double[] {
-                                        nowS(),
-                                        sum(all, "jvm_memory_used_bytes{area=\"heap\""),
-                                        sum(all, "larchridge_counts_kept"),
-                                        sum(all, "larchridge_counts_found"),
-                                        sum(all, "larchridge_counts_missed"),
+                                        elapsedSeconds(),
+                                        sum(metrics, "jvm_memory_used_bytes{area=\"heap\""),
+                                        sum(metrics, "larchridge_counts_kept"),
+                                        sum(metrics, "larchridge_counts_found"),
+                                        sum(metrics, "larchridge_counts_missed"),
                                         sum(
-                                                all,
+                                                metrics,
                                                 "larchridge_loop_delay_seconds{front=\"0\",product=\"\",quantile=\"0.99\""),
                                         sum(
-                                                all,
+                                                metrics,
                                                 "larchridge_loop_delay_seconds{front=\"0\",product=\"\",quantile=\"0.999\""),
-                                        sum(all, "larchridge_loop_delay_seconds_max"),
-                                        open
+                                        sum(metrics, "larchridge_loop_delay_seconds_max"),
+                                        openRequests
                                     });
                         });
     }
@@ -276,28 +276,28 @@
         return sum;
     }
 
-    private void table() throws IOException {
+    private void writeTable() throws IOException {
         try (PrintWriter out =
                 new PrintWriter(Files.newBufferedWriter(folder.resolve("soak.csv")))) {
             out.println(
                     "s,heap_bytes,counts_kept,counts_found,counts_missed,loop_p99_s,loop_p999_s,loop_max_s,open");
-            for (double[] look : looks) {
+            for (double[] sample : samples) {
                 StringBuilder line = new StringBuilder();
-                for (int i = 0; i < look.length; i++) {
+                for (int i = 0; i < sample.length; i++) {
                     line.append(i == 0 ? "" : ",")
                             .append(
                                     String.format(
                                             Locale.ROOT,
                                             i >= 5 && i <= 7 ? "%.6f" : "%.0f",
-                                            look[i]));
+                                            sample[i]));
                 }
                 out.println(line);
             }
         }
     }
 
-    private void chart() throws IOException {
-        if (looks.isEmpty()) {
+    private void writeChart() throws IOException {
+        if (samples.isEmpty()) {
             return;
         }
         XYChart chart =
@@ -318,6 +318,6 @@
     }
 
     private double[] column(int index, double unit) {
-        return looks.stream().mapToDouble(look -> look[index] / unit).toArray();
+        return samples.stream().mapToDouble(sample -> sample[index] / unit).toArray();
     }
 }
--- a/src/test/java/larchridge/systemtest/EventStreamCheckerTest.java
+++ b/src/test/java/larchridge/systemtest/EventStreamCheckerTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void orderOfTheSpecificationIsGood() {
+    void specifiedOrderIsValid() {
         appendEvents(
                 "message_start",
                 "content_block_start",
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void eventsCutAnywhereAreTheSame() {
+    void eventsMayBeSplitAnywhere() {
         String all =
                 event("message_start")
                         + event("content_block_start")
@@ -53,19 +53,19 @@
     }
 
     @Test
-    void wrongOrdersAreFaults() {
+    void invalidOrderIsAFault() {
         appendEvents("message_start", "content_block_delta");
         assertNotNull(checker.fault());
     }
 
     @Test
-    void stopWithoutItsDeltaIsAFault() {
+    void messageStopWithoutMessageDeltaIsAFault() {
         appendEvents("message_start", "content_block_start", "content_block_stop", "message_stop");
         assertNotNull(checker.fault());
     }
 
     @Test
-    void eventsAfterTheLastAreCounted() {
+    void eventsAfterTheEndAreCounted() {
         appendEvents("message_start", "error", "ping", "message_stop");
         assertEquals(2, checker.eventsAfterEnd());
         assertTrue(checker.isErrored());
--- a/src/test/java/larchridge/systemtest/FaultyRouterTest.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouterTest.java
@@ -46,13 +46,13 @@
         "RUNS_TWICE,SIDE_EFFECTING,2",
         "THROTTLES_AFTER_RUN,SIDE_EFFECTING,2"
     })
-    void wrongFrontIsCaught(FaultyRouter.Fault fault, String effect, String rules)
+    void faultyRouterIsDetected(FaultyRouter.Fault fault, String effect, String rules)
             throws Exception {
         assertEquals(rules, violatedRules(fault, effect));
     }
 
     @Test
-    void herdAtAColdEngineIsCaught() throws Exception {
+    void overloadOfAColdEngineIsDetected() throws Exception {
         // A front that takes its turns evenly sends a cold reader as much as a warm one.
         TestScript script =
                 TestScriptReader.read(
--- a/src/test/java/larchridge/systemtest/RuleCheckerTest.java
+++ b/src/test/java/larchridge/systemtest/RuleCheckerTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void goodDayBreaksNothing() {
+    void validLogHasNoViolations() {
         addRequest("once");
         addEvent(10, TrafficEvent.Kind.READ_IN, 1, "r0", 100, null);
         addEvent(20, TrafficEvent.Kind.STATE_HELD, 1, "r0", 100, null);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void noAnswerTwoAnswersAndLateOnesAreCaught() {
+    void missingSecondAndLateAnswersAreDetected() {
         addRequest("free");
         assertEquals("1", violatedRules());
         addFinal(900, "streamed");
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void moreAfterTheAnswerIsCaught() {
+    void dataAfterTheFinalAnswerIsDetected() {
         addRequest("free");
         addFinal(10, "streamed");
         addEvent(11, TrafficEvent.Kind.AFTER_FINAL, 0, null, 1, null);
@@ -95,14 +95,14 @@
     }
 
     @Test
-    void clientThatLeftIsOwedNothing() {
+    void disconnectedClientNeedsNoAnswer() {
         addRequest("free");
         addEvent(10, TrafficEvent.Kind.LEFT, 0, null, 0, null);
         assertEquals("", violatedRules());
     }
 
     @Test
-    void sideEffectThatRanTwiceIsCaught() {
+    void sideEffectingRequestThatRanTwiceIsDetected() {
         addRequest("once");
         addEvent(10, TrafficEvent.Kind.RAN, 2, "r1", 1, null);
         addFinal(20, "terminated");
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void throttledAfterItRanIsCaught() {
+    void throttlingAfterARunIsDetected() {
         addRequest("once");
         addEvent(10, TrafficEvent.Kind.RAN, 2, "r1", 1, null);
         addFinal(20, "throttled");
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void repeatIsDroppedOnlyInItsGroupAndTime() {
+    void repeatIsAllowedOnlyWithinDeduplicationScopeAndWindow() {
         addRequest("zoned");
         addFinal(100, "streamed");
         addEvent(10, TrafficEvent.Kind.RAN, 2, "r1", 1, null);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void attemptAfterTheGraceOfADrainIsCaught() {
+    void attemptAfterTheDrainGraceIsDetected() {
         addEvent(0, TrafficEvent.Kind.LISTED, 2, null, 0, "draining");
         log.add(new TrafficEvent(249, TrafficEvent.Kind.WRITE_IN, 2, "r1", null, 1, null));
         assertEquals("", violatedRules());
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void herdAtAColdEngineIsCaught() {
+    void overloadOfAColdEngineIsDetected() {
         log.add(new TrafficEvent(0, TrafficEvent.Kind.STARTED, 1, null, null, 1, null));
         for (int i = 0; i < 20; i++) {
             log.add(
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void pinnedStateIsCaught() {
+    void unreleasedStateIsDetected() {
         addRequest("free");
         addFinal(100, "terminated");
         addEvent(10, TrafficEvent.Kind.READ_IN, 1, "r0", 1, null);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void stateIsNotPinnedWhileAnAttemptIsOut() {
+    void stateMayBeHeldWhileAnAttemptIsActive() {
         addRequest("free");
         addFinal(100, "streamed");
         addEvent(10, TrafficEvent.Kind.READ_IN, 1, "r0", 1, null);
--- a/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
+++ b/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
@@ -13,7 +13,7 @@
 class SystemTestRulesTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void everyRuleHoldsOnTheBadDay(long seed) throws Exception {
+    void badDayScriptBreaksNoRule(long seed) throws Exception {
         TestScript day = TestScriptReader.read(Path.of("deploy/bad-day.yaml"));
         TestScript seeded = day.withSeed(seed);
         SystemTest.Result result = SystemTest.runScript(seeded);
@@ -29,7 +29,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void everyLineOfABatchHasOneRecordThoughTheServiceIsKilled(long seed) throws Exception {
+    void everyBatchLineHasOneRecordAfterCrashes(long seed) throws Exception {
         CrashTest.Result result = CrashTest.play(seed, 1, 2);
         System.out.println("seed " + seed + ": " + result);
         assertEquals(List.of(), result.faults());
@@ -37,7 +37,7 @@
 
     /** Fronts as processes, one killed outright; what is billed is what clients got. */
     @Test
-    void billsAddUpThoughAFrontIsKilled() throws Exception {
+    void billsMatchAnswersWhenARouterIsKilled() throws Exception {
         TestScript script =
                 TestScriptReader.read(
                         "script",
@@ -73,7 +73,7 @@
 
     /** A tenant that asks for twenty times its share leaves another what it has without that. */
     @Test
-    void stormOfOneTenantDoesNotStarveAnother() throws Exception {
+    void overloadByOneTenantDoesNotStarveAnother() throws Exception {
         double alone =
                 serviceOfQuietTenant(
                         "- {name: quiet, share: 1, tokens_per_second: 6000, burst_tokens: 12000}",
