--- a/src/main/java/larchridge/simulatedengine/EngineProfile.java
+++ b/src/main/java/larchridge/simulatedengine/EngineProfile.java
@@ -3,15 +3,18 @@
 import larchridge.state.Role;
 
 /**
- * What a stand-in engine is like. The figures are made up for drills; they measure no real machine.
+ * The capacity and speed of a simulated engine.
  *
- * @param readTokensPerMs prompt tokens read a millisecond when warm
- * @param maxConcurrentReads prompts read side by side
- * @param maxConcurrentStreams answers written side by side
- * @param queueCapacity attempts that may wait
- * @param tokenMs time between two tokens of a stream
- * @param transferTokensPerMs how fast a state moves within the rack; slower across racks and zones
- * @param stateExpiryMs when a state that nobody fetches is dropped
+ * @param readTokensPerMs prompt tokens read per millisecond when warm
+ * @param maxConcurrentReads number of prompts read concurrently
+ * @param maxConcurrentStreams number of responses generated concurrently
+ * @param queueCapacity maximum number of waiting attempts
+ * @param tokenMs time between two tokens of a stream, in milliseconds
+ * @param transferTokensPerMs speed at which a read state is transferred within the rack;
+ *     transfers across racks and zones are slower
+ * @param coldShare share of the full capacity right after a cold start
+ * @param coldMs time from a cold start to full capacity
+ * @param stateExpiryMs age at which a read state that was not fetched is dropped
  */
 public record EngineProfile(
         long id,
@@ -34,7 +37,7 @@
                 id, role, zone, rack, 60, 8, 60, 40, 200_000, 8, 300, 0.3, 3000, 20_000);
     }
 
-    /** The same engine, this many times as fast. */
+    /** Returns this profile with all speeds multiplied by a factor. */
     public EngineProfile scaled(double factor) {
         return new EngineProfile(
                 id,
--- a/src/main/java/larchridge/simulatedengine/InjectedFaults.java
+++ b/src/main/java/larchridge/simulatedengine/InjectedFaults.java
@@ -1,37 +1,42 @@
 package larchridge.simulatedengine;
 
-/** What ails a stand-in just now; a script sets it, on the engine's loop. */
+/** The faults of a simulated engine. Set by a test script, on the engine's event loop. */
 public final class InjectedFaults {
-    /** Stands still until then: no work, no answers, also to probes; connections stay. */
+    /**
+     * Until this time, in milliseconds of Unix time, the engine does no work and answers nothing,
+     * probes included; its connections stay open.
+     */
     public double pausedUntilMs;
 
     public double slowdownFactor = 1;
 
-    /** With more answers side by side than this it all but stands still; probes are answered. */
+    /**
+     * With more concurrent attempts than this the engine nearly stops; it still answers probes.
+     */
     public int stallThreshold = Integer.MAX_VALUE;
 
-    /** Of answers, done but never sent; probes are answered. */
+    /** Share of attempts that run but are never answered; probes are answered. */
     public double lostResponseShare;
 
-    /** Every attempt is turned away as full. */
+    /** Rejects every attempt as if the queue were full. */
     public boolean rejectAll;
 
-    /** Every attempt is answered with an error. */
+    /** Answers every attempt with an error. */
     public boolean failAll;
 
-    /** Of streams, broken off after some tokens. */
+    /** Share of streams that are reset after some tokens. */
     public double brokenStreamShare;
 
-    /** Events come in pieces that end anywhere. */
+    /** Splits each event at an arbitrary position into two writes. */
     public boolean splitWrites;
 
-    /** Of answers, such that nobody can read. */
+    /** Share of responses that are malformed. */
     public double malformedShare;
 
-    /** Reports are this old. */
+    /** Age of the metrics page. */
     public double metricsLagMs;
 
-    /** New states are forgotten at once, as by an engine short of memory. */
+    /** Discards new read states at once, like an engine short of memory. */
     public boolean discardStates;
 
     public void clear() {
--- a/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
+++ b/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
@@ -29,10 +29,10 @@
 import larchridge.state.Role;
 
 /**
- * A stand-in for an engine, written from the published completions API with reading and writing
- * apart. It queues, holds memory, keeps texts, starts cold, hands states over, and ails as its
- * {@link InjectedFaults} says. It works in steps of a few milliseconds. All methods run on the loop
- * on which it was made.
+ * A simulated engine that implements the published completions API with disaggregated prefill. It
+ * has a queue, a memory limit, a prefix cache and cold starts, transfers read states to other
+ * engines, and shows the faults in its {@link InjectedFaults}. Work advances in steps of a few
+ * milliseconds. All methods run on the event loop on which the engine was created.
  */
 public final class SimulatedEngine {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -48,7 +48,7 @@
     public final EngineProfile profile;
     public final InjectedFaults faults = new InjectedFaults();
 
-    /** Tokens of a prompt; four characters each unless it is told otherwise. */
+    /** Counts the tokens of a prompt; by default four characters are one token. */
     public ToIntFunction<String> tokenCounter = prompt -> prompt.length() / CHARS_PER_TOKEN;
 
     private final Vertx vertx;
@@ -61,7 +61,7 @@
     private int port;
     private boolean started;
 
-    /** So many times as slow is one that stalls. */
+    /** Slowdown of an engine above its {@link InjectedFaults#stallThreshold}. */
     private static final double STALL_SLOWDOWN = 20;
 
     private double startedMs;
@@ -74,8 +74,8 @@
     private double usedTokens;
 
     /**
-     * Chunks of prompts that are kept, by the hash of all up to their end; the one unused for
-     * longest goes.
+     * The prefix cache: chunks of prompts by the hash of the prompt up to the chunk's end. The
+     * least recently used chunk is evicted.
      */
     private final Map<Long, Boolean> cachedChunks =
             new LinkedHashMap<>(16, 0.75f, true) {
@@ -92,7 +92,7 @@
 
     private record State(String rid, String tag, double tokens, double sinceMs) {}
 
-    /** An attempt that is here. */
+    /** An attempt at this engine. */
     private static final class Job {
         final String rid;
         final String tag;
@@ -131,7 +131,7 @@
         }
     }
 
-    /** To be made on the loop that is to own it. */
+    /** Creates an engine; must be called on the event loop that is to own it. */
     public SimulatedEngine(Vertx vertx, EngineProfile profile, TrafficRecorder recorder, long seed) {
         this.vertx = vertx;
         this.profile = profile;
@@ -143,9 +143,11 @@
                         new PoolOptions().setHttp1MaxSize(64).setMaxWaitQueueSize(1000));
     }
 
-    // ------------------------------------------------------------------ life
+    // ------------------------------------------------------------------ start and crash
 
-    /** Starts to listen, on the port of before if there was one; 0 takes any. */
+    /**
+     * Starts listening. A restart uses the port of the previous start; port 0 picks a free port.
+     */
     public Future<Integer> start(int requestedPort, boolean cold) {
         port = port == 0 ? requestedPort : port;
         startedMs = cold ? now() : now() - profile.coldMs();
@@ -173,7 +175,7 @@
                         });
     }
 
-    /** Dies at once: every connection breaks, every state and text is gone. */
+    /** Crashes: all connections are reset, and all read states and the prefix cache are lost. */
     public Future<Void> crash() {
         if (!started) {
             return Future.succeededFuture();
@@ -207,12 +209,12 @@
         return port;
     }
 
-    /** When this process started, milliseconds of Unix time; 0 for one that started warm. */
+    /** When this engine started, in milliseconds of Unix time; earlier for a warm start. */
     public double startedMs() {
         return startedMs;
     }
 
-    /** Forgets every text that it has kept. */
+    /** Empties the prefix cache. */
     public void flush() {
         cachedChunks.clear();
     }
@@ -221,7 +223,7 @@
         return clockBaseMs + System.nanoTime() / 1e6;
     }
 
-    /** Its share of full capacity: grows evenly from the cold share to 1. */
+    /** Returns the share of full capacity, which grows linearly from the cold share to 1. */
     private double capacityShare() {
         double age = now() - startedMs;
         return age >= profile.coldMs()
@@ -229,7 +231,7 @@
                 : profile.coldShare() + (1 - profile.coldShare()) * age / profile.coldMs();
     }
 
-    // ------------------------------------------------------------------ the wire
+    // ------------------------------------------------------------------ requests
 
     private void handleRequest(HttpServerRequest request) {
         switch (request.path()) {
@@ -378,7 +380,7 @@
         return state != null;
     }
 
-    /** How many tokens of this prompt are kept, which are all kept from now on. */
+    /** Adds a prompt to the prefix cache; returns how many of its tokens were cached before. */
     private double cachePrompt(String prompt) {
         long hash = 1125899906842597L;
         int chunkChars = CHARS_PER_TOKEN * TOKENS_PER_CHUNK;
@@ -605,7 +607,7 @@
         if (job.fetchingState || job.responseLost || job.finished) {
             return;
         }
-        // Back-pressure: what the reader of this stream does not take is not made.
+        // Back-pressure: no tokens are generated while the receiver does not read them.
         if (job.streamStarted && job.response.writeQueueFull()) {
             return;
         }
--- a/src/main/java/larchridge/simulatedengine/TrafficRecorder.java
+++ b/src/main/java/larchridge/simulatedengine/TrafficRecorder.java
@@ -1,8 +1,8 @@
 package larchridge.simulatedengine;
 
-/** Writes down what an engine's sockets saw. */
+/** Records the traffic of a simulated engine. */
 public interface TrafficRecorder {
-    /** The things that can be seen at an engine. */
+    /** The kinds of events at an engine. */
     enum Event {
         STARTED,
         STOPPED,
@@ -15,11 +15,11 @@
     }
 
     /**
-     * One sight.
+     * Records one event.
      *
-     * @param rid the attempt's name as it came, or null
-     * @param tag the mark that the client put into its prompt, or null
-     * @param amount prompt tokens, where they matter
+     * @param rid the attempt's request id as received, or null
+     * @param tag the tag that the client put into its prompt, or null
+     * @param amount depends on the event: prompt tokens, tokens sent, or 1 for a cold start
      */
     void recordEvent(Event event, long engine, String rid, String tag, double amount);
 }
