--- a/src/main/java/larchridge/simulatedengine/InjectedFaults.java
+++ b/src/main/java/larchridge/simulatedengine/InjectedFaults.java
@@ -30,7 +30,9 @@
     /** Splits each event at an arbitrary position into two writes. */
     public boolean splitWrites;
 
-    /** Share of responses that are malformed. */
+    /**
+     * Share of read responses that are malformed; stream events are malformed at an eighth of it.
+     */
     public double malformedShare;
 
     /** Age of the metrics page. */
--- a/src/main/java/larchridge/systemtest/BatchApiClient.java
+++ b/src/main/java/larchridge/systemtest/BatchApiClient.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 
 /**
- * A client of the batch API that is patient with a service that dies: a call that fails is null, to
- * be asked again.
+ * A client of the batch API for a service that may crash: a failed call returns null, and the
+ * caller repeats it.
  */
 final class BatchApiClient {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -31,7 +31,7 @@
         this.key = key;
     }
 
-    /** What a call is answered, or null if it is not, or not well. */
+    /** Returns the response of a call, or null if there is none or it is an error. */
     private JsonNode requestJson(HttpRequest.Builder request) throws InterruptedException {
         String text = requestText(request);
         try {
@@ -60,8 +60,8 @@
     }
 
     /**
-     * The id of a file with these lines; one of that name that is there already, from a call that
-     * was not answered, will do.
+     * Returns the id of a file with these lines. A file of that name that exists already, from an
+     * upload whose response was lost, is used instead of a new one.
      */
     String upload(String name, String lines) throws InterruptedException {
         JsonNode existing = requestJson(requestTo("files").GET());
@@ -93,7 +93,7 @@
         return created == null ? null : created.path("id").asText();
     }
 
-    /** The id of a batch of a file, the one that is there already or a new one. */
+    /** Returns the id of the batch of a file; creates it if there is none. */
     String createBatch(String file, String endpoint, String window) throws InterruptedException {
         JsonNode existing = requestJson(requestTo("batches?limit=100").GET());
         if (existing == null) {
@@ -130,21 +130,21 @@
                 .contains(batch.path("status").asText());
     }
 
-    /** Whoever reads a record. */
+    /** Receives the records of a batch. */
     interface RecordConsumer {
         void accept(String customId, boolean succeeded);
     }
 
     /**
-     * How often each custom id has a record in both files of a batch; null if they can't be read
-     * now.
+     * Returns the number of records per custom id in both result files of a batch, or null if a
+     * file cannot be read now.
      */
     Map<String, Integer> records(JsonNode batch) throws InterruptedException {
         Map<String, Integer> records = new TreeMap<>();
         return records(batch, (id, succeeded) -> records.merge(id, 1, Integer::sum)) ? records : null;
     }
 
-    /** Reads both files; false if they can't be read now. */
+    /** Reads both result files; returns false if one cannot be read now. */
     boolean records(JsonNode batch, RecordConsumer consumer) throws InterruptedException {
         for (String field : List.of("output_file_id", "error_file_id")) {
             if (batch.path(field).isTextual()) {
--- a/src/main/java/larchridge/systemtest/BatchLoad.java
+++ b/src/main/java/larchridge/systemtest/BatchLoad.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The drill's batches: uploaded, made, cancelled when the drill's time is over, read. Each line is
- * an operation of the traffic log that is asked when its file goes out and answered by each record
- * that the downloaded files hold of it.
+ * The batches of a test script: uploads their files, creates them, cancels what is left at the end
+ * of the script and reads the results. Each line is an operation of the traffic log: requested when
+ * its file is uploaded, and answered once by each record of it in the result files.
  */
 final class BatchLoad extends Thread {
     static final String NAME = "batch";
--- a/src/main/java/larchridge/systemtest/BenchDayReader.java
+++ b/src/main/java/larchridge/systemtest/BenchDayReader.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 
 /**
- * A day of the bench as a drill: its engines by role, zone and speed, its products and load, and
- * its troubles, scaled to this machine. What a drill can't show is told in {@link #omissions}. Times
- * in a day file are microseconds.
+ * Converts a bench day to a test script: its engines by role, zone and speed, its products and
+ * load, and its faults, scaled to this machine. {@link #omissions} lists what a test script cannot
+ * express. Times in a day file are in microseconds.
  */
 public final class BenchDayReader {
     /** Engines of these drills do this many of a bench engine's tokens; only ratios carry over. */
@@ -70,7 +70,7 @@
             JsonNode role = roles.get(server.path("kind").asInt());
             groups.computeIfAbsent(roleName(role), key -> new ArrayList<>()).add(i);
         }
-        // Engines are numbered group by group; a trouble names them by their place in the day.
+        // Engines are numbered group by group; a fault refers to them by their index in the day.
         Map<Integer, Long> ids = new LinkedHashMap<>();
         List<TestScript.EngineGroup> engines = new ArrayList<>();
         long id = 1;
@@ -91,7 +91,7 @@
             }
         }
         omissions.add(
-                "racks: each engine stands alone in its zone; links between racks have no load of their own");
+                "racks: each engine is a group of its own in its zone; links between racks have no load of their own");
         List<TestScript.ProductLoad> products = products(day, omissions);
         List<TestScript.Trouble> troubles = new ArrayList<>();
         for (JsonNode trouble : day.path("troubles")) {
@@ -101,15 +101,15 @@
         if (routers < day.path("balancers").size()) {
             omissions.add("fronts: " + routers + " of " + day.path("balancers").size());
         }
-        omissions.add("the shape of the load over the day; its mean is played");
+        omissions.add("the shape of the load over the day; the load is constant at its mean");
         double readers =
                 groups.getOrDefault("reader", List.of()).size()
                         + groups.getOrDefault("both", List.of()).size();
         double meanPromptTokens =
                 products.stream().mapToDouble(m -> m.share() * m.promptTokens()).sum()
                         / products.stream().mapToDouble(TestScript.ProductLoad::share).sum();
-        // Load is the day's share of what its readers can do; a stand-in reader does 60 tokens a
-        // millisecond.
+        // The load is a share of the capacity of the day's readers; a simulated reader reads 60
+        // tokens per millisecond.
         double rate =
                 Math.min(
                         400 * scale,
@@ -120,8 +120,8 @@
                                 / Math.max(1, meanPromptTokens)
                                 / 20);
         omissions.add(
-                "absolute speeds: stand-ins are faster than the day's engines; a twentieth of their reading "
-                        + "speed is asked for");
+                "absolute speeds: simulated engines are faster than the day's engines; the load is a twentieth "
+                        + "of their reading speed");
         JsonNode clients = day.path("clients");
         TestScript script =
                 new TestScript(
@@ -245,7 +245,7 @@
                 }
             }
             case "ageing" -> {
-                // Slower and slower in five steps, then one crash.
+                // Slows the engine down in five steps, then crashes it.
                 for (int step = 1; step <= 5; step++) {
                     troubles.add(
                             new TestScript.Trouble(
--- a/src/main/java/larchridge/systemtest/BillingChecker.java
+++ b/src/main/java/larchridge/systemtest/BillingChecker.java
@@ -10,40 +10,44 @@
 import larchridge.site.Site;
 
 /**
- * Compares what fronts wrote in their ledgers with what clients and engines saw. A pure function
- * over both.
+ * Compares the routers' ledgers with what clients received. A pure function of the ledger records
+ * and the traffic log.
  */
 public final class BillingChecker {
-    /** One tenant's product. */
+    /** The totals of one product of one tenant. */
     public static final class Row {
         public final String tenant;
         public final String product;
         public int operations;
 
         /**
-         * Tokens that came to clients, of answers that ended before their clients and fronts did.
+         * Answer tokens that clients received, of operations whose client did not disconnect and
+         * whose router was not killed.
          */
         public long receivedTokens;
 
-        /** The same operations' answer tokens by the ledgers. */
+        /** Answer tokens of the same operations according to the ledgers. */
         public long billedTokens;
 
-        /** Prompt tokens billed, of all operations. */
+        /** Billed prompt tokens of all operations. */
         public long billedPromptTokens;
 
         public long wastedTokens;
 
-        /** Operations of clients that left: billed at least what had come. */
+        /**
+         * Operations whose client disconnected; they must be billed for at least the tokens
+         * received.
+         */
         public int disconnected;
 
         public int disconnectedUnderbilled;
 
-        /** Operations that a killed front held: in the tenant's favour. */
+        /** Operations that a killed router held; the tenant may be billed too little for them. */
         public int lostWithRouter;
 
         /**
-         * Operations answered so shortly before their front was killed that no record was on disk,
-         * and their tokens.
+         * Operations answered so shortly before their router was killed that their records were not
+         * on disk yet; {@link #unrecordedTokens} has their tokens.
          */
         public int unrecorded;
 
@@ -56,12 +60,12 @@
         }
     }
 
-    /** A record is on disk within this time, or its front was killed first. */
+    /** A ledger record is on disk within this time unless its router is killed first. */
     private static final double RECORD_WRITE_MS = 500;
 
     private BillingChecker() {}
 
-    /** One operation: the most that any of its tries got, and how its tries ended. */
+    /** One operation: the most tokens that any of its tries received, and how its tries ended. */
     private static final class Operation {
         String tenant;
         String product;
@@ -71,7 +75,7 @@
         boolean answeredNearKill;
     }
 
-    /** Rows by tenant and product; records of all fronts, one list each. */
+    /** Returns the totals by tenant and product. */
     public static List<Row> compare(List<TrafficEvent> log, List<Usage> records) {
         Map<String, Operation> operations = new TreeMap<>();
         List<TrafficEvent> kills =
@@ -121,8 +125,7 @@
                             key -> new Row(operation.tenant, operation.product));
             row.operations++;
             long recordedTokens = 0;
-            // A client that tries at two fronts has a record at each; it pays for the longer
-            // answer.
+            // A client that tries two routers has a record at each; it pays for the longer answer.
             for (Usage usage :
                     recordsByBillId.getOrDefault(
                             "key " + Site.sha256(operation.tenant + '\n' + entry.getKey()), List.of())) {
--- a/src/main/java/larchridge/systemtest/ClientLoad.java
+++ b/src/main/java/larchridge/systemtest/ClientLoad.java
@@ -23,9 +23,9 @@
 import java.util.Random;
 
 /**
- * The drill's clients: an open-loop load of the messages API, with sessions, shared texts, retries,
- * clients that leave and clients that read slowly. What each sees on its socket goes to the traffic
- * log. Runs on one loop.
+ * The clients of a system test: an open-loop load on the messages API with sessions, shared prompt
+ * prefixes, retries, clients that disconnect and clients that read slowly. The events at each
+ * client's socket go to the traffic log. Runs on one event loop.
  */
 public final class ClientLoad {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -47,7 +47,7 @@
     private boolean stopped;
     private Runnable whenDone;
 
-    /** A talk under way: the messages so far. */
+    /** A conversation with its messages so far. */
     private static final class Session {
         final TestScript.ProductLoad product;
         final String tenant;
@@ -75,7 +75,7 @@
                         new PoolOptions().setHttp1MaxSize(4000).setMaxWaitQueueSize(-1));
     }
 
-    /** Starts to ask; done runs when the time is over and every try has come to its end. */
+    /** Starts the load; done runs after the end of the script when every try has ended. */
     void start(Runnable done) {
         whenDone = done;
         vertx.setTimer(
@@ -137,7 +137,7 @@
         return new Session(product, tenant, random.nextInt(product.prefixes()), turns);
     }
 
-    /** Readings of gauges: many more tokens a character than prose has. */
+    /** Returns gauge readings, which have many more tokens per character than prose. */
     private String gaugeReadings(int chars) {
         StringBuilder text = new StringBuilder();
         while (text.length() < chars) {
@@ -169,7 +169,7 @@
         }
     }
 
-    /** One try of one operation. */
+    /** One try of an operation; a retry is another request. */
     private final class ClientRequest {
         private final Session session;
         private final String operation;
@@ -254,7 +254,7 @@
                     .onComplete(
                             connected -> {
                                 if (connected.failed()) {
-                                    // The front was not reached: nothing was taken.
+                                    // The router was not reached: it has accepted nothing.
                                     finish();
                                     return;
                                 }
@@ -336,7 +336,7 @@
             try {
                 json = MAPPER.readTree(body.getBytes());
             } catch (IOException e) {
-                log.add(TrafficEvent.Kind.MALFORMED, routerIndex, null, tag, 0, "body is no JSON");
+                log.add(TrafficEvent.Kind.MALFORMED, routerIndex, null, tag, 0, "response body is not JSON");
                 connectionLost();
                 return;
             }
@@ -394,7 +394,7 @@
                         null,
                         tag,
                         tokens,
-                        "the text is not the " + tokens + " tokens of the answer");
+                        "the text does not match the " + tokens + " answer tokens");
             }
         }
 
@@ -412,7 +412,7 @@
             finish();
         }
 
-        /** Tokens of the answer that have come. */
+        /** Returns the number of answer tokens received so far. */
         private int receivedTokens() {
             String text = fullText == null ? checker.text() : fullText;
             return text.isEmpty() ? 0 : text.split(" ").length;
--- a/src/main/java/larchridge/systemtest/CrashTest.java
+++ b/src/main/java/larchridge/systemtest/CrashTest.java
@@ -22,16 +22,16 @@
 import larchridge.store.Store;
 
 /**
- * Batches over a service that is killed outright again and again: at one of its store's writes, or
- * at any time. After each death the store is verified; in the end every line must have exactly one
- * record, and no side-effecting one may have run twice, by what the engines saw.
+ * Runs batches on a service that is killed repeatedly, either at one of its store's writes or at a
+ * random time. The store is verified after each kill. At the end every line must have exactly one
+ * record, and according to the engines no side-effecting line may have run twice.
  */
 public final class CrashTest {
     private static final long START_TIMEOUT_MS = 30_000;
     private static final long BATCH_TIMEOUT_MS = 120_000;
     private static final int LINES_PER_BATCH = 80;
 
-    /** What came of it; faults is empty if all went well. */
+    /** The result of a run; faults is empty if the run passed. */
     public record Result(int batches, int kills, int atWrites, int ranTwice, List<String> faults) {}
 
     private final Random random;
@@ -49,7 +49,7 @@
         this.killsPerBatch = killsPerBatch;
     }
 
-    /** Plays so many batches, each with so many kills. */
+    /** Runs a number of batches with a number of kills each. */
     public static Result play(long seed, int batches, int killsPerBatch)
             throws IOException, InterruptedException {
         return new CrashTest(seed, killsPerBatch).run(batches);
@@ -136,13 +136,13 @@
                 kills++;
                 atWrites += atWrite ? 1 : 0;
             }
-            verifyStore("batch " + number + ", life " + start);
+            verifyStore("batch " + number + ", start " + start);
             if (records != null) {
                 checkRecords(number, batch, records);
                 return;
             }
         }
-        faults.add("batch " + number + " did not come to its end");
+        faults.add("batch " + number + " did not finish");
     }
 
     private static String lines(int number) {
@@ -211,6 +211,6 @@
                 faults.add(id + " has " + count + " records");
             }
         }
-        records.keySet().forEach(id -> faults.add("a record of nothing: " + id));
+        records.keySet().forEach(id -> faults.add("record of an unknown line: " + id));
     }
 }
--- a/src/main/java/larchridge/systemtest/EventStreamChecker.java
+++ b/src/main/java/larchridge/systemtest/EventStreamChecker.java
@@ -5,10 +5,11 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * Reads an event stream of the messages API as a client would and checks its order against the
- * specification: {@code message_start}, then blocks of {@code content_block_start}, deltas and
- * {@code content_block_stop}, then {@code message_delta} and {@code message_stop}; {@code ping}
- * anywhere before the end, {@code error} as a last event. Shares no code with the front.
+ * Reads an event stream of the messages API as a client does and checks the order of its events
+ * against the specification: {@code message_start}, then blocks of {@code content_block_start},
+ * deltas and {@code content_block_stop}, then {@code message_delta} and {@code message_stop};
+ * {@code ping} anywhere between {@code message_start} and the end, {@code error} as the last event.
+ * Shares no code with the router.
  */
 public final class EventStreamChecker {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -32,7 +33,7 @@
     private int outputTokens;
     private int inputTokens;
 
-    /** Takes decoded text as it came, cut anywhere. */
+    /** Appends decoded text, which may be split anywhere. */
     public void append(String part) {
         pending.append(part);
         int end = pending.indexOf("\n\n");
@@ -52,18 +53,18 @@
             } else if (line.startsWith("data: ")) {
                 data.append(line.substring(6));
             } else if (!line.isEmpty() && !line.startsWith(":")) {
-                recordFault("a line that is no field: " + line);
+                recordFault("line is not a field: " + line);
             }
         }
         JsonNode json;
         try {
             json = MAPPER.readTree(data.toString());
         } catch (JsonProcessingException e) {
-            recordFault("data of " + name + " is no JSON");
+            recordFault("data of " + name + " is not JSON");
             return;
         }
         if (name == null || !name.equals(json.path("type").asText())) {
-            recordFault("event " + name + " carries type " + json.path("type").asText());
+            recordFault("event " + name + " has type " + json.path("type").asText());
         }
         if (state == State.OVER) {
             eventsAfterEnd++;
@@ -104,7 +105,7 @@
 
     private void transition(State from, State to, String name) {
         if (state != from) {
-            recordFault(name + " in place " + state);
+            recordFault(name + " in state " + state);
         }
         state = to;
     }
@@ -113,7 +114,7 @@
         fault = fault == null ? description : fault;
     }
 
-    /** The first departure from the specification, or null. */
+    /** Returns the first deviation from the specification, or null. */
     public String fault() {
         return fault;
     }
@@ -126,7 +127,7 @@
         return errored;
     }
 
-    /** Events after the last one. */
+    /** Returns the number of events after the last one that the specification allows. */
     public int eventsAfterEnd() {
         return eventsAfterEnd;
     }
--- a/src/main/java/larchridge/systemtest/LoadGenerator.java
+++ b/src/main/java/larchridge/systemtest/LoadGenerator.java
@@ -23,14 +23,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * So many clients that each ask again as soon as they are answered, through a front or, to know
- * what the front adds, at a reader and a writer directly. Measures cost, not service: a closed loop
- * hides waits.
+ * A closed-loop load: each client sends its next request as soon as it has an answer, through a
+ * router or, to measure what the router adds, directly to a reader and a writer. Measures cost, not
+ * service, because a closed loop hides waiting times.
  */
 public final class LoadGenerator {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** What came of it; times to the first token are microseconds. */
+    /** The measured values; times to the first token are in microseconds. */
     public static final class Measurement {
         public final LongAdder streamed = new LongAdder();
         public final LongAdder failed = new LongAdder();
@@ -53,9 +53,12 @@
     private final CountDownLatch done;
 
     /**
-     * One port is a front's; two are a reader's and a writer's. Multiplexed: over HTTP/2, so that
-     * many streams share a connection and ten thousand of them fit into one process's descriptors.
-     * The clients come evenly over a time.
+     * Creates a load generator.
+     *
+     * @param ports one port of a router, or the ports of a reader and a writer
+     * @param multiplexed use HTTP/2, so that many streams share a connection and ten thousand
+     *     streams do not exceed the process's file descriptor limit
+     * @param rampUpSeconds time over which the clients start, evenly spaced
      */
     public LoadGenerator(
             String host,
@@ -76,8 +79,8 @@
     }
 
     /**
-     * Runs for a time after a time of warming up; atStart and atEnd are called around what is
-     * counted.
+     * Runs the load and measures it after a warmup; atStart and atEnd are called at the start and
+     * end of the measurement.
      */
     public Measurement run(double warmupSeconds, double seconds, Runnable atStart, Runnable atEnd)
             throws InterruptedException {
--- a/src/main/java/larchridge/systemtest/ResultCounts.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -9,11 +9,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients got, from the traffic log alone: service by time and product, and times to the first
- * token.
+ * The results that clients saw, from the traffic log alone: service by product, tenant and fault,
+ * and times to the first token.
  */
 public final class ResultCounts {
-    /** Service of one span of time. */
+    /** The results of one product, tenant or period. */
     public static final class Row {
         public final String name;
         public int requests;
@@ -31,13 +31,13 @@
             this.name = name;
         }
 
-        /** Revenue answered in time over revenue asked for. */
+        /** Returns the revenue answered within the SLO as a share of the requested revenue. */
         public double service() {
             return requestedRevenue > 0 ? revenueWithinSlo / requestedRevenue : 1;
         }
     }
 
-    /** One operation: its tries belong to it, and its SLO time runs from the first. */
+    /** One operation with all its tries; its SLO time starts with the first try. */
     private static final class Operation {
         TrafficEvent firstRequest;
         TrafficEvent firstText;
@@ -49,8 +49,8 @@
     private ResultCounts() {}
 
     /**
-     * Rows in all, by product, and by tenant where there are several; and for each trouble before,
-     * during and after it.
+     * Returns rows for the whole run, by product, by tenant if there are several, and for the
+     * periods before, during and after each fault.
      */
     public static List<Row> summarize(List<TrafficEvent> log, TestScript script) {
         Map<String, Operation> operations = new LinkedHashMap<>();
@@ -106,7 +106,7 @@
                 continue;
             }
             TestScript.ProductLoad product = products.get(operation.firstRequest.word());
-            // Lines of batches have no SLO time; their product's row tells what became of them.
+            // Batch lines have no SLO; they are counted only in their product's row.
             boolean isBatchLine = operation.firstRequest.tag().startsWith(BatchLoad.NAME);
             if (!isBatchLine) {
                 count(all, operation, product);
@@ -122,8 +122,8 @@
                 TestScript.Trouble trouble = script.troubles().get(i);
                 double requestMs = operation.firstRequest.ms();
                 int part = requestMs < trouble.atMs() ? 0 : requestMs < trouble.atMs() + trouble.forMs() ? 1 : 2;
-                // As long before and after as during: the rest of the day says nothing of this
-                // trouble.
+                // The periods before and after are as long as the fault; the rest of the run says
+                // nothing about this fault.
                 boolean withinWindow =
                         part == 0
                                 ? requestMs >= trouble.atMs() - trouble.forMs()
--- a/src/main/java/larchridge/systemtest/RouterProcesses.java
+++ b/src/main/java/larchridge/systemtest/RouterProcesses.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Fronts as processes of their own, one each, so that one can be killed outright and come back with
- * nothing.
+ * Routers in processes of their own, so that one can be killed with SIGKILL and restarted without
+ * its in-memory state.
  */
 final class RouterProcesses implements SystemTest.Routers {
     private static final long START_TIMEOUT_MS = 30_000;
@@ -24,7 +24,11 @@
     private final List<Path> siteFiles = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
 
-    /** Site: the text of a site file of one front, without its listen block. */
+    /**
+     * Starts the routers.
+     *
+     * @param site the site configuration of one router, without its listen block
+     */
     RouterProcesses(Path folder, String site, int routerCount) throws IOException, InterruptedException {
         this.folder = folder;
         for (int i = 0; i < routerCount; i++) {
@@ -61,7 +65,7 @@
         return launch(siteFiles.get(index), new File(folder.toFile(), "front" + index + ".log"));
     }
 
-    /** Serves a site in a process of its own. */
+    /** Serves a site in a new process. */
     static Process launch(Path site, File log, String... extraArguments) throws IOException {
         List<String> command =
                 new ArrayList<>(
@@ -92,22 +96,22 @@
             } catch (IOException e) {
                 if (!processes.get(index).isAlive()) {
                     throw new IOException(
-                            "front "
+                            "router "
                                     + index
                                     + " did not start; see "
                                     + folder.resolve("front" + index + ".log"),
                             e);
                 }
-                // Nobody tells when a process listens; it is asked until it does or its time is up.
+                // A process does not report that it listens; poll its port until the timeout.
                 TimeUnit.MILLISECONDS.sleep(20);
             }
         }
-        throw new IOException("front " + index + " does not listen");
+        throw new IOException("router " + index + " does not listen");
     }
 
     /**
-     * Ends a front at once, as a machine that loses power would; started again after a time by
-     * {@link #restart}.
+     * Kills a router without a shutdown, as if its machine had lost power. {@link #restart} starts
+     * it again.
      */
     void kill(int index) {
         processes.get(index).destroyForcibly();
@@ -118,13 +122,13 @@
             processes.get(index).waitFor(5, TimeUnit.SECONDS);
             processes.set(index, launch(index));
         } catch (IOException e) {
-            throw new IllegalStateException("front " + index + " did not start again", e);
+            throw new IllegalStateException("router " + index + " did not restart", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The ledgers of all fronts; to be read once they have stopped. */
+    /** Returns the ledger folders of all routers; read them only after the routers have stopped. */
     List<Path> ledgerFolders() {
         List<Path> folders = new ArrayList<>();
         for (int i = 0; i < ports.size(); i++) {
--- a/src/main/java/larchridge/systemtest/RuleChecker.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -16,13 +16,13 @@
 import larchridge.state.TrafficClass;
 
 /**
- * The five rules, checked from a traffic log alone. Pure functions: no clock, no sockets, no word
- * of a front.
+ * Checks the five rules from a traffic log alone. Pure functions without clock or sockets that use
+ * nothing a router reports.
  */
 public final class RuleChecker {
     private RuleChecker() {}
 
-    /** A broken rule. */
+    /** A violation of a rule. */
     public record Violation(int rule, String subject, String description) {
         @Override
         public String toString() {
@@ -31,9 +31,9 @@
     }
 
     /**
-     * The figures that the rules are stated in.
+     * The limits that the rules check.
      *
-     * @param slackMs allowed on every time beside the rule's own, for the way over the sockets
+     * @param slackMs tolerance added to every time limit, for the latency of the sockets
      */
     public record Limits(
             double drainGraceMs,
@@ -56,7 +56,7 @@
         return violations;
     }
 
-    /** Rule 1: each try gets one final answer in time, and nothing after it. */
+    /** Rule 1: each try gets exactly one final answer in time, and no data after it. */
     static void checkFinalAnswers(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<String, List<TrafficEvent>> byTag = clientEventsByTag(log);
         List<TrafficEvent> kills =
@@ -72,8 +72,8 @@
                     case BEGUN -> started = event;
                     case LEFT -> disconnected = true;
                     case LOST -> {
-                        // What a front held when it was killed, or is sent while it dies, is no
-                        // longer its duty.
+                        // A request that a router held when it was killed, or that arrived while
+                        // it was being killed, needs no answer.
                         TrafficEvent lostRequest = request;
                         if (kills.stream()
                                 .noneMatch(
@@ -82,25 +82,25 @@
                                                         && k.ms() >= lostRequest.ms() - limits.slackMs
                                                         && k.ms() <= event.ms() + limits.slackMs)) {
                             violations.add(
-                                    new Violation(1, entry.getKey(), "closed without a final answer"));
+                                    new Violation(1, entry.getKey(), "connection closed without a final answer"));
                         }
                     }
                     case AFTER_FINAL ->
                             violations.add(
-                                    new Violation(1, entry.getKey(), "more after the final answer"));
+                                    new Violation(1, entry.getKey(), "data after the final answer"));
                     case MALFORMED ->
                             violations.add(
                                     new Violation(
                                             1,
                                             entry.getKey(),
-                                            "not in the API's words: " + event.word()));
+                                            "response does not follow the API: " + event.word()));
                     case FINAL -> {
                         if (request == null) {
                             violations.add(
                                     new Violation(
                                             1,
                                             entry.getKey(),
-                                            "an answer to nothing that was asked"));
+                                            "a final answer without a request"));
                             break;
                         }
                         if (finalAnswer != null) {
@@ -116,7 +116,7 @@
                         finalAnswer = event;
                         if (started != null && event.word().equals("throttled")) {
                             violations.add(
-                                    new Violation(1, entry.getKey(), "throttled after it had begun"));
+                                    new Violation(1, entry.getKey(), "throttled after the response had started"));
                         }
                         if (started == null
                                 && event.ms() > request.ms() + request.amount() + limits.slackMs) {
@@ -139,12 +139,15 @@
                     && !disconnected
                     && entry.getValue().stream()
                             .noneMatch(s -> s.kind() == TrafficEvent.Kind.LOST)) {
-                violations.add(new Violation(1, entry.getKey(), "no final answer at all"));
+                violations.add(new Violation(1, entry.getKey(), "no final answer"));
             }
         }
     }
 
-    /** Rule 2: no effect twice, and no word that a repeat is harmless where it is not. */
+    /**
+     * Rule 2: no side effect happens twice, and no client is told that it may retry where a repeat
+     * is not harmless.
+     */
     static void checkSideEffects(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<String, TrafficClass> productsByTag = new HashMap<>();
         Map<String, List<TrafficEvent>> runsByOperation = new TreeMap<>();
@@ -160,7 +163,7 @@
                                 .anyMatch(r -> r.tag().equals(event.tag()));
                 if (ran && !mayRepeatOnAnyEngine(product)) {
                     violations.add(
-                            new Violation(2, event.tag(), "throttled though an attempt of it ran"));
+                            new Violation(2, event.tag(), "throttled although an attempt ran"));
                 }
             }
         }
@@ -191,7 +194,7 @@
                                     entry.getKey(),
                                     "ran again "
                                             + (sameScope ? "after" : "outside")
-                                            + " what drops its repeats"));
+                                            + " the deduplication window or scope"));
                 }
             }
         }
@@ -205,8 +208,8 @@
     }
 
     /**
-     * Rule 3: nothing new to an engine once the list has said for the grace that it drains or is
-     * gone.
+     * Rule 3: no new attempt is sent to an engine after the list has shown it as draining or
+     * removed for the drain grace.
      */
     static void checkDrains(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<Long, Double> unavailableSince = new HashMap<>();
@@ -226,17 +229,17 @@
                                 3,
                                 "engine " + event.where(),
                                 event.rid()
-                                        + " came "
+                                        + " arrived "
                                         + Math.round(event.ms() - unavailableSince.get(event.where()))
-                                        + " ms after it was told"));
+                                        + " ms after the list showed the engine as draining or gone"));
             }
         }
     }
 
     /**
-     * Rule 4: what is sent to an engine just started stays, in every window, under the stated
-     * multiple of what it can do then. Each attempt weighs as the mean of its kind; two attempts
-     * are allowed for chance.
+     * Rule 4: the load sent to an engine after a cold start stays, in every window, below the
+     * stated multiple of its capacity at that time. Each attempt counts as the mean of its kind;
+     * two attempts are tolerated for random variation.
      */
     static void checkColdStarts(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         double reads = 0;
@@ -274,8 +277,8 @@
                 window.poll();
             }
             double capacityShare = profile.coldShare() + (1 - profile.coldShare()) * ageMs / profile.coldMs();
-            // A reader does tokens; a writer does streams, each for about the time that its slots
-            // allow.
+            // A reader's capacity is in tokens; a writer's is in streams, each assumed to take as
+            // long as 30 tokens.
             double attemptsPerMs =
                     profile.role() == Role.READER
                             ? profile.readTokensPerMs() / Math.max(1, meanRead)
@@ -298,7 +301,8 @@
     }
 
     /**
-     * Rule 5: a state waits no longer than stated while none of its generation's attempts is out.
+     * Rule 5: a read state is held no longer than the limit while none of its generation's attempts
+     * is active.
      */
     static void checkStateRelease(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<String, Integer> activeAttempts = new HashMap<>();
@@ -341,7 +345,8 @@
     }
 
     /**
-     * Tries that a front held when it was killed: what it left is freed by the engines' own lapse.
+     * Returns the tries that a router held when it was killed. Their read states are released by
+     * the engines' own expiry.
      */
     private static Set<String> triesOfKilledRouters(List<TrafficEvent> log) {
         Set<String> triesOfKilledRouters = new HashSet<>();
@@ -387,9 +392,9 @@
                                         + state.rid()
                                         + " at engine "
                                         + state.where()
-                                        + " waited "
+                                        + " was held "
                                         + Math.round(idleMs)
-                                        + " ms with no attempt out"));
+                                        + " ms with no active attempt"));
             }
         }
     }
--- a/src/main/java/larchridge/systemtest/SimulatedFleet.java
+++ b/src/main/java/larchridge/systemtest/SimulatedFleet.java
@@ -23,8 +23,8 @@
 import larchridge.simulatedengine.TrafficRecorder;
 
 /**
- * Stand-in engines in this process, each on a loop of its own, and the engine list that tells of
- * them.
+ * Simulated engines in this process, each on its own event loop context, and the engine list that
+ * describes them.
  */
 public final class SimulatedFleet implements AutoCloseable {
     private final Vertx vertx;
@@ -32,7 +32,7 @@
 
     private record EngineSlot(SimulatedEngine engine, io.vertx.core.Context loop) {}
 
-    /** What the list says of an engine beyond its make. */
+    /** The state of an engine in the engine list, beside its profile. */
     public record ListEntry(String mode, boolean listed, double startMs) {}
 
     private final Map<Long, ListEntry> listEntries = new LinkedHashMap<>();
@@ -53,7 +53,7 @@
         List<Future<Integer>> starts = new ArrayList<>();
         for (EngineProfile profile : profiles) {
             Promise<Integer> started = Promise.promise();
-            // A context of its own for each, or all would run on one loop.
+            // Each engine gets its own context; otherwise all would run on one event loop.
             io.vertx.core.internal.ContextInternal context =
                     ((io.vertx.core.internal.VertxInternal) fleet.vertx).createEventLoopContext();
             context.runOnContext(
@@ -73,18 +73,18 @@
             Future.all(starts).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             fleet.close();
-            throw new IllegalStateException("stand-ins not started", e);
+            throw new IllegalStateException("the simulated engines did not start", e);
         }
         return fleet;
     }
 
-    /** Does something to an engine, on its loop. */
+    /** Runs an action on an engine, on its event loop. */
     public void runOn(long id, Consumer<SimulatedEngine> action) {
         EngineSlot slot = slots.get(id);
         slot.loop.runOnContext(v -> action.accept(slot.engine));
     }
 
-    /** Does something to an engine and waits for what it gives. */
+    /** Runs an action on an engine, on its event loop, and waits for its result. */
     public <T> T callOn(long id, java.util.function.Function<SimulatedEngine, Future<T>> action)
             throws InterruptedException {
         EngineSlot slot = slots.get(id);
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Sets what the next list says of an engine. */
+    /** Sets the state of an engine in the next engine list. */
     public synchronized void setListEntry(long id, String mode, boolean listed, double startMs) {
         listEntries.put(id, new ListEntry(mode, listed, startMs));
     }
@@ -109,7 +109,7 @@
         return listEntries.get(id);
     }
 
-    /** Writes the list as it is to be said, by rename, as configuration tools do. */
+    /** Writes the engine list atomically by a rename, as configuration tools do. */
     public synchronized void writeEngineList(Path file) throws IOException {
         StringBuilder text = new StringBuilder("engines:\n");
         for (Map.Entry<Long, EngineSlot> entry : slots.entrySet()) {
@@ -149,7 +149,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("stand-ins did not stop", e);
+            throw new IllegalStateException("the simulated engines did not stop", e);
         }
     }
 }
--- a/src/main/java/larchridge/systemtest/SoakTest.java
+++ b/src/main/java/larchridge/systemtest/SoakTest.java
@@ -29,11 +29,11 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * A long mixed load of prompts at one front: texts that many share, a flood of texts that nobody
- * shares, large logs, and questions for counts. Every few seconds it reads the front's own figures
- * of memory, counts and loop delay into a table, and draws them at the end. Open loop, from a seed;
- * no more than {@code mostOpen} calls are out at once, and what would be beyond that is counted as
- * left out.
+ * A long mixed load on one router: prompts with shared prefixes, unique prompts, large logs, and
+ * token counting requests. Every few seconds it samples the router's metrics of memory, cached
+ * token counts and event loop delay; at the end it writes them as a table and a chart. The load is
+ * an open loop with a seed. At most {@link #MAX_OPEN_REQUESTS} requests are open at once; further
+ * ones are not sent and counted as left out.
  */
 public final class SoakTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Runs to its end and writes table and chart; returns a summary in words. */
+    /** Runs the load, writes the table and the chart, and returns a summary. */
     public String run() throws InterruptedException, IOException {
         Files.createDirectories(folder);
         startNanos = System.nanoTime();
@@ -233,8 +233,7 @@
         return text.toString();
     }
 
-    // ------------------------------------------------------------------ what the front tells of
-    // itself
+    // ------------------------------------------------------------------ router metrics
 
     private void sample() {
         http.request(
@@ -304,14 +303,14 @@
                 new XYChartBuilder()
                         .width(900)
                         .height(420)
-                        .title("A front's heap and kept counts")
+                        .title("Router heap and cached token counts")
                         .xAxisTitle("minutes")
-                        .yAxisTitle("MB, and thousands of counts")
+                        .yAxisTitle("MB, thousands of counts")
                         .build();
         chart.getStyler().setXAxisDecimalPattern("0");
         double[] minutes = column(0, 60);
         chart.addSeries("heap used, MB", minutes, column(1, 1e6)).setMarker(SeriesMarkers.NONE);
-        chart.addSeries("counts kept, thousands", minutes, column(2, 1e3))
+        chart.addSeries("cached counts, thousands", minutes, column(2, 1e3))
                 .setMarker(SeriesMarkers.NONE);
         BitmapEncoder.saveBitmap(
                 chart, folder.resolve("soak").toString(), BitmapEncoder.BitmapFormat.PNG);
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -16,8 +16,8 @@
 import larchridge.store.form.LineAnswer;
 
 /**
- * What records of lines cost a store: to write, on disk, and when it is opened after an end that
- * came at once.
+ * Measures what the records of batch lines cost a store: the time to write them, their size on
+ * disk, and the time to open the store after a crash.
  */
 public final class StoreBenchmark {
     private static final int GROUP = 256;
@@ -26,7 +26,7 @@
     private StoreBenchmark() {}
 
     /**
-     * Writes records in groups as a busy service does, copies the store as it lies then, and opens
+     * Writes records in groups like a busy service, copies the store while it is open, and opens
      * the copy.
      */
     public static String measure(Path folder, int lines) throws IOException {
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -31,8 +31,8 @@
 import larchridge.tokens.VocabularyReader;
 
 /**
- * Plays a script: real fronts, stand-in engines and clients over loopback, then the rules from the
- * traffic.
+ * Runs a test script with real routers, simulated engines and clients over loopback, then checks
+ * the rules from the traffic.
  */
 public final class SystemTest {
     private static final double DRAIN_GRACE_MS = 250;
@@ -43,32 +43,32 @@
     private static final double COLD_MS = 3000;
     private static final double SLACK_MS = 150;
 
-    /** For the last releases, after the last answer. */
+    /** Time after the last answer in which the last read states are released. */
     private static final long RELEASE_WAIT_MS = 1500;
 
     private static final long ANSWER_WAIT_MS = 12_000;
 
-    /** What is drilled: the real service, or in tests one that breaks a rule. */
+    /** The routers under test: the real service, or in tests a router that breaks a rule. */
     public interface Routers {
         List<Integer> ports();
 
         String metrics();
 
-        /** The port of the batch API, where it is served. */
+        /** Returns the port of the batch API, or -1 if it is not served. */
         default int batchPort() {
             return -1;
         }
 
         void stop() throws InterruptedException;
 
-        /** Starts fronts for a site. */
+        /** Starts routers for a site. */
         interface Factory {
             Routers start(Site site)
                     throws InvalidEngineListException, LedgerException, InterruptedException;
         }
     }
 
-    /** What a run gave. */
+    /** The result of a run. */
     public record Result(
             List<TrafficEvent> events,
             List<RuleChecker.Violation> violations,
@@ -89,7 +89,7 @@
     private Path engineListFile;
     private ClientLoad clientLoad;
 
-    /** Null where the script has no batches. */
+    /** Null if the script has no batches. */
     private BatchLoad batchLoad;
 
     private Vertx vertx;
@@ -99,12 +99,12 @@
         this.routerFactory = routerFactory;
     }
 
-    /** Plays a script to its end through the real fronts and judges it. */
+    /** Runs a script with the real routers and checks the rules. */
     public static Result runScript(TestScript script) throws InterruptedException, IOException {
         return runScript(script, SystemTest::startService);
     }
 
-    /** Plays a script through fronts made otherwise. */
+    /** Runs a script with routers from a factory and checks the rules. */
     public static Result runScript(TestScript script, Routers.Factory routerFactory)
             throws InterruptedException, IOException {
         return new SystemTest(script, routerFactory).run();
@@ -213,7 +213,7 @@
                 | LedgerException
                 | InvalidVocabularyException e) {
             throw new IllegalStateException(
-                    "the drill's own site is not good: " + e.getMessage(), e);
+                    "the generated site configuration is invalid: " + e.getMessage(), e);
         } finally {
             if (routers != null) {
                 routers.stop();
@@ -244,7 +244,7 @@
         return records;
     }
 
-    /** The engines of a script. */
+    /** Returns the profiles of the engines of a script. */
     public static List<EngineProfile> profiles(TestScript script) {
         List<EngineProfile> all = new ArrayList<>();
         long id = 1;
@@ -265,7 +265,7 @@
         return all;
     }
 
-    /** The site that the fronts of this drill serve. */
+    /** Returns the site configuration of the routers of a script. */
     public static String siteText(TestScript script) {
         StringBuilder text = new StringBuilder();
         text.append("zone: \"")
@@ -343,7 +343,7 @@
         return text.toString();
     }
 
-    /** What the rules of a script's drill are stated in. */
+    /** Returns the limits that the rules check for a script. */
     public static RuleChecker.Limits ruleLimits(TestScript script) {
         Map<Long, EngineProfile> profiles = new HashMap<>();
         profiles(script).forEach(profile -> profiles.put(profile.id(), profile));
@@ -366,7 +366,7 @@
                 DRAIN_GRACE_MS, RELEASE_MS, COLD_START_MULTIPLE, COLD_START_WINDOW_MS, SLACK_MS, products, profiles);
     }
 
-    // ------------------------------------------------------------------ troubles
+    // ------------------------------------------------------------------ faults
 
     private void startTrouble(TestScript.Trouble trouble) {
         log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
@@ -450,7 +450,10 @@
         }
     }
 
-    /** Dies at once; the list tells of it late, and of its cold return when that is over. */
+    /**
+     * Crashes an engine and restarts it cold after the fault's duration; the engine list shows both
+     * with a delay.
+     */
     private void crash(TestScript.Trouble trouble, long id) {
         fleet.runOn(id, engine -> engine.crash());
         vertx.setTimer(
@@ -496,7 +499,7 @@
                 Files.writeString(engineListFile, invalidText);
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the list can't be written", e);
+            throw new IllegalStateException("cannot write the engine list", e);
         }
     }
 }
--- a/src/main/java/larchridge/systemtest/TestScript.java
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -5,9 +5,10 @@
 import java.util.Random;
 
 /**
- * A drill: engines, load and troubles against time, milliseconds from the start. Fields that a file
- * leaves out have the defaults of {@link TestScriptReader}. Engines count by the encoding, or four
- * characters a token where there is none; fronts count by it too if counted, or guess from bytes.
+ * A system test: engines, load and faults over time, in milliseconds from the start. Fields that a
+ * file omits have the defaults of {@link TestScriptReader}. Engines count tokens with the encoding,
+ * or four characters per token without one; routers also count with it if {@code counted} is set,
+ * and otherwise estimate from the number of bytes.
  */
 public record TestScript(
         @JsonProperty("seed") long seed,
@@ -27,7 +28,7 @@
         @JsonProperty("troubles") List<Trouble> troubles) {
 
     /**
-     * So many engines of one role; they are spread over the zones, and in each zone over its racks.
+     * A number of engines of one role, spread over the zones and in each zone over its racks.
      */
     public record EngineGroup(
             @JsonProperty("role") String role,
@@ -37,7 +38,8 @@
             @JsonProperty("speed") double speed) {}
 
     /**
-     * A tenant's part of the load, and its budget in tokens a second with its burst; 0 is no limit.
+     * A tenant's share of the load, and its budget in tokens per second with a burst; 0 is no
+     * limit.
      */
     public record Tenant(
             @JsonProperty("name") String name,
@@ -45,7 +47,7 @@
             @JsonProperty("tokens_per_second") double tokensPerSecond,
             @JsonProperty("burst_tokens") double burstTokens) {}
 
-    /** A product by its share of the load. */
+    /** Returns a random product, weighted by share of the load. */
     public ProductLoad randomProduct(Random random) {
         double draw = random.nextDouble() * products.stream().mapToDouble(ProductLoad::share).sum();
         for (ProductLoad candidate : products) {
@@ -57,7 +59,7 @@
         return products.get(products.size() - 1);
     }
 
-    /** A tenant by its share of the load. */
+    /** Returns a random tenant, weighted by share of the load. */
     public Tenant randomTenant(Random random) {
         double draw = random.nextDouble() * tenants.stream().mapToDouble(Tenant::share).sum();
         for (Tenant candidate : tenants) {
@@ -69,7 +71,7 @@
         return tenants.get(tenants.size() - 1);
     }
 
-    /** The same script with another seed. */
+    /** Returns this script with another seed. */
     public TestScript withSeed(long newSeed) {
         return new TestScript(
                 newSeed,
@@ -89,7 +91,7 @@
                 troubles);
     }
 
-    /** The same script with so many times the load and the engines, and so many fronts. */
+    /** Returns this script with load and engines multiplied and another number of routers. */
     public TestScript scaled(double loadFactor, double engineFactor, int routerCount) {
         List<EngineGroup> groups =
                 engines.stream()
@@ -120,7 +122,7 @@
                 troubles);
     }
 
-    /** The same script with other troubles. */
+    /** Returns this script with other faults. */
     public TestScript withTroubles(List<Trouble> newTroubles) {
         return new TestScript(
                 seed,
@@ -140,7 +142,7 @@
                 newTroubles);
     }
 
-    /** The same script without its batches. */
+    /** Returns this script without its batches. */
     public TestScript withoutBatches() {
         return new TestScript(
                 seed,
@@ -160,7 +162,7 @@
                 troubles);
     }
 
-    /** A product's part of the load. */
+    /** A product and its share of the load. */
     public record ProductLoad(
             @JsonProperty("name") String name,
             @JsonProperty("share") double share,
@@ -178,8 +180,7 @@
             @JsonProperty("text") String text) {}
 
     /**
-     * A batch of one of the products; what is not done when the drill's time is over is cancelled
-     * then.
+     * A batch of lines of one product; lines not finished at the end of the script are cancelled.
      */
     public record Batch(
             @JsonProperty("at_ms") double atMs,
@@ -188,7 +189,7 @@
             @JsonProperty("prompt_tokens") int promptTokens,
             @JsonProperty("output_tokens") int outputTokens) {}
 
-    /** What clients do: shares of all tries. */
+    /** How clients behave; the shares are of all tries. */
     public record ClientBehavior(
             @JsonProperty("retries") int retries,
             @JsonProperty("retry_ms") double retryMs,
@@ -197,8 +198,10 @@
             @JsonProperty("whole_share") double nonStreamingShare) {}
 
     /**
-     * A trouble: from when, for how long, what, on which engines (ids; fronts, from 1, for
-     * kill_front), how strong.
+     * An injected fault.
+     *
+     * @param engines ids of the engines, or for kill_front the numbers of the routers, from 1
+     * @param size strength of the fault; its meaning depends on the kind
      */
     public record Trouble(
             @JsonProperty("at_ms") double atMs,
--- a/src/main/java/larchridge/systemtest/TestScriptReader.java
+++ b/src/main/java/larchridge/systemtest/TestScriptReader.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads a drill script in YAML; a fault names file, line and field. */
+/** Reads a test script in YAML; an error names the file, and the line or the field. */
 public final class TestScriptReader {
     static final Set<String> FAULT_KINDS =
             Set.of(
@@ -37,7 +37,7 @@
             new ObjectMapper(new YAMLFactory())
                     .disable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES);
 
-    /** A script that can't be played. */
+    /** A test script is invalid. */
     public static final class InvalidTestScriptException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -132,7 +132,7 @@
                             file
                                     + ": troubles["
                                     + troubles.size()
-                                    + "].engines: none of number "
+                                    + "].engines: no engine or router has the number "
                                     + id);
                 }
             }
@@ -166,7 +166,7 @@
                                 + batches.size()
                                 + "].product: '"
                                 + batch.product()
-                                + "' is no product of this script");
+                                + "' is not a product of this script");
             }
             batches.add(
                     new TestScript.Batch(
--- a/src/main/java/larchridge/systemtest/TrafficEvent.java
+++ b/src/main/java/larchridge/systemtest/TrafficEvent.java
@@ -1,19 +1,20 @@
 package larchridge.systemtest;
 
 /**
- * One line of the traffic log: what an end of a socket, or the script, saw or did.
+ * One event of the traffic log, recorded at a client, at an engine or by the script.
  *
- * @param ms one monotonic clock for all of a run, from its start
- * @param kind what was seen
- * @param where the engine's id, or the front's number for what clients saw
- * @param rid an attempt's name as the front gave it, a client's tenant, or null
- * @param tag the client's own mark of a try, {@code operation#try}, or null
- * @param amount prompt tokens, milliseconds of patience, tokens got or sent, or 1 for a cold start
- * @param word product, final answer, mode or trouble
+ * @param ms milliseconds since the start of the run, by one monotonic clock for the whole run
+ * @param kind the kind of event
+ * @param where the engine's id, or the router's index for events at clients
+ * @param rid the attempt id that the router assigned, the client's tenant, or null
+ * @param tag identifies a client's try, {@code operation#try}, or null
+ * @param amount prompt tokens, the client's time limit in milliseconds, tokens received or sent, or
+ *     1 for a cold start
+ * @param word product, final answer, mode or kind of fault
  */
 public record TrafficEvent(
         double ms, Kind kind, long where, String rid, String tag, double amount, String word) {
-    /** The kinds of sights. */
+    /** The kinds of events. */
     public enum Kind {
         // at engines
         STARTED,
@@ -38,7 +39,7 @@
         FRONT_KILLED
     }
 
-    /** The operation that this try belongs to. */
+    /** Returns the operation that this try belongs to. */
     String operation() {
         return tag.substring(0, tag.lastIndexOf('#'));
     }
--- a/src/main/java/larchridge/systemtest/TrafficLog.java
+++ b/src/main/java/larchridge/systemtest/TrafficLog.java
@@ -10,8 +10,9 @@
 import larchridge.simulatedengine.TrafficRecorder;
 
 /**
- * What both ends of every socket saw, in order, by one monotonic clock. At most {@value #MAX_EVENTS}
- * sights; a run that has more is not judged, since a log with holes proves nothing.
+ * The events at both ends of every socket, in order, timed by one monotonic clock. Holds at most
+ * {@value #MAX_EVENTS} events; a run that exceeds this is not checked, because an incomplete log
+ * proves nothing.
  */
 public final class TrafficLog implements TrafficRecorder {
     static final int MAX_EVENTS = 20_000_000;
@@ -21,7 +22,7 @@
     private final List<TrafficEvent> events = new ArrayList<>();
     private boolean full;
 
-    /** The script's time begins now; what was seen before has times under 0. */
+    /** Sets the script's time to 0; earlier events get negative times. */
     synchronized void restartClock() {
         double elapsedMs = nowMs();
         startNanos = System.nanoTime();
@@ -60,16 +61,16 @@
         events.add(new TrafficEvent(nowMs(), kind, where, rid, tag, amount, word));
     }
 
-    /** All sights so far. */
+    /** Returns all events so far. */
     public synchronized List<TrafficEvent> events() {
         if (full) {
             throw new IllegalStateException(
-                    "the traffic log is full at " + MAX_EVENTS + " sights; play a shorter script");
+                    "the traffic log is full at " + MAX_EVENTS + " events; run a shorter script");
         }
         return List.copyOf(events);
     }
 
-    /** Writes sights as JSON lines. */
+    /** Writes events as JSON lines. */
     public static void write(List<TrafficEvent> events, Path file) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
             for (TrafficEvent event : events) {
--- a/src/main/java/larchridge/systemtest/package-info.java
+++ b/src/main/java/larchridge/systemtest/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Scripted tests of whole systems on loopback: load, faults, and the rules checked from the traffic
- * alone.
+ * Scripted tests of a whole system on loopback with load and injected faults; the rules are checked
+ * only from the recorded traffic.
  *
- * <p>{@link larchridge.systemtest.SystemTest} is the entry, {@link
- * larchridge.systemtest.RuleChecker} the judge.
+ * <p>{@link larchridge.systemtest.SystemTest} runs a script, {@link
+ * larchridge.systemtest.RuleChecker} checks the rules.
  */
 package larchridge.systemtest;
