--- a/src/test/java/larchridge/systemtest/FaultyRouter.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouter.java
@@ -26,11 +26,10 @@
 import larchridge.state.Role;
 
 /**
- * A front that does one thing wrong, to see that the checkers notice it on the sockets. Made for
- * tests only.
+ * A router with one fault, which the checkers must detect from the traffic on the sockets.
  */
 final class FaultyRouter implements SystemTest.Routers {
-    /** What it does wrong; NOTHING is the trial of the trial. */
+    /** The fault; NOTHING checks that a correct router passes. */
     enum Fault {
         NOTHING,
         LOSES,
@@ -63,7 +62,7 @@
                         try {
                             readEngineList();
                         } catch (InvalidEngineListException e) {
-                            // The last good one stays.
+                            // The last valid list stays in use.
                             return;
                         }
                     });
--- a/src/test/java/larchridge/systemtest/FaultyRouterTest.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouterTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each checker catches, over sockets, a front that breaks its rule, and nothing else. */
+/** Each rule is reported, over real sockets, for a router that breaks it, and no other rule. */
 class FaultyRouterTest {
     private static final String SCRIPT =
             """
@@ -53,7 +53,7 @@
 
     @Test
     void overloadOfAColdEngineIsDetected() throws Exception {
-        // A front that takes its turns evenly sends a cold reader as much as a warm one.
+        // A round-robin router sends a cold reader as much as a warm one.
         TestScript script =
                 TestScriptReader.read(
                         "script",
--- a/src/test/java/larchridge/systemtest/RuleCheckerTest.java
+++ b/src/test/java/larchridge/systemtest/RuleCheckerTest.java
@@ -152,8 +152,8 @@
                     new TrafficEvent(
                             10 + i, TrafficEvent.Kind.READ_IN, 1, "r" + i, null, 3000, null));
         }
-        // 2.5 x 0.3 x 60 tokens a millisecond x 1000 ms / 3000 tokens: 15 attempts, and two for
-        // chance.
+        // 2.5 x 0.3 x 60 tokens per millisecond x 1000 ms / 3000 tokens: 15 attempts, plus the two
+        // that are tolerated for random variation.
         assertEquals("4", violatedRules());
         log.removeIf(event -> event.ms() > 20);
         assertEquals("", violatedRules());
--- a/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
+++ b/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The bad day of {@code deploy/bad-day.yaml} through the real front, three seeds. */
+/** Runs whole system tests with the real router and checks rules, batches, bills and fairness. */
 class SystemTestRulesTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Batches over a service that is killed at a write and at any time; few kills here, hundreds by
-     * hand.
+     * Runs a batch on a service that is killed at store writes and at random times. Two kills per
+     * seed here; hundreds are run manually with the {@code kills} command.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -35,7 +35,7 @@
         assertEquals(List.of(), result.faults());
     }
 
-    /** Fronts as processes, one killed outright; what is billed is what clients got. */
+    /** With routers as processes and one killed, tenants are billed what clients received. */
     @Test
     void billsMatchAnswersWhenARouterIsKilled() throws Exception {
         TestScript script =
@@ -71,7 +71,7 @@
         }
     }
 
-    /** A tenant that asks for twenty times its share leaves another what it has without that. */
+    /** A tenant that sends twenty times its share does not reduce the service of another tenant. */
     @Test
     void overloadByOneTenantDoesNotStarveAnother() throws Exception {
         double alone =
@@ -84,7 +84,7 @@
                                 + "  - {name: storm, share: 20, tokens_per_second: 6000, burst_tokens: 12000}",
                         210);
         System.out.println(
-                "service of the quiet tenant: alone " + alone + ", beside a storm " + withStorm);
+                "service of the quiet tenant: alone " + alone + ", with overload by another " + withStorm);
         assertTrue(withStorm >= alone - 0.1, alone + " and " + withStorm);
     }
 
