--- a/src/main/java/larchridge/cli/SearchCommand.java
+++ b/src/main/java/larchridge/cli/SearchCommand.java
@@ -69,7 +69,7 @@
                 found.service(),
                 found.breaches(),
                 found.breaches() > 0 ? 0 : found.severity());
-        found.script().troubles().forEach(System.out::println);
+        found.script().faults().forEach(System.out::println);
         return found.breaches() > 0 ? 3 : 0;
     }
 }
--- a/src/main/java/larchridge/experiment/FaultSearch.java
+++ b/src/main/java/larchridge/experiment/FaultSearch.java
@@ -100,7 +100,7 @@
                                         mutateOneFault(
                                                 worst.get(random.nextInt(worst.size()))
                                                         .script
-                                                        .troubles())));
+                                                        .faults())));
             }
             worst.addAll(evaluateAll(scripts));
             // The sort is stable: equal severities keep their order, so a seed gives one result.
@@ -111,7 +111,7 @@
     }
 
     private TestScript scriptWithFaults(List<TestScript.Trouble> faults) {
-        return base.withTroubles(
+        return base.withFaults(
                 faults.stream()
                         .sorted(Comparator.comparingDouble(TestScript.Trouble::atMs))
                         .toList());
@@ -227,7 +227,7 @@
         while (smaller) {
             smaller = false;
             List<TestScript> variants = new ArrayList<>();
-            List<TestScript.Trouble> faults = smallest.script.troubles();
+            List<TestScript.Trouble> faults = smallest.script.faults();
             for (int i = 0; i < faults.size(); i++) {
                 TestScript.Trouble fault = faults.get(i);
                 if (faults.size() > 1) {
--- a/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
+++ b/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
@@ -239,15 +239,15 @@
             case "/abort_request" -> request.body().onSuccess(body -> handleAbort(request, body));
             case "/kv/pull" -> request.body().onSuccess(body -> handleStatePull(request, body));
             case "/metrics" ->
-                    whenAwake(request.response(), () -> request.response().end(delayedMetricsText()));
+                    whenNotPaused(request.response(), () -> request.response().end(delayedMetricsText()));
             default -> request.response().setStatusCode(404).end();
         }
     }
 
-    private void whenAwake(HttpServerResponse response, Runnable action) {
+    private void whenNotPaused(HttpServerResponse response, Runnable action) {
         double remainingMs = faults.pausedUntilMs - now();
         if (remainingMs > 0) {
-            vertx.setTimer((long) Math.ceil(remainingMs), timer -> whenAwake(response, action));
+            vertx.setTimer((long) Math.ceil(remainingMs), timer -> whenNotPaused(response, action));
         } else if (started && !response.closed()) {
             action.run();
         }
@@ -267,13 +267,13 @@
         }
         String prompt = json.path("prompt").asText();
         String rid = request.getHeader("x-request-id");
-        Matcher tag = TAG_PATTERN.matcher(prompt);
+        Matcher tagMatcher = TAG_PATTERN.matcher(prompt);
         JsonNode params = json.path("kv_transfer_params");
         boolean isRead = params.path("do_remote_decode").asBoolean(false);
         JsonNode stateParams = params.path("do_remote_prefill").asBoolean(false) ? params : null;
         String tagText = null;
-        while (tag.find()) {
-            tagText = tag.group(1);
+        while (tagMatcher.find()) {
+            tagText = tagMatcher.group(1);
         }
         Job job =
                 new Job(
@@ -353,7 +353,7 @@
     }
 
     private void handleAbort(HttpServerRequest request, Buffer body) {
-        whenAwake(
+        whenNotPaused(
                 request.response(),
                 () -> {
                     String rid = body.toJsonObject().getString("rid", "");
@@ -363,7 +363,7 @@
     }
 
     private void handleStatePull(HttpServerRequest request, Buffer body) {
-        whenAwake(
+        whenNotPaused(
                 request.response(),
                 () -> {
                     String rid = body.toJsonObject().getString("rid", "");
@@ -443,8 +443,8 @@
     }
 
     private String delayedMetricsText() {
-        int lag = (int) (faults.metricsLagMs / STEP_MS);
-        return metricsHistory.size() > lag && lag > 0 ? metricsHistory.get(metricsHistory.size() - 1 - lag) : metricsText();
+        int lagSteps = (int) (faults.metricsLagMs / STEP_MS);
+        return metricsHistory.size() > lagSteps && lagSteps > 0 ? metricsHistory.get(metricsHistory.size() - 1 - lagSteps) : metricsText();
     }
 
     // ------------------------------------------------------------------ work
@@ -462,8 +462,8 @@
         if (elapsed <= 0) {
             return;
         }
-        boolean stalls = running.size() + reading.size() > faults.stallThreshold;
-        double capacityMs = elapsed * capacityShare() / faults.slowdownFactor / (stalls ? STALL_SLOWDOWN : 1);
+        boolean stalled = running.size() + reading.size() > faults.stallThreshold;
+        double capacityMs = elapsed * capacityShare() / faults.slowdownFactor / (stalled ? STALL_SLOWDOWN : 1);
         readPrompts(capacityMs);
         admitWaiting();
         for (Job job : List.copyOf(running)) {
@@ -474,9 +474,9 @@
 
     private void readPrompts(double capacityMs) {
         double budget = capacityMs * profile.readTokensPerMs();
-        Iterator<Job> next = List.copyOf(reading).iterator();
-        for (int i = 0; i < profile.maxConcurrentReads() && next.hasNext() && budget > 0; i++) {
-            Job job = next.next();
+        Iterator<Job> jobs = List.copyOf(reading).iterator();
+        for (int i = 0; i < profile.maxConcurrentReads() && jobs.hasNext() && budget > 0; i++) {
+            Job job = jobs.next();
             if (!job.memoryReserved) {
                 if (usedTokens + job.tokens > profile.memoryTokens()) {
                     return;
@@ -484,9 +484,9 @@
                 job.memoryReserved = true;
                 usedTokens += job.tokens;
             }
-            double part = Math.min(budget, job.unreadTokens);
-            job.unreadTokens -= part;
-            budget -= part;
+            double readTokens = Math.min(budget, job.unreadTokens);
+            job.unreadTokens -= readTokens;
+            budget -= readTokens;
             if (job.unreadTokens <= 0) {
                 reading.remove(job);
                 if (job.isRead) {
@@ -569,7 +569,7 @@
                         : job.stateParams.path("remote_rack").asLong() != profile.rack()
                                 ? RACK_SLOWDOWN
                                 : 1;
-        long moveMs = 1 + (long) (job.tokens / profile.transferTokensPerMs() * slowdown);
+        long transferMs = 1 + (long) (job.tokens / profile.transferTokensPerMs() * slowdown);
         RequestOptions to =
                 new RequestOptions()
                         .setMethod(HttpMethod.POST)
@@ -588,7 +588,7 @@
                 .onComplete(
                         done ->
                                 vertx.setTimer(
-                                        moveMs,
+                                        transferMs,
                                         timer -> {
                                             if (job.finished || !started) {
                                                 return;
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -152,7 +152,7 @@
     private Result run() {
         long startNanos = System.nanoTime();
         publishEndpoints();
-        for (TestScript.Trouble fault : script.troubles()) {
+        for (TestScript.Trouble fault : script.faults()) {
             scheduler.schedule(fault.atMs(), () -> startFault(fault));
         }
         scheduleNextOperation();
--- a/src/main/java/larchridge/systemtest/BenchDayReader.java
+++ b/src/main/java/larchridge/systemtest/BenchDayReader.java
@@ -93,9 +93,9 @@
         omissions.add(
                 "racks: each engine is a group of its own in its zone; links between racks have no load of their own");
         List<TestScript.ProductLoad> products = products(day, omissions);
-        List<TestScript.Trouble> troubles = new ArrayList<>();
-        for (JsonNode trouble : day.path("troubles")) {
-            convertTrouble(trouble, ids, troubles, omissions);
+        List<TestScript.Trouble> faults = new ArrayList<>();
+        for (JsonNode fault : day.path("troubles")) {
+            convertFault(fault, ids, faults, omissions);
         }
         int routers = Math.min(MAX_ROUTERS, Math.max(1, day.path("balancers").size()));
         if (routers < day.path("balancers").size()) {
@@ -144,7 +144,7 @@
                                 0.01,
                                 0.01,
                                 0.1),
-                        troubles);
+                        faults);
         return new BenchDayReader(script, omissions);
     }
 
@@ -203,17 +203,17 @@
         return products;
     }
 
-    private static void convertTrouble(
-            JsonNode trouble,
+    private static void convertFault(
+            JsonNode fault,
             Map<Integer, Long> ids,
-            List<TestScript.Trouble> troubles,
+            List<TestScript.Trouble> faults,
             List<String> omissions) {
-        String kind = trouble.path("kind").asText();
-        double atMs = trouble.path("at").asDouble() / 1000;
-        double durationMs = trouble.path("len").asDouble() / 1000;
-        double size = trouble.path("size").asDouble(1);
+        String kind = fault.path("kind").asText();
+        double atMs = fault.path("at").asDouble() / 1000;
+        double durationMs = fault.path("len").asDouble() / 1000;
+        double size = fault.path("size").asDouble(1);
         List<Long> engineIds = new ArrayList<>();
-        trouble.path("on")
+        fault.path("on")
                 .forEach(
                         index -> {
                             Long id = ids.get(index.asInt());
@@ -223,31 +223,31 @@
                         });
         switch (kind) {
             case "crash", "zone_loss" ->
-                    troubles.add(new TestScript.Trouble(atMs, durationMs, "crash", engineIds, 1));
-            case "slow" -> troubles.add(new TestScript.Trouble(atMs, durationMs, "slow", engineIds, size));
-            case "answer_lost" -> troubles.add(new TestScript.Trouble(atMs, durationMs, "lost", engineIds, size));
-            case "burst" -> troubles.add(new TestScript.Trouble(atMs, durationMs, "burst", List.of(), size));
-            case "flush" -> troubles.add(new TestScript.Trouble(atMs, durationMs, "flush", engineIds, 1));
-            case "throttle" -> troubles.add(new TestScript.Trouble(atMs, durationMs, "full", engineIds, 1));
+                    faults.add(new TestScript.Trouble(atMs, durationMs, "crash", engineIds, 1));
+            case "slow" -> faults.add(new TestScript.Trouble(atMs, durationMs, "slow", engineIds, size));
+            case "answer_lost" -> faults.add(new TestScript.Trouble(atMs, durationMs, "lost", engineIds, size));
+            case "burst" -> faults.add(new TestScript.Trouble(atMs, durationMs, "burst", List.of(), size));
+            case "flush" -> faults.add(new TestScript.Trouble(atMs, durationMs, "flush", engineIds, 1));
+            case "throttle" -> faults.add(new TestScript.Trouble(atMs, durationMs, "full", engineIds, 1));
             case "report_late" ->
-                    troubles.add(
+                    faults.add(
                             new TestScript.Trouble(
                                     atMs,
                                     durationMs,
                                     "lag",
                                     engineIds.isEmpty() ? new ArrayList<>(ids.values()) : engineIds,
-                                    Math.max(100, trouble.path("extra").asDouble(1000))));
+                                    Math.max(100, fault.path("extra").asDouble(1000))));
             case "pauses" -> {
-                double intervalMs = Math.max(0.5, trouble.path("extra").asDouble(1)) * 1000;
+                double intervalMs = Math.max(0.5, fault.path("extra").asDouble(1)) * 1000;
                 for (double t = atMs; t < atMs + durationMs; t += intervalMs) {
-                    troubles.add(
+                    faults.add(
                             new TestScript.Trouble(t, Math.min(intervalMs / 2, size), "pause", engineIds, 1));
                 }
             }
             case "ageing" -> {
                 // Slows the engine down in five steps, then crashes it.
                 for (int step = 1; step <= 5; step++) {
-                    troubles.add(
+                    faults.add(
                             new TestScript.Trouble(
                                     atMs + durationMs * (step - 1) / 5,
                                     durationMs / 5,
@@ -255,10 +255,10 @@
                                     engineIds,
                                     1 + (size - 1) * step / 5));
                 }
-                troubles.add(
+                faults.add(
                         new TestScript.Trouble(
                                 atMs + durationMs,
-                                trouble.path("extra").asDouble(4) * 1000,
+                                fault.path("extra").asDouble(4) * 1000,
                                 "crash",
                                 engineIds,
                                 1));
@@ -267,8 +267,8 @@
                 int step = 0;
                 for (Long id : engineIds) {
                     double drainAtMs = atMs + durationMs * step++ / Math.max(1, engineIds.size());
-                    troubles.add(new TestScript.Trouble(drainAtMs, 400, "drain", List.of(id), 1));
-                    troubles.add(
+                    faults.add(new TestScript.Trouble(drainAtMs, 400, "drain", List.of(id), 1));
+                    faults.add(
                             new TestScript.Trouble(drainAtMs + 400, 1500, "crash", List.of(id), 1));
                 }
             }
--- a/src/main/java/larchridge/systemtest/ResultCounts.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -87,20 +87,20 @@
                                             tenant.name(), new Row("tenant " + tenant.name())));
             rows.addAll(byTenant.values());
         }
-        List<Row> troubleRows = new ArrayList<>();
-        for (TestScript.Trouble trouble : script.troubles()) {
+        List<Row> faultRows = new ArrayList<>();
+        for (TestScript.Trouble fault : script.faults()) {
             for (String part : new String[] {"before", "during", "after"}) {
-                troubleRows.add(
+                faultRows.add(
                         new Row(
                                 String.format(
                                         Locale.ROOT,
                                         "%s at %.1f s, %s",
-                                        trouble.kind(),
-                                        trouble.atMs() / 1000,
+                                        fault.kind(),
+                                        fault.atMs() / 1000,
                                         part)));
             }
         }
-        rows.addAll(troubleRows);
+        rows.addAll(faultRows);
         for (Operation operation : operations.values()) {
             if (operation.firstRequest == null) {
                 continue;
@@ -118,18 +118,18 @@
             if (byTenant.containsKey(operation.firstRequest.rid())) {
                 count(byTenant.get(operation.firstRequest.rid()), operation, product);
             }
-            for (int i = 0; i < script.troubles().size(); i++) {
-                TestScript.Trouble trouble = script.troubles().get(i);
+            for (int i = 0; i < script.faults().size(); i++) {
+                TestScript.Trouble fault = script.faults().get(i);
                 double requestMs = operation.firstRequest.ms();
-                int part = requestMs < trouble.atMs() ? 0 : requestMs < trouble.atMs() + trouble.forMs() ? 1 : 2;
+                int part = requestMs < fault.atMs() ? 0 : requestMs < fault.atMs() + fault.forMs() ? 1 : 2;
                 // The periods before and after are as long as the fault; the rest of the run says
                 // nothing about this fault.
                 boolean withinWindow =
                         part == 0
-                                ? requestMs >= trouble.atMs() - trouble.forMs()
-                                : part == 1 || requestMs < trouble.atMs() + 2 * trouble.forMs();
+                                ? requestMs >= fault.atMs() - fault.forMs()
+                                : part == 1 || requestMs < fault.atMs() + 2 * fault.forMs();
                 if (withinWindow) {
-                    count(troubleRows.get(3 * i + part), operation, product);
+                    count(faultRows.get(3 * i + part), operation, product);
                 }
             }
         }
--- a/src/main/java/larchridge/systemtest/RuleChecker.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -307,7 +307,7 @@
     static void checkStateRelease(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<String, Integer> activeAttempts = new HashMap<>();
         Map<String, Double> idleSince = new HashMap<>();
-        Map<String, List<TrafficEvent>> held = new HashMap<>();
+        Map<String, List<TrafficEvent>> heldStates = new HashMap<>();
         Set<String> triesOfKilledRouters = triesOfKilledRouters(log);
         double endMs = log.isEmpty() ? 0 : log.get(log.size() - 1).ms();
         for (TrafficEvent event : log) {
@@ -316,7 +316,7 @@
             }
             switch (event.kind()) {
                 case READ_IN, WRITE_IN -> {
-                    checkIdleStates(event.tag(), event.ms(), held, activeAttempts, idleSince, limits, violations);
+                    checkIdleStates(event.tag(), event.ms(), heldStates, activeAttempts, idleSince, limits, violations);
                     activeAttempts.merge(event.tag(), 1, Integer::sum);
                 }
                 case LEG_OUT -> {
@@ -325,12 +325,12 @@
                     }
                 }
                 case STATE_HELD -> {
-                    held.computeIfAbsent(event.tag(), key -> new ArrayList<>()).add(event);
+                    heldStates.computeIfAbsent(event.tag(), key -> new ArrayList<>()).add(event);
                     idleSince.merge(event.tag(), event.ms(), Math::max);
                 }
                 case STATE_GONE -> {
-                    checkIdleStates(event.tag(), event.ms(), held, activeAttempts, idleSince, limits, violations);
-                    List<TrafficEvent> states = held.get(event.tag());
+                    checkIdleStates(event.tag(), event.ms(), heldStates, activeAttempts, idleSince, limits, violations);
+                    List<TrafficEvent> states = heldStates.get(event.tag());
                     if (states != null) {
                         states.removeIf(
                                 s -> s.where() == event.where() && s.rid().equals(event.rid()));
@@ -339,8 +339,8 @@
                 default -> {}
             }
         }
-        for (String tag : new TreeMap<>(held).keySet()) {
-            checkIdleStates(tag, endMs, held, activeAttempts, idleSince, limits, violations);
+        for (String tag : new TreeMap<>(heldStates).keySet()) {
+            checkIdleStates(tag, endMs, heldStates, activeAttempts, idleSince, limits, violations);
         }
     }
 
@@ -372,12 +372,12 @@
     private static void checkIdleStates(
             String tag,
             double ms,
-            Map<String, List<TrafficEvent>> held,
+            Map<String, List<TrafficEvent>> heldStates,
             Map<String, Integer> activeAttempts,
             Map<String, Double> idleSince,
             Limits limits,
             List<Violation> violations) {
-        List<TrafficEvent> states = held.get(tag);
+        List<TrafficEvent> states = heldStates.get(tag);
         if (states == null || states.isEmpty() || activeAttempts.getOrDefault(tag, 0) > 0) {
             return;
         }
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -20,7 +20,7 @@
  * disk, and the time to open the store after a crash.
  */
 public final class StoreBenchmark {
-    private static final int GROUP = 256;
+    private static final int GROUP_SIZE = 256;
     private static final String ANSWER = "{\"response\":\"" + "caudal ".repeat(60) + "\"}";
 
     private StoreBenchmark() {}
@@ -44,9 +44,9 @@
                                     .setTotal(lines));
             batch = batch.toBuilder().setState(BatchState.IN_PROGRESS).build();
             long start = System.nanoTime();
-            for (int from = 0; from < lines; from += GROUP) {
+            for (int from = 0; from < lines; from += GROUP_SIZE) {
                 List<Store.Answer> group = new ArrayList<>();
-                for (int i = from; i < Math.min(lines, from + GROUP); i++) {
+                for (int i = from; i < Math.min(lines, from + GROUP_SIZE); i++) {
                     store.recordAttempts(batch.getId(), i, 1, false);
                     group.add(
                             new Store.Answer(
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -172,9 +172,9 @@
             vertx.runOnContext(
                     v -> {
                         log.restartClock();
-                        for (TestScript.Trouble trouble : script.troubles()) {
+                        for (TestScript.Trouble fault : script.faults()) {
                             vertx.setTimer(
-                                    Math.max(1, (long) trouble.atMs()), timer -> startTrouble(trouble));
+                                    Math.max(1, (long) fault.atMs()), timer -> startFault(fault));
                         }
                         clientLoad.start(done::countDown);
                     });
@@ -368,26 +368,26 @@
 
     // ------------------------------------------------------------------ faults
 
-    private void startTrouble(TestScript.Trouble trouble) {
-        log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, trouble.size(), trouble.kind());
-        if (!trouble.kind().equals("kill_front")) {
-            trouble.engines().forEach(id -> startEngineTrouble(trouble, id));
+    private void startFault(TestScript.Trouble fault) {
+        log.add(TrafficEvent.Kind.TROUBLE, 0, null, null, fault.size(), fault.kind());
+        if (!fault.kind().equals("kill_front")) {
+            fault.engines().forEach(id -> startEngineFault(fault, id));
         }
-        switch (trouble.kind()) {
+        switch (fault.kind()) {
             case "burst" -> {
-                clientLoad.setRateFactor(trouble.size());
-                vertx.setTimer((long) trouble.forMs(), timer -> clientLoad.setRateFactor(1));
+                clientLoad.setRateFactor(fault.size());
+                vertx.setTimer((long) fault.forMs(), timer -> clientLoad.setRateFactor(1));
             }
             case "bad_list" -> {
                 writeEngineList("engines:\n  - id: 1\n    host: 127.0.0.1\n    por");
-                vertx.setTimer((long) trouble.forMs(), timer -> writeEngineList(null));
+                vertx.setTimer((long) fault.forMs(), timer -> writeEngineList(null));
             }
             case "kill_front" -> {
-                for (long routerNumber : trouble.engines()) {
+                for (long routerNumber : fault.engines()) {
                     log.add(TrafficEvent.Kind.FRONT_KILLED, routerNumber - 1, null, null, 0, null);
                     processes.kill((int) routerNumber - 1);
                     vertx.setTimer(
-                            (long) Math.max(1, trouble.forMs()),
+                            (long) Math.max(1, fault.forMs()),
                             timer ->
                                     vertx.executeBlocking(
                                             () -> {
@@ -398,14 +398,14 @@
             }
             case "drain", "remove" -> {
                 writeEngineList(null);
-                recordListed(trouble.engines(), trouble.kind().equals("drain") ? "draining" : "gone");
+                recordListed(fault.engines(), fault.kind().equals("drain") ? "draining" : "gone");
                 vertx.setTimer(
-                        (long) trouble.forMs(),
+                        (long) fault.forMs(),
                         timer -> {
-                            for (long id : trouble.engines()) {
+                            for (long id : fault.engines()) {
                                 fleet.setListEntry(id, "ready", true, fleet.listEntry(id).startMs());
                             }
-                            recordListed(trouble.engines(), "ready");
+                            recordListed(fault.engines(), "ready");
                             writeEngineList(null);
                         });
             }
@@ -413,9 +413,9 @@
         }
     }
 
-    private void startEngineTrouble(TestScript.Trouble trouble, long id) {
-        switch (trouble.kind()) {
-            case "crash" -> crash(trouble, id);
+    private void startEngineFault(TestScript.Trouble fault, long id) {
+        switch (fault.kind()) {
+            case "crash" -> crash(fault, id);
             case "drain" -> fleet.setListEntry(id, "draining", true, fleet.listEntry(id).startMs());
             case "remove" -> fleet.setListEntry(id, "ready", false, fleet.listEntry(id).startMs());
             case "flush" -> fleet.runOn(id, engine -> engine.flush());
@@ -424,27 +424,27 @@
                 fleet.runOn(
                         id,
                         engine -> {
-                            switch (trouble.kind()) {
+                            switch (fault.kind()) {
                                 case "pause" ->
                                         engine.faults.pausedUntilMs =
-                                                System.currentTimeMillis() + trouble.forMs();
-                                case "slow" -> engine.faults.slowdownFactor = trouble.size();
-                                case "stall" -> engine.faults.stallThreshold = (int) trouble.size();
-                                case "lost" -> engine.faults.lostResponseShare = Math.min(1, trouble.size());
+                                                System.currentTimeMillis() + fault.forMs();
+                                case "slow" -> engine.faults.slowdownFactor = fault.size();
+                                case "stall" -> engine.faults.stallThreshold = (int) fault.size();
+                                case "lost" -> engine.faults.lostResponseShare = Math.min(1, fault.size());
                                 case "full" -> engine.faults.rejectAll = true;
                                 case "faulty" -> engine.faults.failAll = true;
                                 case "broken" ->
-                                        engine.faults.brokenStreamShare = Math.min(1, trouble.size());
+                                        engine.faults.brokenStreamShare = Math.min(1, fault.size());
                                 case "torn" -> engine.faults.splitWrites = true;
                                 case "garbled" ->
-                                        engine.faults.malformedShare = Math.min(1, trouble.size());
+                                        engine.faults.malformedShare = Math.min(1, fault.size());
                                 case "forgetful" -> engine.faults.discardStates = true;
-                                case "lag" -> engine.faults.metricsLagMs = trouble.size();
-                                default -> throw new IllegalStateException(trouble.kind());
+                                case "lag" -> engine.faults.metricsLagMs = fault.size();
+                                default -> throw new IllegalStateException(fault.kind());
                             }
                         });
                 vertx.setTimer(
-                        Math.max(1, (long) trouble.forMs()),
+                        Math.max(1, (long) fault.forMs()),
                         timer -> fleet.runOn(id, e -> e.faults.clear()));
             }
         }
@@ -454,7 +454,7 @@
      * Crashes an engine and restarts it cold after the fault's duration; the engine list shows both
      * with a delay.
      */
-    private void crash(TestScript.Trouble trouble, long id) {
+    private void crash(TestScript.Trouble fault, long id) {
         fleet.runOn(id, engine -> engine.crash());
         vertx.setTimer(
                 (long) script.listLagMs(),
@@ -464,7 +464,7 @@
                     recordListed(List.of(id), "gone");
                 });
         vertx.setTimer(
-                (long) Math.max(script.listLagMs() + 200, trouble.forMs()),
+                (long) Math.max(script.listLagMs() + 200, fault.forMs()),
                 timer ->
                         fleet.runOn(
                                 id,
--- a/src/main/java/larchridge/systemtest/TestScript.java
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -25,7 +25,7 @@
         @JsonProperty("products") List<ProductLoad> products,
         @JsonProperty("batches") List<Batch> batches,
         @JsonProperty("clients") ClientBehavior clients,
-        @JsonProperty("troubles") List<Trouble> troubles) {
+        @JsonProperty("troubles") List<Trouble> faults) {
 
     /**
      * A number of engines of one role, spread over the zones and in each zone over its racks.
@@ -88,7 +88,7 @@
                 products,
                 batches,
                 clients,
-                troubles);
+                faults);
     }
 
     /** Returns this script with load and engines multiplied and another number of routers. */
@@ -119,11 +119,11 @@
                 products,
                 batches,
                 clients,
-                troubles);
+                faults);
     }
 
     /** Returns this script with other faults. */
-    public TestScript withTroubles(List<Trouble> newTroubles) {
+    public TestScript withFaults(List<Trouble> newFaults) {
         return new TestScript(
                 seed,
                 routers,
@@ -139,7 +139,7 @@
                 products,
                 batches,
                 clients,
-                newTroubles);
+                newFaults);
     }
 
     /** Returns this script without its batches. */
@@ -159,7 +159,7 @@
                 products,
                 List.of(),
                 clients,
-                troubles);
+                faults);
     }
 
     /** A product and its share of the load. */
--- a/src/main/java/larchridge/systemtest/TestScriptReader.java
+++ b/src/main/java/larchridge/systemtest/TestScriptReader.java
@@ -104,26 +104,26 @@
                             orDefault(product.turns(), 1),
                             product.text() == null ? "prose" : product.text()));
         }
-        List<TestScript.Trouble> troubles = new ArrayList<>();
-        for (TestScript.Trouble trouble :
-                raw.troubles() == null ? List.<TestScript.Trouble>of() : raw.troubles()) {
-            if (trouble.kind() == null || !FAULT_KINDS.contains(trouble.kind())) {
+        List<TestScript.Trouble> faults = new ArrayList<>();
+        for (TestScript.Trouble fault :
+                raw.faults() == null ? List.<TestScript.Trouble>of() : raw.faults()) {
+            if (fault.kind() == null || !FAULT_KINDS.contains(fault.kind())) {
                 throw new InvalidTestScriptException(
                         file
                                 + ": troubles["
-                                + troubles.size()
+                                + faults.size()
                                 + "].kind: '"
-                                + trouble.kind()
+                                + fault.kind()
                                 + "' is not one of "
                                 + new java.util.TreeSet<>(FAULT_KINDS));
             }
-            List<Long> targets = trouble.engines() == null ? List.of() : trouble.engines();
-            boolean targetsRouters = "kill_front".equals(trouble.kind());
+            List<Long> targets = fault.engines() == null ? List.of() : fault.engines();
+            boolean targetsRouters = "kill_front".equals(fault.kind());
             if (targetsRouters && !raw.processes()) {
                 throw new InvalidTestScriptException(
                         file
                                 + ": troubles["
-                                + troubles.size()
+                                + faults.size()
                                 + "].kind: kill_front needs processes: true");
             }
             for (Long id : targets) {
@@ -131,18 +131,18 @@
                     throw new InvalidTestScriptException(
                             file
                                     + ": troubles["
-                                    + troubles.size()
+                                    + faults.size()
                                     + "].engines: no engine or router has the number "
                                     + id);
                 }
             }
-            troubles.add(
+            faults.add(
                     new TestScript.Trouble(
-                            trouble.atMs(),
-                            trouble.forMs(),
-                            trouble.kind(),
+                            fault.atMs(),
+                            fault.forMs(),
+                            fault.kind(),
                             targets,
-                            orDefault(trouble.size(), 1)));
+                            orDefault(fault.size(), 1)));
         }
         List<TestScript.Tenant> tenants = new ArrayList<>();
         for (TestScript.Tenant tenant :
@@ -193,7 +193,7 @@
                 products,
                 batches,
                 clients,
-                troubles);
+                faults);
     }
 
     private static double orDefault(double value, double defaultValue) {
--- a/src/test/java/larchridge/experiment/ExperimentTest.java
+++ b/src/test/java/larchridge/experiment/ExperimentTest.java
@@ -91,8 +91,8 @@
         assertEquals(found, FaultSearch.run(script, 3, 6, 2));
         Files.writeString(folder.resolve("found.yaml"), FaultSearch.yaml(found.script()));
         assertEquals(
-                found.script().troubles(),
-                TestScriptReader.read(folder.resolve("found.yaml")).troubles());
+                found.script().faults(),
+                TestScriptReader.read(folder.resolve("found.yaml")).faults());
     }
 
     @Test
