--- a/src/main/java/larchridge/simulation/SimulatedCluster.java
+++ b/src/main/java/larchridge/simulation/SimulatedCluster.java
@@ -500,18 +500,18 @@
     /** The links that a state uses from one engine to another. */
     private List<SharedLinks.Link> path(EngineProfile source, EngineProfile target) {
         List<SharedLinks.Link> path = new ArrayList<>();
-        path.add(links.link("engine " + source.id(), source.moveTokensPerMs()));
+        path.add(links.link("engine " + source.id(), source.transferTokensPerMs()));
         if (!source.zone().equals(target.zone())) {
             path.add(
                     links.link(
                             "zone " + source.zone() + " to " + target.zone(),
-                            ZONE_LINK_CAPACITY * source.moveTokensPerMs()));
+                            ZONE_LINK_CAPACITY * source.transferTokensPerMs()));
         }
         if (source.rack() != target.rack() || !source.zone().equals(target.zone())) {
             path.add(
                     links.link(
                             "rack " + source.zone() + source.rack(),
-                            RACK_LINK_CAPACITY * source.moveTokensPerMs()));
+                            RACK_LINK_CAPACITY * source.transferTokensPerMs()));
         }
         return path;
     }
