--- a/src/test/java/larchridge/systemtest/FaultyRouter.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouter.java
@@ -88,7 +88,7 @@
         }
     }
 
-    private EngineEntry pick(Role role, int requestIndex) {
+    private EngineEntry pick(Role role, int index) {
         List<EngineEntry> candidates =
                 engines.stream()
                         .filter(
@@ -97,13 +97,13 @@
                                                 && candidate.state()
                                                         == larchridge.state.EndpointState.READY)
                         .toList();
-        return candidates.get(Math.floorMod(requestIndex, candidates.size()));
+        return candidates.get(Math.floorMod(index, candidates.size()));
     }
 
     private void handleRequest(HttpServerRequest request, Buffer body) {
         HttpServerResponse response = request.response();
-        int requestIndex = requestCount++;
-        if (fault == Fault.LOSES && requestIndex % 10 == 9) {
+        int index = requestCount++;
+        if (fault == Fault.LOSES && index % 10 == 9) {
             request.connection().close();
             return;
         }
@@ -114,32 +114,32 @@
             response.setStatusCode(400).end();
             return;
         }
-        if (fault == Fault.TOO_LATE && requestIndex % 10 == 9) {
+        if (fault == Fault.TOO_LATE && index % 10 == 9) {
             vertx.setTimer(2000, timer -> sendError(response, 504, "timeout_error"));
             return;
         }
         String prompt = requestJson.path("messages").toString();
-        String rid = "wrong" + requestIndex;
-        EngineEntry reader = pick(Role.READER, requestIndex);
+        String rid = "wrong" + index;
+        EngineEntry reader = pick(Role.READER, index);
         ObjectNode readBody =
                 MAPPER.createObjectNode()
                         .put("model", "m")
                         .put("prompt", prompt)
                         .put("max_tokens", 1);
         readBody.putObject("kv_transfer_params").put("do_remote_decode", true);
-        if (fault == Fault.PINS && requestIndex % 10 == 9) {
+        if (fault == Fault.PINS && index % 10 == 9) {
             send(reader, rid, readBody).onComplete(done -> sendError(response, 500, "api_error"));
             return;
         }
         send(reader, rid, readBody)
-                .onSuccess(readResponse -> sendToWriter(response, requestJson, requestIndex, rid, prompt, readResponse))
+                .onSuccess(state -> sendToWriter(response, requestJson, index, rid, prompt, state))
                 .onFailure(e -> sendError(response, 500, "api_error"));
     }
 
     private void sendToWriter(
             HttpServerResponse response,
             JsonNode requestJson,
-            int requestIndex,
+            int index,
             String rid,
             String prompt,
             Buffer readResponse) {
@@ -162,16 +162,16 @@
             sendError(response, 500, "api_error");
             return;
         }
-        EngineEntry writer = pick(Role.WRITER, requestIndex);
+        EngineEntry writer = pick(Role.WRITER, index);
         send(writer, rid + "w", writeBody)
                 .onFailure(e -> sendError(response, 500, "api_error"))
                 .onSuccess(
                         stream -> {
-                            if (fault == Fault.THROTTLES_AFTER_RUN && requestIndex % 10 == 9) {
+                            if (fault == Fault.THROTTLES_AFTER_RUN && index % 10 == 9) {
                                 sendError(response, 529, "overloaded_error");
-                            } else if (fault == Fault.RUNS_TWICE && requestIndex % 10 == 9) {
+                            } else if (fault == Fault.RUNS_TWICE && index % 10 == 9) {
                                 writeBody.remove("kv_transfer_params");
-                                send(pick(Role.BOTH, requestIndex), rid + "x", writeBody)
+                                send(pick(Role.BOTH, index), rid + "x", writeBody)
                                         .onComplete(ignored -> sendAnswer(response, stream));
                             } else {
                                 sendAnswer(response, stream);
