--- a/src/main/java/larchridge/cli/EngineCommand.java
+++ b/src/main/java/larchridge/cli/EngineCommand.java
@@ -93,15 +93,15 @@
                         zone,
                         rack,
                         defaults.readTokensPerMs(),
-                        Math.max(defaults.readsAtOnce(), streams / 10),
+                        Math.max(defaults.maxConcurrentReads(), streams / 10),
                         streams,
-                        Math.max(defaults.queue(), streams),
+                        Math.max(defaults.queueCapacity(), streams),
                         defaults.memoryTokens() * Math.max(1, streams / 60.0),
                         tokenMs,
-                        defaults.moveTokensPerMs(),
+                        defaults.transferTokensPerMs(),
                         defaults.coldShare(),
                         defaults.coldMs(),
-                        defaults.lapseMs())
+                        defaults.stateExpiryMs())
                 .scaled(speed);
     }
 }
--- a/src/main/java/larchridge/cli/LoadCommand.java
+++ b/src/main/java/larchridge/cli/LoadCommand.java
@@ -65,7 +65,7 @@
     @Override
     public Integer call() throws InterruptedException {
         double[] cpu = new double[2];
-        LoadGenerator.Gain result =
+        LoadGenerator.Measurement result =
                 new LoadGenerator("127.0.0.1", ports, clients, prompt, out, multiplexed, over)
                         .run(warm, seconds, () -> cpu[0] = cpuMs(), () -> cpu[1] = cpuMs());
         double completed = Math.max(1, result.streamed.sum());
@@ -75,7 +75,7 @@
                         + " p99 %.2f ms cpu/generation %.3f ms%n",
                 clients,
                 completed / result.seconds,
-                result.pieces.sum() / result.seconds,
+                result.textEvents.sum() / result.seconds,
                 result.failed.sum(),
                 result.firstToken.getValueAtPercentile(50) / 1000.0,
                 result.firstToken.getValueAtPercentile(99) / 1000.0,
--- a/src/main/java/larchridge/cli/SearchCommand.java
+++ b/src/main/java/larchridge/cli/SearchCommand.java
@@ -55,7 +55,7 @@
         TestScript loadedScript;
         try {
             loadedScript = TestScriptReader.read(script);
-        } catch (TestScriptReader.BadScript e) {
+        } catch (TestScriptReader.InvalidTestScriptException e) {
             System.err.println(e.getMessage());
             return 1;
         }
@@ -70,7 +70,7 @@
                 worst.service(),
                 worst.breaches(),
                 worst.breaches() > 0 ? 0 : worst.severity());
-        worst.script().troubles().forEach(System.out::println);
+        worst.script().faults().forEach(System.out::println);
         return worst.breaches() > 0 ? 3 : 0;
     }
 }
--- a/src/main/java/larchridge/cli/SystemTestCommand.java
+++ b/src/main/java/larchridge/cli/SystemTestCommand.java
@@ -99,11 +99,12 @@
             if (source.day != null) {
                 BenchDayReader day = BenchDayReader.read(source.day, scale);
                 script = day.script();
-                day.leftOut().forEach(omission -> System.out.println("not converted: " + omission));
+                day.omissions()
+                        .forEach(omission -> System.out.println("not converted: " + omission));
             } else {
                 script = TestScriptReader.read(source.script);
             }
-        } catch (TestScriptReader.BadScript e) {
+        } catch (TestScriptReader.InvalidTestScriptException e) {
             System.err.println(e.getMessage());
             return 1;
         }
@@ -117,30 +118,30 @@
                 "seed "
                         + script.seed()
                         + ", "
-                        + script.fronts()
+                        + script.routers()
                         + " routers, engines are simulated");
         if (virtual) {
             return runInVirtualTime(script);
         }
-        SystemTest.Result result = SystemTest.play(script);
+        SystemTest.Result result = SystemTest.runScript(script);
         System.out.print(ResultCounts.table(result.rows()));
         if (figures) {
-            System.out.print(result.figures());
+            System.out.print(result.metrics());
         }
         if (log != null) {
-            TrafficLog.write(result.log(), log);
+            TrafficLog.write(result.events(), log);
         }
-        if (!result.bills().isEmpty()) {
-            System.out.print(BillingChecker.table(result.bills()));
+        if (!result.billingRows().isEmpty()) {
+            System.out.print(BillingChecker.table(result.billingRows()));
         }
-        for (RuleChecker.Breach breach : result.breaches()) {
+        for (RuleChecker.Violation breach : result.violations()) {
             System.out.println(breach);
         }
         System.out.println(
-                result.breaches().size()
+                result.violations().size()
                         + " rule violations in "
-                        + result.log().size()
+                        + result.events().size()
                         + " events");
-        return result.breaches().isEmpty() ? 0 : 3;
+        return result.violations().isEmpty() ? 0 : 3;
     }
 }
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -50,7 +50,7 @@
     }
 
     void start(Fault fault) {
-        double now = run.log.now();
+        double now = run.log.nowMs();
         run.log.add(
                 TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
         switch (fault.kind()) {
@@ -203,12 +203,12 @@
             return;
         }
         if (run.plantedFault == PlantedFault.KILLED_FOR_TERM) {
-            node.terminatedMs = run.log.now();
+            node.terminatedMs = run.log.nowMs();
             node.kill();
             return;
         }
         int startCount = node.startCount;
-        node.terminate(run.log.now());
+        node.terminate(run.log.nowMs());
         run.schedule(
                 KILL_DELAY_MS,
                 () -> {
@@ -245,14 +245,14 @@
         run.schedule(
                 PAUSE_INTERVAL_MS + ms,
                 () -> {
-                    if (run.log.now() < untilMs) {
+                    if (run.log.nowMs() < untilMs) {
                         pause(node, fault, untilMs);
                     }
                 });
     }
 
     private void moveDiscovery(TestNode node, boolean broken) {
-        run.endpointLists.recordMove(node.number, run.log.now());
+        run.endpointLists.recordMove(node.number, run.log.nowMs());
         node.agent.moveAddress(
                 () -> {
                     try {
--- a/src/main/java/larchridge/faultinjection/TestClients.java
+++ b/src/main/java/larchridge/faultinjection/TestClients.java
@@ -128,7 +128,7 @@
 
     /** Sends one request to a random node that accepts requests. */
     void send() {
-        double now = log.now();
+        double now = log.nowMs();
         Predicate<TestNode> acceptsRequests =
                 node ->
                         node.state == TestNode.State.UP
@@ -407,7 +407,7 @@
                             + classes.get(0).name
                             + "\r\nReq-Deadline-Ms: 4000\r\nContent-Length: 500\r\n\r\n{\"model\"";
             int firstPartLength = random.nextInt(head.length());
-            double startedMs = log.now();
+            double startedMs = log.nowMs();
             boolean[] ended = new boolean[1];
             RawConnection connection = new RawConnection(() -> ended[0] = true);
             connection.connect(
--- a/src/main/java/larchridge/faultinjection/TestEngine.java
+++ b/src/main/java/larchridge/faultinjection/TestEngine.java
@@ -149,13 +149,13 @@
         running = 0;
         readStates.dropHeldBy(this);
         Set.copyOf(connections).forEach(Channel::close);
-        startedMs = log.now();
+        startedMs = log.nowMs();
         startTimeMs = System.currentTimeMillis();
         log.add(TrafficEvent.Kind.STARTED, number, null, null, 1, null);
     }
 
     private double speed() {
-        double age = log.now() - startedMs;
+        double age = log.nowMs() - startedMs;
         return age >= profile.coldMs()
                 ? 1
                 : profile.coldShare() + (1 - profile.coldShare()) * age / profile.coldMs();
@@ -221,7 +221,7 @@
         if (behavior == Behavior.HANGING) {
             return;
         }
-        if (behavior == Behavior.DECLINING || queue.size() >= profile.queue()) {
+        if (behavior == Behavior.DECLINING || queue.size() >= profile.queueCapacity()) {
             finish(job);
             respond(job.channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
             return;
@@ -242,7 +242,10 @@
     }
 
     private void startQueuedJobs() {
-        int slots = profile.role() == Role.READER ? profile.readsAtOnce() : profile.streams();
+        int slots =
+                profile.role() == Role.READER
+                        ? profile.maxConcurrentReads()
+                        : profile.maxConcurrentStreams();
         while (running < slots && !queue.isEmpty()) {
             Job job = queue.poll();
             if (profile.role() != Role.READER) {
@@ -320,15 +323,15 @@
                         profile.zone(),
                         profile.rack(),
                         profile.readTokensPerMs(),
-                        profile.readsAtOnce(),
-                        profile.streams(),
-                        profile.queue(),
+                        profile.maxConcurrentReads(),
+                        profile.maxConcurrentStreams(),
+                        profile.queueCapacity(),
                         profile.memoryTokens(),
                         profile.tokenMs(),
-                        profile.moveTokensPerMs(),
+                        profile.transferTokensPerMs(),
                         0,
                         1e9,
-                        profile.lapseMs());
+                        profile.stateExpiryMs());
     }
 
     private void streamEvents(Job job, int event) {
--- a/src/main/java/larchridge/faultinjection/TrafficChecker.java
+++ b/src/main/java/larchridge/faultinjection/TrafficChecker.java
@@ -43,7 +43,7 @@
             List<TrafficEvent> log,
             List<StatusNotice> notices,
             int nodes,
-            RuleChecker.Figures figures,
+            RuleChecker.Limits figures,
             double maxLagMs) {
         Map<String, Integer> nodeByTag = new HashMap<>();
         for (TrafficEvent event : log) {
@@ -65,15 +65,15 @@
         return violations;
     }
 
-    private static RuleChecker.Figures withSlack(RuleChecker.Figures figures, double slackMs) {
-        return new RuleChecker.Figures(
+    private static RuleChecker.Limits withSlack(RuleChecker.Limits figures, double slackMs) {
+        return new RuleChecker.Limits(
                 figures.drainGraceMs(),
                 figures.releaseMs(),
-                figures.tipMultiple(),
-                figures.tipMs(),
+                figures.coldStartMultiple(),
+                figures.coldStartWindowMs(),
                 slackMs,
                 figures.products(),
-                figures.makes());
+                figures.profiles());
     }
 
     private static List<TrafficEvent> eventsOfNode(
@@ -109,13 +109,13 @@
     private static void checkNode(
             int node,
             List<TrafficEvent> nodeEvents,
-            RuleChecker.Figures figures,
+            RuleChecker.Limits figures,
             double maxLagMs,
             List<String> violations) {
         double[] slackMsByRule = {0, RESPONSE_SLACK_MS, 0, DRAIN_SLACK_MS, 0, RELEASE_SLACK_MS};
         for (int rule : new int[] {1, 2, 3, 5}) {
-            for (RuleChecker.Breach breach :
-                    RuleChecker.judge(
+            for (RuleChecker.Violation breach :
+                    RuleChecker.check(
                             nodeEvents, withSlack(figures, slackMsByRule[rule] + maxLagMs))) {
                 if (breach.rule() == rule) {
                     violations.add("node " + node + ": " + breach);
@@ -128,7 +128,7 @@
             List<TrafficEvent> log,
             List<StatusNotice> notices,
             Map<String, Integer> nodeByTag,
-            RuleChecker.Figures figures,
+            RuleChecker.Limits figures,
             double maxLagMs,
             List<String> violations) {
         List<TrafficEvent> notifiedEvents = new ArrayList<>();
@@ -143,8 +143,8 @@
                 notifiedEvents.add(event);
             }
         }
-        for (RuleChecker.Breach breach :
-                RuleChecker.judge(notifiedEvents, withSlack(figures, maxLagMs))) {
+        for (RuleChecker.Violation breach :
+                RuleChecker.check(notifiedEvents, withSlack(figures, maxLagMs))) {
             if (breach.rule() == 4) {
                 violations.add(breach.toString());
             }
@@ -193,11 +193,11 @@
         }
     }
 
-    static RuleChecker.Figures figures(
+    static RuleChecker.Limits figures(
             double drainGraceMs,
             double releaseMs,
             Map<String, TrafficClass> products,
             Map<Long, EngineProfile> profiles) {
-        return new RuleChecker.Figures(drainGraceMs, releaseMs, 4, 1500, 0, products, profiles);
+        return new RuleChecker.Limits(drainGraceMs, releaseMs, 4, 1500, 0, products, profiles);
     }
 }
--- a/src/main/java/larchridge/systemtest/ResultCounts.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -9,64 +9,64 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients got, from the traffic log alone: service by time and product, and times to the first
- * token.
+ * The results that clients saw, from the traffic log alone: service by product, tenant and fault,
+ * and times to the first token.
  */
 public final class ResultCounts {
-    /** Service of one span of time. */
+    /** The results of one product, tenant or period. */
     public static final class Row {
         public final String name;
-        public int asked;
-        public int inSlo;
+        public int requests;
+        public int withinSlo;
         public int streamed;
         public int throttled;
         public int terminated;
-        public int left;
-        public int lost;
-        public double revenueAsked;
-        public double revenueInSlo;
+        public int disconnected;
+        public int connectionLost;
+        public double requestedRevenue;
+        public double revenueWithinSlo;
         public final Histogram firstToken = new Histogram(60_000, 3);
 
         Row(String name) {
             this.name = name;
         }
 
-        /** Revenue answered in time over revenue asked for. */
+        /** Returns the revenue answered within the SLO as a share of the requested revenue. */
         public double service() {
-            return revenueAsked > 0 ? revenueInSlo / revenueAsked : 1;
+            return requestedRevenue > 0 ? revenueWithinSlo / requestedRevenue : 1;
         }
     }
 
-    /** One operation: its tries belong to it, and its SLO time runs from the first. */
+    /** One operation with all its tries; its SLO time starts with the first try. */
     private static final class Operation {
-        TrafficEvent asked;
-        TrafficEvent begun;
-        String answer;
-        boolean left;
-        boolean lost;
+        TrafficEvent firstRequest;
+        TrafficEvent firstText;
+        String outcome;
+        boolean disconnected;
+        boolean connectionLost;
     }
 
     private ResultCounts() {}
 
     /**
-     * Rows in all, by product, and by tenant where there are several; and for each trouble before,
-     * during and after it.
+     * Returns rows for the whole run, by product, by tenant if there are several, and for the
+     * periods before, during and after each fault.
      */
-    public static List<Row> of(List<TrafficEvent> log, TestScript script) {
+    public static List<Row> summarize(List<TrafficEvent> log, TestScript script) {
         Map<String, Operation> operations = new LinkedHashMap<>();
-        Map<String, TestScript.Mix> mixes = new HashMap<>();
-        script.products().forEach(mix -> mixes.put(mix.name(), mix));
-        for (TrafficEvent seen : log) {
-            if (seen.tag() == null || seen.kind().compareTo(TrafficEvent.Kind.ASKED) < 0) {
+        Map<String, TestScript.ProductLoad> products = new HashMap<>();
+        script.products().forEach(product -> products.put(product.name(), product));
+        for (TrafficEvent event : log) {
+            if (event.tag() == null || event.kind().compareTo(TrafficEvent.Kind.ASKED) < 0) {
                 continue;
             }
-            Operation one = operations.computeIfAbsent(seen.operation(), key -> new Operation());
-            switch (seen.kind()) {
-                case ASKED -> one.asked = one.asked == null ? seen : one.asked;
-                case BEGUN -> one.begun = one.begun == null ? seen : one.begun;
-                case FINAL -> one.answer = seen.word();
-                case LEFT -> one.left = true;
-                case LOST -> one.lost = true;
+            Operation operation = operations.computeIfAbsent(event.operation(), key -> new Operation());
+            switch (event.kind()) {
+                case ASKED -> operation.firstRequest = operation.firstRequest == null ? event : operation.firstRequest;
+                case BEGUN -> operation.firstText = operation.firstText == null ? event : operation.firstText;
+                case FINAL -> operation.outcome = event.word();
+                case LEFT -> operation.disconnected = true;
+                case LOST -> operation.connectionLost = true;
                 default -> {}
             }
         }
@@ -74,8 +74,8 @@
         Row all = new Row("all");
         rows.add(all);
         Map<String, Row> byProduct = new LinkedHashMap<>();
-        for (TestScript.Mix mix : script.products()) {
-            byProduct.put(mix.name(), new Row(mix.name()));
+        for (TestScript.ProductLoad product : script.products()) {
+            byProduct.put(product.name(), new Row(product.name()));
         }
         rows.addAll(byProduct.values());
         Map<String, Row> byTenant = new LinkedHashMap<>();
@@ -87,74 +87,74 @@
                                             tenant.name(), new Row("tenant " + tenant.name())));
             rows.addAll(byTenant.values());
         }
-        List<Row> spans = new ArrayList<>();
-        for (TestScript.Trouble trouble : script.troubles()) {
+        List<Row> faultRows = new ArrayList<>();
+        for (TestScript.Trouble fault : script.faults()) {
             for (String part : new String[] {"before", "during", "after"}) {
-                spans.add(
+                faultRows.add(
                         new Row(
                                 String.format(
                                         Locale.ROOT,
                                         "%s at %.1f s, %s",
-                                        trouble.kind(),
-                                        trouble.atMs() / 1000,
+                                        fault.kind(),
+                                        fault.atMs() / 1000,
                                         part)));
             }
         }
-        rows.addAll(spans);
-        for (Operation one : operations.values()) {
-            if (one.asked == null) {
+        rows.addAll(faultRows);
+        for (Operation operation : operations.values()) {
+            if (operation.firstRequest == null) {
                 continue;
             }
-            TestScript.Mix mix = mixes.get(one.asked.word());
-            // Lines of batches have no SLO time; their product's row tells what became of them.
-            boolean isLine = one.asked.tag().startsWith(BatchLoad.NAME);
-            if (!isLine) {
-                count(all, one, mix);
+            TestScript.ProductLoad product = products.get(operation.firstRequest.word());
+            // Batch lines have no SLO; they are counted only in their product's row.
+            boolean isBatchLine = operation.firstRequest.tag().startsWith(BatchLoad.NAME);
+            if (!isBatchLine) {
+                count(all, operation, product);
             }
-            count(byProduct.get(mix.name()), one, mix);
-            if (isLine) {
+            count(byProduct.get(product.name()), operation, product);
+            if (isBatchLine) {
                 continue;
             }
-            if (byTenant.containsKey(one.asked.rid())) {
-                count(byTenant.get(one.asked.rid()), one, mix);
+            if (byTenant.containsKey(operation.firstRequest.rid())) {
+                count(byTenant.get(operation.firstRequest.rid()), operation, product);
             }
-            for (int i = 0; i < script.troubles().size(); i++) {
-                TestScript.Trouble trouble = script.troubles().get(i);
-                double at = one.asked.ms();
-                int part = at < trouble.atMs() ? 0 : at < trouble.atMs() + trouble.forMs() ? 1 : 2;
-                // As long before and after as during: the rest of the day says nothing of this
-                // trouble.
-                boolean near =
+            for (int i = 0; i < script.faults().size(); i++) {
+                TestScript.Trouble fault = script.faults().get(i);
+                double requestMs = operation.firstRequest.ms();
+                int part = requestMs < fault.atMs() ? 0 : requestMs < fault.atMs() + fault.forMs() ? 1 : 2;
+                // The periods before and after are as long as the fault; the rest of the run says
+                // nothing about this fault.
+                boolean withinWindow =
                         part == 0
-                                ? at >= trouble.atMs() - trouble.forMs()
-                                : part == 1 || at < trouble.atMs() + 2 * trouble.forMs();
-                if (near) {
-                    count(spans.get(3 * i + part), one, mix);
+                                ? requestMs >= fault.atMs() - fault.forMs()
+                                : part == 1 || requestMs < fault.atMs() + 2 * fault.forMs();
+                if (withinWindow) {
+                    count(faultRows.get(3 * i + part), operation, product);
                 }
             }
         }
         return rows;
     }
 
-    private static void count(Row row, Operation one, TestScript.Mix mix) {
-        row.asked++;
-        row.left += one.left ? 1 : 0;
-        row.lost += one.lost ? 1 : 0;
-        if (one.left) {
+    private static void count(Row row, Operation operation, TestScript.ProductLoad product) {
+        row.requests++;
+        row.disconnected += operation.disconnected ? 1 : 0;
+        row.connectionLost += operation.connectionLost ? 1 : 0;
+        if (operation.disconnected) {
             return;
         }
-        row.revenueAsked += mix.revenue();
-        if (one.begun != null) {
-            double ms = one.begun.ms() - one.asked.ms();
+        row.requestedRevenue += product.revenue();
+        if (operation.firstText != null) {
+            double ms = operation.firstText.ms() - operation.firstRequest.ms();
             row.firstToken.recordValue((long) Math.min(59_999, Math.max(0, ms)));
-            if (ms <= mix.sloMs() && "streamed".equals(one.answer)) {
-                row.inSlo++;
-                row.revenueInSlo += mix.revenue();
+            if (ms <= product.sloMs() && "streamed".equals(operation.outcome)) {
+                row.withinSlo++;
+                row.revenueWithinSlo += product.revenue();
             }
         }
-        row.streamed += "streamed".equals(one.answer) ? 1 : 0;
-        row.throttled += "throttled".equals(one.answer) ? 1 : 0;
-        row.terminated += "terminated".equals(one.answer) ? 1 : 0;
+        row.streamed += "streamed".equals(operation.outcome) ? 1 : 0;
+        row.throttled += "throttled".equals(operation.outcome) ? 1 : 0;
+        row.terminated += "terminated".equals(operation.outcome) ? 1 : 0;
     }
 
     public static String table(List<Row> rows) {
@@ -179,13 +179,13 @@
                             Locale.ROOT,
                             "%-34s %6d %8.3f %8d %9d %10d %5d %5d %7d %7d%n",
                             row.name,
-                            row.asked,
+                            row.requests,
                             row.service(),
                             row.streamed,
                             row.throttled,
                             row.terminated,
-                            row.left,
-                            row.lost,
+                            row.disconnected,
+                            row.connectionLost,
                             row.firstToken.getValueAtPercentile(50),
                             row.firstToken.getValueAtPercentile(99)));
         }
--- a/src/main/java/larchridge/systemtest/TestScript.java
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -5,31 +5,32 @@
 import java.util.Random;
 
 /**
- * A drill: engines, load and troubles against time, milliseconds from the start. Fields that a file
- * leaves out have the defaults of {@link TestScriptReader}. Engines count by the encoding, or four
- * characters a token where there is none; fronts count by it too if counted, or guess from bytes.
+ * A system test: engines, load and faults over time, in milliseconds from the start. Fields that a
+ * file omits have the defaults of {@link TestScriptReader}. Engines count tokens with the encoding,
+ * or four characters per token without one; routers also count with it if {@code counted} is set,
+ * and otherwise estimate from the number of bytes.
  */
 public record TestScript(
         @JsonProperty("seed") long seed,
-        @JsonProperty("fronts") int fronts,
+        @JsonProperty("fronts") int routers,
         @JsonProperty("duration_ms") double durationMs,
-        @JsonProperty("rate_per_s") double ratePerS,
+        @JsonProperty("rate_per_s") double requestsPerSecond,
         @JsonProperty("list_lag_ms") double listLagMs,
         @JsonProperty("probes") boolean probes,
         @JsonProperty("processes") boolean processes,
         @JsonProperty("encoding") String encoding,
         @JsonProperty("counted") boolean counted,
         @JsonProperty("tenants") List<Tenant> tenants,
-        @JsonProperty("engines") List<Group> engines,
-        @JsonProperty("products") List<Mix> products,
+        @JsonProperty("engines") List<EngineGroup> engines,
+        @JsonProperty("products") List<ProductLoad> products,
         @JsonProperty("batches") List<Batch> batches,
-        @JsonProperty("clients") Clients clients,
-        @JsonProperty("troubles") List<Trouble> troubles) {
+        @JsonProperty("clients") ClientBehavior clients,
+        @JsonProperty("troubles") List<Trouble> faults) {
 
     /**
-     * So many engines of one role; they are spread over the zones, and in each zone over its racks.
+     * A number of engines of one role, spread over the zones and in each zone over its racks.
      */
-    public record Group(
+    public record EngineGroup(
             @JsonProperty("role") String role,
             @JsonProperty("count") int count,
             @JsonProperty("zones") List<String> zones,
@@ -37,45 +38,46 @@
             @JsonProperty("speed") double speed) {}
 
     /**
-     * A tenant's part of the load, and its budget in tokens a second with its burst; 0 is no limit.
+     * A tenant's share of the load, and its budget in tokens per second with a burst; 0 is no
+     * limit.
      */
     public record Tenant(
             @JsonProperty("name") String name,
             @JsonProperty("share") double share,
-            @JsonProperty("tokens_per_second") double tokensPerS,
+            @JsonProperty("tokens_per_second") double tokensPerSecond,
             @JsonProperty("burst_tokens") double burstTokens) {}
 
-    /** A product by its share of the load. */
-    public Mix anyMix(Random random) {
-        double draw = random.nextDouble() * products.stream().mapToDouble(Mix::share).sum();
-        for (Mix one : products) {
-            draw -= one.share();
+    /** Returns a random product, weighted by share of the load. */
+    public ProductLoad randomProduct(Random random) {
+        double draw = random.nextDouble() * products.stream().mapToDouble(ProductLoad::share).sum();
+        for (ProductLoad candidate : products) {
+            draw -= candidate.share();
             if (draw <= 0) {
-                return one;
+                return candidate;
             }
         }
         return products.get(products.size() - 1);
     }
 
-    /** A tenant by its share of the load. */
-    public Tenant anyTenant(Random random) {
+    /** Returns a random tenant, weighted by share of the load. */
+    public Tenant randomTenant(Random random) {
         double draw = random.nextDouble() * tenants.stream().mapToDouble(Tenant::share).sum();
-        for (Tenant one : tenants) {
-            draw -= one.share();
+        for (Tenant candidate : tenants) {
+            draw -= candidate.share();
             if (draw <= 0) {
-                return one;
+                return candidate;
             }
         }
         return tenants.get(tenants.size() - 1);
     }
 
-    /** The same script with another seed. */
-    public TestScript withSeed(long other) {
+    /** Returns this script with another seed. */
+    public TestScript withSeed(long newSeed) {
         return new TestScript(
-                other,
-                fronts,
+                newSeed,
+                routers,
                 durationMs,
-                ratePerS,
+                requestsPerSecond,
                 listLagMs,
                 probes,
                 processes,
@@ -86,27 +88,27 @@
                 products,
                 batches,
                 clients,
-                troubles);
+                faults);
     }
 
-    /** The same script with so many times the load and the engines, and so many fronts. */
-    public TestScript scaled(double load, double fleet, int others) {
-        List<Group> groups =
+    /** Returns this script with load and engines multiplied and another number of routers. */
+    public TestScript scaled(double loadFactor, double engineFactor, int routerCount) {
+        List<EngineGroup> groups =
                 engines.stream()
                         .map(
                                 group ->
-                                        new Group(
+                                        new EngineGroup(
                                                 group.role,
-                                                (int) Math.max(1, Math.round(group.count * fleet)),
+                                                (int) Math.max(1, Math.round(group.count * engineFactor)),
                                                 group.zones,
                                                 group.racks,
                                                 group.speed))
                         .toList();
         return new TestScript(
                 seed,
-                others,
+                routerCount,
                 durationMs,
-                ratePerS * load,
+                requestsPerSecond * loadFactor,
                 listLagMs,
                 probes,
                 processes,
@@ -117,16 +119,16 @@
                 products,
                 batches,
                 clients,
-                troubles);
+                faults);
     }
 
-    /** The same script with other troubles. */
-    public TestScript withTroubles(List<Trouble> others) {
+    /** Returns this script with other faults. */
+    public TestScript withFaults(List<Trouble> newFaults) {
         return new TestScript(
                 seed,
-                fronts,
+                routers,
                 durationMs,
-                ratePerS,
+                requestsPerSecond,
                 listLagMs,
                 probes,
                 processes,
@@ -137,16 +139,16 @@
                 products,
                 batches,
                 clients,
-                others);
+                newFaults);
     }
 
-    /** The same script without its batches. */
+    /** Returns this script without its batches. */
     public TestScript withoutBatches() {
         return new TestScript(
                 seed,
-                fronts,
+                routers,
                 durationMs,
-                ratePerS,
+                requestsPerSecond,
                 listLagMs,
                 probes,
                 processes,
@@ -157,48 +159,49 @@
                 products,
                 List.of(),
                 clients,
-                troubles);
+                faults);
     }
 
-    /** A product's part of the load. */
-    public record Mix(
+    /** A product and its share of the load. */
+    public record ProductLoad(
             @JsonProperty("name") String name,
             @JsonProperty("share") double share,
             @JsonProperty("effect") String effect,
-            @JsonProperty("span") String span,
-            @JsonProperty("memory_ms") double memoryMs,
+            @JsonProperty("span") String deduplicationScope,
+            @JsonProperty("memory_ms") double deduplicationWindowMs,
             @JsonProperty("revenue") double revenue,
             @JsonProperty("slo_ms") double sloMs,
-            @JsonProperty("time_limit_ms") double limitMs,
+            @JsonProperty("time_limit_ms") double timeLimitMs,
             @JsonProperty("prompt_tokens") int promptTokens,
             @JsonProperty("shared_tokens") int sharedTokens,
             @JsonProperty("prefixes") int prefixes,
-            @JsonProperty("output_tokens") int outTokens,
+            @JsonProperty("output_tokens") int outputTokens,
             @JsonProperty("turns") double turns,
             @JsonProperty("text") String text) {}
 
     /**
-     * A batch of one of the products; what is not done when the drill's time is over is cancelled
-     * then.
+     * A batch of lines of one product; lines not finished at the end of the script are cancelled.
      */
     public record Batch(
             @JsonProperty("at_ms") double atMs,
             @JsonProperty("lines") int lines,
             @JsonProperty("product") String product,
             @JsonProperty("prompt_tokens") int promptTokens,
-            @JsonProperty("output_tokens") int outTokens) {}
+            @JsonProperty("output_tokens") int outputTokens) {}
 
-    /** What clients do: shares of all tries. */
-    public record Clients(
+    /** How clients behave; the shares are of all tries. */
+    public record ClientBehavior(
             @JsonProperty("retries") int retries,
             @JsonProperty("retry_ms") double retryMs,
-            @JsonProperty("leave_share") double leaveShare,
-            @JsonProperty("slow_share") double slowShare,
-            @JsonProperty("whole_share") double wholeShare) {}
+            @JsonProperty("leave_share") double disconnectShare,
+            @JsonProperty("slow_share") double slowReaderShare,
+            @JsonProperty("whole_share") double nonStreamingShare) {}
 
     /**
-     * A trouble: from when, for how long, what, on which engines (ids; fronts, from 1, for
-     * kill_front), how strong.
+     * An injected fault.
+     *
+     * @param engines ids of the engines, or for kill_front the numbers of the routers, from 1
+     * @param size strength of the fault; its meaning depends on the kind
      */
     public record Trouble(
             @JsonProperty("at_ms") double atMs,
--- a/src/main/java/larchridge/systemtest/TrafficLog.java
+++ b/src/main/java/larchridge/systemtest/TrafficLog.java
@@ -10,40 +10,41 @@
 import larchridge.simulatedengine.TrafficRecorder;
 
 /**
- * What both ends of every socket saw, in order, by one monotonic clock. At most {@value #MOST}
- * sights; a run that has more is not judged, since a log with holes proves nothing.
+ * The events at both ends of every socket, in order, timed by one monotonic clock. Holds at most
+ * {@value #MAX_EVENTS} events; a run that exceeds this is not checked, because an incomplete log
+ * proves nothing.
  */
 public final class TrafficLog implements TrafficRecorder {
-    static final int MOST = 20_000_000;
+    static final int MAX_EVENTS = 20_000_000;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private volatile long startNanos = System.nanoTime();
-    private final List<TrafficEvent> sights = new ArrayList<>();
+    private final List<TrafficEvent> events = new ArrayList<>();
     private boolean full;
 
-    /** The script's time begins now; what was seen before has times under 0. */
-    synchronized void begin() {
-        double before = now();
+    /** Sets the script's time to 0; earlier events get negative times. */
+    synchronized void restartClock() {
+        double elapsedMs = nowMs();
         startNanos = System.nanoTime();
-        sights.replaceAll(
-                seen ->
+        events.replaceAll(
+                event ->
                         new TrafficEvent(
-                                seen.ms() - before,
-                                seen.kind(),
-                                seen.where(),
-                                seen.rid(),
-                                seen.tag(),
-                                seen.amount(),
-                                seen.word()));
+                                event.ms() - elapsedMs,
+                                event.kind(),
+                                event.where(),
+                                event.rid(),
+                                event.tag(),
+                                event.amount(),
+                                event.word()));
     }
 
-    public double now() {
+    public double nowMs() {
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
     @Override
-    public void saw(Sight sight, long engine, String rid, String tag, double amount) {
-        add(TrafficEvent.Kind.valueOf(sight.name()), engine, rid, tag, amount, null);
+    public void recordEvent(Event event, long engine, String rid, String tag, double amount) {
+        add(TrafficEvent.Kind.valueOf(event.name()), engine, rid, tag, amount, null);
     }
 
     public synchronized void add(
@@ -53,27 +54,27 @@
             String tag,
             double amount,
             String word) {
-        if (sights.size() >= MOST) {
+        if (events.size() >= MAX_EVENTS) {
             full = true;
             return;
         }
-        sights.add(new TrafficEvent(now(), kind, where, rid, tag, amount, word));
+        events.add(new TrafficEvent(nowMs(), kind, where, rid, tag, amount, word));
     }
 
-    /** All sights so far. */
-    public synchronized List<TrafficEvent> all() {
+    /** Returns all events so far. */
+    public synchronized List<TrafficEvent> events() {
         if (full) {
             throw new IllegalStateException(
-                    "the traffic log is full at " + MOST + " sights; play a shorter script");
+                    "the traffic log is full at " + MAX_EVENTS + " events; run a shorter script");
         }
-        return List.copyOf(sights);
+        return List.copyOf(events);
     }
 
-    /** Writes sights as JSON lines. */
-    public static void write(List<TrafficEvent> sights, Path file) throws IOException {
+    /** Writes events as JSON lines. */
+    public static void write(List<TrafficEvent> events, Path file) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            for (TrafficEvent seen : sights) {
-                out.write(MAPPER.writeValueAsString(seen));
+            for (TrafficEvent event : events) {
+                out.write(MAPPER.writeValueAsString(event));
                 out.newLine();
             }
         }
