--- a/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjectionRun.java
@@ -193,7 +193,7 @@
                                 () ->
                                         pollUntilReady(
                                                 node,
-                                                log.now() + STARTUP_TIMEOUT_MS,
+                                                log.nowMs() + STARTUP_TIMEOUT_MS,
                                                 ready::countDown)));
         return ready.await((long) STARTUP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
@@ -207,7 +207,7 @@
                             if (up) {
                                 node.state = TestNode.State.UP;
                                 onReady.run();
-                            } else if (log.now() < deadlineMs
+                            } else if (log.nowMs() < deadlineMs
                                     && node.state == TestNode.State.STARTING
                                     && !finished) {
                                 schedule(100, () -> pollUntilReady(node, deadlineMs, onReady));
@@ -236,7 +236,7 @@
     }
 
     private void startLoadAndFaults() {
-        startMs = log.now();
+        startMs = log.nowMs();
         lastPollMs = startMs;
         poll();
         sendNextRequest();
@@ -254,7 +254,7 @@
      * the event loop.
      */
     private void poll() {
-        double now = log.now();
+        double now = log.nowMs();
         maxLagMs = Math.max(maxLagMs, now - lastPollMs - POLL_INTERVAL_MS);
         lastPollMs = now;
         for (TestNode node : nodes) {
@@ -298,12 +298,12 @@
             return;
         }
         endpointLists.recordStart(node);
-        schedule(200, () -> pollUntilReady(node, log.now() + STARTUP_TIMEOUT_MS, () -> {}));
+        schedule(200, () -> pollUntilReady(node, log.nowMs() + STARTUP_TIMEOUT_MS, () -> {}));
     }
 
     /** Open loop: the next request is sent whether or not the previous one was answered. */
     private void sendNextRequest() {
-        if (finished || log.now() - startMs > script.seconds() * 1000) {
+        if (finished || log.nowMs() - startMs > script.seconds() * 1000) {
             return;
         }
         clients.send();
@@ -317,7 +317,7 @@
                         () ->
                                 nodes.stream()
                                         .filter(TestNode::isAlive)
-                                        .forEach(node -> node.terminate(log.now())))
+                                        .forEach(node -> node.terminate(log.nowMs())))
                 .get();
         for (TestNode node : nodes) {
             if (!node.awaitExit((long) SHUTDOWN_TIMEOUT_MS)) {
@@ -337,11 +337,11 @@
         Map<Long, EngineProfile> profiles = new HashMap<>();
         engines.forEach(
                 engine -> profiles.put(engine.number, engine.profileForChecks(plantedFault)));
-        TrafficLog.write(log.all(), folder.resolve("traffic.jsonl"));
+        TrafficLog.write(log.events(), folder.resolve("traffic.jsonl"));
         violations.addAll(clients == null ? List.of() : clients.stalledClientViolations());
         violations.addAll(
                 TrafficChecker.check(
-                        log.all(),
+                        log.events(),
                         endpointLists.notices(),
                         script.nodes(),
                         TrafficChecker.figures(
--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -50,8 +50,9 @@
     }
 
     void start(Fault fault) {
-        double now = run.log.now();
-        run.log.add(TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
+        double now = run.log.nowMs();
+        run.log.add(
+                TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
         switch (fault.kind()) {
             case LINK_SILENT -> setLinkFault(fault, FaultProxy.LinkFault.SILENT, 0);
             case LINK_CUT -> setLinkFault(fault, FaultProxy.LinkFault.CUT, 0);
@@ -199,12 +200,12 @@
             return;
         }
         if (run.plantedFault == PlantedFault.KILLED_FOR_TERM) {
-            node.terminatedMs = run.log.now();
+            node.terminatedMs = run.log.nowMs();
             node.kill();
             return;
         }
         int startCount = node.startCount;
-        node.terminate(run.log.now());
+        node.terminate(run.log.nowMs());
         run.schedule(
                 KILL_DELAY_MS,
                 () -> {
@@ -241,14 +242,14 @@
         run.schedule(
                 PAUSE_INTERVAL_MS + ms,
                 () -> {
-                    if (run.log.now() < untilMs) {
+                    if (run.log.nowMs() < untilMs) {
                         pause(node, fault, untilMs);
                     }
                 });
     }
 
     private void moveDiscovery(TestNode node, boolean broken) {
-        run.endpointLists.recordMove(node.number, run.log.now());
+        run.endpointLists.recordMove(node.number, run.log.nowMs());
         node.agent.moveAddress(
                 () -> {
                     try {
--- a/src/main/java/larchridge/faultinjection/TestEndpointLists.java
+++ b/src/main/java/larchridge/faultinjection/TestEndpointLists.java
@@ -75,7 +75,7 @@
     /** Records a change of an engine that service discovery now publishes. */
     void recordChange(TestEngine engine, String status) {
         index++;
-        changes.add(new Change(run.log.now(), engine.number, status));
+        changes.add(new Change(run.log.nowMs(), engine.number, status));
         boolean delayed =
                 run.plantedFault == PlantedFault.DRAINS_TOLD_LATE && status.equals("draining");
         run.schedule(
--- a/src/main/java/larchridge/systemtest/StoreBenchmark.java
+++ b/src/main/java/larchridge/systemtest/StoreBenchmark.java
@@ -16,17 +16,17 @@
 import larchridge.store.proto.LineAnswer;
 
 /**
- * What records of lines cost a store: to write, on disk, and when it is opened after an end that
- * came at once.
+ * Measures what the records of batch lines cost a store: the time to write them, their size on
+ * disk, and the time to open the store after a crash.
  */
 public final class StoreBenchmark {
-    private static final int GROUP = 256;
+    private static final int GROUP_SIZE = 256;
     private static final String ANSWER = "{\"response\":\"" + "caudal ".repeat(60) + "\"}";
 
     private StoreBenchmark() {}
 
     /**
-     * Writes records in groups as a busy service does, copies the store as it lies then, and opens
+     * Writes records in groups like a busy service, copies the store while it is open, and opens
      * the copy.
      */
     public static String measure(Path folder, int lines) throws IOException {
@@ -44,9 +44,9 @@
                                     .setTotal(lines));
             batch = batch.toBuilder().setState(BatchState.IN_PROGRESS).build();
             long start = System.nanoTime();
-            for (int from = 0; from < lines; from += GROUP) {
+            for (int from = 0; from < lines; from += GROUP_SIZE) {
                 List<Store.AnsweredLine> group = new ArrayList<>();
-                for (int i = from; i < Math.min(lines, from + GROUP); i++) {
+                for (int i = from; i < Math.min(lines, from + GROUP_SIZE); i++) {
                     store.recordAttempts(batch.getId(), i, 1, false);
                     group.add(
                             new Store.AnsweredLine(
