--- a/src/main/java/larchridge/faultinjection/FaultInjector.java
+++ b/src/main/java/larchridge/faultinjection/FaultInjector.java
@@ -51,8 +51,7 @@
 
     void start(Fault fault) {
         double now = run.log.nowMs();
-        run.log.add(
-                TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
+        run.log.add(TrafficEvent.Kind.TROUBLE, -1, null, null, fault.lengthMs(), fault.toString());
         switch (fault.kind()) {
             case LINK_SILENT -> setLinkFault(fault, FaultProxy.LinkFault.SILENT, 0);
             case LINK_CUT -> setLinkFault(fault, FaultProxy.LinkFault.CUT, 0);
--- a/src/main/java/larchridge/simulatedengine/EngineProfile.java
+++ b/src/main/java/larchridge/simulatedengine/EngineProfile.java
@@ -10,8 +10,8 @@
  * @param maxConcurrentStreams number of responses generated concurrently
  * @param queueCapacity maximum number of waiting attempts
  * @param tokenMs time between two tokens of a stream, in milliseconds
- * @param transferTokensPerMs speed at which a read state is transferred within the rack;
- *     transfers across racks and zones are slower
+ * @param transferTokensPerMs speed at which a read state is transferred within the rack; transfers
+ *     across racks and zones are slower
  * @param coldShare share of the full capacity right after a cold start
  * @param coldMs time from a cold start to full capacity
  * @param stateExpiryMs age at which a read state that was not fetched is dropped
--- a/src/main/java/larchridge/simulatedengine/InjectedFaults.java
+++ b/src/main/java/larchridge/simulatedengine/InjectedFaults.java
@@ -10,9 +10,7 @@
 
     public double slowdownFactor = 1;
 
-    /**
-     * With more concurrent attempts than this the engine nearly stops; it still answers probes.
-     */
+    /** With more concurrent attempts than this the engine nearly stops; it still answers probes. */
     public int stallThreshold = Integer.MAX_VALUE;
 
     /** Share of attempts that run but are never answered; probes are answered. */
--- a/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
+++ b/src/main/java/larchridge/simulatedengine/SimulatedEngine.java
@@ -132,7 +132,8 @@
     }
 
     /** Creates an engine; must be called on the event loop that is to own it. */
-    public SimulatedEngine(Vertx vertx, EngineProfile profile, TrafficRecorder recorder, long seed) {
+    public SimulatedEngine(
+            Vertx vertx, EngineProfile profile, TrafficRecorder recorder, long seed) {
         this.vertx = vertx;
         this.profile = profile;
         this.recorder = recorder;
@@ -235,11 +236,13 @@
 
     private void handleRequest(HttpServerRequest request) {
         switch (request.path()) {
-            case "/v1/completions" -> request.body().onSuccess(body -> handleAttempt(request, body));
+            case "/v1/completions" ->
+                    request.body().onSuccess(body -> handleAttempt(request, body));
             case "/abort_request" -> request.body().onSuccess(body -> handleAbort(request, body));
             case "/kv/pull" -> request.body().onSuccess(body -> handleStatePull(request, body));
             case "/metrics" ->
-                    whenNotPaused(request.response(), () -> request.response().end(delayedMetricsText()));
+                    whenNotPaused(
+                            request.response(), () -> request.response().end(delayedMetricsText()));
             default -> request.response().setStatusCode(404).end();
         }
     }
@@ -300,7 +303,9 @@
         response.closeHandler(closed -> onEnd.run());
         response.endHandler(ended -> onEnd.run());
         response.exceptionHandler(e -> onEnd.run());
-        if (faults.rejectAll || reading.size() + waiting.size() >= profile.queueCapacity() + profile.maxConcurrentReads()) {
+        if (faults.rejectAll
+                || reading.size() + waiting.size()
+                        >= profile.queueCapacity() + profile.maxConcurrentReads()) {
             sendError(response, faults.rejectAll && random.nextBoolean() ? 503 : 429, "queue_full");
             return;
         }
@@ -311,7 +316,10 @@
         if ((isRead && profile.role() == Role.WRITER)
                 || (!isRead && profile.role() == Role.READER)
                 || (!isRead && stateParams == null && profile.role() != Role.BOTH)) {
-            sendError(response, 400, stateParams == null && !isRead ? "kv_state_unknown" : "wrong_role");
+            sendError(
+                    response,
+                    400,
+                    stateParams == null && !isRead ? "kv_state_unknown" : "wrong_role");
             return;
         }
         job.responseLost = random.nextDouble() < faults.lostResponseShare;
@@ -349,7 +357,8 @@
         if (job.memoryReserved) {
             usedTokens -= job.tokens;
         }
-        recorder.recordEvent(TrafficRecorder.Event.LEG_OUT, profile.id(), job.rid, job.tag, job.sentTokens);
+        recorder.recordEvent(
+                TrafficRecorder.Event.LEG_OUT, profile.id(), job.rid, job.tag, job.sentTokens);
     }
 
     private void handleAbort(HttpServerRequest request, Buffer body) {
@@ -375,7 +384,8 @@
         State state = states.remove(rid);
         if (state != null) {
             usedTokens -= state.tokens;
-            recorder.recordEvent(TrafficRecorder.Event.STATE_GONE, profile.id(), rid, state.tag, state.tokens);
+            recorder.recordEvent(
+                    TrafficRecorder.Event.STATE_GONE, profile.id(), rid, state.tag, state.tokens);
         }
         return state != null;
     }
@@ -444,7 +454,9 @@
 
     private String delayedMetricsText() {
         int lagSteps = (int) (faults.metricsLagMs / STEP_MS);
-        return metricsHistory.size() > lagSteps && lagSteps > 0 ? metricsHistory.get(metricsHistory.size() - 1 - lagSteps) : metricsText();
+        return metricsHistory.size() > lagSteps && lagSteps > 0
+                ? metricsHistory.get(metricsHistory.size() - 1 - lagSteps)
+                : metricsText();
     }
 
     // ------------------------------------------------------------------ work
@@ -463,7 +475,8 @@
             return;
         }
         boolean stalled = running.size() + reading.size() > faults.stallThreshold;
-        double capacityMs = elapsed * capacityShare() / faults.slowdownFactor / (stalled ? STALL_SLOWDOWN : 1);
+        double capacityMs =
+                elapsed * capacityShare() / faults.slowdownFactor / (stalled ? STALL_SLOWDOWN : 1);
         readPrompts(capacityMs);
         admitWaiting();
         for (Job job : List.copyOf(running)) {
@@ -502,7 +515,8 @@
         if (!faults.discardStates) {
             states.put(job.rid, new State(job.rid, job.tag, job.tokens, now()));
             job.memoryReserved = false;
-            recorder.recordEvent(TrafficRecorder.Event.STATE_HELD, profile.id(), job.rid, job.tag, job.tokens);
+            recorder.recordEvent(
+                    TrafficRecorder.Event.STATE_HELD, profile.id(), job.rid, job.tag, job.tokens);
         }
         if (job.responseLost) {
             return;
@@ -582,7 +596,8 @@
                         MAPPER.createObjectNode()
                                 .put("rid", job.stateParams.path("remote_request_id").asText())
                                 .toString());
-        peerClient.request(to)
+        peerClient
+                .request(to)
                 .compose(request -> request.send(body))
                 .map(answer -> answer.statusCode())
                 .onComplete(
--- a/src/main/java/larchridge/simulation/SimulationRun.java
+++ b/src/main/java/larchridge/simulation/SimulationRun.java
@@ -182,7 +182,9 @@
             return;
         }
         scheduler.schedule(
-                -Math.log(1 - random.nextDouble()) * 1000 / (script.requestsPerSecond() * rateFactor),
+                -Math.log(1 - random.nextDouble())
+                        * 1000
+                        / (script.requestsPerSecond() * rateFactor),
                 () -> {
                     if (scheduler.elapsedMs() < script.durationMs()) {
                         startOperation();
@@ -326,7 +328,9 @@
                             .clientRetry(tryNumber > 0)
                             .clientTimeoutMs(
                                     mix.timeLimitMs()
-                                            + (nonStreaming ? (2 * mix.outputTokens() + 2) * 60 : 0))
+                                            + (nonStreaming
+                                                    ? (2 * mix.outputTokens() + 2) * 60
+                                                    : 0))
                             .idempotencyKey(operation)
                             .build();
             router.submit(request, this, accepted -> inFlight = accepted);
--- a/src/main/java/larchridge/systemtest/BatchApiClient.java
+++ b/src/main/java/larchridge/systemtest/BatchApiClient.java
@@ -122,7 +122,8 @@
     }
 
     void cancel(String id) throws InterruptedException {
-        requestJson(requestTo("batches/" + id + "/cancel").POST(HttpRequest.BodyPublishers.noBody()));
+        requestJson(
+                requestTo("batches/" + id + "/cancel").POST(HttpRequest.BodyPublishers.noBody()));
     }
 
     static boolean isFinished(JsonNode batch) {
@@ -141,14 +142,19 @@
      */
     Map<String, Integer> records(JsonNode batch) throws InterruptedException {
         Map<String, Integer> records = new TreeMap<>();
-        return records(batch, (id, succeeded) -> records.merge(id, 1, Integer::sum)) ? records : null;
+        return records(batch, (id, succeeded) -> records.merge(id, 1, Integer::sum))
+                ? records
+                : null;
     }
 
     /** Reads both result files; returns false if one cannot be read now. */
     boolean records(JsonNode batch, RecordConsumer consumer) throws InterruptedException {
         for (String field : List.of("output_file_id", "error_file_id")) {
             if (batch.path(field).isTextual()) {
-                String text = requestText(requestTo("files/" + batch.path(field).asText() + "/content").GET());
+                String text =
+                        requestText(
+                                requestTo("files/" + batch.path(field).asText() + "/content")
+                                        .GET());
                 if (text == null) {
                     return false;
                 }
--- a/src/main/java/larchridge/systemtest/BenchDayReader.java
+++ b/src/main/java/larchridge/systemtest/BenchDayReader.java
@@ -38,7 +38,8 @@
         return omissions;
     }
 
-    public static BenchDayReader read(Path file, double scale) throws TestScriptReader.InvalidTestScriptException {
+    public static BenchDayReader read(Path file, double scale)
+            throws TestScriptReader.InvalidTestScriptException {
         JsonNode day;
         try {
             day = new ObjectMapper().readTree(Files.readString(file));
@@ -50,7 +51,8 @@
                             + ": "
                             + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new TestScriptReader.InvalidTestScriptException(file + ": can't be read (" + e.getMessage() + ")");
+            throw new TestScriptReader.InvalidTestScriptException(
+                    file + ": can't be read (" + e.getMessage() + ")");
         }
         for (String field : new String[] {"servers", "classes", "fam", "troubles", "length"}) {
             if (day.path(field).isMissingNode()) {
@@ -189,13 +191,21 @@
                             product.path("worth").asDouble(1),
                             product.path("aim").asDouble(1_000_000) / 1000,
                             product.path("deadline").asDouble(5_000_000) / 1000,
-                            (int) Math.max(20, conversation.path("new_tokens").asDouble(TOKENS_PER_TURN)),
+                            (int)
+                                    Math.max(
+                                            20,
+                                            conversation
+                                                    .path("new_tokens")
+                                                    .asDouble(TOKENS_PER_TURN)),
                             (int) conversation.path("prefix_tokens").asDouble(0),
                             Math.max(1, conversation.path("prefixes").asInt(1)),
                             (int)
                                     Math.max(
                                             2,
-                                            Math.min(60, conversation.path("out_tokens").asDouble(24) / 4)),
+                                            Math.min(
+                                                    60,
+                                                    conversation.path("out_tokens").asDouble(24)
+                                                            / 4)),
                             Math.max(1, conversation.path("turns").asDouble(1)),
                             "prose"));
         }
@@ -224,11 +234,16 @@
         switch (kind) {
             case "crash", "zone_loss" ->
                     faults.add(new TestScript.Trouble(atMs, durationMs, "crash", engineIds, 1));
-            case "slow" -> faults.add(new TestScript.Trouble(atMs, durationMs, "slow", engineIds, size));
-            case "answer_lost" -> faults.add(new TestScript.Trouble(atMs, durationMs, "lost", engineIds, size));
-            case "burst" -> faults.add(new TestScript.Trouble(atMs, durationMs, "burst", List.of(), size));
-            case "flush" -> faults.add(new TestScript.Trouble(atMs, durationMs, "flush", engineIds, 1));
-            case "throttle" -> faults.add(new TestScript.Trouble(atMs, durationMs, "full", engineIds, 1));
+            case "slow" ->
+                    faults.add(new TestScript.Trouble(atMs, durationMs, "slow", engineIds, size));
+            case "answer_lost" ->
+                    faults.add(new TestScript.Trouble(atMs, durationMs, "lost", engineIds, size));
+            case "burst" ->
+                    faults.add(new TestScript.Trouble(atMs, durationMs, "burst", List.of(), size));
+            case "flush" ->
+                    faults.add(new TestScript.Trouble(atMs, durationMs, "flush", engineIds, 1));
+            case "throttle" ->
+                    faults.add(new TestScript.Trouble(atMs, durationMs, "full", engineIds, 1));
             case "report_late" ->
                     faults.add(
                             new TestScript.Trouble(
@@ -241,7 +256,8 @@
                 double intervalMs = Math.max(0.5, fault.path("extra").asDouble(1)) * 1000;
                 for (double t = atMs; t < atMs + durationMs; t += intervalMs) {
                     faults.add(
-                            new TestScript.Trouble(t, Math.min(intervalMs / 2, size), "pause", engineIds, 1));
+                            new TestScript.Trouble(
+                                    t, Math.min(intervalMs / 2, size), "pause", engineIds, 1));
                 }
             }
             case "ageing" -> {
--- a/src/main/java/larchridge/systemtest/BillingChecker.java
+++ b/src/main/java/larchridge/systemtest/BillingChecker.java
@@ -79,7 +79,9 @@
     public static List<Row> compare(List<TrafficEvent> log, List<Usage> records) {
         Map<String, Operation> operations = new TreeMap<>();
         List<TrafficEvent> kills =
-                log.stream().filter(event -> event.kind() == TrafficEvent.Kind.FRONT_KILLED).toList();
+                log.stream()
+                        .filter(event -> event.kind() == TrafficEvent.Kind.FRONT_KILLED)
+                        .toList();
         for (TrafficEvent event : log) {
             if (event.tag() == null || event.rid() == null) {
                 continue;
@@ -93,19 +95,22 @@
                 }
                 case FINAL -> {
                     Operation operation = operations.get(event.operation());
-                    operation.receivedTokens = Math.max(operation.receivedTokens, (long) event.amount());
+                    operation.receivedTokens =
+                            Math.max(operation.receivedTokens, (long) event.amount());
                     operation.answeredNearKill |=
                             kills.stream()
                                     .anyMatch(
                                             kill ->
                                                     kill.where() == event.where()
                                                             && kill.ms() >= event.ms()
-                                                            && kill.ms() < event.ms() + RECORD_WRITE_MS);
+                                                            && kill.ms()
+                                                                    < event.ms() + RECORD_WRITE_MS);
                 }
                 case LEFT -> {
                     Operation operation = operations.get(event.operation());
                     operation.disconnected = true;
-                    operation.receivedTokens = Math.max(operation.receivedTokens, (long) event.amount());
+                    operation.receivedTokens =
+                            Math.max(operation.receivedTokens, (long) event.amount());
                 }
                 case LOST -> operations.get(event.operation()).connectionLost = true;
                 default -> {}
@@ -114,7 +119,8 @@
         Map<String, List<Usage>> recordsByBillId = new HashMap<>();
         records.forEach(
                 usage ->
-                        recordsByBillId.computeIfAbsent(usage.billId(), key -> new ArrayList<>())
+                        recordsByBillId
+                                .computeIfAbsent(usage.billId(), key -> new ArrayList<>())
                                 .add(usage));
         Map<String, Row> rows = new TreeMap<>();
         for (Map.Entry<String, Operation> entry : operations.entrySet()) {
@@ -128,7 +134,8 @@
             // A client that tries two routers has a record at each; it pays for the longer answer.
             for (Usage usage :
                     recordsByBillId.getOrDefault(
-                            "key " + Site.sha256(operation.tenant + '\n' + entry.getKey()), List.of())) {
+                            "key " + Site.sha256(operation.tenant + '\n' + entry.getKey()),
+                            List.of())) {
                 recordedTokens = Math.max(recordedTokens, usage.outputTokens());
                 row.billedPromptTokens += usage.promptTokens();
                 row.wastedTokens += usage.wastedTokens();
--- a/src/main/java/larchridge/systemtest/ClientLoad.java
+++ b/src/main/java/larchridge/systemtest/ClientLoad.java
@@ -95,7 +95,10 @@
         if (stopped) {
             return;
         }
-        double gapMs = -Math.log(1 - random.nextDouble()) * 1000 / (script.requestsPerSecond() * rateFactor);
+        double gapMs =
+                -Math.log(1 - random.nextDouble())
+                        * 1000
+                        / (script.requestsPerSecond() * rateFactor);
         vertx.setTimer(
                 Math.max(1, Math.round(gapMs)),
                 timer -> {
@@ -115,9 +118,20 @@
         boolean nonStreaming = random.nextDouble() < script.clients().nonStreamingShare();
         int answerTokens = 1 + (int) (session.product.outputTokens() * (0.5 + random.nextDouble()));
         int promptTokens =
-                session.product.promptTokens() / 2 + random.nextInt(session.product.promptTokens() + 1);
-        String filler = session.product.text().equals("log") ? gaugeReadings(4 * promptTokens) : fillerText(promptTokens);
-        new ClientRequest(session, operationName, 0, userText + filler, nonStreaming, answerTokens, random.nextInt(ports.size()))
+                session.product.promptTokens() / 2
+                        + random.nextInt(session.product.promptTokens() + 1);
+        String filler =
+                session.product.text().equals("log")
+                        ? gaugeReadings(4 * promptTokens)
+                        : fillerText(promptTokens);
+        new ClientRequest(
+                        session,
+                        operationName,
+                        0,
+                        userText + filler,
+                        nonStreaming,
+                        answerTokens,
+                        random.nextInt(ports.size()))
                 .send();
     }
 
@@ -245,11 +259,14 @@
                             .putHeader("x-api-key", session.tenant)
                             .putHeader("idempotency-key", operation)
                             .putHeader(
-                                    "x-stainless-timeout", Double.toString(product.timeLimitMs() / 1000));
+                                    "x-stainless-timeout",
+                                    Double.toString(product.timeLimitMs() / 1000));
             if (tryNumber > 0) {
                 to.putHeader("x-stainless-retry-count", Integer.toString(tryNumber));
             }
-            double timeoutMs = product.timeLimitMs() + (nonStreaming ? (2 * product.outputTokens() + 2) * 60 : 0);
+            double timeoutMs =
+                    product.timeLimitMs()
+                            + (nonStreaming ? (2 * product.outputTokens() + 2) * 60 : 0);
             http.request(to)
                     .onComplete(
                             connected -> {
@@ -267,7 +284,9 @@
                                         Math.min(timeoutMs, product.timeLimitMs()),
                                         product.name());
                                 request.exceptionHandler(e -> connectionLost());
-                                request.response().onSuccess(this::handleResponse).onFailure(e -> connectionLost());
+                                request.response()
+                                        .onSuccess(this::handleResponse)
+                                        .onFailure(e -> connectionLost());
                                 request.end(Buffer.buffer(body.toString()));
                                 if (random.nextDouble() < script.clients().disconnectShare()) {
                                     disconnectTimer =
@@ -321,7 +340,13 @@
                 log.add(TrafficEvent.Kind.MALFORMED, routerIndex, null, tag, 0, checker.fault());
             }
             if (checker.eventsAfterEnd() > 0) {
-                log.add(TrafficEvent.Kind.AFTER_FINAL, routerIndex, null, tag, checker.eventsAfterEnd(), null);
+                log.add(
+                        TrafficEvent.Kind.AFTER_FINAL,
+                        routerIndex,
+                        null,
+                        tag,
+                        checker.eventsAfterEnd(),
+                        null);
             }
             if (checker.isStopped()) {
                 checkText(checker.text(), checker.outputTokens());
@@ -336,7 +361,13 @@
             try {
                 json = MAPPER.readTree(body.getBytes());
             } catch (IOException e) {
-                log.add(TrafficEvent.Kind.MALFORMED, routerIndex, null, tag, 0, "response body is not JSON");
+                log.add(
+                        TrafficEvent.Kind.MALFORMED,
+                        routerIndex,
+                        null,
+                        tag,
+                        0,
+                        "response body is not JSON");
                 connectionLost();
                 return;
             }
@@ -403,8 +434,16 @@
                 return;
             }
             finished = true;
-            log.add(TrafficEvent.Kind.FINAL, routerIndex, session.tenant, tag, receivedTokens(), outcome);
-            if (outcome.equals("streamed") && --session.remainingTurns > 0 && sessions.size() < MAX_SESSIONS) {
+            log.add(
+                    TrafficEvent.Kind.FINAL,
+                    routerIndex,
+                    session.tenant,
+                    tag,
+                    receivedTokens(),
+                    outcome);
+            if (outcome.equals("streamed")
+                    && --session.remainingTurns > 0
+                    && sessions.size() < MAX_SESSIONS) {
                 session.messages.addObject().put("role", "user").put("content", userText);
                 session.messages.addObject().put("role", "assistant").put("content", "w1 w2 ");
                 sessions.add(session);
@@ -421,7 +460,13 @@
         private void disconnect() {
             if (!finished && !disconnected) {
                 disconnected = true;
-                log.add(TrafficEvent.Kind.LEFT, routerIndex, session.tenant, tag, receivedTokens(), null);
+                log.add(
+                        TrafficEvent.Kind.LEFT,
+                        routerIndex,
+                        session.tenant,
+                        tag,
+                        receivedTokens(),
+                        null);
                 request.reset();
                 finish();
             }
@@ -430,7 +475,13 @@
         private void connectionLost() {
             if (!finished && !disconnected) {
                 finished = true;
-                log.add(TrafficEvent.Kind.LOST, routerIndex, session.tenant, tag, receivedTokens(), null);
+                log.add(
+                        TrafficEvent.Kind.LOST,
+                        routerIndex,
+                        session.tenant,
+                        tag,
+                        receivedTokens(),
+                        null);
                 finish();
             }
         }
--- a/src/main/java/larchridge/systemtest/CrashTest.java
+++ b/src/main/java/larchridge/systemtest/CrashTest.java
@@ -129,7 +129,8 @@
                 process.waitFor(10, TimeUnit.MILLISECONDS);
             }
             boolean finished = batch != null && BatchApiClient.isFinished(batch);
-            Map<String, Integer> records = finished && process.isAlive() ? client.records(batch) : null;
+            Map<String, Integer> records =
+                    finished && process.isAlive() ? client.records(batch) : null;
             boolean died = !process.isAlive();
             killService();
             if (died) {
--- a/src/main/java/larchridge/systemtest/LoadGenerator.java
+++ b/src/main/java/larchridge/systemtest/LoadGenerator.java
@@ -103,7 +103,8 @@
         }
         for (int i = 0; i < clients; i++) {
             HttpClient http = httpClients.get(i % loops);
-            vertx.setTimer(1 + (long) (rampUpSeconds * 1000 * i / clients), timer -> sendNext(http));
+            vertx.setTimer(
+                    1 + (long) (rampUpSeconds * 1000 * i / clients), timer -> sendNext(http));
         }
         Thread.sleep((long) (warmupSeconds * 1000));
         atStart.run();
@@ -171,7 +172,13 @@
                                     ((ObjectNode) params)
                                             .put("do_remote_prefill", true)
                                             .put("do_remote_decode", false));
-                            stream(http, ports[1], "/v1/completions", writeBody, startNanos, "\"text\":\"w");
+                            stream(
+                                    http,
+                                    ports[1],
+                                    "/v1/completions",
+                                    writeBody,
+                                    startNanos,
+                                    "\"text\":\"w");
                         });
     }
 
@@ -190,7 +197,12 @@
     }
 
     private void stream(
-            HttpClient http, int port, String path, ObjectNode body, long startNanos, String marker) {
+            HttpClient http,
+            int port,
+            String path,
+            ObjectNode body,
+            long startNanos,
+            String marker) {
         send(http, port, path, body, "w" + startNanos)
                 .onFailure(e -> failed(http))
                 .onSuccess(
@@ -237,7 +249,9 @@
 
     private static int count(String text, String marker) {
         int count = 0;
-        for (int at = text.indexOf(marker); at >= 0; at = text.indexOf(marker, at + marker.length())) {
+        for (int at = text.indexOf(marker);
+                at >= 0;
+                at = text.indexOf(marker, at + marker.length())) {
             count++;
         }
         return count;
--- a/src/main/java/larchridge/systemtest/ResultCounts.java
+++ b/src/main/java/larchridge/systemtest/ResultCounts.java
@@ -60,10 +60,15 @@
             if (event.tag() == null || event.kind().compareTo(TrafficEvent.Kind.ASKED) < 0) {
                 continue;
             }
-            Operation operation = operations.computeIfAbsent(event.operation(), key -> new Operation());
+            Operation operation =
+                    operations.computeIfAbsent(event.operation(), key -> new Operation());
             switch (event.kind()) {
-                case ASKED -> operation.firstRequest = operation.firstRequest == null ? event : operation.firstRequest;
-                case BEGUN -> operation.firstText = operation.firstText == null ? event : operation.firstText;
+                case ASKED ->
+                        operation.firstRequest =
+                                operation.firstRequest == null ? event : operation.firstRequest;
+                case BEGUN ->
+                        operation.firstText =
+                                operation.firstText == null ? event : operation.firstText;
                 case FINAL -> operation.outcome = event.word();
                 case LEFT -> operation.disconnected = true;
                 case LOST -> operation.connectionLost = true;
@@ -121,7 +126,10 @@
             for (int i = 0; i < script.faults().size(); i++) {
                 TestScript.Trouble fault = script.faults().get(i);
                 double requestMs = operation.firstRequest.ms();
-                int part = requestMs < fault.atMs() ? 0 : requestMs < fault.atMs() + fault.forMs() ? 1 : 2;
+                int part =
+                        requestMs < fault.atMs()
+                                ? 0
+                                : requestMs < fault.atMs() + fault.forMs() ? 1 : 2;
                 // The periods before and after are as long as the fault; the rest of the run says
                 // nothing about this fault.
                 boolean withinWindow =
--- a/src/main/java/larchridge/systemtest/RouterProcesses.java
+++ b/src/main/java/larchridge/systemtest/RouterProcesses.java
@@ -29,7 +29,8 @@
      *
      * @param site the site configuration of one router, without its listen block
      */
-    RouterProcesses(Path folder, String site, int routerCount) throws IOException, InterruptedException {
+    RouterProcesses(Path folder, String site, int routerCount)
+            throws IOException, InterruptedException {
         this.folder = folder;
         for (int i = 0; i < routerCount; i++) {
             int port = findFreePort();
--- a/src/main/java/larchridge/systemtest/RuleChecker.java
+++ b/src/main/java/larchridge/systemtest/RuleChecker.java
@@ -57,7 +57,8 @@
     }
 
     /** Rule 1: each try gets exactly one final answer in time, and no data after it. */
-    static void checkFinalAnswers(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
+    static void checkFinalAnswers(
+            List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<String, List<TrafficEvent>> byTag = clientEventsByTag(log);
         List<TrafficEvent> kills =
                 log.stream().filter(s -> s.kind() == TrafficEvent.Kind.FRONT_KILLED).toList();
@@ -79,15 +80,20 @@
                                 .noneMatch(
                                         k ->
                                                 k.where() == event.where()
-                                                        && k.ms() >= lostRequest.ms() - limits.slackMs
+                                                        && k.ms()
+                                                                >= lostRequest.ms() - limits.slackMs
                                                         && k.ms() <= event.ms() + limits.slackMs)) {
                             violations.add(
-                                    new Violation(1, entry.getKey(), "connection closed without a final answer"));
+                                    new Violation(
+                                            1,
+                                            entry.getKey(),
+                                            "connection closed without a final answer"));
                         }
                     }
                     case AFTER_FINAL ->
                             violations.add(
-                                    new Violation(1, entry.getKey(), "data after the final answer"));
+                                    new Violation(
+                                            1, entry.getKey(), "data after the final answer"));
                     case MALFORMED ->
                             violations.add(
                                     new Violation(
@@ -98,9 +104,7 @@
                         if (request == null) {
                             violations.add(
                                     new Violation(
-                                            1,
-                                            entry.getKey(),
-                                            "a final answer without a request"));
+                                            1, entry.getKey(), "a final answer without a request"));
                             break;
                         }
                         if (finalAnswer != null) {
@@ -116,7 +120,10 @@
                         finalAnswer = event;
                         if (started != null && event.word().equals("throttled")) {
                             violations.add(
-                                    new Violation(1, entry.getKey(), "throttled after the response had started"));
+                                    new Violation(
+                                            1,
+                                            entry.getKey(),
+                                            "throttled after the response had started"));
                         }
                         if (started == null
                                 && event.ms() > request.ms() + request.amount() + limits.slackMs) {
@@ -127,7 +134,9 @@
                                             event.word()
                                                     + " "
                                                     + Math.round(
-                                                            event.ms() - request.ms() - request.amount())
+                                                            event.ms()
+                                                                    - request.ms()
+                                                                    - request.amount())
                                                     + " ms too late"));
                         }
                     }
@@ -148,15 +157,19 @@
      * Rule 2: no side effect happens twice, and no client is told that it may retry where a repeat
      * is not harmless.
      */
-    static void checkSideEffects(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
+    static void checkSideEffects(
+            List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<String, TrafficClass> productsByTag = new HashMap<>();
         Map<String, List<TrafficEvent>> runsByOperation = new TreeMap<>();
         for (TrafficEvent event : log) {
             if (event.kind() == TrafficEvent.Kind.ASKED) {
                 productsByTag.put(event.tag(), limits.products.get(event.word()));
             } else if (event.kind() == TrafficEvent.Kind.RAN && event.tag() != null) {
-                runsByOperation.computeIfAbsent(event.operation(), key -> new ArrayList<>()).add(event);
-            } else if (event.kind() == TrafficEvent.Kind.FINAL && event.word().equals("throttled")) {
+                runsByOperation
+                        .computeIfAbsent(event.operation(), key -> new ArrayList<>())
+                        .add(event);
+            } else if (event.kind() == TrafficEvent.Kind.FINAL
+                    && event.word().equals("throttled")) {
                 TrafficClass product = productsByTag.get(event.tag());
                 boolean ran =
                         runsByOperation.getOrDefault(event.operation(), List.of()).stream()
@@ -175,7 +188,8 @@
             }
             for (int i = 1; i < runs.size(); i++) {
                 if (product.effect == Effect.SIDE_EFFECTING) {
-                    violations.add(new Violation(2, entry.getKey(), "ran " + runs.size() + " times"));
+                    violations.add(
+                            new Violation(2, entry.getKey(), "ran " + runs.size() + " times"));
                     break;
                 }
                 EngineProfile first = limits.profiles.get(runs.get(0).where());
@@ -223,14 +237,17 @@
             } else if (isAttempt(event)
                     && unavailableSince.containsKey(event.where())
                     && event.ms()
-                            > unavailableSince.get(event.where()) + limits.drainGraceMs + limits.slackMs) {
+                            > unavailableSince.get(event.where())
+                                    + limits.drainGraceMs
+                                    + limits.slackMs) {
                 violations.add(
                         new Violation(
                                 3,
                                 "engine " + event.where(),
                                 event.rid()
                                         + " arrived "
-                                        + Math.round(event.ms() - unavailableSince.get(event.where()))
+                                        + Math.round(
+                                                event.ms() - unavailableSince.get(event.where()))
                                         + " ms after the list showed the engine as draining or gone"));
             }
         }
@@ -276,14 +293,20 @@
             while (window.peek() < event.ms() - limits.coldStartWindowMs) {
                 window.poll();
             }
-            double capacityShare = profile.coldShare() + (1 - profile.coldShare()) * ageMs / profile.coldMs();
+            double capacityShare =
+                    profile.coldShare() + (1 - profile.coldShare()) * ageMs / profile.coldMs();
             // A reader's capacity is in tokens; a writer's is in streams, each assumed to take as
             // long as 30 tokens.
             double attemptsPerMs =
                     profile.role() == Role.READER
                             ? profile.readTokensPerMs() / Math.max(1, meanRead)
                             : profile.maxConcurrentStreams() / (30 * profile.tokenMs());
-            double budget = limits.coldStartMultiple * capacityShare * attemptsPerMs * limits.coldStartWindowMs + 2;
+            double budget =
+                    limits.coldStartMultiple
+                                    * capacityShare
+                                    * attemptsPerMs
+                                    * limits.coldStartWindowMs
+                            + 2;
             if (window.size() > budget && reported.add(event.where())) {
                 violations.add(
                         new Violation(
@@ -304,7 +327,8 @@
      * Rule 5: a read state is held no longer than the limit while none of its generation's attempts
      * is active.
      */
-    static void checkStateRelease(List<TrafficEvent> log, Limits limits, List<Violation> violations) {
+    static void checkStateRelease(
+            List<TrafficEvent> log, Limits limits, List<Violation> violations) {
         Map<String, Integer> activeAttempts = new HashMap<>();
         Map<String, Double> idleSince = new HashMap<>();
         Map<String, List<TrafficEvent>> heldStates = new HashMap<>();
@@ -316,7 +340,14 @@
             }
             switch (event.kind()) {
                 case READ_IN, WRITE_IN -> {
-                    checkIdleStates(event.tag(), event.ms(), heldStates, activeAttempts, idleSince, limits, violations);
+                    checkIdleStates(
+                            event.tag(),
+                            event.ms(),
+                            heldStates,
+                            activeAttempts,
+                            idleSince,
+                            limits,
+                            violations);
                     activeAttempts.merge(event.tag(), 1, Integer::sum);
                 }
                 case LEG_OUT -> {
@@ -329,7 +360,14 @@
                     idleSince.merge(event.tag(), event.ms(), Math::max);
                 }
                 case STATE_GONE -> {
-                    checkIdleStates(event.tag(), event.ms(), heldStates, activeAttempts, idleSince, limits, violations);
+                    checkIdleStates(
+                            event.tag(),
+                            event.ms(),
+                            heldStates,
+                            activeAttempts,
+                            idleSince,
+                            limits,
+                            violations);
                     List<TrafficEvent> states = heldStates.get(event.tag());
                     if (states != null) {
                         states.removeIf(
--- a/src/main/java/larchridge/systemtest/SimulatedFleet.java
+++ b/src/main/java/larchridge/systemtest/SimulatedFleet.java
@@ -139,7 +139,11 @@
         }
         Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
         Files.writeString(temporaryFile, text);
-        Files.move(temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(
+                temporaryFile,
+                file,
+                StandardCopyOption.REPLACE_EXISTING,
+                StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
--- a/src/main/java/larchridge/systemtest/SoakTest.java
+++ b/src/main/java/larchridge/systemtest/SoakTest.java
@@ -61,7 +61,13 @@
     private long sentRequests;
     private long startNanos;
 
-    public SoakTest(int port, int adminPort, double requestsPerSecond, double seconds, long seed, Path folder) {
+    public SoakTest(
+            int port,
+            int adminPort,
+            double requestsPerSecond,
+            double seconds,
+            long seed,
+            Path folder) {
         this.port = port;
         this.adminPort = adminPort;
         this.requestsPerSecond = requestsPerSecond;
@@ -110,7 +116,9 @@
             return;
         }
         vertx.setTimer(
-                Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond)),
+                Math.max(
+                        1,
+                        Math.round(-Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond)),
                 timer -> {
                     if (elapsedSeconds() < seconds) {
                         sendRandom();
@@ -147,11 +155,15 @@
                 .put("role", "user")
                 .put(
                         "content",
-                        (shared || requestDraw < 0.9 ? prose(length) : readings(length)) + "[out:10]");
+                        (shared || requestDraw < 0.9 ? prose(length) : readings(length))
+                                + "[out:10]");
         if (countsTokens) {
             body.remove(List.of("stream", "max_tokens"));
         }
-        send(countsTokens ? "/v1/messages/count_tokens" : "/v1/messages", body, shared && !countsTokens);
+        send(
+                countsTokens ? "/v1/messages/count_tokens" : "/v1/messages",
+                body,
+                shared && !countsTokens);
     }
 
     private void send(String path, ObjectNode body, boolean timed) {
--- a/src/main/java/larchridge/systemtest/SystemTest.java
+++ b/src/main/java/larchridge/systemtest/SystemTest.java
@@ -148,7 +148,11 @@
             if (script.encoding() != null) {
                 Vocabulary vocabulary = VocabularyReader.forEncoding("v", script.encoding());
                 profiles.keySet()
-                        .forEach(id -> fleet.runOn(id, engine -> engine.tokenCounter = vocabulary::count));
+                        .forEach(
+                                id ->
+                                        fleet.runOn(
+                                                id,
+                                                engine -> engine.tokenCounter = vocabulary::count));
             }
             if (script.processes()) {
                 processes = new RouterProcesses(folder, siteText(script), script.routers());
@@ -363,7 +367,13 @@
                             60));
         }
         return new RuleChecker.Limits(
-                DRAIN_GRACE_MS, RELEASE_MS, COLD_START_MULTIPLE, COLD_START_WINDOW_MS, SLACK_MS, products, profiles);
+                DRAIN_GRACE_MS,
+                RELEASE_MS,
+                COLD_START_MULTIPLE,
+                COLD_START_WINDOW_MS,
+                SLACK_MS,
+                products,
+                profiles);
     }
 
     // ------------------------------------------------------------------ faults
@@ -403,7 +413,8 @@
                         (long) fault.forMs(),
                         timer -> {
                             for (long id : fault.engines()) {
-                                fleet.setListEntry(id, "ready", true, fleet.listEntry(id).startMs());
+                                fleet.setListEntry(
+                                        id, "ready", true, fleet.listEntry(id).startMs());
                             }
                             recordListed(fault.engines(), "ready");
                             writeEngineList(null);
@@ -430,7 +441,8 @@
                                                 System.currentTimeMillis() + fault.forMs();
                                 case "slow" -> engine.faults.slowdownFactor = fault.size();
                                 case "stall" -> engine.faults.stallThreshold = (int) fault.size();
-                                case "lost" -> engine.faults.lostResponseShare = Math.min(1, fault.size());
+                                case "lost" ->
+                                        engine.faults.lostResponseShare = Math.min(1, fault.size());
                                 case "full" -> engine.faults.rejectAll = true;
                                 case "faulty" -> engine.faults.failAll = true;
                                 case "broken" ->
--- a/src/main/java/larchridge/systemtest/TestScript.java
+++ b/src/main/java/larchridge/systemtest/TestScript.java
@@ -27,9 +27,7 @@
         @JsonProperty("clients") ClientBehavior clients,
         @JsonProperty("troubles") List<Trouble> faults) {
 
-    /**
-     * A number of engines of one role, spread over the zones and in each zone over its racks.
-     */
+    /** A number of engines of one role, spread over the zones and in each zone over its racks. */
     public record EngineGroup(
             @JsonProperty("role") String role,
             @JsonProperty("count") int count,
@@ -99,7 +97,12 @@
                                 group ->
                                         new EngineGroup(
                                                 group.role,
-                                                (int) Math.max(1, Math.round(group.count * engineFactor)),
+                                                (int)
+                                                        Math.max(
+                                                                1,
+                                                                Math.round(
+                                                                        group.count
+                                                                                * engineFactor)),
                                                 group.zones,
                                                 group.racks,
                                                 group.speed))
--- a/src/main/java/larchridge/systemtest/TestScriptReader.java
+++ b/src/main/java/larchridge/systemtest/TestScriptReader.java
@@ -62,12 +62,14 @@
             script = MAPPER.readValue(text, TestScript.class);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new InvalidTestScriptException(file + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
+            throw new InvalidTestScriptException(
+                    file + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
         }
         return withDefaults(file, script);
     }
 
-    private static TestScript withDefaults(String file, TestScript raw) throws InvalidTestScriptException {
+    private static TestScript withDefaults(String file, TestScript raw)
+            throws InvalidTestScriptException {
         if (raw.engines() == null || raw.engines().isEmpty()) {
             throw new InvalidTestScriptException(file + ": engines: missing");
         }
@@ -92,7 +94,9 @@
                             product.name(),
                             orDefault(product.share(), 1),
                             product.effect() == null ? "IDEMPOTENT" : product.effect(),
-                            product.deduplicationScope() == null ? "ALL" : product.deduplicationScope(),
+                            product.deduplicationScope() == null
+                                    ? "ALL"
+                                    : product.deduplicationScope(),
                             orDefault(product.deduplicationWindowMs(), 60_000),
                             orDefault(product.revenue(), 1),
                             orDefault(product.sloMs(), 600),
@@ -177,7 +181,9 @@
                             (int) orDefault(batch.outputTokens(), 12)));
         }
         TestScript.ClientBehavior clients =
-                raw.clients() == null ? new TestScript.ClientBehavior(0, 100, 0, 0, 0) : raw.clients();
+                raw.clients() == null
+                        ? new TestScript.ClientBehavior(0, 100, 0, 0, 0)
+                        : raw.clients();
         return new TestScript(
                 raw.seed(),
                 Math.max(1, raw.routers()),
--- a/src/test/java/larchridge/systemtest/FaultyRouter.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouter.java
@@ -25,9 +25,7 @@
 import larchridge.site.Site;
 import larchridge.state.Role;
 
-/**
- * A router with one fault, which the checkers must detect from the traffic on the sockets.
- */
+/** A router with one fault, which the checkers must detect from the traffic on the sockets. */
 final class FaultyRouter implements SystemTest.Routers {
     /** The fault; NOTHING checks that a correct router passes. */
     enum Fault {
@@ -69,7 +67,10 @@
         }
         server =
                 vertx.createHttpServer()
-                        .requestHandler(request -> request.body().onSuccess(body -> handleRequest(request, body)));
+                        .requestHandler(
+                                request ->
+                                        request.body()
+                                                .onSuccess(body -> handleRequest(request, body)));
         try {
             server.listen(0, "127.0.0.1")
                     .toCompletionStage()
--- a/src/test/java/larchridge/systemtest/FaultyRouterTest.java
+++ b/src/test/java/larchridge/systemtest/FaultyRouterTest.java
@@ -27,7 +27,8 @@
 
     private static String violatedRules(FaultyRouter.Fault fault, String effect) throws Exception {
         TestScript script = TestScriptReader.read("script", SCRIPT.formatted(effect));
-        SystemTest.Result result = SystemTest.runScript(script, site -> new FaultyRouter(site, fault));
+        SystemTest.Result result =
+                SystemTest.runScript(script, site -> new FaultyRouter(site, fault));
         return result.violations().stream()
                 .map(violation -> Integer.toString(violation.rule()))
                 .distinct()
@@ -71,7 +72,8 @@
                   - {at_ms: 300, for_ms: 300, kind: crash, engines: [1]}
                 """);
         SystemTest.Result result =
-                SystemTest.runScript(script, site -> new FaultyRouter(site, FaultyRouter.Fault.NOTHING));
+                SystemTest.runScript(
+                        script, site -> new FaultyRouter(site, FaultyRouter.Fault.NOTHING));
         assertTrue(
                 result.violations().stream().anyMatch(violation -> violation.rule() == 4),
                 result.violations().toString());
--- a/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
+++ b/src/test/java/larchridge/systemtest/SystemTestRulesTest.java
@@ -84,7 +84,10 @@
                                 + "  - {name: storm, share: 20, tokens_per_second: 6000, burst_tokens: 12000}",
                         210);
         System.out.println(
-                "service of the quiet tenant: alone " + alone + ", with overload by another " + withStorm);
+                "service of the quiet tenant: alone "
+                        + alone
+                        + ", with overload by another "
+                        + withStorm);
         assertTrue(withStorm >= alone - 0.1, alone + " and " + withStorm);
     }
 
