--- a/src/main/java/larchridge/simulatedengine/EngineProfile.java
+++ b/src/main/java/larchridge/simulatedengine/EngineProfile.java
@@ -3,7 +3,8 @@
 import larchridge.state.Role;
 
 /**
- * The capacity and speed of a simulated engine.
+ * The capacity and speed of a simulated engine. The figures are invented for system tests; they
+ * describe no real hardware.
  *
  * @param readTokensPerMs prompt tokens read per millisecond when warm
  * @param maxConcurrentReads number of prompts read concurrently
