--- a/src/main/java/larchridge/batch/BatchInputValidator.java
+++ b/src/main/java/larchridge/batch/BatchInputValidator.java
@@ -23,7 +23,7 @@
  */
 final class BatchInputValidator {
     private static final int MAX_FAULTS = 100;
-    private static final int MAX_CUSTOM_ID_CHARS = 512;
+    private static final int MAX_ID_CHARS = 512;
 
     /** The number of lines, and the faults found in them. */
     record Result(long lineCount, List<InputError> faults) {}
@@ -84,17 +84,14 @@
                                 null,
                                 "more than " + settings.maxLines + " lines");
                     }
-                    LineRequest request = parseLine(line.bytes(), batch.getEndpoint());
-                    long firstIndex =
-                            store.recordCustomId(batch.getId(), request.customId, line.index());
-                    if (firstIndex >= 0) {
+                    LineRequest parsed = parseLine(line.bytes(), batch.getEndpoint());
+                    long first = store.recordCustomId(batch.getId(), parsed.customId, line.index());
+                    if (first >= 0) {
                         throw new InvalidLineException(
                                 "duplicate_custom_id",
                                 "custom_id",
-                                "'"
-                                        + request.customId
-                                        + "' is also the custom_id of line "
-                                        + (firstIndex + 1));
+                                ("'" + parsed.customId + "' is also the custom_id of line ")
+                                        + (first + 1));
                     }
                 } catch (InvalidLineException e) {
                     faults.add(fault(e.code, line.index() + 1, e.field, e.getMessage()));
@@ -131,9 +128,7 @@
             throw new InvalidLineException(
                     "invalid_json_line",
                     null,
-                    "not valid JSON at column "
-                            + column
-                            + ": "
+                    ("not valid JSON at column " + column + ": ")
                             + e.getOriginalMessage().split("\n")[0]);
         } catch (IOException e) {
             throw new InvalidLineException("invalid_json_line", null, "can't be read");
@@ -142,11 +137,9 @@
             throw new InvalidLineException("invalid_json_line", null, "expected a JSON object");
         }
         String customId = requiredText(json, "custom_id");
-        if (customId.length() > MAX_CUSTOM_ID_CHARS) {
+        if (customId.length() > MAX_ID_CHARS) {
             throw new InvalidLineException(
-                    "invalid_custom_id",
-                    "custom_id",
-                    "over " + MAX_CUSTOM_ID_CHARS + " characters");
+                    "invalid_custom_id", "custom_id", "over " + MAX_ID_CHARS + " characters");
         }
         if (!requiredText(json, "method").equals("POST")) {
             throw new InvalidLineException("invalid_method", "method", "expected POST");
--- a/src/main/java/larchridge/batch/BatchService.java
+++ b/src/main/java/larchridge/batch/BatchService.java
@@ -89,19 +89,16 @@
             Site site,
             List<Router> routers,
             CountingResources tokenCounters,
-            MeterRegistry registry,
+            MeterRegistry meters,
             CrashPoints crashPoints)
             throws IOException {
         BatchService service = new BatchService(site, routers, tokenCounters, crashPoints);
-        service.registerGauge(registry, "larchridge_batch_lines_out", Batches.Stats::openLines);
-        service.registerGauge(registry, "larchridge_batch_limit", Batches.Stats::lineLimit);
+        service.registerGauge(meters, "larchridge_batch_lines_out", Batches.Stats::openLines);
+        service.registerGauge(meters, "larchridge_batch_limit", Batches.Stats::lineLimit);
         service.registerGauge(
-                registry,
-                "larchridge_batch_falls_a_minute",
-                Batches.Stats::limitDecreasesPerMinute);
-        service.registerGauge(registry, "larchridge_batches_active", Batches.Stats::activeCount);
-        service.registerGauge(
-                registry, "larchridge_batches_finished", Batches.Stats::finishedCount);
+                meters, "larchridge_batch_falls_a_minute", Batches.Stats::limitDecreasesPerMinute);
+        service.registerGauge(meters, "larchridge_batches_active", Batches.Stats::activeCount);
+        service.registerGauge(meters, "larchridge_batches_finished", Batches.Stats::finishedCount);
         try {
             service.loop
                     .call(
@@ -134,14 +131,14 @@
     }
 
     private void registerGauge(
-            MeterRegistry registry, String name, ToDoubleFunction<Batches.Stats> value) {
+            MeterRegistry meters, String name, ToDoubleFunction<Batches.Stats> value) {
         Gauge.builder(
                         name,
                         () -> {
                             Batches current = batches;
                             return current == null ? 0 : value.applyAsDouble(current.stats());
                         })
-                .register(registry);
+                .register(meters);
     }
 
     private void acquireStore() {
--- a/src/main/java/larchridge/ledger/Ledger.java
+++ b/src/main/java/larchridge/ledger/Ledger.java
@@ -1,7 +1,8 @@
 package larchridge.ledger;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import com.google.protobuf.InvalidProtocolBufferException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.time.YearMonth;
 import java.util.ArrayList;
@@ -68,10 +69,7 @@
         }
     }
 
-    /**
-     * Opens a ledger for writing. Only one process can have it open for writing; the call fails in
-     * any other.
-     */
+    /** Opens a ledger for writing. Only one process can at a time; the call fails in any other. */
     public static Ledger open(Path folder, int maxQueuedRecords) throws LedgerException {
         try {
             return new Ledger(folder, maxQueuedRecords, true);
@@ -81,10 +79,7 @@
         }
     }
 
-    /**
-     * Opens a ledger for reading, also while another process writes to it; reads return its state
-     * at the time of opening.
-     */
+    /** Opens for reading, also while another process writes; reads return the state at opening. */
     public static Ledger openReadOnly(Path folder) throws LedgerException {
         try {
             return new Ledger(folder, 2, false);
@@ -102,9 +97,8 @@
     }
 
     /**
-     * Queues a record without blocking; returns false if the queue is full. {@code onDisk}, which
-     * may be null, runs on the writer thread once the record is on disk, and never if the record
-     * was not queued.
+     * Queues a record without blocking; returns false if the queue is full. Unless null, {@code
+     * onDisk} runs on the writer thread once the record is on disk, and never if it wasn't queued.
      */
     public boolean offer(Usage usage, Runnable onDisk) {
         return queue.offer(new PendingRecord(usage, onDisk));
@@ -194,42 +188,37 @@
         try (WriteBatch writeBatch = new WriteBatch();
                 WriteOptions syncedWrite = new WriteOptions().setSync(true)) {
             Map<String, Usage> usages = new HashMap<>();
-            Map<String, UsageTotal> totals = new TreeMap<>();
+            Map<String, UsageTotal> sums = new TreeMap<>();
             for (PendingRecord entry : batch) {
                 Usage usage = entry.usage;
-                Usage previous =
+                Usage old =
                         usages.containsKey(usage.billId())
                                 ? usages.get(usage.billId())
                                 : readUsage(usage.billId());
-                // Guards against: billing twice for a record that was queued twice, or for a retry
-                // by the client.
+                // Guards against: billing twice for a record queued twice, or for a client's retry.
                 Usage merged =
-                        previous == null
-                                ? usage
-                                : previous.equals(usage) ? previous : Usage.merge(previous, usage);
-                if (previous != null) {
-                    String key = totalKey(previous);
-                    totals.put(
+                        old == null ? usage : old.equals(usage) ? old : Usage.merge(old, usage);
+                if (old != null) {
+                    String key = totalKey(old);
+                    sums.put(
                             key,
-                            (totals.containsKey(key) ? totals.get(key) : readTotal(key))
-                                    .minus(previous));
+                            (sums.containsKey(key) ? sums.get(key) : readTotal(key)).minus(old));
                 }
                 String key = totalKey(merged);
-                totals.put(
-                        key,
-                        (totals.containsKey(key) ? totals.get(key) : readTotal(key)).plus(merged));
+                sums.put(
+                        key, (sums.containsKey(key) ? sums.get(key) : readTotal(key)).plus(merged));
                 usages.put(usage.billId(), merged);
             }
             for (Map.Entry<String, Usage> entry : usages.entrySet()) {
                 writeBatch.put(
                         database.usagesFamily(),
-                        entry.getKey().getBytes(StandardCharsets.UTF_8),
+                        entry.getKey().getBytes(UTF_8),
                         entry.getValue().toBytes());
             }
-            for (Map.Entry<String, UsageTotal> entry : totals.entrySet()) {
+            for (Map.Entry<String, UsageTotal> entry : sums.entrySet()) {
                 writeBatch.put(
                         database.totalsFamily(),
-                        entry.getKey().getBytes(StandardCharsets.UTF_8),
+                        entry.getKey().getBytes(UTF_8),
                         entry.getValue().toBytes());
             }
             database.rocksDb().write(syncedWrite, writeBatch);
@@ -253,7 +242,7 @@
         byte[] bytes =
                 requireDatabase()
                         .rocksDb()
-                        .get(requireDatabase().usagesFamily(), id.getBytes(StandardCharsets.UTF_8));
+                        .get(requireDatabase().usagesFamily(), id.getBytes(UTF_8));
         return bytes == null ? null : Usage.fromProto(id, UsageRecord.parseFrom(bytes));
     }
 
@@ -262,9 +251,7 @@
         byte[] bytes =
                 requireDatabase()
                         .rocksDb()
-                        .get(
-                                requireDatabase().totalsFamily(),
-                                key.getBytes(StandardCharsets.UTF_8));
+                        .get(requireDatabase().totalsFamily(), key.getBytes(UTF_8));
         return bytes == null
                 ? UsageTotal.ZERO
                 : UsageTotal.fromProto(UsageTotalRecord.parseFrom(bytes));
@@ -283,13 +270,11 @@
         try {
             forEachEntry(
                     LedgerDatabase::totalsFamily,
-                    (key, value) -> {
+                    (key, raw) -> {
                         String[] parts = key.split("\n", 3);
-                        YearMonth entryMonth = YearMonth.parse(parts[0]);
-                        if (month == null || month.equals(entryMonth)) {
-                            totals.put(
-                                    new TotalKey(entryMonth, parts[1], parts[2]),
-                                    parseTotal(value));
+                        YearMonth keyMonth = YearMonth.parse(parts[0]);
+                        if (month == null || month.equals(keyMonth)) {
+                            totals.put(new TotalKey(keyMonth, parts[1], parts[2]), parseTotal(raw));
                         }
                     });
         } catch (IllegalStateException e) {
@@ -298,21 +283,17 @@
         return totals;
     }
 
-    /** Passes every record to {@code consumer}, in the order of the bill ids. */
-    public void forEachRecord(java.util.function.Consumer<Usage> consumer) throws LedgerException {
+    /** Passes every record to {@code reader}, in the order of the bill ids. */
+    public void forEachRecord(java.util.function.Consumer<Usage> reader) throws LedgerException {
         try {
             forEachEntry(
-                    LedgerDatabase::usagesFamily,
-                    (key, value) -> consumer.accept(parseUsage(key, value)));
+                    LedgerDatabase::usagesFamily, (id, raw) -> reader.accept(parseUsage(id, raw)));
         } catch (IllegalStateException e) {
             throw new LedgerException(e.getMessage(), e);
         }
     }
 
-    /**
-     * Recomputes the totals from the records and compares them with the stored totals. Returns a
-     * message per difference, none if the ledger is consistent.
-     */
+    /** Returns a message per difference of the stored totals from the records' sums, or none. */
     public List<String> verify() throws LedgerException {
         Map<String, UsageTotal> expected = new TreeMap<>();
         forEachRecord(
@@ -363,8 +344,7 @@
             try (RocksIterator iterator =
                     requireDatabase().rocksDb().newIterator(family.apply(requireDatabase()))) {
                 for (iterator.seekToFirst(); iterator.isValid(); iterator.next()) {
-                    consumer.accept(
-                            new String(iterator.key(), StandardCharsets.UTF_8), iterator.value());
+                    consumer.accept(new String(iterator.key(), UTF_8), iterator.value());
                 }
                 iterator.status();
             } catch (RocksDBException e) {
--- a/src/test/java/larchridge/batch/BatchesTest.java
+++ b/src/test/java/larchridge/batch/BatchesTest.java
@@ -72,15 +72,10 @@
     void invalidLinesFailTheBatchBeforeAnyLineRuns() throws Exception {
         String good = BatchFixture.line("a", "free", "ok");
         String text =
-                "\uFEFF"
-                        + good
-                        + "\r\n\n{\"custom_id\": \n"
-                        + good
-                        + "\n"
-                        + "x".repeat(5000)
-                        + "\n"
-                        + good.replace("\"a\"", "\"b\"").replace("POST", "GET")
-                        + "\n"
+                ("\uFEFF" + good + "\r\n\n{\"custom_id\": \n")
+                        + (good + "\n")
+                        + ("x".repeat(5000) + "\n")
+                        + (good.replace("\"a\"", "\"b\"").replace("POST", "GET") + "\n")
                         + good.replace("\"a\"", "\"d\"").replace("/v1/messages\"", "/v1/other\"");
         try (BatchFixture fixture = new BatchFixture()) {
             BatchRecord batch = fixture.createBatch(fixture.upload(text), HOUR);
