--- a/src/main/java/larchridge/cli/BenchlinkCommand.java
+++ b/src/main/java/larchridge/cli/BenchlinkCommand.java
@@ -8,11 +8,13 @@
 import larchridge.benchlink.InvalidMessageException;
 import picocli.CommandLine.Command;
 
-/** Decides for the fronts of a bench. */
+/** Makes the routing decisions for the routers of a bench. */
 @Command(
         name = "benchlink",
         mixinStandardHelpOptions = true,
-        description = "Decide for the fronts of a bench, over standard input and output.")
+        description =
+                "Make the routing decisions for the routers of a bench, over standard input and "
+                        + "output.")
 final class BenchlinkCommand implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -27,7 +29,7 @@
             System.err.println("larchridge: " + e.getMessage());
             return 1;
         } catch (IOException e) {
-            System.err.println("larchridge: the wire broke: " + e.getMessage());
+            System.err.println("larchridge: connection to the bench failed: " + e.getMessage());
             return 1;
         }
     }
--- a/src/main/java/larchridge/cli/BillCommand.java
+++ b/src/main/java/larchridge/cli/BillCommand.java
@@ -20,12 +20,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Prints what tenants used and owe. */
+/** Prints the usage and cost of tenants. */
 @Command(
         name = "bill",
         mixinStandardHelpOptions = true,
         description =
-                "Print what tenants used in a month and what it costs, by product. Wasted tokens are not billed.")
+                "Print the usage of tenants in a month and its cost, by product. Wasted tokens are "
+                        + "not billed.")
 final class BillCommand implements Callable<Integer> {
     private enum Format {
         TABLE,
@@ -43,7 +44,7 @@
     @Option(names = "--tenant", description = "one tenant only")
     private String tenant;
 
-    @Option(names = "--month", description = "like 2026-12; this month if absent")
+    @Option(names = "--month", description = "month such as 2026-12 (default: the current month)")
     private String month;
 
     @Option(names = "--format", defaultValue = "TABLE", description = "${COMPLETION-CANDIDATES}")
@@ -55,7 +56,8 @@
         try {
             billedMonth = month == null ? YearMonth.now(ZoneOffset.UTC) : YearMonth.parse(month);
         } catch (DateTimeParseException e) {
-            System.err.println("--month: '" + month + "' is no month like 2026-12");
+            System.err.println(
+                    "--month: '" + month + "' is not a month; expected a value such as 2026-12");
             return 2;
         }
         try {
--- a/src/main/java/larchridge/cli/CheckCommand.java
+++ b/src/main/java/larchridge/cli/CheckCommand.java
@@ -15,7 +15,7 @@
         name = "check",
         mixinStandardHelpOptions = true,
         description =
-                "Check a site file and its engine list; each fault names file, line and field.")
+                "Check a site file and its engine list; each error names file, line and field.")
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "site file")
     private Path file;
@@ -27,9 +27,9 @@
             int engines = new EngineListWatcher(site.engineListFile, null).readInitial().size();
             System.out.println(
                     file
-                            + ": good; "
+                            + ": valid; "
                             + site.routers
-                            + " fronts, "
+                            + " routers, "
                             + site.offeringsByModel.size()
                             + " models, "
                             + engines
--- a/src/main/java/larchridge/cli/CrashTestCommand.java
+++ b/src/main/java/larchridge/cli/CrashTestCommand.java
@@ -6,13 +6,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Kills a service that works on batches. */
+/** Repeatedly kills a service that processes batches. */
 @Command(
         name = "kills",
         mixinStandardHelpOptions = true,
         description =
-                "Work on batches with a service that is killed outright again and again; every line must have one "
-                        + "record in the end, the store must verify after each death. Exit code 3: something was lost or doubled.")
+                "Process batches with a service that is killed repeatedly. In the end every line "
+                        + "must have exactly one record, and the store must verify after each "
+                        + "kill. Exit code 3: a record was lost or duplicated.")
 final class CrashTestCommand implements Callable<Integer> {
     @Option(names = "--batches", defaultValue = "5", description = "default: ${DEFAULT-VALUE}")
     private int batches;
@@ -20,7 +21,7 @@
     @Option(
             names = "--kills",
             defaultValue = "5",
-            description = "of each batch, at most (default: ${DEFAULT-VALUE})")
+            description = "maximum number of kills per batch (default: ${DEFAULT-VALUE})")
     private int kills;
 
     @Option(names = "--seed", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
@@ -37,7 +38,7 @@
                         + result.kills()
                         + " kills, "
                         + result.atWrites()
-                        + " of them at a write, "
+                        + " of them at a store write, "
                         + result.ranTwice()
                         + " repeatable lines ran more than once, "
                         + result.faults().size()
--- a/src/main/java/larchridge/cli/DemoCommand.java
+++ b/src/main/java/larchridge/cli/DemoCommand.java
@@ -13,12 +13,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A front and six stand-ins in one process, to be tried by hand. */
+/** Runs a router and six simulated engines in one process, for trying out the API. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Serve the messages API on loopback over six stand-in engines in this process.")
+                "Serve the messages API on loopback with six simulated engines in this process.")
 final class DemoCommand implements Callable<Integer> {
     @Option(names = "--port", defaultValue = "8080", description = "default: ${DEFAULT-VALUE}")
     private int port;
@@ -39,7 +39,7 @@
             fleet.writeList(folder.resolve("engines.yaml"));
             Service service = Service.start(SiteReader.read("demo", SITE.formatted(port), folder));
             System.out.println(
-                    "the messages API on 127.0.0.1:"
+                    "serving the messages API on 127.0.0.1:"
                             + service.ports().get(0)
                             + ", models consulta and resumen-registro; any x-api-key");
             new CountDownLatch(1).await();
--- a/src/main/java/larchridge/cli/EngineCommand.java
+++ b/src/main/java/larchridge/cli/EngineCommand.java
@@ -9,16 +9,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one stand-in engine. */
+/** Runs one simulated engine. */
 @Command(
         name = "engine",
         mixinStandardHelpOptions = true,
-        description = "Run a stand-in engine on loopback; its figures are made up.")
+        description = "Run a simulated engine on loopback; its performance figures are invented.")
 final class EngineCommand implements Callable<Integer> {
     @Option(
             names = "--port",
             defaultValue = "0",
-            description = "0 takes any (default: ${DEFAULT-VALUE})")
+            description = "0 selects a free port (default: ${DEFAULT-VALUE})")
     private int port;
 
     @Option(
@@ -39,20 +39,20 @@
     @Option(
             names = "--speed",
             defaultValue = "1",
-            description = "times as fast (default: ${DEFAULT-VALUE})")
+            description = "speed factor (default: ${DEFAULT-VALUE})")
     private double speed;
 
     @Option(
             names = "--streams",
             defaultValue = "60",
-            description = "answers side by side (default: ${DEFAULT-VALUE})")
+            description = "concurrent responses (default: ${DEFAULT-VALUE})")
     private int streams;
 
     @Option(
             names = "--token-ms",
             defaultValue = "8",
             description =
-                    "between two tokens of an answer, before --speed "
+                    "time between two tokens of a response, before --speed is applied "
                             + "(default: ${DEFAULT-VALUE})")
     private double tokenMs;
 
@@ -67,7 +67,7 @@
                                 .onSuccess(
                                         boundPort ->
                                                 System.out.println(
-                                                        "stand-in "
+                                                        "simulated engine "
                                                                 + role
                                                                 + " "
                                                                 + id
--- a/src/main/java/larchridge/cli/ExperimentCommand.java
+++ b/src/main/java/larchridge/cli/ExperimentCommand.java
@@ -11,34 +11,35 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a plan of drills in virtual time and keeps the results. */
+/** Runs a plan of system tests in virtual time and writes the results. */
 @Command(
         name = "experiment",
         mixinStandardHelpOptions = true,
         description = {
-            "Run a plan of drills in virtual time: policies, loads, fleets, seeds; results as a table, charts and a "
-                    + "page. A plan that was stopped goes on where it was.",
-            "Exit code 3: the module broke a rule."
+            "Run a plan of system tests in virtual time over policies, loads, fleets and seeds; "
+                    + "write the results as a table, charts and a page. A stopped plan resumes "
+                    + "where it stopped.",
+            "Exit code 3: the module violated a rule."
         })
 final class ExperimentCommand implements Callable<Integer> {
     @Option(
             names = "--plan",
             required = true,
             paramLabel = "FILE",
-            description = "what to vary, YAML")
+            description = "parameters to vary, YAML")
     private Path plan;
 
     @Option(
             names = "--into",
             required = true,
             paramLabel = "FOLDER",
-            description = "for results.csv, charts, index.html")
+            description = "output folder for results.csv, charts and index.html")
     private Path folder;
 
     @Option(
             names = "--side-by-side",
             defaultValue = "4",
-            description = "runs at a time (default: ${DEFAULT-VALUE})")
+            description = "concurrent runs (default: ${DEFAULT-VALUE})")
     private int sideBySide;
 
     @Override
@@ -55,7 +56,8 @@
                 ExperimentRunner.run(loadedPlan, folder.resolve("results.csv"), sideBySide);
         ReportPage.write(loadedPlan, rows, folder);
         System.out.println(
-                "policy | times load | service | beside the first | | p99 ms | broken rules (engines emulated)");
+                "policy | load factor | service | relative to the first | | p99 ms | rule "
+                        + "violations (engines emulated)");
         ReportPage.lines(loadedPlan, rows).forEach(System.out::println);
         boolean violated =
                 rows.stream()
--- a/src/main/java/larchridge/cli/FaultInjectionCommand.java
+++ b/src/main/java/larchridge/cli/FaultInjectionCommand.java
@@ -18,13 +18,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays overlapping faults over real node processes. */
+/** Injects overlapping faults into a cluster of real node processes. */
 @Command(
         name = "faults",
         mixinStandardHelpOptions = true,
         description =
-                "Start node processes on loopback between simulated engines, agents and clients, play faults that overlap, "
-                        + "drawn from a seed, and judge traffic and invariants. Exit code 3: something was broken.")
+                "Start node processes on loopback between simulated engines, discovery agents and "
+                        + "clients, inject overlapping faults that are generated from a seed, and "
+                        + "check the traffic and the invariants. Exit code 3: a rule or an "
+                        + "invariant was violated.")
 final class FaultInjectionCommand implements Callable<Integer> {
     private static final String TABLE_HEAD =
             "seed\tbuild\tnodes\tseconds\tplanted\trequests\twhole\tlate_ms\tverdict\tfaults\n";
@@ -38,7 +40,7 @@
     @Option(
             names = "--runs",
             defaultValue = "1",
-            description = "this many seeds, one after the other (default: ${DEFAULT-VALUE})")
+            description = "number of runs, with consecutive seeds (default: ${DEFAULT-VALUE})")
     private int runs;
 
     @Option(
@@ -56,43 +58,43 @@
     @Option(
             names = "--seconds",
             defaultValue = "40",
-            description = "of each run, 600 at most (default: ${DEFAULT-VALUE})")
+            description = "length of each run, 600 at most (default: ${DEFAULT-VALUE})")
     private double seconds;
 
     @Option(
             names = "--per-second",
             defaultValue = "80",
-            description = "requests over all nodes (default: ${DEFAULT-VALUE})")
+            description = "requests per second over all nodes (default: ${DEFAULT-VALUE})")
     private double perSecond;
 
     @Option(
             names = "--kinds",
             split = ",",
-            description = "kinds of troubles (default: all that the machine can play)")
+            description = "kinds of faults (default: all that this machine can inject)")
     private List<FaultKind> kinds = new ArrayList<>();
 
-    @Option(names = "--script", description = "play this file in place of a drawn one")
+    @Option(names = "--script", description = "run this script instead of a generated one")
     private Path script;
 
     @Option(
             names = "--plant",
             defaultValue = "NONE",
             description =
-                    "a fault outside the nodes that has to be seen: "
+                    "a fault outside the nodes that the checks have to detect: "
                             + "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE})")
     private PlantedFault plant;
 
     @Option(
             names = "--build",
             defaultValue = "-",
-            description = "a name of the build for the table")
+            description = "name of the build, for the table")
     private String build;
 
     @Option(
             names = "--into",
             required = true,
             paramLabel = "FOLDER",
-            description = "for scripts, logs, traffic and table.tsv")
+            description = "output folder for scripts, logs, traffic and table.tsv")
     private Path folder;
 
     @Override
@@ -121,7 +123,7 @@
     private void report(FaultScript runScript, FaultTestResult result) throws IOException {
         System.out.printf(
                 Locale.ROOT,
-                "seed %d: %d requests, %d served whole, the rig late by %.0f ms at most: %s%n",
+                "seed %d: %d requests, %d completed, harness lag at most %.0f ms: %s%n",
                 runScript.seed(),
                 result.requests(),
                 result.completed(),
--- a/src/main/java/larchridge/cli/LedgerCommand.java
+++ b/src/main/java/larchridge/cli/LedgerCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks after a ledger. */
+/** Maintains a ledger. */
 @Command(
         name = "ledger",
         mixinStandardHelpOptions = true,
@@ -17,8 +17,8 @@
             name = "verify",
             mixinStandardHelpOptions = true,
             description =
-                    "Add all records anew and compare with the sums; also while a service writes. Exit code 1: "
-                            + "they differ.")
+                    "Recompute the totals from all records and compare them with the stored ones; "
+                            + "also possible while a service writes. Exit code 1: they differ.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Ledger ledger = Ledger.openReadOnly(folder)) {
             List<String> differences = ledger.verify();
@@ -72,7 +72,7 @@
     @Command(
             name = "compact",
             mixinStandardHelpOptions = true,
-            description = "Merge the files on disk; no service may be writing.")
+            description = "Merge the files on disk. No service may be writing to the ledger.")
     int compact(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Ledger ledger = Ledger.open(folder, 2)) {
             ledger.compact();
--- a/src/main/java/larchridge/cli/LoadCommand.java
+++ b/src/main/java/larchridge/cli/LoadCommand.java
@@ -7,19 +7,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures what a front costs. */
+/** Measures the throughput, latency and CPU cost of a router. */
 @Command(
         name = "pump",
         mixinStandardHelpOptions = true,
         description =
-                "Ask as fast as answers come, through a front (one port) or at a reader and a writer directly "
-                        + "(two ports), and tell rate, time to the first token and the CPU of a process.")
+                "Send requests as fast as responses arrive, through a router (one port) or "
+                        + "directly to a reader and a writer (two ports), and print the rate, the "
+                        + "time to the first token and the CPU time of a process.")
 final class LoadCommand implements Callable<Integer> {
     @Option(
             names = "--ports",
             required = true,
             split = ",",
-            description = "a front's, or a reader's and a writer's")
+            description = "port of a router, or ports of a reader and a writer")
     private int[] ports;
 
     @Option(names = "--clients", defaultValue = "16", description = "default: ${DEFAULT-VALUE}")
@@ -31,7 +32,7 @@
     @Option(
             names = "--warm",
             defaultValue = "3",
-            description = "seconds before counting (default: ${DEFAULT-VALUE})")
+            description = "warm-up seconds, not counted (default: ${DEFAULT-VALUE})")
     private double warm;
 
     @Option(
@@ -43,19 +44,22 @@
     @Option(
             names = "--out",
             defaultValue = "20",
-            description = "answer tokens (default: ${DEFAULT-VALUE})")
+            description = "response tokens (default: ${DEFAULT-VALUE})")
     private int out;
 
-    @Option(names = "--h2", description = "HTTP/2: many streams a connection")
+    @Option(names = "--h2", description = "use HTTP/2, with many streams per connection")
     private boolean multiplexed;
 
     @Option(
             names = "--over",
             defaultValue = "0",
-            description = "seconds over which the clients come " + "(default: ${DEFAULT-VALUE})")
+            description = "seconds over which the clients start " + "(default: ${DEFAULT-VALUE})")
     private double over;
 
-    @Option(names = "--pid", defaultValue = "-1", description = "a process whose CPU is told")
+    @Option(
+            names = "--pid",
+            defaultValue = "-1",
+            description = "process whose CPU time is measured")
     private long pid;
 
     @Override
--- a/src/main/java/larchridge/cli/Main.java
+++ b/src/main/java/larchridge/cli/Main.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The command line. Exit codes: 0 done, 1 failed, 2 called wrongly, 3 a rule was broken. */
+/** The command line. Exit codes: 0 success, 1 failure, 2 invalid usage, 3 a rule was violated. */
 @Command(
         name = "larchridge",
         mixinStandardHelpOptions = true,
@@ -40,11 +40,11 @@
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("benchlink")) {
-            // The bench counts an adapter's start; nothing else is loaded for it.
+            // The bench measures the startup of this process, so no other classes are loaded.
             System.exit(BenchlinkCommand.run(System.in, System.out));
         }
         if (args.length == 1 && args[0].equals("node")) {
-            // A node's memory and start are counted too.
+            // Memory use and startup time of a node are measured too.
             System.exit(NodeMain.run(System.getenv(), System.err));
         }
         if (args.length == 2 && args[0].equals("node") && args[1].equals("training-run")) {
@@ -61,7 +61,7 @@
         return 2;
     }
 
-    /** The version that the jar was built as. */
+    /** Reads the version from the manifest of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/larchridge/cli/NodeCommand.java
+++ b/src/main/java/larchridge/cli/NodeCommand.java
@@ -4,13 +4,14 @@
 import larchridge.node.NodeMain;
 import picocli.CommandLine.Command;
 
-/** Serves as a front node of a platform. */
+/** Runs a router node of a platform. */
 @Command(
         name = "node",
         mixinStandardHelpOptions = true,
         description = {
-            "Serve as a front node of a platform, as PROXY_CONFIG and the variables beside it say.",
-            "SIGTERM ends it in peace, SIGHUP reads the configuration again."
+            "Run a router node of a platform, configured by PROXY_CONFIG and related environment "
+                    + "variables.",
+            "SIGTERM shuts it down gracefully, SIGHUP reloads the configuration."
         })
 final class NodeCommand implements Callable<Integer> {
     @Override
--- a/src/main/java/larchridge/cli/SearchCommand.java
+++ b/src/main/java/larchridge/cli/SearchCommand.java
@@ -11,27 +11,27 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Looks for the troubles under which the module does worst. */
+/** Searches for the faults under which the routing module performs worst. */
 @Command(
         name = "search",
         mixinStandardHelpOptions = true,
         description = {
-            "Look, in virtual time, for the troubles that break a rule or under which a plain policy serves most more "
-                    + "than the module; write the smallest such script.",
-            "Exit code 3: a rule was broken."
+            "Search, in virtual time, for faults that violate a rule or under which a baseline "
+                    + "policy outperforms the module by most; write the smallest such script.",
+            "Exit code 3: a rule was violated."
         })
 final class SearchCommand implements Callable<Integer> {
     @Option(
             names = "--script",
             required = true,
             paramLabel = "FILE",
-            description = "fleet and load; its troubles are replaced")
+            description = "script with fleet and load; its faults are replaced")
     private Path script;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "of the search (default: ${DEFAULT-VALUE})")
+            description = "seed of the search (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(names = "--tries", defaultValue = "100", description = "default: ${DEFAULT-VALUE}")
@@ -40,14 +40,14 @@
     @Option(
             names = "--side-by-side",
             defaultValue = "4",
-            description = "runs at a time (default: ${DEFAULT-VALUE})")
+            description = "concurrent runs (default: ${DEFAULT-VALUE})")
     private int sideBySide;
 
     @Option(
             names = "--into",
             required = true,
             paramLabel = "FILE",
-            description = "where the script goes")
+            description = "output file for the script")
     private Path into;
 
     @Override
@@ -63,7 +63,8 @@
         Files.writeString(into, FaultSearch.yaml(worst.script()));
         System.out.printf(
                 Locale.ROOT,
-                "seed %d, %d scripts: service %.3f, %d broken rules, a plain policy serves %.3f more%n",
+                "seed %d, %d scripts: service %.3f, %d rule violations, a baseline policy serves "
+                        + "%.3f more%n",
                 seed,
                 tries,
                 worst.service(),
--- a/src/main/java/larchridge/cli/ServeCommand.java
+++ b/src/main/java/larchridge/cli/ServeCommand.java
@@ -25,7 +25,8 @@
         name = "serve",
         mixinStandardHelpOptions = true,
         description =
-                "Serve a site until SIGTERM; open generations may end within the site's stop time.")
+                "Serve a site until SIGTERM; open generations may finish within the stop time of "
+                        + "the site.")
 final class ServeCommand implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
     private static final long POLL_INTERVAL_MS = 500;
@@ -42,13 +43,15 @@
             defaultValue = "1500",
             paramLabel = "N",
             description =
-                    "generations played to itself before it listens; 0 for none (default: ${DEFAULT-VALUE})")
+                    "warm-up generations before the service listens; 0 for none (default: "
+                            + "${DEFAULT-VALUE})")
     private int warmupGenerations;
 
     @Option(
             names = "--halt-at-write",
             hidden = true,
-            description = "for drills: end the process at the store's write of " + "this number")
+            description =
+                    "for crash tests: halt the process at the store write with this number")
     private int haltAtWrite;
 
     private CrashPoints haltAtConfiguredWrite() {
@@ -96,7 +99,10 @@
         return 0;
     }
 
-    /** A changed site file gives new budgets while the service runs; a bad one changes nothing. */
+    /**
+     * Reloads the budgets when the site file changes while the service runs. An invalid file
+     * changes nothing.
+     */
     private void watchBudgets(Service service) {
         Thread watcher =
                 new Thread(
@@ -113,14 +119,14 @@
                                     lastModified = modifiedNow;
                                     try {
                                         service.updateBudgets(SiteReader.read(site));
-                                        LOG.info("budgets taken anew");
+                                        LOG.info("budgets reloaded");
                                     } catch (IllegalStateException e) {
                                         // The service has stopped.
                                         return;
                                     } catch (InvalidSiteException e) {
                                         LOG.atError()
                                                 .addKeyValue("fault", e.getMessage())
-                                                .log("budgets kept as they were");
+                                                .log("invalid site file; keeping the current budgets");
                                     }
                                 }
                             }
--- a/src/main/java/larchridge/cli/SoakCommand.java
+++ b/src/main/java/larchridge/cli/SoakCommand.java
@@ -7,24 +7,25 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Loads a front for long and keeps its figures. */
+/** Runs a router under load for a long time and records its metrics. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description =
-                "Ask a front for long with shared texts, a flood of unshared ones and large logs; write its memory, "
-                        + "kept counts and loop delay by time as a table and a chart.")
+                "Send requests to a router for a long time, with shared texts, many unique ones "
+                        + "and large logs; write its memory, cached token counts and event loop "
+                        + "delay over time as a table and a chart.")
 final class SoakCommand implements Callable<Integer> {
-    @Option(names = "--port", required = true, description = "the front's")
+    @Option(names = "--port", required = true, description = "port of the router")
     private int port;
 
-    @Option(names = "--admin-port", required = true, description = "its operators' port")
+    @Option(names = "--admin-port", required = true, description = "admin port of the router")
     private int adminPort;
 
     @Option(
             names = "--per-second",
             defaultValue = "40",
-            description = "calls a second (default: ${DEFAULT-VALUE})")
+            description = "requests per second (default: ${DEFAULT-VALUE})")
     private double perS;
 
     @Option(names = "--seconds", defaultValue = "60", description = "default: ${DEFAULT-VALUE}")
@@ -37,7 +38,7 @@
             names = "--into",
             required = true,
             paramLabel = "FOLDER",
-            description = "for soak.csv and soak.png")
+            description = "output folder for soak.csv and soak.png")
     private Path folder;
 
     @Override
--- a/src/main/java/larchridge/cli/StoreCommand.java
+++ b/src/main/java/larchridge/cli/StoreCommand.java
@@ -16,18 +16,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Looks after a store of files and batches. */
+/** Maintains a store of files and batches. */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
-        description = "Verify, repair, copy or restore a store of batches.")
+        description = "Verify, repair, copy or restore a store of files and batches.")
 final class StoreCommand {
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
             description =
-                    "Read everything and compare; also while a "
-                            + "service uses it (what it is just placing may show as bytes that no file names). Exit code 1: something is wrong.")
+                    "Read and check the whole store; also possible while a service uses it, though "
+                            + "data that it is currently writing may be reported as unreferenced. "
+                            + "Exit code 1: an error was found.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Store store = Store.openReadOnly(folder)) {
             List<String> faults = store.verify();
@@ -44,8 +45,9 @@
             name = "repair",
             mixinStandardHelpOptions = true,
             description =
-                    "Remove bytes that no file names and count "
-                            + "names anew; no service may use it. What is damaged or missing is told, not hidden. Exit code 1: some is left.")
+                    "Remove unreferenced data and recount the references. No service may be using "
+                            + "the store. Damaged or missing data is reported. Exit code 1: errors "
+                            + "remain.")
     int repair(@Parameters(paramLabel = "FOLDER") Path folder) {
         try (Store store = Store.open(folder, CrashPoints.NONE)) {
             store.repair().forEach(System.out::println);
@@ -61,13 +63,13 @@
             name = "snapshot",
             mixinStandardHelpOptions = true,
             description =
-                    "Have a running service copy its store into the folder STORE.snapshots/NAME.")
+                    "Make a running service copy its store to the folder STORE.snapshots/NAME.")
     int snapshot(
             @Option(
                             names = "--admin",
                             required = true,
                             paramLabel = "HOST:PORT",
-                            description = "its operators' address")
+                            description = "admin address of the service")
                     String admin,
             @Parameters(paramLabel = "NAME") String name)
             throws InterruptedException {
@@ -88,7 +90,7 @@
             System.out.print(response.body());
             return response.statusCode() == 200 ? 0 : 1;
         } catch (IOException | IllegalArgumentException e) {
-            System.err.println("larchridge: " + admin + " does not answer: " + e.getMessage());
+            System.err.println("larchridge: " + admin + " did not respond: " + e.getMessage());
             return 1;
         }
     }
@@ -96,12 +98,13 @@
     @Command(
             name = "restore",
             mixinStandardHelpOptions = true,
-            description = "Copy a snapshot to a folder that is not there yet, and verify the copy.")
+            description =
+                    "Copy a snapshot to a folder that does not exist yet, and verify the copy.")
     int restore(
             @Parameters(paramLabel = "SNAPSHOT") Path from,
             @Parameters(paramLabel = "FOLDER") Path to) {
         if (Files.exists(to)) {
-            System.err.println(to + ": is there already; nothing was changed");
+            System.err.println(to + ": already exists; nothing was changed");
             return 1;
         }
         try {
@@ -116,13 +119,14 @@
             name = "cost",
             mixinStandardHelpOptions = true,
             description =
-                    "Write so many records of lines into a new store, "
-                            + "end without closing it, and tell how long opening it anew takes and what it takes on disk.")
+                    "Write the given number of line records to a new store, abandon it without "
+                            + "closing, and print how long reopening it takes and its size on "
+                            + "disk.")
     int cost(
             @Parameters(paramLabel = "FOLDER") Path folder,
             @Option(names = "--lines", defaultValue = "1000") int lines) {
         if (Files.exists(folder)) {
-            System.err.println(folder + ": is there already; nothing was changed");
+            System.err.println(folder + ": already exists; nothing was changed");
             return 1;
         }
         try {
--- a/src/main/java/larchridge/cli/SystemTestCommand.java
+++ b/src/main/java/larchridge/cli/SystemTestCommand.java
@@ -17,44 +17,49 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays a scripted bad day through real fronts and judges it from the traffic. */
+/** Runs a scripted system test with real routers and checks the traffic. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
         description = {
-            "Play a bad day: real fronts, stand-in engines and clients over loopback; the rules are checked "
-                    + "from the traffic.",
-            "Exit code 3: a rule was broken."
+            "Run a script of load and faults against real routers, with simulated engines and "
+                    + "clients on loopback, and check the rules from the traffic.",
+            "Exit code 3: a rule was violated."
         })
 final class SystemTestCommand implements Callable<Integer> {
     @ArgGroup(multiplicity = "1")
     private Source source;
 
-    @Option(names = "--seed", description = "in place of the script's")
+    @Option(names = "--seed", description = "seed to use instead of the one in the script")
     private Long seed;
 
     @Option(
             names = "--log",
             paramLabel = "FILE",
-            description = "write the traffic log there, as JSON lines")
+            description = "write the traffic log to this file, as JSON lines")
     private Path log;
 
     @Option(
             names = "--virtual",
-            description = "in virtual time over emulated engines: one seed, one run, to the byte")
+            description =
+                    "run in virtual time with emulated engines; a seed always gives the same run, "
+                            + "byte for byte")
     private boolean virtual;
 
-    @Option(names = "--no-batches", description = "leave the script's batches out, to compare")
+    @Option(
+            names = "--no-batches",
+            description = "leave out the batches of the script, for comparison")
     private boolean noBatches;
 
-    @Option(names = "--figures", description = "print the fronts' own figures at the end")
+    @Option(names = "--figures", description = "print the metrics of the routers at the end")
     private boolean figures;
 
     @Option(
             names = "--scale",
             defaultValue = "1",
             description =
-                    "of a bench day's load and engines' speed " + "(default: ${DEFAULT-VALUE})")
+                    "scales the load and the engine speed of a bench day "
+                            + "(default: ${DEFAULT-VALUE})")
     private double scale;
 
     private int runInVirtualTime(TestScript script) throws IOException {
@@ -66,7 +71,8 @@
         result.breaches().forEach(System.out::println);
         System.out.printf(
                 Locale.ROOT,
-                "%d broken rules in %d sights, digest %s, %d steps, %.0f virtual seconds a second%n",
+                "%d rule violations in %d events, digest %s, %d steps, %.0f virtual seconds per "
+                        + "second%n",
                 result.breaches().size(),
                 result.events().size(),
                 result.digest(),
@@ -76,13 +82,13 @@
     }
 
     private static final class Source {
-        @Option(names = "--script", paramLabel = "FILE", description = "drill script, YAML")
+        @Option(names = "--script", paramLabel = "FILE", description = "test script, YAML")
         private Path script;
 
         @Option(
                 names = "--day",
                 paramLabel = "FILE",
-                description = "a bench day, as lbsim draw prints it")
+                description = "a bench day, in the output format of lbsim draw")
         private Path day;
     }
 
@@ -93,7 +99,7 @@
             if (source.day != null) {
                 BenchDayReader day = BenchDayReader.read(source.day, scale);
                 script = day.script();
-                day.leftOut().forEach(omission -> System.out.println("not carried over: " + omission));
+                day.leftOut().forEach(omission -> System.out.println("not converted: " + omission));
             } else {
                 script = TestScriptReader.read(source.script);
             }
@@ -112,7 +118,7 @@
                         + script.seed()
                         + ", "
                         + script.fronts()
-                        + " fronts, engines are simulated");
+                        + " routers, engines are simulated");
         if (virtual) {
             return runInVirtualTime(script);
         }
@@ -131,7 +137,10 @@
             System.out.println(breach);
         }
         System.out.println(
-                result.breaches().size() + " broken rules in " + result.log().size() + " sights");
+                result.breaches().size()
+                        + " rule violations in "
+                        + result.log().size()
+                        + " events");
         return result.breaches().isEmpty() ? 0 : 3;
     }
 }
--- a/src/main/java/larchridge/cli/package-info.java
+++ b/src/main/java/larchridge/cli/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The command line: one class a command.
+ * The command line: one class per command.
  *
- * <p>{@link larchridge.cli.Main} is the entry. Commands read options and call other packages; they
- * hold no logic of their own.
+ * <p>{@link larchridge.cli.Main} is the entry point. Commands parse options and call other
+ * packages; they contain no logic of their own.
  */
 package larchridge.cli;
--- a/src/main/resources/faults/shim.c
+++ b/src/main/resources/faults/shim.c
@@ -1,6 +1,7 @@
 /*
- * Preloaded into a node by the soak rig: makes system calls fail and the wall clock step, as a control file says that the
- * rig and the node map together. Calls fail in the ways that Linux documents for them; nothing else of the process changes.
+ * Preloaded into a node by the fault injection harness. Makes system calls fail and shifts the wall
+ * clock as set in a control file that the harness and the node both map. Calls fail only in ways
+ * that Linux documents for them; everything else in the process behaves as usual.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -16,7 +17,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The rig writes these; a share is a chance in a thousand. */
+/* The control file, written by the harness. SystemCallShim.java uses the same offsets. */
 struct control {
     volatile int32_t accept_per_mille, accept_errno;
     volatile int32_t socket_per_mille, socket_errno;
--- a/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
+++ b/src/test/java/larchridge/faultinjection/FaultInjectionRunTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Short runs of the rig over real processes; long ones with many seeds are played by its command.
+ * Short fault injection runs with real node processes. Guards against: a node violates a rule while
+ * faults overlap, or the checks miss a planted fault. Long runs over many seeds are started with
+ * the {@code faults} command.
  */
 @Timeout(120)
 class FaultInjectionRunTest {
--- a/src/test/java/larchridge/faultinjection/TestNodeTest.java
+++ b/src/test/java/larchridge/faultinjection/TestNodeTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The faults that a node's log reports. Guards against: a log message is reworded, and the fault
- * injection runs no longer see the fault that it reports.
+ * The faults that are read from a node's log. Guards against: a log message is reworded, and the
+ * fault injection runs no longer detect the fault that it reports.
  */
 class TestNodeTest {
     private static final Path SOURCES = Path.of("src/main/java/larchridge");
